--- a/cmd/garnetlab/duties.go
+++ b/cmd/fleetlab/duties.go
@@ -14,10 +14,10 @@
 
 	"github.com/urfave/cli/v3"
 
-	"garnetline/internal/faultnet"
+	"garnetline/internal/experiment"
+	"garnetline/internal/faultproxy"
 	"garnetline/internal/fleet/consensus"
-	"garnetline/internal/lab"
-	"garnetline/internal/rig"
+	"garnetline/internal/testcluster"
 )
 
 // leasesCommand plays leases on the virtual network: many handovers with all safeguards,
@@ -36,10 +36,10 @@
 		began := time.Now()
 		const each = 20_000
 		var mu sync.Mutex
-		var all lab.LeaseResult
+		var all experiment.LeaseResult
 		runs := (c.Int("handovers") + each - 1) / each
 		parallel(runs, func(i int) {
-			r := lab.Leases{Seed: uint64(i + 1), Drift: 1, Routers: 3 + i%3, Until: each}.Run()
+			r := experiment.Leases{Seed: uint64(i + 1), Drift: 1, Routers: 3 + i%3, Until: each}.Run()
 			mu.Lock()
 			defer mu.Unlock()
 			all.Handovers, all.Planned, all.Acts = all.Handovers+r.Handovers, all.Planned+r.Planned, all.Acts+r.Acts
@@ -51,16 +51,16 @@
 		if all.Broken == "" {
 			all.Broken = "none"
 		}
-		fmt.Fprintf(f, "Made by `garnetlab leases --handovers %d --seeds %d`, %v.\n\n", c.Int("handovers"), c.Int("seeds"), time.Since(began).Round(time.Second))
+		fmt.Fprintf(f, "Made by `fleetlab leases --handovers %d --seeds %d`, %v.\n\n", c.Int("handovers"), c.Int("seeds"), time.Since(began).Round(time.Second))
 		fmt.Fprintf(f, "%d handovers (%d planned) in %.0f virtual hours and %d runs, %d acts written, %d stopped by the check at the write, %d refused by their token at the receiver. Two that acted at once: %s.\n\n",
 			all.Handovers, all.Planned, all.Virtual/3_600_000, runs, all.Acts, all.Dropped, all.Refused, all.Broken)
 		fmt.Fprintln(f, "| off | seeds that show it | smallest schedule: faults and moves | handovers until then | what is seen there |\n| --- | --- | --- | --- | --- |")
-		for _, off := range append(slices.Clone(lab.Safeguards), "ten times the drift") {
-			n, best := 0, lab.LeaseResult{}
+		for _, off := range append(slices.Clone(experiment.Safeguards), "ten times the drift") {
+			n, best := 0, experiment.LeaseResult{}
 			parallel(c.Int("seeds"), func(i int) {
-				o := lab.Leases{Seed: uint64(i + 1), Off: off, Drift: 1, Routers: 3, Until: 2000}
+				o := experiment.Leases{Seed: uint64(i + 1), Off: off, Drift: 1, Routers: 3, Until: 2000}
 				if off == "ten times the drift" {
-					o.Off, o.Drift = lab.None, 10
+					o.Off, o.Drift = experiment.None, 10
 				}
 				r := o.Run()
 				mu.Lock()
@@ -89,13 +89,13 @@
 			return err
 		}
 		defer f.Close()
-		fmt.Fprintf(f, "Made by `garnetlab lease-states --most %d`.\n\n", c.Int("most"))
+		fmt.Fprintf(f, "Made by `fleetlab lease-states --most %d`.\n\n", c.Int("most"))
 		fmt.Fprintln(f, "| off | on their way, faults, crashes, handings on, grants at the most | states | moves | deepest | whole | found |\n| --- | --- | --- | --- | --- | --- | --- |")
-		wide := lab.LeaseSearch{Air: 2, Crashes: 1, Gives: 1, Grants: 3, Most: c.Int("most")}
-		all := []lab.LeaseSearch{
+		wide := experiment.LeaseSearch{Air: 2, Crashes: 1, Gives: 1, Grants: 3, Most: c.Int("most")}
+		all := []experiment.LeaseSearch{
 			{Air: 1, Grants: 1, Most: wide.Most}, {Air: 1, Grants: 2, Most: wide.Most}, {Air: 1, Grants: 2, Gives: 1, Most: wide.Most}, {Air: 1, Grants: 2, Crashes: 1, Most: wide.Most},
 			{Air: 2, Grants: 1, Most: wide.Most}, {Air: 3, Grants: 3, Gives: 1, Crashes: 1, Faults: 1, Most: wide.Most}}
-		for _, wide.Off = range lab.Searched {
+		for _, wide.Off = range experiment.Searched {
 			all = append(all, wide)
 		}
 		rows := make([]string, len(all))
@@ -133,12 +133,12 @@
 		if err != nil {
 			return err
 		}
-		dir, err := os.MkdirTemp("", "garnetlab")
+		dir, err := os.MkdirTemp("", "fleetlab")
 		if err != nil {
 			return err
 		}
 		defer os.RemoveAll(dir)
-		r, err := rig.Start(rig.Options{Program: program, Routers: 8, Boxes: 2, Fleet: true, Electors: 5, Seed: uint64(c.Int("seed")), Dir: dir,
+		r, err := testcluster.Start(testcluster.Options{Program: program, Routers: 8, Boxes: 2, Fleet: true, Electors: 5, Seed: uint64(c.Int("seed")), Dir: dir,
 			Lines: " more_room_after_ms = 1000\n", Duties: " lease_ms = 1000\n margin_ms = 100\n retry_ms = 100\n"})
 		if err != nil {
 			return err
@@ -160,19 +160,19 @@
 			return err
 		}
 		defer f.Close()
-		fmt.Fprintf(f, "Made by `garnetlab register --days %g`: electors, routers and their register on one virtual clock, a message takes 0.3 ms and 0.3 on average on top; a duty is handed on twice a second, and in the last run, whose tick is 1 s and lease 60 s, once a minute, while a router is deaf for two leases every hour.\n\n", c.Float("days"))
+		fmt.Fprintf(f, "Made by `fleetlab register --days %g`: electors, routers and their register on one virtual clock, a message takes 0.3 ms and 0.3 on average on top; a duty is handed on twice a second, and in the last run, whose tick is 1 s and lease 60 s, once a minute, while a router is deaf for two leases every hour.\n\n", c.Float("days"))
 		fmt.Fprintln(f, "| electors, routers, duties | hours | held at the end | from ask to grant, ms: median, p99 | handed on, ms: median, p99 | questions/s | between electors: messages/s, bytes/s | questions and answers: bytes/s | commands | syncs of a disk | its most, KB | heap of all after each eighth, MB |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 		long := consensus.DefaultSettings()
 		long.ElectionTicks, long.HeartbeatTicks = 30, 5
 		long.TickInterval, long.Lease.TTL, long.Lease.SafetyMargin, long.Lease.RetryInterval = 1000, 60_000, 2000, 5000
 		for _, x := range []struct {
-			lab.Register
+			experiment.Register
 			ms float64
 		}{
-			{lab.Register{Electors: 5, Routers: 30, Duties: 10, Set: consensus.DefaultSettings(), Move: 500}, 60_000},
-			{lab.Register{Electors: 5, Routers: 30, Duties: 1000, Set: consensus.DefaultSettings(), Move: 500}, 60_000},
-			{lab.Register{Electors: 5, Routers: 300, Duties: 10, Set: consensus.DefaultSettings(), Move: 500}, 60_000},
-			{lab.Register{Electors: 5, Routers: 10, Duties: 10, Set: long, Move: 60_000, Drop: 3_600_000}, c.Float("days") * 86_400_000},
+			{experiment.Register{Electors: 5, Routers: 30, Duties: 10, Set: consensus.DefaultSettings(), Move: 500}, 60_000},
+			{experiment.Register{Electors: 5, Routers: 30, Duties: 1000, Set: consensus.DefaultSettings(), Move: 500}, 60_000},
+			{experiment.Register{Electors: 5, Routers: 300, Duties: 10, Set: consensus.DefaultSettings(), Move: 500}, 60_000},
+			{experiment.Register{Electors: 5, Routers: 10, Duties: 10, Set: long, Move: 60_000, Drop: 3_600_000}, c.Float("days") * 86_400_000},
 		} {
 			x.Seed = 1
 			r, err := x.Run(x.ms)
@@ -195,8 +195,8 @@
 			return err
 		}
 		defer f.Close()
-		fmt.Fprint(f, "Made by `garnetlab worth`: 90 virtual seconds, 20 boxes in one location, which is cut in two from 30 to 60 s; six in ten routers are on the register's side.\n\n")
-		lab.WorthTable(f)
+		fmt.Fprint(f, "Made by `fleetlab worth`: 90 virtual seconds, 20 boxes in one location, which is cut in two from 30 to 60 s; six in ten routers are on the register's side.\n\n")
+		experiment.WorthTable(f)
 		return nil
 	}}
 }
@@ -219,7 +219,7 @@
 			return err
 		}
 		defer f.Close()
-		fmt.Fprintf(f, "Made by `garnetlab returns --times %d`: processes on one machine, 3 boxes, 160 requests a second in all, one box fails for 4 s; `routers_per_s = 10`.\n\n", c.Int("times"))
+		fmt.Fprintf(f, "Made by `fleetlab returns --times %d`: processes on one machine, 3 boxes, 160 requests a second in all, one box fails for 4 s; `routers_per_s = 10`.\n\n", c.Int("times"))
 		fmt.Fprintln(f, "| routers | the duty | requests at the box in the first 0.1 s, 1 s from the first try | all in again after, s | without one whole answer |\n| --- | --- | --- | --- | --- |")
 		for _, n := range c.IntSlice("routers") {
 			for _, on := range []bool{false, true} {
@@ -236,16 +236,16 @@
 }
 
 func returns(program string, n, times int, on bool) (string, error) {
-	dir, err := os.MkdirTemp("", "garnetlab")
+	dir, err := os.MkdirTemp("", "fleetlab")
 	if err != nil {
 		return "", err
 	}
 	defer os.RemoveAll(dir)
-	o := rig.Options{Program: program, Routers: n, Boxes: 3, Fleet: true, Electors: 5, Seed: 1, Dir: dir, Lines: " more_room_after_ms = 1000\n"}
+	o := testcluster.Options{Program: program, Routers: n, Boxes: 3, Fleet: true, Electors: 5, Seed: 1, Dir: dir, Lines: " more_room_after_ms = 1000\n"}
 	if on {
 		o.Duties = " first_try {\n  routers_per_s = 10\n }\n"
 	}
-	r, err := rig.Start(o)
+	r, err := testcluster.Start(o)
 	if err != nil {
 		return "", err
 	}
@@ -291,7 +291,7 @@
 	}
 	res := l.End()
 	return fmt.Sprintf("| %d | %s | %.0f, %.0f | %.1f | %d of %d |", n, map[bool]string{true: "on", false: "off"}[on],
-		lab.Quantile(sorted(tenth), 0.5), lab.Quantile(sorted(second), 0.5), lab.Quantile(sorted(all), 0.5), len(res.Lost), res.Asked), nil
+		experiment.Quantile(sorted(tenth), 0.5), experiment.Quantile(sorted(second), 0.5), experiment.Quantile(sorted(all), 0.5), len(res.Lost), res.Asked), nil
 }
 
 func sorted(x []float64) []float64 { slices.Sort(x); return x }
@@ -310,7 +310,7 @@
 // planned are those in which the holder itself hands the duty on.
 var planned = kindsOfEnd[:2]
 
-func handovers(r *rig.Rig, rng *rand.Rand, n int, kinds []string, tell float64, out string) error {
+func handovers(r *testcluster.Rig, rng *rand.Rand, n int, kinds []string, tell float64, out string) error {
 	const duty = "probe/edge"
 	const bound = 60 * time.Second
 	if _, err := r.Alike(bound, r.Routers...); err != nil {
@@ -353,9 +353,9 @@
 		default:
 			for _, y := range r.Routers {
 				if p, err := y.Duties(); y != x && (kind != "cut off one way from the leader" || err == nil && p.Register.Leading) {
-					r.Net.Set(x.Way(), y.Way(), faultnet.Fault{Cut: true})
+					r.Net.Set(x.Way(), y.Way(), faultproxy.Fault{Cut: true})
 					if kind != "cut off one way from the leader" {
-						r.Net.Set(y.Way(), x.Way(), faultnet.Fault{Cut: true})
+						r.Net.Set(y.Way(), x.Way(), faultproxy.Fault{Cut: true})
 					}
 				}
 			}
@@ -397,11 +397,11 @@
 		return err
 	}
 	defer f.Close()
-	fmt.Fprintf(f, "Made by `garnetlab handovers`: 8 processes, 5 electors, lease 1 s, margin 0.1 s; acts as a box saw them, a probe each 20 ms.\n\n")
+	fmt.Fprintf(f, "Made by `fleetlab handovers`: 8 processes, 5 electors, lease 1 s, margin 0.1 s; acts as a box saw them, a probe each 20 ms.\n\n")
 	fmt.Fprintln(f, "| the holder | handovers | nobody acted, ms: median | p90 | most |\n| --- | --- | --- | --- | --- |")
 	for _, k := range kinds {
 		slices.Sort(gaps[k])
-		fmt.Fprintf(f, "| %s | %d | %.0f | %.0f | %.0f |\n", k, len(gaps[k]), lab.Quantile(gaps[k], 0.5), lab.Quantile(gaps[k], 0.9), lab.Quantile(gaps[k], 1))
+		fmt.Fprintf(f, "| %s | %d | %.0f | %.0f | %.0f |\n", k, len(gaps[k]), experiment.Quantile(gaps[k], 0.5), experiment.Quantile(gaps[k], 0.9), experiment.Quantile(gaps[k], 1))
 	}
 	broken := "none"
 	for _, b := range r.Boxes {
@@ -416,11 +416,11 @@
 	for _, x := range res.Lost {
 		fmt.Fprintln(os.Stderr, x)
 	}
-	return lab.Gaps(filepath.Join(out, "handovers.svg"), kinds, gaps)
+	return experiment.Gaps(filepath.Join(out, "handovers.svg"), kinds, gaps)
 }
 
 // figure is the sum of one of the fleet's counters over the routers that run.
-func figure(r *rig.Rig, name string) (sum int) {
+func figure(r *testcluster.Rig, name string) (sum int) {
 	for _, x := range r.Live() {
 		_, b, _ := x.Door("GET", "/metrics")
 		for line := range strings.Lines(string(b)) {
--- a/cmd/garnetlab/fleet.go
+++ b/cmd/fleetlab/fleet.go
@@ -14,8 +14,8 @@
 
 	"github.com/urfave/cli/v3"
 
-	"garnetline/internal/faultnet"
-	"garnetline/internal/rig"
+	"garnetline/internal/faultproxy"
+	"garnetline/internal/testcluster"
 )
 
 // tour is what is done where no file says otherwise.
@@ -116,12 +116,12 @@
 	if err != nil || n < 1 || n > most {
 		return fmt.Errorf("routers: want 1 to %d", most)
 	}
-	dir, err := os.MkdirTemp("", "garnetlab")
+	dir, err := os.MkdirTemp("", "fleetlab")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	r, err := rig.Start(rig.Options{Program: program, Routers: n, Boxes: 3, Fleet: true, Seed: 1, Dir: dir})
+	r, err := testcluster.Start(testcluster.Options{Program: program, Routers: n, Boxes: 3, Fleet: true, Seed: 1, Dir: dir})
 	if err != nil {
 		return err
 	}
@@ -151,7 +151,7 @@
 }
 
 // look prints what has changed in the views.
-func look(r *rig.Rig, at time.Duration, seen map[string]string) {
+func look(r *testcluster.Rig, at time.Duration, seen map[string]string) {
 	for _, x := range r.Routers {
 		now := "is not running"
 		if x.Running() {
@@ -182,9 +182,9 @@
 }
 
 // do carries one step out.
-func do(r *rig.Rig, w []string) error {
+func do(r *testcluster.Rig, w []string) error {
 	var err error
-	find := func(name string) *rig.Router {
+	find := func(name string) *testcluster.Router {
 		for _, x := range r.Routers {
 			if x.Name == name {
 				return x
@@ -193,7 +193,7 @@
 		err = errors.Join(err, fmt.Errorf("%s: no such router", name))
 		return r.Routers[0]
 	}
-	on := func(f func(*rig.Router) error) error {
+	on := func(f func(*testcluster.Router) error) error {
 		x := find(w[1])
 		if err != nil {
 			return err
@@ -202,21 +202,21 @@
 	}
 	switch w[0] {
 	case "kill":
-		return on(func(x *rig.Router) error { x.Kill(); return nil })
+		return on(func(x *testcluster.Router) error { x.Kill(); return nil })
 	case "start":
-		return on((*rig.Router).Start)
+		return on((*testcluster.Router).Start)
 	case "stop":
-		return on((*rig.Router).Stop)
+		return on((*testcluster.Router).Stop)
 	case "stall":
-		return on((*rig.Router).Stall)
+		return on((*testcluster.Router).Stall)
 	case "wake":
-		return on((*rig.Router).Wake)
+		return on((*testcluster.Router).Wake)
 	case "heal":
 		r.Net.Heal()
 	case "cut", "oneway", "loss":
-		f := faultnet.Fault{Cut: true}
+		f := faultproxy.Fault{Cut: true}
 		if w[0] == "loss" {
-			f = faultnet.Fault{}
+			f = faultproxy.Fault{}
 			if f.Loss, err = strconv.ParseFloat(w[3], 64); err != nil {
 				return err
 			}
--- a/cmd/garnetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -1,4 +1,4 @@
-// Command garnetlab shows and measures several routers together: real processes behind
+// Command fleetlab shows and measures several routers together: real processes behind
 // relays, and the same state machines on a virtual network.
 package main
 
@@ -12,12 +12,12 @@
 
 	"github.com/urfave/cli/v3"
 
-	"garnetline/internal/lab"
+	"garnetline/internal/experiment"
 )
 
 func main() {
 	app := &cli.Command{
-		Name:  "garnetlab",
+		Name:  "fleetlab",
 		Usage: "several routers together: shown, and measured",
 		Commands: []*cli.Command{
 			fleetCommand(),
@@ -32,7 +32,7 @@
 				&cli.DurationFlag{Name: "rough", Usage: "virtual time under each trouble, less where there are over 30", Value: 10 * time.Minute},
 			}, Action: func(_ context.Context, c *cli.Command) error {
 				began := time.Now()
-				o := lab.Members{Sizes: c.IntSlice("sizes"), Seeds: c.Int("seeds"), Kills: c.Int("kills"), Calm: 20_000,
+				o := experiment.Members{Sizes: c.IntSlice("sizes"), Seeds: c.Int("seeds"), Kills: c.Int("kills"), Calm: 20_000,
 					Rough: float64(c.Duration("rough").Milliseconds()), Losses: []float64{0, 0.05, 0.2}}
 				all := o.Run(os.Stderr)
 				if err := os.MkdirAll(c.String("out"), 0o755); err != nil {
@@ -43,9 +43,9 @@
 					return err
 				}
 				defer f.Close()
-				fmt.Fprintf(f, "Made by `garnetlab members --sizes %v --seeds %d --kills %d --rough %v`, %v.\n\n", c.IntSlice("sizes"), o.Seeds, o.Kills, c.Duration("rough"), time.Since(began).Round(time.Second))
-				lab.Table(f, all)
-				return lab.Charts(c.String("out"), all)
+				fmt.Fprintf(f, "Made by `fleetlab members --sizes %v --seeds %d --kills %d --rough %v`, %v.\n\n", c.IntSlice("sizes"), o.Seeds, o.Kills, c.Duration("rough"), time.Since(began).Round(time.Second))
+				experiment.Table(f, all)
+				return experiment.Charts(c.String("out"), all)
 			}},
 			{Name: "day", Usage: "a virtual day of a fleet under loss: what is said wrongly", Flags: []cli.Flag{
 				&cli.IntFlag{Name: "routers", Value: 30}, &cli.IntFlag{Name: "seeds", Value: 10},
@@ -54,7 +54,7 @@
 				var wg sync.WaitGroup
 				for seed := range c.Int("seeds") {
 					wg.Go(func() {
-						r := lab.Day(c.Int("routers"), uint64(seed+1), c.Float("loss"), float64(c.Duration("for").Milliseconds()))
+						r := experiment.Day(c.Int("routers"), uint64(seed+1), c.Float("loss"), float64(c.Duration("for").Milliseconds()))
 						fmt.Printf("%d routers, seed %d, %s, %.0f hours: %d suspicions, %d failures of routers that lived\n",
 							c.Int("routers"), seed+1, r.Trouble, r.Hours, r.Suspects, r.Failures)
 					})
@@ -65,7 +65,7 @@
 		},
 	}
 	if err := app.Run(context.Background(), os.Args); err != nil {
-		fmt.Fprintln(os.Stderr, "garnetlab:", err)
+		fmt.Fprintln(os.Stderr, "fleetlab:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/garnetlab/requests.go
+++ b/cmd/fleetlab/requests.go
@@ -8,8 +8,8 @@
 
 	"github.com/urfave/cli/v3"
 
-	"garnetline/internal/faultnet"
-	"garnetline/internal/rig"
+	"garnetline/internal/faultproxy"
+	"garnetline/internal/testcluster"
 )
 
 // requestsCommand measures what clients see, with the fleet on and off in turn.
@@ -43,15 +43,15 @@
 
 // faulty plays the same faults each time: one router killed and started again, one
 // stopped for 3 s, a cut in halves, loss and garbling, a box that fails.
-func faulty(program string, n int, seed uint64, on bool) (rig.Result, error) {
-	dir, err := os.MkdirTemp("", "garnetlab")
+func faulty(program string, n int, seed uint64, on bool) (testcluster.Result, error) {
+	dir, err := os.MkdirTemp("", "fleetlab")
 	if err != nil {
-		return rig.Result{}, err
+		return testcluster.Result{}, err
 	}
 	defer os.RemoveAll(dir)
-	r, err := rig.Start(rig.Options{Program: program, Routers: n, Boxes: 4, Fleet: on, Seed: seed, Dir: dir})
+	r, err := testcluster.Start(testcluster.Options{Program: program, Routers: n, Boxes: 4, Fleet: on, Seed: seed, Dir: dir})
 	if err != nil {
-		return rig.Result{}, err
+		return testcluster.Result{}, err
 	}
 	defer r.Close()
 	if _, err := r.Until("all ready", 30*time.Second, func() (bool, string) {
@@ -62,7 +62,7 @@
 		}
 		return true, ""
 	}); err != nil {
-		return rig.Result{}, err
+		return testcluster.Result{}, err
 	}
 	time.Sleep(2 * time.Second)
 	l := r.Load(20*time.Millisecond, r.Routers...)
@@ -73,7 +73,7 @@
 	x.Kill()
 	pause()
 	if err := x.Start(); err != nil {
-		return rig.Result{}, err
+		return testcluster.Result{}, err
 	}
 	l.Excuse(y, true)
 	y.Stall()
@@ -85,9 +85,9 @@
 	for i, a := range r.Routers {
 		for j, b := range r.Routers {
 			if i%2 != j%2 {
-				r.Net.Set(a.Way(), b.Way(), faultnet.Fault{Cut: true})
+				r.Net.Set(a.Way(), b.Way(), faultproxy.Fault{Cut: true})
 			} else if i != j {
-				r.Net.Set(a.Way(), b.Way(), faultnet.Fault{Loss: 0.2, Garble: 0.05, Jitter: 20})
+				r.Net.Set(a.Way(), b.Way(), faultproxy.Fault{Loss: 0.2, Garble: 0.05, Jitter: 20})
 			}
 		}
 	}
--- a/cmd/garnetline/bench_test.go
+++ b/cmd/garnetline/bench_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"garnetline/internal/standin"
+	"garnetline/internal/fakeserver"
 )
 
 // BenchmarkDaemon measures CPU a request of the whole daemon, in a process of its own,
@@ -24,7 +24,7 @@
 // the same run, in turn with the others.
 func BenchmarkDaemon(b *testing.B) {
 	body := strings.Repeat("x", 2048)
-	box := newCache(b, func(id, _ string) string { return standin.Answer(id, "DONE", "tag=t1,minted=1", body) }).Addr()
+	box := newCache(b, func(id, _ string) string { return fakeserver.Answer(id, "DONE", "tag=t1,minted=1", body) }).Addr()
 	log, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
--- a/cmd/garnetline/daemon.go
+++ b/cmd/garnetline/daemon.go
@@ -18,7 +18,7 @@
 	"garnetline/internal/logs"
 	"garnetline/internal/metrics"
 	"garnetline/internal/platformconfig"
-	"garnetline/internal/trace/record"
+	"garnetline/internal/trace/recorder"
 	"garnetline/internal/upstream"
 	"garnetline/routing"
 )
@@ -40,8 +40,8 @@
 	dispatcher *dispatch.Dispatcher
 	watcher    *discovery.Watcher
 	upstreams  *upstream.Pool
-	recorder   *record.Recorder // nil unless traces are on
-	fleet      *fleetServices   // nil unless the fleet is on
+	recorder   *recorder.Recorder // nil unless traces are on
+	fleet      *fleetServices     // nil unless the fleet is on
 	dns        *dnsfront.Server
 	front      *httpfront.Server
 
--- a/cmd/garnetline/daemon_parts.go
+++ b/cmd/garnetline/daemon_parts.go
@@ -11,7 +11,7 @@
 	"garnetline/internal/frontend/dnsfront"
 	"garnetline/internal/frontend/httpfront"
 	"garnetline/internal/platformconfig"
-	"garnetline/internal/trace/attach"
+	"garnetline/internal/trace/instrument"
 	"garnetline/internal/upstream"
 )
 
@@ -42,7 +42,7 @@
 	}
 	if d.recorder != nil {
 		d.recorder.Kept = d.upstreams.TraceRetained
-		d.dispatcher.SetTracer(attach.Core(d.recorder))
+		d.dispatcher.SetTracer(instrument.Core(d.recorder))
 	}
 	d.fleet, err = joinFleet(d)
 	if err != nil {
--- a/cmd/garnetline/endings_test.go
+++ b/cmd/garnetline/endings_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
+	"garnetline/internal/fakeserver"
 	"garnetline/internal/operatorconfig"
 	"garnetline/internal/platformconfig"
-	"garnetline/internal/standin"
 	"garnetline/routing"
 )
 
@@ -93,16 +93,16 @@
 		came <- fields
 		switch {
 		case strings.Contains(fields, "00000000000000a1"):
-			return standin.Cut
+			return fakeserver.Cut
 		case strings.Contains(fields, "00000000000000a2"):
-			return standin.Answer(id, "BROKE", "-", "")
+			return fakeserver.Answer(id, "BROKE", "-", "")
 		case strings.Contains(fields, "00000000000000a5"):
 			return "*9\r\nnonsense"
 		case strings.Contains(fields, "00000000000000a6") && full:
 			full = false // the boxes are asked one after another
-			return standin.Answer(id, "WAIT", "-", "")
+			return fakeserver.Answer(id, "WAIT", "-", "")
 		case strings.Contains(fields, "00000000000000a6"):
-			return standin.Answer(id, "DONE", "tag=w,minted=1", "written")
+			return fakeserver.Answer(id, "DONE", "tag=w,minted=1", "written")
 		}
 		return "" // nothing, for ever
 	}
@@ -148,9 +148,9 @@
 // A purge that is told, and a drain that is told late, hold for what is sent next: no older
 // copy is asked for, and nothing goes to the box that drains, nor does it fill.
 func TestToldThenSent(t *testing.T) {
-	reply := func(id, _ string) string { return standin.Answer(id, "DONE", "tag=t,minted=1", "x") }
+	reply := func(id, _ string) string { return fakeserver.Answer(id, "DONE", "tag=t,minted=1", "x") }
 	a, b := newCache(t, reply), newCache(t, reply)
-	teller, err := standin.NewTeller(4)
+	teller, err := fakeserver.NewTeller(4)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -179,8 +179,8 @@
 	if len(b.Seen()) > len(a.Seen()) {
 		home, other = b, a
 	}
-	id := map[*standin.Box]uint32{a: 1, b: 2}[home]
-	teller.Change(standin.Listed{ID: id, Addr: home.Addr().(*net.TCPAddr).AddrPort(), State: 1, Weight: 100})
+	id := map[*fakeserver.Box]uint32{a: 1, b: 2}[home]
+	teller.Change(fakeserver.Listed{ID: id, Addr: home.Addr().(*net.TCPAddr).AddrPort(), State: 1, Weight: 100})
 	for n, end := 1000, time.Now().Add(20*time.Second); len(other.Seen()) == 0; n++ {
 		if get(n); time.Now().After(end) {
 			t.Fatal("the drain does not show")
--- a/cmd/garnetline/fleet_test.go
+++ b/cmd/garnetline/fleet_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"garnetline/internal/rig"
+	"garnetline/internal/testcluster"
 )
 
 // inspect runs a command of this program and returns what it prints.
@@ -22,10 +22,10 @@
 	return out.String(), err
 }
 
-func startRig(t *testing.T, o rig.Options) *rig.Rig {
+func startRig(t *testing.T, o testcluster.Options) *testcluster.Rig {
 	t.Helper()
 	o.Program, o.Env, o.Dir = os.Args[0], []string{"GARNETLINE_TEST_PROGRAM=1"}, t.TempDir()
-	r, err := rig.Start(o)
+	r, err := testcluster.Start(o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 // The command line shows the view of a running router, as a table, as JSON, and as it
 // changes; a router without a fleet says that it has none.
 func TestFleetCommand(t *testing.T) {
-	r := startRig(t, rig.Options{Routers: 3, Boxes: 1, Fleet: true, Seed: 1})
+	r := startRig(t, testcluster.Options{Routers: 3, Boxes: 1, Fleet: true, Seed: 1})
 	if _, err := r.Alike(30*time.Second, r.Routers...); err != nil {
 		t.Fatal(err)
 	}
@@ -110,7 +110,7 @@
 // Without a fleet block, and without any file, a router has the same sockets, no page and
 // no figure of a fleet, and writes the same bytes to its boxes; with one it has a socket more.
 func TestNothingWithoutAFleetBlock(t *testing.T) {
-	of := func(o rig.Options) (socks int, page int, figures string, asked []string) {
+	of := func(o testcluster.Options) (socks int, page int, figures string, asked []string) {
 		o.Routers, o.Boxes, o.Seed = 1, 1, 1
 		r := startRig(t, o)
 		x := r.Routers[0]
@@ -160,9 +160,9 @@
 		}
 		return socks, page, strings.Join(names, ""), asked
 	}
-	bareSocks, barePage, bareFigures, bareAsked := of(rig.Options{Bare: true})
-	offSocks, offPage, offFigures, offAsked := of(rig.Options{})
-	onSocks, onPage, onFigures, onAsked := of(rig.Options{Fleet: true})
+	bareSocks, barePage, bareFigures, bareAsked := of(testcluster.Options{Bare: true})
+	offSocks, offPage, offFigures, offAsked := of(testcluster.Options{})
+	onSocks, onPage, onFigures, onAsked := of(testcluster.Options{Fleet: true})
 	if barePage != 404 || offPage != 404 || onPage != 200 {
 		t.Errorf("/fleet: %d without a file, %d without a block, %d with one", barePage, offPage, onPage)
 	}
--- a/cmd/garnetline/serve_test.go
+++ b/cmd/garnetline/serve_test.go
@@ -15,13 +15,13 @@
 	"testing"
 	"time"
 
+	"garnetline/internal/fakeserver"
 	"garnetline/internal/operatorconfig"
 	"garnetline/internal/platformconfig"
-	"garnetline/internal/standin"
 )
 
-func newCache(t testing.TB, reply standin.Reply) *standin.Box {
-	b, err := standin.NewBox(reply)
+func newCache(t testing.TB, reply fakeserver.Reply) *fakeserver.Box {
+	b, err := fakeserver.NewBox(reply)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 }
 
 func newLog(t testing.TB) (net.Addr, chan uint64) {
-	l, err := standin.NewLog()
+	l, err := fakeserver.NewLog()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,14 +67,14 @@
 		defer mu.Unlock()
 		switch {
 		case strings.Contains(fields, "sort=form"):
-			return standin.Answer(id, "DONE", "tag=w1,minted=1", "written")
+			return fakeserver.Answer(id, "DONE", "tag=w1,minted=1", "written")
 		case strings.Contains(fields, "asset=00000000000000bb") && broken:
 			broken = false
-			return standin.Answer(id, "BROKE", "-", "")
+			return fakeserver.Answer(id, "BROKE", "-", "")
 		case strings.Contains(fields, "known=t7"):
-			return standin.Answer(id, "KEEP", "tag=t7,minted=1", "")
+			return fakeserver.Answer(id, "KEEP", "tag=t7,minted=1", "")
 		}
-		return standin.Answer(id, "DONE", "tag=t7,minted=1", "the\r\nbytes\x00")
+		return fakeserver.Answer(id, "DONE", "tag=t7,minted=1", "the\r\nbytes\x00")
 	}
 	a, b := newCache(t, reply), newCache(t, reply)
 	log, from := newLog(t)
@@ -169,7 +169,7 @@
 	a := newCache(t, func(id, _ string) string {
 		asked <- true
 		<-hold
-		return standin.Answer(id, "DONE", "tag=t7,minted=1", "kept")
+		return fakeserver.Answer(id, "DONE", "tag=t7,minted=1", "kept")
 	})
 	first, from := newLog(t)
 	second, again := newLog(t)
--- a/cmd/garnetline/trace_command.go
+++ b/cmd/garnetline/trace_command.go
@@ -15,7 +15,7 @@
 
 	"garnetline/internal/operatorconfig"
 	"garnetline/internal/trace"
-	"garnetline/internal/trace/blame"
+	"garnetline/internal/trace/analysis"
 	"garnetline/internal/trace/render"
 	"garnetline/internal/trace/store"
 	"garnetline/routing"
@@ -129,7 +129,7 @@
 
 // blameTraces prints which servers, sources and routers failed attempts have in common.
 func blameTraces(command *cli.Command, out io.Writer) error {
-	analysis, count := blame.New(), 0
+	analysis, count := analysis.New(), 0
 	err := forEachTrace(command, func(found *trace.Trace) bool {
 		analysis.Add(found)
 		count++
--- a/cmd/garnetline/trace_peers_test.go
+++ b/cmd/garnetline/trace_peers_test.go
@@ -12,7 +12,7 @@
 	"strings"
 	"testing"
 
-	"garnetline/internal/standin"
+	"garnetline/internal/fakeserver"
 	"garnetline/internal/trace"
 	"garnetline/internal/trace/store"
 	"garnetline/routing"
@@ -25,12 +25,12 @@
 // rider's verdict keeps the fill that it rode.
 func TestPeersTakePart(t *testing.T) {
 	var hosts []string
-	var boxes []*standin.Speaker
+	var boxes []*fakeserver.Speaker
 	folders := []string{}
-	var hub *standin.Speaker
+	var hub *fakeserver.Speaker
 	for i := range 3 { // the first is the hub
 		folder := t.TempDir()
-		s, err := standin.NewSpeaker(routing.ServerID(i).String(), folder, hub, uint64(i)<<32)
+		s, err := fakeserver.NewSpeaker(routing.ServerID(i).String(), folder, hub, uint64(i)<<32)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -41,7 +41,7 @@
 		}
 		hosts = append(hosts, host(i, "box", newCache(t, s.Serve).Addr()))
 	}
-	hosts = append(hosts, host(9, "origin", newCache(t, func(id, _ string) string { return standin.Answer(id, "DONE", "tag=t1,minted=1", "x") }).Addr()))
+	hosts = append(hosts, host(9, "origin", newCache(t, func(id, _ string) string { return fakeserver.Answer(id, "DONE", "tag=t1,minted=1", "x") }).Addr()))
 	log, _ := newLog(t)
 	r := startTracer(t, "a1", log, strings.Join(hosts, ","), "peers = true\n ordinary_per_s = 0\n")
 	conn, err := net.Dial("tcp", r.listen)
--- a/cmd/garnetline/trace_test.go
+++ b/cmd/garnetline/trace_test.go
@@ -18,8 +18,8 @@
 	"testing"
 	"time"
 
+	"garnetline/internal/fakeserver"
 	"garnetline/internal/operatorconfig"
-	"garnetline/internal/standin"
 	"garnetline/internal/trace"
 	"garnetline/internal/trace/store"
 	"garnetline/routing"
@@ -38,7 +38,7 @@
 type tracer struct {
 	*exec.Cmd
 	listen, folder, ops string
-	log                 standin.Output
+	log                 fakeserver.Output
 }
 
 // until waits for what a process does by itself, and fails the test after a while.
@@ -134,12 +134,12 @@
 			} else if text != "good" {
 				return text
 			}
-			return standin.Answer(id, "DONE", "tag=t1,minted=1", "bytes")
+			return fakeserver.Answer(id, "DONE", "tag=t1,minted=1", "bytes")
 		}
 	}
-	boxes := []*standin.Box{
+	boxes := []*fakeserver.Box{
 		newCache(t, nil), newCache(t, fault(func(n int) string {
-			return []string{"good", "good", "good", "good", standin.Cut, "good", "good", "slow"}[n%8]
+			return []string{"good", "good", "good", "good", fakeserver.Cut, "good", "good", "slow"}[n%8]
 		})),
 		newCache(t, fault(func(n int) string { return []string{"good", "good", "good", "good", "good", "good", ""}[n%7] })),
 		newCache(t, fault(func(int) string { return "good" })),
@@ -150,9 +150,9 @@
 		defer mu.Unlock()
 		got[id]++
 		if errors++; errors%4 == 0 {
-			return standin.Answer(id, "DONE", "tag=t1,minted=1", "bytes")
+			return fakeserver.Answer(id, "DONE", "tag=t1,minted=1", "bytes")
 		}
-		return standin.Answer(id, "BROKE", "-", "")
+		return fakeserver.Answer(id, "BROKE", "-", "")
 	}
 	var hosts []string
 	for i, b := range boxes[:3] {
@@ -322,7 +322,7 @@
 // operators' file is read again on SIGHUP: one that cannot be used, or
 // changes what only a restart can, is one event that names file, line and field.
 func TestKillAndReload(t *testing.T) {
-	box := newCache(t, func(id, _ string) string { return standin.Answer(id, "BROKE", "-", "") })
+	box := newCache(t, func(id, _ string) string { return fakeserver.Answer(id, "BROKE", "-", "") })
 	log, _ := newLog(t)
 	hosts := host(1, "box", box.Addr()) + "," + host(9, "origin", box.Addr())
 	r := startTracer(t, "a1", log, hosts, "ordinary_per_s = 2\n")
--- a/cmd/garnetline/tracing.go
+++ b/cmd/garnetline/tracing.go
@@ -6,14 +6,14 @@
 	"garnetline/internal/clock"
 	"garnetline/internal/operatorconfig"
 	"garnetline/internal/trace/export"
-	"garnetline/internal/trace/keep"
-	"garnetline/internal/trace/record"
+	"garnetline/internal/trace/recorder"
+	"garnetline/internal/trace/sampling"
 	"garnetline/internal/trace/store"
 	"garnetline/routing"
 )
 
 // newRecorder returns what traces requests, or nil where the operators' file has it off.
-func newRecorder(router *daemon) (*record.Recorder, error) {
+func newRecorder(router *daemon) (*recorder.Recorder, error) {
 	settings := router.startup.operators.Trace
 	if !settings.Enabled {
 		return nil, nil
@@ -23,7 +23,7 @@
 		return nil, err
 	}
 	platform := router.startup.platform
-	options := record.Options{
+	options := recorder.Options{
 		Clock:  router.clock,
 		Router: platform.Name,
 		Secret: settings.Secret,
@@ -33,19 +33,19 @@
 		Sink:   sinks,
 		Pace:   func() float64 { return router.platform.Load().Settings.BodyBytesPerSecond },
 	}
-	return record.New(options, recorderSettings(settings, platform.Settings.Classes)), nil
+	return recorder.New(options, recorderSettings(settings, platform.Settings.Classes)), nil
 }
 
 // openTraceSinks opens what traces go to: the folder of segments and, where one is named, a
 // collector.
-func openTraceSinks(router *daemon, settings operatorconfig.Trace) (record.Sinks, error) {
+func openTraceSinks(router *daemon, settings operatorconfig.Trace) (recorder.Sinks, error) {
 	segments, err := store.Open(settings.Dir, int64(settings.SegmentMB)<<20, int64(settings.KeepMB)<<20)
 	if err != nil {
 		return nil, fmt.Errorf("trace: folder: %w", err)
 	}
 	collector := settings.Collector
 	if collector == nil {
-		return record.Sinks{segments}, nil
+		return recorder.Sinks{segments}, nil
 	}
 	exporter, err := export.New(export.Options{
 		URL:     collector.URL,
@@ -58,22 +58,22 @@
 	if err != nil {
 		return nil, fmt.Errorf("trace: collector: url: %w", err)
 	}
-	return record.Sinks{segments, exporter}, nil
+	return recorder.Sinks{segments, exporter}, nil
 }
 
 // recorderSettings says which traces of each class are retained: what the operators' file
 // has of the class, and else those slower than its latency objective and the ordinary ones
 // that the common budget allows.
-func recorderSettings(settings operatorconfig.Trace, classes []routing.Class) record.Settings {
-	recorder := record.Settings{
+func recorderSettings(settings operatorconfig.Trace, classes []routing.Class) recorder.Settings {
+	recorder := recorder.Settings{
 		Undecided:   settings.UndecidedKB << 10,
 		RetryWithin: settings.RetryWindow,
 		Sampled:     settings.HonorSampled,
-		Other:       keep.Class{Ordinary: settings.OrdinaryPerSecond},
-		Classes:     map[string]keep.Class{},
+		Other:       sampling.Class{Ordinary: settings.OrdinaryPerSecond},
+		Classes:     map[string]sampling.Class{},
 	}
 	for _, class := range classes {
-		recorder.Classes[class.Name] = keep.Class{
+		recorder.Classes[class.Name] = sampling.Class{
 			Wanted:   clock.Millis(class.LatencyObjective),
 			Ordinary: settings.OrdinaryPerSecond,
 			All:      class.Idempotency == routing.IdempotentWithKey,
--- a/cmd/garnetline/upgrade_test.go
+++ b/cmd/garnetline/upgrade_test.go
@@ -14,9 +14,9 @@
 	"syscall"
 	"testing"
 
+	"garnetline/internal/fakeserver"
 	"garnetline/internal/operatorconfig"
 	"garnetline/internal/platformconfig"
-	"garnetline/internal/standin"
 )
 
 // configure writes a configuration of one cache and one origin and reads it, with
@@ -74,7 +74,7 @@
 // Guards the wiring of the operators' door: it says yes once requests can be served,
 // counts them, and a cache that staff took out gets nothing until it is back.
 func TestDoor(t *testing.T) {
-	box := newCache(t, func(id, _ string) string { return standin.Answer(id, "DONE", "tag=t7,minted=1", "bytes") })
+	box := newCache(t, func(id, _ string) string { return fakeserver.Answer(id, "DONE", "tag=t7,minted=1", "bytes") })
 	log, from := newLog(t)
 	listen, mgmt := free(t), free(t)
 	conf := configure(t, listen, log, box.Addr(), "EDGE_MGMT", mgmt, "TMPDIR", t.TempDir())
@@ -134,7 +134,7 @@
 // Guards against binding an address that the platform holds: the program ended at
 // once where its socket was inherited. Its end leaves the socket to others.
 func TestInheritedSocket(t *testing.T) {
-	box := newCache(t, func(id, _ string) string { return standin.Answer(id, "DONE", "tag=t7,minted=1", "bytes") })
+	box := newCache(t, func(id, _ string) string { return fakeserver.Answer(id, "DONE", "tag=t7,minted=1", "bytes") })
 	log, from := newLog(t)
 	held, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/drill/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command drill runs routers on standard input and output, in the line
+// Command simadapter runs routers on standard input and output, in the line
 // protocol of internal/wire: one independent decide.Router per instance.
 package main
 
@@ -9,20 +9,20 @@
 	"io"
 	"os"
 
-	"garnetline/internal/wire"
+	"garnetline/internal/simproto"
 	"garnetline/routing"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "drill:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
 
 // run answers batch after batch until the input ends.
 func run(in io.Reader, w io.Writer) error {
-	r, out := wire.NewReader(in), bufio.NewWriterSize(w, 1<<16)
+	r, out := simproto.NewReader(in), bufio.NewWriterSize(w, 1<<16)
 	routers := map[int]*routing.Router{}
 	var line []byte
 	var acts []routing.Action
@@ -38,12 +38,12 @@
 		by := -1
 		for _, it := range b.Items {
 			switch it.Kind {
-			case wire.Begin:
+			case simproto.Begin:
 				if routers[it.Instance], err = routing.New(it.Settings, it.Seed); err != nil {
 					return fmt.Errorf("instance %d: %w", it.Instance, err)
 				}
 				continue
-			case wire.Stop:
+			case simproto.Stop:
 				delete(routers, it.Instance)
 				continue
 			}
@@ -54,13 +54,13 @@
 			acts = router.Handle(b.Now, it.Event, acts[:0])
 			if len(acts) > 0 && by != it.Instance {
 				by = it.Instance
-				line = wire.AppendBy(line, by)
+				line = simproto.AppendBy(line, by)
 			}
 			for _, a := range acts {
-				line = wire.AppendAction(line, a)
+				line = simproto.AppendAction(line, a)
 			}
 		}
-		if _, err := out.Write(wire.AppendEnd(line)); err != nil {
+		if _, err := out.Write(simproto.AppendEnd(line)); err != nil {
 			return fmt.Errorf("write: %w", err)
 		}
 		if err := out.Flush(); err != nil {
--- a/internal/bodies/bodies_test.go
+++ b/internal/bodies/bodies_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"garnetline/internal/seeds"
+	"garnetline/internal/fuzzutil"
 )
 
 func classes() []Class {
@@ -26,7 +26,7 @@
 // guaranteed part whatever others hold, that what cannot be repeated stays so, and that
 // all comes back to zero.
 func FuzzKeeper(f *testing.F) {
-	seeds.Add(f, 24, 800)
+	fuzzutil.Add(f, 24, 800)
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		budget := Budget{Memory: 100, Disk: 300, Files: 3, Write: 200}
 		k, now := newKeeper(t, budget), 0.0
--- a/internal/lab/duties.go
+++ b/internal/experiment/duties.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
--- a/internal/lab/members.go
+++ b/internal/experiment/members.go
@@ -1,6 +1,6 @@
-// Package lab measures the fleet's state machines on the virtual network and draws what
-// came out. It is for cmd/garnetlab; the daemon links none of it.
-package lab
+// Package experiment measures the fleet's state machines on the virtual network and draws what
+// came out. It is for cmd/fleetlab; the daemon links none of it.
+package experiment
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 
 	"garnetline/internal/fleet"
 	"garnetline/internal/fleet/membership"
-	"garnetline/internal/virtual"
+	"garnetline/internal/netsim"
 )
 
 // Way is a way to detect failures that is measured.
@@ -139,8 +139,8 @@
 }
 
 // fleetOf is a fleet of a way whose views are alike.
-func fleetOf(way Way, size int, seed uint64) *virtual.Net {
-	v := virtual.New(seed)
+func fleetOf(way Way, size int, seed uint64) *netsim.Net {
+	v := netsim.New(seed)
 	if way.Set == nil {
 		pingAll(v, size)
 		v.Run(20_000)
@@ -197,18 +197,18 @@
 	for _, loss := range o.Losses {
 		v := fleetOf(way, size, seed+100)
 		v.Link.Loss = loss
-		r.Rough = append(r.Rough, rough(v, o.Rough, func(*virtual.Host) bool { return false }))
+		r.Rough = append(r.Rough, rough(v, o.Rough, func(*netsim.Host) bool { return false }))
 	}
 	v = fleetOf(way, size, seed+200)
-	stalls := map[*virtual.Host]bool{}
+	stalls := map[*netsim.Host]bool{}
 	for i := 0; i < max(1, size/20); i++ {
 		stalls[v.Hosts[(i*20+int(seed))%size]] = true
 	}
-	r.Rough = append(r.Rough, rough(v, o.Rough, func(h *virtual.Host) bool { return stalls[h] }))
+	r.Rough = append(r.Rough, rough(v, o.Rough, func(h *netsim.Host) bool { return stalls[h] }))
 	return r
 }
 
-func traffic(v *virtual.Net) (packets, bytes int64) {
+func traffic(v *netsim.Net) (packets, bytes int64) {
 	for _, h := range v.Hosts {
 		packets += h.Sent
 		bytes += h.Bytes
@@ -218,13 +218,13 @@
 
 // rough runs a fleet for a while in which nobody dies and some stall, and counts what is
 // said of routers by those who say it first.
-func rough(v *virtual.Net, ms float64, stalls func(*virtual.Host) bool) (r Rough) {
-	by := map[membership.ID]*virtual.Host{}
+func rough(v *netsim.Net, ms float64, stalls func(*netsim.Host) bool) (r Rough) {
+	by := map[membership.ID]*netsim.Host{}
 	for _, h := range v.Hosts {
 		by[h.Self.ID] = h
 	}
 	for _, h := range v.Hosts {
-		h.On = func(h *virtual.Host, _ float64, out *fleet.Output) {
+		h.On = func(h *netsim.Host, _ float64, out *fleet.Output) {
 			for _, e := range out.Events {
 				x := by[e.Update.ID]
 				if e.Update.ReportedBy != h.Self.ID || x == nil || x.Dead {
@@ -257,7 +257,7 @@
 func Day(size int, seed uint64, loss, ms float64) Rough {
 	v := fleetOf(Ways()[0], size, seed)
 	v.Link.Loss = loss
-	r := rough(v, ms, func(*virtual.Host) bool { return false })
+	r := rough(v, ms, func(*netsim.Host) bool { return false })
 	r.Trouble = fmt.Sprintf("%.0f%% loss", 100*loss)
 	return r
 }
--- a/internal/lab/pingall.go
+++ b/internal/experiment/pingall.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"math"
@@ -6,7 +6,7 @@
 
 	"garnetline/internal/fleet"
 	"garnetline/internal/fleet/membership"
-	"garnetline/internal/virtual"
+	"garnetline/internal/netsim"
 )
 
 // plain is the plainest detector, as a baseline: each router pings each other once a
@@ -30,7 +30,7 @@
 )
 
 // pingAll adds n routers that all know each other.
-func pingAll(v *virtual.Net, n int) {
+func pingAll(v *netsim.Net, n int) {
 	v.Fleet(n, fleet.DefaultSettings(), true) // for names, seats and addresses
 	rng := rand.New(rand.NewPCG(v.Rng.Uint64(), 1))
 	var all []membership.Update
--- a/internal/standin/speaker.go
+++ b/internal/fakeserver/speaker.go
@@ -1,4 +1,4 @@
-package standin
+package fakeserver
 
 import (
 	"strings"
@@ -6,7 +6,7 @@
 	"time"
 
 	"garnetline/internal/trace"
-	"garnetline/internal/trace/hold"
+	"garnetline/internal/trace/serverspans"
 	"garnetline/internal/trace/store"
 	"garnetline/routing"
 )
@@ -19,7 +19,7 @@
 	Told int      // verdicts; to be read after Close
 
 	mu     sync.Mutex
-	h      *hold.Holder
+	h      *serverspans.Holder
 	w      *store.Writer
 	fills  map[string]trace.Link // by object; one stays under way to the end
 	next   uint64
@@ -29,7 +29,7 @@
 // NewSpeaker returns a speaker that keeps its spans in a folder; span ids begin at first.
 func NewSpeaker(name, folder string, hub *Speaker, first uint64) (*Speaker, error) {
 	w, err := store.Open(folder, 1<<20, 1<<30)
-	return &Speaker{Name: name, Hub: hub, h: hold.New(60_000, 1<<20), w: w, fills: map[string]trace.Link{}, next: first}, err
+	return &Speaker{Name: name, Hub: hub, h: serverspans.New(60_000, 1<<20), w: w, fills: map[string]trace.Link{}, next: first}, err
 }
 
 // Close lets the limit of all that is held pass, and returns how many pieces that kept.
--- a/internal/standin/standin.go
+++ b/internal/fakeserver/standin.go
@@ -1,8 +1,8 @@
-// Package standin has the other parties of a router, on loopback sockets, for tests and
+// Package fakeserver has the other parties of a router, on loopback sockets, for tests and
 // experiments: boxes that answer as they are told to, a change log, and boxes that take
 // part in traces. What they receive can be looked at. They are written from the
 // platform's protocol; nothing in the daemon uses them.
-package standin
+package fakeserver
 
 import (
 	"bufio"
--- a/internal/standin/teller.go
+++ b/internal/fakeserver/teller.go
@@ -1,4 +1,4 @@
-package standin
+package fakeserver
 
 import (
 	"encoding/binary"
--- a/internal/faultnet/faultnet.go
+++ b/internal/faultproxy/faultnet.go
@@ -1,8 +1,8 @@
-// Package faultnet is a relay between sockets, UDP and TCP, with a place of its own for
+// Package faultproxy is a relay between sockets, UDP and TCP, with a place of its own for
 // each ordered pair of parties: what goes from one to the other can be cut, delayed,
 // lost, repeated, reordered, garbled, half-closed or throttled by itself, on command or
 // by a schedule. It is for tests and experiments; nothing in the daemon uses it.
-package faultnet
+package faultproxy
 
 import (
 	"errors"
--- a/internal/faultnet/faultnet_test.go
+++ b/internal/faultproxy/faultnet_test.go
@@ -1,4 +1,4 @@
-package faultnet
+package faultproxy
 
 import (
 	"bytes"
--- a/internal/fleet/loadreport/collector_test.go
+++ b/internal/fleet/loadreport/collector_test.go
@@ -10,10 +10,10 @@
 	"time"
 
 	"garnetline/internal/clock"
+	"garnetline/internal/fakeserver"
 	"garnetline/internal/fleet/fragment"
 	"garnetline/internal/fleet/membership"
 	"garnetline/internal/metrics"
-	"garnetline/internal/standin"
 	"garnetline/routing"
 )
 
@@ -102,7 +102,7 @@
 	t.Helper()
 	var servers []Server
 	for i := range count {
-		fake, err := standin.NewBox(nil)
+		fake, err := fakeserver.NewBox(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleet/simulation_test.go
+++ b/internal/fleet/simulation_test.go
@@ -15,20 +15,20 @@
 	"garnetline/internal/fleet/gossip"
 	"garnetline/internal/fleet/membership"
 	"garnetline/internal/golden"
-	"garnetline/internal/virtual"
+	"garnetline/internal/netsim"
 )
 
 // simulation is a fleet on a simulated network with a hash over all that it does.
 type simulation struct {
-	net     *virtual.Net
+	net     *netsim.Net
 	hash    hash.Hash64
 	packets int
 	report  bytes.Buffer
 }
 
 func newSimulation(routers int) *simulation {
-	s := &simulation{net: virtual.New(7), hash: fnv.New64a()}
-	s.net.Tap = func(sent virtual.Send) {
+	s := &simulation{net: netsim.New(7), hash: fnv.New64a()}
+	s.net.Tap = func(sent netsim.Send) {
 		s.packets++
 		s.record("%v %v ", s.net.Now, sent.To)
 		s.record("%s", sent.Packet.Append(nil))
@@ -44,7 +44,7 @@
 	_, _ = fmt.Fprintf(s.hash, format, args...) // a hash returns no error
 }
 
-func (s *simulation) recordOutput(host *virtual.Host, now float64, out *fleet.Output) {
+func (s *simulation) recordOutput(host *netsim.Host, now float64, out *fleet.Output) {
 	for _, event := range out.Events {
 		s.record("%v %s %s %x %s ", now, host.Name, event.Kind, event.Update.Revision, event.Update.Name)
 	}
@@ -93,7 +93,7 @@
 	sim.run("upgrade", 10_000)
 	sim.net.Kill(sim.net.Hosts[5])
 	sim.run("crash", 20_000)
-	sim.net.Link.Cut = func(from, to *virtual.Host) bool { return (from.Self.ID^to.Self.ID)&2 != 0 }
+	sim.net.Link.Cut = func(from, to *netsim.Host) bool { return (from.Self.ID^to.Self.ID)&2 != 0 }
 	sim.run("partition", 30_000)
 	sim.do(2, func(node *fleet.Node, now float64) { node.SetDisabled(now, 5, false) })
 	sim.do(6, func(node *fleet.Node, now float64) { node.SetDisabled(now, 5, true) })
--- a/internal/seeds/seeds.go
+++ b/internal/fuzzutil/seeds.go
@@ -1,5 +1,5 @@
-// Package seeds gives fuzz tests random steps that are the same each time.
-package seeds
+// Package fuzzutil gives fuzz tests random steps that are the same each time.
+package fuzzutil
 
 import (
 	"math/rand/v2"
--- a/internal/virtual/virtual.go
+++ b/internal/netsim/virtual.go
@@ -1,7 +1,7 @@
-// Package virtual runs the state machines of many routers on one manual clock and a
+// Package netsim runs the state machines of many routers on one manual clock and a
 // network of its own, deterministic from one seed: the same code as in the daemon, by
 // the hundred, in one goroutine.
-package virtual
+package netsim
 
 import (
 	"fmt"
--- a/internal/virtual/virtual_test.go
+++ b/internal/netsim/virtual_test.go
@@ -1,4 +1,4 @@
-package virtual
+package netsim
 
 import (
 	"bytes"
--- a/internal/platformconfig/settings.go
+++ b/internal/platformconfig/settings.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"strings"
 
-	"garnetline/internal/wire"
+	"garnetline/internal/simproto"
 	"garnetline/routing"
 )
 
@@ -33,7 +33,7 @@
 	if err != nil {
 		return &FieldError{Field: "settings", Err: err}
 	}
-	settings, reportFields, err := wire.ParseSettings(values)
+	settings, reportFields, err := simproto.ParseSettings(values)
 	if err != nil {
 		return fmt.Errorf("settings.%w", err) // the error begins with the path
 	}
--- a/internal/wire/wire.go
+++ b/internal/simproto/wire.go
@@ -1,7 +1,7 @@
-// Package wire reads and writes the line protocol between the routers'
+// Package simproto reads and writes the line protocol between the routers'
 // decisions and whatever carries them out. It parses, formats and validates;
 // it decides nothing.
-package wire
+package simproto
 
 import (
 	"bufio"
--- a/internal/rig/bans_test.go
+++ b/internal/testcluster/bans_test.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"garnetline/internal/faultnet"
+	"garnetline/internal/faultproxy"
 	"garnetline/internal/fleet/bans"
 )
 
@@ -110,7 +110,7 @@
 	most, few := all[:6], all[6:]
 	for _, a := range few {
 		for _, b := range most {
-			r.Net.Both(a.Way(), b.Way(), faultnet.Fault{Cut: true})
+			r.Net.Both(a.Way(), b.Way(), faultproxy.Fault{Cut: true})
 		}
 	}
 	staff(t, few[0], "/caches/disable/"+two, 200)
--- a/internal/rig/duties.go
+++ b/internal/testcluster/duties.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"encoding/json"
--- a/internal/rig/duties_test.go
+++ b/internal/testcluster/duties_test.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"garnetline/internal/faultnet"
+	"garnetline/internal/faultproxy"
 )
 
 const probing = "probe/edge"
@@ -53,7 +53,7 @@
 	}
 	for _, e := range r.Routers { // from all others, and not from the boxes
 		if e != z {
-			r.Net.Both(z.Way(), e.Way(), faultnet.Fault{Cut: true})
+			r.Net.Both(z.Way(), e.Way(), faultproxy.Fault{Cut: true})
 		}
 	}
 	_, fourth := holder("the holder cut off from the electors", z)
--- a/internal/rig/fleet_test.go
+++ b/internal/testcluster/fleet_test.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"fmt"
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"garnetline/internal/faultnet"
-	"garnetline/internal/standin"
+	"garnetline/internal/fakeserver"
+	"garnetline/internal/faultproxy"
 )
 
 // The program, and the same with faults that tests set.
@@ -166,10 +166,10 @@
 	l := r.Load(50*time.Millisecond, r.Routers[:6]...)
 	for _, a := range r.Routers {
 		for _, b := range r.Routers {
-			r.Net.Set(a.Way(), b.Way(), faultnet.Fault{Loss: 0.15, Repeat: 0.1, Reorder: 0.1, Garble: 0.02, Delay: 1, Jitter: 10})
+			r.Net.Set(a.Way(), b.Way(), faultproxy.Fault{Loss: 0.15, Repeat: 0.1, Reorder: 0.1, Garble: 0.02, Delay: 1, Jitter: 10})
 		}
 	}
-	r.Net.Set(r.Routers[1].Way(), r.Routers[2].Way(), faultnet.Fault{Cut: true})
+	r.Net.Set(r.Routers[1].Way(), r.Routers[2].Way(), faultproxy.Fault{Cut: true})
 	stalls, slow := r.Routers[7], r.Routers[6].Slow(0.1)
 	for range 4 {
 		no(t, stalls.Stall())
@@ -328,10 +328,10 @@
 func TestWordsReachOneWithoutItsLog(t *testing.T) {
 	r := fleetOf(t, Options{Routers: 8, Boxes: 3, Seed: 9})
 	deaf := r.Routers[3]
-	r.Net.Both(deaf.Way(), "log", faultnet.Fault{Cut: true})
+	r.Net.Both(deaf.Way(), "log", faultproxy.Fault{Cut: true})
 	time.Sleep(2 * time.Second) // until it takes itself for cut off; later is as good
 	b := r.Boxes[1]
-	draining := standin.Listed{ID: uint32(b.ID), Addr: b.Address(), State: 1, Weight: 100}
+	draining := fakeserver.Listed{ID: uint32(b.ID), Addr: b.Address(), State: 1, Weight: 100}
 	r.Log.Change(draining)
 	out := func(want string) func() (bool, string) {
 		return func() (bool, string) {
@@ -378,7 +378,7 @@
 	}
 	for _, x := range a {
 		for _, y := range b {
-			r.Net.Both(x.Way(), y.Way(), faultnet.Fault{Cut: true})
+			r.Net.Both(x.Way(), y.Way(), faultproxy.Fault{Cut: true})
 		}
 	}
 	door(a[0], "disable")
--- a/internal/rig/rig.go
+++ b/internal/testcluster/rig.go
@@ -1,8 +1,8 @@
-// Package rig starts several processes of the program with stand-in boxes, change logs
+// Package testcluster starts several processes of the program with stand-in boxes, change logs
 // and clients on loopback, all that they say to each other passing through faultnet. It
 // stops, stalls, kills and restarts them, waits for stated conditions, and counts what
 // everyone received.
-package rig
+package testcluster
 
 import (
 	"bytes"
@@ -23,9 +23,9 @@
 	"syscall"
 	"time"
 
-	"garnetline/internal/faultnet"
+	"garnetline/internal/fakeserver"
+	"garnetline/internal/faultproxy"
 	"garnetline/internal/fleet"
-	"garnetline/internal/standin"
 	"garnetline/routing"
 )
 
@@ -51,9 +51,9 @@
 // Rig is what runs.
 type Rig struct {
 	o       Options
-	Net     *faultnet.Net
+	Net     *faultproxy.Net
 	Boxes   []*Box
-	Log     *standin.Teller
+	Log     *fakeserver.Teller
 	Routers []*Router
 	claim   net.Listener
 	base    netip.Addr
@@ -63,7 +63,7 @@
 
 // Box is a stand-in box with its name on the list.
 type Box struct {
-	*standin.Box
+	*fakeserver.Box
 	ID    routing.ServerID
 	Name  string
 	mu    sync.Mutex
@@ -102,7 +102,7 @@
 type Router struct {
 	Name, Listen, Mgmt, Fleet string // addresses of its own; Mgmt is the newest process's
 	Reached                   string // where the others write to
-	Output                    *standin.Output
+	Output                    *fakeserver.Output
 	rig                       *Rig
 	dir                       string
 	conf, ops                 string
@@ -128,7 +128,7 @@
 	if o.Patience == 0 {
 		o.Patience = 30 * time.Second
 	}
-	r = &Rig{o: o, Net: faultnet.New(o.Seed), began: time.Now()}
+	r = &Rig{o: o, Net: faultproxy.New(o.Seed), began: time.Now()}
 	defer func() {
 		if err != nil {
 			r.Close()
@@ -146,12 +146,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("rig: no loopback addresses to be had: %w", err)
 	}
-	if r.Log, err = standin.NewTeller(1); err != nil {
+	if r.Log, err = fakeserver.NewTeller(1); err != nil {
 		return nil, err
 	}
 	for i := range o.Boxes {
 		b := &Box{ID: routing.ServerID(i + 1), Name: fmt.Sprintf("box%d", i+1), tries: map[string]int{}}
-		if b.Box, err = standin.NewBox(b.reply); err != nil {
+		if b.Box, err = fakeserver.NewBox(b.reply); err != nil {
 			return nil, err
 		}
 		b.SetGauges(b.gauges)
@@ -179,9 +179,9 @@
 	b.asked = append(b.asked, time.Now())
 	b.mu.Unlock()
 	if fail {
-		return standin.Answer(id, "BROKE", "-", "")
+		return fakeserver.Answer(id, "BROKE", "-", "")
 	}
-	return standin.Answer(id, "DONE", "tag=t1,minted=1", "bytes of an object")
+	return fakeserver.Answer(id, "DONE", "tag=t1,minted=1", "bytes of an object")
 }
 
 // Tries returns how often each request came.
@@ -227,7 +227,7 @@
 // Add starts a further router with a name, in the i-th place of the fleet. Two may have
 // one name: each has files of its own.
 func (r *Rig) Add(name string, i int) (*Router, error) {
-	x := &Router{Name: name, rig: r, dir: filepath.Join(r.o.Dir, fmt.Sprintf("%s-%d", name, i)), Output: &standin.Output{}}
+	x := &Router{Name: name, rig: r, dir: filepath.Join(r.o.Dir, fmt.Sprintf("%s-%d", name, i)), Output: &fakeserver.Output{}}
 	ip := r.at(i + 1)
 	port := func(n uint16) string { return netip.AddrPortFrom(ip, n).String() }
 	x.Listen, x.Mgmt, x.Fleet = port(8080), port(8081), port(7946)
--- a/internal/trace/blame/blame.go
+++ b/internal/trace/analysis/blame.go
@@ -1,6 +1,6 @@
-// Package blame finds what failed requests have in common: which server, source of a
+// Package analysis finds what failed requests have in common: which server, source of a
 // fill, pair of both, or router has a part in more failed attempts than chance gives.
-package blame
+package analysis
 
 import (
 	"cmp"
--- a/internal/trace/blame/blame_test.go
+++ b/internal/trace/analysis/blame_test.go
@@ -1,4 +1,4 @@
-package blame
+package analysis
 
 import (
 	"math"
--- a/internal/trace/attach/attach.go
+++ b/internal/trace/instrument/attach.go
@@ -1,20 +1,20 @@
-// Package attach ties a recorder to a core, so that neither knows the other.
-package attach
+// Package instrument ties a recorder to a core, so that neither knows the other.
+package instrument
 
 import (
 	"garnetline/internal/dispatch"
-	"garnetline/internal/trace/record"
+	"garnetline/internal/trace/recorder"
 	"garnetline/routing"
 )
 
 // Core returns a recorder as a core's tracer.
-func Core(r *record.Recorder) dispatch.Tracer { return tracer{r} }
+func Core(r *recorder.Recorder) dispatch.Tracer { return tracer{r} }
 
-type tracer struct{ r *record.Recorder }
+type tracer struct{ r *recorder.Recorder }
 
 // Open begins to follow a request.
 func (t tracer) Open(now float64, q *dispatch.Request, class *routing.Class) dispatch.RequestTrace {
-	a := record.Asked{Txn: q.TransactionID, Key: q.IdempotencyKey, Object: q.Object, Part: q.Chunk, Group: q.Group, Came: now}
+	a := recorder.Asked{Txn: q.TransactionID, Key: q.IdempotencyKey, Object: q.Object, Part: q.Chunk, Group: q.Group, Came: now}
 	if o := q.Client; o != nil {
 		a.Came, a.Parent, a.Client = o.ReceivedAt, o.TraceParent, o.Address
 	}
@@ -22,4 +22,6 @@
 }
 
 // Close takes a request that is done.
-func (t tracer) Close(now float64, done dispatch.RequestTrace) { t.r.Close(now, done.(*record.Trail)) }
+func (t tracer) Close(now float64, done dispatch.RequestTrace) {
+	t.r.Close(now, done.(*recorder.Trail))
+}
--- a/internal/trace/link/link.go
+++ b/internal/trace/propagation/link.go
@@ -1,4 +1,4 @@
-// Package link decides which trace a request belongs to. It does no I/O and has no
+// Package propagation decides which trace a request belongs to. It does no I/O and has no
 // clock.
 //
 // In this order: the trace that the client's traceparent names; in keyed classes the
@@ -7,7 +7,7 @@
 // was not served, the trace of that try; else a new one. The last rule is a guess. It
 // errs where two clients share an address and one is refused while the other asks, and
 // misses a try that comes to another router. BenchmarkGuess measures how often.
-package link
+package propagation
 
 import (
 	"crypto/hmac"
--- a/internal/trace/record/record.go
+++ b/internal/trace/recorder/record.go
@@ -1,7 +1,7 @@
-// Package record follows the requests of a core and keeps the traces of those that
+// Package recorder follows the requests of a core and keeps the traces of those that
 // package keep wants, in segments. What it does on the core's goroutine is bounded and
 // never blocks; files are written by an actor of its own.
-package record
+package recorder
 
 import (
 	"errors"
@@ -14,8 +14,8 @@
 	"garnetline/internal/clock"
 	"garnetline/internal/metrics"
 	"garnetline/internal/trace"
-	"garnetline/internal/trace/keep"
-	"garnetline/internal/trace/link"
+	"garnetline/internal/trace/propagation"
+	"garnetline/internal/trace/sampling"
 	"garnetline/routing"
 )
 
@@ -79,16 +79,16 @@
 	Undecided   int     // bytes
 	RetryWithin float64 // ms
 	Sampled     bool    // what a client samples is kept
-	Other       keep.Class
-	Classes     map[string]keep.Class
+	Other       sampling.Class
+	Classes     map[string]sampling.Class
 }
 
 // Recorder follows requests. Open and Close belong to the core's goroutine.
 type Recorder struct {
 	Options
 	next  atomic.Pointer[Settings] // to go over to, once
-	link  *link.Linker
-	keep  *keep.Keeper
+	link  *propagation.Linker
+	keep  *sampling.Keeper
 	n     uint64
 	asked bool // Settings.Sampled
 	box   chan *trace.Trace
@@ -98,7 +98,7 @@
 
 // New returns a Recorder; Run is to be called.
 func New(o Options, s Settings) *Recorder {
-	return &Recorder{Options: o, link: link.New(o.Secret, s.RetryWithin, o.Seed), keep: keep.New(s.Undecided, s.Other, s.Classes), asked: s.Sampled,
+	return &Recorder{Options: o, link: propagation.New(o.Secret, s.RetryWithin, o.Seed), keep: sampling.New(s.Undecided, s.Other, s.Classes), asked: s.Sampled,
 		box: make(chan *trace.Trace, mailbox), quit: make(chan struct{}), ended: make(chan struct{})}
 }
 
@@ -117,8 +117,8 @@
 // Trail is one request that is followed.
 type Trail struct {
 	*trace.Live
-	link    *link.Linker
-	tie     link.Tie
+	link    *propagation.Linker
+	tie     propagation.Tie
 	room    bool    // there was memory for its spans
 	stretch float64 // of its class's aim
 	bytes   int     // that came
@@ -160,7 +160,7 @@
 	if q.Came == 0 {
 		q.Came = now
 	}
-	ask := link.Ask{Parent: q.Parent, Client: q.Client, Class: class.Name, Object: uint64(q.Object), Part: q.Part}
+	ask := propagation.Ask{Parent: q.Parent, Client: q.Client, Class: class.Name, Object: uint64(q.Object), Part: q.Part}
 	if class.Idempotency == routing.IdempotentWithKey {
 		ask.Key = q.Key
 	}
--- a/internal/trace/record/record_test.go
+++ b/internal/trace/recorder/record_test.go
@@ -1,4 +1,4 @@
-package record
+package recorder
 
 import (
 	"errors"
@@ -9,12 +9,12 @@
 	"time"
 
 	"garnetline/internal/clock"
+	"garnetline/internal/fakeserver"
 	"garnetline/internal/logs"
 	"garnetline/internal/metrics"
-	"garnetline/internal/standin"
 	"garnetline/internal/trace"
-	"garnetline/internal/trace/keep"
-	"garnetline/internal/trace/link"
+	"garnetline/internal/trace/propagation"
+	"garnetline/internal/trace/sampling"
 	"garnetline/routing"
 )
 
@@ -42,12 +42,12 @@
 var classes = []routing.Class{{Name: "part", LatencyObjective: 400 * time.Millisecond, ObjectiveTransferFactor: 2, Deadline: 4 * time.Second},
 	{Name: "form", Idempotency: routing.IdempotentWithKey, Write: true, LatencyObjective: 400 * time.Millisecond, Deadline: 4 * time.Second}}
 
-func newRecorder(s *sink, set Settings) (*Recorder, *clock.Manual, *metrics.Registry, *standin.Output) {
-	clk, count, out := clock.NewManual(1.7e12), metrics.New(), &standin.Output{}
+func newRecorder(s *sink, set Settings) (*Recorder, *clock.Manual, *metrics.Registry, *fakeserver.Output) {
+	clk, count, out := clock.NewManual(1.7e12), metrics.New(), &fakeserver.Output{}
 	if set.Undecided == 0 {
 		set.Undecided = 1 << 20
 	}
-	set.Other = keep.Class{Wanted: 400, Ordinary: set.Other.Ordinary}
+	set.Other = sampling.Class{Wanted: 400, Ordinary: set.Other.Ordinary}
 	r := New(Options{Clock: clk, Router: "n1", Secret: "s", Seed: 7, Stats: count, Log: logs.New(out), Sink: s,
 		Pace: func() float64 { return 1000 }}, set)
 	return r, clk, count, out
@@ -76,7 +76,7 @@
 // allow it is not; what is ordinary waits for its draw.
 func TestSlowGoesByTheBytes(t *testing.T) {
 	s := &sink{}
-	r, clk, _, _ := newRecorder(s, Settings{Other: keep.Class{Ordinary: 5}})
+	r, clk, _, _ := newRecorder(s, Settings{Other: sampling.Class{Ordinary: 5}})
 	go r.Run()
 	pass(r, clk, Asked{Object: 1}, trace.Served, 1, 0, 450)
 	pass(r, clk, Asked{Object: 2}, trace.Served, 1, 100, 450) // 100 ms of sending, and twice that
@@ -143,7 +143,7 @@
 	if open[0].Done() {
 		t.Error("done with an attempt out")
 	}
-	if again := r.link.Tie(clk.Now(), link.Ask{Class: "part", Client: "1.1.1.1"}); again.ID != open[0].ID {
+	if again := r.link.Tie(clk.Now(), propagation.Ask{Class: "part", Client: "1.1.1.1"}); again.ID != open[0].ID {
 		t.Error("a client that comes again while an attempt is out is not known")
 	}
 	open[0].AttemptEnded(clk.Now(), routing.Canceled, 0, routing.LoadReport{}, trace.Wire{})
@@ -158,7 +158,7 @@
 // other settings hold from the next request on.
 func TestKeyedAndAdopt(t *testing.T) {
 	s := &sink{}
-	r, clk, _, _ := newRecorder(s, Settings{Classes: map[string]keep.Class{"form": {All: true}}, Sampled: true})
+	r, clk, _, _ := newRecorder(s, Settings{Classes: map[string]sampling.Class{"form": {All: true}}, Sampled: true})
 	go r.Run()
 	q := func(client string) Asked {
 		return Asked{Key: "secretkey", Object: 5, Came: 1.7e12, Client: client}
--- a/internal/trace/keep/keep.go
+++ b/internal/trace/sampling/keep.go
@@ -1,4 +1,4 @@
-// Package keep decides, when a request has ended, whether its trace is kept. It does
+// Package sampling decides, when a request has ended, whether its trace is kept. It does
 // no I/O and has no clock: the caller tells the time, in Unix milliseconds.
 //
 // What failed, was refused, was tried again or was slower than its class wants is
@@ -13,7 +13,7 @@
 // lowers their class's bound and so keeps the weights right. Where even that does not
 // do, the request is not traced; if it would have been kept, it is counted, and the
 // next kept trace says how many were lost before it.
-package keep
+package sampling
 
 import (
 	"container/heap"
--- a/internal/trace/keep/keep_test.go
+++ b/internal/trace/sampling/keep_test.go
@@ -1,4 +1,4 @@
-package keep
+package sampling
 
 import (
 	"encoding/binary"
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"garnetline/internal/seeds"
+	"garnetline/internal/fuzzutil"
 	"garnetline/internal/trace"
 )
 
@@ -153,7 +153,7 @@
 // FuzzKeeper checks by random steps that the bound holds, that all that must be kept
 // is kept or told as lost, and that nothing is held in the end.
 func FuzzKeeper(f *testing.F) {
-	seeds.Add(f, 16, 600)
+	fuzzutil.Add(f, 16, 600)
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		rng := rand.New(rand.NewPCG(uint64(len(steps)), 9))
 		k := New(4000, Class{Wanted: 50, Ordinary: 2}, map[string]Class{"b": {Wanted: 10, Ordinary: 0.5}})
--- a/internal/trace/hold/hold.go
+++ b/internal/trace/serverspans/hold.go
@@ -1,4 +1,4 @@
-// Package hold is what a server that speaks the field trace does with its spans: it
+// Package serverspans is what a server that speaks the field trace does with its spans: it
 // holds them until the router's verdict comes, or a limit has passed. It does no I/O and
 // has no clock.
 //
@@ -7,7 +7,7 @@
 // server's own part failed, since its router may have been killed, and else forgotten.
 // A fill that several requests ride is held once, in the trace of the first; a verdict
 // on any rider's trace keeps it, also when the first asker has left.
-package hold
+package serverspans
 
 import "garnetline/internal/trace"
 
--- a/internal/trace/hold/hold_test.go
+++ b/internal/trace/serverspans/hold_test.go
@@ -1,10 +1,10 @@
-package hold
+package serverspans
 
 import (
 	"math/rand/v2"
 	"testing"
 
-	"garnetline/internal/seeds"
+	"garnetline/internal/fuzzutil"
 	"garnetline/internal/trace"
 )
 
@@ -47,7 +47,7 @@
 // FuzzHolder checks by random steps that the bound holds, nothing is kept twice, what
 // failed is always kept in the end, and nothing is held then.
 func FuzzHolder(f *testing.F) {
-	seeds.Add(f, 16, 500)
+	fuzzutil.Add(f, 16, 500)
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		const most = 5000
 		rng, h, now, next := rand.New(rand.NewPCG(uint64(len(steps)), 1)), New(100, most), 0.0, trace.SpanID(1)
--- a/internal/trace/store/store_test.go
+++ b/internal/trace/store/store_test.go
@@ -8,7 +8,7 @@
 	"path/filepath"
 	"testing"
 
-	"garnetline/internal/seeds"
+	"garnetline/internal/fuzzutil"
 	"garnetline/internal/trace"
 	"garnetline/routing"
 )
@@ -200,7 +200,7 @@
 
 // FuzzSegment checks that no bytes break the reader.
 func FuzzSegment(f *testing.F) {
-	seeds.Add(f, 8, 200)
+	fuzzutil.Add(f, 8, 200)
 	folder := f.TempDir()
 	fill(f, folder, 30, 1<<20)
 	paths, _ := segments(folder)
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"garnetline/internal/seeds"
+	"garnetline/internal/fuzzutil"
 	"garnetline/routing"
 )
 
@@ -99,7 +99,7 @@
 // FuzzCode checks that a trace comes back as it was, and that no bytes break the
 // reader or make it hold much.
 func FuzzCode(f *testing.F) {
-	seeds.Add(f, 16, 200)
+	fuzzutil.Add(f, 16, 200)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if got, err := Decode(b); err == nil {
 			if again, err := Decode(Append(nil, got)); err != nil || len(again.Spans) != len(got.Spans) {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -9,7 +9,7 @@
 
 	"garnetline/internal/clock"
 	"garnetline/internal/dispatch"
-	"garnetline/internal/seeds"
+	"garnetline/internal/fuzzutil"
 	"garnetline/internal/trace"
 	"garnetline/routing"
 )
@@ -18,7 +18,7 @@
 // is written to a closed connection, nothing canceled is left without a completion, and no id
 // is in flight on a connection twice.
 func FuzzUpstream(f *testing.F) {
-	seeds.Add(f, 32, 300)
+	fuzzutil.Add(f, 32, 300)
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		actor := newHarness(t)
 		for i := 0; i+1 < len(steps) && i < 2000; i += 2 {
--- a/plugin/plugin.go
+++ b/plugin/plugin.go
@@ -26,8 +26,8 @@
 	"garnetline/internal/clock"
 	"garnetline/internal/dispatch"
 	"garnetline/internal/metrics"
-	"garnetline/internal/trace/attach"
-	"garnetline/internal/trace/record"
+	"garnetline/internal/trace/instrument"
+	"garnetline/internal/trace/recorder"
 	"garnetline/routing"
 )
 
@@ -65,7 +65,7 @@
 	classes map[classKey]int
 	count   *metrics.Registry
 	servers atomic.Pointer[map[routing.ServerID]string] // listed ones, by id
-	tracer  *record.Recorder                            // nil: none
+	tracer  *recorder.Recorder                          // nil: none
 	stop    context.CancelFunc
 	done    chan struct{}
 	close   sync.Once
@@ -121,7 +121,7 @@
 		return nil, fmt.Errorf("plugin: Trace: %w", err)
 	}
 	if p.tracer != nil {
-		p.core.SetTracer(attach.Core(p.tracer))
+		p.core.SetTracer(instrument.Core(p.tracer))
 		go p.tracer.Run()
 	}
 	ctx, stop := context.WithCancel(context.Background())
--- a/plugin/trace.go
+++ b/plugin/trace.go
@@ -13,8 +13,8 @@
 	"garnetline/internal/logs"
 	"garnetline/internal/metrics"
 	"garnetline/internal/trace"
-	"garnetline/internal/trace/keep"
-	"garnetline/internal/trace/record"
+	"garnetline/internal/trace/recorder"
+	"garnetline/internal/trace/sampling"
 	"garnetline/internal/trace/store"
 )
 
@@ -33,7 +33,7 @@
 }
 
 // recorder makes what follows the calls; nil where there is no Trace.
-func (t *Trace) recorder(c clock.Clock, count *metrics.Registry, classes []Class) (*record.Recorder, error) {
+func (t *Trace) recorder(c clock.Clock, count *metrics.Registry, classes []Class) (*recorder.Recorder, error) {
 	if t == nil {
 		return nil, nil
 	}
@@ -45,13 +45,13 @@
 	if err != nil {
 		return nil, err
 	}
-	o := record.Options{Clock: c, Router: t.Name, Secret: t.Secret, Seed: rand.Uint64(), Stats: count, Log: logs.New(io.Discard), // the host's log is its own
+	o := recorder.Options{Clock: c, Router: t.Name, Secret: t.Secret, Seed: rand.Uint64(), Stats: count, Log: logs.New(io.Discard), // the host's log is its own
 		Sink: w, Pace: func() float64 { return 0 }}
-	s := record.Settings{Undecided: 4 << 20, Sampled: true, Classes: map[string]keep.Class{}}
+	s := recorder.Settings{Undecided: 4 << 20, Sampled: true, Classes: map[string]sampling.Class{}}
 	for _, k := range classes {
-		s.Classes[k.Name] = keep.Class{Wanted: clock.Millis(k.Aim), Ordinary: t.Ordinary}
+		s.Classes[k.Name] = sampling.Class{Wanted: clock.Millis(k.Aim), Ordinary: t.Ordinary}
 	}
-	return record.New(o, s), nil
+	return recorder.New(o, s), nil
 }
 
 // caller is the traceparent of the caller's own span: of the span in its context or,
--- a/test.sh
+++ b/test.sh
@@ -13,7 +13,7 @@
 # The build is the deploy file's own, so that what is tested is what is deployed.
 build=$(sed -n 's/^build = "\(.*\)".*/\1/p' deploy/balancer.toml)
 sh -c "$build"
-for program in bin/garnetline bin/drill; do
+for program in bin/garnetline bin/simadapter; do
 	case "$(ldd "$program")" in # no pipe: one that ends early would count as a failure
 	*libc.so*) ;;
 	*)
