--- a/cmd/fleetlab/fleet.go
+++ b/cmd/fleetlab/fleet.go
@@ -121,12 +121,12 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	r, err := testcluster.Start(testcluster.Options{Program: program, Routers: n, Boxes: 3, Fleet: true, Seed: 1, Dir: dir})
+	r, err := testcluster.Start(testcluster.Options{Program: program, Routers: n, Servers: 3, Fleet: true, Seed: 1, Dir: dir})
 	if err != nil {
 		return err
 	}
 	defer r.Close()
-	fmt.Printf("%d routers started; the door of the first is http://%s/fleet\n", n, r.Routers[0].Mgmt)
+	fmt.Printf("%d routers started; the door of the first is http://%s/fleet\n", n, r.Routers[0].AdminAddr)
 	began, seen := time.Now(), map[string]string{}
 	for next := 1; ; {
 		select {
@@ -151,7 +151,7 @@
 }
 
 // look prints what has changed in the views.
-func look(r *testcluster.Rig, at time.Duration, seen map[string]string) {
+func look(r *testcluster.Cluster, at time.Duration, seen map[string]string) {
 	for _, x := range r.Routers {
 		now := "is not running"
 		if x.Running() {
@@ -174,15 +174,15 @@
 				}
 			}
 		}
-		if seen[x.Way()] != now {
-			seen[x.Way()] = now
+		if seen[x.ProxyName()] != now {
+			seen[x.ProxyName()] = now
 			fmt.Printf("%6.1f s  %s %s\n", at.Seconds(), x.Name, now)
 		}
 	}
 }
 
 // do carries one step out.
-func do(r *testcluster.Rig, w []string) error {
+func do(r *testcluster.Cluster, w []string) error {
 	var err error
 	find := func(name string) *testcluster.Router {
 		for _, x := range r.Routers {
@@ -208,13 +208,13 @@
 	case "stop":
 		return on((*testcluster.Router).Stop)
 	case "stall":
-		return on((*testcluster.Router).Stall)
+		return on((*testcluster.Router).Pause)
 	case "wake":
-		return on((*testcluster.Router).Wake)
+		return on((*testcluster.Router).Resume)
 	case "heal":
-		r.Net.Heal()
+		r.Proxy.Heal()
 	case "cut", "oneway", "loss":
-		f := faultproxy.Fault{Cut: true}
+		f := faultproxy.Fault{Partitioned: true}
 		if w[0] == "loss" {
 			f = faultproxy.Fault{}
 			if f.Loss, err = strconv.ParseFloat(w[3], 64); err != nil {
@@ -225,9 +225,9 @@
 		if err != nil {
 			return err
 		}
-		r.Net.Set(a.Way(), b.Way(), f)
+		r.Proxy.Set(a.ProxyName(), b.ProxyName(), f)
 		if w[0] != "oneway" {
-			r.Net.Set(b.Way(), a.Way(), f)
+			r.Proxy.Set(b.ProxyName(), a.ProxyName(), f)
 		}
 	case "split":
 		var sides [2][]string
@@ -237,17 +237,17 @@
 				side = 1
 				continue
 			}
-			sides[side] = append(sides[side], find(name).Way())
+			sides[side] = append(sides[side], find(name).ProxyName())
 		}
 		if err == nil {
-			r.Net.Split(sides[0], sides[1])
+			r.Proxy.Partition(sides[0], sides[1])
 		}
 	case "disable", "enable":
 		x := find(w[3])
 		if err != nil {
 			return err
 		}
-		code, b, err := x.Door("POST", "/caches/"+w[0]+"/"+w[1])
+		code, b, err := x.CallAdmin("POST", "/caches/"+w[0]+"/"+w[1])
 		if err != nil || code != 200 {
 			return fmt.Errorf("%d %s %v", code, b, err)
 		}
--- a/cmd/fleetlab/duties.go
+++ b/cmd/fleetlab/leases.go
@@ -39,40 +39,40 @@
 		var all experiment.LeaseResult
 		runs := (c.Int("handovers") + each - 1) / each
 		parallel(runs, func(i int) {
-			r := experiment.Leases{Seed: uint64(i + 1), Drift: 1, Routers: 3 + i%3, Until: each}.Run()
+			r := experiment.LeaseHandovers{Seed: uint64(i + 1), ClockDrift: 1, Routers: 3 + i%3, MaxHandovers: each}.Run()
 			mu.Lock()
 			defer mu.Unlock()
-			all.Handovers, all.Planned, all.Acts = all.Handovers+r.Handovers, all.Planned+r.Planned, all.Acts+r.Acts
-			all.Refused, all.Dropped, all.Virtual = all.Refused+r.Refused, all.Dropped+r.Dropped, all.Virtual+r.Virtual
-			if r.Broken != "" {
-				all.Broken += fmt.Sprintf("seed %d: %s; ", i+1, r.Broken)
+			all.Handovers, all.PlannedHandovers, all.Writes = all.Handovers+r.Handovers, all.PlannedHandovers+r.PlannedHandovers, all.Writes+r.Writes
+			all.Rejected, all.StoppedAtWrite, all.SimulatedTime = all.Rejected+r.Rejected, all.StoppedAtWrite+r.StoppedAtWrite, all.SimulatedTime+r.SimulatedTime
+			if r.Violation != "" {
+				all.Violation += fmt.Sprintf("seed %d: %s; ", i+1, r.Violation)
 			}
 		})
-		if all.Broken == "" {
-			all.Broken = "none"
+		if all.Violation == "" {
+			all.Violation = "none"
 		}
 		fmt.Fprintf(f, "Made by `fleetlab leases --handovers %d --seeds %d`, %v.\n\n", c.Int("handovers"), c.Int("seeds"), time.Since(began).Round(time.Second))
 		fmt.Fprintf(f, "%d handovers (%d planned) in %.0f virtual hours and %d runs, %d acts written, %d stopped by the check at the write, %d refused by their token at the receiver. Two that acted at once: %s.\n\n",
-			all.Handovers, all.Planned, all.Virtual/3_600_000, runs, all.Acts, all.Dropped, all.Refused, all.Broken)
+			all.Handovers, all.PlannedHandovers, all.SimulatedTime/3_600_000, runs, all.Writes, all.StoppedAtWrite, all.Rejected, all.Violation)
 		fmt.Fprintln(f, "| off | seeds that show it | smallest schedule: faults and moves | handovers until then | what is seen there |\n| --- | --- | --- | --- | --- |")
 		for _, off := range append(slices.Clone(experiment.Safeguards), "ten times the drift") {
 			n, best := 0, experiment.LeaseResult{}
 			parallel(c.Int("seeds"), func(i int) {
-				o := experiment.Leases{Seed: uint64(i + 1), Off: off, Drift: 1, Routers: 3, Until: 2000}
+				o := experiment.LeaseHandovers{Seed: uint64(i + 1), Without: off, ClockDrift: 1, Routers: 3, MaxHandovers: 2000}
 				if off == "ten times the drift" {
-					o.Off, o.Drift = experiment.None, 10
+					o.Without, o.ClockDrift = experiment.NoSafeguard, 10
 				}
 				r := o.Run()
 				mu.Lock()
 				defer mu.Unlock()
-				if r.Broken != "" {
-					if n++; best.Broken == "" || r.Steps < best.Steps {
+				if r.Violation != "" {
+					if n++; best.Violation == "" || r.FaultsAndMoves < best.FaultsAndMoves {
 						best = r
-						best.Broken = fmt.Sprintf("seed %d: %s", i+1, r.Broken)
+						best.Violation = fmt.Sprintf("seed %d: %s", i+1, r.Violation)
 					}
 				}
 			})
-			fmt.Fprintf(f, "| %s | %d of %d | %d | %d | %s |\n", off, n, c.Int("seeds"), best.Steps, best.Handovers, best.Broken)
+			fmt.Fprintf(f, "| %s | %d of %d | %d | %d | %s |\n", off, n, c.Int("seeds"), best.FaultsAndMoves, best.Handovers, best.Violation)
 		}
 		return nil
 	}}
@@ -91,11 +91,11 @@
 		defer f.Close()
 		fmt.Fprintf(f, "Made by `fleetlab lease-states --most %d`.\n\n", c.Int("most"))
 		fmt.Fprintln(f, "| off | on their way, faults, crashes, handings on, grants at the most | states | moves | deepest | whole | found |\n| --- | --- | --- | --- | --- | --- | --- |")
-		wide := experiment.LeaseSearch{Air: 2, Crashes: 1, Gives: 1, Grants: 3, Most: c.Int("most")}
+		wide := experiment.LeaseSearch{MaxInFlight: 2, MaxCrashes: 1, MaxTransfers: 1, MaxGrants: 3, MaxStates: c.Int("most")}
 		all := []experiment.LeaseSearch{
-			{Air: 1, Grants: 1, Most: wide.Most}, {Air: 1, Grants: 2, Most: wide.Most}, {Air: 1, Grants: 2, Gives: 1, Most: wide.Most}, {Air: 1, Grants: 2, Crashes: 1, Most: wide.Most},
-			{Air: 2, Grants: 1, Most: wide.Most}, {Air: 3, Grants: 3, Gives: 1, Crashes: 1, Faults: 1, Most: wide.Most}}
-		for _, wide.Off = range experiment.Searched {
+			{MaxInFlight: 1, MaxGrants: 1, MaxStates: wide.MaxStates}, {MaxInFlight: 1, MaxGrants: 2, MaxStates: wide.MaxStates}, {MaxInFlight: 1, MaxGrants: 2, MaxTransfers: 1, MaxStates: wide.MaxStates}, {MaxInFlight: 1, MaxGrants: 2, MaxCrashes: 1, MaxStates: wide.MaxStates},
+			{MaxInFlight: 2, MaxGrants: 1, MaxStates: wide.MaxStates}, {MaxInFlight: 3, MaxGrants: 3, MaxTransfers: 1, MaxCrashes: 1, MaxFaults: 1, MaxStates: wide.MaxStates}}
+		for _, wide.Without = range experiment.SearchedSafeguards {
 			all = append(all, wide)
 		}
 		rows := make([]string, len(all))
@@ -138,8 +138,8 @@
 			return err
 		}
 		defer os.RemoveAll(dir)
-		r, err := testcluster.Start(testcluster.Options{Program: program, Routers: 8, Boxes: 2, Fleet: true, Electors: 5, Seed: uint64(c.Int("seed")), Dir: dir,
-			Lines: " more_room_after_ms = 1000\n", Duties: " lease_ms = 1000\n margin_ms = 100\n retry_ms = 100\n"})
+		r, err := testcluster.Start(testcluster.Options{Program: program, Routers: 8, Servers: 2, Fleet: true, Voters: 5, Seed: uint64(c.Int("seed")), Dir: dir,
+			FleetSettings: " more_room_after_ms = 1000\n", LeaseSettings: " lease_ms = 1000\n margin_ms = 100\n retry_ms = 100\n"})
 		if err != nil {
 			return err
 		}
@@ -166,13 +166,13 @@
 		long.ElectionTicks, long.HeartbeatTicks = 30, 5
 		long.TickInterval, long.Lease.TTL, long.Lease.SafetyMargin, long.Lease.RetryInterval = 1000, 60_000, 2000, 5000
 		for _, x := range []struct {
-			experiment.Register
+			experiment.Registry
 			ms float64
 		}{
-			{experiment.Register{Electors: 5, Routers: 30, Duties: 10, Set: consensus.DefaultSettings(), Move: 500}, 60_000},
-			{experiment.Register{Electors: 5, Routers: 30, Duties: 1000, Set: consensus.DefaultSettings(), Move: 500}, 60_000},
-			{experiment.Register{Electors: 5, Routers: 300, Duties: 10, Set: consensus.DefaultSettings(), Move: 500}, 60_000},
-			{experiment.Register{Electors: 5, Routers: 10, Duties: 10, Set: long, Move: 60_000, Drop: 3_600_000}, c.Float("days") * 86_400_000},
+			{experiment.Registry{Voters: 5, Routers: 30, Leases: 10, Settings: consensus.DefaultSettings(), TransferInterval: 500}, 60_000},
+			{experiment.Registry{Voters: 5, Routers: 30, Leases: 1000, Settings: consensus.DefaultSettings(), TransferInterval: 500}, 60_000},
+			{experiment.Registry{Voters: 5, Routers: 300, Leases: 10, Settings: consensus.DefaultSettings(), TransferInterval: 500}, 60_000},
+			{experiment.Registry{Voters: 5, Routers: 10, Leases: 10, Settings: long, TransferInterval: 60_000, AnswerLossInterval: 3_600_000}, c.Float("days") * 86_400_000},
 		} {
 			x.Seed = 1
 			r, err := x.Run(x.ms)
@@ -196,7 +196,7 @@
 		}
 		defer f.Close()
 		fmt.Fprint(f, "Made by `fleetlab worth`: 90 virtual seconds, 20 boxes in one location, which is cut in two from 30 to 60 s; six in ten routers are on the register's side.\n\n")
-		experiment.WorthTable(f)
+		experiment.LoadReportingTable(f)
 		return nil
 	}}
 }
@@ -241,9 +241,9 @@
 		return "", err
 	}
 	defer os.RemoveAll(dir)
-	o := testcluster.Options{Program: program, Routers: n, Boxes: 3, Fleet: true, Electors: 5, Seed: 1, Dir: dir, Lines: " more_room_after_ms = 1000\n"}
+	o := testcluster.Options{Program: program, Routers: n, Servers: 3, Fleet: true, Voters: 5, Seed: 1, Dir: dir, FleetSettings: " more_room_after_ms = 1000\n"}
 	if on {
-		o.Duties = " first_try {\n  routers_per_s = 10\n }\n"
+		o.LeaseSettings = " first_try {\n  routers_per_s = 10\n }\n"
 	}
 	r, err := testcluster.Start(o)
 	if err != nil {
@@ -251,28 +251,28 @@
 	}
 	defer r.Close()
 	const bound = time.Minute
-	if _, err := r.Alike(bound, r.Routers...); err != nil {
+	if _, err := r.WaitForConvergence(bound, r.Routers...); err != nil {
 		return "", err
 	}
 	if on {
-		if _, _, err := r.Holder(bound, "first/edge", r.Routers...); err != nil {
+		if _, _, err := r.WaitForHolder(bound, "first/edge", r.Routers...); err != nil {
 			return "", err
 		}
 	}
-	l := r.Load(time.Duration(n)*time.Second/160, r.Routers...)
-	b := r.Boxes[0]
-	rate := func() int { now := time.Now(); return b.Between(now.Add(-time.Second), now) }
+	l := r.StartLoad(time.Duration(n)*time.Second/160, r.Routers...)
+	b := r.Servers[0]
+	rate := func() int { now := time.Now(); return b.RequestsBetween(now.Add(-time.Second), now) }
 	part := func() (bool, string) { return rate() >= 30, fmt.Sprint(rate()) }
 	var tenth, second, all []float64
 	for range times {
-		if _, err := r.Until("the box has its part", bound, part); err != nil {
+		if _, err := r.WaitUntil("the box has its part", bound, part); err != nil {
 			return "", err
 		}
-		b.SetFail(true)
+		b.SetFailing(true)
 		time.Sleep(4 * time.Second)
 		up := time.Now()
-		b.SetFail(false)
-		took, err := r.Until("all are in again", bound, func() (bool, string) {
+		b.SetFailing(false)
+		took, err := r.WaitUntil("all are in again", bound, func() (bool, string) {
 			if time.Since(up) < 1100*time.Millisecond {
 				return false, ""
 			}
@@ -282,16 +282,16 @@
 			return "", err
 		}
 		first := up
-		for b.Between(up, first) == 0 {
+		for b.RequestsBetween(up, first) == 0 {
 			first = first.Add(5 * time.Millisecond)
 		}
-		tenth = append(tenth, float64(b.Between(up, first.Add(100*time.Millisecond))))
-		second = append(second, float64(b.Between(up, first.Add(time.Second))))
+		tenth = append(tenth, float64(b.RequestsBetween(up, first.Add(100*time.Millisecond))))
+		second = append(second, float64(b.RequestsBetween(up, first.Add(time.Second))))
 		all = append(all, took.Seconds())
 	}
-	res := l.End()
+	res := l.Stop()
 	return fmt.Sprintf("| %d | %s | %.0f, %.0f | %.1f | %d of %d |", n, map[bool]string{true: "on", false: "off"}[on],
-		experiment.Quantile(sorted(tenth), 0.5), experiment.Quantile(sorted(second), 0.5), experiment.Quantile(sorted(all), 0.5), len(res.Lost), res.Asked), nil
+		experiment.Quantile(sorted(tenth), 0.5), experiment.Quantile(sorted(second), 0.5), experiment.Quantile(sorted(all), 0.5), len(res.Lost), res.Requests), nil
 }
 
 func sorted(x []float64) []float64 { slices.Sort(x); return x }
@@ -310,63 +310,63 @@
 // planned are those in which the holder itself hands the duty on.
 var planned = kindsOfEnd[:2]
 
-func handovers(r *testcluster.Rig, rng *rand.Rand, n int, kinds []string, tell float64, out string) error {
+func handovers(r *testcluster.Cluster, rng *rand.Rand, n int, kinds []string, tell float64, out string) error {
 	const duty = "probe/edge"
 	const bound = 60 * time.Second
-	if _, err := r.Alike(bound, r.Routers...); err != nil {
+	if _, err := r.WaitForConvergence(bound, r.Routers...); err != nil {
 		return err
 	}
-	l := r.Load(50*time.Millisecond, r.Routers...)
+	l := r.StartLoad(50*time.Millisecond, r.Routers...)
 	gaps := map[string][]float64{}
 	done := 0
 	for done < n {
-		x, token, err := r.Holder(bound, duty, r.Live()...)
+		x, token, err := r.WaitForHolder(bound, duty, r.Running()...)
 		if err != nil {
 			return err
 		}
 		time.Sleep(time.Duration(rng.IntN(400)) * time.Millisecond)
 		kind := kinds[rng.IntN(len(kinds))]
-		before := len(r.Boxes[0].Acts())
+		before := len(r.Servers[0].Probes())
 		mend := func() error { return nil }
 		switch kind {
 		case "moved by staff":
-			if code, b, err := x.Door("POST", "/fleet/duty/move/"+duty); code != 200 {
+			if code, b, err := x.CallAdmin("POST", "/fleet/duty/move/"+duty); code != 200 {
 				if err == nil && code == 503 {
 					continue // it has just lost it
 				}
 				return fmt.Errorf("%d %s %v", code, b, err)
 			}
 		case "ended in order":
-			l.Excuse(x, true)
+			l.SetExcused(x, true)
 			if err := x.Stop(); err != nil {
 				return err
 			}
 			mend = x.Start
 		case "killed":
-			l.Excuse(x, true)
+			l.SetExcused(x, true)
 			x.Kill()
 			mend = x.Start
 		case "stopped past its end":
-			l.Excuse(x, true)
-			x.Stall()
-			mend = x.Wake
+			l.SetExcused(x, true)
+			x.Pause()
+			mend = x.Resume
 		default:
 			for _, y := range r.Routers {
-				if p, err := y.Duties(); y != x && (kind != "cut off one way from the leader" || err == nil && p.Register.Leading) {
-					r.Net.Set(x.Way(), y.Way(), faultproxy.Fault{Cut: true})
+				if p, err := y.Leases(); y != x && (kind != "cut off one way from the leader" || err == nil && p.Register.Leading) {
+					r.Proxy.Set(x.ProxyName(), y.ProxyName(), faultproxy.Fault{Partitioned: true})
 					if kind != "cut off one way from the leader" {
-						r.Net.Set(y.Way(), x.Way(), faultproxy.Fault{Cut: true})
+						r.Proxy.Set(y.ProxyName(), x.ProxyName(), faultproxy.Fault{Partitioned: true})
 					}
 				}
 			}
-			mend = func() error { r.Net.Heal(); return nil }
+			mend = func() error { r.Proxy.Heal(); return nil }
 		}
 		wait := 15 * time.Second
 		if kind == "cut off one way from the leader" { // the others may get round it: then there is nothing to wait for
 			wait = 3 * time.Second
 		}
-		if _, err := r.Until("another acts", wait, func() (bool, string) {
-			a := r.Boxes[0].Acts()
+		if _, err := r.WaitUntil("another acts", wait, func() (bool, string) {
+			a := r.Servers[0].Probes()
 			return len(a) > before && a[len(a)-1].Token > token, kind
 		}); err != nil && kind != "cut off one way from the leader" { // which others may get round
 			return err
@@ -374,24 +374,24 @@
 		if err := mend(); err != nil {
 			return err
 		}
-		if _, err := r.Alike(bound, r.Routers...); err != nil {
+		if _, err := r.WaitForConvergence(bound, r.Routers...); err != nil {
 			return err
 		}
-		l.Excuse(x, false)
-		acts := r.Boxes[0].Acts()
+		l.SetExcused(x, false)
+		acts := r.Servers[0].Probes()
 		for i := max(1, before); i < len(acts); i++ {
 			if acts[i].Token > acts[i-1].Token {
 				done++
-				gap := float64(acts[i].At.Sub(acts[i-1].At).Microseconds()) / 1000
+				gap := float64(acts[i].ReceivedAt.Sub(acts[i-1].ReceivedAt).Microseconds()) / 1000
 				gaps[kind] = append(gaps[kind], gap)
 				if gap > tell && slices.Contains(planned, kind) {
-					fmt.Fprintf(os.Stderr, "%s: from token %d at %v to %d at %v, %.0f ms\n%s\n", kind, acts[i-1].Token, acts[i-1].At.UnixMilli(), acts[i].Token, acts[i].At.UnixMilli(), gap, r.Logs(6))
+					fmt.Fprintf(os.Stderr, "%s: from token %d at %v to %d at %v, %.0f ms\n%s\n", kind, acts[i-1].Token, acts[i-1].ReceivedAt.UnixMilli(), acts[i].Token, acts[i].ReceivedAt.UnixMilli(), gap, r.Logs(6))
 				}
 			}
 		}
 		fmt.Fprintf(os.Stderr, "%d of %d: %s\n", done, n, kind)
 	}
-	res := l.End()
+	res := l.Stop()
 	f, err := os.Create(filepath.Join(out, "handovers.md"))
 	if err != nil {
 		return err
@@ -404,25 +404,25 @@
 		fmt.Fprintf(f, "| %s | %d | %.0f | %.0f | %.0f |\n", k, len(gaps[k]), experiment.Quantile(gaps[k], 0.5), experiment.Quantile(gaps[k], 0.9), experiment.Quantile(gaps[k], 1))
 	}
 	broken := "none"
-	for _, b := range r.Boxes {
+	for _, b := range r.Servers {
 		if _, err := b.Handovers(); err != nil {
 			broken = err.Error()
 		}
 	}
 	fmt.Fprintf(f, "\n%d handovers, acts after one of a later token: %s. %d requests of clients meanwhile, %d without one whole answer, %d served, p50 %.1f ms, p99 %.1f ms.\n",
-		done, broken, res.Asked, len(res.Lost), res.Statuses[200], float64(res.P50.Microseconds())/1000, float64(res.P99.Microseconds())/1000)
+		done, broken, res.Requests, len(res.Lost), res.Statuses[200], float64(res.P50.Microseconds())/1000, float64(res.P99.Microseconds())/1000)
 	fmt.Fprintf(f, "\nAt the routers that ran to the end: %d packets dropped for the bounds of a second, %d suspicions of them refuted, of %d packets.\n",
 		figure(r, "over_budget"), figure(r, "refuted"), figure(r, "packets_out"))
 	for _, x := range res.Lost {
 		fmt.Fprintln(os.Stderr, x)
 	}
-	return experiment.Gaps(filepath.Join(out, "handovers.svg"), kinds, gaps)
+	return experiment.GapChart(filepath.Join(out, "handovers.svg"), kinds, gaps)
 }
 
 // figure is the sum of one of the fleet's counters over the routers that run.
-func figure(r *testcluster.Rig, name string) (sum int) {
-	for _, x := range r.Live() {
-		_, b, _ := x.Door("GET", "/metrics")
+func figure(r *testcluster.Cluster, name string) (sum int) {
+	for _, x := range r.Running() {
+		_, b, _ := x.CallAdmin("GET", "/metrics")
 		for line := range strings.Lines(string(b)) {
 			var n int
 			if v, ok := strings.CutPrefix(line, "app_fleet_"+name+"_total "); ok {
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -32,8 +32,8 @@
 				&cli.DurationFlag{Name: "rough", Usage: "virtual time under each trouble, less where there are over 30", Value: 10 * time.Minute},
 			}, Action: func(_ context.Context, c *cli.Command) error {
 				began := time.Now()
-				o := experiment.Members{Sizes: c.IntSlice("sizes"), Seeds: c.Int("seeds"), Kills: c.Int("kills"), Calm: 20_000,
-					Rough: float64(c.Duration("rough").Milliseconds()), Losses: []float64{0, 0.05, 0.2}}
+				o := experiment.Membership{Sizes: c.IntSlice("sizes"), Seeds: c.Int("seeds"), Kills: c.Int("kills"), QuietPeriod: 20_000,
+					FaultPeriod: float64(c.Duration("rough").Milliseconds()), Losses: []float64{0, 0.05, 0.2}}
 				all := o.Run(os.Stderr)
 				if err := os.MkdirAll(c.String("out"), 0o755); err != nil {
 					return err
@@ -44,8 +44,8 @@
 				}
 				defer f.Close()
 				fmt.Fprintf(f, "Made by `fleetlab members --sizes %v --seeds %d --kills %d --rough %v`, %v.\n\n", c.IntSlice("sizes"), o.Seeds, o.Kills, c.Duration("rough"), time.Since(began).Round(time.Second))
-				experiment.Table(f, all)
-				return experiment.Charts(c.String("out"), all)
+				experiment.MembershipTable(f, all)
+				return experiment.MembershipCharts(c.String("out"), all)
 			}},
 			{Name: "day", Usage: "a virtual day of a fleet under loss: what is said wrongly", Flags: []cli.Flag{
 				&cli.IntFlag{Name: "routers", Value: 30}, &cli.IntFlag{Name: "seeds", Value: 10},
@@ -54,9 +54,9 @@
 				var wg sync.WaitGroup
 				for seed := range c.Int("seeds") {
 					wg.Go(func() {
-						r := experiment.Day(c.Int("routers"), uint64(seed+1), c.Float("loss"), float64(c.Duration("for").Milliseconds()))
+						r := experiment.MeasureFalsePositives(c.Int("routers"), uint64(seed+1), c.Float("loss"), float64(c.Duration("for").Milliseconds()))
 						fmt.Printf("%d routers, seed %d, %s, %.0f hours: %d suspicions, %d failures of routers that lived\n",
-							c.Int("routers"), seed+1, r.Trouble, r.Hours, r.Suspects, r.Failures)
+							c.Int("routers"), seed+1, r.Fault, r.Hours, r.Suspicions, r.Failures)
 					})
 				}
 				wg.Wait()
--- a/cmd/fleetlab/requests.go
+++ b/cmd/fleetlab/requests.go
@@ -30,8 +30,8 @@
 				if err != nil {
 					return err
 				}
-				fmt.Printf("| %d | %v | %d | %d | %d | %.1f | %.1f | %d |\n", round+1, on, res.Asked, len(res.Lost), res.Statuses[200],
-					float64(res.P50.Microseconds())/1000, float64(res.P99.Microseconds())/1000, res.Most)
+				fmt.Printf("| %d | %v | %d | %d | %d | %.1f | %.1f | %d |\n", round+1, on, res.Requests, len(res.Lost), res.Statuses[200],
+					float64(res.P50.Microseconds())/1000, float64(res.P99.Microseconds())/1000, res.MaxAttempts)
 				for _, l := range res.Lost {
 					fmt.Fprintln(os.Stderr, l)
 				}
@@ -49,14 +49,14 @@
 		return testcluster.Result{}, err
 	}
 	defer os.RemoveAll(dir)
-	r, err := testcluster.Start(testcluster.Options{Program: program, Routers: n, Boxes: 4, Fleet: on, Seed: seed, Dir: dir})
+	r, err := testcluster.Start(testcluster.Options{Program: program, Routers: n, Servers: 4, Fleet: on, Seed: seed, Dir: dir})
 	if err != nil {
 		return testcluster.Result{}, err
 	}
 	defer r.Close()
-	if _, err := r.Until("all ready", 30*time.Second, func() (bool, string) {
+	if _, err := r.WaitUntil("all ready", 30*time.Second, func() (bool, string) {
 		for _, x := range r.Routers {
-			if code, _, err := x.Door("GET", "/ready"); code != 200 {
+			if code, _, err := x.CallAdmin("GET", "/ready"); code != 200 {
 				return false, fmt.Sprint(x.Name, code, err)
 			}
 		}
@@ -65,37 +65,37 @@
 		return testcluster.Result{}, err
 	}
 	time.Sleep(2 * time.Second)
-	l := r.Load(20*time.Millisecond, r.Routers...)
+	l := r.StartLoad(20*time.Millisecond, r.Routers...)
 	pause := func() { time.Sleep(3 * time.Second) }
 	pause()
 	x, y := r.Routers[1], r.Routers[2]
-	l.Excuse(x, true)
+	l.SetExcused(x, true)
 	x.Kill()
 	pause()
 	if err := x.Start(); err != nil {
 		return testcluster.Result{}, err
 	}
-	l.Excuse(y, true)
-	y.Stall()
+	l.SetExcused(y, true)
+	y.Pause()
 	pause()
-	y.Wake()
-	l.Excuse(x, false)
+	y.Resume()
+	l.SetExcused(x, false)
 	time.Sleep(500 * time.Millisecond)
-	l.Excuse(y, false)
+	l.SetExcused(y, false)
 	for i, a := range r.Routers {
 		for j, b := range r.Routers {
 			if i%2 != j%2 {
-				r.Net.Set(a.Way(), b.Way(), faultproxy.Fault{Cut: true})
+				r.Proxy.Set(a.ProxyName(), b.ProxyName(), faultproxy.Fault{Partitioned: true})
 			} else if i != j {
-				r.Net.Set(a.Way(), b.Way(), faultproxy.Fault{Loss: 0.2, Garble: 0.05, Jitter: 20})
+				r.Proxy.Set(a.ProxyName(), b.ProxyName(), faultproxy.Fault{Loss: 0.2, Corrupt: 0.05, Jitter: 20})
 			}
 		}
 	}
 	pause()
-	r.Boxes[1].SetFail(true)
+	r.Servers[1].SetFailing(true)
 	pause()
-	r.Boxes[1].SetFail(false)
-	r.Net.Heal()
+	r.Servers[1].SetFailing(false)
+	r.Proxy.Heal()
 	pause()
-	return l.End(), nil
+	return l.Stop(), nil
 }
--- a/cmd/garnetline/daemon_parts.go
+++ b/cmd/garnetline/daemon_parts.go
@@ -41,8 +41,8 @@
 		return err
 	}
 	if d.recorder != nil {
-		d.recorder.Kept = d.upstreams.TraceRetained
-		d.dispatcher.SetTracer(instrument.Core(d.recorder))
+		d.recorder.NotifyRetained = d.upstreams.TraceRetained
+		d.dispatcher.SetTracer(instrument.Dispatcher(d.recorder))
 	}
 	d.fleet, err = joinFleet(d)
 	if err != nil {
@@ -101,7 +101,7 @@
 			// The dispatcher tells the recorder of the last requests.
 			d.stopParts()
 			<-d.dispatcher.Stopped()
-			d.recorder.Finish()
+			d.recorder.Shutdown()
 		})
 	}
 	if d.fleet != nil {
--- a/cmd/garnetline/daemon_reload.go
+++ b/cmd/garnetline/daemon_reload.go
@@ -40,6 +40,6 @@
 	d.watcher.Reload(next.platform)
 	d.fleet.Reload(next.operators.Fleet)
 	if d.recorder != nil {
-		d.recorder.Adopt(recorderSettings(next.operators.Trace, next.platform.Settings.Classes))
+		d.recorder.UpdateSettings(recorderSettings(next.operators.Trace, next.platform.Settings.Classes))
 	}
 }
--- a/cmd/garnetline/endings_test.go
+++ b/cmd/garnetline/endings_test.go
@@ -93,7 +93,7 @@
 		came <- fields
 		switch {
 		case strings.Contains(fields, "00000000000000a1"):
-			return fakeserver.Cut
+			return fakeserver.CloseConnection
 		case strings.Contains(fields, "00000000000000a2"):
 			return fakeserver.Answer(id, "BROKE", "-", "")
 		case strings.Contains(fields, "00000000000000a5"):
@@ -135,7 +135,7 @@
 		t.Errorf("refused first: status %d", got)
 	}
 	runs := map[string]int{}
-	for _, f := range append(a.Seen(), b.Seen()...) {
+	for _, f := range append(a.Requests(), b.Requests()...) {
 		runs[strings.Split(f, ",")[1]]++
 	}
 	for n, want := range map[int]int{1: 1, 2: 1, 3: 1, 4: 1, 5: 1, 6: 2, 7: 1} {
@@ -150,7 +150,7 @@
 func TestToldThenSent(t *testing.T) {
 	reply := func(id, _ string) string { return fakeserver.Answer(id, "DONE", "tag=t,minted=1", "x") }
 	a, b := newCache(t, reply), newCache(t, reply)
-	teller, err := fakeserver.NewTeller(4)
+	teller, err := fakeserver.NewChangeLog(4)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -163,12 +163,12 @@
 		}
 	}
 	last := func() string {
-		all := append(a.Seen(), b.Seen()...)
+		all := append(a.Requests(), b.Requests()...)
 		return all[len(all)-1]
 	}
 	teller.Purge(0xaa, uint64(time.Now().UnixMilli()-30))
 	for n, end := 1, time.Now().Add(20*time.Second); ; n++ { // until it has been told, which the answers show
-		if get(n); n > 1 && strings.Contains(strings.Join(append(a.Seen(), b.Seen()...), "\n"), ",fresh=") {
+		if get(n); n > 1 && strings.Contains(strings.Join(append(a.Requests(), b.Requests()...), "\n"), ",fresh=") {
 			break
 		}
 		if time.Now().After(end) {
@@ -176,24 +176,24 @@
 		}
 	}
 	home, other := a, b
-	if len(b.Seen()) > len(a.Seen()) {
+	if len(b.Requests()) > len(a.Requests()) {
 		home, other = b, a
 	}
-	id := map[*fakeserver.Box]uint32{a: 1, b: 2}[home]
-	teller.Change(fakeserver.Listed{ID: id, Addr: home.Addr().(*net.TCPAddr).AddrPort(), State: 1, Weight: 100})
-	for n, end := 1000, time.Now().Add(20*time.Second); len(other.Seen()) == 0; n++ {
+	id := map[*fakeserver.Server]uint32{a: 1, b: 2}[home]
+	teller.UpdateEndpoints(fakeserver.Endpoint{ID: id, Addr: home.Addr().(*net.TCPAddr).AddrPort(), Phase: 1, Weight: 100})
+	for n, end := 1000, time.Now().Add(20*time.Second); len(other.Requests()) == 0; n++ {
 		if get(n); time.Now().After(end) {
 			t.Fatal("the drain does not show")
 		}
 	}
-	before := len(home.Seen())
+	before := len(home.Requests())
 	for n := range 20 {
 		get(2000 + n)
 	}
-	if got := len(home.Seen()); got != before {
+	if got := len(home.Requests()); got != before {
 		t.Errorf("%d went to a box that drains", got-before)
 	}
-	for _, f := range other.Seen() {
+	for _, f := range other.Requests() {
 		if strings.Contains(f, fmt.Sprintf("via=s-%08x", id)) {
 			t.Errorf("it is a fill's source: %s", f)
 		}
--- a/cmd/garnetline/fleet_test.go
+++ b/cmd/garnetline/fleet_test.go
@@ -22,7 +22,7 @@
 	return out.String(), err
 }
 
-func startRig(t *testing.T, o testcluster.Options) *testcluster.Rig {
+func startRig(t *testing.T, o testcluster.Options) *testcluster.Cluster {
 	t.Helper()
 	o.Program, o.Env, o.Dir = os.Args[0], []string{"GARNETLINE_TEST_PROGRAM=1"}, t.TempDir()
 	r, err := testcluster.Start(o)
@@ -36,11 +36,11 @@
 // The command line shows the view of a running router, as a table, as JSON, and as it
 // changes; a router without a fleet says that it has none.
 func TestFleetCommand(t *testing.T) {
-	r := startRig(t, testcluster.Options{Routers: 3, Boxes: 1, Fleet: true, Seed: 1})
-	if _, err := r.Alike(30*time.Second, r.Routers...); err != nil {
+	r := startRig(t, testcluster.Options{Routers: 3, Servers: 1, Fleet: true, Seed: 1})
+	if _, err := r.WaitForConvergence(30*time.Second, r.Routers...); err != nil {
 		t.Fatal(err)
 	}
-	door := r.Routers[0].Mgmt
+	door := r.Routers[0].AdminAddr
 	for _, x := range []struct {
 		args []string
 		want []string
@@ -76,7 +76,7 @@
 	waitFor("r02")
 	r.Routers[2].Kill()
 	waitFor("failed")
-	_, m, err := r.Routers[0].Door("GET", "/metrics")
+	_, m, err := r.Routers[0].CallAdmin("GET", "/metrics")
 	if err != nil || !strings.Contains(string(m), `app_fleet_members{state="failed"} 1`) || !strings.Contains(string(m), "app_fleet_known 3\n") {
 		t.Errorf("%s, %v", m, err)
 	}
@@ -111,20 +111,20 @@
 // no figure of a fleet, and writes the same bytes to its boxes; with one it has a socket more.
 func TestNothingWithoutAFleetBlock(t *testing.T) {
 	of := func(o testcluster.Options) (socks int, page int, figures string, asked []string) {
-		o.Routers, o.Boxes, o.Seed = 1, 1, 1
+		o.Routers, o.Servers, o.Seed = 1, 1, 1
 		r := startRig(t, o)
 		x := r.Routers[0]
-		if _, err := r.Until("ready", 30*time.Second, func() (bool, string) {
-			code, _, err := x.Door("GET", "/ready")
+		if _, err := r.WaitUntil("ready", 30*time.Second, func() (bool, string) {
+			code, _, err := x.CallAdmin("GET", "/ready")
 			return code == 200, fmt.Sprint(code, err)
 		}); err != nil {
 			t.Fatal(err)
 		}
-		page, _, err := x.Door("GET", "/fleet")
+		page, _, err := x.CallAdmin("GET", "/fleet")
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, m, err := x.Door("GET", "/metrics")
+		_, m, err := x.CallAdmin("GET", "/metrics")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -135,7 +135,7 @@
 			}
 		}
 		for i := range 5 {
-			conn, err := net.Dial("tcp", x.Listen)
+			conn, err := net.Dial("tcp", x.ListenAddr)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -145,7 +145,7 @@
 		// The sockets of clients and door come and go: those that stay are compared.
 		socks = 1 << 20
 		same := 0
-		if _, err := r.Until("its own sockets alone", 30*time.Second, func() (bool, string) {
+		if _, err := r.WaitUntil("its own sockets alone", 30*time.Second, func() (bool, string) {
 			if n := sockets(t, x.Pid()); n < socks {
 				socks, same = n, 0
 			}
@@ -154,13 +154,13 @@
 		}); err != nil {
 			t.Fatal(err)
 		}
-		for _, f := range r.Boxes[0].Seen() {
+		for _, f := range r.Servers[0].Requests() {
 			f, _, _ = strings.Cut(f, "patience=") // what is left of the client's time differs
 			asked = append(asked, f)
 		}
 		return socks, page, strings.Join(names, ""), asked
 	}
-	bareSocks, barePage, bareFigures, bareAsked := of(testcluster.Options{Bare: true})
+	bareSocks, barePage, bareFigures, bareAsked := of(testcluster.Options{NoSettingsFile: true})
 	offSocks, offPage, offFigures, offAsked := of(testcluster.Options{})
 	onSocks, onPage, onFigures, onAsked := of(testcluster.Options{Fleet: true})
 	if barePage != 404 || offPage != 404 || onPage != 200 {
--- a/cmd/garnetline/serve_test.go
+++ b/cmd/garnetline/serve_test.go
@@ -20,8 +20,8 @@
 	"garnetline/internal/platformconfig"
 )
 
-func newCache(t testing.TB, reply fakeserver.Reply) *fakeserver.Box {
-	b, err := fakeserver.NewBox(reply)
+func newCache(t testing.TB, reply fakeserver.Reply) *fakeserver.Server {
+	b, err := fakeserver.NewServer(reply)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,12 +30,12 @@
 }
 
 func newLog(t testing.TB) (net.Addr, chan uint64) {
-	l, err := fakeserver.NewLog()
+	l, err := fakeserver.NewIdleChangeLog()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	return l.Addr(), l.From
+	return l.Addr(), l.RequestedSeqs
 }
 
 func free(t testing.TB) string {
@@ -139,7 +139,7 @@
 	check("a copy that holds", status, got, 304, "")
 	status, got = ask("PUT", "/v1/form/00000000000000cc", "answer", "X-Txn-Key", "k1")
 	check("a write", status, got, 200, "written")
-	sent := strings.Join(append(a.Seen(), b.Seen()...), "\n")
+	sent := strings.Join(append(a.Requests(), b.Requests()...), "\n")
 	for _, want := range []string{"sort=part,asset=00000000000000aa,slice=2,patience=", ",via=s-00000008", ",op=k1,via=s-00000009"} {
 		if !strings.Contains(sent, want) {
 			t.Errorf("%q was never sent:\n%s", want, sent)
--- a/cmd/garnetline/trace_command.go
+++ b/cmd/garnetline/trace_command.go
@@ -152,10 +152,10 @@
 // traceFilter reads the flags that say which traces are wanted.
 func traceFilter(command *cli.Command) (store.Filter, error) {
 	filter := store.Filter{
-		Txn:      command.String("txn"),
-		Class:    command.String("class"),
-		Slower:   command.Float("slower"),
-		Attempts: command.Int("tries"),
+		TransactionID: command.String("txn"),
+		Class:         command.String("class"),
+		MinDuration:   command.Float("slower"),
+		MinAttempts:   command.Int("tries"),
 	}
 	if since := command.Duration("since"); since > 0 {
 		filter.From = float64(time.Now().Add(-since).UnixMilli())
@@ -250,12 +250,12 @@
 func printTraceRow(lines *printer, found *trace.Trace) {
 	began := time.UnixMilli(int64(found.Start)).UTC().Format("2006-01-02 15:04:05.000")
 	row := fmt.Sprintf("%v  %s  %-8s %-12s %-8v %9.1f  %d+%d    %s", found.ID, began, found.Router, found.Class, found.Outcome,
-		found.Took(), found.Try, found.Attempts, render.Whys(found.Why))
+		found.Duration(), found.Retry, found.Attempts, render.ReasonNames(found.Reasons))
 	if found.Weight > 1 {
 		row += fmt.Sprintf(" (for %.1f)", found.Weight)
 	}
-	if found.Lost > 0 {
-		row += fmt.Sprintf(" (%d lost before it)", found.Lost)
+	if found.LostBefore > 0 {
+		row += fmt.Sprintf(" (%d lost before it)", found.LostBefore)
 	}
 	lines.linef("%s", row)
 }
--- a/cmd/garnetline/trace_peers_test.go
+++ b/cmd/garnetline/trace_peers_test.go
@@ -25,12 +25,12 @@
 // rider's verdict keeps the fill that it rode.
 func TestPeersTakePart(t *testing.T) {
 	var hosts []string
-	var boxes []*fakeserver.Speaker
+	var boxes []*fakeserver.TracingServer
 	folders := []string{}
-	var hub *fakeserver.Speaker
+	var hub *fakeserver.TracingServer
 	for i := range 3 { // the first is the hub
 		folder := t.TempDir()
-		s, err := fakeserver.NewSpeaker(routing.ServerID(i).String(), folder, hub, uint64(i)<<32)
+		s, err := fakeserver.NewTracingServer(routing.ServerID(i).String(), folder, hub, uint64(i)<<32)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -82,8 +82,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s.Hub != nil {
-			told, own = told+s.Told, own+kept
+		if s.Parent != nil {
+			told, own = told+s.Verdicts, own+kept
 		}
 		x, err := store.Read(folders[i])
 		if err != nil {
@@ -106,7 +106,7 @@
 		}
 		under := map[trace.SpanID]int{}
 		for _, s := range all {
-			if s.Kind != trace.Work {
+			if s.Kind != trace.ServerWork {
 				continue
 			}
 			a := spans[s.Parent]
@@ -121,9 +121,9 @@
 			}
 		}
 		for _, s := range all {
-			if s.Kind == trace.Attempt && s.Flags&trace.Sent != 0 && (s.Server == 1 || s.Server == 2) {
+			if s.Kind == trace.Attempt && s.Flags&trace.FlagSent != 0 && (s.Server == 1 || s.Server == 2) {
 				if works++; under[s.ID] != 1 {
-					t.Errorf("attempt %v of %v has %d works of its box", s.N, piece.ID, under[s.ID])
+					t.Errorf("attempt %v of %v has %d works of its box", s.AttemptNumber, piece.ID, under[s.ID])
 				}
 			}
 		}
--- a/cmd/garnetline/trace_test.go
+++ b/cmd/garnetline/trace_test.go
@@ -137,9 +137,9 @@
 			return fakeserver.Answer(id, "DONE", "tag=t1,minted=1", "bytes")
 		}
 	}
-	boxes := []*fakeserver.Box{
+	boxes := []*fakeserver.Server{
 		newCache(t, nil), newCache(t, fault(func(n int) string {
-			return []string{"good", "good", "good", "good", fakeserver.Cut, "good", "good", "slow"}[n%8]
+			return []string{"good", "good", "good", "good", fakeserver.CloseConnection, "good", "good", "slow"}[n%8]
 		})),
 		newCache(t, fault(func(n int) string { return []string{"good", "good", "good", "good", "good", "good", ""}[n%7] })),
 		newCache(t, fault(func(int) string { return "good" })),
@@ -211,11 +211,11 @@
 	lost := uint32(0)
 	for _, r := range routers {
 		for _, p := range r.end(t) {
-			if byTxn[p.Txn] != nil {
-				t.Errorf("%s is kept twice", p.Txn)
+			if byTxn[p.TransactionID] != nil {
+				t.Errorf("%s is kept twice", p.TransactionID)
 			}
-			byTxn[p.Txn], byID[p.ID] = p, append(byID[p.ID], p)
-			lost += p.Lost
+			byTxn[p.TransactionID], byID[p.ID] = p, append(byID[p.ID], p)
+			lost += p.LostBefore
 		}
 	}
 	must, retried, multi := 0, 0, 0
@@ -232,7 +232,7 @@
 				must++
 				sent, broken := 0, 0 // what was written to a connection that broke may not arrive
 				for _, s := range p.Spans {
-					if s.Kind == trace.Attempt && s.Flags&trace.Sent != 0 {
+					if s.Kind == trace.Attempt && s.Flags&trace.FlagSent != 0 {
 						if sent++; routing.Result(s.Result) == routing.ConnectionLost {
 							broken++
 						}
@@ -247,8 +247,8 @@
 				if wantOutcome := x.status == 200; wantOutcome != (p.Outcome == trace.Served) {
 					t.Errorf("%s: %v, the client had %d", x.txn, p.Outcome, x.status)
 				}
-				if i%4 == 2 && (p.ID.String() != fmt.Sprintf("%032x", 1<<20+c*each+i) || p.Remote != trace.SpanID(c+1)) {
-					t.Errorf("%s: trace %v under %x, the client said another", x.txn, p.ID, p.Remote)
+				if i%4 == 2 && (p.ID.String() != fmt.Sprintf("%032x", 1<<20+c*each+i) || p.ClientSpan != trace.SpanID(c+1)) {
+					t.Errorf("%s: trace %v under %x, the client said another", x.txn, p.ID, p.ClientSpan)
 				}
 				if first := byTxn[of[0].txn]; n > 0 {
 					if retried++; first == nil || first.ID != p.ID {
@@ -279,7 +279,7 @@
 	}
 	// The platform's protocol knows no traces: nothing of them goes to a box.
 	for _, b := range boxes {
-		for _, fields := range b.Seen() {
+		for _, fields := range b.Requests() {
 			for f := range strings.SplitSeq(fields, ",") {
 				if name, _, _ := strings.Cut(f, "="); !slices.Contains([]string{"sort", "asset", "slice", "patience", "op", "via", "tier", "fresh", "opts", "known"}, name) {
 					t.Fatalf("a box was sent the field %q", f)
@@ -308,7 +308,7 @@
 			some = p
 		}
 	}
-	if out := run("list", "--txn", some.Txn); !strings.Contains(out, some.ID.String()) {
+	if out := run("list", "--txn", some.TransactionID); !strings.Contains(out, some.ID.String()) {
 		t.Errorf("list: %q", out)
 	}
 	for _, args := range [][]string{{"list", "--most", "1000"}, {"export", "--most", "1000"}, {"export", "--as", "html"}} {
@@ -379,7 +379,7 @@
 	none := 0.0
 	s := recorderSettings(operatorconfig.Trace{OrdinaryPerSecond: 2, Classes: []operatorconfig.TraceClass{{Name: "part", SlowThreshold: 9}, {Name: "form", OrdinaryPerSecond: &none}}},
 		[]routing.Class{{Name: "part", LatencyObjective: time.Second}, {Name: "form", LatencyObjective: time.Second}})
-	if p, f := s.Classes["part"], s.Classes["form"]; p.Ordinary != 2 || p.Wanted != 9 || f.Ordinary != 0 || f.Wanted != 1000 {
+	if p, f := s.Classes["part"], s.Classes["form"]; p.OrdinaryPerSecond != 2 || p.LatencyObjective != 9 || f.OrdinaryPerSecond != 0 || f.LatencyObjective != 1000 {
 		t.Errorf("%+v, %+v", p, f)
 	}
 }
--- a/cmd/garnetline/tracing.go
+++ b/cmd/garnetline/tracing.go
@@ -24,14 +24,14 @@
 	}
 	platform := router.startup.platform
 	options := recorder.Options{
-		Clock:  router.clock,
-		Router: platform.Name,
-		Secret: settings.Secret,
-		Seed:   platform.Seed,
-		Stats:  router.metrics,
-		Log:    router.log,
-		Sink:   sinks,
-		Pace:   func() float64 { return router.platform.Load().Settings.BodyBytesPerSecond },
+		Clock:                router.clock,
+		Router:               platform.Name,
+		Secret:               settings.Secret,
+		Seed:                 platform.Seed,
+		Metrics:              router.metrics,
+		Log:                  router.log,
+		Sink:                 sinks,
+		ClientBytesPerSecond: func() float64 { return router.platform.Load().Settings.BodyBytesPerSecond },
 	}
 	return recorder.New(options, recorderSettings(settings, platform.Settings.Classes)), nil
 }
@@ -48,12 +48,12 @@
 		return recorder.Sinks{segments}, nil
 	}
 	exporter, err := export.New(export.Options{
-		URL:     collector.URL,
-		Queue:   collector.QueueLimit,
-		Timeout: collector.Timeout,
-		Stats:   router.metrics,
-		Log:     router.log,
-		Seed:    router.startup.platform.Seed,
+		URL:       collector.URL,
+		QueueSize: collector.QueueLimit,
+		Timeout:   collector.Timeout,
+		Metrics:   router.metrics,
+		Log:       router.log,
+		Seed:      router.startup.platform.Seed,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("trace: collector: url: %w", err)
@@ -66,17 +66,17 @@
 // that the common budget allows.
 func recorderSettings(settings operatorconfig.Trace, classes []routing.Class) recorder.Settings {
 	recorder := recorder.Settings{
-		Undecided:   settings.UndecidedKB << 10,
-		RetryWithin: settings.RetryWindow,
-		Sampled:     settings.HonorSampled,
-		Other:       sampling.Class{Ordinary: settings.OrdinaryPerSecond},
-		Classes:     map[string]sampling.Class{},
+		UndecidedBytes:      settings.UndecidedKB << 10,
+		RetryWindow:         settings.RetryWindow,
+		RetainClientSampled: settings.HonorSampled,
+		DefaultClass:        sampling.Class{OrdinaryPerSecond: settings.OrdinaryPerSecond},
+		Classes:             map[string]sampling.Class{},
 	}
 	for _, class := range classes {
 		recorder.Classes[class.Name] = sampling.Class{
-			Wanted:   clock.Millis(class.LatencyObjective),
-			Ordinary: settings.OrdinaryPerSecond,
-			All:      class.Idempotency == routing.IdempotentWithKey,
+			LatencyObjective:  clock.Millis(class.LatencyObjective),
+			OrdinaryPerSecond: settings.OrdinaryPerSecond,
+			RetainAll:         class.Idempotency == routing.IdempotentWithKey,
 		}
 	}
 	for _, override := range settings.Classes {
@@ -85,10 +85,10 @@
 			continue
 		}
 		if override.OrdinaryPerSecond != nil {
-			class.Ordinary = *override.OrdinaryPerSecond
+			class.OrdinaryPerSecond = *override.OrdinaryPerSecond
 		}
 		if override.SlowThreshold > 0 {
-			class.Wanted = override.SlowThreshold
+			class.LatencyObjective = override.SlowThreshold
 		}
 		recorder.Classes[override.Name] = class
 	}
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -36,9 +36,9 @@
 		}
 		line = line[:0]
 		by := -1
-		for _, it := range b.Items {
+		for _, it := range b.Messages {
 			switch it.Kind {
-			case simproto.Begin:
+			case simproto.Start:
 				if routers[it.Instance], err = routing.New(it.Settings, it.Seed); err != nil {
 					return fmt.Errorf("instance %d: %w", it.Instance, err)
 				}
@@ -54,13 +54,13 @@
 			acts = router.Handle(b.Now, it.Event, acts[:0])
 			if len(acts) > 0 && by != it.Instance {
 				by = it.Instance
-				line = simproto.AppendBy(line, by)
+				line = simproto.AppendInstance(line, by)
 			}
 			for _, a := range acts {
 				line = simproto.AppendAction(line, a)
 			}
 		}
-		if _, err := out.Write(simproto.AppendEnd(line)); err != nil {
+		if _, err := out.Write(simproto.AppendReplyEnd(line)); err != nil {
 			return fmt.Errorf("write: %w", err)
 		}
 		if err := out.Flush(); err != nil {
--- a/internal/bodies/bodies_test.go
+++ b/internal/bodies/bodies_test.go
@@ -26,7 +26,7 @@
 // guaranteed part whatever others hold, that what cannot be repeated stays so, and that
 // all comes back to zero.
 func FuzzKeeper(f *testing.F) {
-	fuzzutil.Add(f, 24, 800)
+	fuzzutil.AddRandomSeeds(f, 24, 800)
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		budget := Budget{Memory: 100, Disk: 300, Files: 3, Write: 200}
 		k, now := newKeeper(t, budget), 0.0
--- a/internal/discovery/apply_test.go
+++ b/internal/discovery/apply_test.go
@@ -56,7 +56,7 @@
 // clock's, and set back by more than a purge binds it looked long past when it was received.
 func TestWallClockStep(t *testing.T) {
 	for _, step := range []float64{-3_600_000, -7_000, 0, 7_000, 3_600_000} {
-		changeLog, err := fakeserver.NewTeller(1)
+		changeLog, err := fakeserver.NewChangeLog(1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -86,7 +86,7 @@
 
 // FuzzGuard checks the published guard against a plain replay of the events.
 func FuzzGuard(f *testing.F) {
-	fuzzutil.Add(f, 16, 90)
+	fuzzutil.AddRandomSeeds(f, 16, 90)
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		guard := &routing.Guard{PurgeRetention: 6 * time.Second}
 		model := guardModel{ready: map[routing.ServerID]bool{}, purgedAt: map[int]float64{}}
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -268,7 +268,7 @@
 // Whatever transports and clients do, each request gets one response by its deadline, attempts
 // never overlap, and what may have been executed is not executed again.
 func FuzzDispatcher(f *testing.F) {
-	fuzzutil.Add(f, 48, 600)
+	fuzzutil.AddRandomSeeds(f, 48, 600)
 	f.Fuzz(func(t *testing.T, script []byte) {
 		model := newModel(t, script[:min(len(script), 4096)])
 		for len(model.script) > 0 {
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -182,7 +182,7 @@
 		d.metrics.Add("clients_gone_waiting", 1)
 	}
 	request.responded = true
-	d.traceResponse(request, trace.Left)
+	d.traceResponse(request, trace.ClientDisconnected)
 	d.closeRequest(request)
 }
 
--- a/internal/dispatch/tracing.go
+++ b/internal/dispatch/tracing.go
@@ -18,8 +18,8 @@
 // dispatcher's goroutine and must not block.
 type RequestTrace interface {
 	// AttemptStarted returns the context that is passed on with the attempt.
-	AttemptStarted(now float64, decision routing.SendAttempt) trace.Parent
-	AttemptEnded(now float64, result routing.Result, bytes int, load routing.LoadReport, timing trace.Wire)
+	AttemptStarted(now float64, decision routing.SendAttempt) trace.SpanContext
+	AttemptEnded(now float64, result routing.Result, bytes int, load routing.LoadReport, timing trace.WireTimes)
 	Responded(now float64, outcome trace.Outcome)
 	// Done reports whether the request has been answered and no attempt is in flight.
 	Done() bool
@@ -27,16 +27,16 @@
 
 // AttemptTrace is the part that an attempt's transport has in a trace.
 type AttemptTrace struct {
-	Context trace.Parent // passed on where the transport's wire has a place for it
-	Timing  trace.Wire   // written by the transport before it reports the completion
+	Context trace.SpanContext // passed on where the transport's wire has a place for it
+	Timing  trace.WireTimes   // written by the transport before it reports the completion
 }
 
 // traceOutcomes are the kinds of responses as traces name them.
 var traceOutcomes = [...]trace.Outcome{
 	Failed:      trace.Failed,
-	Rejected:    trace.Refused,
+	Rejected:    trace.Rejected,
 	Served:      trace.Served,
-	NotModified: trace.Same,
+	NotModified: trace.NotModified,
 	DuplicateID: trace.Failed,
 }
 
--- a/internal/experiment/duties.go
+++ b/internal/experiment/lease_handovers.go
@@ -15,38 +15,38 @@
 
 // The safeguards of a lease.
 const (
-	None       Safeguard = ""
-	Margin     Safeguard = "margin and drift"
-	Write      Safeguard = "check at the write"
-	Tokens     Safeguard = "tokens at the receiver"
-	NewLeader  Safeguard = "a new leader counts anew"
-	OwnEnd     Safeguard = "a holder stops by itself"
-	BeforeAsks Safeguard = "a lease counts from before it was asked for"
+	NoSafeguard             Safeguard = ""
+	LeaseMargin             Safeguard = "margin and drift"
+	CheckAtWrite            Safeguard = "check at the write"
+	FencingTokens           Safeguard = "tokens at the receiver"
+	NewLeaderRestartsLeases Safeguard = "a new leader counts anew"
+	HolderExpiry            Safeguard = "a holder stops by itself"
+	LeaseFromRequest        Safeguard = "a lease counts from before it was asked for"
 )
 
 // Safeguards are all of them.
-var Safeguards = []Safeguard{Margin, Write, Tokens, NewLeader, OwnEnd, BeforeAsks}
+var Safeguards = []Safeguard{LeaseMargin, CheckAtWrite, FencingTokens, NewLeaderRestartsLeases, HolderExpiry, LeaseFromRequest}
 
 // Leases is one run of routers that hold a duty in turn, over a register that is one
 // place: what electors agree on is shown elsewhere. Clocks drift within the bound times
 // Drift, packets are late, lost and repeated, routers stall, leaders change.
-type Leases struct {
-	Seed    uint64
-	Off     Safeguard
-	Drift   float64 // of the clocks, in bounds that the settings allow; 1: within
-	Routers int
-	Until   int // handovers
+type LeaseHandovers struct {
+	Seed         uint64
+	Without      Safeguard
+	ClockDrift   float64 // of the clocks, in bounds that the settings allow; 1: within
+	Routers      int
+	MaxHandovers int // handovers
 }
 
 // LeaseResult is what a run saw.
 type LeaseResult struct {
-	Handovers, Planned, Acts int
-	Refused                  int // acts that a receiver refused by their token
-	Dropped                  int // acts that the check at the write stopped
-	Virtual                  float64
-	Broken                   string // the first time that two acted at once
-	Steps                    int    // faults and moves until then
-	Gaps                     []float64
+	Handovers, PlannedHandovers, Writes int
+	Rejected                            int // acts that a receiver refused by their token
+	StoppedAtWrite                      int // acts that the check at the write stopped
+	SimulatedTime                       float64
+	Violation                           string // the first time that two acted at once
+	FaultsAndMoves                      int    // faults and moves until then
+	Gaps                                []float64
 }
 
 type leaseRouter struct {
@@ -76,12 +76,12 @@
 }
 
 // Run plays until there were enough handovers, or two acted at once.
-func (o Leases) Run() (r LeaseResult) {
+func (o LeaseHandovers) Run() (r LeaseResult) {
 	rng := rand.New(rand.NewPCG(o.Seed, 77))
 	set := lease.DefaultSettings()
 	set.TTL, set.SafetyMargin, set.RetryInterval, set.MaxBackoff, set.MaxClockDrift = 1000, 60, 60, 1200, 0.05
-	real := set.MaxClockDrift / 2 * o.Drift // each clock's rate; two differ by twice that
-	if o.Off == Margin {
+	real := set.MaxClockDrift / 2 * o.ClockDrift // each clock's rate; two differ by twice that
+	if o.Without == LeaseMargin {
 		set.SafetyMargin, set.MaxClockDrift = 0, 0
 	}
 	var routers []*leaseRouter
@@ -117,7 +117,7 @@
 	// may tells whether a router may act, as it sees that by itself.
 	may := func(x *leaseRouter) (uint64, bool) {
 		token, ok := x.Valid(now*x.rate, "d")
-		if o.Off == OwnEnd {
+		if o.Without == HolderExpiry {
 			if _, t := x.Expiry("d"); t != 0 {
 				return t, true
 			}
@@ -127,10 +127,10 @@
 	// wrote is an act that left a socket: nobody else may act at that moment, whoever
 	// took over since must not have begun.
 	wrote := func(x *leaseRouter, a act) {
-		r.Acts++
+		r.Writes++
 		for _, y := range routers {
 			if token, ok := may(y); ok && y != x && now >= y.stalled {
-				r.Broken = fmt.Sprintf("at %.0f ms router %d wrote under token %d while %d holds %d", now, x.id, a.token, y.id, token)
+				r.Violation = fmt.Sprintf("at %.0f ms router %d wrote under token %d while %d holds %d", now, x.id, a.token, y.id, token)
 			}
 		}
 		post(mail{to: -1, act: &a, from: int(x.id) - 1})
@@ -164,7 +164,7 @@
 				a.Granted = true
 				r.Handovers++
 				if !c.HolderLost {
-					r.Planned++
+					r.PlannedHandovers++
 				}
 			}
 		}
@@ -177,7 +177,7 @@
 		post(mail{to: from, answer: &a})
 	}
 	hear := func(x *leaseRouter, a lease.Response) {
-		if o.Off == BeforeAsks { // as if the question had been asked when the answer came
+		if o.Without == LeaseFromRequest { // as if the question had been asked when the answer came
 			x.Backdate("d", a.RequestID, now*x.rate)
 		}
 		for _, c := range x.HandleResponse(now*x.rate, a) {
@@ -189,7 +189,7 @@
 			}
 		}
 	}
-	for r.Handovers < o.Until && r.Broken == "" && now < 1e9 {
+	for r.Handovers < o.MaxHandovers && r.Violation == "" && now < 1e9 {
 		due := air[:0:0]
 		rest := air[:0]
 		for _, m := range air {
@@ -209,13 +209,13 @@
 		for _, m := range due {
 			switch {
 			case m.act != nil:
-				if o.Off == Tokens {
+				if o.Without == FencingTokens {
 					if m.act.token < fence["d"] {
-						r.Broken = fmt.Sprintf("at %.0f ms an act of token %d came after one of %d", now, m.act.token, fence["d"])
+						r.Violation = fmt.Sprintf("at %.0f ms an act of token %d came after one of %d", now, m.act.token, fence["d"])
 					}
 				}
 				if !fence.Admit("d", m.act.token) {
-					r.Refused++
+					r.Rejected++
 				}
 			case m.ask != nil:
 				ask(*m.ask, m.from)
@@ -234,8 +234,8 @@
 			for len(x.acts) > 0 && x.acts[0].at <= now {
 				a := x.acts[0]
 				x.acts = x.acts[1:]
-				if token, ok := may(x); o.Off != Write && (!ok || token != a.token) {
-					r.Dropped++
+				if token, ok := may(x); o.Without != CheckAtWrite && (!ok || token != a.token) {
+					r.StoppedAtWrite++
 				} else {
 					wrote(x, a)
 				}
@@ -260,32 +260,32 @@
 				}
 				switch rng.IntN(100) {
 				case 0, 1: // hands it on
-					r.Steps++
+					r.FaultsAndMoves++
 					x.Release(now*x.rate, "d", routers[rng.IntN(len(routers))].id, nil)
 					x.wake = 0
 				case 2:
 					if rng.IntN(8) == 0 {
-						r.Steps++
+						r.FaultsAndMoves++
 						x.stalled = now + 2500*rng.Float64()
 					}
 				case 3:
 					if rng.IntN(8) == 0 {
-						r.Steps++
+						r.FaultsAndMoves++
 						x.cut = now + 2500*rng.Float64()
 					}
 				}
 			}
 		}
 		if rng.IntN(1500) == 0 { // another leader, with another clock
-			r.Steps++
+			r.FaultsAndMoves++
 			leader = 1 + real*(2*rng.Float64()-1)
 			ledger = lease.NewExpiryTracker(set, now*leader, state)
-			if o.Off == NewLeader {
+			if o.Without == NewLeaderRestartsLeases {
 				ledger = lease.NewExpiryTracker(set, now*leader, leaseregistry.New())
 			}
 		}
 		now += 2
 	}
-	r.Virtual = now
+	r.SimulatedTime = now
 	return r
 }
--- a/internal/experiment/search.go
+++ b/internal/experiment/lease_search.go
@@ -20,20 +20,20 @@
 // it later, crash, or hand the duty on, and another leader take office. Routers' clocks go
 // at three quarters and at four thirds of the leader's rate, which the settings allow for.
 type LeaseSearch struct {
-	Off     Safeguard
-	Air     int // messages on their way at one time; more are lost
-	Faults  int // messages that are lost or come twice
-	Crashes int // and new leaders
-	Gives   int
-	Grants  uint64 // commands that the register takes
-	Most    int    // states; 0: all there are
+	Without      Safeguard
+	MaxInFlight  int // messages on their way at one time; more are lost
+	MaxFaults    int // messages that are lost or come twice
+	MaxCrashes   int // and new leaders
+	MaxTransfers int
+	MaxGrants    uint64 // commands that the register takes
+	MaxStates    int    // states; 0: all there are
 }
 
 // SearchResult is what a search saw.
 type SearchResult struct {
 	States, Moves, Depth int
-	Whole                bool   // all there are were visited
-	Broken               string // two that could act at once
+	Complete             bool   // all there are were visited
+	Violation            string // two that could act at once
 	Schedule             []string
 }
 
@@ -60,7 +60,7 @@
 
 func (o LeaseSearch) settings() lease.Settings {
 	s := lease.Settings{TTL: 400, SafetyMargin: 50, MaxClockDrift: 0.25, RetryInterval: 200, MaxBackoff: 400}
-	if o.Off == Margin {
+	if o.Without == LeaseMargin {
 		s.SafetyMargin, s.MaxClockDrift = 0, 0
 	}
 	return s
@@ -87,7 +87,7 @@
 // may tells whether a router acts now, as it sees that by itself.
 func (o LeaseSearch) may(s *lstate, i int) (uint64, bool) {
 	token, ok := s.holders[i].Valid(s.clock(i), "d")
-	if o.Off == OwnEnd {
+	if o.Without == HolderExpiry {
 		if _, t := s.holders[i].Expiry("d"); t != 0 {
 			return t, true
 		}
@@ -131,7 +131,7 @@
 }
 
 func (o LeaseSearch) post(s *lstate, m mail) {
-	if len(s.air) < o.Air {
+	if len(s.air) < o.MaxInFlight {
 		s.air = append(s.air, m)
 	}
 }
@@ -142,7 +142,7 @@
 	life := q.ID >> 32
 	d := s.reg.Leases["d"]
 	command := func(c *leaseregistry.Command) bool {
-		if s.index >= o.Grants {
+		if s.index >= o.MaxGrants {
 			return false
 		}
 		s.index++
@@ -192,7 +192,7 @@
 		o.take(s, m)
 		return
 	}
-	if o.Off == BeforeAsks {
+	if o.Without == LeaseFromRequest {
 		s.holders[m.to].Backdate("d", m.answer.RequestID, s.clock(m.to))
 	}
 	s.holders[m.to].HandleResponse(s.clock(m.to), *m.answer)
@@ -227,30 +227,30 @@
 		}
 		token, ok := o.may(s, i)
 		// With the check, an act that was decided is written where one decided now would be.
-		if ok && s.acts[i] == 0 && o.Off == Write {
+		if ok && s.acts[i] == 0 && o.Without == CheckAtWrite {
 			to(name+" decides an act", func(n *lstate) { n.acts[i] = token })
 		}
 		if s.acts[i] != 0 {
 			to(name+" writes it, or not", func(n *lstate) { n.acts[i] = 0 })
 		}
-		if ok && s.gives < o.Gives {
+		if ok && s.gives < o.MaxTransfers {
 			to(name+" hands on", func(n *lstate) {
 				n.gives++
 				n.holders[i].Release(n.clock(i), "d", membership.ID(2-i), nil)
 			})
 		}
-		if s.crashes < o.Crashes {
+		if s.crashes < o.MaxCrashes {
 			to(name+" is started again", func(n *lstate) {
 				n.crashes++
 				n.acts[i], n.holders[i] = 0, o.holder(n, i)
 			})
 		}
 	}
-	if s.crashes < o.Crashes {
+	if s.crashes < o.MaxCrashes {
 		to("another leader", func(n *lstate) {
 			n.crashes++
 			of := n.reg
-			if o.Off == NewLeader {
+			if o.Without == NewLeaderRestartsLeases {
 				of = leaseregistry.New()
 			}
 			n.ledger = lease.NewExpiryTracker(o.settings(), n.tick, of)
@@ -263,7 +263,7 @@
 		}
 		without := func(n *lstate) { n.air = slices.Delete(n.air, k, k+1) }
 		to(what+" arrives", func(n *lstate) { without(n); o.deliver(n, m) })
-		if s.faults < o.Faults {
+		if s.faults < o.MaxFaults {
 			to(what+" is lost", func(n *lstate) { n.faults++; without(n) })
 			to(what+" arrives, and will again", func(n *lstate) { n.faults++; o.deliver(n, m) })
 		}
@@ -277,7 +277,7 @@
 	for i := range s.holders {
 		token, ok := o.may(s, i)
 		can[i] = ok
-		if s.acts[i] != 0 && (o.Off == Write || ok && token == s.acts[i]) { // it passes the check at the write
+		if s.acts[i] != 0 && (o.Without == CheckAtWrite || ok && token == s.acts[i]) { // it passes the check at the write
 			can[i] = true
 		}
 	}
@@ -301,20 +301,20 @@
 	seen := map[uint64]bool{first.sum(): true}
 	steps := []step{{-1, "start"}}
 	level := []*lstate{first}
-	for len(level) > 0 && r.Broken == "" {
+	for len(level) > 0 && r.Violation == "" {
 		var below []*lstate
 		for _, s := range level {
 			at := s.parent
 			o.next(s, func(n *lstate, did string) {
 				r.Moves++
 				sum := n.sum()
-				if seen[sum] || r.Broken != "" || o.Most > 0 && len(seen) >= o.Most {
+				if seen[sum] || r.Violation != "" || o.MaxStates > 0 && len(seen) >= o.MaxStates {
 					return
 				}
 				seen[sum] = true
 				steps = append(steps, step{at, did})
 				n.parent = len(steps) - 1
-				if r.Broken = o.bad(n); r.Broken != "" {
+				if r.Violation = o.bad(n); r.Violation != "" {
 					for k := n.parent; k > 0; k = steps[k].parent {
 						r.Schedule = append(r.Schedule, steps[k].did)
 					}
@@ -327,22 +327,22 @@
 			r.Depth++
 		}
 	}
-	r.States, r.Whole = len(seen), r.Broken == "" && !(o.Most > 0 && len(seen) >= o.Most)
+	r.States, r.Complete = len(seen), r.Violation == "" && !(o.MaxStates > 0 && len(seen) >= o.MaxStates)
 	return r
 }
 
 // Searched are the safeguards that a search switches off in turn, first none. Tokens are
 // for acts that are on their way, which it does not follow.
-var Searched = []Safeguard{None, Margin, Write, NewLeader, OwnEnd, BeforeAsks}
+var SearchedSafeguards = []Safeguard{NoSafeguard, LeaseMargin, CheckAtWrite, NewLeaderRestartsLeases, HolderExpiry, LeaseFromRequest}
 
 // Row is what a search saw, as a row of a table in Markdown.
 func (o LeaseSearch) Row(r SearchResult) string {
 	found := "nothing"
-	if r.Broken != "" {
-		found = fmt.Sprintf("%s, in %d moves: %s", r.Broken, len(r.Schedule), join(r.Schedule))
+	if r.Violation != "" {
+		found = fmt.Sprintf("%s, in %d moves: %s", r.Violation, len(r.Schedule), join(r.Schedule))
 	}
-	return fmt.Sprintf("| %s | %d, %d, %d, %d, %d | %d | %d | %d | %v | %s |", cmp.Or(string(o.Off), "none"), o.Air, o.Faults, o.Crashes, o.Gives, o.Grants,
-		r.States, r.Moves, r.Depth, r.Whole, found)
+	return fmt.Sprintf("| %s | %d, %d, %d, %d, %d | %d | %d | %d | %v | %s |", cmp.Or(string(o.Without), "none"), o.MaxInFlight, o.MaxFaults, o.MaxCrashes, o.MaxTransfers, o.MaxGrants,
+		r.States, r.Moves, r.Depth, r.Complete, found)
 }
 
 // join puts a schedule into words, with what happens several times in a row counted.
--- a/internal/experiment/worth.go
+++ b/internal/experiment/load_reporting.go
@@ -16,29 +16,29 @@
 // nobody asks, everybody does, the one that comes first by hash in each router's own view
 // does, or the holder of a lease. The location is cut in two for a third of the time; six
 // in ten routers are on the register's side. What a router knows is what it was told last.
-type Worth struct {
-	Seed    uint64
-	Routers int
-	Boxes   int
-	Way     string // nobody, everybody, by hash, by lease
-	Spacing string // fixed 250, fixed 1000, adaptive, by need
-	Single  bool   // each report goes by itself, as before they were collected
+type LoadReporting struct {
+	Seed           uint64
+	Routers        int
+	Servers        int
+	Strategy       string // nobody, everybody, by hash, by lease
+	IntervalPolicy string // fixed 250, fixed 1000, adaptive, by need
+	Unbatched      bool   // each report goes by itself, as before they were collected
 }
 
 // Ways and Spacings that are compared.
 var (
-	WorthWays = []string{"nobody", "everybody", "by hash", "by lease"}
-	Spacings  = []string{"fixed 250", "fixed 1000", "adaptive", "by need"}
+	Strategies       = []string{"nobody", "everybody", "by hash", "by lease"}
+	IntervalPolicies = []string{"fixed 250", "fixed 1000", "adaptive", "by need"}
 )
 
 // WorthResult is what a run saw, a second where nothing else is said.
-type WorthResult struct {
-	Probes, PerBox float64 // in all, and the most that a box was sent in a second
-	Packets, Bytes float64 // of reports, by the one that sends most
-	Age, Error     float64 // mean age, ms, of what routers know, and how far it is off, as a share of a link
-	Stale          float64 // share of what routers know that is older than 2 s, or was never told
-	Twice          int     // probes sent while another router probed too, of the whole run
-	Gap            float64 // s of the run in which nobody probed
+type LoadReportingResult struct {
+	ProbesPerSecond, ProbesPerServer float64 // in all, and the most that a box was sent in a second
+	PacketsPerSecond, BytesPerSecond float64 // of reports, by the one that sends most
+	MeanAge, MeanError               float64 // mean age, ms, of what routers know, and how far it is off, as a share of a link
+	StaleShare                       float64 // share of what routers know that is older than 2 s, or was never told
+	ConcurrentProbes                 int     // probes sent while another router probed too, of the whole run
+	Uncovered                        float64 // s of the run in which nobody probed
 }
 
 // What a packet of reports takes on the wire: heads and the seal, and each report in it.
@@ -47,7 +47,7 @@
 type report struct{ load, at float64 }
 
 // Run plays a minute and a half.
-func (o Worth) Run() (r WorthResult) {
+func (o LoadReporting) Run() (r LoadReportingResult) {
 	const end, from, until, tick, seen = 90_000.0, 30_000.0, 60_000.0, 10.0, 3000.0
 	rng := rand.New(rand.NewPCG(o.Seed, 21))
 	ids := make([]membership.ID, o.Routers)
@@ -124,14 +124,14 @@
 	lines := make([][]line, o.Routers)
 	knows, at := make([][]float64, o.Routers), make([][]float64, o.Routers)
 	for i := range lines {
-		lines[i], knows[i], at[i] = make([]line, o.Boxes), make([]float64, o.Boxes), make([]float64, o.Boxes)
+		lines[i], knows[i], at[i] = make([]line, o.Servers), make([]float64, o.Servers), make([]float64, o.Servers)
 		for b := range at[i] {
 			at[i][b], lines[i][b].last = math.Inf(-1), -1
 			lines[i][b].next = 1000 * rng.Float64() // no two in step
 		}
 	}
-	loads, bursts := make([]float64, o.Boxes), make([]float64, o.Boxes)
-	perBox, sent, bytes, flush := make([]float64, o.Boxes), make([]float64, o.Routers), make([]float64, o.Routers), make([]float64, o.Routers)
+	loads, bursts := make([]float64, o.Servers), make([]float64, o.Servers)
+	perBox, sent, bytes, flush := make([]float64, o.Servers), make([]float64, o.Routers), make([]float64, o.Routers), make([]float64, o.Routers)
 	queue := make([]map[int]report, o.Routers)
 	for i := range queue {
 		queue[i] = map[int]report{}
@@ -151,7 +151,7 @@
 		}
 		active := 0
 		for i := range ids {
-			switch o.Way {
+			switch o.Strategy {
 			case "nobody":
 				acting[i] = false
 			case "everybody":
@@ -166,7 +166,7 @@
 			}
 		}
 		if active == 0 {
-			r.Gap += tick / 1000
+			r.Uncovered += tick / 1000
 		}
 		for i := range ids {
 			if !acting[i] {
@@ -177,17 +177,17 @@
 				if l.next > now {
 					continue
 				}
-				r.Probes++
+				r.ProbesPerSecond++
 				perBox[b]++
 				if active > 1 {
-					r.Twice++
+					r.ConcurrentProbes++
 				}
 				switch moved := math.Abs(loads[b]-l.last) > 0.1; {
-				case o.Spacing == "fixed 250":
+				case o.IntervalPolicy == "fixed 250":
 					l.every = 250
-				case o.Spacing == "fixed 1000":
+				case o.IntervalPolicy == "fixed 1000":
 					l.every = 1000
-				case o.Spacing == "by need":
+				case o.IntervalPolicy == "by need":
 					if l.every = 1000; loads[b] > 0.6 { // where the module begins to ration
 						l.every = 250
 					}
@@ -198,18 +198,18 @@
 				}
 				l.next, l.last = now+l.every, loads[b]
 				knows[i][b], at[i][b] = loads[b], now
-				if o.Way != "everybody" {
+				if o.Strategy != "everybody" {
 					queue[i][b] = report{loads[b], now}
 				}
 			}
 			if now < flush[i] || len(queue[i]) == 0 {
 				continue
 			}
-			if flush[i] = now; !o.Single {
+			if flush[i] = now; !o.Unbatched {
 				flush[i] += loadreport.BatchInterval(o.Routers - 1)
 			}
 			packets := float64(len(queue[i]))
-			if !o.Single {
+			if !o.Unbatched {
 				packets = math.Ceil(packets / loadreport.MaxReportsPerPacket)
 			}
 			for k := range ids {
@@ -241,39 +241,39 @@
 		}
 	}
 	for _, x := range perBox {
-		r.PerBox = max(r.PerBox, x/(end/1000))
+		r.ProbesPerServer = max(r.ProbesPerServer, x/(end/1000))
 	}
 	for _, x := range sent {
-		r.Packets = max(r.Packets, x/(end/1000))
+		r.PacketsPerSecond = max(r.PacketsPerSecond, x/(end/1000))
 	}
 	for _, x := range bytes {
-		r.Bytes = max(r.Bytes, x/(end/1000))
+		r.BytesPerSecond = max(r.BytesPerSecond, x/(end/1000))
 	}
-	r.Probes /= end / 1000
-	r.Age, r.Error, r.Stale = age/(n-stale), off/(n-stale), stale/n
+	r.ProbesPerSecond /= end / 1000
+	r.MeanAge, r.MeanError, r.StaleShare = age/(n-stale), off/(n-stale), stale/n
 	return r
 }
 
 // WorthTable plays all ways, and for one router that asks all spacings.
-func WorthTable(w io.Writer) {
+func LoadReportingTable(w io.Writer) {
 	fmt.Fprintln(w, "| routers | who asks | spacing | probes/s at all boxes, at one | reports/s and bytes/s of who sends most | age known, ms | off by | older than 2 s or unknown | probes while two ask | nobody asks, s of 90 |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-	row := func(o Worth) {
+	row := func(o LoadReporting) {
 		r := o.Run()
-		way := o.Way
-		if o.Single {
+		way := o.Strategy
+		if o.Unbatched {
 			way += ", each report by itself"
 		}
-		fmt.Fprintf(w, "| %d | %s | %s | %.1f, %.1f | %.0f, %.0f | %.0f | %.3f | %.1f%% | %d | %.1f |\n", o.Routers, way, o.Spacing, r.Probes, r.PerBox, r.Packets, r.Bytes, r.Age, r.Error, 100*r.Stale, r.Twice, r.Gap)
+		fmt.Fprintf(w, "| %d | %s | %s | %.1f, %.1f | %.0f, %.0f | %.0f | %.3f | %.1f%% | %d | %.1f |\n", o.Routers, way, o.IntervalPolicy, r.ProbesPerSecond, r.ProbesPerServer, r.PacketsPerSecond, r.BytesPerSecond, r.MeanAge, r.MeanError, 100*r.StaleShare, r.ConcurrentProbes, r.Uncovered)
 	}
 	for _, n := range []int{3, 30, 300} {
-		for _, way := range WorthWays {
-			row(Worth{Seed: 1, Routers: n, Boxes: 20, Way: way, Spacing: "adaptive"})
+		for _, way := range Strategies {
+			row(LoadReporting{Seed: 1, Routers: n, Servers: 20, Strategy: way, IntervalPolicy: "adaptive"})
 		}
-		row(Worth{Seed: 1, Routers: n, Boxes: 20, Way: "by lease", Spacing: "adaptive", Single: true})
+		row(LoadReporting{Seed: 1, Routers: n, Servers: 20, Strategy: "by lease", IntervalPolicy: "adaptive", Unbatched: true})
 	}
 	for _, n := range []int{3, 30} {
-		for _, s := range Spacings {
-			row(Worth{Seed: 1, Routers: n, Boxes: 20, Way: "by lease", Spacing: s})
+		for _, s := range IntervalPolicies {
+			row(LoadReporting{Seed: 1, Routers: n, Servers: 20, Strategy: "by lease", IntervalPolicy: s})
 		}
 	}
 }
--- a/internal/experiment/pingall.go
+++ b/internal/experiment/pingall.go
@@ -30,8 +30,8 @@
 )
 
 // pingAll adds n routers that all know each other.
-func pingAll(v *netsim.Net, n int) {
-	v.Fleet(n, fleet.DefaultSettings(), true) // for names, seats and addresses
+func pingAll(v *netsim.Network, n int) {
+	v.StartFleet(n, fleet.DefaultSettings(), true) // for names, seats and addresses
 	rng := rand.New(rand.NewPCG(v.Rng.Uint64(), 1))
 	var all []membership.Update
 	for _, h := range v.Hosts {
--- a/internal/experiment/register.go
+++ b/internal/experiment/registry.go
@@ -21,26 +21,26 @@
 
 // Register is a run of electors and routers that hold duties, on one clock: what it costs,
 // and what an elector keeps. All but the heap follows from the seed.
-type Register struct {
-	Seed                      uint64
-	Electors, Routers, Duties int
-	Set                       consensus.Settings
-	Move                      float64 // a duty is handed on so often, ms; 0: never
-	Drop                      float64 // a router loses its answers for a lease so often, ms; 0: never
+type Registry struct {
+	Seed                    uint64
+	Voters, Routers, Leases int
+	Settings                consensus.Settings
+	TransferInterval        float64 // a duty is handed on so often, ms; 0: never
+	AnswerLossInterval      float64 // a router loses its answers for a lease so often, ms; 0: never
 }
 
 // RegisterResult is what a run saw.
-type RegisterResult struct {
-	Granted, Moved  []float64 // ms from a router's first question, or from the handing on, until it holds
-	Asks            int       // questions
-	Messages, Bytes int       // between electors
-	Asked           int       // bytes of questions and answers
-	Commands        uint64
-	Syncs           int // of one elector's disk
-	Disk            int // its largest, bytes
-	Heap            []uint64
-	Held            int
-	Virtual         float64 // ms
+type RegistryResult struct {
+	GrantTimes, TransferTimes []float64 // ms from a router's first question, or from the handing on, until it holds
+	Requests                  int       // questions
+	Messages, Bytes           int       // between electors
+	RequestBytes              int       // bytes of questions and answers
+	Commands                  uint64
+	DiskSyncs                 int // of one elector's disk
+	DiskBytes                 int // its largest, bytes
+	Heap                      []uint64
+	LeasesHeld                int
+	SimulatedTime             float64 // ms
 }
 
 // folder is one in memory, which counts.
@@ -111,7 +111,7 @@
 }
 
 // Run plays for some virtual ms.
-func (o Register) Run(ms float64) (r RegisterResult, err error) {
+func (o Registry) Run(ms float64) (r RegistryResult, err error) {
 	rng := rand.New(rand.NewPCG(o.Seed, 11))
 	var queue dues
 	now, n := 0.0, 0
@@ -122,14 +122,14 @@
 	way := func() float64 { return 0.3 + rng.ExpFloat64()*0.3 }
 
 	voters, names := map[uint64]string{}, []string{}
-	for i := range o.Electors {
+	for i := range o.Voters {
 		voters[uint64(i+1)] = fmt.Sprint("e", i)
 	}
-	for i := range o.Duties {
+	for i := range o.Leases {
 		names = append(names, fmt.Sprintf("duty/%04d", i))
 	}
-	electors, folders := make([]*consensus.Node, o.Electors), make([]*folder, o.Electors)
-	wakes, leads := make([]int, o.Electors), 0
+	electors, folders := make([]*consensus.Node, o.Voters), make([]*folder, o.Voters)
+	wakes, leads := make([]int, o.Voters), 0
 	var ids []membership.ID
 	for i := range o.Routers {
 		ids = append(ids, membership.ID(i+1))
@@ -145,7 +145,7 @@
 	var stepRouter func(i int)
 	var step func(i int, in consensus.Input)
 	answer := func(to membership.ID, a lease.Response) {
-		r.Asked += len(leasemanager.EncodeResponse(a))
+		r.RequestBytes += len(leasemanager.EncodeResponse(a))
 		after(way(), func() {
 			x := routers[to-1]
 			if now < x.deaf {
@@ -156,10 +156,10 @@
 					continue
 				}
 				if at, was := moved[c.Lease]; was {
-					r.Moved = append(r.Moved, now-at)
+					r.TransferTimes = append(r.TransferTimes, now-at)
 					delete(moved, c.Lease)
 				} else if at, was := x.first[c.Lease]; was {
-					r.Granted = append(r.Granted, now-at)
+					r.GrantTimes = append(r.GrantTimes, now-at)
 				}
 				delete(x.first, c.Lease)
 			}
@@ -200,8 +200,8 @@
 		x := routers[i]
 		asks, _, wake := x.Step(now)
 		for _, a := range asks {
-			r.Asks++
-			r.Asked += len(leasemanager.EncodeRequest(a))
+			r.Requests++
+			r.RequestBytes += len(leasemanager.EncodeRequest(a))
 			if _, was := x.first[a.Lease]; !was && a.FencingToken == 0 {
 				x.first[a.Lease] = now
 			}
@@ -223,20 +223,20 @@
 		if err != nil {
 			return r, err
 		}
-		if electors[i], err = consensus.NewNode(o.Set, uint64(i+1), log, found, voters, 0); err != nil {
+		if electors[i], err = consensus.NewNode(o.Settings, uint64(i+1), log, found, voters, 0); err != nil {
 			return r, err
 		}
 		after(0, func() { step(i, consensus.Input{}) })
 	}
 	// Raft draws its election timeouts from a source that cannot be seeded. None runs out here,
 	// as one voter is told to stand for election at the start and its heartbeats are not lost.
-	first := rng.IntN(o.Electors)
+	first := rng.IntN(o.Voters)
 	after(0, func() {
 		step(first, consensus.Input{Message: &raftpb.Message{Type: raftpb.MsgTimeoutNow.Enum(), To: proto.Uint64(uint64(first + 1))}})
 	})
 	for i, id := range ids {
-		routers[i] = &router{Holder: lease.NewHolder(o.Set.Lease, id, uint64(i)<<40), first: map[string]float64{}}
-		after(4*o.Set.TickInterval*float64(o.Set.ElectionTicks), func() { // when there is a leader
+		routers[i] = &router{Holder: lease.NewHolder(o.Settings.Lease, id, uint64(i)<<40), first: map[string]float64{}}
+		after(4*o.Settings.TickInterval*float64(o.Settings.ElectionTicks), func() { // when there is a leader
 			for _, name := range names {
 				routers[i].SetRank(now, name, lease.Rank(name, id, ids))
 			}
@@ -254,17 +254,17 @@
 			routers[i].Release(now, name, ids[(i+1+rng.IntN(len(ids)-1))%len(ids)], []byte("work"))
 			stepRouter(i)
 		}
-		after(o.Move*rng.ExpFloat64(), move)
+		after(o.TransferInterval*rng.ExpFloat64(), move)
 	}
 	drop = func() {
-		routers[rng.IntN(len(routers))].deaf = now + 2*o.Set.Lease.TTL
-		after(o.Drop*rng.ExpFloat64(), drop)
+		routers[rng.IntN(len(routers))].deaf = now + 2*o.Settings.Lease.TTL
+		after(o.AnswerLossInterval*rng.ExpFloat64(), drop)
 	}
-	settled := 8 * o.Set.TickInterval * float64(o.Set.ElectionTicks)
-	if o.Move > 0 {
+	settled := 8 * o.Settings.TickInterval * float64(o.Settings.ElectionTicks)
+	if o.TransferInterval > 0 {
 		after(settled, move)
 	}
-	if o.Drop > 0 {
+	if o.AnswerLossInterval > 0 {
 		after(settled, drop)
 	}
 	mark := ms / 8
@@ -281,19 +281,19 @@
 	}
 	for _, name := range names {
 		if hold(name) >= 0 {
-			r.Held++
+			r.LeasesHeld++
 		}
 	}
-	r.Virtual, r.Commands = now, electors[leads].Status().AppliedIndex
-	r.Syncs, r.Disk = folders[leads].syncs, folders[leads].most
-	slices.Sort(r.Granted)
-	slices.Sort(r.Moved)
+	r.SimulatedTime, r.Commands = now, electors[leads].Status().AppliedIndex
+	r.DiskSyncs, r.DiskBytes = folders[leads].syncs, folders[leads].most
+	slices.Sort(r.GrantTimes)
+	slices.Sort(r.TransferTimes)
 	return r, err
 }
 
 // Row is the run as a row of a table in Markdown.
-func (o Register) Row(r RegisterResult) string {
-	s := r.Virtual / 1000
+func (o Registry) Row(r RegistryResult) string {
+	s := r.SimulatedTime / 1000
 	var heap []string
 	for _, h := range r.Heap {
 		heap = append(heap, fmt.Sprintf("%.1f", float64(h)/(1<<20)))
@@ -304,7 +304,7 @@
 		}
 		return "-"
 	}
-	return fmt.Sprintf("| %d, %d, %d | %.1f | %d of %d | %s, %s | %s, %s | %.1f | %.1f, %.0f | %.0f | %d | %d | %.0f | %v |", o.Electors, o.Routers, o.Duties, s/3600, r.Held, o.Duties,
-		q(r.Granted, 0.5), q(r.Granted, 0.99), q(r.Moved, 0.5), q(r.Moved, 0.99), float64(r.Asks)/s, float64(r.Messages)/s, float64(r.Bytes)/s, float64(r.Asked)/s,
-		r.Commands, r.Syncs, float64(r.Disk)/1024, heap)
+	return fmt.Sprintf("| %d, %d, %d | %.1f | %d of %d | %s, %s | %s, %s | %.1f | %.1f, %.0f | %.0f | %d | %d | %.0f | %v |", o.Voters, o.Routers, o.Leases, s/3600, r.LeasesHeld, o.Leases,
+		q(r.GrantTimes, 0.5), q(r.GrantTimes, 0.99), q(r.TransferTimes, 0.5), q(r.TransferTimes, 0.99), float64(r.Requests)/s, float64(r.Messages)/s, float64(r.Bytes)/s, float64(r.RequestBytes)/s,
+		r.Commands, r.DiskSyncs, float64(r.DiskBytes)/1024, heap)
 }
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -12,32 +12,32 @@
 )
 
 // Table writes the results as Markdown.
-func Table(w io.Writer, all []*Result) {
+func MembershipTable(w io.Writer, all []*MembershipResult) {
 	fmt.Fprintln(w, "| way | routers | first to know, ms: median, p99 | all know, ms: median, p99 | packets/s | bytes/s | KB held |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- |")
 	for _, r := range all {
-		fmt.Fprintf(w, "| %s | %d | %.0f, %.0f | %.0f, %.0f | %.1f | %.0f | %.0f |\n", r.Way, r.Size, Quantile(r.Detect, 0.5), Quantile(r.Detect, 0.99),
-			Quantile(r.Known, 0.5), Quantile(r.Known, 0.99), r.Packets, r.Bytes, r.Memory/1024)
+		fmt.Fprintf(w, "| %s | %d | %.0f, %.0f | %.0f, %.0f | %.1f | %.0f | %.0f |\n", r.Variant, r.Size, Quantile(r.FirstDetected, 0.5), Quantile(r.FirstDetected, 0.99),
+			Quantile(r.KnownToAll, 0.5), Quantile(r.KnownToAll, 0.99), r.PacketsPerSecond, r.BytesPerSecond, r.MemoryBytes/1024)
 	}
 	fmt.Fprintln(w, "\nWrong words an hour and fleet, of routers that lived and did not stall, by those who said so first:")
 	fmt.Fprintln(w)
 	fmt.Fprintln(w, "| way | routers | trouble | suspicions | failures | failures of those that stalled | hours played |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- |")
 	for _, r := range all {
-		for _, x := range r.Rough {
-			fmt.Fprintf(w, "| %s | %d | %s | %.0f | %.1f | %.0f | %.2f |\n", r.Way, r.Size, x.Trouble, x.Suspected, x.Failed, x.StalledFailed, x.Hours)
+		for _, x := range r.FalsePositives {
+			fmt.Fprintf(w, "| %s | %d | %s | %.0f | %.1f | %.0f | %.2f |\n", r.Variant, r.Size, x.Fault, x.SuspectedPerHour, x.FailedPerHour, x.StalledFailedPerHour, x.Hours)
 		}
 	}
 }
 
 // Charts draws the results into a folder.
-func Charts(folder string, all []*Result) error {
+func MembershipCharts(folder string, all []*MembershipResult) error {
 	for _, c := range []struct {
 		file, title, y string
-		of             func(*Result) float64
+		of             func(*MembershipResult) float64
 	}{
-		{"known.svg", "From a kill until all know, p99", "ms", func(r *Result) float64 { return Quantile(r.Known, 0.99) }},
-		{"bytes.svg", "What a router sends without a fault", "bytes a second", func(r *Result) float64 { return r.Bytes }},
+		{"known.svg", "From a kill until all know, p99", "ms", func(r *MembershipResult) float64 { return Quantile(r.KnownToAll, 0.99) }},
+		{"bytes.svg", "What a router sends without a fault", "bytes a second", func(r *MembershipResult) float64 { return r.BytesPerSecond }},
 	} {
 		p := plot.New()
 		p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.title, "routers", c.y
@@ -45,10 +45,10 @@
 		p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 		p.Add(plotter.NewGrid())
 		p.Legend.Top, p.Legend.Left = true, true
-		for i, way := range Ways() {
+		for i, way := range Variants() {
 			var xy plotter.XYs
 			for _, r := range all {
-				if r.Way == way.Name {
+				if r.Variant == way.Name {
 					xy = append(xy, plotter.XY{X: float64(r.Size), Y: c.of(r)})
 				}
 			}
@@ -68,7 +68,7 @@
 }
 
 // Gaps draws for each kind of handover which share of its gaps was how long at the most.
-func Gaps(file string, kinds []string, gaps map[string][]float64) error {
+func GapChart(file string, kinds []string, gaps map[string][]float64) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Time in which nobody acted", "ms", "share of handovers"
 	p.Add(plotter.NewGrid())
--- a/internal/experiment/tables_golden_test.go
+++ b/internal/experiment/tables_golden_test.go
@@ -16,7 +16,7 @@
 func TestTables(t *testing.T) {
 	for name, table := range map[string]func(testing.TB, io.Writer){
 		"register.md": registerTable,
-		"worth.md":    func(_ testing.TB, w io.Writer) { WorthTable(w) },
+		"worth.md":    func(_ testing.TB, w io.Writer) { LoadReportingTable(w) },
 		"worth.txt":   func(_ testing.TB, w io.Writer) { worthRows(w) },
 		"members.md":  membersTable,
 		"states.md":   statesTable,
@@ -31,9 +31,9 @@
 
 func registerTable(tb testing.TB, w io.Writer) {
 	set := consensus.DefaultSettings()
-	for _, run := range []Register{
-		{Seed: 1, Electors: 3, Routers: 6, Duties: 4, Set: set, Move: 20},
-		{Seed: 2, Electors: 5, Routers: 10, Duties: 40, Set: set, Move: 50, Drop: 2000},
+	for _, run := range []Registry{
+		{Seed: 1, Voters: 3, Routers: 6, Leases: 4, Settings: set, TransferInterval: 20},
+		{Seed: 2, Voters: 5, Routers: 10, Leases: 40, Settings: set, TransferInterval: 50, AnswerLossInterval: 2000},
 	} {
 		result, err := run.Run(15_000)
 		if err != nil {
@@ -45,30 +45,30 @@
 }
 
 func worthRows(w io.Writer) {
-	for _, way := range WorthWays {
-		for _, spacing := range Spacings {
+	for _, way := range Strategies {
+		for _, spacing := range IntervalPolicies {
 			for _, single := range []bool{false, true} {
-				o := Worth{Seed: 4, Routers: 5, Boxes: 6, Way: way, Spacing: spacing, Single: single}
+				o := LoadReporting{Seed: 4, Routers: 5, Servers: 6, Strategy: way, IntervalPolicy: spacing, Unbatched: single}
 				r := o.Run()
 				fmt.Fprintf(w, "%s, %s, %t: %v %v %v %v %v %v %v %v %v\n", way, spacing, single,
-					r.Probes, r.PerBox, r.Packets, r.Bytes, r.Age, r.Error, r.Stale, r.Twice, r.Gap)
+					r.ProbesPerSecond, r.ProbesPerServer, r.PacketsPerSecond, r.BytesPerSecond, r.MeanAge, r.MeanError, r.StaleShare, r.ConcurrentProbes, r.Uncovered)
 			}
 		}
 	}
 }
 
 func membersTable(_ testing.TB, w io.Writer) {
-	o := Members{Sizes: []int{3, 8}, Seeds: 2, Kills: 2, Calm: 5000, Rough: 20_000, Losses: []float64{0, 0.2}}
+	o := Membership{Sizes: []int{3, 8}, Seeds: 2, Kills: 2, QuietPeriod: 5000, FaultPeriod: 20_000, Losses: []float64{0, 0.2}}
 	all := o.Run(io.Discard)
 	for _, r := range all {
-		r.Memory = 0
+		r.MemoryBytes = 0
 	}
-	Table(w, all)
+	MembershipTable(w, all)
 }
 
 func statesTable(_ testing.TB, w io.Writer) {
-	for _, off := range Searched {
-		search := LeaseSearch{Off: off, Air: 2, Crashes: 1, Gives: 1, Grants: 2, Most: 5000}
+	for _, off := range SearchedSafeguards {
+		search := LeaseSearch{Without: off, MaxInFlight: 2, MaxCrashes: 1, MaxTransfers: 1, MaxGrants: 2, MaxStates: 5000}
 		result := search.Run()
 		fmt.Fprintln(w, search.Row(result))
 		for _, step := range result.Schedule {
--- a/internal/fakeserver/teller.go
+++ b/internal/fakeserver/changelog.go
@@ -14,7 +14,7 @@
 
 // Teller is a stand-in change log that tells events: to each connection those after the
 // number that it asks from, then what comes, and a word now and then.
-type Teller struct {
+type ChangeLog struct {
 	net.Listener
 	mu     sync.Mutex
 	frames [][]byte // of the events, in order; the first has the number base+1
@@ -24,22 +24,22 @@
 }
 
 // Listed is a box as a change log tells it.
-type Listed struct {
+type Endpoint struct {
 	ID      uint32
 	Addr    netip.AddrPort
-	State   byte // 0 ready, 1 draining, 2 gone
+	Phase   byte // 0 ready, 1 draining, 2 gone
 	Kind    byte
 	Weight  float64
 	Started uint64 // Unix ms
 }
 
 // NewTeller returns a change log whose first event will have the number base+1.
-func NewTeller(base uint64) (*Teller, error) {
+func NewChangeLog(base uint64) (*ChangeLog, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	t := &Teller{Listener: l, base: base, moved: make(chan struct{})}
+	t := &ChangeLog{Listener: l, base: base, moved: make(chan struct{})}
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -53,14 +53,14 @@
 }
 
 // Change tells that boxes changed.
-func (t *Teller) Change(hosts ...Listed) {
+func (t *ChangeLog) UpdateEndpoints(hosts ...Endpoint) {
 	b := []byte{2}
 	for _, h := range hosts {
 		b = binary.BigEndian.AppendUint32(b, h.ID)
 		ip := h.Addr.Addr().As4()
 		b = append(b, ip[:]...)
 		b = binary.BigEndian.AppendUint16(b, h.Addr.Port())
-		b = append(b, h.State, 0, h.Kind, 0, 0)
+		b = append(b, h.Phase, 0, h.Kind, 0, 0)
 		b = binary.BigEndian.AppendUint32(b, uint32(h.Weight*1000))
 		b = binary.BigEndian.AppendUint64(b, h.Started)
 	}
@@ -68,12 +68,12 @@
 }
 
 // Purge tells that an object was purged at a moment, Unix ms.
-func (t *Teller) Purge(object, at uint64) {
+func (t *ChangeLog) Purge(object, at uint64) {
 	b := binary.BigEndian.AppendUint64([]byte{3}, object)
 	t.tell(binary.BigEndian.AppendUint64(b, at))
 }
 
-func (t *Teller) tell(body []byte) {
+func (t *ChangeLog) tell(body []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.frames = append(t.frames, frame(t.base+uint64(len(t.frames))+1, body))
@@ -87,7 +87,7 @@
 }
 
 // Close ends the log and its connections.
-func (t *Teller) Close() error {
+func (t *ChangeLog) Close() error {
 	t.mu.Lock()
 	t.closed = true
 	close(t.moved)
@@ -96,7 +96,7 @@
 	return t.Listener.Close()
 }
 
-func (t *Teller) serve(conn net.Conn) {
+func (t *ChangeLog) serve(conn net.Conn) {
 	defer conn.Close()
 	var b [8]byte
 	if _, err := io.ReadFull(conn, b[:]); err != nil {
--- a/internal/fakeserver/standin.go
+++ b/internal/fakeserver/server.go
@@ -14,7 +14,7 @@
 )
 
 // Cut is a reply that ends the connection; "" is none at all.
-const Cut = "\x00cut"
+const CloseConnection = "\x00cut"
 
 // Reply says what a box answers to a request: an answer as Answer makes it, Cut, or "".
 type Reply func(id, fields string) string
@@ -23,30 +23,30 @@
 const most = 1 << 26
 
 // Box is a stand-in cache, hub or archive.
-type Box struct {
+type Server struct {
 	net.Listener
 	Reply Reply // not to be changed once requests may come
 
-	mu     sync.Mutex
-	seen   []string
-	gauges func(tag string) string
+	mu         sync.Mutex
+	requests   []string
+	loadReport func(tag string) string
 }
 
 // SetGauges sets what gives the fields of the answer to a probe with a tag; without it
 // none is answered.
-func (b *Box) SetGauges(f func(tag string) string) {
+func (b *Server) SetLoadReport(f func(tag string) string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.gauges = f
+	b.loadReport = f
 }
 
 // NewBox returns a box that listens until it is closed.
-func NewBox(reply Reply) (*Box, error) {
+func NewServer(reply Reply) (*Server, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	b := &Box{Listener: l, Reply: reply}
+	b := &Server{Listener: l, Reply: reply}
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -60,14 +60,14 @@
 }
 
 // Seen returns the fields of each request, in the order in which they came.
-func (b *Box) Seen() []string {
+func (b *Server) Requests() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]string(nil), b.seen...)
+	return append([]string(nil), b.requests...)
 }
 
 // serve answers the requests of a connection, one after another, until it ends.
-func (b *Box) serve(conn net.Conn) {
+func (b *Server) serve(conn net.Conn) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for {
@@ -76,7 +76,7 @@
 			return
 		}
 		b.mu.Lock()
-		gauges := b.gauges
+		gauges := b.loadReport
 		b.mu.Unlock()
 		if len(words) == 2 && words[0] == "gauges" && gauges != nil {
 			if _, err := io.WriteString(conn, Answer(words[1], "FIT", gauges(words[1]), "")); err != nil {
@@ -88,10 +88,10 @@
 			continue
 		}
 		b.mu.Lock()
-		b.seen = append(b.seen, words[2])
+		b.requests = append(b.requests, words[2])
 		b.mu.Unlock()
 		text := b.Reply(words[1], words[2])
-		if text == Cut {
+		if text == CloseConnection {
 			return
 		}
 		if _, err := io.WriteString(conn, text); err != nil {
@@ -127,20 +127,20 @@
 }
 
 // Log is a stand-in change log that brings nothing new and keeps its connections open.
-type Log struct {
+type IdleChangeLog struct {
 	net.Listener
-	From chan uint64 // the number that each connection asks from
-	mu   sync.Mutex
-	open []net.Conn
+	RequestedSeqs chan uint64 // the number that each connection asks from
+	mu            sync.Mutex
+	open          []net.Conn
 }
 
 // NewLog returns a change log that listens until it is closed.
-func NewLog() (*Log, error) {
+func NewIdleChangeLog() (*IdleChangeLog, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	g := &Log{Listener: l, From: make(chan uint64, 8)}
+	g := &IdleChangeLog{Listener: l, RequestedSeqs: make(chan uint64, 8)}
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -152,7 +152,7 @@
 			g.mu.Unlock()
 			var b [8]byte
 			if _, err := io.ReadFull(conn, b[:]); err == nil {
-				g.From <- binary.BigEndian.Uint64(b[:])
+				g.RequestedSeqs <- binary.BigEndian.Uint64(b[:])
 			}
 		}
 	}()
@@ -160,7 +160,7 @@
 }
 
 // Close ends the log and its connections.
-func (g *Log) Close() error {
+func (g *IdleChangeLog) Close() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, c := range g.open {
--- a/internal/fakeserver/speaker.go
+++ b/internal/fakeserver/tracing_server.go
@@ -13,13 +13,13 @@
 
 // Speaker is a stand-in box that takes the fields trace and kept: it holds its spans and
 // keeps them in a folder of its own. Its clock is an hour ahead.
-type Speaker struct {
-	Name string
-	Hub  *Speaker // what it fills from; nil: it is a hub, and fills from the archive
-	Told int      // verdicts; to be read after Close
+type TracingServer struct {
+	Name     string
+	Parent   *TracingServer // what it fills from; nil: it is a hub, and fills from the archive
+	Verdicts int            // verdicts; to be read after Close
 
 	mu     sync.Mutex
-	h      *serverspans.Holder
+	h      *serverspans.Buffer
 	w      *store.Writer
 	fills  map[string]trace.Link // by object; one stays under way to the end
 	next   uint64
@@ -27,45 +27,45 @@
 }
 
 // NewSpeaker returns a speaker that keeps its spans in a folder; span ids begin at first.
-func NewSpeaker(name, folder string, hub *Speaker, first uint64) (*Speaker, error) {
+func NewTracingServer(name, folder string, hub *TracingServer, first uint64) (*TracingServer, error) {
 	w, err := store.Open(folder, 1<<20, 1<<30)
-	return &Speaker{Name: name, Hub: hub, h: serverspans.New(60_000, 1<<20), w: w, fills: map[string]trace.Link{}, next: first}, err
+	return &TracingServer{Name: name, Parent: hub, h: serverspans.New(60_000, 1<<20), w: w, fills: map[string]trace.Link{}, next: first}, err
 }
 
 // Close lets the limit of all that is held pass, and returns how many pieces that kept.
-func (s *Speaker) Close() (own int, err error) {
+func (s *TracingServer) Close() (own int, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.keep(s.h.Tick(s.now() + 1e6))
-	return int(s.h.Counts.Own), s.w.Close(s.now())
+	return int(s.h.Counts.RetainedFailed), s.w.Close(s.now())
 }
 
 // ask has a hub fill for a span of a box, which hands on the verdicts that it was told.
-func (s *Speaker) ask(p trace.Parent, class string) {
+func (s *TracingServer) ask(p trace.SpanContext, class string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.next++
 	start := s.now()
-	work := trace.Span{ID: p.Trace.Span(s.next), Parent: p.Span, Kind: trace.Work, Start: start, Result: uint8(routing.FilledByOrigin)}
+	work := trace.Span{ID: p.Trace.Span(s.next), Parent: p.Span, Kind: trace.ServerWork, Start: start, Result: uint8(routing.FilledByOrigin)}
 	fetch := trace.Span{ID: p.Trace.Span(s.next | 1<<40), Parent: work.ID, Kind: trace.Fill, Start: s.now(), End: s.now(), Result: uint8(routing.FilledByOrigin)}
 	work.End = s.now()
 	s.keep(s.h.Add(work.End, &trace.Trace{ID: p.Trace, Router: s.Name, Class: class, Start: start, End: work.End, Weight: 1, Outcome: trace.Served,
 		Spans: []trace.Span{work, fetch}}, false))
 }
 
-func (s *Speaker) hear(id trace.ID) {
+func (s *TracingServer) hear(id trace.ID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.Told++
-	s.keep(s.h.Kept(id))
+	s.Verdicts++
+	s.keep(s.h.Retain(id))
 }
 
 // Ahead is by how much, in ms, a speaker's clock is off.
-const Ahead = 3_600_000.0
+const ClockSkew = 3_600_000.0
 
-func (s *Speaker) now() float64 { return float64(time.Now().UnixMicro())/1000 + Ahead }
+func (s *TracingServer) now() float64 { return float64(time.Now().UnixMicro())/1000 + ClockSkew }
 
-func (s *Speaker) keep(kept []*trace.Trace) {
+func (s *TracingServer) keep(kept []*trace.Trace) {
 	for _, t := range kept {
 		s.w.Add(t)
 	}
@@ -73,7 +73,7 @@
 
 // Serve answers one request, as a Reply: a hit, an error, or a fill, which others may ride while it
 // is under way. It has the lock except while a fill is.
-func (s *Speaker) Serve(id, fields string) string {
+func (s *TracingServer) Serve(id, fields string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := map[string]string{}
@@ -86,19 +86,19 @@
 	if v := f["kept"]; v != "" {
 		for x := range strings.SplitSeq(v, "+") {
 			if id, ok := trace.ParseID(x); ok {
-				s.Told++
-				kept := s.h.Kept(id)
+				s.Verdicts++
+				kept := s.h.Retain(id)
 				for _, t := range kept { // a fill that a rider keeps is of another trace
-					s.Hub.hear(t.ID)
+					s.Parent.hear(t.ID)
 				}
 				s.keep(kept)
 			}
 		}
 	}
-	p, traced := trace.ParseParent(f["trace"])
+	p, traced := trace.ParseTraceparent(f["trace"])
 	s.next++
-	work := trace.Span{ID: p.Trace.Span(s.next), Parent: p.Span, Kind: trace.Work, Start: start, Result: uint8(routing.Hit)}
-	t := &trace.Trace{ID: p.Trace, Router: s.Name, Txn: id, Class: f["sort"], Start: start, Weight: 1, Outcome: trace.Served}
+	work := trace.Span{ID: p.Trace.Span(s.next), Parent: p.Span, Kind: trace.ServerWork, Start: start, Result: uint8(routing.Hit)}
+	t := &trace.Trace{ID: p.Trace, Router: s.Name, TransactionID: id, Class: f["sort"], Start: start, Weight: 1, Outcome: trace.Served}
 	failed := false
 	switch asset := f["asset"]; {
 	case strings.HasSuffix(asset, "e"): // an error now and then
@@ -115,7 +115,7 @@
 		fill := trace.Span{ID: p.Trace.Span(s.next | 1<<40), Parent: work.ID, Kind: trace.Fill, Start: s.now(), Result: uint8(routing.FilledByOrigin)}
 		s.fills[asset] = trace.Link{Trace: p.Trace, To: fill.ID}
 		if traced {
-			s.Hub.ask(trace.Parent{Trace: p.Trace, Span: fill.ID}, f["sort"])
+			s.Parent.ask(trace.SpanContext{Trace: p.Trace, Span: fill.ID}, f["sort"])
 		}
 		fill.End = s.now()
 		t.Spans = append(t.Spans, fill)
--- a/internal/faultproxy/faultnet.go
+++ b/internal/faultproxy/faultproxy.go
@@ -18,38 +18,38 @@
 // Fault is what happens to what goes from one party to another. The zero value is a
 // sound line. Shares are of packets; on TCP, of the pieces that are read.
 type Fault struct {
-	Cut     bool    // nothing passes; on TCP it waits until the cut ends
-	Loss    float64 // share that is lost; on TCP a piece comes 200 ms late instead
-	Repeat  float64 // share that comes twice; UDP alone
-	Reorder float64 // share that is overtaken by what comes within 30 ms; UDP alone
-	Garble  float64 // share of which a byte is changed
-	Delay   float64 // ms
-	Jitter  float64 // ms on top at the most, evenly
-	Rate    float64 // bytes a second; 0: any
-	Close   bool    // TCP: this direction is closed, the other goes on
+	Partitioned    bool    // nothing passes; on TCP it waits until the cut ends
+	Loss           float64 // share that is lost; on TCP a piece comes 200 ms late instead
+	Duplicate      float64 // share that comes twice; UDP alone
+	Reorder        float64 // share that is overtaken by what comes within 30 ms; UDP alone
+	Corrupt        float64 // share of which a byte is changed
+	Delay          float64 // ms
+	Jitter         float64 // ms on top at the most, evenly
+	BytesPerSecond float64 // bytes a second; 0: any
+	HalfClosed     bool    // TCP: this direction is closed, the other goes on
 }
 
 // Count is what passed from one party to another.
 type Count struct {
-	Packets, Bytes           int64 // that came in
-	Cut, Lost, Again, Spoilt int64
+	Packets, Bytes                           int64 // that came in
+	Partitioned, Lost, Duplicated, Corrupted int64
 }
 
 // Net is the relay.
-type Net struct {
+type Proxy struct {
 	mu     sync.Mutex
 	rng    *rand.Rand
 	lines  map[[2]string]*line
 	who    map[netip.AddrPort]string // real address of each UDP party
 	open   []interface{ Close() error }
-	log    []Entry
+	log    []LogEntry
 	began  time.Time
 	closed bool
 	wg     sync.WaitGroup
 }
 
 // Entry is a change of a line, for the log.
-type Entry struct {
+type LogEntry struct {
 	At       time.Duration // since the relay began
 	From, To string
 	Fault    Fault
@@ -64,12 +64,12 @@
 }
 
 // New returns a relay whose chances are drawn from a seed.
-func New(seed uint64) *Net {
-	return &Net{rng: rand.New(rand.NewPCG(seed, 1)), lines: map[[2]string]*line{}, who: map[netip.AddrPort]string{}, began: time.Now()}
+func New(seed uint64) *Proxy {
+	return &Proxy{rng: rand.New(rand.NewPCG(seed, 1)), lines: map[[2]string]*line{}, who: map[netip.AddrPort]string{}, began: time.Now()}
 }
 
 // line returns a pair's; the lock is held.
-func (n *Net) line(from, to string) *line {
+func (n *Proxy) line(from, to string) *line {
 	k := [2]string{from, to}
 	l := n.lines[k]
 	if l == nil {
@@ -80,33 +80,33 @@
 }
 
 // Set puts a fault on what goes from one party to another.
-func (n *Net) Set(from, to string, f Fault) {
+func (n *Proxy) Set(from, to string, f Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l := n.line(from, to)
 	l.fault = f
 	close(l.moved)
 	l.moved = make(chan struct{})
-	n.log = append(n.log, Entry{time.Since(n.began), from, to, f})
+	n.log = append(n.log, LogEntry{time.Since(n.began), from, to, f})
 }
 
 // Both puts a fault on both directions.
-func (n *Net) Both(a, b string, f Fault) {
+func (n *Proxy) SetBoth(a, b string, f Fault) {
 	n.Set(a, b, f)
 	n.Set(b, a, f)
 }
 
 // Split cuts each of one side from each of the other.
-func (n *Net) Split(a, b []string) {
+func (n *Proxy) Partition(a, b []string) {
 	for _, x := range a {
 		for _, y := range b {
-			n.Both(x, y, Fault{Cut: true})
+			n.SetBoth(x, y, Fault{Partitioned: true})
 		}
 	}
 }
 
 // Heal makes all lines sound.
-func (n *Net) Heal() {
+func (n *Proxy) Heal() {
 	n.mu.Lock()
 	var sick [][2]string
 	for k, l := range n.lines {
@@ -121,21 +121,21 @@
 }
 
 // Count returns what passed from one party to another.
-func (n *Net) Count(from, to string) Count {
+func (n *Proxy) Count(from, to string) Count {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.line(from, to).count
 }
 
 // Log returns the changes of lines so far.
-func (n *Net) Log() []Entry {
+func (n *Proxy) Log() []LogEntry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Clone(n.log)
 }
 
 // Close ends the relay and all that goes through it.
-func (n *Net) Close() {
+func (n *Proxy) Close() {
 	n.mu.Lock()
 	n.closed = true
 	open := n.open
@@ -152,7 +152,7 @@
 }
 
 // keep has a socket closed with the relay. It tells whether the relay is still open.
-func (n *Net) keep(c interface{ Close() error }) bool {
+func (n *Proxy) keep(c interface{ Close() error }) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
@@ -164,7 +164,7 @@
 }
 
 // drop forgets a socket that is closed.
-func (n *Net) drop(c interface{ Close() error }) {
+func (n *Proxy) drop(c interface{ Close() error }) {
 	c.Close()
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -174,7 +174,7 @@
 // UDP returns the address at which others reach a party whose socket is at real. Who
 // writes there is told by the address that it writes from, which is another party's real
 // one; all others are the party "".
-func (n *Net) UDP(name string, real netip.AddrPort) (netip.AddrPort, error) {
+func (n *Proxy) UDP(name string, real netip.AddrPort) (netip.AddrPort, error) {
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return netip.AddrPort{}, err
@@ -189,7 +189,7 @@
 	return c.LocalAddr().(*net.UDPAddr).AddrPort(), nil
 }
 
-func (n *Net) datagrams(c *net.UDPConn, to string, real netip.AddrPort) {
+func (n *Proxy) datagrams(c *net.UDPConn, to string, real netip.AddrPort) {
 	b := make([]byte, 1<<16)
 	for {
 		k, src, err := c.ReadFromUDPAddrPort(b)
@@ -213,7 +213,7 @@
 
 // judge returns how late each copy of a datagram is to go on; none where it is lost. It
 // may change a byte of it.
-func (n *Net) judge(src netip.AddrPort, to string, p []byte) (late []time.Duration) {
+func (n *Proxy) judge(src netip.AddrPort, to string, p []byte) (late []time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l := n.line(n.who[src], to)
@@ -221,27 +221,27 @@
 	l.count.Packets++
 	l.count.Bytes += int64(len(p))
 	switch {
-	case f.Cut:
-		l.count.Cut++
+	case f.Partitioned:
+		l.count.Partitioned++
 		return nil
 	case f.Loss > 0 && n.rng.Float64() < f.Loss:
 		l.count.Lost++
 		return nil
 	}
-	if f.Garble > 0 && n.rng.Float64() < f.Garble && len(p) > 0 {
-		l.count.Spoilt++
+	if f.Corrupt > 0 && n.rng.Float64() < f.Corrupt && len(p) > 0 {
+		l.count.Corrupted++
 		p[n.rng.IntN(len(p))] ^= byte(1 + n.rng.IntN(255))
 	}
 	wait := ms(f.Delay + f.Jitter*n.rng.Float64())
 	if f.Reorder > 0 && n.rng.Float64() < f.Reorder {
 		wait += ms(30)
 	}
-	if f.Rate > 0 {
+	if f.BytesPerSecond > 0 {
 		now := time.Now()
 		if l.free.Before(now) {
 			l.free = now
 		}
-		l.free = l.free.Add(time.Duration(float64(len(p)) / f.Rate * float64(time.Second)))
+		l.free = l.free.Add(time.Duration(float64(len(p)) / f.BytesPerSecond * float64(time.Second)))
 		if q := l.free.Sub(now); q > time.Second { // what a queue holds
 			l.count.Lost++
 			return nil
@@ -250,8 +250,8 @@
 		}
 	}
 	late = append(late, wait)
-	if f.Repeat > 0 && n.rng.Float64() < f.Repeat {
-		l.count.Again++
+	if f.Duplicate > 0 && n.rng.Float64() < f.Duplicate {
+		l.count.Duplicated++
 		late = append(late, wait+ms(5))
 	}
 	return late
@@ -268,7 +268,7 @@
 
 // Draw draws a schedule from a seed: so many faults of the kinds given among the parties
 // within a span, each healed before the end.
-func Draw(seed uint64, parties []string, kinds []Fault, n int, span time.Duration) (s []Step) {
+func RandomSchedule(seed uint64, parties []string, kinds []Fault, n int, span time.Duration) (s []Step) {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	for range n {
 		a, b := rng.IntN(len(parties)), rng.IntN(len(parties)-1)
@@ -284,7 +284,7 @@
 }
 
 // Play carries a schedule out. It returns when it is through, or stop is closed.
-func (n *Net) Play(s []Step, stop <-chan struct{}) {
+func (n *Proxy) RunSchedule(s []Step, stop <-chan struct{}) {
 	began := time.Now()
 	for _, x := range s {
 		select {
@@ -307,13 +307,13 @@
 			s += " " + fmt.Sprintf(format, v...)
 		}
 	}
-	add(f.Cut, "cut")
-	add(f.Close, "closed")
+	add(f.Partitioned, "cut")
+	add(f.HalfClosed, "closed")
 	add(f.Loss > 0, "loss %.2f", f.Loss)
-	add(f.Repeat > 0, "repeat %.2f", f.Repeat)
+	add(f.Duplicate > 0, "repeat %.2f", f.Duplicate)
 	add(f.Reorder > 0, "reorder %.2f", f.Reorder)
-	add(f.Garble > 0, "garble %.2f", f.Garble)
+	add(f.Corrupt > 0, "garble %.2f", f.Corrupt)
 	add(f.Delay+f.Jitter > 0, "delay %.0f+%.0f ms", f.Delay, f.Jitter)
-	add(f.Rate > 0, "%.0f B/s", f.Rate)
+	add(f.BytesPerSecond > 0, "%.0f B/s", f.BytesPerSecond)
 	return s[1:]
 }
--- a/internal/faultproxy/faultnet_test.go
+++ b/internal/faultproxy/faultproxy_test.go
@@ -67,10 +67,10 @@
 		check      func(all []string) bool
 	}{
 		{Fault{}, 200, 200, func(all []string) bool { return all[0] == "000" && all[199] == "199" }},
-		{Fault{Cut: true}, 0, 0, nil},
+		{Fault{Partitioned: true}, 0, 0, nil},
 		{Fault{Loss: 0.5}, 60, 140, nil},
-		{Fault{Repeat: 0.5}, 260, 340, nil},
-		{Fault{Garble: 1}, 200, 200, func(all []string) bool { return all[0] != "000" && all[7] != "007" }},
+		{Fault{Duplicate: 0.5}, 260, 340, nil},
+		{Fault{Corrupt: 1}, 200, 200, func(all []string) bool { return all[0] != "000" && all[7] != "007" }},
 		{Fault{Reorder: 0.3}, 200, 200, func(all []string) bool {
 			for i := range all {
 				if all[i] != fmt.Sprintf("%03d", i) {
@@ -79,7 +79,7 @@
 			}
 			return false
 		}},
-		{Fault{Rate: 300}, 50, 140, nil}, // 100 packets a second, and a second's worth waits
+		{Fault{BytesPerSecond: 300}, 50, 140, nil}, // 100 packets a second, and a second's worth waits
 	} {
 		n.Set("a", "b", x.f)
 		send(200)
@@ -99,7 +99,7 @@
 		t.Errorf("delayed by 150 ms it came after %v", time.Since(began))
 	}
 	c := n.Count("a", "b")
-	if c.Packets != 7*200+1 || c.Cut != 200 || c.Lost == 0 || c.Again == 0 || c.Spoilt != 200 || len(n.Log()) != 8 {
+	if c.Packets != 7*200+1 || c.Partitioned != 200 || c.Lost == 0 || c.Duplicated == 0 || c.Corrupted != 200 || len(n.Log()) != 8 {
 		t.Errorf("%+v, %d changes", c, len(n.Log()))
 	}
 	n.Heal()
@@ -146,7 +146,7 @@
 	if !comes(far, "there", 5*time.Second) || !comes(near, "back", 5*time.Second) {
 		t.Fatal("a sound line does not carry")
 	}
-	n.Set("a", "b", Fault{Cut: true})
+	n.Set("a", "b", Fault{Partitioned: true})
 	near.Write([]byte("late"))
 	far.Write([]byte("free"))
 	if comes(far, "late", 300*time.Millisecond) || !comes(near, "free", 5*time.Second) {
@@ -170,7 +170,7 @@
 		c.Close()
 	}
 	near, far = join()
-	n.Set("a", "b", Fault{Close: true})
+	n.Set("a", "b", Fault{HalfClosed: true})
 	near.Write([]byte("x"))
 	far.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if b, err := io.ReadAll(far); err != nil || len(b) != 0 {
@@ -182,7 +182,7 @@
 	}
 	n.Heal()
 	near, far = join()
-	n.Set("a", "b", Fault{Rate: 100_000})
+	n.Set("a", "b", Fault{BytesPerSecond: 100_000})
 	began := time.Now()
 	go near.Write(bytes.Repeat([]byte("x"), 50_000))
 	if _, err := io.CopyN(io.Discard, far, 50_000); err != nil || time.Since(began) < 400*time.Millisecond {
@@ -191,14 +191,14 @@
 }
 
 func TestSchedules(t *testing.T) {
-	kinds := []Fault{{Cut: true}, {Loss: 0.5}}
-	a, b := Draw(7, []string{"x", "y", "z"}, kinds, 20, time.Second), Draw(7, []string{"x", "y", "z"}, kinds, 20, time.Second)
-	if len(a) != 40 || !reflect.DeepEqual(a, b) || reflect.DeepEqual(a, Draw(8, []string{"x", "y", "z"}, kinds, 20, time.Second)) {
+	kinds := []Fault{{Partitioned: true}, {Loss: 0.5}}
+	a, b := RandomSchedule(7, []string{"x", "y", "z"}, kinds, 20, time.Second), RandomSchedule(7, []string{"x", "y", "z"}, kinds, 20, time.Second)
+	if len(a) != 40 || !reflect.DeepEqual(a, b) || reflect.DeepEqual(a, RandomSchedule(8, []string{"x", "y", "z"}, kinds, 20, time.Second)) {
 		t.Errorf("%d steps, or a seed that is none", len(a))
 	}
 	n := New(1)
 	defer n.Close()
-	n.Play(Draw(7, []string{"x", "y", "z"}, kinds, 20, 50*time.Millisecond), nil)
+	n.RunSchedule(RandomSchedule(7, []string{"x", "y", "z"}, kinds, 20, 50*time.Millisecond), nil)
 	if l := n.Log(); len(l) != 40 {
 		t.Errorf("%d changes", len(l))
 	}
--- a/internal/faultproxy/tcp.go
+++ b/internal/faultproxy/tcp.go
@@ -10,7 +10,7 @@
 const retransmit = 200.0
 
 // TCP returns an address at which from reaches to, whose listener is at target.
-func (n *Net) TCP(from, to, target string) (string, error) {
+func (n *Proxy) TCP(from, to, target string) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -31,7 +31,7 @@
 }
 
 // stream carries one connection until both directions have ended.
-func (n *Net) stream(c net.Conn, from, to, target string) {
+func (n *Proxy) stream(c net.Conn, from, to, target string) {
 	if !n.keep(c) {
 		return
 	}
@@ -57,7 +57,7 @@
 }
 
 // pump carries one direction. Its end closes that direction alone.
-func (n *Net) pump(dst, src net.Conn, from, to string) {
+func (n *Proxy) pump(dst, src net.Conn, from, to string) {
 	b := make([]byte, 32<<10)
 	for {
 		k, err := src.Read(b)
@@ -86,7 +86,7 @@
 }
 
 // pass waits until a piece may go on, and tells whether it may.
-func (n *Net) pass(from, to string, k int) bool {
+func (n *Proxy) pass(from, to string, k int) bool {
 	counted := false
 	for {
 		n.mu.Lock()
@@ -96,8 +96,8 @@
 			counted = true
 			l.count.Packets++
 			l.count.Bytes += int64(k)
-			if f.Cut {
-				l.count.Cut++
+			if f.Partitioned {
+				l.count.Partitioned++
 			}
 		}
 		closed := n.closed
@@ -106,14 +106,14 @@
 			l.count.Lost++
 			wait += retransmit
 		}
-		if f.Rate > 0 {
-			wait += float64(k) / f.Rate * 1000
+		if f.BytesPerSecond > 0 {
+			wait += float64(k) / f.BytesPerSecond * 1000
 		}
 		n.mu.Unlock()
 		switch {
-		case closed || f.Close:
+		case closed || f.HalfClosed:
 			return false
-		case !f.Cut:
+		case !f.Partitioned:
 			time.Sleep(ms(wait))
 			return true
 		}
@@ -122,12 +122,12 @@
 }
 
 // spoil changes a byte of a piece, if chance wants it.
-func (n *Net) spoil(from, to string, b []byte) {
+func (n *Proxy) spoil(from, to string, b []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l := n.line(from, to)
-	if l.fault.Garble > 0 && n.rng.Float64() < l.fault.Garble {
-		l.count.Spoilt++
+	if l.fault.Corrupt > 0 && n.rng.Float64() < l.fault.Corrupt {
+		l.count.Corrupted++
 		b[n.rng.IntN(len(b))] ^= byte(1 + n.rng.IntN(255))
 	}
 }
--- a/internal/fleet/loadreport/collector_test.go
+++ b/internal/fleet/loadreport/collector_test.go
@@ -102,12 +102,12 @@
 	t.Helper()
 	var servers []Server
 	for i := range count {
-		fake, err := fakeserver.NewBox(nil)
+		fake, err := fakeserver.NewServer(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = fake.Close() })
-		fake.SetGauges(func(string) string { return "l=util:0.5" })
+		fake.SetLoadReport(func(string) string { return "l=util:0.5" })
 		servers = append(servers, Server{ID: routing.ServerID(i), Address: netip.MustParseAddrPort(fake.Addr().String())})
 	}
 	return servers
--- a/internal/fleet/simulation_test.go
+++ b/internal/fleet/simulation_test.go
@@ -20,7 +20,7 @@
 
 // simulation is a fleet on a simulated network with a hash over all that it does.
 type simulation struct {
-	net     *netsim.Net
+	net     *netsim.Network
 	hash    hash.Hash64
 	packets int
 	report  bytes.Buffer
@@ -28,14 +28,14 @@
 
 func newSimulation(routers int) *simulation {
 	s := &simulation{net: netsim.New(7), hash: fnv.New64a()}
-	s.net.Tap = func(sent netsim.Send) {
+	s.net.Tap = func(sent netsim.Datagram) {
 		s.packets++
 		s.record("%v %v ", s.net.Now, sent.To)
 		s.record("%s", sent.Packet.Append(nil))
 	}
-	s.net.Fleet(routers, fleet.DefaultSettings(), false)
+	s.net.StartFleet(routers, fleet.DefaultSettings(), false)
 	for _, host := range s.net.Hosts {
-		host.On = s.recordOutput
+		host.OnStep = s.recordOutput
 	}
 	return s
 }
@@ -57,7 +57,7 @@
 // do has a router do something now.
 func (s *simulation) do(i int, action func(node *fleet.Node, now float64)) {
 	host := s.net.Hosts[i]
-	s.net.Do(host, func() { action(host.Machine.(*fleet.Node), s.net.Now) })
+	s.net.Step(host, func() { action(host.Machine.(*fleet.Node), s.net.Now) })
 }
 
 // run runs the fleet for a while and reports what it did so far.
@@ -82,23 +82,23 @@
 	}
 	sim.run("items", 5000)
 	sim.net.Link.Loss = 0.2
-	sim.net.Link.Repeat = 0.1
+	sim.net.Link.Duplicate = 0.1
 	sim.run("loss", 30_000)
-	sim.net.Stall(sim.net.Hosts[3], 5000)
+	sim.net.Pause(sim.net.Hosts[3], 5000)
 	sim.run("stall", 20_000)
 	sim.net.Link.Loss = 0.02
-	sim.net.Link.Repeat = 0
+	sim.net.Link.Duplicate = 0
 	predecessor := sim.net.Hosts[4]
-	sim.net.Start(4, predecessor.Name, predecessor.Self.ID, 2, fleet.DefaultSettings(), false)
+	sim.net.StartHost(4, predecessor.Name, predecessor.Self.ID, 2, fleet.DefaultSettings(), false)
 	sim.run("upgrade", 10_000)
 	sim.net.Kill(sim.net.Hosts[5])
 	sim.run("crash", 20_000)
-	sim.net.Link.Cut = func(from, to *netsim.Host) bool { return (from.Self.ID^to.Self.ID)&2 != 0 }
+	sim.net.Link.Partitioned = func(from, to *netsim.Host) bool { return (from.Self.ID^to.Self.ID)&2 != 0 }
 	sim.run("partition", 30_000)
 	sim.do(2, func(node *fleet.Node, now float64) { node.SetDisabled(now, 5, false) })
 	sim.do(6, func(node *fleet.Node, now float64) { node.SetDisabled(now, 5, true) })
 	sim.run("partition with bans", 10_000)
-	sim.net.Link.Cut = nil
+	sim.net.Link.Partitioned = nil
 	sim.run("healed", 60_000)
 	accused := sim.net.Hosts[8]
 	sim.do(7, func(node *fleet.Node, _ float64) {
--- a/internal/fuzzutil/seeds.go
+++ b/internal/fuzzutil/fuzzutil.go
@@ -7,7 +7,7 @@
 )
 
 // Add adds n seeds of size random bytes.
-func Add(f *testing.F, n, size int) {
+func AddRandomSeeds(f *testing.F, n, size int) {
 	for seed := range uint64(n) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		b := make([]byte, size)
--- a/internal/netsim/virtual.go
+++ b/internal/netsim/netsim.go
@@ -24,47 +24,47 @@
 }
 
 // Bare runs membership alone, without words of boxes and stance.
-type Bare struct{ *membership.Machine }
+type MembershipOnly struct{ *membership.Machine }
 
 // Step steps it.
-func (b Bare) Step(now float64, p *membership.Packet) fleet.Output {
+func (b MembershipOnly) Step(now float64, p *membership.Packet) fleet.Output {
 	return fleet.Output{Output: b.Machine.Step(now, p)}
 }
 
 // Host is one process of a router.
 type Host struct {
 	Machine
-	Name   string
-	Addr   netip.AddrPort
-	Self   membership.Update
-	Dead   bool
-	Sent   int64 // packets
-	Bytes  int64 // that it sent, sealed, with the network's heads
-	paused float64
-	wake   float64 // of its earliest timer that is in the queue
-	queued []*membership.Packet
-	Clock  func(now float64) float64                     // its own; nil: the network's
-	On     func(h *Host, now float64, out *fleet.Output) // may be nil
+	Name        string
+	Addr        netip.AddrPort
+	Self        membership.Update
+	Dead        bool
+	PacketsSent int64 // packets
+	BytesSent   int64 // that it sent, sealed, with the network's heads
+	paused      float64
+	wake        float64 // of its earliest timer that is in the queue
+	queued      []*membership.Packet
+	Clock       func(now float64) float64                     // its own; nil: the network's
+	OnStep      func(h *Host, now float64, out *fleet.Output) // may be nil
 }
 
 // Link decides what becomes of a packet from one host to another.
 type Link struct {
-	Loss   float64                            // share that is lost
-	Repeat float64                            // share that comes twice
-	Delay  float64                            // ms at the least
-	Jitter float64                            // mean of what comes on top
-	Cut    func(from, to *Host) bool          // nil: nothing is
-	Alter  func(p *membership.Packet) float64 // further delay; nil: none
+	Loss        float64                            // share that is lost
+	Duplicate   float64                            // share that comes twice
+	Delay       float64                            // ms at the least
+	Jitter      float64                            // mean of what comes on top
+	Partitioned func(from, to *Host) bool          // nil: nothing is
+	ExtraDelay  func(p *membership.Packet) float64 // further delay; nil: none
 }
 
 // Net is the network and its hosts.
-type Net struct {
+type Network struct {
 	Now    float64
 	Link   Link
 	Rng    *rand.Rand
 	Hosts  []*Host
 	Events int64
-	Tap    func(Send) // sees what is sent; may be nil
+	Tap    func(Datagram) // sees what is sent; may be nil
 	at     map[netip.AddrPort]*Host
 	queue  heap
 	n      uint64
@@ -72,19 +72,19 @@
 }
 
 // Send is a packet as it went to an address.
-type Send struct {
+type Datagram struct {
 	To     netip.AddrPort
 	Packet membership.Packet
 }
 
 // Inject has a packet arrive now, once more or for the first time.
-func (v *Net) Inject(s Send) {
+func (v *Network) Inject(s Datagram) {
 	v.push(event{at: v.Now, p: &s.Packet, addr: s.To})
 }
 
 // New returns an empty network.
-func New(seed uint64) *Net {
-	return &Net{Link: Link{Delay: 0.2, Jitter: 0.3}, Rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), at: map[netip.AddrPort]*Host{}}
+func New(seed uint64) *Network {
+	return &Network{Link: Link{Delay: 0.2, Jitter: 0.3}, Rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), at: map[netip.AddrPort]*Host{}}
 }
 
 // Addr is the address of the i-th place of the network.
@@ -94,20 +94,20 @@
 
 // Fleet adds n routers of one fleet, each in its first life, that find each other by the
 // address of the first.
-func (v *Net) Fleet(n int, set fleet.Settings, bare bool) {
+func (v *Network) StartFleet(n int, set fleet.Settings, bare bool) {
 	for i := range n {
-		v.Start(i, fmt.Sprintf("r%03d", i), membership.ID(v.Rng.Uint64()|1), 1, set, bare)
+		v.StartHost(i, fmt.Sprintf("r%03d", i), membership.ID(v.Rng.Uint64()|1), 1, set, bare)
 	}
 }
 
 // Start adds a process of a router at a place, with a seat and a life.
-func (v *Net) Start(place int, name string, seat membership.ID, life uint64, set fleet.Settings, bare bool) *Host {
+func (v *Network) StartHost(place int, name string, seat membership.ID, life uint64, set fleet.Settings, bare bool) *Host {
 	h := &Host{Name: name, Addr: Addr(place), wake: math.Inf(1),
 		Self: membership.Update{ID: seat, Revision: membership.FirstRevision(life), Name: name, Zone: fmt.Sprintf("z%d", place%3), Version: "v", Addr: Addr(place)}}
 	rng := rand.New(rand.NewPCG(v.Rng.Uint64(), v.Rng.Uint64()))
 	seeds := []netip.AddrPort{Addr(0), Addr(1)}
 	if bare {
-		h.Machine = Bare{membership.New(set.Membership, h.Self, seeds, rng, nil, v.Now)}
+		h.Machine = MembershipOnly{membership.New(set.Membership, h.Self, seeds, rng, nil, v.Now)}
 	} else {
 		h.Machine = fleet.New(set, h.Self, seeds, rng, v.Now)
 	}
@@ -118,7 +118,7 @@
 }
 
 // Kill ends a process without a word.
-func (v *Net) Kill(h *Host) {
+func (v *Network) Kill(h *Host) {
 	h.Dead = true
 	if v.at[h.Addr] == h {
 		delete(v.at, h.Addr)
@@ -126,26 +126,26 @@
 }
 
 // Leave ends a process in order.
-func (v *Net) Leave(h *Host) {
+func (v *Network) Leave(h *Host) {
 	out := h.Machine.Leave(v.Now)
 	v.carry(h, &out)
 	v.Kill(h)
 }
 
 // Stall stops a process for a while. What comes for it waits, up to what a socket holds.
-func (v *Net) Stall(h *Host, ms float64) {
+func (v *Network) Pause(h *Host, ms float64) {
 	h.paused = v.Now + ms
 	v.push(event{at: h.paused, to: h})
 }
 
 // Do steps a host by something other than the network.
-func (v *Net) Do(h *Host, f func()) {
+func (v *Network) Step(h *Host, f func()) {
 	f()
-	v.step(h, nil)
+	v.stepHost(h, nil)
 }
 
 // Run goes on until a moment.
-func (v *Net) Run(until float64) {
+func (v *Network) Run(until float64) {
 	for len(v.queue) > 0 && v.queue[0].at <= until {
 		e := v.queue.pop()
 		v.Now = e.at
@@ -166,17 +166,17 @@
 			}
 		default:
 			for _, p := range h.queued {
-				v.step(h, p)
+				v.stepHost(h, p)
 			}
 			h.queued = h.queued[:0]
-			v.step(h, e.p)
+			v.stepHost(h, e.p)
 		}
 	}
 	v.Now = until
 }
 
 // Until goes on in steps until a condition holds, and tells whether it did by then.
-func (v *Net) Until(limit, step float64, ok func() bool) bool {
+func (v *Network) RunUntil(limit, step float64, ok func() bool) bool {
 	for !ok() {
 		if v.Now >= limit {
 			return false
@@ -186,15 +186,15 @@
 	return true
 }
 
-func (v *Net) step(h *Host, p *membership.Packet) {
+func (v *Network) stepHost(h *Host, p *membership.Packet) {
 	now := v.Now
 	if h.Clock != nil {
 		now = h.Clock(now)
 	}
 	out := h.Machine.Step(now, p)
 	v.carry(h, &out.Output)
-	if h.On != nil {
-		h.On(h, v.Now, &out)
+	if h.OnStep != nil {
+		h.OnStep(h, v.Now, &out)
 	}
 	// One timer a host: a later one is set when it fires.
 	if at := v.Now + max(out.WakeAt-now, 0.05); at < h.wake {
@@ -204,20 +204,20 @@
 }
 
 // carry sends what a host wants sent.
-func (v *Net) carry(h *Host, out *membership.Output) {
+func (v *Network) carry(h *Host, out *membership.Output) {
 	for _, s := range out.Packets {
 		v.room = s.Packet.Append(v.room[:0])
-		h.Sent++
+		h.PacketsSent++
 		if v.Tap != nil {
-			v.Tap(Send{s.To, *s.Packet})
+			v.Tap(Datagram{s.To, *s.Packet})
 		}
-		h.Bytes += int64(len(v.room) + packetcrypto.Overhead + udpHead)
+		h.BytesSent += int64(len(v.room) + packetcrypto.Overhead + udpHead)
 		to := v.at[s.To]
-		if v.Link.Cut != nil && to != nil && v.Link.Cut(h, to) {
+		if v.Link.Partitioned != nil && to != nil && v.Link.Partitioned(h, to) {
 			continue
 		}
 		for n := 0; n < 2; n++ {
-			if n == 1 && v.Rng.Float64() >= v.Link.Repeat {
+			if n == 1 && v.Rng.Float64() >= v.Link.Duplicate {
 				break
 			}
 			if v.Link.Loss > 0 && v.Rng.Float64() < v.Link.Loss {
@@ -227,8 +227,8 @@
 			if v.Link.Jitter > 0 {
 				late += v.Rng.ExpFloat64() * v.Link.Jitter
 			}
-			if v.Link.Alter != nil {
-				late += v.Link.Alter(s.Packet)
+			if v.Link.ExtraDelay != nil {
+				late += v.Link.ExtraDelay(s.Packet)
 			}
 			p := *s.Packet // what a host does with it is nobody else's matter
 			v.push(event{at: v.Now + late, p: &p, addr: s.To})
@@ -245,7 +245,7 @@
 	addr netip.AddrPort
 }
 
-func (v *Net) push(e event) {
+func (v *Network) push(e event) {
 	v.n++
 	e.n = v.n
 	v.queue.push(e)
@@ -297,7 +297,7 @@
 }
 
 // Alike tells whether all hosts that live hold the same routers as there, and nobody else.
-func (v *Net) Alike() bool {
+func (v *Network) Converged() bool {
 	var want [membership.BucketCount]uint32
 	first := true
 	live := 0
@@ -310,7 +310,7 @@
 		if h.Dead {
 			continue
 		}
-		m := h.Member()
+		m := h.Membership()
 		if first {
 			want, first = m.Checksums(), false
 		}
@@ -322,9 +322,9 @@
 }
 
 // Member returns a host's machine of membership.
-func (h *Host) Member() *membership.Machine {
+func (h *Host) Membership() *membership.Machine {
 	switch m := h.Machine.(type) {
-	case Bare:
+	case MembershipOnly:
 		return m.Machine
 	case *fleet.Node:
 		return m.Machine
@@ -338,7 +338,7 @@
 }
 
 // SeenAs counts how the others that live see a host.
-func (v *Net) SeenAs(x *Host) (n [4]int) {
+func (v *Network) StateCounts(x *Host) (n [4]int) {
 	for _, h := range v.Hosts {
 		if h != x && !h.Dead {
 			if s, known := h.Machine.(viewer).State(x.Self.ID); known {
--- a/internal/netsim/virtual_test.go
+++ b/internal/netsim/netsim_test.go
@@ -11,24 +11,24 @@
 )
 
 // settled is a fleet whose views are alike.
-func settled(t testing.TB, seed uint64, n int) *Net {
+func settled(t testing.TB, seed uint64, n int) *Network {
 	t.Helper()
 	v := New(seed)
-	v.Fleet(n, fleet.DefaultSettings(), false)
+	v.StartFleet(n, fleet.DefaultSettings(), false)
 	alike(t, v, 10_000)
 	v.Run(v.Now + 8000) // until stances hold too
 	return v
 }
 
 // alike waits until all views are.
-func alike(t testing.TB, v *Net, within float64) float64 {
+func alike(t testing.TB, v *Network, within float64) float64 {
 	t.Helper()
 	at := v.Now
-	if !v.Until(at+within, 50, v.Alike) {
+	if !v.RunUntil(at+within, 50, v.Converged) {
 		seen := map[int]int{}
 		for _, h := range v.Hosts {
 			if !h.Dead {
-				seen[h.Member().PresentCount()]++
+				seen[h.Membership().PresentCount()]++
 			}
 		}
 		t.Fatalf("views differ after %.0f ms: routers seen, by how many: %v", within, seen)
@@ -37,10 +37,10 @@
 }
 
 // spoken counts what hosts say by themselves of others that live.
-func spoken(v *Net, what string) *int {
+func spoken(v *Network, what string) *int {
 	n := 0
 	for _, h := range v.Hosts {
-		h.On = func(h *Host, _ float64, out *fleet.Output) {
+		h.OnStep = func(h *Host, _ float64, out *fleet.Output) {
 			for _, e := range out.Events {
 				if e.Kind == what && (e.Update.ReportedBy == h.Self.ID || what != "suspect" && what != "failed") {
 					n++
@@ -58,8 +58,8 @@
 		x := v.Hosts[n-1]
 		v.Kill(x)
 		at := v.Now
-		if !v.Until(at+3000, 10, func() bool { return v.SeenAs(x)[membership.Failed] == n-1 }) {
-			t.Errorf("%d: after 3 s a killed router is %v", n, v.SeenAs(x))
+		if !v.RunUntil(at+3000, 10, func() bool { return v.StateCounts(x)[membership.Failed] == n-1 }) {
+			t.Errorf("%d: after 3 s a killed router is %v", n, v.StateCounts(x))
 		}
 		if *wrong > n-1 {
 			t.Errorf("%d: %d say failed, of one", n, *wrong)
@@ -71,12 +71,12 @@
 func TestSameSeedSameRun(t *testing.T) {
 	of := func(seed uint64) string {
 		v := New(seed)
-		v.Link = Link{Loss: 0.1, Repeat: 0.1, Delay: 1, Jitter: 5}
-		v.Fleet(12, fleet.DefaultSettings(), false)
+		v.Link = Link{Loss: 0.1, Duplicate: 0.1, Delay: 1, Jitter: 5}
+		v.StartFleet(12, fleet.DefaultSettings(), false)
 		v.Run(20_000)
 		var b bytes.Buffer
 		for _, h := range v.Hosts {
-			fmt.Fprintln(&b, h.Sent, h.Bytes, h.Member().Checksums())
+			fmt.Fprintln(&b, h.PacketsSent, h.BytesSent, h.Membership().Checksums())
 		}
 		return b.String()
 	}
@@ -96,14 +96,14 @@
 func TestCutsHeal(t *testing.T) {
 	for parts := 2; parts <= 3; parts++ {
 		v := settled(t, 2, 12)
-		v.Link.Cut = sides(func(p int) int { return p % parts })
+		v.Link.Partitioned = sides(func(p int) int { return p % parts })
 		v.Run(v.Now + 15_000)
 		for _, h := range v.Hosts {
-			if n, s := h.Member().PresentCount(), h.Machine.(*fleet.Node).Connectivity(); n != 12/parts || s.State != connectivity.Partial || s.Known != 12 {
+			if n, s := h.Membership().PresentCount(), h.Machine.(*fleet.Node).Connectivity(); n != 12/parts || s.State != connectivity.Partial || s.Known != 12 {
 				t.Errorf("cut in %d: %s sees %d there, %+v", parts, h.Name, n, s)
 			}
 		}
-		v.Link.Cut = nil
+		v.Link.Partitioned = nil
 		took := alike(t, v, 3000)
 		v.Run(v.Now + 12_000)
 		for _, h := range v.Hosts {
@@ -125,7 +125,7 @@
 	} {
 		v := settled(t, 3, 9)
 		n := spoken(v, "failed")
-		v.Link.Cut = cut
+		v.Link.Partitioned = cut
 		v.Run(v.Now + 60_000)
 		if *n != 0 {
 			t.Errorf("%s: %d times one was said to have failed", what, *n)
@@ -138,11 +138,11 @@
 func TestMute(t *testing.T) {
 	v := settled(t, 4, 9)
 	x := v.Hosts[4]
-	v.Link.Cut = func(a, _ *Host) bool { return a == x }
-	if !v.Until(v.Now+5000, 50, func() bool { return v.SeenAs(x)[membership.Failed] == 8 }) {
-		t.Errorf("a mute router is %v", v.SeenAs(x))
+	v.Link.Partitioned = func(a, _ *Host) bool { return a == x }
+	if !v.RunUntil(v.Now+5000, 50, func() bool { return v.StateCounts(x)[membership.Failed] == 8 }) {
+		t.Errorf("a mute router is %v", v.StateCounts(x))
 	}
-	v.Link.Cut = nil
+	v.Link.Partitioned = nil
 	alike(t, v, 3000)
 }
 
@@ -152,7 +152,7 @@
 	x := v.Hosts[3]
 	said := 0
 	for _, h := range v.Hosts {
-		h.On = func(h *Host, _ float64, out *fleet.Output) {
+		h.OnStep = func(h *Host, _ float64, out *fleet.Output) {
 			for _, e := range out.Events {
 				if e.Kind == "failed" && e.Update.ID != x.Self.ID {
 					said++
@@ -160,9 +160,9 @@
 			}
 		}
 	}
-	v.Stall(x, 30_000)
+	v.Pause(x, 30_000)
 	v.Run(v.Now + 29_900)
-	if n := v.SeenAs(x)[membership.Failed]; n != 7 {
+	if n := v.StateCounts(x)[membership.Failed]; n != 7 {
 		t.Errorf("stopped for 29.9 s it is failed for %d of 7", n)
 	}
 	took := alike(t, v, 3000)
@@ -179,7 +179,7 @@
 	x := v.Hosts[7]
 	wrong := 0
 	for _, h := range v.Hosts {
-		h.On = func(h *Host, _ float64, out *fleet.Output) {
+		h.OnStep = func(h *Host, _ float64, out *fleet.Output) {
 			for _, e := range out.Events {
 				if e.Kind == "failed" && e.Update.ID != x.Self.ID {
 					wrong++
@@ -187,9 +187,9 @@
 			}
 		}
 	}
-	v.Link = Link{Loss: 0.2, Repeat: 0.1, Delay: 1, Jitter: 10}
+	v.Link = Link{Loss: 0.2, Duplicate: 0.1, Delay: 1, Jitter: 10}
 	for range 60 {
-		v.Stall(x, 2000*v.Rng.Float64())
+		v.Pause(x, 2000*v.Rng.Float64())
 		v.Run(v.Now + 4000)
 	}
 	if wrong != 0 {
@@ -203,10 +203,10 @@
 	v := New(7)
 	const hour = 3_600_000
 	again := false
-	v.Link.Repeat = 0 // the copies are made below
-	v.Fleet(5, fleet.DefaultSettings(), false)
-	var old []Send
-	v.Tap = func(s Send) {
+	v.Link.Duplicate = 0 // the copies are made below
+	v.StartFleet(5, fleet.DefaultSettings(), false)
+	var old []Datagram
+	v.Tap = func(s Datagram) {
 		if !again {
 			old = append(old, s)
 		}
@@ -219,7 +219,7 @@
 	v.Run(v.Now + hour/6) // a sixth is as good: nothing of it counts by the clock
 	moved := 0
 	for _, h := range v.Hosts {
-		h.On = func(_ *Host, _ float64, out *fleet.Output) {
+		h.OnStep = func(_ *Host, _ float64, out *fleet.Output) {
 			for _, e := range out.Events {
 				if e.Kind == "joined" || e.Kind == "back" || e.Kind == "failed" || e.Kind == "suspect" {
 					moved++
@@ -227,13 +227,13 @@
 			}
 		}
 	}
-	before := v.Hosts[0].Member().Replays
+	before := v.Hosts[0].Membership().Replays
 	for _, s := range old {
 		v.Inject(s)
 	}
 	v.Run(v.Now + 30_000)
-	if moved != 0 || v.Hosts[0].Member().Replays == before {
-		t.Errorf("%d changes by %d old packets, %d dropped as old", moved, len(old), v.Hosts[0].Member().Replays-before)
+	if moved != 0 || v.Hosts[0].Membership().Replays == before {
+		t.Errorf("%d changes by %d old packets, %d dropped as old", moved, len(old), v.Hosts[0].Membership().Replays-before)
 	}
 }
 
@@ -246,7 +246,7 @@
 		v.Run(v.Now + 150)
 		var place int
 		fmt.Sscanf(h.Name, "r%d", &place)
-		v.Start(place, h.Name, h.Self.ID, 2, fleet.DefaultSettings(), false)
+		v.StartHost(place, h.Name, h.Self.ID, 2, fleet.DefaultSettings(), false)
 		v.Run(v.Now + 150)
 	}
 	alike(t, v, 5000)
@@ -254,7 +254,7 @@
 		if h.Dead {
 			continue
 		}
-		for _, m := range h.Member().View().Members {
+		for _, m := range h.Membership().View().Members {
 			if m.Incarnation() != 2 {
 				t.Errorf("%s sees life %d of %s", h.Name, m.Incarnation(), m.Name)
 			}
@@ -283,12 +283,12 @@
 	stands := func(s connectivity.State) func() bool {
 		return func() bool { return x.Machine.(*fleet.Node).Connectivity().State == s }
 	}
-	v.Link.Cut = func(a, b *Host) bool { return a == x || b == x }
-	if !v.Until(v.Now+4000, 50, stands(connectivity.Alone)) {
-		t.Errorf("after 4 s it sees %d", x.Member().PresentCount())
+	v.Link.Partitioned = func(a, b *Host) bool { return a == x || b == x }
+	if !v.RunUntil(v.Now+4000, 50, stands(connectivity.Alone)) {
+		t.Errorf("after 4 s it sees %d", x.Membership().PresentCount())
 	}
-	v.Link.Cut = nil
-	if !v.Until(v.Now+20_000, 50, stands(connectivity.Together)) {
+	v.Link.Partitioned = nil
+	if !v.RunUntil(v.Now+20_000, 50, stands(connectivity.Together)) {
 		t.Error("it does not come back")
 	}
 }
@@ -305,8 +305,8 @@
 		t.Errorf("%d times one was said to have failed", *n)
 	}
 	v.Kill(v.Hosts[5])
-	if !v.Until(v.Now+4000, 50, func() bool { return v.SeenAs(v.Hosts[5])[membership.Failed] == 7 }) {
-		t.Errorf("a killed one is %v", v.SeenAs(v.Hosts[5]))
+	if !v.RunUntil(v.Now+4000, 50, func() bool { return v.StateCounts(v.Hosts[5])[membership.Failed] == 7 }) {
+		t.Errorf("a killed one is %v", v.StateCounts(v.Hosts[5]))
 	}
 	alike(t, v, 3000)
 }
@@ -316,35 +316,35 @@
 func TestMovedAndTwoProcessesOfOneRouter(t *testing.T) {
 	v := settled(t, 10, 6)
 	old := v.Hosts[2]
-	next := v.Start(40, old.Name, old.Self.ID, 2, fleet.DefaultSettings(), false)
+	next := v.StartHost(40, old.Name, old.Self.ID, 2, fleet.DefaultSettings(), false)
 	v.Run(v.Now + 5000)
 	for _, h := range v.Hosts {
 		if h == old {
-			if !h.Member().View().Superseded {
+			if !h.Membership().View().Superseded {
 				t.Error("the process before does not know that it has a successor")
 			}
 			continue
 		}
 		n := 0
-		for _, m := range h.Member().View().Members {
+		for _, m := range h.Membership().View().Members {
 			if m.Name == old.Name && m.State == membership.Alive && m.Addr == next.Addr {
 				n++
 			}
 		}
-		if there := h.Member().PresentCount(); n != 1 || there != 6 {
+		if there := h.Membership().PresentCount(); n != 1 || there != 6 {
 			t.Errorf("%s sees it %d times, and %d routers", h.Name, n, there)
 		}
 	}
 	v.Kill(next) // the new one was no good: the one before has its seat back
 	alike(t, v, 10_000)
-	if w := old.Member().Self(); w.Incarnation() != 3 {
+	if w := old.Membership().Self(); w.Incarnation() != 3 {
 		t.Errorf("the one before is back as life %d", w.Incarnation())
 	}
-	last := v.Start(41, old.Name, old.Self.ID, 4, fleet.DefaultSettings(), false)
+	last := v.StartHost(41, old.Name, old.Self.ID, 4, fleet.DefaultSettings(), false)
 	v.Run(v.Now + 5000)
 	v.Leave(old) // says nothing of the seat, which is its successor's
 	v.Run(v.Now + 5000)
-	if n := v.SeenAs(last)[membership.Alive]; n != 5 {
+	if n := v.StateCounts(last)[membership.Alive]; n != 5 {
 		t.Errorf("after the old one's end the new one is alive for %d of 5", n)
 	}
 }
@@ -353,10 +353,10 @@
 func TestOneNameTwice(t *testing.T) {
 	v := settled(t, 11, 5)
 	n := spoken(v, "conflict")
-	x := v.Start(41, "r003", membership.ID(v.Rng.Uint64()|1), 1, fleet.DefaultSettings(), false)
+	x := v.StartHost(41, "r003", membership.ID(v.Rng.Uint64()|1), 1, fleet.DefaultSettings(), false)
 	v.Run(v.Now + 20_000)
-	if got := v.SeenAs(x)[membership.Alive]; got != 5 || v.SeenAs(v.Hosts[3])[membership.Alive] != 5 {
-		t.Errorf("the second is alive for %d, the first for %d of 5", got, v.SeenAs(v.Hosts[3])[membership.Alive])
+	if got := v.StateCounts(x)[membership.Alive]; got != 5 || v.StateCounts(v.Hosts[3])[membership.Alive] != 5 {
+		t.Errorf("the second is alive for %d, the first for %d of 5", got, v.StateCounts(v.Hosts[3])[membership.Alive])
 	}
 	if *n != 5 {
 		t.Errorf("told %d times, want once by each of 5", *n)
@@ -373,7 +373,7 @@
 		real[h.Self.ID] = true
 	}
 	for _, h := range v.Hosts {
-		h.On = func(_ *Host, _ float64, out *fleet.Output) {
+		h.OnStep = func(_ *Host, _ float64, out *fleet.Output) {
 			for _, e := range out.Events {
 				if e.Kind == "failed" && real[e.Update.ID] {
 					wrong++
@@ -384,19 +384,19 @@
 	liar := v.Hosts[7]
 	for i := range 1000 {
 		w := membership.Update{ID: membership.ID(v.Rng.Uint64() | 1), Revision: membership.FirstRevision(1), Name: fmt.Sprintf("ghost%d", i), Addr: Addr(1000 + i)}
-		v.Do(liar, func() { liar.Member().InjectUpdate(w) })
+		v.Step(liar, func() { liar.Membership().InjectUpdate(w) })
 	}
 	v.Run(v.Now + 5000)
-	if n := v.Hosts[0].Member().PresentCount(); n < 100 {
+	if n := v.Hosts[0].Membership().PresentCount(); n < 100 {
 		t.Errorf("only %d are held: the test shows nothing", n)
 	}
 	for _, h := range v.Hosts {
-		if n := len(h.Member().View().Members); n > 1+fleet.DefaultSettings().Membership.MaxMembers {
+		if n := len(h.Membership().View().Members); n > 1+fleet.DefaultSettings().Membership.MaxMembers {
 			t.Errorf("%s holds %d", h.Name, n)
 		}
 	}
-	v.Until(v.Now+400_000, 1000, v.Alike)
-	if n := v.Hosts[0].Member().PresentCount(); n != 8 || wrong != 0 {
+	v.RunUntil(v.Now+400_000, 1000, v.Converged)
+	if n := v.Hosts[0].Membership().PresentCount(); n != 8 || wrong != 0 {
 		t.Errorf("%d there at the end, want 8; %d times one that lives was failed", n, wrong)
 	}
 }
@@ -406,16 +406,16 @@
 func TestFlapping(t *testing.T) {
 	v := settled(t, 13, 6)
 	swings := 0
-	v.Hosts[0].On = func(_ *Host, _ float64, out *fleet.Output) {
+	v.Hosts[0].OnStep = func(_ *Host, _ float64, out *fleet.Output) {
 		if out.ConnectivityChanged {
 			swings++
 		}
 	}
 	const flaps = 20
 	for range flaps {
-		v.Link.Cut = func(a, b *Host) bool { return a == v.Hosts[0] || b == v.Hosts[0] }
+		v.Link.Partitioned = func(a, b *Host) bool { return a == v.Hosts[0] || b == v.Hosts[0] }
 		v.Run(v.Now + 6000)
-		v.Link.Cut = nil
+		v.Link.Partitioned = nil
 		v.Run(v.Now + 12_000)
 	}
 	if swings < 2 || swings > flaps {
--- a/internal/simproto/golden_test.go
+++ b/internal/simproto/golden_test.go
@@ -29,19 +29,19 @@
 			break
 		}
 		fmt.Fprintf(text, "now=%d\n", int64(b.Now))
-		for _, it := range b.Items {
+		for _, it := range b.Messages {
 			printItem(text, it)
 		}
 	}
 	golden.Compare(t, "session.read.txt", []byte(text.String()))
 }
 
-func printItem(text *strings.Builder, it Item) {
+func printItem(text *strings.Builder, it Message) {
 	fmt.Fprintf(text, "instance=%d kind=%d ", it.Instance, int(it.Kind))
 	switch ev := it.Event.(type) {
 	case nil:
 		fmt.Fprintf(text, "seed=%d\n", it.Seed)
-		if it.Kind == Begin {
+		if it.Kind == Start {
 			printSettings(text, &it.Settings)
 		}
 	case routing.EndpointUpdate:
@@ -87,7 +87,7 @@
 // TestGoldenOutput pins the line of each action.
 func TestGoldenOutput(t *testing.T) {
 	us := time.Microsecond
-	text := AppendBy(nil, 12)
+	text := AppendInstance(nil, 12)
 	for _, a := range []routing.Action{
 		routing.SendAttempt{ID: 1<<52 - 1, Server: 1<<32 - 1, FillSource: 7, CopyRank: 3, MaxAge: 1_500_000*us + 999, Deadline: 9312250 * us},
 		routing.SendAttempt{ID: 5, Server: 6, FillSource: 7, CopyRank: 1, JoinFill: true}, routing.SendAttempt{ID: 5, Server: 6, FillSource: 7, Revalidate: true},
@@ -97,5 +97,5 @@
 	} {
 		text = AppendAction(text, a)
 	}
-	golden.Compare(t, "reply.txt", AppendEnd(text))
+	golden.Compare(t, "reply.txt", AppendReplyEnd(text))
 }
--- a/internal/simproto/wire.go
+++ b/internal/simproto/reader.go
@@ -21,12 +21,12 @@
 // The kinds of items in a batch.
 const (
 	Event Kind = iota // an event for a running instance
-	Begin             // an instance starts, with nothing but its settings
+	Start             // an instance starts, with nothing but its settings
 	Stop              // an instance was killed
 )
 
 // Item is one message of a batch, for one instance.
-type Item struct {
+type Message struct {
 	Instance int
 	Kind     Kind
 	Event    routing.Event    // for Event; nil where it is of no use to a decision
@@ -36,89 +36,89 @@
 
 // Batch is all that happened at one time.
 type Batch struct {
-	Now   time.Duration
-	Items []Item
+	Now      time.Duration
+	Messages []Message
 }
 
 // Error tells what is wrong with a line.
-type Error struct {
-	Line  int
-	Field string
-	Why   string
+type ParseError struct {
+	Line   int
+	Field  string
+	Reason string
 }
 
-func (e *Error) Error() string {
-	return fmt.Sprintf("line %d: field %s: %s", e.Line, e.Field, e.Why)
+func (e *ParseError) Error() string {
+	return fmt.Sprintf("line %d: field %s: %s", e.Line, e.Field, e.Reason)
 }
 
 const (
-	maxRequest = 1<<52 - 1
-	maxServer  = 1<<32 - 1
-	maxToken   = 1 << 63
-	maxTime    = math.MaxInt64 / 1000 // microseconds that fit a time.Duration
-	maxIndex   = 1 << 31
+	maxRequestID    = 1<<52 - 1
+	maxServerID     = 1<<32 - 1
+	maxToken        = 1 << 63
+	maxMicroseconds = math.MaxInt64 / 1000 // microseconds that fit a time.Duration
+	maxIndex        = 1 << 31
 )
 
 // Reader reads batches. The numbered server lists outlive a batch, since
 // later messages may name them.
 type Reader struct {
-	in      *bufio.Reader
-	line    int
-	lists   map[uint64][]routing.Server
-	reports map[int][]string // names of the values of a load report, by instance
-	who     int
-	f       fields
+	input      *bufio.Reader
+	line       int
+	catalogs   map[uint64][]routing.Server
+	loadFields map[int][]string // names of the values of a load report, by instance
+	instance   int
+	fields     fields
 }
 
 // NewReader returns a Reader on in.
 func NewReader(in io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(in, 1<<20), lists: map[uint64][]routing.Server{}, reports: map[int][]string{}}
+	return &Reader{input: bufio.NewReaderSize(in, 1<<20), catalogs: map[uint64][]routing.Server{}, loadFields: map[int][]string{}}
 }
 
 // Next reads one batch. It returns io.EOF where the input ends between
 // batches, and an *Error for anything else that is not as it should be.
 func (r *Reader) Next() (Batch, error) {
 	var b Batch
-	name, err := r.read()
+	name, err := r.readLine()
 	if err != nil {
 		return b, err
 	}
 	if name != "TURN" {
-		return b, r.bad("message", "want TURN, got %q", name)
+		return b, r.errorf("message", "want TURN, got %q", name)
 	}
-	b.Now = r.f.time("clock_us")
-	if err := r.f.end(); err != nil {
+	b.Now = r.fields.duration("clock_us")
+	if err := r.fields.end(); err != nil {
 		return b, err
 	}
-	r.who = -1
+	r.instance = -1
 	for {
-		name, err := r.read()
+		name, err := r.readLine()
 		if err == io.EOF {
-			return b, r.bad("message", "input ends inside a batch")
+			return b, r.errorf("message", "input ends inside a batch")
 		}
 		if err != nil {
 			return b, err
 		}
 		if name == "END" {
-			return b, r.f.end()
+			return b, r.fields.end()
 		}
-		it, ok, err := r.message(name)
+		it, ok, err := r.parseMessage(name)
 		if err != nil {
 			return b, err
 		}
 		if ok {
-			b.Items = append(b.Items, it)
+			b.Messages = append(b.Messages, it)
 		}
 	}
 }
 
-func (r *Reader) bad(field, why string, a ...any) error {
-	return &Error{r.line, field, fmt.Sprintf(why, a...)}
+func (r *Reader) errorf(field, why string, a ...any) error {
+	return &ParseError{r.line, field, fmt.Sprintf(why, a...)}
 }
 
 // read takes the next line and splits it; it returns the message's name.
-func (r *Reader) read() (string, error) {
-	s, err := r.in.ReadString('\n')
+func (r *Reader) readLine() (string, error) {
+	s, err := r.input.ReadString('\n')
 	if err == io.EOF && s == "" {
 		return "", io.EOF
 	}
@@ -127,111 +127,111 @@
 	}
 	r.line++
 	if err == io.EOF {
-		return "", r.bad("message", "line is cut short")
+		return "", r.errorf("message", "line is cut short")
 	}
 	name, rest, more := strings.Cut(strings.TrimSuffix(s, "\n"), " ")
-	r.f = fields{line: r.line, rest: rest, more: more}
+	r.fields = fields{line: r.line, rest: rest, more: more}
 	return name, nil
 }
 
 // message parses one message; ok is false where it makes no item by itself.
-func (r *Reader) message(name string) (it Item, ok bool, err error) {
-	f := &r.f
+func (r *Reader) parseMessage(name string) (it Message, ok bool, err error) {
+	f := &r.fields
 	switch name {
 	case "SELECT":
-		r.who = int(f.num("who", maxIndex))
+		r.instance = int(f.unsigned("who", maxIndex))
 		return it, false, f.end()
 	case "CATALOG":
-		return it, false, r.catalog()
+		return it, false, r.readCatalog()
 	}
-	if r.who < 0 {
-		return it, false, r.bad("message", "%q before any SELECT, or unknown", name)
+	if r.instance < 0 {
+		return it, false, r.errorf("message", "%q before any SELECT, or unknown", name)
 	}
-	it.Instance = r.who
+	it.Instance = r.instance
 	switch name {
 	case "BEGIN":
-		it.Kind = Begin
-		it.Seed = f.num("random_seed", math.MaxUint64)
+		it.Kind = Start
+		it.Seed = f.unsigned("random_seed", math.MaxUint64)
 		var report []string
 		it.Settings, report = f.settings()
-		r.reports[r.who] = report
+		r.loadFields[r.instance] = report
 	case "TEARDOWN":
 		it.Kind = Stop
 	case "DIRECTORY_UPDATE":
-		it.Event = r.members()
+		it.Event = r.endpointUpdate()
 	case "INGRESS":
 		it.Event = f.request()
 	case "VERDICT":
-		it.Event = f.outcome(r.reports[r.who])
+		it.Event = f.outcome(r.loadFields[r.instance])
 	case "WAKEUP":
-		it.Event = routing.TimerFired{Token: f.num("nonce", maxToken)}
+		it.Event = routing.TimerFired{Token: f.unsigned("nonce", maxToken)}
 	case "OUTDATED":
-		it.Event = routing.Purge{Group: int(f.num("set_no", maxIndex)), Age: f.time("how_old_us"), Object: f.object("key")}
+		it.Event = routing.Purge{Group: int(f.unsigned("set_no", maxIndex)), Age: f.duration("how_old_us"), Object: f.object("key")}
 	case "LEFT":
-		it.Event = routing.ClientDisconnected{ID: routing.RequestID(f.num("id", maxRequest))}
+		it.Event = routing.ClientDisconnected{ID: routing.RequestID(f.unsigned("id", maxRequestID))}
 	case "FIRST_BYTE":
-		f.num("id", maxRequest)
-		f.time("cost_time_us")
-		f.num("server", maxServer)
-		f.num("leg", maxIndex)
+		f.unsigned("id", maxRequestID)
+		f.duration("cost_time_us")
+		f.unsigned("server", maxServerID)
+		f.unsigned("leg", maxIndex)
 	case "PROBED":
-		f.time("cost_time_us")
+		f.duration("cost_time_us")
 		f.result("status")
-		f.num("server", maxServer)
-		f.load("pressure", r.reports[r.who])
+		f.unsigned("server", maxServerID)
+		f.load("pressure", r.loadFields[r.instance])
 	case "MEMO":
-		f.num("author", maxIndex)
-		f.next("msg")
+		f.unsigned("author", maxIndex)
+		f.nextValue("msg")
 	default:
-		return it, false, r.bad("message", "unknown message %q", name)
+		return it, false, r.errorf("message", "unknown message %q", name)
 	}
 	return it, it.Kind != Event || it.Event != nil, f.end()
 }
 
 // catalog reads a numbered list of servers.
-func (r *Reader) catalog() error {
-	no, n := r.f.num("roster_id", 15), r.f.num("rows_in", maxIndex)
-	if err := r.f.end(); err != nil {
+func (r *Reader) readCatalog() error {
+	no, n := r.fields.unsigned("roster_id", 15), r.fields.unsigned("rows_in", maxIndex)
+	if err := r.fields.end(); err != nil {
 		return err
 	}
 	var list []routing.Server
 	for ; n > 0; n-- {
-		name, err := r.read()
+		name, err := r.readLine()
 		if err != nil && err != io.EOF {
 			return err
 		}
 		if name != "ITEM" {
-			return r.bad("message", "want ITEM, got %q", name)
+			return r.errorf("message", "want ITEM, got %q", name)
 		}
-		f := &r.f
+		f := &r.fields
 		s := routing.Server{
-			ID:        routing.ServerID(f.num("server", maxServer)),
-			Zone:      int(f.num("site", maxIndex)),
-			Kind:      int(f.num("model", maxIndex)),
-			Cell:      int(f.num("pack", maxIndex)),
-			Phase:     routing.Phase(f.num("phase", 2)),
-			Weight:    f.real("power_hint"),
-			StartedAt: f.time("last_start_us"),
+			ID:        routing.ServerID(f.unsigned("server", maxServerID)),
+			Zone:      int(f.unsigned("site", maxIndex)),
+			Kind:      int(f.unsigned("model", maxIndex)),
+			Cell:      int(f.unsigned("pack", maxIndex)),
+			Phase:     routing.Phase(f.unsigned("phase", 2)),
+			Weight:    f.float("power_hint"),
+			StartedAt: f.duration("last_start_us"),
 		}
 		if err := f.end(); err != nil {
 			return err
 		}
 		list = append(list, s)
 	}
-	r.lists[no] = list
+	r.catalogs[no] = list
 	return nil
 }
 
-func (r *Reader) members() routing.Event {
-	f := &r.f
-	form := f.num("form", 3)
-	f.num("revision", math.MaxUint64)
+func (r *Reader) endpointUpdate() routing.Event {
+	f := &r.fields
+	form := f.unsigned("form", 3)
+	f.unsigned("revision", math.MaxUint64)
 	if form == 3 {
-		f.next("roster_id")
+		f.nextValue("roster_id")
 		return routing.EndpointUpdate{Failed: true}
 	}
-	no := f.num("roster_id", 15)
-	list, known := r.lists[no]
+	no := f.unsigned("roster_id", 15)
+	list, known := r.catalogs[no]
 	if !known && f.err == nil {
 		f.fail("roster_id", "no CATALOG with this number")
 	}
@@ -248,7 +248,7 @@
 
 func (f *fields) fail(field, why string) {
 	if f.err == nil {
-		f.err = &Error{f.line, field, why}
+		f.err = &ParseError{f.line, field, why}
 	}
 }
 
@@ -260,7 +260,7 @@
 	return f.err
 }
 
-func (f *fields) next(field string) string {
+func (f *fields) nextValue(field string) string {
 	if !f.more {
 		f.fail(field, "missing")
 		return "-"
@@ -274,8 +274,8 @@
 }
 
 // num reads a whole number up to max; an absent one is 0.
-func (f *fields) num(field string, max uint64) uint64 {
-	s := f.next(field)
+func (f *fields) unsigned(field string, max uint64) uint64 {
+	s := f.nextValue(field)
 	if s == "-" {
 		return 0
 	}
@@ -287,13 +287,13 @@
 	return n
 }
 
-func (f *fields) time(field string) time.Duration {
-	return time.Duration(f.num(field, maxTime)) * time.Microsecond
+func (f *fields) duration(field string) time.Duration {
+	return time.Duration(f.unsigned(field, maxMicroseconds)) * time.Microsecond
 }
 
 // real reads a number that is not negative; an absent one is 0.
-func (f *fields) real(field string) float64 {
-	s := f.next(field)
+func (f *fields) float(field string) float64 {
+	s := f.nextValue(field)
 	if s == "-" {
 		return 0
 	}
@@ -307,7 +307,7 @@
 
 // object reads 16 hex digits; 0 and an absent one are no object.
 func (f *fields) object(field string) routing.ObjectID {
-	s := f.next(field)
+	s := f.nextValue(field)
 	if s == "-" || s == "0" {
 		return 0
 	}
@@ -320,16 +320,16 @@
 
 func (f *fields) request() routing.Event {
 	q := routing.Request{
-		ID:         routing.RequestID(f.num("id", maxRequest)),
-		PurgeGroup: int(f.num("label_no", maxIndex)),
-		Timeout:    f.time("grace_us"),
-		Chunk:      int(f.num("slice", maxIndex)),
+		ID:         routing.RequestID(f.unsigned("id", maxRequestID)),
+		PurgeGroup: int(f.unsigned("label_no", maxIndex)),
+		Timeout:    f.duration("grace_us"),
+		Chunk:      int(f.unsigned("slice", maxIndex)),
 	}
-	f.num("project", maxIndex)
-	q.ClientRetry = f.num("opts", maxIndex)&2 != 0
+	f.unsigned("project", maxIndex)
+	q.ClientRetry = f.unsigned("opts", maxIndex)&2 != 0
 	q.Object = f.object("key")
-	q.SizeKB = f.real("length_kb")
-	q.Class = int(f.num("class", maxIndex))
+	q.SizeKB = f.float("length_kb")
+	q.Class = int(f.unsigned("class", maxIndex))
 	return q
 }
 
@@ -340,7 +340,7 @@
 }
 
 func (f *fields) result(field string) routing.Result {
-	s := f.next(field)
+	s := f.nextValue(field)
 	res, ok := results[s]
 	if !ok {
 		f.fail(field, fmt.Sprintf("unknown status %q", s))
@@ -350,15 +350,15 @@
 
 func (f *fields) outcome(report []string) routing.Event {
 	o := routing.Outcome{
-		ID:          routing.RequestID(f.num("id", maxRequest)),
+		ID:          routing.RequestID(f.unsigned("id", maxRequestID)),
 		Result:      f.result("status"),
-		Server:      routing.ServerID(f.num("server", maxServer)),
-		SourceWait:  f.time("waited_us"),
-		CacheStatus: routing.CacheStatus(f.num("note", 10)),
-		Duration:    f.time("cost_time_us"),
+		Server:      routing.ServerID(f.unsigned("server", maxServerID)),
+		SourceWait:  f.duration("waited_us"),
+		CacheStatus: routing.CacheStatus(f.unsigned("note", 10)),
+		Duration:    f.duration("cost_time_us"),
 	}
-	o.Attempt = int(f.num("leg", maxIndex))
-	o.RequestDone = f.num("done_flag", 1) == 1
+	o.Attempt = int(f.unsigned("leg", maxIndex))
+	o.RequestDone = f.unsigned("done_flag", 1) == 1
 	o.Load = f.load("pressure", report)
 	return o
 }
@@ -367,7 +367,7 @@
 func (f *fields) load(field string, names []string) routing.LoadReport {
 	nan := math.NaN()
 	l := routing.LoadReport{Inflight: nan, CPUUtilization: nan, HitRatio: nan, LinkUtilization: nan}
-	s := f.next(field)
+	s := f.nextValue(field)
 	if s == "-" {
 		return l
 	}
@@ -400,12 +400,12 @@
 }
 
 // AppendBy appends the line that gives the following actions to an instance.
-func AppendBy(dst []byte, instance int) []byte {
+func AppendInstance(dst []byte, instance int) []byte {
 	return append(strconv.AppendInt(append(dst, "BY "...), int64(instance), 10), '\n')
 }
 
 // AppendEnd appends the line that ends a reply.
-func AppendEnd(dst []byte) []byte { return append(dst, "NEXT\n"...) }
+func AppendReplyEnd(dst []byte) []byte { return append(dst, "NEXT\n"...) }
 
 // AppendAction appends the line of one action.
 func AppendAction(dst []byte, a routing.Action) []byte {
--- a/internal/simproto/wire_test.go
+++ b/internal/simproto/reader_test.go
@@ -12,16 +12,16 @@
 	"garnetline/routing"
 )
 
-const begin = "SELECT 3\nBEGIN 7 areas=hub,edge zone=1 machine_types=a,parent,origin family_info.second_tier_kind=1 " +
+const startLine = "SELECT 3\nBEGIN 7 areas=hub,edge zone=1 machine_types=a,parent,origin family_info.second_tier_kind=1 " +
 	"family_info.root_kind=2 classes.count=2 classes.0.aim_us=600000 classes.0.deadline_us=6000000 " +
 	"classes.1.effect=idempotency_key classes.1.group=zone classes.1.deadline_us=3000000 " +
 	"family_info.class_write=false,true family_info.seats_by_zone=0,1 telemetry.fields=cpu,x0,x1 " +
 	"limits.try_limit=6 limits.retry_after=true limits.max_retry_after_us=500000 new_key=x weights=rough\n"
 
-func turn(lines string) string { return "TURN 8412250\n" + lines + "END\n" }
+func batch(lines string) string { return "TURN 8412250\n" + lines + "END\n" }
 
 // read returns the items of all batches.
-func read(s string) (items []Item, err error) {
+func readAll(s string) (items []Message, err error) {
 	r := NewReader(strings.NewReader(s))
 	for {
 		b, err := r.Next()
@@ -31,7 +31,7 @@
 		if err != nil {
 			return items, err
 		}
-		items = append(items, b.Items...)
+		items = append(items, b.Messages...)
 	}
 }
 
@@ -54,7 +54,7 @@
 			{ID: 51530247, Phase: routing.Ready, Weight: 1},
 			{ID: 747639282, Zone: 1, Kind: 2, Cell: 5, Phase: routing.Draining, Weight: 1.5, StartedAt: 6100000 * us}}},
 	} {
-		items, err := read(turn(list + begin + line + "\n"))
+		items, err := readAll(batch(list + startLine + line + "\n"))
 		if err != nil || len(items) != 2 {
 			t.Errorf("%s: %v, %v", line, items, err)
 			continue
@@ -71,7 +71,7 @@
 }
 
 func TestSettings(t *testing.T) {
-	items, err := read(turn(begin))
+	items, err := readAll(batch(startLine))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 	if s.Routers != 1 || s.AllowBypass || s.Classes[0].Idempotency != routing.Idempotent || s.HitStatusOnly || s.OriginStopsOnOverload {
 		t.Errorf("defaults: %+v", s)
 	}
-	items, err = read(turn(strings.Replace(begin, "new_key=x", "family_info.note_level=hit family_info.origin_limit_factor=2.5", 1)))
+	items, err = readAll(batch(strings.Replace(startLine, "new_key=x", "family_info.note_level=hit family_info.origin_limit_factor=2.5", 1)))
 	if err != nil || !items[0].Settings.HitStatusOnly || !items[0].Settings.OriginStopsOnOverload {
 		t.Errorf("hits alone, and an origin that stops: %+v %v", items, err)
 	}
@@ -94,32 +94,32 @@
 
 func TestBadInput(t *testing.T) {
 	for _, c := range []struct{ name, in, want string }{
-		{"unknown message", turn("SELECT 3\nNONSENSE 1\n"), "line 3: field message"},
-		{"no instance", turn("WAKEUP 1\n"), "line 2: field message"},
+		{"unknown message", batch("SELECT 3\nNONSENSE 1\n"), "line 3: field message"},
+		{"no instance", batch("WAKEUP 1\n"), "line 2: field message"},
 		{"not a batch", "END\n", "line 1: field message"},
 		{"inside a batch", "TURN 5\nSELECT 3\n", "line 2: field message"},
 		{"cut short", "TURN 5\nSEL", "line 2: field message"},
 		{"no clock", "TURN\n", "line 1: field clock_us"},
-		{"negative", turn("SELECT -3\n"), "line 2: field who"},
-		{"too few", turn(begin + "INGRESS 5 1 2\n"), "line 4: field slice"},
-		{"too many", turn(begin + "WAKEUP 5 6\n"), "line 4: field end of line"},
-		{"request id", turn(begin + "LEFT 4503599627370496\n"), "line 4: field id"},
-		{"server id", turn("CATALOG 0 1\nITEM 4294967296 0 0 0 1 1 -\n"), "line 3: field server"},
-		{"phase", turn("CATALOG 0 1\nITEM 1 0 0 0 3 1 -\n"), "line 3: field phase"},
-		{"no item", turn("CATALOG 0 1\n"), "line 3: field message"},
-		{"no catalog", turn(begin + "DIRECTORY_UPDATE 2 41 9\n"), "line 4: field roster_id"},
-		{"status", turn(begin + "VERDICT 5 fine 1 - - 5 0 1 -\n"), "line 4: field status"},
-		{"note", turn(begin + "VERDICT 5 served 1 - 11 5 0 1 -\n"), "line 4: field note"},
-		{"report", turn(begin + "VERDICT 5 served 1 - 1 5 0 1 0.5\n"), "line 4: field pressure"},
-		{"not a number", turn(begin + "VERDICT 5 served 1 - 1 5 0 1 a,b,c\n"), "line 4: field pressure"},
-		{"object", turn(begin + "OUTDATED 1 5 zz\n"), "line 4: field key"},
-		{"time", turn(begin + "OUTDATED 1 99999999999999999999 -\n"), "line 4: field how_old_us"},
-		{"setting", turn("SELECT 3\nBEGIN 7 zone=x\n"), "line 3: field zone"},
-		{"no pair", turn("SELECT 3\nBEGIN 7 zone\n"), "line 3: field info"},
-		{"word", turn("SELECT 3\nBEGIN 7 classes.count=1 classes.0.effect=maybe\n"), "field classes.0.effect"},
-		{"lists", turn("SELECT 3\nBEGIN 7 classes.count=2 family_info.class_write=true\n"), "field family_info.class_write"},
+		{"negative", batch("SELECT -3\n"), "line 2: field who"},
+		{"too few", batch(startLine + "INGRESS 5 1 2\n"), "line 4: field slice"},
+		{"too many", batch(startLine + "WAKEUP 5 6\n"), "line 4: field end of line"},
+		{"request id", batch(startLine + "LEFT 4503599627370496\n"), "line 4: field id"},
+		{"server id", batch("CATALOG 0 1\nITEM 4294967296 0 0 0 1 1 -\n"), "line 3: field server"},
+		{"phase", batch("CATALOG 0 1\nITEM 1 0 0 0 3 1 -\n"), "line 3: field phase"},
+		{"no item", batch("CATALOG 0 1\n"), "line 3: field message"},
+		{"no catalog", batch(startLine + "DIRECTORY_UPDATE 2 41 9\n"), "line 4: field roster_id"},
+		{"status", batch(startLine + "VERDICT 5 fine 1 - - 5 0 1 -\n"), "line 4: field status"},
+		{"note", batch(startLine + "VERDICT 5 served 1 - 11 5 0 1 -\n"), "line 4: field note"},
+		{"report", batch(startLine + "VERDICT 5 served 1 - 1 5 0 1 0.5\n"), "line 4: field pressure"},
+		{"not a number", batch(startLine + "VERDICT 5 served 1 - 1 5 0 1 a,b,c\n"), "line 4: field pressure"},
+		{"object", batch(startLine + "OUTDATED 1 5 zz\n"), "line 4: field key"},
+		{"time", batch(startLine + "OUTDATED 1 99999999999999999999 -\n"), "line 4: field how_old_us"},
+		{"setting", batch("SELECT 3\nBEGIN 7 zone=x\n"), "line 3: field zone"},
+		{"no pair", batch("SELECT 3\nBEGIN 7 zone\n"), "line 3: field info"},
+		{"word", batch("SELECT 3\nBEGIN 7 classes.count=1 classes.0.effect=maybe\n"), "field classes.0.effect"},
+		{"lists", batch("SELECT 3\nBEGIN 7 classes.count=2 family_info.class_write=true\n"), "field family_info.class_write"},
 	} {
-		if _, err := read(c.in); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := readAll(c.in); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: error %v, want %s", c.name, err, c.want)
 		}
 	}
@@ -140,18 +140,18 @@
 			t.Errorf("%T: got %q, want %q", a, got, want)
 		}
 	}
-	if got := string(AppendEnd(AppendBy(nil, 3))); got != "BY 3\nNEXT\n" {
+	if got := string(AppendReplyEnd(AppendInstance(nil, 3))); got != "BY 3\nNEXT\n" {
 		t.Errorf("got %q", got)
 	}
 }
 
 func FuzzReader(f *testing.F) {
-	f.Add(turn(begin + "INGRESS 5 1 240000 3 0 1 91f03b7c55d20a64 640 0\nWAKEUP 1\n"))
-	f.Add(turn("CATALOG 0 1\nITEM 1 0 0 0 1 1 -\n" + begin + "DIRECTORY_UPDATE 2 41 0\n"))
+	f.Add(batch(startLine + "INGRESS 5 1 240000 3 0 1 91f03b7c55d20a64 640 0\nWAKEUP 1\n"))
+	f.Add(batch("CATALOG 0 1\nITEM 1 0 0 0 1 1 -\n" + startLine + "DIRECTORY_UPDATE 2 41 0\n"))
 	f.Add("TURN 5\nEND\nTURN")
 	f.Fuzz(func(t *testing.T, in string) {
-		_, err := read(in)
-		var e *Error
+		_, err := readAll(in)
+		var e *ParseError
 		if err != nil && (!errors.As(err, &e) || e.Line < 1 || e.Field == "") {
 			t.Errorf("error without line or field: %v", err)
 		}
--- a/internal/testcluster/bans_test.go
+++ b/internal/testcluster/bans_test.go
@@ -18,7 +18,7 @@
 // banStatus is what a router shows of the register's bans.
 func banStatus(t *testing.T, x *Router) *bans.Status {
 	t.Helper()
-	code, b, err := x.Door("GET", "/fleet/bans")
+	code, b, err := x.CallAdmin("GET", "/fleet/bans")
 	p := &bans.Status{}
 	if err != nil || code != 200 || json.Unmarshal(b, p) != nil {
 		t.Fatalf("%s: /fleet/bans: %d %s %v", x.Name, code, b, err)
@@ -27,9 +27,9 @@
 }
 
 // filed waits until routers have read from the register that a box is out, or in.
-func filed(t *testing.T, r *Rig, box string, out bool, by string, at ...*Router) {
+func filed(t *testing.T, r *Cluster, box string, out bool, by string, at ...*Router) {
 	t.Helper()
-	must(t, fmt.Sprintf("%s filed as out %v by %q", box, out, by))(r.Until("filed", within, func() (bool, string) {
+	must(t, fmt.Sprintf("%s filed as out %v by %q", box, out, by))(r.WaitUntil("filed", within, func() (bool, string) {
 		for _, x := range at {
 			if l := banStatus(t, x).Bans; !slices.ContainsFunc(l, func(b bans.Ban) bool { return b.Server == box && b.Disabled == out && strings.Contains(b.SetBy, by) }) {
 				return false, fmt.Sprintf("%s: %+v", x.Name, l)
@@ -41,7 +41,7 @@
 
 func staff(t *testing.T, x *Router, call string, want int) {
 	t.Helper()
-	if code, b, err := x.Door("POST", call); err != nil || code != want {
+	if code, b, err := x.CallAdmin("POST", call); err != nil || code != want {
 		t.Fatalf("%s %s: %d %s %v", x.Name, call, code, b, err)
 	}
 }
@@ -52,13 +52,13 @@
 // ban is the register's. While a majority of electors is down a box can be taken out, and
 // not let in; when it is back all is filed, and the boxes come back by one call each.
 func TestBansAreKept(t *testing.T) {
-	r := fleetOf(t, Options{Routers: 8, Boxes: 4, Electors: 5, Duties: " bans {\n  every_ms = 200\n }\n", Seed: 31})
-	one, two, three := r.Boxes[0].ID.String(), r.Boxes[1].ID.String(), r.Boxes[2].ID.String()
+	r := fleetOf(t, Options{Routers: 8, Servers: 4, Voters: 5, LeaseSettings: " bans {\n  every_ms = 200\n }\n", Seed: 31})
+	one, two, three := r.Servers[0].ID.String(), r.Servers[1].ID.String(), r.Servers[2].ID.String()
 	all := r.Routers
-	l := r.Load(50*time.Millisecond, all...)
+	l := r.StartLoad(50*time.Millisecond, all...)
 	staff(t, all[6], "/fleet/bans/disable/"+one+"/0/ada/a%20bad%20disk", 200)
 	filed(t, r, one, true, "ada", all...)
-	must(t, "out at all")(r.Banned(within, one, true, all...))
+	must(t, "out at all")(r.WaitForBan(within, one, true, all...))
 	if p := banStatus(t, all[0]); p.Bans[0].Reason != "a bad disk" || p.Bans[0].SetAt == 0 {
 		t.Errorf("%+v", p)
 	}
@@ -66,25 +66,25 @@
 		out, err := exec.Command(program, append([]string{"fleet", "bans"}, args...)...).CombinedOutput()
 		return fmt.Sprint(string(out), err)
 	}
-	if text := cli("--mgmt", all[3].Mgmt); !strings.Contains(text, one) || !strings.Contains(text, "ada") || !strings.Contains(text, "a bad disk") {
+	if text := cli("--mgmt", all[3].AdminAddr); !strings.Contains(text, one) || !strings.Contains(text, "ada") || !strings.Contains(text, "a bad disk") {
 		t.Errorf("fleet bans: %s", text)
 	}
-	if text := cli("disable", "--mgmt", all[3].Mgmt, "--who", "eve", "--why", "a/b c?", r.Boxes[3].ID.String()); !strings.Contains(text, "done") {
+	if text := cli("disable", "--mgmt", all[3].AdminAddr, "--who", "eve", "--why", "a/b c?", r.Servers[3].ID.String()); !strings.Contains(text, "done") {
 		t.Errorf("fleet bans disable: %s", text)
 	}
-	filed(t, r, r.Boxes[3].ID.String(), true, "eve", all...)
-	if text := cli("enable", "--mgmt", all[2].Mgmt, r.Boxes[3].ID.String()); !strings.Contains(text, "done") {
+	filed(t, r, r.Servers[3].ID.String(), true, "eve", all...)
+	if text := cli("enable", "--mgmt", all[2].AdminAddr, r.Servers[3].ID.String()); !strings.Contains(text, "done") {
 		t.Errorf("fleet bans enable: %s", text)
 	}
-	filed(t, r, r.Boxes[3].ID.String(), false, "", all...)
+	filed(t, r, r.Servers[3].ID.String(), false, "", all...)
 	staff(t, all[0], "/fleet/bans/enable/"+one+"/1/bob/an%20older%20view", 503)
 
 	for _, x := range all {
-		l.Excuse(x, true)
+		l.SetExcused(x, true)
 		x.Kill()
 	}
 	for _, x := range all { // all that routers keep by themselves is lost: the electors' logs alone know
-		left, err := filepath.Glob(filepath.Join(x.State(), "*"))
+		left, err := filepath.Glob(filepath.Join(x.StateDir(), "*"))
 		no(t, err)
 		for _, f := range left {
 			if !strings.Contains(f, "elector") && !strings.HasSuffix(f, "seat") {
@@ -94,23 +94,23 @@
 		no(t, x.Start())
 	}
 	for _, x := range all {
-		must(t, x.Name+" is ready")(r.Until("ready", within, func() (bool, string) {
-			code, _, err := x.Door("GET", "/ready")
+		must(t, x.Name+" is ready")(r.WaitUntil("ready", within, func() (bool, string) {
+			code, _, err := x.CallAdmin("GET", "/ready")
 			return code == 200, fmt.Sprint(code, err)
 		}))
 		if p := banStatus(t, x); !slices.Contains(p.DisabledHere, one) {
 			t.Errorf("%s is ready, and has not taken out what the register has: %+v", x.Name, p)
 		}
 	}
-	must(t, "all are back")(r.Alike(within, all...))
+	must(t, "all are back")(r.WaitForConvergence(within, all...))
 	for _, x := range all {
-		l.Excuse(x, false)
+		l.SetExcused(x, false)
 	}
 
 	most, few := all[:6], all[6:]
 	for _, a := range few {
 		for _, b := range most {
-			r.Net.Both(a.Way(), b.Way(), faultproxy.Fault{Cut: true})
+			r.Proxy.SetBoth(a.ProxyName(), b.ProxyName(), faultproxy.Fault{Partitioned: true})
 		}
 	}
 	staff(t, few[0], "/caches/disable/"+two, 200)
@@ -120,37 +120,37 @@
 	}
 	staff(t, most[0], "/caches/disable/"+three, 200)
 	filed(t, r, three, true, "r00", most...)
-	r.Net.Heal()
+	r.Proxy.Heal()
 	filed(t, r, two, true, "r06", all...)
-	must(t, "the minority's ban is all's")(r.Banned(within, two, true, all...))
+	must(t, "the minority's ban is all's")(r.WaitForBan(within, two, true, all...))
 
 	for _, x := range all[:3] {
-		l.Excuse(x, true)
+		l.SetExcused(x, true)
 		x.Kill()
 	}
 	staff(t, all[5], "/caches/enable/"+two, 503)
-	four := r.Boxes[3].ID.String()
+	four := r.Servers[3].ID.String()
 	staff(t, all[5], "/caches/disable/"+four, 200)
 	for _, x := range all[:3] {
 		no(t, x.Start())
 	}
-	must(t, "electors are back")(r.Alike(within, all...))
+	must(t, "electors are back")(r.WaitForConvergence(within, all...))
 	filed(t, r, four, true, "r05", all...)
 	for i, box := range []string{one, two, three, four} {
-		must(t, box+" is let in")(r.Until("enabled", within, func() (bool, string) {
-			code, b, err := all[i].Door("POST", "/caches/enable/"+box)
+		must(t, box+" is let in")(r.WaitUntil("enabled", within, func() (bool, string) {
+			code, b, err := all[i].CallAdmin("POST", "/caches/enable/"+box)
 			return code == 200, fmt.Sprintf("%d %s %v", code, b, err)
 		}))
-		must(t, box+" is in at all")(r.Banned(within, box, false, all...))
+		must(t, box+" is in at all")(r.WaitForBan(within, box, false, all...))
 		filed(t, r, box, false, all[i].Name, all...)
 	}
 	for _, x := range all {
 		if p := banStatus(t, x); len(p.DisabledHere) != 0 {
 			t.Errorf("%s: %+v", x.Name, p)
 		}
-		if _, err := os.Stat(filepath.Join(x.State(), "garnetline-bans.json")); err != nil {
+		if _, err := os.Stat(filepath.Join(x.StateDir(), "garnetline-bans.json")); err != nil {
 			t.Error(err)
 		}
 	}
-	l.End()
+	l.Stop()
 }
--- a/internal/testcluster/rig.go
+++ b/internal/testcluster/cluster.go
@@ -31,85 +31,85 @@
 
 // Options say what is started.
 type Options struct {
-	Program  string   // the daemon's path
-	Env      []string // further environment of the daemon
-	Routers  int
-	Boxes    int
-	Fleet    bool
-	Electors int    // the first so many routers are electors; 0: no duties
-	Duties   string // further lines of the duties block
-	Bare     bool   // no operators' file at all
-	Lines    string // further lines of the fleet block
-	Seed     uint64
-	Dir      string // for files; made if need be
-	Patience time.Duration
+	Program        string   // the daemon's path
+	Env            []string // further environment of the daemon
+	Routers        int
+	Servers        int
+	Fleet          bool
+	Voters         int    // the first so many routers are electors; 0: no duties
+	LeaseSettings  string // further lines of the duties block
+	NoSettingsFile bool   // no operators' file at all
+	FleetSettings  string // further lines of the fleet block
+	Seed           uint64
+	Dir            string // for files; made if need be
+	Timeout        time.Duration
 }
 
 // Key is the fleet's key in every rig.
-const Key = "a key for routers on loopback"
+const FleetKey = "a key for routers on loopback"
 
 // Rig is what runs.
-type Rig struct {
-	o       Options
-	Net     *faultproxy.Net
-	Boxes   []*Box
-	Log     *fakeserver.Teller
-	Routers []*Router
-	claim   net.Listener
-	base    netip.Addr
-	mu      sync.Mutex
-	began   time.Time
+type Cluster struct {
+	o         Options
+	Proxy     *faultproxy.Proxy
+	Servers   []*Server
+	ChangeLog *fakeserver.ChangeLog
+	Routers   []*Router
+	claim     net.Listener
+	base      netip.Addr
+	mu        sync.Mutex
+	began     time.Time
 }
 
 // Box is a stand-in box with its name on the list.
-type Box struct {
-	*fakeserver.Box
-	ID    routing.ServerID
-	Name  string
-	mu    sync.Mutex
-	fail  bool
-	tries map[string]int // by the request's id
-	asked []time.Time    // when each came
-	acts  []Act
+type Server struct {
+	*fakeserver.Server
+	ID       routing.ServerID
+	Name     string
+	mu       sync.Mutex
+	fail     bool
+	attempts map[string]int // by the request's id
+	asked    []time.Time    // when each came
+	probes   []Probe
 }
 
 // Act is a probe that came, with the token that its tag has.
-type Act struct {
-	Token uint64
-	At    time.Time // by the machine's one clock
+type Probe struct {
+	Token      uint64
+	ReceivedAt time.Time // by the machine's one clock
 }
 
 // gauges answers a probe.
-func (b *Box) gauges(tag string) string {
-	var a Act
+func (b *Server) gauges(tag string) string {
+	var a Probe
 	var n uint64
 	fmt.Sscanf(tag, "p%d.%d", &a.Token, &n)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	a.At = time.Now()
-	b.acts = append(b.acts, a)
+	a.ReceivedAt = time.Now()
+	b.probes = append(b.probes, a)
 	return "l=util:0.5;link:0.5"
 }
 
 // Acts returns the probes that came, in their order.
-func (b *Box) Acts() []Act {
+func (b *Server) Probes() []Probe {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return slices.Clone(b.acts)
+	return slices.Clone(b.probes)
 }
 
 // Router is one router: its files, and its process if it runs.
 type Router struct {
-	Name, Listen, Mgmt, Fleet string // addresses of its own; Mgmt is the newest process's
-	Reached                   string // where the others write to
-	Output                    *fakeserver.Output
-	rig                       *Rig
-	dir                       string
-	conf, ops                 string
-	Electors                  []string // in its file; nil: the rig's
-	socket                    *os.File // of the clients, held for each of its processes
-	lives                     int
-	*process                  // the newest; nil before the first
+	Name, ListenAddr, AdminAddr, FleetAddr string // addresses of its own; Mgmt is the newest process's
+	AdvertisedAddr                         string // where the others write to
+	Output                                 *fakeserver.Output
+	rig                                    *Cluster
+	dir                                    string
+	conf, ops                              string
+	Voters                                 []string // in its file; nil: the rig's
+	socket                                 *os.File // of the clients, held for each of its processes
+	starts                                 int
+	*process                               // the newest; nil before the first
 }
 
 // process is one life of a router.
@@ -124,11 +124,11 @@
 const claimPort = 20017
 
 // Start starts the parties, and the routers one after another without waiting.
-func Start(o Options) (r *Rig, err error) {
-	if o.Patience == 0 {
-		o.Patience = 30 * time.Second
+func Start(o Options) (r *Cluster, err error) {
+	if o.Timeout == 0 {
+		o.Timeout = 30 * time.Second
 	}
-	r = &Rig{o: o, Net: faultproxy.New(o.Seed), began: time.Now()}
+	r = &Cluster{o: o, Proxy: faultproxy.New(o.Seed), began: time.Now()}
 	defer func() {
 		if err != nil {
 			r.Close()
@@ -146,19 +146,19 @@
 	if err != nil {
 		return nil, fmt.Errorf("rig: no loopback addresses to be had: %w", err)
 	}
-	if r.Log, err = fakeserver.NewTeller(1); err != nil {
+	if r.ChangeLog, err = fakeserver.NewChangeLog(1); err != nil {
 		return nil, err
 	}
-	for i := range o.Boxes {
-		b := &Box{ID: routing.ServerID(i + 1), Name: fmt.Sprintf("box%d", i+1), tries: map[string]int{}}
-		if b.Box, err = fakeserver.NewBox(b.reply); err != nil {
+	for i := range o.Servers {
+		b := &Server{ID: routing.ServerID(i + 1), Name: fmt.Sprintf("box%d", i+1), attempts: map[string]int{}}
+		if b.Server, err = fakeserver.NewServer(b.reply); err != nil {
 			return nil, err
 		}
-		b.SetGauges(b.gauges)
-		r.Boxes = append(r.Boxes, b)
+		b.SetLoadReport(b.gauges)
+		r.Servers = append(r.Servers, b)
 	}
 	for i := range o.Routers {
-		if _, err = r.Add(fmt.Sprintf("r%02d", i), i); err != nil {
+		if _, err = r.AddRouter(fmt.Sprintf("r%02d", i), i); err != nil {
 			return nil, err
 		}
 	}
@@ -166,16 +166,16 @@
 }
 
 // at is the i-th address of this rig's part of the loopback.
-func (r *Rig) at(i int) netip.Addr {
+func (r *Cluster) at(i int) netip.Addr {
 	b := r.base.As4()
 	b[3] = byte(i)
 	return netip.AddrFrom4(b)
 }
 
-func (b *Box) reply(id, fields string) string {
+func (b *Server) reply(id, fields string) string {
 	b.mu.Lock()
 	fail := b.fail
-	b.tries[id]++
+	b.attempts[id]++
 	b.asked = append(b.asked, time.Now())
 	b.mu.Unlock()
 	if fail {
@@ -185,22 +185,22 @@
 }
 
 // Tries returns how often each request came.
-func (b *Box) Tries() map[string]int {
+func (b *Server) Attempts() map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return maps.Clone(b.tries)
+	return maps.Clone(b.attempts)
 }
 
 // Asked returns how many requests came.
-func (b *Box) Asked() (n int) {
-	for _, k := range b.Tries() {
+func (b *Server) RequestCount() (n int) {
+	for _, k := range b.Attempts() {
 		n += k
 	}
 	return n
 }
 
 // Between returns how many requests came from one moment until another.
-func (b *Box) Between(from, to time.Time) (n int) {
+func (b *Server) RequestsBetween(from, to time.Time) (n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, at := range b.asked {
@@ -212,7 +212,7 @@
 }
 
 // SetFail has a box fail all that it is sent, or serve again.
-func (b *Box) SetFail(on bool) {
+func (b *Server) SetFailing(on bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fail = on
@@ -226,49 +226,49 @@
 
 // Add starts a further router with a name, in the i-th place of the fleet. Two may have
 // one name: each has files of its own.
-func (r *Rig) Add(name string, i int) (*Router, error) {
+func (r *Cluster) AddRouter(name string, i int) (*Router, error) {
 	x := &Router{Name: name, rig: r, dir: filepath.Join(r.o.Dir, fmt.Sprintf("%s-%d", name, i)), Output: &fakeserver.Output{}}
 	ip := r.at(i + 1)
 	port := func(n uint16) string { return netip.AddrPortFrom(ip, n).String() }
-	x.Listen, x.Mgmt, x.Fleet = port(8080), port(8081), port(7946)
-	real := netip.MustParseAddrPort(x.Fleet)
+	x.ListenAddr, x.AdminAddr, x.FleetAddr = port(8080), port(8081), port(7946)
+	real := netip.MustParseAddrPort(x.FleetAddr)
 	way := fmt.Sprintf("%s-%d", name, i)
-	reached, err := r.Net.UDP(way, real)
+	reached, err := r.Proxy.UDP(way, real)
 	if err != nil {
 		return nil, err
 	}
-	x.Reached = reached.String()
+	x.AdvertisedAddr = reached.String()
 	if err := os.MkdirAll(filepath.Join(x.dir, "state"), 0o700); err != nil {
 		return nil, err
 	}
-	log, err := r.Net.TCP(way, "log", r.Log.Addr().String())
+	log, err := r.Proxy.TCP(way, "log", r.ChangeLog.Addr().String())
 	if err != nil {
 		return nil, err
 	}
 	var hosts []string
 	host := func(id routing.ServerID, kind, name, addr string) error {
-		via, err := r.Net.TCP(way, name, addr)
+		via, err := r.Proxy.TCP(way, name, addr)
 		hosts = append(hosts, fmt.Sprintf(`{"host":%q,"dial":%q,"site":"edge","class":%q,"block":0,"health":"ready","share":100,"born_ms":0}`, id, via, kind))
 		return err
 	}
-	for _, b := range r.Boxes {
+	for _, b := range r.Servers {
 		if err := host(b.ID, "box", b.Name, b.Addr().String()); err != nil {
 			return nil, err
 		}
 	}
-	if len(r.Boxes) > 0 {
-		if err := host(250, "origin", "archive", r.Boxes[0].Addr().String()); err != nil {
+	if len(r.Servers) > 0 {
+		if err := host(250, "origin", "archive", r.Servers[0].Addr().String()); err != nil {
 			return nil, err
 		}
 	}
 	conf := fmt.Sprintf(`{"name":%q,"listen":%q,"mgmt":%q,"seed":"%d","limits":{},"changelog":%q,
 "known":{"seq":1,"results":[{"seq":1,"fleet":{"seq":0,"whole":true,"hosts":[%s]}}]},"settings":%s}`,
-		name, x.Listen, x.Mgmt, i+1, log, strings.Join(hosts, ","), fmt.Sprintf(platform, max(1, r.o.Routers)))
+		name, x.ListenAddr, x.AdminAddr, i+1, log, strings.Join(hosts, ","), fmt.Sprintf(platform, max(1, r.o.Routers)))
 	x.conf, x.ops = filepath.Join(x.dir, "config.json"), filepath.Join(x.dir, "garnetline.hcl")
 	if err := os.WriteFile(x.conf, []byte(conf), 0o600); err != nil {
 		return nil, err
 	}
-	if err := x.Settings(Key); err != nil {
+	if err := x.WriteSettings(FleetKey); err != nil {
 		return nil, err
 	}
 	r.mu.Lock()
@@ -278,15 +278,15 @@
 }
 
 // Settings writes a router's operators' file, with the keys given.
-func (x *Router) Settings(keys ...string) error {
+func (x *Router) WriteSettings(keys ...string) error {
 	var join []string
 	x.rig.mu.Lock()
 	for _, o := range x.rig.Routers[:min(3, len(x.rig.Routers))] {
-		join = append(join, fmt.Sprintf("%q", o.Reached))
+		join = append(join, fmt.Sprintf("%q", o.AdvertisedAddr))
 	}
 	x.rig.mu.Unlock()
 	if len(join) == 0 {
-		join = []string{fmt.Sprintf("%q", x.Reached)}
+		join = []string{fmt.Sprintf("%q", x.AdvertisedAddr)}
 	}
 	quoted := make([]string, len(keys))
 	for i, k := range keys {
@@ -295,12 +295,12 @@
 	text := "log {\n level = \"info\"\n}\n"
 	if x.rig.o.Fleet {
 		text += fmt.Sprintf("fleet {\n enabled = true\n name = \"rig\"\n listen = %q\n advertise = %q\n join = [%s]\n keys = [%s]\n%s}\n",
-			x.Fleet, x.Reached, strings.Join(join, ", "), strings.Join(quoted, ", "), x.rig.o.Lines)
+			x.FleetAddr, x.AdvertisedAddr, strings.Join(join, ", "), strings.Join(quoted, ", "), x.rig.o.FleetSettings)
 	}
-	if n := x.rig.o.Electors; n > 0 {
-		names := x.Electors
+	if n := x.rig.o.Voters; n > 0 {
+		names := x.Voters
 		for i := range n {
-			if x.Electors == nil {
+			if x.Voters == nil {
 				names = append(names, fmt.Sprintf("r%02d", i))
 			}
 		}
@@ -308,21 +308,21 @@
 		for i := range names {
 			names[i] = fmt.Sprintf("%q", names[i])
 		}
-		text += fmt.Sprintf("duties {\n enabled = true\n electors = [%s]\n prober {\n  every_ms = 20\n  most_ms = 20\n }\n%s}\n", strings.Join(names, ", "), x.rig.o.Duties)
+		text += fmt.Sprintf("duties {\n enabled = true\n electors = [%s]\n prober {\n  every_ms = 20\n  most_ms = 20\n }\n%s}\n", strings.Join(names, ", "), x.rig.o.LeaseSettings)
 	}
 	return os.WriteFile(x.ops, []byte(text), 0o600)
 }
 
 // State is the router's folder that outlives its process.
-func (x *Router) State() string { return filepath.Join(x.dir, "state") }
+func (x *Router) StateDir() string { return filepath.Join(x.dir, "state") }
 
 // Way is the router's name among the parties of the relay.
-func (x *Router) Way() string { return filepath.Base(x.dir) }
+func (x *Router) ProxyName() string { return filepath.Base(x.dir) }
 
 // Start starts the router's process; it may be its second and later life.
 func (x *Router) Start() error {
 	if x.socket == nil {
-		l, err := net.Listen("tcp", x.Listen)
+		l, err := net.Listen("tcp", x.ListenAddr)
 		if err != nil {
 			return err
 		}
@@ -331,15 +331,15 @@
 			return err
 		}
 	}
-	x.lives++
-	x.Mgmt = netip.AddrPortFrom(netip.MustParseAddrPort(x.Listen).Addr(), uint16(9000+x.lives)).String()
+	x.starts++
+	x.AdminAddr = netip.AddrPortFrom(netip.MustParseAddrPort(x.ListenAddr).Addr(), uint16(9000+x.starts)).String()
 	args := []string{"serve", "--config", x.conf}
-	if !x.rig.o.Bare {
+	if !x.rig.o.NoSettingsFile {
 		args = append(args, "--settings", x.ops)
 	}
 	cmd := exec.Command(x.rig.o.Program, args...)
 	cmd.Env = append(append(os.Environ(), "TMPDIR="+filepath.Join(x.dir, "state"), "GOMAXPROCS=2"), x.rig.o.Env...)
-	cmd.Env = append(cmd.Env, "EDGE_LISTEN_FD=3", "EDGE_MGMT="+x.Mgmt)
+	cmd.Env = append(cmd.Env, "EDGE_LISTEN_FD=3", "EDGE_MGMT="+x.AdminAddr)
 	cmd.ExtraFiles = []*os.File{x.socket}
 	cmd.Stderr = x.Output
 	// A rig that is itself killed leaves nobody behind.
@@ -363,8 +363,8 @@
 	if err := x.Start(); err != nil {
 		return err
 	}
-	if _, err := x.rig.Until(x.Name+"'s successor is ready", x.rig.o.Patience, func() (bool, string) {
-		code, _, err := x.Door("GET", "/ready")
+	if _, err := x.rig.WaitUntil(x.Name+"'s successor is ready", x.rig.o.Timeout, func() (bool, string) {
+		code, _, err := x.CallAdmin("GET", "/ready")
 		return code == 200, fmt.Sprint(code, err)
 	}); err != nil {
 		old.cmd.Process.Kill()
@@ -377,29 +377,29 @@
 	old.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-old.done:
-	case <-time.After(x.rig.o.Patience):
+	case <-time.After(x.rig.o.Timeout):
 		old.cmd.Process.Kill()
-		err = errors.Join(err, fmt.Errorf("%s: the process before is still there after %v", x.Name, x.rig.o.Patience))
+		err = errors.Join(err, fmt.Errorf("%s: the process before is still there after %v", x.Name, x.rig.o.Timeout))
 	}
 	return err
 }
 
 // Slow gives the process a share of a processor by stopping it and having it go on, until
 // the function that it returns is called.
-func (x *Router) Slow(share float64) (end func()) {
+func (x *Router) Throttle(share float64) (end func()) {
 	stop, ended := make(chan struct{}), make(chan struct{})
 	const round = 100 * time.Millisecond
 	go func() {
 		defer close(ended)
-		defer x.Wake()
+		defer x.Resume()
 		for {
-			x.Stall()
+			x.Pause()
 			select {
 			case <-stop:
 				return
 			case <-time.After(time.Duration((1 - share) * float64(round))):
 			}
-			x.Wake()
+			x.Resume()
 			select {
 			case <-stop:
 				return
@@ -433,10 +433,10 @@
 }
 
 // Stall stops the process, Wake has it go on.
-func (x *Router) Stall() error { return x.Signal(syscall.SIGSTOP) }
+func (x *Router) Pause() error { return x.Signal(syscall.SIGSTOP) }
 
 // Wake has a stalled process go on.
-func (x *Router) Wake() error { return x.Signal(syscall.SIGCONT) }
+func (x *Router) Resume() error { return x.Signal(syscall.SIGCONT) }
 
 // Stop ends the process in order. An error is its own, or that it does not end.
 func (x *Router) Stop() error {
@@ -446,14 +446,14 @@
 	select {
 	case <-x.done:
 		return x.exit
-	case <-time.After(x.rig.o.Patience):
-		return fmt.Errorf("%s: still there after %v", x.Name, x.rig.o.Patience)
+	case <-time.After(x.rig.o.Timeout):
+		return fmt.Errorf("%s: still there after %v", x.Name, x.rig.o.Timeout)
 	}
 }
 
 // Status is what the router shows of its fleet.
 func (x *Router) Status() (*fleet.Status, error) {
-	code, b, err := x.Door("GET", "/fleet")
+	code, b, err := x.CallAdmin("GET", "/fleet")
 	if err != nil || code != 200 {
 		return nil, fmt.Errorf("%s: /fleet: %d %v", x.Name, code, err)
 	}
@@ -462,8 +462,8 @@
 }
 
 // Door makes one call at the router's door.
-func (x *Router) Door(method, path string) (int, []byte, error) {
-	return call(x.Mgmt, method+" "+path+" HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 2*time.Second)
+func (x *Router) CallAdmin(method, path string) (int, []byte, error) {
+	return call(x.AdminAddr, method+" "+path+" HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 2*time.Second)
 }
 
 // call says one request on a connection of its own and reads all of the answer.
@@ -490,7 +490,7 @@
 
 // Until waits until a condition holds. ok tells whether it does, and what is seen now;
 // that, and the ends of the routers' logs, are in the error when it does not hold in time.
-func (r *Rig) Until(what string, within time.Duration, ok func() (bool, string)) (took time.Duration, err error) {
+func (r *Cluster) WaitUntil(what string, within time.Duration, ok func() (bool, string)) (took time.Duration, err error) {
 	began := time.Now()
 	for {
 		done, seen := ok()
@@ -506,23 +506,23 @@
 }
 
 // Logs returns the last lines of each router's log.
-func (r *Rig) Logs(lines int) string {
+func (r *Cluster) Logs(lines int) string {
 	var s strings.Builder
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, x := range r.Routers {
 		l := strings.Split(strings.TrimSpace(x.Output.String()), "\n")
-		fmt.Fprintf(&s, "--- %s\n%s\n", x.Way(), strings.Join(l[max(0, len(l)-lines):], "\n"))
+		fmt.Fprintf(&s, "--- %s\n%s\n", x.ProxyName(), strings.Join(l[max(0, len(l)-lines):], "\n"))
 	}
 	return s.String()
 }
 
 // Address is where a box is reached, as the list of each router tells it: by that
 // router's own way. The log of all can tell one address alone, the box's own.
-func (b *Box) Address() netip.AddrPort { return netip.MustParseAddrPort(b.Addr().String()) }
+func (b *Server) Address() netip.AddrPort { return netip.MustParseAddrPort(b.Addr().String()) }
 
 // Close ends all processes and parties that the rig started, and no others.
-func (r *Rig) Close() {
+func (r *Cluster) Close() {
 	for _, x := range r.Routers {
 		if x.process != nil {
 			x.Kill()
@@ -531,16 +531,16 @@
 			x.socket.Close()
 		}
 	}
-	for _, b := range r.Boxes {
-		if b.Box != nil {
+	for _, b := range r.Servers {
+		if b.Server != nil {
 			b.Close()
 		}
 	}
-	if r.Log != nil {
-		r.Log.Close()
+	if r.ChangeLog != nil {
+		r.ChangeLog.Close()
 	}
 	if r.claim != nil {
 		r.claim.Close()
 	}
-	r.Net.Close()
+	r.Proxy.Close()
 }
--- a/internal/testcluster/views.go
+++ b/internal/testcluster/conditions.go
@@ -8,7 +8,7 @@
 )
 
 // Live returns the routers whose processes run and are not among those given.
-func (r *Rig) Live(but ...*Router) (l []*Router) {
+func (r *Cluster) Running(but ...*Router) (l []*Router) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, x := range r.Routers {
@@ -20,7 +20,7 @@
 }
 
 // Seen is how a router sees the others, in a few words that are the same for equal views.
-func (x *Router) Seen() string {
+func (x *Router) MembershipView() string {
 	s, err := x.Status()
 	if err != nil {
 		return err.Error()
@@ -35,8 +35,8 @@
 }
 
 // Alike waits until all of these routers see just these as alive.
-func (r *Rig) Alike(within time.Duration, of ...*Router) (time.Duration, error) {
-	return r.Until(fmt.Sprintf("%d routers see each other as alive and nobody else", len(of)), within, func() (bool, string) {
+func (r *Cluster) WaitForConvergence(within time.Duration, of ...*Router) (time.Duration, error) {
+	return r.WaitUntil(fmt.Sprintf("%d routers see each other as alive and nobody else", len(of)), within, func() (bool, string) {
 		for _, x := range of {
 			s, err := x.Status()
 			if err != nil {
@@ -48,8 +48,8 @@
 					alive++
 				}
 			}
-			if alive != len(of) || strings.Contains(x.Seen(), "suspect") {
-				return false, x.Name + " sees " + x.Seen()
+			if alive != len(of) || strings.Contains(x.MembershipView(), "suspect") {
+				return false, x.Name + " sees " + x.MembershipView()
 			}
 		}
 		return true, ""
@@ -57,8 +57,8 @@
 }
 
 // Sees waits until all of these routers see a router in a state.
-func (r *Rig) Sees(within time.Duration, who *Router, state string, of ...*Router) (time.Duration, error) {
-	return r.Until(who.Name+" is "+state+" in each view", within, func() (bool, string) {
+func (r *Cluster) WaitForState(within time.Duration, who *Router, state string, of ...*Router) (time.Duration, error) {
+	return r.WaitUntil(who.Name+" is "+state+" in each view", within, func() (bool, string) {
 		for _, x := range of {
 			s, err := x.Status()
 			if err != nil {
@@ -66,7 +66,7 @@
 			}
 			as := "unknown"
 			for _, m := range s.Members {
-				if m.Name == who.Name && m.Addr == who.Reached {
+				if m.Name == who.Name && m.Addr == who.AdvertisedAddr {
 					as = m.State
 				}
 			}
@@ -79,7 +79,7 @@
 }
 
 // Told counts the lines of a router's log that hold each of some texts.
-func (x *Router) Told(texts ...string) (n int) {
+func (x *Router) CountLogLines(texts ...string) (n int) {
 	for line := range strings.Lines(x.Output.String()) {
 		all := true
 		for _, t := range texts {
@@ -93,8 +93,8 @@
 }
 
 // Stands waits until all of these routers are in a stance.
-func (r *Rig) Stands(within time.Duration, stance string, of ...*Router) (time.Duration, error) {
-	return r.Until("all are "+stance, within, func() (bool, string) {
+func (r *Cluster) WaitForConnectivity(within time.Duration, stance string, of ...*Router) (time.Duration, error) {
+	return r.WaitUntil("all are "+stance, within, func() (bool, string) {
 		for _, x := range of {
 			s, err := x.Status()
 			if err != nil {
@@ -109,8 +109,8 @@
 }
 
 // Banned waits until a ban of a box holds, or does not, at all of these routers.
-func (r *Rig) Banned(within time.Duration, box string, on bool, at ...*Router) (time.Duration, error) {
-	return r.Until(fmt.Sprintf("%s banned %v", box, on), within, func() (bool, string) {
+func (r *Cluster) WaitForBan(within time.Duration, box string, on bool, at ...*Router) (time.Duration, error) {
+	return r.WaitUntil(fmt.Sprintf("%s banned %v", box, on), within, func() (bool, string) {
 		for _, x := range at {
 			s, err := x.Status()
 			if err != nil {
