--- a/internal/testcluster/fleet_test.go
+++ b/internal/testcluster/fleet_test.go
@@ -62,7 +62,7 @@
 const within = 30 * time.Second
 
 // fleetOf is a fleet in which all see each other and are together.
-func fleetOf(t *testing.T, o Options) *Rig {
+func fleetOf(t *testing.T, o Options) *Cluster {
 	t.Helper()
 	o.Dir, o.Fleet = t.TempDir(), true
 	if o.Program == "" {
@@ -70,17 +70,17 @@
 	}
 	// Slower to accuse than by default: the machine may be busy with other tests, and a
 	// process that gets no processor for a second is to be failed by none of them.
-	o.Lines += " more_room_after_ms = 1000\n probe_ms = 250\n timeout_ms = 120\n suspect_ms = 1500\n"
+	o.FleetSettings += " more_room_after_ms = 1000\n probe_ms = 250\n timeout_ms = 120\n suspect_ms = 1500\n"
 	r, err := Start(o)
 	no(t, err)
 	t.Cleanup(r.Close)
-	must(t, "all joined")(r.Alike(within, r.Routers...))
-	must(t, "all together")(r.Stands(within, "together", r.Routers...))
+	must(t, "all joined")(r.WaitForConvergence(within, r.Routers...))
+	must(t, "all together")(r.WaitForConnectivity(within, "together", r.Routers...))
 	return r
 }
 
 // quiet fails the test where a router that lived was said to have failed by any.
-func quiet(t *testing.T, r *Rig, but ...string) {
+func quiet(t *testing.T, r *Cluster, but ...string) {
 	t.Helper()
 	for _, x := range r.Routers {
 		for line := range strings.Lines(x.Output.String()) {
@@ -101,23 +101,23 @@
 // Eight routers: one is killed, one leaves, both come back, while requests go on. Each
 // request has one whole answer.
 func TestKillLeaveAndComeBack(t *testing.T) {
-	r := fleetOf(t, Options{Routers: 8, Boxes: 3, Seed: 1})
-	l := r.Load(40*time.Millisecond, r.Routers...)
+	r := fleetOf(t, Options{Routers: 8, Servers: 3, Seed: 1})
+	l := r.StartLoad(40*time.Millisecond, r.Routers...)
 	x, y := r.Routers[5], r.Routers[6]
-	l.Excuse(x, true)
+	l.SetExcused(x, true)
 	x.Kill()
-	must(t, "killed one failed")(r.Sees(within, x, "failed", r.Live()...))
-	l.Excuse(y, true)
+	must(t, "killed one failed")(r.WaitForState(within, x, "failed", r.Running()...))
+	l.SetExcused(y, true)
 	no(t, y.Stop())
-	must(t, "one that left has left")(r.Sees(within, y, "left", r.Live()...))
+	must(t, "one that left has left")(r.WaitForState(within, y, "left", r.Running()...))
 	no(t, x.Start())
 	no(t, y.Start())
-	must(t, "both back")(r.Alike(within, r.Routers...))
-	if n := r.Routers[0].Told(`"what":"failed"`, `"member":"`+y.Name+`"`); n != 0 {
+	must(t, "both back")(r.WaitForConvergence(within, r.Routers...))
+	if n := r.Routers[0].CountLogLines(`"what":"failed"`, `"member":"`+y.Name+`"`); n != 0 {
 		t.Errorf("one that left was said to have failed")
 	}
-	l.Excuse(x, false)
-	l.Excuse(y, false)
+	l.SetExcused(x, false)
+	l.SetExcused(y, false)
 	end(t, l)
 	quiet(t, r, x.Name)
 }
@@ -125,36 +125,36 @@
 // end ends a load and checks what it saw.
 func end(t *testing.T, l *Load) {
 	t.Helper()
-	res := l.End()
-	if err := res.Check(0.98); err != nil || res.Asked < 20 {
-		t.Errorf("%d asked: %v", res.Asked, err)
+	res := l.Stop()
+	if err := res.Check(0.98); err != nil || res.Requests < 20 {
+		t.Errorf("%d asked: %v", res.Requests, err)
 	}
-	t.Logf("%d requests, p50 %v, p99 %v, %v", res.Asked, res.P50, res.P99, res.Statuses)
+	t.Logf("%d requests, p50 %v, p99 %v, %v", res.Requests, res.P50, res.P99, res.Statuses)
 }
 
 // A cut into halves, and one in which two sides see each other through one router; all
 // views are alike after each has healed. Requests go on through all of it.
 func TestCuts(t *testing.T) {
-	r := fleetOf(t, Options{Routers: 8, Boxes: 3, Seed: 2})
-	l := r.Load(50*time.Millisecond, r.Routers...)
+	r := fleetOf(t, Options{Routers: 8, Servers: 3, Seed: 2})
+	l := r.StartLoad(50*time.Millisecond, r.Routers...)
 	ways := func(l []*Router) (w []string) {
 		for _, x := range l {
-			w = append(w, x.Way())
+			w = append(w, x.ProxyName())
 		}
 		return w
 	}
 	a, b := r.Routers[:4], r.Routers[4:]
-	r.Net.Split(ways(a), ways(b))
-	must(t, "one half by itself")(r.Alike(within, a...))
-	must(t, "the other half")(r.Alike(within, b...))
-	must(t, "both partial")(r.Stands(within, "partial", r.Routers...))
-	r.Net.Heal()
-	must(t, "healed: all views alike")(r.Alike(within, r.Routers...))
-	must(t, "and together")(r.Stands(within, "together", r.Routers...))
-	r.Net.Split(ways(r.Routers[1:4]), ways(b)) // the first is the bridge
-	time.Sleep(4 * time.Second)                // long enough to be failed in, were it not for the bridge
-	must(t, "all there across a bridge")(r.Alike(within, r.Routers...))
-	r.Net.Heal()
+	r.Proxy.Partition(ways(a), ways(b))
+	must(t, "one half by itself")(r.WaitForConvergence(within, a...))
+	must(t, "the other half")(r.WaitForConvergence(within, b...))
+	must(t, "both partial")(r.WaitForConnectivity(within, "partial", r.Routers...))
+	r.Proxy.Heal()
+	must(t, "healed: all views alike")(r.WaitForConvergence(within, r.Routers...))
+	must(t, "and together")(r.WaitForConnectivity(within, "together", r.Routers...))
+	r.Proxy.Partition(ways(r.Routers[1:4]), ways(b)) // the first is the bridge
+	time.Sleep(4 * time.Second)                      // long enough to be failed in, were it not for the bridge
+	must(t, "all there across a bridge")(r.WaitForConvergence(within, r.Routers...))
+	r.Proxy.Heal()
 	end(t, l)
 }
 
@@ -162,28 +162,28 @@
 // late, twice or spoilt; one neighbour is stopped now and then and another has a tenth of
 // a processor. Nobody that runs is failed.
 func TestRough(t *testing.T) {
-	r := fleetOf(t, Options{Routers: 8, Boxes: 3, Seed: 3})
-	l := r.Load(50*time.Millisecond, r.Routers[:6]...)
+	r := fleetOf(t, Options{Routers: 8, Servers: 3, Seed: 3})
+	l := r.StartLoad(50*time.Millisecond, r.Routers[:6]...)
 	for _, a := range r.Routers {
 		for _, b := range r.Routers {
-			r.Net.Set(a.Way(), b.Way(), faultproxy.Fault{Loss: 0.15, Repeat: 0.1, Reorder: 0.1, Garble: 0.02, Delay: 1, Jitter: 10})
+			r.Proxy.Set(a.ProxyName(), b.ProxyName(), faultproxy.Fault{Loss: 0.15, Duplicate: 0.1, Reorder: 0.1, Corrupt: 0.02, Delay: 1, Jitter: 10})
 		}
 	}
-	r.Net.Set(r.Routers[1].Way(), r.Routers[2].Way(), faultproxy.Fault{Cut: true})
-	stalls, slow := r.Routers[7], r.Routers[6].Slow(0.1)
+	r.Proxy.Set(r.Routers[1].ProxyName(), r.Routers[2].ProxyName(), faultproxy.Fault{Partitioned: true})
+	stalls, slow := r.Routers[7], r.Routers[6].Throttle(0.1)
 	for range 4 {
-		no(t, stalls.Stall())
+		no(t, stalls.Pause())
 		time.Sleep(700 * time.Millisecond)
-		no(t, stalls.Wake())
+		no(t, stalls.Resume())
 		time.Sleep(700 * time.Millisecond)
 	}
 	slow()
-	r.Net.Heal()
-	must(t, "all there")(r.Alike(within, r.Routers...))
+	r.Proxy.Heal()
+	must(t, "all there")(r.WaitForConvergence(within, r.Routers...))
 	end(t, l)
 	quiet(t, r, stalls.Name, r.Routers[6].Name)
 	for _, x := range []*Router{stalls, r.Routers[6]} {
-		if n := x.Told(`"what":"failed"`); n != 0 {
+		if n := x.CountLogLines(`"what":"failed"`); n != 0 {
 			t.Errorf("%s, slow itself, said %d times that another had failed", x.Name, n)
 		}
 	}
@@ -191,15 +191,15 @@
 
 // One that was stopped until all had failed it wakes: it fails nobody, and is back.
 func TestStalledWakes(t *testing.T) {
-	r := fleetOf(t, Options{Routers: 8, Boxes: 1, Seed: 4})
+	r := fleetOf(t, Options{Routers: 8, Servers: 1, Seed: 4})
 	x := r.Routers[2]
-	no(t, x.Stall())
-	must(t, "stopped one failed")(r.Sees(within, x, "failed", r.Live(x)...))
+	no(t, x.Pause())
+	must(t, "stopped one failed")(r.WaitForState(within, x, "failed", r.Running(x)...))
 	time.Sleep(2 * time.Second)
-	no(t, x.Wake())
-	must(t, "awake, it is back")(r.Alike(within, r.Routers...))
-	if n := x.Told(`"what":"failed"`); n != 0 || x.Told(`"what":"woken"`) == 0 {
-		t.Errorf("it said %d times that another had failed, and %d times that it woke", n, x.Told(`"what":"woken"`))
+	no(t, x.Resume())
+	must(t, "awake, it is back")(r.WaitForConvergence(within, r.Routers...))
+	if n := x.CountLogLines(`"what":"failed"`); n != 0 || x.CountLogLines(`"what":"woken"`) == 0 {
+		t.Errorf("it said %d times that another had failed, and %d times that it woke", n, x.CountLogLines(`"what":"woken"`))
 	}
 	quiet(t, r, x.Name)
 }
@@ -207,13 +207,13 @@
 // All are restarted one after another within seconds; then all but one are killed, which
 // is alone and goes on serving.
 func TestRollingRestartAndAlone(t *testing.T) {
-	r := fleetOf(t, Options{Routers: 6, Boxes: 2, Seed: 5})
+	r := fleetOf(t, Options{Routers: 6, Servers: 2, Seed: 5})
 	for _, x := range r.Routers {
 		x.Kill()
 		no(t, x.Start())
 		time.Sleep(150 * time.Millisecond)
 	}
-	must(t, "all in their second lives")(r.Until("life 2 of each in each view", within, func() (bool, string) {
+	must(t, "all in their second lives")(r.WaitUntil("life 2 of each in each view", within, func() (bool, string) {
 		for _, x := range r.Routers {
 			s, err := x.Status()
 			if err != nil || s.Present != 6 {
@@ -227,17 +227,17 @@
 		}
 		return true, ""
 	}))
-	must(t, "all together")(r.Stands(within, "together", r.Routers...))
+	must(t, "all together")(r.WaitForConnectivity(within, "together", r.Routers...))
 	for _, x := range r.Routers[1:] {
 		x.Kill()
 	}
-	must(t, "alone")(r.Stands(within, "alone", r.Routers[0]))
+	must(t, "alone")(r.WaitForConnectivity(within, "alone", r.Routers[0]))
 	s, err := r.Routers[0].Status()
 	no(t, err)
-	if code, _, err := r.Routers[0].Door("GET", "/ready"); s.Known != 6 || code != 200 || err != nil {
+	if code, _, err := r.Routers[0].CallAdmin("GET", "/ready"); s.Known != 6 || code != 200 || err != nil {
 		t.Errorf("alone: %d known, /ready %d %v", s.Known, code, err)
 	}
-	l := r.Load(20*time.Millisecond, r.Routers[0])
+	l := r.StartLoad(20*time.Millisecond, r.Routers[0])
 	time.Sleep(600 * time.Millisecond)
 	end(t, l)
 }
@@ -245,17 +245,17 @@
 // While a router is upgraded, its two processes are one member; a ban set at the door of
 // the new one meanwhile holds at all; requests go on.
 func TestUpgradeIsOneMember(t *testing.T) {
-	r := fleetOf(t, Options{Routers: 5, Boxes: 3, Seed: 6})
-	l := r.Load(30*time.Millisecond, r.Routers...)
+	r := fleetOf(t, Options{Routers: 5, Servers: 3, Seed: 6})
+	l := r.StartLoad(30*time.Millisecond, r.Routers...)
 	x := r.Routers[1]
 	no(t, x.Upgrade(func() error {
-		if code, b, err := x.Door("POST", "/caches/disable/s-00000002"); code != 200 {
+		if code, b, err := x.CallAdmin("POST", "/caches/disable/s-00000002"); code != 200 {
 			return fmt.Errorf("ban: %d %s %v", code, b, err)
 		}
-		_, err := r.Banned(within, "s-00000002", true, r.Routers...)
+		_, err := r.WaitForBan(within, "s-00000002", true, r.Routers...)
 		return err
 	}))
-	must(t, "one member, in its second life")(r.Until("life 2", within, func() (bool, string) {
+	must(t, "one member, in its second life")(r.WaitUntil("life 2", within, func() (bool, string) {
 		s, err := r.Routers[0].Status()
 		if err != nil {
 			return false, err.Error()
@@ -273,34 +273,34 @@
 
 // Two routers with one name by mistake: told loudly by all, and both have their places.
 func TestOneNameTwice(t *testing.T) {
-	r := fleetOf(t, Options{Routers: 4, Boxes: 1, Seed: 7})
-	y, err := r.Add("r02", 4)
+	r := fleetOf(t, Options{Routers: 4, Servers: 1, Seed: 7})
+	y, err := r.AddRouter("r02", 4)
 	no(t, err)
-	must(t, "both there")(r.Alike(within, r.Routers...))
-	must(t, "told")(r.Until("each tells of the name", within, func() (bool, string) {
+	must(t, "both there")(r.WaitForConvergence(within, r.Routers...))
+	must(t, "told")(r.WaitUntil("each tells of the name", within, func() (bool, string) {
 		for _, x := range r.Routers {
-			if x.Told(`"level":"error"`, `"what":"conflict"`) != 1 {
-				return false, x.Way() + " has not"
+			if x.CountLogLines(`"level":"error"`, `"what":"conflict"`) != 1 {
+				return false, x.ProxyName() + " has not"
 			}
 		}
 		return true, ""
 	}))
 	y.Kill()
-	must(t, "the mistaken one failed, the other not")(r.Sees(within, y, "failed", r.Live()...))
-	must(t, "the first kept its place")(r.Sees(within, r.Routers[2], "alive", r.Live()...))
+	must(t, "the mistaken one failed, the other not")(r.WaitForState(within, y, "failed", r.Running()...))
+	must(t, "the first kept its place")(r.WaitForState(within, r.Routers[2], "alive", r.Running()...))
 }
 
 // The key is changed by SIGHUP, in three steps, without losing a member; one with
 // another key, of another fleet, and bytes that are nothing are told apart and dropped.
 func TestKeysAndStrangers(t *testing.T) {
-	r := fleetOf(t, Options{Routers: 5, Boxes: 1, Seed: 8})
+	r := fleetOf(t, Options{Routers: 5, Servers: 1, Seed: 8})
 	const next = "another key for routers on loopback"
-	for _, keys := range [][]string{{Key, next}, {next, Key}, {next}} {
+	for _, keys := range [][]string{{FleetKey, next}, {next, FleetKey}, {next}} {
 		for _, x := range r.Routers {
-			was := x.Told(`"event":"configuration reloaded"`)
-			no(t, x.Settings(keys...))
+			was := x.CountLogLines(`"event":"configuration reloaded"`)
+			no(t, x.WriteSettings(keys...))
 			no(t, x.Signal(syscall.SIGHUP))
-			must(t, x.Name+" reloaded")(r.Until("reloaded", within, func() (bool, string) { return x.Told(`"event":"configuration reloaded"`) > was, "" }))
+			must(t, x.Name+" reloaded")(r.WaitUntil("reloaded", within, func() (bool, string) { return x.CountLogLines(`"event":"configuration reloaded"`) > was, "" }))
 		}
 	}
 	for what, b := range map[string][]byte{
@@ -308,92 +308,92 @@
 		"other_versions": append([]byte("gf\x09"), make([]byte, 200)...),
 		"other_fleets":   append([]byte("gf\x01"), make([]byte, 200)...),
 	} {
-		c, err := net.Dial("udp", r.Routers[0].Fleet)
+		c, err := net.Dial("udp", r.Routers[0].FleetAddr)
 		no(t, err)
 		for range 20 {
 			c.Write(b)
 		}
 		c.Close()
-		must(t, what)(r.Until("counted", within, func() (bool, string) {
-			_, m, err := r.Routers[0].Door("GET", "/metrics")
+		must(t, what)(r.WaitUntil("counted", within, func() (bool, string) {
+			_, m, err := r.Routers[0].CallAdmin("GET", "/metrics")
 			return strings.Contains(string(m), "app_fleet_"+what+"_total 20\n"), fmt.Sprintf("%s %v", m, err)
 		}))
 	}
-	must(t, "all there")(r.Alike(within, r.Routers...))
+	must(t, "all there")(r.WaitForConvergence(within, r.Routers...))
 	quiet(t, r)
 }
 
 // A router whose change log is cut off hears drains and purges from its neighbours, and
 // drops them when its log is back; a ban set at one door holds at all.
 func TestWordsReachOneWithoutItsLog(t *testing.T) {
-	r := fleetOf(t, Options{Routers: 8, Boxes: 3, Seed: 9})
+	r := fleetOf(t, Options{Routers: 8, Servers: 3, Seed: 9})
 	deaf := r.Routers[3]
-	r.Net.Both(deaf.Way(), "log", faultproxy.Fault{Cut: true})
+	r.Proxy.SetBoth(deaf.ProxyName(), "log", faultproxy.Fault{Partitioned: true})
 	time.Sleep(2 * time.Second) // until it takes itself for cut off; later is as good
-	b := r.Boxes[1]
-	draining := fakeserver.Listed{ID: uint32(b.ID), Addr: b.Address(), State: 1, Weight: 100}
-	r.Log.Change(draining)
+	b := r.Servers[1]
+	draining := fakeserver.Endpoint{ID: uint32(b.ID), Addr: b.Address(), Phase: 1, Weight: 100}
+	r.ChangeLog.UpdateEndpoints(draining)
 	out := func(want string) func() (bool, string) {
 		return func() (bool, string) {
-			_, m, err := deaf.Door("GET", "/metrics")
+			_, m, err := deaf.CallAdmin("GET", "/metrics")
 			return strings.Contains(string(m), "app_out_of_rotation "+want+"\n"), fmt.Sprintf("%s %v", m, err)
 		}
 	}
-	must(t, "drain followed without its log")(r.Until("one box out of rotation", within, out("1")))
-	was := b.Asked()
-	l := r.Load(20*time.Millisecond, deaf)
+	must(t, "drain followed without its log")(r.WaitUntil("one box out of rotation", within, out("1")))
+	was := b.RequestCount()
+	l := r.StartLoad(20*time.Millisecond, deaf)
 	time.Sleep(600 * time.Millisecond)
 	end(t, l)
-	if n := b.Asked() - was; n != 0 {
+	if n := b.RequestCount() - was; n != 0 {
 		t.Errorf("%d requests to a box that drains", n)
 	}
-	r.Log.Purge(7, uint64(time.Now().UnixMilli()))
-	must(t, "purge heard")(r.Until("counted", within, func() (bool, string) {
+	r.ChangeLog.Purge(7, uint64(time.Now().UnixMilli()))
+	must(t, "purge heard")(r.WaitUntil("counted", within, func() (bool, string) {
 		no(t, deaf.Signal(syscall.SIGUSR1))
-		return deaf.Told(`"fleet_purges_taken":1`) > 0, ""
+		return deaf.CountLogLines(`"fleet_purges_taken":1`) > 0, ""
 	}))
-	code, body, err := r.Routers[0].Door("POST", "/caches/disable/s-00000003")
+	code, body, err := r.Routers[0].CallAdmin("POST", "/caches/disable/s-00000003")
 	if code != 200 {
 		t.Fatalf("%d %s %v", code, body, err)
 	}
-	must(t, "ban holds at all")(r.Banned(within, "s-00000003", true, r.Routers...))
-	must(t, "and is followed")(r.Until("two boxes out of rotation", within, out("2")))
-	r.Net.Heal()
-	draining.State = 0
-	r.Log.Change(draining)
-	must(t, "its own log rules again")(r.Until("one box out of rotation", within, out("1")))
+	must(t, "ban holds at all")(r.WaitForBan(within, "s-00000003", true, r.Routers...))
+	must(t, "and is followed")(r.WaitUntil("two boxes out of rotation", within, out("2")))
+	r.Proxy.Heal()
+	draining.Phase = 0
+	r.ChangeLog.UpdateEndpoints(draining)
+	must(t, "its own log rules again")(r.WaitUntil("one box out of rotation", within, out("1")))
 }
 
 // Across a cut one side bans and the other bans and enables the same box: when it heals
 // all hold the ban, since the enable did not know it. An enable that all know ends it,
 // also for one that was stopped meanwhile.
 func TestBanAndEnableAcrossACut(t *testing.T) {
-	r := fleetOf(t, Options{Routers: 6, Boxes: 2, Seed: 10})
+	r := fleetOf(t, Options{Routers: 6, Servers: 2, Seed: 10})
 	a, b := r.Routers[:3], r.Routers[3:]
 	door := func(x *Router, what string) {
 		t.Helper()
-		if code, body, err := x.Door("POST", "/caches/"+what+"/s-00000001"); code != 200 {
+		if code, body, err := x.CallAdmin("POST", "/caches/"+what+"/s-00000001"); code != 200 {
 			t.Fatalf("%s at %s: %d %s %v", what, x.Name, code, body, err)
 		}
 	}
 	for _, x := range a {
 		for _, y := range b {
-			r.Net.Both(x.Way(), y.Way(), faultproxy.Fault{Cut: true})
+			r.Proxy.SetBoth(x.ProxyName(), y.ProxyName(), faultproxy.Fault{Partitioned: true})
 		}
 	}
 	door(a[0], "disable")
 	door(b[0], "disable")
 	door(b[0], "enable")
-	must(t, "one side bans")(r.Banned(within, "s-00000001", true, a...))
-	must(t, "the other does not")(r.Banned(within, "s-00000001", false, b...))
-	r.Net.Heal()
-	must(t, "healed, all ban")(r.Banned(within, "s-00000001", true, r.Routers...))
-	must(t, "all together")(r.Stands(within, "together", r.Routers...))
+	must(t, "one side bans")(r.WaitForBan(within, "s-00000001", true, a...))
+	must(t, "the other does not")(r.WaitForBan(within, "s-00000001", false, b...))
+	r.Proxy.Heal()
+	must(t, "healed, all ban")(r.WaitForBan(within, "s-00000001", true, r.Routers...))
+	must(t, "all together")(r.WaitForConnectivity(within, "together", r.Routers...))
 	x := r.Routers[5]
-	no(t, x.Stall())
-	must(t, "stopped one failed")(r.Sees(within, x, "failed", r.Live(x)...))
+	no(t, x.Pause())
+	must(t, "stopped one failed")(r.WaitForState(within, x, "failed", r.Running(x)...))
 	door(r.Routers[1], "enable")
-	must(t, "enabled")(r.Banned(within, "s-00000001", false, r.Live(x)...))
-	no(t, x.Wake())
-	must(t, "and for the one that was stopped")(r.Banned(within, "s-00000001", false, r.Routers...))
+	must(t, "enabled")(r.WaitForBan(within, "s-00000001", false, r.Running(x)...))
+	no(t, x.Resume())
+	must(t, "and for the one that was stopped")(r.WaitForBan(within, "s-00000001", false, r.Routers...))
 }
--- a/internal/testcluster/duties.go
+++ b/internal/testcluster/leases.go
@@ -9,7 +9,7 @@
 )
 
 // DutyPage is what a router shows of duties.
-type DutyPage struct {
+type LeaseStatus struct {
 	Register struct {
 		Elector, Leading bool
 		Leader, Fault    string
@@ -27,21 +27,21 @@
 }
 
 // Duties is what the router shows of duties.
-func (x *Router) Duties() (*DutyPage, error) {
-	code, b, err := x.Door("GET", "/fleet/duties")
+func (x *Router) Leases() (*LeaseStatus, error) {
+	code, b, err := x.CallAdmin("GET", "/fleet/duties")
 	if err != nil || code != 200 {
 		return nil, fmt.Errorf("%s: /fleet/duties: %d %v", x.Name, code, err)
 	}
-	p := &DutyPage{}
+	p := &LeaseStatus{}
 	return p, json.Unmarshal(b, p)
 }
 
 // Holder waits until one of these routers says that it holds a duty, and returns it.
-func (r *Rig) Holder(within time.Duration, name string, of ...*Router) (holder *Router, token uint64, err error) {
-	_, err = r.Until("somebody holds "+name, within, func() (bool, string) {
+func (r *Cluster) WaitForHolder(within time.Duration, name string, of ...*Router) (holder *Router, token uint64, err error) {
+	_, err = r.WaitUntil("somebody holds "+name, within, func() (bool, string) {
 		seen := ""
 		for _, x := range of {
-			p, err := x.Duties()
+			p, err := x.Leases()
 			if err != nil {
 				seen += err.Error() + "; "
 				continue
@@ -60,10 +60,10 @@
 }
 
 // Acting waits until every box has been acted on under a later token.
-func (r *Rig) Acting(within time.Duration, after uint64) (time.Duration, error) {
-	return r.Until(fmt.Sprintf("acts after token %d", after), within, func() (bool, string) {
-		for _, b := range r.Boxes {
-			if a := b.Acts(); len(a) == 0 || a[len(a)-1].Token <= after {
+func (r *Cluster) WaitForProbes(within time.Duration, after uint64) (time.Duration, error) {
+	return r.WaitUntil(fmt.Sprintf("acts after token %d", after), within, func() (bool, string) {
+		for _, b := range r.Servers {
+			if a := b.Probes(); len(a) == 0 || a[len(a)-1].Token <= after {
 				return false, b.Name
 			}
 		}
@@ -73,8 +73,8 @@
 
 // Fault writes what a program built with -tags faults reads: fault-wall, by how many ms its
 // wall clock is set, or fault-save, how long a save takes.
-func (x *Router) Fault(name string, ms int64) error {
-	file := filepath.Join(x.State(), name)
+func (x *Router) SetFailpoint(name string, ms int64) error {
+	file := filepath.Join(x.StateDir(), name)
 	if err := os.WriteFile(file+"~", fmt.Append(nil, ms), 0o600); err != nil {
 		return err
 	}
@@ -89,14 +89,14 @@
 
 // Handovers returns the changes of who acted at a box, and what breaks the rule: an act
 // under a token that came after one under a later token.
-func (b *Box) Handovers() (l []Handover, broken error) {
-	acts := b.Acts()
+func (b *Server) Handovers() (l []Handover, broken error) {
+	acts := b.Probes()
 	for i := 1; i < len(acts); i++ {
 		switch a, z := acts[i-1], acts[i]; {
 		case z.Token < a.Token:
-			broken = fmt.Errorf("%s: an act of token %d came %v after one of %d", b.Name, z.Token, z.At.Sub(a.At), a.Token)
+			broken = fmt.Errorf("%s: an act of token %d came %v after one of %d", b.Name, z.Token, z.ReceivedAt.Sub(a.ReceivedAt), a.Token)
 		case z.Token > a.Token:
-			l = append(l, Handover{a.Token, z.Token, z.At.Sub(a.At)})
+			l = append(l, Handover{a.Token, z.Token, z.ReceivedAt.Sub(a.ReceivedAt)})
 		}
 	}
 	return l, broken
--- a/internal/testcluster/duties_test.go
+++ b/internal/testcluster/leases_test.go
@@ -18,10 +18,10 @@
 // asked to hand on: at the boxes no act ever comes after one of a later token, and each
 // time there is a holder again. Requests go on.
 func TestDutyIsHeldByOne(t *testing.T) {
-	r := fleetOf(t, Options{Routers: 8, Boxes: 2, Electors: 5, Duties: " lease_ms = 1500\n margin_ms = 150\n", Seed: 21})
+	r := fleetOf(t, Options{Routers: 8, Servers: 2, Voters: 5, LeaseSettings: " lease_ms = 1500\n margin_ms = 150\n", Seed: 21})
 	holder := func(what string, but ...*Router) (*Router, uint64) {
 		t.Helper()
-		x, token, err := r.Holder(within, probing, r.Live(but...)...)
+		x, token, err := r.WaitForHolder(within, probing, r.Running(but...)...)
 		if err != nil {
 			t.Fatalf("%s: %v", what, err)
 		}
@@ -29,21 +29,21 @@
 		return x, token
 	}
 	x, first := holder("at the start")
-	l := r.Load(50*time.Millisecond, r.Routers...)
+	l := r.StartLoad(50*time.Millisecond, r.Routers...)
 	acting := func(after uint64) {
 		t.Helper()
-		must(t, "a later token acts")(r.Acting(within, after))
+		must(t, "a later token acts")(r.WaitForProbes(within, after))
 	}
 	acting(first - 1)
-	l.Excuse(x, true)
-	no(t, x.Stall())
+	l.SetExcused(x, true)
+	no(t, x.Pause())
 	y, second := holder("the holder stopped", x)
 	acting(first)
-	no(t, x.Wake())
-	must(t, "woken one is back")(r.Alike(within, r.Routers...))
-	l.Excuse(x, false)
+	no(t, x.Resume())
+	must(t, "woken one is back")(r.WaitForConvergence(within, r.Routers...))
+	l.SetExcused(x, false)
 
-	if code, b, err := y.Door("POST", "/fleet/duty/move/"+probing); code != 200 {
+	if code, b, err := y.CallAdmin("POST", "/fleet/duty/move/"+probing); code != 200 {
 		t.Fatalf("%d %s %v", code, b, err)
 	}
 	acting(second)
@@ -53,28 +53,28 @@
 	}
 	for _, e := range r.Routers { // from all others, and not from the boxes
 		if e != z {
-			r.Net.Both(z.Way(), e.Way(), faultproxy.Fault{Cut: true})
+			r.Proxy.SetBoth(z.ProxyName(), e.ProxyName(), faultproxy.Fault{Partitioned: true})
 		}
 	}
 	_, fourth := holder("the holder cut off from the electors", z)
 	acting(third)
-	r.Net.Heal()
-	must(t, "healed")(r.Alike(within, r.Routers...))
+	r.Proxy.Heal()
+	must(t, "healed")(r.WaitForConvergence(within, r.Routers...))
 
 	v, _ := holder("after the cut")
-	l.Excuse(v, true)
+	l.SetExcused(v, true)
 	v.Kill()
 	_, fifth := holder("the holder killed", v)
 	acting(fourth)
 	no(t, v.Start())
-	must(t, "killed one is back")(r.Alike(within, r.Routers...))
-	l.Excuse(v, false)
+	must(t, "killed one is back")(r.WaitForConvergence(within, r.Routers...))
+	l.SetExcused(v, false)
 
 	w, _ := holder("before one goes in order")
-	l.Excuse(w, true)
+	l.SetExcused(w, true)
 	no(t, w.Stop())
 	acting(fifth)
-	for _, b := range r.Boxes {
+	for _, b := range r.Servers {
 		h, err := b.Handovers()
 		if err != nil || len(h) < 5 {
 			t.Errorf("%d handovers: %v", len(h), err)
@@ -89,16 +89,16 @@
 // A majority of the electors is down: the duty lapses, requests go on; when they are back
 // so is the duty, under a later token.
 func TestMajorityOfElectorsDown(t *testing.T) {
-	r := fleetOf(t, Options{Routers: 5, Boxes: 1, Electors: 3, Duties: " lease_ms = 1500\n margin_ms = 150\n", Seed: 22})
-	_, first, err := r.Holder(within, probing, r.Routers...)
+	r := fleetOf(t, Options{Routers: 5, Servers: 1, Voters: 3, LeaseSettings: " lease_ms = 1500\n margin_ms = 150\n", Seed: 22})
+	_, first, err := r.WaitForHolder(within, probing, r.Routers...)
 	no(t, err)
-	l := r.Load(50*time.Millisecond, r.Routers[3:]...)
+	l := r.StartLoad(50*time.Millisecond, r.Routers[3:]...)
 	for _, x := range r.Routers[:2] {
 		x.Kill()
 	}
-	must(t, "nobody holds it")(r.Until("nobody holds", within, func() (bool, string) {
-		for _, x := range r.Live() {
-			if p, err := x.Duties(); err != nil || len(p.Held) > 0 {
+	must(t, "nobody holds it")(r.WaitUntil("nobody holds", within, func() (bool, string) {
+		for _, x := range r.Running() {
+			if p, err := x.Leases(); err != nil || len(p.Held) > 0 {
 				return false, x.Name
 			}
 		}
@@ -107,12 +107,12 @@
 	for _, x := range r.Routers[:2] {
 		no(t, x.Start())
 	}
-	_, later, err := r.Holder(within, probing, r.Routers...)
+	_, later, err := r.WaitForHolder(within, probing, r.Routers...)
 	no(t, err)
 	if later < first { // the same, where its holder was none of those killed
 		t.Errorf("token %d after %d", later, first)
 	}
-	if _, err := r.Boxes[0].Handovers(); err != nil {
+	if _, err := r.Servers[0].Handovers(); err != nil {
 		t.Error(err)
 	}
 	end(t, l)
@@ -120,12 +120,12 @@
 
 // voters waits until the electors agree that these vote and nobody learns, and returns the
 // leader.
-func voters(t *testing.T, r *Rig, of []*Router, want ...string) (leader *Router) {
+func voters(t *testing.T, r *Cluster, of []*Router, want ...string) (leader *Router) {
 	t.Helper()
-	must(t, fmt.Sprint("voters ", want))(r.Until("voters", within, func() (bool, string) {
+	must(t, fmt.Sprint("voters ", want))(r.WaitUntil("voters", within, func() (bool, string) {
 		leader = nil
 		for _, x := range of {
-			p, err := x.Duties()
+			p, err := x.Leases()
 			if err != nil {
 				return false, err.Error()
 			}
@@ -145,27 +145,27 @@
 // An elector that lost its disk comes back as a learner, and is a voter again; one that
 // staff add is taken in, one that they remove is out; who is named by a file alone is not.
 func TestElectorsAreReplaced(t *testing.T) {
-	r := fleetOf(t, Options{Routers: 4, Boxes: 1, Electors: 3, Seed: 23})
+	r := fleetOf(t, Options{Routers: 4, Servers: 1, Voters: 3, Seed: 23})
 	voters(t, r, r.Routers[:3], "r00", "r01", "r02")
-	_, first, err := r.Holder(within, probing, r.Routers...)
+	_, first, err := r.WaitForHolder(within, probing, r.Routers...)
 	no(t, err)
 	x := r.Routers[1]
 	x.Kill()
-	no(t, os.RemoveAll(filepath.Join(x.State(), "garnetline-elector-r01")))
+	no(t, os.RemoveAll(filepath.Join(x.StateDir(), "garnetline-elector-r01")))
 	no(t, x.Start())
 	leader := voters(t, r, r.Routers[:3], "r00", "r01", "r02")
 
 	y := r.Routers[3]
 	y.Kill()
-	y.Electors = []string{"r00", "r01", "r03"}
-	no(t, y.Settings(Key))
+	y.Voters = []string{"r00", "r01", "r03"}
+	no(t, y.WriteSettings(FleetKey))
 	no(t, y.Start())
-	must(t, "all there")(r.Alike(within, r.Routers...))
+	must(t, "all there")(r.WaitForConvergence(within, r.Routers...))
 	time.Sleep(time.Second) // it asks several times
 	leader = voters(t, r, r.Routers[:3], "r00", "r01", "r02")
 	call := func(what string) {
 		t.Helper()
-		if code, b, err := leader.Door("POST", "/fleet/elector/"+what); code != 200 {
+		if code, b, err := leader.CallAdmin("POST", "/fleet/elector/"+what); code != 200 {
 			t.Fatalf("%s at %s: %d %s %v", what, leader.Name, code, b, err)
 		}
 	}
@@ -184,7 +184,7 @@
 		}
 	}
 	voters(t, r, rest, names...)
-	_, last, err := r.Holder(within, probing, r.Routers...)
+	_, last, err := r.WaitForHolder(within, probing, r.Routers...)
 	if err != nil || last < first {
 		t.Errorf("token %d after %d, %v", last, first, err)
 	}
@@ -193,30 +193,30 @@
 // A box that failed for a while and is well again is tried by one router first; the others
 // come in one after another, at the pace that the file gives, and in the end all do.
 func TestOneTriesFirst(t *testing.T) {
-	r := fleetOf(t, Options{Routers: 8, Boxes: 3, Electors: 5, Duties: " lease_ms = 1500\n margin_ms = 150\n first_try {\n  routers_per_s = 1\n }\n", Seed: 24})
-	if _, _, err := r.Holder(within, "first/edge", r.Routers...); err != nil {
+	r := fleetOf(t, Options{Routers: 8, Servers: 3, Voters: 5, LeaseSettings: " lease_ms = 1500\n margin_ms = 150\n first_try {\n  routers_per_s = 1\n }\n", Seed: 24})
+	if _, _, err := r.WaitForHolder(within, "first/edge", r.Routers...); err != nil {
 		t.Fatal(err)
 	}
-	l := r.Load(50*time.Millisecond, r.Routers...)
-	b := r.Boxes[0]
-	rate := func() int { now := time.Now(); return b.Between(now.Add(-time.Second), now) }
-	must(t, "the box has its part")(r.Until("its part", within, func() (bool, string) { return rate() >= 30, fmt.Sprint(rate()) }))
-	b.SetFail(true)
-	must(t, "set aside at all")(r.Until("set aside", within, func() (bool, string) { return rate() <= 12, fmt.Sprint(rate()) }))
+	l := r.StartLoad(50*time.Millisecond, r.Routers...)
+	b := r.Servers[0]
+	rate := func() int { now := time.Now(); return b.RequestsBetween(now.Add(-time.Second), now) }
+	must(t, "the box has its part")(r.WaitUntil("its part", within, func() (bool, string) { return rate() >= 30, fmt.Sprint(rate()) }))
+	b.SetFailing(true)
+	must(t, "set aside at all")(r.WaitUntil("set aside", within, func() (bool, string) { return rate() <= 12, fmt.Sprint(rate()) }))
 	up := time.Now()
-	b.SetFail(false)
+	b.SetFailing(false)
 	var first time.Time
-	must(t, "tried")(r.Until("tried", within, func() (bool, string) {
+	must(t, "tried")(r.WaitUntil("tried", within, func() (bool, string) {
 		for at := up; at.Before(time.Now()); at = at.Add(10 * time.Millisecond) {
-			if b.Between(up, at) > 0 {
+			if b.RequestsBetween(up, at) > 0 {
 				first = at
 				return true, ""
 			}
 		}
 		return false, ""
 	}))
-	must(t, "all are in again")(r.Until("in", within, func() (bool, string) { return rate() >= 30, fmt.Sprint(rate()) }))
-	n := b.Between(first, first.Add(time.Second))
+	must(t, "all are in again")(r.WaitUntil("in", within, func() (bool, string) { return rate() >= 30, fmt.Sprint(rate()) }))
+	n := b.RequestsBetween(first, first.Add(time.Second))
 	t.Logf("%d requests in the second from the first try on, all in after %v", n, time.Since(up))
 	if n > 25 || time.Since(up) < 2*time.Second {
 		t.Errorf("%d requests in the first second, all in after %v", n, time.Since(up))
--- a/internal/testcluster/load.go
+++ b/internal/testcluster/load.go
@@ -16,14 +16,14 @@
 
 // Load asks routers for objects at a steady pace until it is ended.
 type Load struct {
-	stop chan struct{}
+	quit chan struct{}
 	wg   sync.WaitGroup
 	mu   sync.Mutex
 	took []time.Duration
 	by   map[int]int // answers by status
 	lost []string    // what had no whole answer though its router lived
 	n    atomic.Int64
-	rig  *Rig
+	rig  *Cluster
 	down map[*Router]bool // its process is to end or be stopped: what it owes may be lost
 }
 
@@ -32,8 +32,8 @@
 
 // Load starts clients at each of these routers, each asking every so often. Each request
 // has a connection of its own, so that a killed router loses no more than what it had.
-func (r *Rig) Load(every time.Duration, at ...*Router) *Load {
-	l := &Load{stop: make(chan struct{}), by: map[int]int{}, rig: r, down: map[*Router]bool{}}
+func (r *Cluster) StartLoad(every time.Duration, at ...*Router) *Load {
+	l := &Load{quit: make(chan struct{}), by: map[int]int{}, rig: r, down: map[*Router]bool{}}
 	for i, x := range at {
 		l.wg.Go(func() {
 			rng := rand.New(rand.NewPCG(r.o.Seed, uint64(i)))
@@ -43,7 +43,7 @@
 			defer open.Wait()
 			for {
 				select {
-				case <-l.stop:
+				case <-l.quit:
 					return
 				case <-tick.C:
 				}
@@ -60,7 +60,7 @@
 
 // Excuse says that a router's process is about to end or be stopped, or is back: what
 // it owes in the meantime is not counted.
-func (l *Load) Excuse(x *Router, on bool) {
+func (l *Load) SetExcused(x *Router, on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down[x] = on
@@ -92,7 +92,7 @@
 
 // one asks and reads until the connection ends: more than one answer is seen.
 func (l *Load) one(x *Router, txn string, object int) (status, answers int, err error) {
-	conn, err := net.DialTimeout("tcp", x.Listen, 2*time.Second)
+	conn, err := net.DialTimeout("tcp", x.ListenAddr, 2*time.Second)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -126,32 +126,32 @@
 
 // Result is what a load saw.
 type Result struct {
-	Asked    int
-	Statuses map[int]int
-	P50, P99 time.Duration
-	Lost     []string // had not one whole answer
-	Most     int      // attempts of one request, as the boxes counted
+	Requests    int
+	Statuses    map[int]int
+	P50, P99    time.Duration
+	Lost        []string // had not one whole answer
+	MaxAttempts int      // attempts of one request, as the boxes counted
 }
 
 // End ends the load, waits for what is open, and returns what was seen.
-func (l *Load) End() Result {
-	close(l.stop)
+func (l *Load) Stop() Result {
+	close(l.quit)
 	l.wg.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	slices.Sort(l.took)
-	r := Result{Asked: int(l.n.Load()), Statuses: l.by, Lost: l.lost}
+	r := Result{Requests: int(l.n.Load()), Statuses: l.by, Lost: l.lost}
 	if n := len(l.took); n > 0 {
 		r.P50, r.P99 = l.took[n/2], l.took[n*99/100]
 	}
 	tries := map[string]int{}
-	for _, b := range l.rig.Boxes {
-		for id, n := range b.Tries() {
+	for _, b := range l.rig.Servers {
+		for id, n := range b.Attempts() {
 			tries[id] += n
 		}
 	}
 	for _, n := range tries {
-		r.Most = max(r.Most, n)
+		r.MaxAttempts = max(r.MaxAttempts, n)
 	}
 	return r
 }
@@ -161,11 +161,11 @@
 func (r Result) Check(served float64) error {
 	switch ok := r.Statuses[200]; {
 	case len(r.Lost) > 0:
-		return fmt.Errorf("%d of %d requests without one whole answer: %s", len(r.Lost), r.Asked, strings.Join(r.Lost[:min(3, len(r.Lost))], "; "))
-	case r.Most > 6:
-		return fmt.Errorf("%d attempts of one request", r.Most)
-	case float64(ok) < served*float64(r.Asked):
-		return fmt.Errorf("%d of %d served: %v", ok, r.Asked, r.Statuses)
+		return fmt.Errorf("%d of %d requests without one whole answer: %s", len(r.Lost), r.Requests, strings.Join(r.Lost[:min(3, len(r.Lost))], "; "))
+	case r.MaxAttempts > 6:
+		return fmt.Errorf("%d attempts of one request", r.MaxAttempts)
+	case float64(ok) < served*float64(r.Requests):
+		return fmt.Errorf("%d of %d served: %v", ok, r.Requests, r.Statuses)
 	}
 	return nil
 }
--- a/internal/textconn/textconn_test.go
+++ b/internal/textconn/textconn_test.go
@@ -25,7 +25,7 @@
 // themselves: nothing is lost between the two kinds of reading, no message takes more from
 // the socket than it may, and no body more memory than has come.
 func FuzzConn(f *testing.F) {
-	fuzzutil.Add(f, 24, 400)
+	fuzzutil.AddRandomSeeds(f, 24, 400)
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		model := newReadModel(steps)
 		for i := 0; i+1 < len(steps); i += 2 {
--- a/internal/trace/analysis/blame.go
+++ b/internal/trace/analysis/analysis.go
@@ -14,12 +14,12 @@
 
 // Suspect is one thing that attempts have in common.
 type Suspect struct {
-	What           string  // "server", "source", "pair", "router"
-	Name           string  // of it
-	Failed, All    float64 // attempts that it had a part in, by weight
-	Others, Rest   float64 // failed and all attempts without it
-	Rate, RateRest float64
-	Low, High      float64 // of Rate - RateRest, with 95% confidence
+	Kind                          string  // "server", "source", "pair", "router"
+	Name                          string  // of it
+	Failed, Total                 float64 // attempts that it had a part in, by weight
+	FailedWithout, TotalWithout   float64 // failed and all attempts without it
+	Rate, RateWithout             float64
+	ConfidenceLow, ConfidenceHigh float64 // of Rate - RateRest, with 95% confidence
 }
 
 // Failure tells whether an attempt counts as failed. One that was given up since its
@@ -58,9 +58,9 @@
 		f.count(&f.sum, t.Weight, failed)
 		f.count(f.at("server", s.Server.String()), t.Weight, failed)
 		f.count(f.at("router", t.Router), t.Weight, failed)
-		if s.Source != s.Server {
-			f.count(f.at("source", s.Source.String()), t.Weight, failed)
-			f.count(f.at("pair", s.Server.String()+" from "+s.Source.String()), t.Weight, failed)
+		if s.FillSource != s.Server {
+			f.count(f.at("source", s.FillSource.String()), t.Weight, failed)
+			f.count(f.at("pair", s.Server.String()+" from "+s.FillSource.String()), t.Weight, failed)
 		}
 	}
 }
@@ -96,17 +96,17 @@
 		if t.bad == 0 || rest.n <= 0 {
 			continue
 		}
-		s := Suspect{What: k[0], Name: k[1], Failed: t.failed, All: t.all, Others: max(rest.failed, 0), Rest: rest.all}
-		s.Rate, s.RateRest = t.failed/t.all, max(rest.failed, 0)/rest.all
+		s := Suspect{Kind: k[0], Name: k[1], Failed: t.failed, Total: t.all, FailedWithout: max(rest.failed, 0), TotalWithout: rest.all}
+		s.Rate, s.RateWithout = t.failed/t.all, max(rest.failed, 0)/rest.all
 		l1, u1 := wilson(s.Rate, t.n)
-		l2, u2 := wilson(s.RateRest, rest.n)
-		d := s.Rate - s.RateRest
-		s.Low = d - math.Sqrt((s.Rate-l1)*(s.Rate-l1)+(u2-s.RateRest)*(u2-s.RateRest))
-		s.High = d + math.Sqrt((u1-s.Rate)*(u1-s.Rate)+(s.RateRest-l2)*(s.RateRest-l2))
+		l2, u2 := wilson(s.RateWithout, rest.n)
+		d := s.Rate - s.RateWithout
+		s.ConfidenceLow = d - math.Sqrt((s.Rate-l1)*(s.Rate-l1)+(u2-s.RateWithout)*(u2-s.RateWithout))
+		s.ConfidenceHigh = d + math.Sqrt((u1-s.Rate)*(u1-s.Rate)+(s.RateWithout-l2)*(s.RateWithout-l2))
 		out = append(out, s)
 	}
 	slices.SortFunc(out, func(a, b Suspect) int {
-		return cmp.Or(cmp.Compare(b.Low, a.Low), cmp.Compare(a.What, b.What), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(b.ConfidenceLow, a.ConfidenceLow), cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name))
 	})
 	return out
 }
@@ -120,5 +120,5 @@
 // Line is a suspect as a line of a table.
 func (s Suspect) Line() string {
 	return fmt.Sprintf("%-6s  %-28s %6.1f%% of %-8.0f %6.1f%% of %-8.0f %+6.1f to %+.1f points",
-		s.What, s.Name, 100*s.Rate, s.All, 100*s.RateRest, s.Rest, 100*s.Low, 100*s.High)
+		s.Kind, s.Name, 100*s.Rate, s.Total, 100*s.RateWithout, s.TotalWithout, 100*s.ConfidenceLow, 100*s.ConfidenceHigh)
 }
--- a/internal/trace/analysis/blame_test.go
+++ b/internal/trace/analysis/analysis_test.go
@@ -14,8 +14,8 @@
 	rng, f := rand.New(rand.NewPCG(seed, 1)), New()
 	for range n {
 		t := &trace.Trace{Router: []string{"n1", "n2"}[rng.IntN(2)], Weight: 1}
-		s := trace.Span{Kind: trace.Attempt, Server: routing.ServerID(1 + rng.IntN(8)), Source: routing.ServerID(100 + rng.IntN(3))}
-		if fails(s.Server, s.Source, rng) {
+		s := trace.Span{Kind: trace.Attempt, Server: routing.ServerID(1 + rng.IntN(8)), FillSource: routing.ServerID(100 + rng.IntN(3))}
+		if fails(s.Server, s.FillSource, rng) {
 			s.Result = uint8(routing.ServerError)
 		} else if rng.IntN(10) > 0 { // an ordinary one is kept one time in ten
 			continue
@@ -35,22 +35,22 @@
 		return s == 3 && rng.IntN(10) < 6 || rng.IntN(100) < 2
 	}
 	got := day(1, 20_000, server).Suspects()
-	if got[0].What != "server" && got[0].What != "pair" || got[0].Low < 0.3 {
+	if got[0].Kind != "server" && got[0].Kind != "pair" || got[0].ConfidenceLow < 0.3 {
 		t.Errorf("%+v", got[0])
 	}
 	for _, s := range got {
-		if s.What == "server" && s.Name == "s-00000003" {
-			if want := 0.6 + 0.4*0.02 - 0.02; want < s.Low || want > s.High {
+		if s.Kind == "server" && s.Name == "s-00000003" {
+			if want := 0.6 + 0.4*0.02 - 0.02; want < s.ConfidenceLow || want > s.ConfidenceHigh {
 				t.Errorf("%+v: want %.3f within", s, want)
 			}
-		} else if s.What != "pair" && s.Low > 0.02 {
+		} else if s.Kind != "pair" && s.ConfidenceLow > 0.02 {
 			t.Errorf("%+v: stands out without guilt", s)
 		}
 	}
 	source := func(_, s routing.ServerID, rng *rand.Rand) bool { return s == 101 && rng.IntN(10) < 3 }
 	found := false
 	for _, s := range day(2, 20_000, source).Suspects()[:9] {
-		found = found || s.What == "source" && s.Name == "s-00000065" && s.Low > 0.2
+		found = found || s.Kind == "source" && s.Name == "s-00000065" && s.ConfidenceLow > 0.2
 	}
 	if !found {
 		t.Error("the guilty source is not among the first")
@@ -58,7 +58,7 @@
 	bold := 0
 	for seed := range uint64(40) {
 		for _, s := range day(10+seed, 4000, func(_, _ routing.ServerID, rng *rand.Rand) bool { return rng.IntN(20) == 0 }).Suspects() {
-			if s.What == "server" && s.Low > 0 {
+			if s.Kind == "server" && s.ConfidenceLow > 0 {
 				bold++
 			}
 		}
--- a/internal/trace/code.go
+++ b/internal/trace/codec.go
@@ -10,7 +10,7 @@
 )
 
 // ErrCode reports bytes that are no trace.
-var ErrCode = errors.New("trace: broken record")
+var ErrCorruptRecord = errors.New("trace: broken record")
 
 // Bounds of what one record may hold.
 const (
@@ -21,17 +21,17 @@
 // Append appends t in its stored form to b. Times are kept to the microsecond.
 func Append(b []byte, t *Trace) []byte {
 	b = append(b, t.ID[:]...)
-	b = binary.AppendUvarint(b, uint64(t.Remote))
-	b = name(name(name(b, t.Router), t.Txn), t.Class)
-	for _, n := range []uint64{t.Object, uint64(t.Part), uint64(t.Group), uint64(t.Try), uint64(t.Outcome), uint64(t.Why),
-		uint64(t.Lost), uint64(t.Attempts), micros(t.Start), micros(t.End - t.Start), math.Float64bits(t.Weight)} {
+	b = binary.AppendUvarint(b, uint64(t.ClientSpan))
+	b = name(name(name(b, t.Router), t.TransactionID), t.Class)
+	for _, n := range []uint64{t.Object, uint64(t.Chunk), uint64(t.PurgeGroup), uint64(t.Retry), uint64(t.Outcome), uint64(t.Reasons),
+		uint64(t.LostBefore), uint64(t.Attempts), micros(t.Start), micros(t.End - t.Start), math.Float64bits(t.Weight)} {
 		b = binary.AppendUvarint(b, n)
 	}
 	b = binary.AppendUvarint(b, uint64(len(t.Spans)))
 	for _, s := range t.Spans {
-		b = append(b, byte(s.Kind), s.N, s.Result, s.Flags, s.Rank)
-		for _, n := range []uint64{uint64(s.ID), uint64(s.Parent), uint64(s.Server), uint64(s.Source), uint64(s.Bytes),
-			uint64(math.Float32bits(s.Age)), uint64(math.Float32bits(s.Inflight)), uint64(math.Float32bits(s.Link))} {
+		b = append(b, byte(s.Kind), s.AttemptNumber, s.Result, s.Flags, s.CopyRank)
+		for _, n := range []uint64{uint64(s.ID), uint64(s.Parent), uint64(s.Server), uint64(s.FillSource), uint64(s.Bytes),
+			uint64(math.Float32bits(s.MaxAge)), uint64(math.Float32bits(s.Inflight)), uint64(math.Float32bits(s.LinkUtilization))} {
 			b = binary.AppendUvarint(b, n)
 		}
 		b = binary.AppendVarint(b, int64(micros(s.Start)-micros(t.Start)))
@@ -58,31 +58,31 @@
 	d := decoder{b: b}
 	t := &Trace{}
 	copy(t.ID[:], d.take(16))
-	t.Remote = SpanID(d.uint(math.MaxUint64))
-	t.Router, t.Txn, t.Class = d.name(), d.name(), d.name()
-	t.Object, t.Part, t.Group = d.uint(math.MaxUint64), uint32(d.uint(math.MaxUint32)), uint16(d.uint(math.MaxUint16))
-	t.Try, t.Outcome, t.Why = uint8(d.uint(255)), Outcome(d.uint(uint64(outcomes)-1)), Why(d.uint(255))
-	t.Lost, t.Attempts = uint32(d.uint(math.MaxUint32)), uint8(d.uint(255))
+	t.ClientSpan = SpanID(d.uint(math.MaxUint64))
+	t.Router, t.TransactionID, t.Class = d.name(), d.name(), d.name()
+	t.Object, t.Chunk, t.PurgeGroup = d.uint(math.MaxUint64), uint32(d.uint(math.MaxUint32)), uint16(d.uint(math.MaxUint16))
+	t.Retry, t.Outcome, t.Reasons = uint8(d.uint(255)), Outcome(d.uint(uint64(outcomes)-1)), Reason(d.uint(255))
+	t.LostBefore, t.Attempts = uint32(d.uint(math.MaxUint32)), uint8(d.uint(255))
 	start := d.uint(math.MaxInt64)
 	t.Start, t.End = millis(start), millis(start+d.uint(math.MaxInt64/2))
 	t.Weight = math.Float64frombits(d.uint(math.MaxUint64))
 	n := d.uint(maxSpans)
 	if d.bad || math.IsNaN(t.Weight) || n > uint64(len(d.b)) {
-		return nil, fmt.Errorf("%w: head", ErrCode)
+		return nil, fmt.Errorf("%w: head", ErrCorruptRecord)
 	}
 	t.Spans = make([]Span, n)
 	for i := range t.Spans {
 		s := &t.Spans[i]
 		k := d.take(5)
-		s.Kind, s.N, s.Result, s.Flags, s.Rank = Kind(k[0]), k[1], k[2], k[3], k[4]
+		s.Kind, s.AttemptNumber, s.Result, s.Flags, s.CopyRank = Kind(k[0]), k[1], k[2], k[3], k[4]
 		s.ID, s.Parent = SpanID(d.uint(math.MaxUint64)), SpanID(d.uint(math.MaxUint64))
-		s.Server, s.Source = routing.ServerID(d.uint(math.MaxUint64)), routing.ServerID(d.uint(math.MaxUint64))
+		s.Server, s.FillSource = routing.ServerID(d.uint(math.MaxUint64)), routing.ServerID(d.uint(math.MaxUint64))
 		s.Bytes = uint32(d.uint(math.MaxUint32))
-		s.Age, s.Inflight, s.Link = d.float(), d.float(), d.float()
+		s.MaxAge, s.Inflight, s.LinkUtilization = d.float(), d.float(), d.float()
 		at := start + uint64(d.int())
 		s.Start, s.End = millis(at), millis(at+uint64(d.int()))
 		if d.bad || s.Kind >= kinds {
-			return nil, fmt.Errorf("%w: span %d", ErrCode, i)
+			return nil, fmt.Errorf("%w: span %d", ErrCorruptRecord, i)
 		}
 	}
 	for len(d.b) > 0 && len(t.Links) < maxSpans {
@@ -92,7 +92,7 @@
 		t.Links = append(t.Links, l)
 	}
 	if d.bad || len(d.b) > 0 {
-		return nil, fmt.Errorf("%w: links", ErrCode)
+		return nil, fmt.Errorf("%w: links", ErrCorruptRecord)
 	}
 	return t, nil
 }
--- a/internal/trace/export/export.go
+++ b/internal/trace/export/export.go
@@ -31,12 +31,12 @@
 
 // Options are what an Exporter is made with.
 type Options struct {
-	URL     string  // http
-	Queue   int     // traces that wait
-	Timeout float64 // ms, of one call
-	Stats   *metrics.Registry
-	Log     *zerolog.Logger
-	Seed    uint64
+	URL       string  // http
+	QueueSize int     // traces that wait
+	Timeout   float64 // ms, of one call
+	Metrics   *metrics.Registry
+	Log       *zerolog.Logger
+	Seed      uint64
 }
 
 // Exporter is a record.Sink.
@@ -60,7 +60,7 @@
 	if u.Path == "" {
 		u.Path = "/v1/traces"
 	}
-	x := &Exporter{Options: o, to: u, queue: make(chan *trace.Trace, o.Queue), quit: make(chan struct{}), ended: make(chan struct{})}
+	x := &Exporter{Options: o, to: u, queue: make(chan *trace.Trace, o.QueueSize), quit: make(chan struct{}), ended: make(chan struct{})}
 	go x.run()
 	return x, nil
 }
@@ -70,7 +70,7 @@
 	select {
 	case x.queue <- t:
 	default:
-		x.Stats.Add("traces_not_exported", 1)
+		x.Metrics.Add("traces_not_exported", 1)
 	}
 	return nil
 }
@@ -104,27 +104,27 @@
 		after, err := x.send(batch)
 		switch {
 		case err == nil:
-			x.Stats.Add("traces_exported", int64(len(batch)))
+			x.Metrics.Add("traces_exported", int64(len(batch)))
 			p.most, batch = 0, nil
 			continue
 		case errors.Is(err, errFinal):
-			x.Stats.Add("traces_not_exported", int64(len(batch)))
+			x.Metrics.Add("traces_not_exported", int64(len(batch)))
 			batch = nil
 		}
 		if p.most == 0 { // once, until a call succeeds again
 			x.Log.Warn().Err(err).Str("collector", x.to.Host).Msg("traces not exported")
 		}
-		x.Stats.Add("export_failures", 1)
+		x.Metrics.Add("export_failures", 1)
 		select {
 		case <-time.After(clock.Duration(p.next(after))):
 		case <-x.quit:
 			if batch = x.more(batch); len(batch) > 0 {
 				if _, err := x.send(batch); err == nil {
-					x.Stats.Add("traces_exported", int64(len(batch)))
+					x.Metrics.Add("traces_exported", int64(len(batch)))
 					batch = nil
 				}
 			}
-			x.Stats.Add("traces_not_exported", int64(len(batch)+len(x.queue)))
+			x.Metrics.Add("traces_not_exported", int64(len(batch)+len(x.queue)))
 			return
 		}
 	}
--- a/internal/trace/export/export_test.go
+++ b/internal/trace/export/export_test.go
@@ -72,17 +72,17 @@
 }
 
 func piece(n byte) *trace.Trace {
-	l := trace.Begin(trace.Trace{ID: trace.ID{n, 9}, Router: "n1", Class: "part", Start: 1.7e12, Weight: 1, Why: trace.WhyFailed}, uint64(n))
+	l := trace.Begin(trace.Trace{ID: trace.ID{n, 9}, Router: "n1", Class: "part", Start: 1.7e12, Weight: 1, Reasons: trace.ReasonFailed}, uint64(n))
 	l.AttemptStarted(1.7e12+1, routing.SendAttempt{Server: 3, FillSource: 4})
-	l.AttemptEnded(1.7e12+5, routing.ServerError, 0, routing.LoadReport{}, trace.Wire{Wrote: 1.7e12 + 2, Dialled: 1.7e12 + 1, Up: 1.7e12 + 2})
+	l.AttemptEnded(1.7e12+5, routing.ServerError, 0, routing.LoadReport{}, trace.WireTimes{WrittenAt: 1.7e12 + 2, DialedAt: 1.7e12 + 1, ConnectedAt: 1.7e12 + 2})
 	l.Responded(1.7e12+6, trace.Failed)
-	return l.Piece()
+	return l.Finished()
 }
 
 func start(t *testing.T, url string, queue int, timeout float64) (*Exporter, *metrics.Registry) {
 	t.Helper()
 	count := metrics.New()
-	x, err := New(Options{URL: url, Queue: queue, Timeout: timeout, Stats: count, Log: logs.New(&bytes.Buffer{}), Seed: 1})
+	x, err := New(Options{URL: url, QueueSize: queue, Timeout: timeout, Metrics: count, Log: logs.New(&bytes.Buffer{}), Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,7 +103,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	remote := piece(2)
-	remote.Remote = 0x77
+	remote.ClientSpan = 0x77
 	for _, p := range []*trace.Trace{remote, piece(3), piece(4)} {
 		x.Add(p)
 	}
--- a/internal/trace/ids_golden_test.go
+++ b/internal/trace/ids_golden_test.go
@@ -15,7 +15,7 @@
 	for n := range byte(8) {
 		id := ID{n, 1, 2, 15: 255 - n}
 		fmt.Fprintf(&text, "%v root %016x span %016x order %.17g header %s\n", id, uint64(id.Root()), uint64(id.Span(uint64(n)+7)),
-			id.Order(), Parent{Trace: id, Span: SpanID(n) + 1, Sampled: n%2 == 1})
+			id.Order(), SpanContext{Trace: id, Span: SpanID(n) + 1, Sampled: n%2 == 1})
 	}
 	for kind := range kinds + 1 {
 		fmt.Fprintf(&text, "kind %v\n", kind)
--- a/internal/trace/propagation/link.go
+++ b/internal/trace/propagation/correlator.go
@@ -20,29 +20,29 @@
 )
 
 // Ask is a request as far as its trace depends on it.
-type Ask struct {
-	Parent string // the traceparent header, as it came
-	Key    string // idempotency key, of a keyed class
-	Client string // the client's address without its port; "": not known
-	Class  string
-	Object uint64
-	Part   int
+type Request struct {
+	TraceParent    string // the traceparent header, as it came
+	IdempotencyKey string // idempotency key, of a keyed class
+	ClientAddress  string // the client's address without its port; "": not known
+	Class          string
+	Object         uint64
+	Chunk          int
 }
 
 // Tie is where a request belongs.
-type Tie struct {
-	ID     trace.ID
-	Remote trace.SpanID // the client's own span
-	Asked  bool         // the client samples it
-	Try    uint8        // 0: the first, as far as is known
-	guess  uint64       // its place in the table of unserved tries; 0: none
+type Correlation struct {
+	ID            trace.ID
+	ClientSpan    trace.SpanID // the client's own span
+	ClientSampled bool         // the client samples it
+	Retry         uint8        // 0: the first, as far as is known
+	guess         uint64       // its place in the table of unserved tries; 0: none
 }
 
 // halfMost is how many unserved tries one half of the table holds.
 const halfMost = 1 << 14
 
 // Linker ties requests to traces. It is not safe for concurrent use.
-type Linker struct {
+type Correlator struct {
 	secret     []byte
 	within     float64
 	seed, hide uint64
@@ -59,34 +59,34 @@
 
 // New returns a Linker. Routers with the same secret agree on the trace of a key; the
 // seed differs from router to router, and from start to start.
-func New(secret string, within float64, seed uint64) *Linker {
-	return &Linker{secret: []byte(secret), within: within, seed: seed, young: map[uint64]unserved{},
+func New(secret string, within float64, seed uint64) *Correlator {
+	return &Correlator{secret: []byte(secret), within: within, seed: seed, young: map[uint64]unserved{},
 		hide: xxhash.Sum64String("object " + secret)}
 }
 
 // Within sets for how long, in ms, a try that was not served waits for the next.
-func (l *Linker) Within(ms float64) { l.within = ms }
+func (l *Correlator) SetRetryWindow(ms float64) { l.within = ms }
 
 // Tie returns where a request belongs that came at now, in Unix ms.
-func (l *Linker) Tie(now float64, a Ask) Tie {
-	t := Tie{guess: l.place(a)}
+func (l *Correlator) Correlate(now float64, a Request) Correlation {
+	t := Correlation{guess: l.place(a)}
 	u, again := l.find(t.guess)
 	again = again && now-u.at <= l.within
 	if again {
-		t.Try = min(u.try+1, 255)
+		t.Retry = min(u.try+1, 255)
 	}
-	if p, ok := trace.ParseParent(a.Parent); ok {
-		t.ID, t.Remote, t.Asked = p.Trace, p.Span, p.Sampled
+	if p, ok := trace.ParseTraceparent(a.TraceParent); ok {
+		t.ID, t.ClientSpan, t.ClientSampled = p.Trace, p.Span, p.Sampled
 		if again && u.id != p.Trace {
-			t.Try = 0
+			t.Retry = 0
 		}
 		return t
 	}
 	switch {
-	case a.Key != "":
-		t.ID = l.keyed(a.Key)
+	case a.IdempotencyKey != "":
+		t.ID = l.keyed(a.IdempotencyKey)
 		if u.id != t.ID {
-			t.Try = 0
+			t.Retry = 0
 		}
 	case again:
 		t.ID = u.id
@@ -99,7 +99,7 @@
 }
 
 // Ended takes the end of a request that Tie was asked for.
-func (l *Linker) Ended(now float64, t Tie, served bool) {
+func (l *Correlator) RequestEnded(now float64, t Correlation, served bool) {
 	if t.guess == 0 {
 		return
 	}
@@ -111,10 +111,10 @@
 	if len(l.young) >= halfMost {
 		l.young, l.old = map[uint64]unserved{}, l.young
 	}
-	l.young[t.guess] = unserved{t.ID, now, t.Try}
+	l.young[t.guess] = unserved{t.ID, now, t.Retry}
 }
 
-func (l *Linker) find(place uint64) (unserved, bool) {
+func (l *Correlator) find(place uint64) (unserved, bool) {
 	if place == 0 {
 		return unserved{}, false
 	}
@@ -127,10 +127,10 @@
 
 // Hide returns a number that stands for an object: alike at all routers with the same
 // secret, and without that it does not tell the object.
-func (l *Linker) Hide(object uint64) uint64 { return xx(l.hide, object) }
+func (l *Correlator) HashObject(object uint64) uint64 { return xx(l.hide, object) }
 
 // keyed is the trace of an idempotency key, from which the key can't be had.
-func (l *Linker) keyed(key string) (id trace.ID) {
+func (l *Correlator) keyed(key string) (id trace.ID) {
 	m := hmac.New(sha256.New, l.secret)
 	m.Write([]byte(key))
 	copy(id[:], m.Sum(nil))
@@ -139,21 +139,21 @@
 
 // place is the place of a client's request in the table: of its key or, without one,
 // of what it asks for. Nothing that names a client is kept as it came.
-func (l *Linker) place(a Ask) uint64 {
-	if a.Client == "" && a.Key == "" {
+func (l *Correlator) place(a Request) uint64 {
+	if a.ClientAddress == "" && a.IdempotencyKey == "" {
 		return 0
 	}
 	d := xxhash.NewWithSeed(l.seed)
-	if a.Key != "" {
-		d.WriteString(a.Key)
+	if a.IdempotencyKey != "" {
+		d.WriteString(a.IdempotencyKey)
 	} else {
 		var b [16]byte
 		binary.BigEndian.PutUint64(b[:8], a.Object)
-		binary.BigEndian.PutUint64(b[8:], uint64(a.Part))
+		binary.BigEndian.PutUint64(b[8:], uint64(a.Chunk))
 		d.Write(b[:])
 		d.WriteString(a.Class)
 		d.WriteString("\x00")
-		d.WriteString(a.Client)
+		d.WriteString(a.ClientAddress)
 	}
 	return max(d.Sum64(), 1)
 }
--- a/internal/trace/recorder/record.go
+++ b/internal/trace/recorder/recorder.go
@@ -61,34 +61,34 @@
 
 // Options are what a Recorder is made with.
 type Options struct {
-	Clock  clock.Clock
-	Router string // its name, as it stands in traces
-	Secret string // mixed into whatever names a key; the same at all routers
-	Seed   uint64 // differs at each start
-	Stats  *metrics.Registry
-	Log    *zerolog.Logger
-	Sink   Sink
+	Clock   clock.Clock
+	Router  string // its name, as it stands in traces
+	Secret  string // mixed into whatever names a key; the same at all routers
+	Seed    uint64 // differs at each start
+	Metrics *metrics.Registry
+	Log     *zerolog.Logger
+	Sink    Sink
 	// Kept tells a server that a trace in which it had a part is kept; nil: none is told.
 	// It is called on the core's goroutine and must not block.
-	Kept func(server routing.ServerID, id trace.ID)
-	Pace func() float64 // bytes a second of a transfer to a client, as of now; 0: not told
+	NotifyRetained       func(server routing.ServerID, id trace.ID)
+	ClientBytesPerSecond func() float64 // bytes a second of a transfer to a client, as of now; 0: not told
 }
 
 // Settings are what may change while the program runs.
 type Settings struct {
-	Undecided   int     // bytes
-	RetryWithin float64 // ms
-	Sampled     bool    // what a client samples is kept
-	Other       sampling.Class
-	Classes     map[string]sampling.Class
+	UndecidedBytes      int     // bytes
+	RetryWindow         float64 // ms
+	RetainClientSampled bool    // what a client samples is kept
+	DefaultClass        sampling.Class
+	Classes             map[string]sampling.Class
 }
 
 // Recorder follows requests. Open and Close belong to the core's goroutine.
 type Recorder struct {
 	Options
 	next  atomic.Pointer[Settings] // to go over to, once
-	link  *propagation.Linker
-	keep  *sampling.Keeper
+	link  *propagation.Correlator
+	keep  *sampling.Sampler
 	n     uint64
 	asked bool // Settings.Sampled
 	box   chan *trace.Trace
@@ -98,98 +98,98 @@
 
 // New returns a Recorder; Run is to be called.
 func New(o Options, s Settings) *Recorder {
-	return &Recorder{Options: o, link: propagation.New(o.Secret, s.RetryWithin, o.Seed), keep: sampling.New(s.Undecided, s.Other, s.Classes), asked: s.Sampled,
+	return &Recorder{Options: o, link: propagation.New(o.Secret, s.RetryWindow, o.Seed), keep: sampling.New(s.UndecidedBytes, s.DefaultClass, s.Classes), asked: s.RetainClientSampled,
 		box: make(chan *trace.Trace, mailbox), quit: make(chan struct{}), ended: make(chan struct{})}
 }
 
 // Adopt goes over to other settings, at the next request.
-func (r *Recorder) Adopt(s Settings) { r.next.Store(&s) }
+func (r *Recorder) UpdateSettings(s Settings) { r.next.Store(&s) }
 
 // Asked is a request as it is followed.
-type Asked struct {
-	Txn, Key       string
-	Object         routing.ObjectID
-	Part, Group    int
-	Came           float64 // when its last byte came; 0: now
-	Parent, Client string  // the traceparent that came with it, not checked; the client's address
+type Request struct {
+	TransactionID, IdempotencyKey string
+	Object                        routing.ObjectID
+	Chunk, PurgeGroup             int
+	ReceivedAt                    float64 // when its last byte came; 0: now
+	TraceParent, ClientAddress    string  // the traceparent that came with it, not checked; the client's address
 }
 
 // Trail is one request that is followed.
-type Trail struct {
-	*trace.Live
-	link    *propagation.Linker
-	tie     propagation.Tie
+type RequestTrace struct {
+	*trace.ActiveTrace
+	link    *propagation.Correlator
+	tie     propagation.Correlation
 	room    bool    // there was memory for its spans
 	stretch float64 // of its class's aim
 	bytes   int     // that came
 }
 
 // AttemptStarted notes an attempt.
-func (t *Trail) AttemptStarted(now float64, g routing.SendAttempt) trace.Parent {
+func (t *RequestTrace) AttemptStarted(now float64, g routing.SendAttempt) trace.SpanContext {
 	if t.room {
-		return t.Live.AttemptStarted(now, g)
+		return t.ActiveTrace.AttemptStarted(now, g)
 	}
-	t.Live.Blind(1)
-	return trace.Parent{}
+	t.ActiveTrace.RecordUntraced(1)
+	return trace.SpanContext{}
 }
 
 // Responded notes the answer. From here on the client may come again, though an attempt
 // may still be out.
-func (t *Trail) Responded(now float64, o trace.Outcome) {
-	t.Live.Responded(now, o)
-	t.link.Ended(now, t.tie, o == trace.Served || o == trace.Same)
+func (t *RequestTrace) Responded(now float64, o trace.Outcome) {
+	t.ActiveTrace.Responded(now, o)
+	t.link.RequestEnded(now, t.tie, o == trace.Served || o == trace.NotModified)
 }
 
 // AttemptEnded notes the end of one.
-func (t *Trail) AttemptEnded(now float64, res routing.Result, bytes int, load routing.LoadReport, w trace.Wire) {
+func (t *RequestTrace) AttemptEnded(now float64, res routing.Result, bytes int, load routing.LoadReport, w trace.WireTimes) {
 	t.bytes = bytes
 	if t.room {
-		t.Live.AttemptEnded(now, res, bytes, load, w)
+		t.ActiveTrace.AttemptEnded(now, res, bytes, load, w)
 	} else {
-		t.Live.Blind(-1)
+		t.ActiveTrace.RecordUntraced(-1)
 	}
 }
 
 // Open begins to follow a request.
-func (r *Recorder) Open(now float64, q Asked, class *routing.Class) *Trail {
+func (r *Recorder) Open(now float64, q Request, class *routing.Class) *RequestTrace {
 	if s := r.next.Swap(nil); s != nil {
-		r.link.Within(s.RetryWithin)
-		r.keep.Adopt(s.Undecided, s.Other, s.Classes)
-		r.asked = s.Sampled
+		r.link.SetRetryWindow(s.RetryWindow)
+		r.keep.UpdateSettings(s.UndecidedBytes, s.DefaultClass, s.Classes)
+		r.asked = s.RetainClientSampled
 	}
-	if q.Came == 0 {
-		q.Came = now
+	if q.ReceivedAt == 0 {
+		q.ReceivedAt = now
 	}
-	ask := propagation.Ask{Parent: q.Parent, Client: q.Client, Class: class.Name, Object: uint64(q.Object), Part: q.Part}
+	ask := propagation.Request{TraceParent: q.TraceParent, ClientAddress: q.ClientAddress, Class: class.Name, Object: uint64(q.Object), Chunk: q.Chunk}
 	if class.Idempotency == routing.IdempotentWithKey {
-		ask.Key = q.Key
+		ask.IdempotencyKey = q.IdempotencyKey
 	}
-	t := &Trail{link: r.link, tie: r.link.Tie(now, ask), room: r.keep.Open(openSize), stretch: class.ObjectiveTransferFactor}
+	t := &RequestTrace{link: r.link, tie: r.link.Correlate(now, ask), room: r.keep.Reserve(openSize), stretch: class.ObjectiveTransferFactor}
 	r.n++
-	piece := trace.Trace{ID: t.tie.ID, Remote: t.tie.Remote, Try: t.tie.Try, Router: r.Router, Txn: q.Txn, Class: class.Name,
-		Object: r.link.Hide(uint64(q.Object)), Part: uint32(q.Part), Group: uint16(q.Group), Start: min(q.Came, now),
-		Asked: t.tie.Asked && r.asked}
-	t.Live = trace.Begin(piece, r.Seed+r.n<<20|1)
+	piece := trace.Trace{ID: t.tie.ID, ClientSpan: t.tie.ClientSpan, Retry: t.tie.Retry, Router: r.Router, TransactionID: q.TransactionID, Class: class.Name,
+		Object: r.link.HashObject(uint64(q.Object)), Chunk: uint32(q.Chunk), PurgeGroup: uint16(q.PurgeGroup), Start: min(q.ReceivedAt, now),
+		ClientSampled: t.tie.ClientSampled && r.asked}
+	t.ActiveTrace = trace.Begin(piece, r.Seed+r.n<<20|1)
 	return t
 }
 
 // Close takes a request that is done.
-func (r *Recorder) Close(now float64, t *Trail) {
-	p := t.Piece()
-	if pace := r.Pace(); pace > 0 {
-		p.Allow = t.stretch * float64(t.bytes) / pace * 1000
+func (r *Recorder) Close(now float64, t *RequestTrace) {
+	p := t.Finished()
+	if pace := r.ClientBytesPerSecond(); pace > 0 {
+		p.SizeAllowance = t.stretch * float64(t.bytes) / pace * 1000
 	}
-	served := p.Outcome == trace.Served || p.Outcome == trace.Same
+	served := p.Outcome == trace.Served || p.Outcome == trace.NotModified
 	r.send(r.keep.Tick(now)) // windows that are over, before what ends now is drawn in its own
 	if !t.room {
-		r.keep.Missed(p.Class, p.Took()-p.Allow, p.Outcome, int(p.Attempts), p.Try)
-		r.Stats.Add("traces_without_room", 1)
+		r.keep.RecordUntraced(p.Class, p.Duration()-p.SizeAllowance, p.Outcome, int(p.Attempts), p.Retry)
+		r.Metrics.Add("traces_without_room", 1)
 		return
 	}
-	if kept := r.keep.End(p, openSize); kept != nil {
+	if kept := r.keep.Finish(p, openSize); kept != nil {
 		if !served {
 			r.Log.Debug().Str("trace", p.ID.String()).Str("class", p.Class).Int("attempts", int(p.Attempts)).
-				Float64("took_ms", p.Took()).Msg("request " + p.Outcome.String())
+				Float64("took_ms", p.Duration()).Msg("request " + p.Outcome.String())
 		}
 		r.send([]*trace.Trace{kept})
 	}
@@ -201,11 +201,11 @@
 	for _, t := range kept {
 		select {
 		case r.box <- t:
-			r.Stats.Add("traces_kept", 1)
+			r.Metrics.Add("traces_kept", 1)
 			r.tell(t)
 		default:
-			r.Stats.Add("traces_not_taken", 1)
-			r.keep.Lose(t)
+			r.Metrics.Add("traces_not_taken", 1)
+			r.keep.RecordLost(t)
 		}
 	}
 }
@@ -213,13 +213,13 @@
 // tell tells the servers that had a part in a trace that it is kept. t belongs to the
 // actor by now, and is only read.
 func (r *Recorder) tell(t *trace.Trace) {
-	if r.Kept == nil {
+	if r.NotifyRetained == nil {
 		return
 	}
 	for i, s := range t.Spans {
 		again := slices.ContainsFunc(t.Spans[:i], func(x trace.Span) bool { return x.Kind == trace.Attempt && x.Server == s.Server })
-		if s.Kind == trace.Attempt && s.Flags&trace.Sent != 0 && !again {
-			r.Kept(s.Server, t.ID)
+		if s.Kind == trace.Attempt && s.Flags&trace.FlagSent != 0 && !again {
+			r.NotifyRetained(s.Server, t.ID)
 		}
 	}
 }
@@ -248,8 +248,8 @@
 // failed notes an error of the sink, the first of a kind at each counted step.
 func (r *Recorder) failed(err error) {
 	if err != nil {
-		r.Stats.Add("traces_failed", 1)
-		if n := r.Stats.Counter("traces_failed").Load(); n&(n-1) == 0 { // the 1st, 2nd, 4th, 8th ...
+		r.Metrics.Add("traces_failed", 1)
+		if n := r.Metrics.Counter("traces_failed").Load(); n&(n-1) == 0 { // the 1st, 2nd, 4th, 8th ...
 			r.Log.Error().Err(err).Int64("failures", n).Msg("traces not written")
 		}
 	}
@@ -257,7 +257,7 @@
 
 // Finish decides what is undecided and returns when all that is kept is written. The
 // core must have stopped, and Run have been called.
-func (r *Recorder) Finish() {
+func (r *Recorder) Shutdown() {
 	r.send(r.keep.Close())
 	close(r.quit)
 	<-r.ended
--- a/internal/trace/render/otlp.go
+++ b/internal/trace/render/otlp.go
@@ -83,10 +83,10 @@
 	var all otlp
 	for _, p := range pieces {
 		spans := trace.Merge(p.ID, []*trace.Trace{p})
-		if p.Remote != 0 {
+		if p.ClientSpan != 0 {
 			for i, s := range spans[1:] {
 				if s.Parent == p.ID.Root() {
-					spans[1+i].Parent = p.Remote
+					spans[1+i].Parent = p.ClientSpan
 				}
 			}
 			spans = spans[1:]
@@ -110,8 +110,8 @@
 			o.Kind = kindServer
 		case trace.Attempt:
 			o.Kind = kindClient
-			o.Attributes = append(o.Attributes, text("server", s.Server.String()), text("source", s.Source.String()),
-				whole("attempt", int64(s.N)), whole("rank", int64(s.Rank)), whole("bytes", int64(s.Bytes)), text("result", result(s.Result)))
+			o.Attributes = append(o.Attributes, text("server", s.Server.String()), text("source", s.FillSource.String()),
+				whole("attempt", int64(s.AttemptNumber)), whole("rank", int64(s.CopyRank)), whole("bytes", int64(s.Bytes)), text("result", result(s.Result)))
 			if !math.IsNaN(float64(s.Inflight)) {
 				o.Attributes = append(o.Attributes, real("inflight", float64(s.Inflight)))
 			}
@@ -121,9 +121,9 @@
 		}
 		for _, p := range pieces {
 			if s.Kind == trace.Request && len(p.Spans) > 0 && p.Spans[0].ID == s.ID {
-				o.Attributes = append(o.Attributes, text("router", p.Router), text("class", p.Class), text("txn", p.Txn), text("outcome", p.Outcome.String()),
-					text("kept", Whys(p.Why)), real("weight", p.Weight), whole("try", int64(p.Try)), whole("lost_before", int64(p.Lost)))
-				if p.Outcome == trace.Failed || p.Outcome == trace.Refused {
+				o.Attributes = append(o.Attributes, text("router", p.Router), text("class", p.Class), text("txn", p.TransactionID), text("outcome", p.Outcome.String()),
+					text("kept", ReasonNames(p.Reasons)), real("weight", p.Weight), whole("try", int64(p.Retry)), whole("lost_before", int64(p.LostBefore)))
+				if p.Outcome == trace.Failed || p.Outcome == trace.Rejected {
 					o.Status = &otlpStatus{codeError, p.Outcome.String()}
 				}
 			}
--- a/internal/trace/render/render.go
+++ b/internal/trace/render/render.go
@@ -30,7 +30,7 @@
 }
 
 // Whys names the reasons for which a trace was kept.
-func Whys(w trace.Why) string {
+func ReasonNames(w trace.Reason) string {
 	var out []string
 	for i, n := range []string{"failed", "refused", "retried", "slow", "ordinary", "keyed", "asked"} {
 		if w&(1<<i) != 0 {
@@ -46,9 +46,9 @@
 	case trace.Request:
 		return "request " + trace.Outcome(s.Result).String()
 	case trace.Attempt:
-		text := fmt.Sprintf("attempt %d to %v", s.N+1, s.Server)
-		if s.Source != s.Server && s.Source != 0 {
-			text += fmt.Sprintf(" from %v", s.Source)
+		text := fmt.Sprintf("attempt %d to %v", s.AttemptNumber+1, s.Server)
+		if s.FillSource != s.Server && s.FillSource != 0 {
+			text += fmt.Sprintf(" from %v", s.FillSource)
 		}
 		text += ": " + result(s.Result)
 		if s.Bytes > 0 {
@@ -59,14 +59,14 @@
 				text += ", " + n
 			}
 		}
-		if s.Flags&trace.Sent == 0 {
+		if s.Flags&trace.FlagSent == 0 {
 			text += ", not written"
 		}
 		if !math.IsNaN(float64(s.Inflight)) {
 			text += fmt.Sprintf(", inflight %.0f", s.Inflight)
 		}
 		return text
-	case trace.Work, trace.Fill:
+	case trace.ServerWork, trace.Fill:
 		text := s.Kind.String()
 		if s.Server != 0 {
 			text += fmt.Sprintf(" of %v", s.Server)
--- a/internal/trace/sampling/keep.go
+++ b/internal/trace/sampling/sampler.go
@@ -24,11 +24,11 @@
 
 // Class is what a Keeper knows of one class.
 type Class struct {
-	Wanted   float64 // ms; slower traces are kept
-	Ordinary float64 // ordinary traces kept a second
+	LatencyObjective  float64 // ms; slower traces are kept
+	OrdinaryPerSecond float64 // ordinary traces kept a second
 	// All of them are kept: a router can't know whether a keyed request was tried at
 	// another one before, and the pieces of a trace that is kept are all wanted.
-	All bool
+	RetainAll bool
 }
 
 // window is how long ordinary traces of a class are drawn together, ms, or longer
@@ -41,7 +41,7 @@
 )
 
 // Keeper decides what is kept. It is not safe for concurrent use.
-type Keeper struct {
+type Sampler struct {
 	classes map[string]*draw
 	other   Class
 	most    int // bytes
@@ -53,10 +53,10 @@
 
 // Counts tells what a Keeper did.
 type Counts struct {
-	Kept, Ordinary, Drawn int64 // kept always; ordinary ones met; of those, kept
-	Pushed                int64 // ordinary ones given up for room
-	Untraced              int64 // requests for which there was no room
-	Lost                  int64 // of those, the ones that had to be kept
+	Retained, Ordinary, Sampled int64 // kept always; ordinary ones met; of those, kept
+	Evicted                     int64 // ordinary ones given up for room
+	Untraced                    int64 // requests for which there was no room
+	Lost                        int64 // of those, the ones that had to be kept
 }
 
 // draw is a window of one class.
@@ -70,14 +70,14 @@
 }
 
 // New returns a Keeper that holds most bytes. Classes that are not named have other.
-func New(most int, other Class, classes map[string]Class) *Keeper {
-	k := &Keeper{classes: map[string]*draw{}, most: most}
-	k.Adopt(most, other, classes)
+func New(most int, other Class, classes map[string]Class) *Sampler {
+	k := &Sampler{classes: map[string]*draw{}, most: most}
+	k.UpdateSettings(most, other, classes)
 	return k
 }
 
 // Adopt goes over to other settings. What is held stays, drawn as it was.
-func (k *Keeper) Adopt(most int, other Class, classes map[string]Class) {
+func (k *Sampler) UpdateSettings(most int, other Class, classes map[string]Class) {
 	k.most, k.other = most, other
 	for name, c := range classes {
 		k.class(name).set(c)
@@ -89,7 +89,7 @@
 	}
 }
 
-func (k *Keeper) class(name string) *draw {
+func (k *Sampler) class(name string) *draw {
 	d := k.classes[name]
 	if d == nil {
 		d = &draw{bound: 1}
@@ -101,15 +101,15 @@
 
 func (d *draw) set(c Class) {
 	d.Class, d.span = c, window
-	if c.Ordinary > 0 {
-		d.span = min(max(window, least*1000/c.Ordinary), longest)
+	if c.OrdinaryPerSecond > 0 {
+		d.span = min(max(window, least*1000/c.OrdinaryPerSecond), longest)
 	}
-	d.n = int(math.Ceil(c.Ordinary * d.span / 1000))
+	d.n = int(math.Ceil(c.OrdinaryPerSecond * d.span / 1000))
 }
 
 // Open asks for room for a request's trace. Without it the request is not traced, and
 // Missed is to be told its end.
-func (k *Keeper) Open(size int) bool {
+func (k *Sampler) Reserve(size int) bool {
 	for k.open+k.held+size > k.most {
 		if !k.push() {
 			k.Counts.Untraced++
@@ -121,7 +121,7 @@
 }
 
 // push gives up the ordinary trace of the highest order of all classes.
-func (k *Keeper) push() bool {
+func (k *Sampler) push() bool {
 	var from *draw
 	for _, d := range k.classes {
 		if len(d.held) > 0 && (from == nil || d.held[0].order > from.held[0].order) {
@@ -132,12 +132,12 @@
 		return false
 	}
 	k.turnAway(from)
-	k.Counts.Pushed++
+	k.Counts.Evicted++
 	return true
 }
 
 // turnAway gives up the highest of a class.
-func (k *Keeper) turnAway(d *draw) {
+func (k *Sampler) turnAway(d *draw) {
 	e := heap.Pop(&d.held).(entry)
 	d.bound = min(d.bound, e.order)
 	k.held -= e.size
@@ -145,7 +145,7 @@
 
 // Missed takes the end of a request that was not traced; took is in ms, less what its
 // bytes allow.
-func (k *Keeper) Missed(class string, took float64, outcome trace.Outcome, attempts int, try uint8) {
+func (k *Sampler) RecordUntraced(class string, took float64, outcome trace.Outcome, attempts int, try uint8) {
 	if k.why(k.class(class), took, outcome, attempts, try) != 0 {
 		k.lost++
 		k.Counts.Lost++
@@ -153,21 +153,21 @@
 }
 
 // why tells why a request must be kept; 0: it is ordinary.
-func (k *Keeper) why(d *draw, took float64, o trace.Outcome, attempts int, try uint8) (why trace.Why) {
+func (k *Sampler) why(d *draw, took float64, o trace.Outcome, attempts int, try uint8) (why trace.Reason) {
 	switch o {
-	case trace.Failed, trace.Left:
-		why |= trace.WhyFailed
-	case trace.Refused:
-		why |= trace.WhyRefused
+	case trace.Failed, trace.ClientDisconnected:
+		why |= trace.ReasonFailed
+	case trace.Rejected:
+		why |= trace.ReasonRejected
 	}
 	if attempts > 1 || try > 0 {
-		why |= trace.WhyRetried
+		why |= trace.ReasonRetried
 	}
-	if d.All {
-		why |= trace.WhyKeyed
+	if d.RetainAll {
+		why |= trace.ReasonIdempotent
 	}
-	if d.Wanted > 0 && took > d.Wanted {
-		why |= trace.WhySlow
+	if d.LatencyObjective > 0 && took > d.LatencyObjective {
+		why |= trace.ReasonSlow
 	}
 	return why
 }
@@ -175,16 +175,16 @@
 // End decides on a trace for which Open gave room of size, or holds it until its
 // window is over. It returns t where it is kept, with the reason and the weight.
 // Tick must have been called with this time or a later one of the same window.
-func (k *Keeper) End(t *trace.Trace, size int) *trace.Trace {
+func (k *Sampler) Finish(t *trace.Trace, size int) *trace.Trace {
 	k.open -= size
 	d := k.class(t.Class)
-	t.Why = k.why(d, t.Took()-t.Allow, t.Outcome, int(t.Attempts), t.Try)
-	if t.Asked {
-		t.Why |= trace.WhyAsked
+	t.Reasons = k.why(d, t.Duration()-t.SizeAllowance, t.Outcome, int(t.Attempts), t.Retry)
+	if t.ClientSampled {
+		t.Reasons |= trace.ReasonClientSampled
 	}
-	if t.Why != 0 {
+	if t.Reasons != 0 {
 		t.Weight = 1
-		k.Counts.Kept++
+		k.Counts.Retained++
 		return k.mark(t)
 	}
 	k.Counts.Ordinary++
@@ -208,22 +208,22 @@
 }
 
 // Lose takes back a trace that was returned as kept and could not be taken.
-func (k *Keeper) Lose(t *trace.Trace) {
-	k.lost += t.Lost
-	if t.Why&^trace.WhyChance != 0 {
+func (k *Sampler) RecordLost(t *trace.Trace) {
+	k.lost += t.LostBefore
+	if t.Reasons&^trace.ReasonSampled != 0 {
 		k.lost++
 		k.Counts.Lost++
 	}
 }
 
 // mark has the next kept trace say what was lost before it.
-func (k *Keeper) mark(t *trace.Trace) *trace.Trace {
-	t.Lost, k.lost = k.lost, 0
+func (k *Sampler) mark(t *trace.Trace) *trace.Trace {
+	t.LostBefore, k.lost = k.lost, 0
 	return t
 }
 
 // Tick closes the windows that are over and returns what was drawn in them.
-func (k *Keeper) Tick(now float64) (kept []*trace.Trace) {
+func (k *Sampler) Tick(now float64) (kept []*trace.Trace) {
 	for _, d := range k.classes {
 		if now >= d.began && now < d.began+d.span {
 			continue
@@ -235,18 +235,18 @@
 }
 
 // Close ends all windows, as at the end of the program.
-func (k *Keeper) Close() (kept []*trace.Trace) {
+func (k *Sampler) Close() (kept []*trace.Trace) {
 	for _, d := range k.classes {
 		kept = k.close(d, kept)
 	}
 	return kept
 }
 
-func (k *Keeper) close(d *draw, kept []*trace.Trace) []*trace.Trace {
+func (k *Sampler) close(d *draw, kept []*trace.Trace) []*trace.Trace {
 	for _, e := range d.held {
-		e.t.Why, e.t.Weight = trace.WhyChance, 1/d.bound
+		e.t.Reasons, e.t.Weight = trace.ReasonSampled, 1/d.bound
 		k.held -= e.size
-		k.Counts.Drawn++
+		k.Counts.Sampled++
 		kept = append(kept, k.mark(e.t))
 	}
 	d.held, d.bound = d.held[:0], 1
@@ -254,7 +254,7 @@
 }
 
 // Bytes returns how much is held for traces that are open or not decided.
-func (k *Keeper) Bytes() int { return k.open + k.held }
+func (k *Sampler) Bytes() int { return k.open + k.held }
 
 // entry is a held trace.
 type entry struct {
--- a/internal/trace/sampling/keep_test.go
+++ b/internal/trace/sampling/sampler_test.go
@@ -23,25 +23,25 @@
 // What failed, was refused, tried again or slow is kept, each with its reason.
 func TestWhatIsKeptAlways(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	k := New(1<<20, Class{Wanted: 400}, nil)
+	k := New(1<<20, Class{LatencyObjective: 400}, nil)
 	for i, c := range []struct {
 		took     float64
 		o        trace.Outcome
 		attempts uint8
 		try      uint8
-		why      trace.Why
+		why      trace.Reason
 	}{
-		{10, trace.Failed, 1, 0, trace.WhyFailed}, {10, trace.Left, 1, 0, trace.WhyFailed}, {10, trace.Refused, 0, 0, trace.WhyRefused},
-		{10, trace.Served, 2, 0, trace.WhyRetried}, {10, trace.Served, 1, 1, trace.WhyRetried}, {401, trace.Served, 1, 0, trace.WhySlow},
-		{500, trace.Refused, 2, 1, trace.WhySlow | trace.WhyRefused | trace.WhyRetried}, {400, trace.Served, 1, 0, 0}, {10, trace.Same, 1, 0, 0},
+		{10, trace.Failed, 1, 0, trace.ReasonFailed}, {10, trace.ClientDisconnected, 1, 0, trace.ReasonFailed}, {10, trace.Rejected, 0, 0, trace.ReasonRejected},
+		{10, trace.Served, 2, 0, trace.ReasonRetried}, {10, trace.Served, 1, 1, trace.ReasonRetried}, {401, trace.Served, 1, 0, trace.ReasonSlow},
+		{500, trace.Rejected, 2, 1, trace.ReasonSlow | trace.ReasonRejected | trace.ReasonRetried}, {400, trace.Served, 1, 0, 0}, {10, trace.NotModified, 1, 0, 0},
 	} {
 		x := ended(rng, "part", 1e6, c.took, c.o)
-		x.Attempts, x.Try = c.attempts, c.try
-		if !k.Open(300) {
+		x.Attempts, x.Retry = c.attempts, c.try
+		if !k.Reserve(300) {
 			t.Fatal("no room")
 		}
-		got := k.End(x, 300)
-		if (got != nil) != (c.why != 0) || got != nil && (got.Why != c.why || got.Weight != 1) {
+		got := k.Finish(x, 300)
+		if (got != nil) != (c.why != 0) || got != nil && (got.Reasons != c.why || got.Weight != 1) {
 			t.Errorf("%d: %+v, want why %b", i, got, c.why)
 		}
 	}
@@ -62,7 +62,7 @@
 		{"one in five seconds", 20, 1 << 20, 0.2, 3, false, 45_000},
 	} {
 		rng := rand.New(rand.NewPCG(7, 7))
-		k := New(c.most, Class{Wanted: 1e9, Ordinary: c.ordinary}, nil)
+		k := New(c.most, Class{LatencyObjective: 1e9, OrdinaryPerSecond: c.ordinary}, nil)
 		sum, met := 0.0, 0
 		for w := range c.windows {
 			now := 1e9 + float64(w)*1000
@@ -70,11 +70,11 @@
 				sum += x.Weight
 			}
 			for i := range c.n {
-				if !k.Open(200) {
+				if !k.Reserve(200) {
 					t.Fatalf("%s: no room", c.name)
 				}
 				met++
-				if k.End(ended(rng, "part", now+float64(i), 5, trace.Served), 200) != nil {
+				if k.Finish(ended(rng, "part", now+float64(i), 5, trace.Served), 200) != nil {
 					t.Fatalf("%s: an ordinary trace is kept at once", c.name)
 				}
 				if k.Bytes() > c.most {
@@ -89,8 +89,8 @@
 		if err := math.Abs(sum/float64(met) - 1); err > 0.04 {
 			t.Errorf("%s: weights of %.0f stand for %d traces, %.1f%% off", c.name, sum, met, 100*err)
 		}
-		if len(last) > c.wantKept || (k.Counts.Pushed > 0) != c.wantPushing {
-			t.Errorf("%s: %d in the last window, %d pushed", c.name, len(last), k.Counts.Pushed)
+		if len(last) > c.wantKept || (k.Counts.Evicted > 0) != c.wantPushing {
+			t.Errorf("%s: %d in the last window, %d pushed", c.name, len(last), k.Counts.Evicted)
 		}
 	}
 }
@@ -98,16 +98,16 @@
 // Two routers that meet the same traces draw the same ones.
 func TestRoutersDrawAlike(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
-	a, b := New(1<<20, Class{Ordinary: 4}, nil), New(1<<20, Class{Ordinary: 4}, nil)
+	a, b := New(1<<20, Class{OrdinaryPerSecond: 4}, nil), New(1<<20, Class{OrdinaryPerSecond: 4}, nil)
 	a.Tick(1e6)
 	b.Tick(1e6)
 	for range 300 {
 		x := ended(rng, "part", 1e6, 5, trace.Served)
 		y := *x
-		a.Open(200)
-		b.Open(200)
-		a.End(x, 200)
-		b.End(&y, 200)
+		a.Reserve(200)
+		b.Reserve(200)
+		a.Finish(x, 200)
+		b.Finish(&y, 200)
 	}
 	drawn := map[trace.ID]bool{}
 	for _, x := range a.Close() {
@@ -127,22 +127,22 @@
 // have been kept is counted and told by the next trace that is.
 func TestLostAreTold(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
-	k := New(1000, Class{Ordinary: 5}, nil)
+	k := New(1000, Class{OrdinaryPerSecond: 5}, nil)
 	for range 3 {
-		if !k.Open(300) {
+		if !k.Reserve(300) {
 			t.Fatal("no room")
 		}
 	}
-	if k.Open(300) {
+	if k.Reserve(300) {
 		t.Fatal("room beyond the bound")
 	}
-	k.Missed("part", 10, trace.Failed, 1, 0)
-	k.Missed("part", 10, trace.Served, 1, 0)
-	k.Missed("part", 10, trace.Served, 3, 0)
-	if x := k.End(ended(rng, "part", 1e6, 5, trace.Refused), 300); x == nil || x.Lost != 2 {
+	k.RecordUntraced("part", 10, trace.Failed, 1, 0)
+	k.RecordUntraced("part", 10, trace.Served, 1, 0)
+	k.RecordUntraced("part", 10, trace.Served, 3, 0)
+	if x := k.Finish(ended(rng, "part", 1e6, 5, trace.Rejected), 300); x == nil || x.LostBefore != 2 {
 		t.Errorf("%+v: want a mark of two", x)
 	}
-	if x := k.End(ended(rng, "part", 1e6, 5, trace.Refused), 300); x == nil || x.Lost != 0 {
+	if x := k.Finish(ended(rng, "part", 1e6, 5, trace.Rejected), 300); x == nil || x.LostBefore != 0 {
 		t.Errorf("%+v: marked twice", x)
 	}
 	if k.Counts.Lost != 2 || k.Counts.Untraced != 1 {
@@ -152,18 +152,18 @@
 
 // FuzzKeeper checks by random steps that the bound holds, that all that must be kept
 // is kept or told as lost, and that nothing is held in the end.
-func FuzzKeeper(f *testing.F) {
-	fuzzutil.Add(f, 16, 600)
+func FuzzSampler(f *testing.F) {
+	fuzzutil.AddRandomSeeds(f, 16, 600)
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		rng := rand.New(rand.NewPCG(uint64(len(steps)), 9))
-		k := New(4000, Class{Wanted: 50, Ordinary: 2}, map[string]Class{"b": {Wanted: 10, Ordinary: 0.5}})
+		k := New(4000, Class{LatencyObjective: 50, OrdinaryPerSecond: 2}, map[string]Class{"b": {LatencyObjective: 10, OrdinaryPerSecond: 0.5}})
 		now, open, must, got, lost := 1e6, 0, int64(0), int64(0), int64(0)
 		take := func(xs ...*trace.Trace) {
 			for _, x := range xs {
 				if x == nil {
 					continue
 				}
-				if lost += int64(x.Lost); x.Why&^trace.WhyChance != 0 {
+				if lost += int64(x.LostBefore); x.Reasons&^trace.ReasonSampled != 0 {
 					got++
 				} else if x.Weight < 1 {
 					t.Fatalf("weight %v", x.Weight)
@@ -175,22 +175,22 @@
 			class, o, took := string("ab"[x%2]), trace.Outcome(x%5), float64(x)
 			switch steps[i] % 4 {
 			case 0, 1:
-				if k.Open(300) {
+				if k.Reserve(300) {
 					open++
-				} else if took > 50 || class == "b" && took > 10 || o != trace.Served && o != trace.Same {
+				} else if took > 50 || class == "b" && took > 10 || o != trace.Served && o != trace.NotModified {
 					must++
-					k.Missed(class, took, o, 1, 0)
+					k.RecordUntraced(class, took, o, 1, 0)
 				} else {
-					k.Missed(class, took, o, 1, 0)
+					k.RecordUntraced(class, took, o, 1, 0)
 				}
 			case 2:
 				if open > 0 {
 					open--
 					z := ended(rng, class, now, took, o)
-					if took > 50 || class == "b" && took > 10 || o != trace.Served && o != trace.Same {
+					if took > 50 || class == "b" && took > 10 || o != trace.Served && o != trace.NotModified {
 						must++
 					}
-					take(k.End(z, 300))
+					take(k.Finish(z, 300))
 				}
 			case 3:
 				now += float64(x) * 10
@@ -202,7 +202,7 @@
 		}
 		for ; open > 0; open-- {
 			must++
-			take(k.End(ended(rng, "a", now, 5, trace.Failed), 300))
+			take(k.Finish(ended(rng, "a", now, 5, trace.Failed), 300))
 		}
 		take(k.Close()...)
 		if k.Bytes() != 0 {
@@ -228,13 +228,13 @@
 	}
 	b.Run("bound", func(b *testing.B) {
 		rng, most := rand.New(rand.NewPCG(1, 1)), 0
-		k := New(1<<30, Class{Ordinary: 10}, nil)
+		k := New(1<<30, Class{OrdinaryPerSecond: 10}, nil)
 		for i := range b.N {
 			now := 1e6 + float64(i)*1000/rate
 			k.Tick(now)
 			x := make(rng, now)
-			k.Open(x.Size())
-			k.End(x, x.Size())
+			k.Reserve(x.Size())
+			k.Finish(x, x.Size())
 			most = max(most, k.Bytes())
 		}
 		b.ReportMetric(float64(most), "heldB")
--- a/internal/trace/serverspans/hold.go
+++ b/internal/trace/serverspans/buffer.go
@@ -21,10 +21,10 @@
 }
 
 // Counts tells what a Holder did.
-type Counts struct{ Kept, Own, Forgotten, Pushed int64 }
+type Counts struct{ Retained, RetainedFailed, Discarded, Evicted int64 }
 
 // Holder holds pieces. It is not safe for concurrent use.
-type Holder struct {
+type Buffer struct {
 	limit  float64 // ms
 	most   int     // bytes
 	bytes  int
@@ -35,14 +35,14 @@
 }
 
 // New returns a Holder that holds pieces for limit ms, and at most so many bytes.
-func New(limit float64, most int) *Holder {
-	return &Holder{limit: limit, most: most, by: map[trace.ID][]*piece{}, fills: map[trace.SpanID]*piece{}}
+func New(limit float64, most int) *Buffer {
+	return &Buffer{limit: limit, most: most, by: map[trace.ID][]*piece{}, fills: map[trace.SpanID]*piece{}}
 }
 
 // Add holds a piece; failed says that the server's own part did. It returns what the
 // bound on memory pushes out and had failed: the oldest go first, those that did not
 // fail before all others.
-func (h *Holder) Add(now float64, t *trace.Trace, failed bool) (kept []*trace.Trace) {
+func (h *Buffer) Add(now float64, t *trace.Trace, failed bool) (kept []*trace.Trace) {
 	p := &piece{t: t, until: now + h.limit, failed: failed}
 	for _, l := range t.Links {
 		if f := h.fills[l.To]; f != nil {
@@ -59,9 +59,9 @@
 	h.bytes += t.Size()
 	for h.bytes > h.most {
 		out := h.oldest()
-		h.Counts.Pushed++
+		h.Counts.Evicted++
 		if out.failed {
-			h.Counts.Own++
+			h.Counts.RetainedFailed++
 			kept = append(kept, out.t)
 		}
 		h.forget(out)
@@ -70,7 +70,7 @@
 }
 
 // oldest is the oldest that did not fail, or the oldest.
-func (h *Holder) oldest() (first *piece) {
+func (h *Buffer) oldest() (first *piece) {
 	for _, p := range h.order {
 		if !p.done && !p.failed {
 			return p
@@ -83,11 +83,11 @@
 }
 
 // Kept takes a verdict and returns what is to be kept for it.
-func (h *Holder) Kept(id trace.ID) (kept []*trace.Trace) {
+func (h *Buffer) Retain(id trace.ID) (kept []*trace.Trace) {
 	for _, p := range h.by[id] {
 		for _, q := range append(p.rides, p) {
 			if !q.done {
-				h.Counts.Kept++
+				h.Counts.Retained++
 				kept = append(kept, q.t)
 				h.forget(q)
 			}
@@ -97,7 +97,7 @@
 }
 
 // Tick returns what is kept at its limit without a verdict.
-func (h *Holder) Tick(now float64) (kept []*trace.Trace) {
+func (h *Buffer) Tick(now float64) (kept []*trace.Trace) {
 	for len(h.order) > 0 && (h.order[0].done || h.order[0].until <= now) {
 		p := h.order[0]
 		h.order[0] = nil
@@ -106,10 +106,10 @@
 			continue
 		}
 		if p.failed {
-			h.Counts.Own++
+			h.Counts.RetainedFailed++
 			kept = append(kept, p.t)
 		} else {
-			h.Counts.Forgotten++
+			h.Counts.Discarded++
 		}
 		h.forget(p)
 	}
@@ -117,7 +117,7 @@
 }
 
 // forget gives back what a piece holds. It is the one place for that.
-func (h *Holder) forget(p *piece) {
+func (h *Buffer) forget(p *piece) {
 	p.done = true
 	h.bytes -= p.t.Size()
 	for _, s := range p.t.Spans {
@@ -139,4 +139,4 @@
 }
 
 // Bytes returns what is held.
-func (h *Holder) Bytes() int { return h.bytes }
+func (h *Buffer) Bytes() int { return h.bytes }
--- a/internal/trace/serverspans/hold_test.go
+++ b/internal/trace/serverspans/buffer_test.go
@@ -9,7 +9,7 @@
 )
 
 func work(id byte, span trace.SpanID, fill trace.SpanID, rides ...trace.Link) *trace.Trace {
-	t := &trace.Trace{ID: trace.ID{id}, Router: "s-00000005", Spans: []trace.Span{{ID: span, Kind: trace.Work}}, Links: rides}
+	t := &trace.Trace{ID: trace.ID{id}, Router: "s-00000005", Spans: []trace.Span{{ID: span, Kind: trace.ServerWork}}, Links: rides}
 	if fill != 0 {
 		t.Spans = append(t.Spans, trace.Span{ID: fill, Parent: span, Kind: trace.Fill})
 	}
@@ -24,10 +24,10 @@
 	h.Add(0, first, false)
 	rider := work(2, 20, 0, trace.Link{From: 20, Trace: trace.ID{1}, To: 11})
 	h.Add(1, rider, false)
-	if kept := h.Kept(trace.ID{2}); len(kept) != 2 || kept[0] != first || kept[1] != rider {
+	if kept := h.Retain(trace.ID{2}); len(kept) != 2 || kept[0] != first || kept[1] != rider {
 		t.Errorf("%v", kept)
 	}
-	if kept := append(h.Kept(trace.ID{2}), h.Kept(trace.ID{1})...); len(kept) != 0 {
+	if kept := append(h.Retain(trace.ID{2}), h.Retain(trace.ID{1})...); len(kept) != 0 {
 		t.Errorf("kept twice: %v", kept)
 	}
 	h.Add(2, work(3, 30, 0), false)
@@ -39,15 +39,15 @@
 	if kept := h.Tick(1003); len(kept) != 1 || kept[0] != failed {
 		t.Errorf("at the limit: %v, want what failed alone", kept)
 	}
-	if kept := h.Kept(trace.ID{3}); len(kept) != 0 || h.Bytes() != 0 {
+	if kept := h.Retain(trace.ID{3}); len(kept) != 0 || h.Bytes() != 0 {
 		t.Errorf("after the limit: %v, %d bytes", kept, h.Bytes())
 	}
 }
 
 // FuzzHolder checks by random steps that the bound holds, nothing is kept twice, what
 // failed is always kept in the end, and nothing is held then.
-func FuzzHolder(f *testing.F) {
-	fuzzutil.Add(f, 16, 500)
+func FuzzBuffer(f *testing.F) {
+	fuzzutil.AddRandomSeeds(f, 16, 500)
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		const most = 5000
 		rng, h, now, next := rand.New(rand.NewPCG(uint64(len(steps)), 1)), New(100, most), 0.0, trace.SpanID(1)
@@ -76,7 +76,7 @@
 				failed[w] = x%7 == 0
 				take(h.Add(now, w, x%7 == 0))
 			case 2:
-				take(h.Kept(trace.ID{x % 16}))
+				take(h.Retain(trace.ID{x % 16}))
 			case 3:
 				now += float64(x)
 				take(h.Tick(now))
--- a/internal/trace/parent.go
+++ b/internal/trace/spancontext.go
@@ -7,7 +7,7 @@
 )
 
 // Parent is a W3C traceparent: whose work a request is part of.
-type Parent struct {
+type SpanContext struct {
 	Trace   ID
 	Span    SpanID
 	Sampled bool
@@ -19,24 +19,24 @@
 // ParseParent reads a traceparent header. One that is malformed, oversized, of
 // version ff or all zero is none, as the specification wants: the request is then
 // the first of a new trace. A later version is read by the fields of version 00.
-func ParseParent(s string) (p Parent, ok bool) {
+func ParseTraceparent(s string) (p SpanContext, ok bool) {
 	if len(s) < 55 || len(s) > maxParent || s[2] != '-' || s[35] != '-' || s[52] != '-' || !lower(s[:2]) || s[:2] == "ff" {
-		return Parent{}, false
+		return SpanContext{}, false
 	}
 	if s[:2] == "00" && len(s) != 55 || len(s) > 55 && s[55] != '-' {
-		return Parent{}, false
+		return SpanContext{}, false
 	}
 	id, ok := ParseID(s[3:35])
 	span, err := strconv.ParseUint(s[36:52], 16, 64)
 	if !ok || err != nil || !lower(s[36:52]) || span == 0 || !lower(s[53:55]) {
-		return Parent{}, false
+		return SpanContext{}, false
 	}
 	flags, err := strconv.ParseUint(s[53:55], 16, 8)
-	return Parent{id, SpanID(span), flags&1 != 0}, err == nil
+	return SpanContext{id, SpanID(span), flags&1 != 0}, err == nil
 }
 
 // String is the header of version 00.
-func (p Parent) String() string {
+func (p SpanContext) String() string {
 	flags := 0
 	if p.Sampled {
 		flags = 1
--- a/internal/trace/store/block.go
+++ b/internal/trace/store/block.go
@@ -40,7 +40,7 @@
 	traces    uint32
 	spans     uint32
 	outcomes  uint8 // a bit each
-	why       trace.Why
+	why       trace.Reason
 	attempts  uint8 // the most
 	anyServer bool
 	classes   []string
@@ -65,18 +65,18 @@
 		h.from, h.to = t.Start, t.Start
 	}
 	h.from, h.to = min(h.from, t.Start), max(h.to, t.Start)
-	h.slowest = max(h.slowest, float32(t.Took()))
+	h.slowest = max(h.slowest, float32(t.Duration()))
 	h.traces++
 	h.spans += uint32(len(t.Spans))
 	h.outcomes |= 1 << t.Outcome
-	h.why |= t.Why
+	h.why |= t.Reasons
 	h.attempts = max(h.attempts, t.Attempts)
 	if !slices.Contains(h.classes, t.Class) {
 		h.classes = append(h.classes, t.Class)
 	}
 	for _, s := range t.Spans {
 		if s.Kind == trace.Attempt {
-			h.servers = insert(insert(h.servers, uint64(s.Server)), uint64(s.Source))
+			h.servers = insert(insert(h.servers, uint64(s.Server)), uint64(s.FillSource))
 		}
 	}
 	if len(h.servers) > maxSets {
@@ -149,7 +149,7 @@
 	h.from, h.to = math.Float64frombits(u.Uint64(b)), math.Float64frombits(u.Uint64(b[8:]))
 	h.slowest = math.Float32frombits(u.Uint32(b[16:]))
 	h.traces, h.spans = u.Uint32(b[20:]), u.Uint32(b[24:])
-	h.outcomes, h.why, h.attempts, h.anyServer = b[28], trace.Why(b[29]), b[30], b[31] == 1
+	h.outcomes, h.why, h.attempts, h.anyServer = b[28], trace.Reason(b[29]), b[30], b[31] == 1
 	b = b[headFixed:]
 	n, k := binary.Uvarint(b)
 	if k <= 0 || n > uint64(len(b)) {
@@ -216,22 +216,22 @@
 
 // Filter says which traces a query wants. Its zero value wants all.
 type Filter struct {
-	ID       trace.ID // the zero id: any
-	Class    string   // "": any
-	Txn      string   // "": any
-	Outcome  uint8    // bits of trace.Outcome; 0: any
-	Server   routing.ServerID
-	Slower   float64 // ms
-	Attempts int     // so many or more
-	Why      trace.Why
-	From, To float64 // of the start, Unix ms; To 0: no end
+	ID            trace.ID // the zero id: any
+	Class         string   // "": any
+	TransactionID string   // "": any
+	Outcome       uint8    // bits of trace.Outcome; 0: any
+	Server        routing.ServerID
+	MinDuration   float64 // ms
+	MinAttempts   int     // so many or more
+	Reasons       trace.Reason
+	From, To      float64 // of the start, Unix ms; To 0: no end
 }
 
 // may tells whether a block can hold a trace that f wants.
 func (f *Filter) may(h *head) bool {
 	switch {
-	case f.Outcome != 0 && f.Outcome&h.outcomes == 0, f.Why != 0 && f.Why&h.why == 0,
-		f.Slower > 0 && float64(h.slowest) < f.Slower*(1-1e-6), f.Attempts > int(h.attempts),
+	case f.Outcome != 0 && f.Outcome&h.outcomes == 0, f.Reasons != 0 && f.Reasons&h.why == 0,
+		f.MinDuration > 0 && float64(h.slowest) < f.MinDuration*(1-1e-6), f.MinAttempts > int(h.attempts),
 		h.to < f.From, f.To > 0 && h.from > f.To, f.Class != "" && !slices.Contains(h.classes, f.Class):
 		return false
 	case f.Server != 0 && !h.anyServer:
@@ -248,9 +248,9 @@
 }
 
 // Wants tells whether f wants a trace.
-func (f *Filter) Wants(t *trace.Trace) bool {
-	return (f.ID == trace.ID{} || f.ID == t.ID) && (f.Class == "" || f.Class == t.Class) && (f.Txn == "" || f.Txn == t.Txn) &&
-		(f.Outcome == 0 || f.Outcome&(1<<t.Outcome) != 0) && (f.Why == 0 || f.Why&t.Why != 0) &&
-		(f.Slower == 0 || t.Took() >= f.Slower) && int(t.Attempts) >= f.Attempts &&
-		t.Start >= f.From && (f.To == 0 || t.Start <= f.To) && (f.Server == 0 || t.Has(f.Server))
+func (f *Filter) Matches(t *trace.Trace) bool {
+	return (f.ID == trace.ID{} || f.ID == t.ID) && (f.Class == "" || f.Class == t.Class) && (f.TransactionID == "" || f.TransactionID == t.TransactionID) &&
+		(f.Outcome == 0 || f.Outcome&(1<<t.Outcome) != 0) && (f.Reasons == 0 || f.Reasons&t.Reasons != 0) &&
+		(f.MinDuration == 0 || t.Duration() >= f.MinDuration) && int(t.Attempts) >= f.MinAttempts &&
+		t.Start >= f.From && (f.To == 0 || t.Start <= f.To) && (f.Server == 0 || t.Involves(f.Server))
 }
--- a/internal/trace/store/index.go
+++ b/internal/trace/store/index.go
@@ -68,7 +68,7 @@
 			more := true
 			if e == nil {
 				e = traces(body, func(t *trace.Trace) bool {
-					more = !f.Wants(t) || do(t)
+					more = !f.Matches(t) || do(t)
 					return more
 				})
 			}
--- a/internal/trace/store/store_test.go
+++ b/internal/trace/store/store_test.go
@@ -29,11 +29,11 @@
 	}
 	for n := range 2 {
 		l.AttemptStarted(start+float64(n)*took, routing.SendAttempt{Server: server, FillSource: 3})
-		l.AttemptEnded(start+float64(n+1)*took, res, 100, routing.LoadReport{}, trace.Wire{Wrote: start + 1})
+		l.AttemptEnded(start+float64(n+1)*took, res, 100, routing.LoadReport{}, trace.WireTimes{WrittenAt: start + 1})
 	}
 	l.Responded(start+2*took, out)
-	t := l.Piece()
-	t.Why = trace.WhyRetried
+	t := l.Finished()
+	t.Reasons = trace.ReasonRetried
 	return t
 }
 
@@ -89,11 +89,11 @@
 	if traces != len(all) || spans < 3*traces {
 		t.Errorf("%d traces, %d spans", traces, spans)
 	}
-	for _, f := range []Filter{{}, {ID: all[12_345].ID}, {Outcome: 1 << trace.Failed}, {Server: 7}, {Slower: 3000}, {Class: "sheet", Slower: 80},
-		{From: all[100].Start, To: all[200].Start}, {Attempts: 3}, {Why: trace.WhySlow}, {Class: "none"}, {Outcome: 1 << trace.Failed, Class: "part", Server: 7}} {
+	for _, f := range []Filter{{}, {ID: all[12_345].ID}, {Outcome: 1 << trace.Failed}, {Server: 7}, {MinDuration: 3000}, {Class: "sheet", MinDuration: 80},
+		{From: all[100].Start, To: all[200].Start}, {MinAttempts: 3}, {Reasons: trace.ReasonSlow}, {Class: "none"}, {Outcome: 1 << trace.Failed, Class: "part", Server: 7}} {
 		want := 0
 		for _, x := range all {
-			if f.Wants(x) {
+			if f.Matches(x) {
 				want++
 			}
 		}
@@ -101,7 +101,7 @@
 		if len(got) != want || f.ID != (trace.ID{}) && (len(got) != 1 || got[0].ID != f.ID) {
 			t.Errorf("%+v: %d traces, want %d", f, len(got), want)
 		}
-		if rare := want < 300 && f.Slower != 80; rare && read > blocks/5 {
+		if rare := want < 300 && f.MinDuration != 80; rare && read > blocks/5 {
 			t.Errorf("%+v: read %d of %d blocks", f, read, blocks)
 		}
 	}
@@ -200,7 +200,7 @@
 
 // FuzzSegment checks that no bytes break the reader.
 func FuzzSegment(f *testing.F) {
-	fuzzutil.Add(f, 8, 200)
+	fuzzutil.AddRandomSeeds(f, 8, 200)
 	folder := f.TempDir()
 	fill(f, folder, 30, 1<<20)
 	paths, _ := segments(folder)
@@ -239,7 +239,7 @@
 		for _, q := range []struct {
 			name string
 			f    Filter
-		}{{"id", Filter{ID: all[len(all)/2].ID}}, {"failed", Filter{Outcome: 1 << trace.Failed}}, {"slow", Filter{Slower: 3000}}, {"server", Filter{Server: 7}}} {
+		}{{"id", Filter{ID: all[len(all)/2].ID}}, {"failed", Filter{Outcome: 1 << trace.Failed}}, {"slow", Filter{MinDuration: 3000}}, {"server", Filter{Server: 7}}} {
 			b.Run(fmt.Sprintf("spans=%d/%s/index", spans, q.name), func(b *testing.B) {
 				for b.Loop() {
 					x.Query(q.f, func(*trace.Trace) bool { return true })
@@ -247,7 +247,7 @@
 			})
 			b.Run(fmt.Sprintf("spans=%d/%s/scan", spans, q.name), func(b *testing.B) {
 				for b.Loop() {
-					x.Query(Filter{}, func(t *trace.Trace) bool { q.f.Wants(t); return true })
+					x.Query(Filter{}, func(t *trace.Trace) bool { q.f.Matches(t); return true })
 				}
 			})
 		}
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -60,13 +60,13 @@
 
 // The kinds of spans.
 const (
-	Client  Kind = iota // the client's request, all its tries
-	Request             // one try, at one router
-	Wait                // held by the decisions, or on the way to them
-	Attempt             // one sending to a server
-	Connect             // a connection that had to be made for an attempt
-	Work                // what a server did for an attempt; Result is a decide.Note
-	Fill                // a fill, under the work that began it; others link to it
+	Client     Kind = iota // the client's request, all its tries
+	Request                // one try, at one router
+	Wait                   // held by the decisions, or on the way to them
+	Attempt                // one sending to a server
+	Connect                // a connection that had to be made for an attempt
+	ServerWork             // what a server did for an attempt; Result is a decide.Note
+	Fill                   // a fill, under the work that began it; others link to it
 	kinds
 )
 
@@ -82,27 +82,27 @@
 
 // Flags of an attempt.
 const (
-	Join  = 1 << iota // it was let join a fill under way
-	Renew             // an ageing copy was to be renewed behind
-	Held              // the source was to give only what it holds
-	Sent              // it was written whole
+	FlagJoin       = 1 << iota // it was let join a fill under way
+	FlagRenew                  // an ageing copy was to be renewed behind
+	FlagCachedOnly             // the source was to give only what it holds
+	FlagSent                   // it was written whole
 )
 
 // Span is one piece of time in a trace.
 type Span struct {
-	ID, Parent SpanID
-	Kind       Kind
-	N          uint8 // place of an attempt among those of its request
-	Result     uint8 // of an attempt, a decide.Result
-	Flags      uint8
-	Rank       uint8   // at which a copy was to be kept
-	Start, End float64 // Unix milliseconds
-	Server     routing.ServerID
-	Source     routing.ServerID // of a fill; the server itself: none
-	Bytes      uint32           // that came
-	Age        float32          // ms, the oldest copy that would do; 0: any
-	Inflight   float32          // the server's load report; NaN: none
-	Link       float32
+	ID, Parent      SpanID
+	Kind            Kind
+	AttemptNumber   uint8 // place of an attempt among those of its request
+	Result          uint8 // of an attempt, a decide.Result
+	Flags           uint8
+	CopyRank        uint8   // at which a copy was to be kept
+	Start, End      float64 // Unix milliseconds
+	Server          routing.ServerID
+	FillSource      routing.ServerID // of a fill; the server itself: none
+	Bytes           uint32           // that came
+	MaxAge          float32          // ms, the oldest copy that would do; 0: any
+	Inflight        float32          // the server's load report; NaN: none
+	LinkUtilization float32
 }
 
 // Link says that a span rode a fill that belongs to another span, maybe of another trace.
@@ -118,10 +118,10 @@
 // The outcomes of a request.
 const (
 	Failed Outcome = iota
-	Refused
+	Rejected
 	Served
-	Same // the client's copy holds
-	Left // its client went
+	NotModified        // the client's copy holds
+	ClientDisconnected // its client went
 	outcomes
 )
 
@@ -142,59 +142,59 @@
 }
 
 // Why tells, in bits, why a trace is kept.
-type Why uint8
+type Reason uint8
 
 // The reasons.
 const (
-	WhyFailed  Why = 1 << iota // failed, or its client left
-	WhyRefused                 //
-	WhyRetried                 // more than one attempt, or a client's repeat
-	WhySlow                    // slower than its class wants
-	WhyChance                  // ordinary, and drawn within the budget
-	WhyKeyed                   // of a class of which all are kept
-	WhyAsked                   // its client samples it, and says so in its traceparent
+	ReasonFailed        Reason = 1 << iota // failed, or its client left
+	ReasonRejected                         //
+	ReasonRetried                          // more than one attempt, or a client's repeat
+	ReasonSlow                             // slower than its class wants
+	ReasonSampled                          // ordinary, and drawn within the budget
+	ReasonIdempotent                       // of a class of which all are kept
+	ReasonClientSampled                    // its client samples it, and says so in its traceparent
 )
 
 // Trace is what one router knows of one request: a piece of a trace.
 type Trace struct {
-	ID       ID
-	Remote   SpanID // the client's own span, where it sent one
-	Router   string
-	Txn      string // the id that the client gave this try
-	Class    string
-	Object   uint64
-	Part     uint32
-	Group    uint16
-	Try      uint8 // 0: the client's first, as far as this router knows
-	Outcome  Outcome
-	Start    float64 // Unix ms, the request whole; the end is that of its answer
-	End      float64
-	Why      Why
-	Weight   float64 // how many traces of its class and kind it stands for
-	Lost     uint32  // traces that had to be kept and were not, since the one before
-	Attempts uint8
-	Spans    []Span
-	Links    []Link
-	Allow    float64 // ms by which its class's wanted time grows with its bytes; not stored
-	Asked    bool    // its client samples it; not stored
+	ID            ID
+	ClientSpan    SpanID // the client's own span, where it sent one
+	Router        string
+	TransactionID string // the id that the client gave this try
+	Class         string
+	Object        uint64
+	Chunk         uint32
+	PurgeGroup    uint16
+	Retry         uint8 // 0: the client's first, as far as this router knows
+	Outcome       Outcome
+	Start         float64 // Unix ms, the request whole; the end is that of its answer
+	End           float64
+	Reasons       Reason
+	Weight        float64 // how many traces of its class and kind it stands for
+	LostBefore    uint32  // traces that had to be kept and were not, since the one before
+	Attempts      uint8
+	Spans         []Span
+	Links         []Link
+	SizeAllowance float64 // ms by which its class's wanted time grows with its bytes; not stored
+	ClientSampled bool    // its client samples it; not stored
 }
 
 // Took is how long the request took at this router, in ms.
-func (t *Trace) Took() float64 { return t.End - t.Start }
+func (t *Trace) Duration() float64 { return t.End - t.Start }
 
 // OfPeer tells whether t is the piece of a server, on a clock of its own.
-func (t *Trace) OfPeer() bool { return len(t.Spans) > 0 && t.Spans[0].Kind >= Work }
+func (t *Trace) FromServer() bool { return len(t.Spans) > 0 && t.Spans[0].Kind >= ServerWork }
 
 // Size is about how many bytes t holds in memory.
 func (t *Trace) Size() int {
-	return 220 + len(t.Router) + len(t.Class) + len(t.Txn) + cap(t.Spans)*spanSize
+	return 220 + len(t.Router) + len(t.Class) + len(t.TransactionID) + cap(t.Spans)*spanSize
 }
 
 const spanSize = 80
 
 // Has tells whether a server or source had a part in an attempt.
-func (t *Trace) Has(id routing.ServerID) bool {
-	return slices.ContainsFunc(t.Spans, func(s Span) bool { return s.Kind == Attempt && (s.Server == id || s.Source == id) })
+func (t *Trace) Involves(id routing.ServerID) bool {
+	return slices.ContainsFunc(t.Spans, func(s Span) bool { return s.Kind == Attempt && (s.Server == id || s.FillSource == id) })
 }
 
 // Merge puts the pieces of one trace together: all spans once, with one root that
@@ -213,12 +213,12 @@
 		if t.ID != id {
 			continue
 		}
-		if t.OfPeer() {
+		if t.FromServer() {
 			continue
 		}
 		root.Start, root.End = min(root.Start, t.Start), max(root.End, t.End)
-		if t.Remote != 0 {
-			root.Parent = t.Remote
+		if t.ClientSpan != 0 {
+			root.Parent = t.ClientSpan
 		}
 		for _, s := range t.Spans {
 			if s.ID != root.ID {
@@ -228,7 +228,7 @@
 	}
 	var peers []*Trace
 	for _, t := range pieces {
-		if t.ID == id && t.OfPeer() {
+		if t.ID == id && t.FromServer() {
 			peers = append(peers, t)
 		}
 	}
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -13,31 +13,31 @@
 )
 
 // What the specification of traceparent allows is read, and all else is none.
-func TestParseParent(t *testing.T) {
+func TestParseTraceparent(t *testing.T) {
 	good := "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
-	p, ok := ParseParent(good)
+	p, ok := ParseTraceparent(good)
 	if !ok || p.String() != good || !p.Sampled {
 		t.Errorf("%v %v", p, ok)
 	}
-	if p, ok := ParseParent("cc" + good[2:] + "-what-comes-later"); !ok || p.Span != 0xf067aa0ba902b7 {
+	if p, ok := ParseTraceparent("cc" + good[2:] + "-what-comes-later"); !ok || p.Span != 0xf067aa0ba902b7 {
 		t.Errorf("a later version: %v %v", p, ok)
 	}
 	for _, bad := range []string{"", good[:54], good + "-x", "ff" + good[2:], strings.ToUpper(good), "cc" + good[2:] + "x",
 		"00-" + strings.Repeat("0", 32) + good[35:], good[:36] + strings.Repeat("0", 16) + good[52:], "cc" + good[2:] + "-" + strings.Repeat("x", 4096),
 		strings.Replace(good, "f", "g", 1), strings.Replace(good, "-", "_", 1), "0x" + good[2:], good[:53] + "0x"} {
-		if p, ok := ParseParent(bad); ok {
+		if p, ok := ParseTraceparent(bad); ok {
 			t.Errorf("%.80q was read as %v", bad, p)
 		}
 	}
 }
 
 // FuzzParent checks that what is read is written the same way.
-func FuzzParent(f *testing.F) {
+func FuzzTraceparent(f *testing.F) {
 	f.Add("00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01")
 	f.Add("cc-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-03-more")
 	f.Fuzz(func(t *testing.T, s string) {
-		p, ok := ParseParent(s)
-		if q, again := ParseParent(p.String()); ok && (!again || q != p || p.Trace == ID{} || p.Span == 0) {
+		p, ok := ParseTraceparent(s)
+		if q, again := ParseTraceparent(p.String()); ok && (!again || q != p || p.Trace == ID{} || p.Span == 0) {
 			t.Errorf("%q is %v, and that %v", s, p, q)
 		}
 	})
@@ -45,19 +45,19 @@
 
 // play makes a piece by random legal steps.
 func play(id ID, rng *rand.Rand, start float64) *Trace {
-	l := Begin(Trace{ID: id, Router: "n1", Txn: "9b1f03aa5c7e2d41", Class: "part", Object: rng.Uint64(), Part: 3, Group: 17, Start: start, Weight: 1}, rng.Uint64())
+	l := Begin(Trace{ID: id, Router: "n1", TransactionID: "9b1f03aa5c7e2d41", Class: "part", Object: rng.Uint64(), Chunk: 3, PurgeGroup: 17, Start: start, Weight: 1}, rng.Uint64())
 	now := start
 	for range rng.IntN(4) {
 		now += rng.Float64() * 10
 		l.AttemptStarted(now, routing.SendAttempt{Server: routing.ServerID(rng.Uint32()), FillSource: 9, CopyRank: 2, JoinFill: true, MaxAge: time.Second})
 		at := now + rng.Float64()
 		now = at + rng.Float64()*100
-		w := Wire{}
+		w := WireTimes{}
 		if rng.IntN(2) == 0 {
-			w = Wire{Dialled: at, Up: at + 1, Wrote: at + 1, Age: 500}
+			w = WireTimes{DialedAt: at, ConnectedAt: at + 1, WrittenAt: at + 1, MaxAge: 500}
 		}
 		if rng.IntN(3) == 0 {
-			l.Responded(now, Left)
+			l.Responded(now, ClientDisconnected)
 		}
 		l.AttemptEnded(now, routing.Result(rng.IntN(9)), rng.IntN(1000), routing.LoadReport{Inflight: 7, LinkUtilization: math.NaN()}, w)
 	}
@@ -65,7 +65,7 @@
 	if !l.Done() {
 		panic("not done")
 	}
-	p := l.Piece()
+	p := l.Finished()
 	for range rng.IntN(3) {
 		p.Links = append(p.Links, Link{p.Spans[0].ID, ID{9, byte(rng.Uint32())}, SpanID(rng.Uint64())})
 	}
@@ -80,10 +80,10 @@
 	near := func(x, y float64) bool { return math.Abs(x-y) < 0.002 }
 	for i, s := range a.Spans {
 		q := b.Spans[i]
-		if !near(s.Start, q.Start) || !near(s.End, q.End) || math.IsNaN(float64(s.Link)) != math.IsNaN(float64(q.Link)) {
+		if !near(s.Start, q.Start) || !near(s.End, q.End) || math.IsNaN(float64(s.LinkUtilization)) != math.IsNaN(float64(q.LinkUtilization)) {
 			return false
 		}
-		s.Start, s.End, q.Start, q.End, s.Link, q.Link, s.Inflight, q.Inflight = 0, 0, 0, 0, 0, 0, 0, 0
+		s.Start, s.End, q.Start, q.End, s.LinkUtilization, q.LinkUtilization, s.Inflight, q.Inflight = 0, 0, 0, 0, 0, 0, 0, 0
 		if s != q {
 			return false
 		}
@@ -99,7 +99,7 @@
 // FuzzCode checks that a trace comes back as it was, and that no bytes break the
 // reader or make it hold much.
 func FuzzCode(f *testing.F) {
-	fuzzutil.Add(f, 16, 200)
+	fuzzutil.AddRandomSeeds(f, 16, 200)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if got, err := Decode(b); err == nil {
 			if again, err := Decode(Append(nil, got)); err != nil || len(again.Spans) != len(got.Spans) {
@@ -164,16 +164,16 @@
 	id := ID{3}
 	l := Begin(Trace{ID: id, Router: "n1", Start: 1000}, 1)
 	p := l.AttemptStarted(1002, routing.SendAttempt{Server: 5})
-	l.AttemptEnded(1052, routing.Served, 10, routing.LoadReport{}, Wire{Wrote: 1003})
+	l.AttemptEnded(1052, routing.Served, 10, routing.LoadReport{}, WireTimes{WrittenAt: 1003})
 	l.Responded(1053, Served)
 	for _, off := range []float64{-5000, 0, 3, 1e6} {
 		start := 1010 + off
 		box := &Trace{ID: id, Router: "s-00000005", Start: start, End: start + 30, Spans: []Span{
-			{ID: 77, Parent: p.Span, Kind: Work, Start: start, End: start + 30}, {ID: 78, Parent: 77, Kind: Fill, Start: start + 5, End: start + 25}}}
+			{ID: 77, Parent: p.Span, Kind: ServerWork, Start: start, End: start + 30}, {ID: 78, Parent: 77, Kind: Fill, Start: start + 5, End: start + 25}}}
 		hub := &Trace{ID: id, Router: "s-00000008", Start: start - 2*off, End: start - 2*off + 10, Spans: []Span{
-			{ID: 79, Parent: 78, Kind: Work, Start: start - 2*off, End: start - 2*off + 10}}}
+			{ID: 79, Parent: 78, Kind: ServerWork, Start: start - 2*off, End: start - 2*off + 10}}}
 		at := map[SpanID]Span{}
-		for _, s := range Merge(id, []*Trace{hub, box, l.Piece()}) {
+		for _, s := range Merge(id, []*Trace{hub, box, l.Finished()}) {
 			at[s.ID] = s
 		}
 		if h, f := at[79], at[78]; h.Parent != 78 || h.Start < f.Start || h.End > f.End || h.End-h.Start != 10 {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -225,8 +225,8 @@
 	if attempt.Trace == nil {
 		return
 	}
-	attempt.Trace.Timing.Dialled = u.dialStartedAt
-	attempt.Trace.Timing.Up = u.Clock.Now()
+	attempt.Trace.Timing.DialedAt = u.dialStartedAt
+	attempt.Trace.Timing.ConnectedAt = u.Clock.Now()
 }
 
 // flush writes a command that was appended to the connection's write buffer, and reports
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -55,7 +55,7 @@
 	actor.upstream.retainedTraces <- trace.ID{1}
 	actor.upstream.retainedTraces <- trace.ID{2}
 	traced := goldenAttempts()[1]
-	traced.Trace = &dispatch.AttemptTrace{Context: trace.Parent{Trace: trace.ID{5}, Span: 6, Sampled: true}}
+	traced.Trace = &dispatch.AttemptTrace{Context: trace.SpanContext{Trace: trace.ID{5}, Span: 6, Sampled: true}}
 	out = appendServeCommand(out, traced, 20, 1.7e12, actor.upstream.traceFields(traced))
 	out = appendCancelCommand(out, "9b1f03aa5c7e2d41")
 	golden.Compare(t, "commands.resp", out)
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -199,8 +199,8 @@
 	}
 	conn.inFlight[attempt.Request.TransactionID] = &sentAttempt{attempt: attempt, writtenAt: now}
 	if attempt.Trace != nil {
-		attempt.Trace.Timing.Wrote = now
-		attempt.Trace.Timing.Age = maxAge
+		attempt.Trace.Timing.WrittenAt = now
+		attempt.Trace.Timing.MaxAge = maxAge
 	}
 	command := appendServeCommand(conn.text.WriteBuffer(), attempt, maxAge, now, u.traceFields(attempt))
 	if u.flush(conn, command) {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -18,7 +18,7 @@
 // is written to a closed connection, nothing canceled is left without a completion, and no id
 // is in flight on a connection twice.
 func FuzzUpstream(f *testing.F) {
-	fuzzutil.Add(f, 32, 300)
+	fuzzutil.AddRandomSeeds(f, 32, 300)
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		actor := newHarness(t)
 		for i := 0; i+1 < len(steps) && i < 2000; i += 2 {
@@ -222,7 +222,7 @@
 		attempt.Decision.CopyRank = 2
 		attempt.Decision.JoinFill = true
 		if traced {
-			attempt.Trace = &dispatch.AttemptTrace{Context: trace.Parent{Trace: trace.ID{5}, Span: 6, Sampled: true}}
+			attempt.Trace = &dispatch.AttemptTrace{Context: trace.SpanContext{Trace: trace.ID{5}, Span: 6, Sampled: true}}
 		}
 		actor.sendAttempt(attempt)
 		actor.finishDial()
--- a/plugin/plugin.go
+++ b/plugin/plugin.go
@@ -121,7 +121,7 @@
 		return nil, fmt.Errorf("plugin: Trace: %w", err)
 	}
 	if p.tracer != nil {
-		p.core.SetTracer(instrument.Core(p.tracer))
+		p.core.SetTracer(instrument.Dispatcher(p.tracer))
 		go p.tracer.Run()
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -139,7 +139,7 @@
 		p.stop()
 		<-p.done
 		if p.tracer != nil {
-			p.tracer.Finish()
+			p.tracer.Shutdown()
 		}
 	})
 }
--- a/plugin/trace.go
+++ b/plugin/trace.go
@@ -45,11 +45,11 @@
 	if err != nil {
 		return nil, err
 	}
-	o := recorder.Options{Clock: c, Router: t.Name, Secret: t.Secret, Seed: rand.Uint64(), Stats: count, Log: logs.New(io.Discard), // the host's log is its own
-		Sink: w, Pace: func() float64 { return 0 }}
-	s := recorder.Settings{Undecided: 4 << 20, Sampled: true, Classes: map[string]sampling.Class{}}
+	o := recorder.Options{Clock: c, Router: t.Name, Secret: t.Secret, Seed: rand.Uint64(), Metrics: count, Log: logs.New(io.Discard), // the host's log is its own
+		Sink: w, ClientBytesPerSecond: func() float64 { return 0 }}
+	s := recorder.Settings{UndecidedBytes: 4 << 20, RetainClientSampled: true, Classes: map[string]sampling.Class{}}
 	for _, k := range classes {
-		s.Classes[k.Name] = sampling.Class{Wanted: clock.Millis(k.Aim), Ordinary: t.Ordinary}
+		s.Classes[k.Name] = sampling.Class{LatencyObjective: clock.Millis(k.Aim), OrdinaryPerSecond: t.Ordinary}
 	}
 	return recorder.New(o, s), nil
 }
@@ -63,7 +63,7 @@
 		for _, b := range span {
 			n = n<<8 | uint64(b)
 		}
-		return trace.Parent{Trace: trace.ID(id), Span: trace.SpanID(n), Sampled: s.IsSampled()}.String()
+		return trace.SpanContext{Trace: trace.ID(id), Span: trace.SpanID(n), Sampled: s.IsSampled()}.String()
 	}
 	if md, ok := metadata.FromOutgoingContext(ctx); ok {
 		if v := md.Get(traceparent); len(v) == 1 {
--- a/plugin/trace_test.go
+++ b/plugin/trace_test.go
@@ -22,14 +22,14 @@
 	folder := t.TempDir()
 	r := newRig(t, "get", 3, func(o *Options) { o.Trace = &Trace{Folder: folder, Name: "page", Ordinary: 1} })
 	var mu sync.Mutex
-	var seen []trace.Parent
+	var seen []trace.SpanContext
 	for i, s := range r.servers {
 		s.set(func(ctx context.Context) error {
 			md, _ := metadata.FromIncomingContext(ctx)
 			mu.Lock()
 			defer mu.Unlock()
 			if v := md.Get(traceparent); len(v) == 1 && md.Get("kept")[0] == "as it is" {
-				p, ok := trace.ParseParent(v[0])
+				p, ok := trace.ParseTraceparent(v[0])
 				if !ok {
 					t.Errorf("%q", v[0])
 				}
@@ -52,7 +52,7 @@
 	if _, err := x.Query(store.Filter{ID: trace.ID(own.TraceID())}, func(p *trace.Trace) bool { pieces = append(pieces, p); return true }); err != nil {
 		t.Fatal(err)
 	}
-	if len(pieces) != 1 || pieces[0].Remote != 0x102 || pieces[0].Router != "page" {
+	if len(pieces) != 1 || pieces[0].ClientSpan != 0x102 || pieces[0].Router != "page" {
 		t.Fatalf("%+v: want one piece under the caller's span", pieces)
 	}
 	var attempts []trace.SpanID
