--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -18,10 +18,10 @@
 	Class           *routing.Class
 	RequestDeadline float64 // Request.Deadline, which the dispatcher alone may read
 
-	// MayRetry is set before Transport.Cancel: the request is still open, and another attempt
+	// MayRetry is set before TransportState.Cancel: the request is still open, and another attempt
 	// may follow this one.
 	MayRetry bool
-	// TransportState is set by the transport that accepted the attempt.
+	// TransportState is set by the transport that accepted the attempt; nil until then.
 	TransportState TransportState
 	Trace          *AttemptTrace // nil: its request is not traced
 
@@ -30,14 +30,14 @@
 	ended             bool
 	completionDelayed bool           // for cancelTransit
 	notExecuted       bool           // it ended, and provably was not executed
-	cancelRequested   bool           // Transport.Cancel was called
+	cancelRequested   bool           // TransportState.Cancel was called
 	cancelResult      routing.Result // what replaces Canceled as the result then
 }
 
 // Completion is a transport's report that an attempt has ended.
 type Completion struct {
 	Attempt  *Attempt
-	Result   routing.Result // Canceled: it ended since Transport.Cancel was called
+	Result   routing.Result // Canceled: it ended since TransportState.Cancel was called
 	Response Response       // of Served, or where Final is set
 	Load     routing.LoadReport
 	Note     routing.CacheStatus // how the server found the object, where it says so
@@ -69,24 +69,22 @@
 	return routing.LoadReport{Inflight: nan, CPUUtilization: nan, HitRatio: nan, LinkUtilization: nan}
 }
 
-// Transport carries out attempts. Its methods are called on the dispatcher's goroutine; they
-// must neither block nor call the dispatcher.
+// Transport carries out attempts. Send is called on the dispatcher's goroutine; it must
+// neither block nor call the dispatcher.
 type Transport interface {
-	// Send accepts an attempt and returns nil, or returns how it ended at once. How an accepted
-	// attempt ended is reported by Dispatcher.Complete.
+	// Send accepts an attempt, sets its TransportState and returns nil, or returns how it ended
+	// at once. How an accepted attempt ended is reported by Dispatcher.Complete.
 	Send(*Attempt) *Completion
-	// Cancel has an accepted attempt canceled. Its completion follows when the cancel has been
-	// written, with the result Canceled or another one.
-	Cancel(*Attempt)
-	// Release says that the dispatcher has handled the completion of an accepted attempt.
-	Release(*Attempt)
 }
 
 // TransportState is what a transport keeps with an attempt that it has accepted, such as the
-// connections to the server that it chose. Its methods are for the transport's own Cancel and
-// Release; the dispatcher does not call them.
+// connections to the server that it chose. Its methods are called on the dispatcher's
+// goroutine; they must neither block nor call the dispatcher.
 type TransportState interface {
+	// Cancel has the attempt canceled. Its completion follows when the cancel has been written,
+	// with the result Canceled or another one.
 	Cancel(*Attempt)
+	// Release says that the dispatcher has handled the attempt's completion.
 	Release(*Attempt)
 }
 
@@ -184,7 +182,9 @@
 	attempt.cancelRequested = true
 	attempt.cancelResult = result
 	attempt.MayRetry = !attempt.Request.responded
-	attempt.Request.Transport.Cancel(attempt)
+	if attempt.TransportState != nil {
+		attempt.TransportState.Cancel(attempt)
+	}
 }
 
 // handleCompletion ends an attempt: its request is answered, or the module decides what
@@ -196,8 +196,8 @@
 		return
 	}
 	attempt.ended = true
-	if attempt.accepted {
-		request.Transport.Release(attempt)
+	if attempt.accepted && attempt.TransportState != nil {
+		attempt.TransportState.Release(attempt)
 	}
 	if completion.Result == routing.Canceled && attempt.cancelRequested {
 		completion.Result = attempt.cancelResult
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -122,6 +122,7 @@
 	}
 	state.inFlight++
 	m.inFlight = append(m.inFlight, attempt)
+	attempt.TransportState = m
 	return nil
 }
 
@@ -145,10 +146,10 @@
 	}
 }
 
-// Cancel implements Transport.
+// Cancel implements TransportState.
 func (m *dispatcherModel) Cancel(attempt *Attempt) { m.canceled = append(m.canceled, attempt) }
 
-// Release implements Transport.
+// Release implements TransportState.
 func (m *dispatcherModel) Release(*Attempt) {}
 
 func (m *dispatcherModel) checkResponse(state *requestState) func(Response) {
--- a/internal/dispatch/lifecycle_test.go
+++ b/internal/dispatch/lifecycle_test.go
@@ -17,6 +17,7 @@
 
 func (h *hangingTransport) Send(attempt *Attempt) *Completion {
 	h.sent = append(h.sent, attempt)
+	attempt.TransportState = h
 	return nil
 }
 func (h *hangingTransport) Cancel(attempt *Attempt) { h.canceled = append(h.canceled, attempt) }
--- a/internal/frontend/dnsfront/server.go
+++ b/internal/frontend/dnsfront/server.go
@@ -155,9 +155,3 @@
 	}
 	return dispatch.Resolved(attempt)
 }
-
-// Cancel does nothing: no attempt is in flight after Send.
-func (s *Server) Cancel(*dispatch.Attempt) {}
-
-// Release does nothing: Send keeps nothing of an attempt.
-func (s *Server) Release(*dispatch.Attempt) {}
--- a/internal/upstream/cacheserver_test.go
+++ b/internal/upstream/cacheserver_test.go
@@ -140,7 +140,7 @@
 		if completion.Attempt != attempt {
 			s.t.Fatalf("%s completed, not %s", completion.Attempt.Request.TransactionID, want)
 		}
-		s.pool.Release(attempt)
+		attempt.TransportState.Release(attempt)
 		return completion
 	case <-time.After(testTimeout):
 		s.t.Fatalf("%s did not complete", want)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -119,21 +119,6 @@
 	return nil
 }
 
-// Cancel asks for an attempt that Send took to be canceled. Its completion follows when the
-// cancellation is written, or says otherwise if the attempt was over before.
-func (p *Pool) Cancel(attempt *dispatch.Attempt) {
-	if attempt.TransportState != nil {
-		attempt.TransportState.Cancel(attempt)
-	}
-}
-
-// Release tells the pool that the dispatcher has handled an attempt's completion.
-func (p *Pool) Release(attempt *dispatch.Attempt) {
-	if attempt.TransportState != nil {
-		attempt.TransportState.Release(attempt)
-	}
-}
-
 // TraceRetained notifies a server, with the next command written to it, that a trace in which
 // it took part is retained. A server to which nothing is sent is not notified; its own limit
 // then drops what it holds of the trace.
--- a/internal/upstream/tcp_test.go
+++ b/internal/upstream/tcp_test.go
@@ -128,7 +128,7 @@
 	conn.command()
 	conn.write("*4\r\n$1\r\na\r\n$4\r\nDO")
 	attempt.MayRetry = true
-	server.pool.Cancel(attempt)
+	attempt.TransportState.Cancel(attempt)
 	if got := server.completion(attempt); got.Result != routing.Canceled {
 		t.Errorf("completed as %v", got.Result)
 	}
--- a/plugin/call.go
+++ b/plugin/call.go
@@ -115,21 +115,15 @@
 	return nil
 }
 
-// Cancel gives an attempt up: gRPC resets its stream, and the invoker returns.
-func (c *call) Cancel(a *dispatch.Attempt) { a.TransportState.Cancel(a) }
-
-// cancelRPC cancels the RPC of an attempt.
+// cancelRPC cancels the RPC of an attempt: gRPC resets its stream, and the invoker returns.
 type cancelRPC context.CancelFunc
 
 // Cancel implements dispatch.TransportState.
 func (c cancelRPC) Cancel(*dispatch.Attempt) { c() }
 
-// Release implements dispatch.TransportState.
+// Release implements dispatch.TransportState. Nothing is counted.
 func (c cancelRPC) Release(*dispatch.Attempt) {}
 
-// Release has nothing to book.
-func (c *call) Release(*dispatch.Attempt) {}
-
 // outcome tells what the end of an RPC says of its attempt. What is no word
 // of the transport is the application's, and is an answer.
 func outcome(a *dispatch.Attempt, err error, picked bool) dispatch.Completion {
@@ -161,8 +155,6 @@
 	}
 	return dispatch.Resolved(a)
 }
-func (n named) Cancel(*dispatch.Attempt)  {}
-func (n named) Release(*dispatch.Attempt) {}
 
 // stream has the core choose a stream's server. A stream is not tried again:
 // what was sent on it can't be.
