--- a/internal/fleet/lease/settings.go
+++ b/internal/fleet/lease/settings.go
@@ -1,6 +1,6 @@
 package lease
 
-import "errors"
+import "garnetline/internal/fielderror"
 
 // Settings are the times of leases, in milliseconds of a clock that counts suspended time
 // too.
@@ -33,13 +33,13 @@
 func (s Settings) Validate() error {
 	switch {
 	case !(s.TTL >= minTTL && s.TTL <= maxTTL):
-		return errors.New("lease_ms: want 200 to 600000")
+		return fielderror.Errorf("lease_ms", "want 200 to 600000")
 	case !(s.SafetyMargin >= minMargin && s.SafetyMargin <= s.TTL/minTTLRatio):
-		return errors.New("margin_ms: want 10 to a quarter of lease_ms")
+		return fielderror.Errorf("margin_ms", "want 10 to a quarter of lease_ms")
 	case !(s.MaxClockDrift >= minDrift && s.MaxClockDrift <= maxDrift):
-		return errors.New("drift: want 0.001 to 0.1")
+		return fielderror.Errorf("drift", "want 0.001 to 0.1")
 	case !(s.RetryInterval >= minRetryInterval && s.RetryInterval <= s.TTL/minTTLRatio):
-		return errors.New("retry_ms: want 10 to a quarter of lease_ms")
+		return fielderror.Errorf("retry_ms", "want 10 to a quarter of lease_ms")
 	}
 	return nil
 }
--- a/internal/fleet/packetcrypto/keyring.go
+++ b/internal/fleet/packetcrypto/keyring.go
@@ -9,10 +9,11 @@
 	"crypto/rand"
 	"crypto/sha256"
 	"errors"
-	"fmt"
 
 	"github.com/cespare/xxhash/v2"
 	"golang.org/x/crypto/chacha20poly1305"
+
+	"garnetline/internal/fielderror"
 )
 
 // Version is the version of the protocol. Routers of different versions do not talk.
@@ -62,13 +63,13 @@
 // more.
 func NewKeyring(fleet string, secrets []string) (*Keyring, error) {
 	if len(secrets) == 0 {
-		return nil, errors.New("keys: none given")
+		return nil, fielderror.Errorf("keys", "none given")
 	}
 	hash := xxhash.Sum64String(fleet)
 	ring := &Keyring{fleetHash: [fleetHashLen]byte{byte(hash), byte(hash >> 8), byte(hash >> 16), byte(hash >> 24)}}
 	for i, secret := range secrets {
 		if len(secret) < MinSecretLen {
-			return nil, fmt.Errorf("keys: key %d has %d bytes, want at least %d", i+1, len(secret), MinSecretLen)
+			return nil, fielderror.Errorf("keys", "key %d has %d bytes, want at least %d", i+1, len(secret), MinSecretLen)
 		}
 		ring.keys = append(ring.keys, deriveKey(fleet, secret))
 	}
--- a/internal/frontend/dnsfront/config.go
+++ b/internal/frontend/dnsfront/config.go
@@ -7,6 +7,8 @@
 
 	"github.com/BurntSushi/toml"
 	"github.com/miekg/dns"
+
+	"garnetline/internal/fielderror"
 )
 
 // Config is the dns block of the operators' configuration, and the content of the older file
@@ -61,24 +63,24 @@
 	return config, nil
 }
 
-// Validate checks the values and brings the zone into its canonical form. An error begins
-// with the key at fault.
+// Validate checks the values and brings the zone into its canonical form. Errors are
+// fielderror.Error with the key at fault.
 func (c *Config) Validate() error {
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
-		return fmt.Errorf("listen: %w", err)
+		return fielderror.Errorf("listen", "%w", err)
 	}
 	if _, ok := dns.IsDomainName(c.Zone); !ok || c.Zone == "" || c.Zone == "." {
-		return fmt.Errorf("zone: %q is not a zone of its own", c.Zone)
+		return fielderror.Errorf("zone", "%q is not a zone of its own", c.Zone)
 	}
 	c.Zone = dns.CanonicalName(c.Zone)
 	timeoutInRange := c.TimeoutMs >= 1 && c.TimeoutMs <= timeoutLimitMs // false for NaN
 	switch {
 	case !timeoutInRange:
-		return fmt.Errorf("patience_ms: %v, want 1 to %d", c.TimeoutMs, timeoutLimitMs)
+		return fielderror.Errorf("patience_ms", "%v, want 1 to %d", c.TimeoutMs, timeoutLimitMs)
 	case c.MaxInflight < 1 || c.MaxInflight > inflightLimit:
-		return fmt.Errorf("max_inflight: want 1 to %d", inflightLimit)
+		return fielderror.Errorf("max_inflight", "want 1 to %d", inflightLimit)
 	case c.MaxConnections < 1 || c.MaxConnections > connectionsLimit:
-		return fmt.Errorf("max_connections: want 1 to %d", connectionsLimit)
+		return fielderror.Errorf("max_connections", "want 1 to %d", connectionsLimit)
 	}
 	return nil
 }
--- a/internal/operatorconfig/config.go
+++ b/internal/operatorconfig/config.go
@@ -5,7 +5,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"os"
 	"reflect"
 
@@ -13,6 +12,7 @@
 	"github.com/hashicorp/hcl/v2/gohcl"
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 
+	"garnetline/internal/fielderror"
 	"garnetline/internal/frontend/dnsfront"
 	"garnetline/internal/logs"
 )
@@ -91,8 +91,7 @@
 }
 
 // validate checks each block, after it has completed it with defaults that depend on other
-// values. It returns the first block that cannot be used, and an error that begins with the
-// name of the field.
+// values. It returns the first block that cannot be used, and a fielderror.Error.
 func (c *Config) validate() (block string, err error) {
 	for _, check := range []struct {
 		block    string
@@ -113,7 +112,7 @@
 
 func (l *Log) validate() error {
 	if _, err := logs.ParseLevel(l.Level); err != nil {
-		return fmt.Errorf("level: %w", err)
+		return fielderror.Errorf("level", "%w", err)
 	}
 	return nil
 }
--- a/internal/operatorconfig/error.go
+++ b/internal/operatorconfig/error.go
@@ -1,11 +1,14 @@
 package operatorconfig
 
 import (
+	"errors"
 	"fmt"
 	"regexp"
 
 	"github.com/hashicorp/hcl/v2"
 	"github.com/hashicorp/hcl/v2/hclsyntax"
+
+	"garnetline/internal/fielderror"
 )
 
 // ConfigError reports the first thing in an operators' file that cannot be used.
@@ -13,7 +16,7 @@
 	File  string // "" from CheckReload
 	Line  int    // of the field, or else of the block; 0: not known
 	Block string // "" where the file could not be parsed
-	Field string // as far as Err begins with the name of one
+	Field string // where Err is a fielderror.Error, the field that it names
 	Err   error
 }
 
@@ -35,10 +38,7 @@
 // Unwrap returns the cause.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-var (
-	lineBreaks   = regexp.MustCompile(`\s*\n\s*`)
-	leadingField = regexp.MustCompile(`^[a-z_]+`)
-)
+var lineBreaks = regexp.MustCompile(`\s*\n\s*`)
 
 // parseError returns the first error among diagnostics.
 func parseError(diagnostics hcl.Diagnostics) error {
@@ -57,10 +57,14 @@
 	return diagnostics
 }
 
-// blockError returns an error of a block with its position. err begins with the name of the
-// field.
+// blockError returns an error of a block with its position, or with that of the field where
+// err is a fielderror.Error.
 func blockError(file *hcl.File, path, block string, err error) error {
-	result := &ConfigError{File: path, Block: block, Field: leadingField.FindString(err.Error()), Err: err}
+	result := &ConfigError{File: path, Block: block, Err: err}
+	var invalid *fielderror.Error
+	if errors.As(err, &invalid) {
+		result.Field = invalid.Field
+	}
 	body, ok := file.Body.(*hclsyntax.Body)
 	if !ok {
 		return result
--- a/internal/operatorconfig/fleet.go
+++ b/internal/operatorconfig/fleet.go
@@ -2,10 +2,10 @@
 
 import (
 	"errors"
-	"fmt"
 	"net/netip"
 	"reflect"
 
+	"garnetline/internal/fielderror"
 	"garnetline/internal/fleet"
 	"garnetline/internal/fleet/packetcrypto"
 	"garnetline/internal/fleet/transport"
@@ -74,7 +74,7 @@
 }
 
 // TransportSettings returns the settings of the transport, and of membership and connectivity
-// above it. An error begins with the name of the field.
+// above it. Errors are fielderror.Error.
 func (f *Fleet) TransportSettings() (transport.Settings, error) {
 	settings := transport.Settings{
 		FleetName:        f.Name,
@@ -86,7 +86,7 @@
 		return settings, err
 	}
 	if f.Name == "" || len(f.Name) > maxNameLength || len(f.Zone) > maxNameLength {
-		return settings, fmt.Errorf("name: want 1 to %[1]d bytes, and a zone of %[1]d at the most", maxNameLength)
+		return settings, fielderror.Errorf("name", "want 1 to %[1]d bytes, and a zone of %[1]d at the most", maxNameLength)
 	}
 	if err := f.parseAddresses(&settings); err != nil {
 		return settings, err
@@ -117,7 +117,7 @@
 		{"more_room_after_ms", f.UpgradeDelay, f.DowngradeDelay, 600_000},
 	} {
 		if !within(field.value, field.least, field.most) {
-			return fmt.Errorf("%s: want %v to %v", field.name, field.least, field.most)
+			return fielderror.Errorf(field.name, "want %v to %v", field.least, field.most)
 		}
 	}
 	return nil
@@ -127,21 +127,21 @@
 func (f *Fleet) parseAddresses(settings *transport.Settings) error {
 	var err error
 	if settings.ListenAddr, err = netip.ParseAddrPort(f.Listen); err != nil {
-		return fmt.Errorf("listen: %w", err)
+		return fielderror.Errorf("listen", "%w", err)
 	}
 	settings.AdvertiseAddr = settings.ListenAddr
 	if f.Advertise != "" {
 		if settings.AdvertiseAddr, err = netip.ParseAddrPort(f.Advertise); err != nil {
-			return fmt.Errorf("advertise: %w", err)
+			return fielderror.Errorf("advertise", "%w", err)
 		}
 	}
 	if settings.AdvertiseAddr.Addr().IsUnspecified() {
-		return errors.New("advertise: wanted where listen names no address of its own")
+		return fielderror.Errorf("advertise", "wanted where listen names no address of its own")
 	}
 	for i, text := range f.Join {
 		seed, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return fmt.Errorf("join: the one in place %d: %w", i+1, err)
+			return fielderror.Errorf("join", "the one in place %d: %w", i+1, err)
 		}
 		settings.Seeds = append(settings.Seeds, seed)
 	}
--- a/internal/operatorconfig/leases.go
+++ b/internal/operatorconfig/leases.go
@@ -1,9 +1,7 @@
 package operatorconfig
 
 import (
-	"errors"
-	"fmt"
-
+	"garnetline/internal/fielderror"
 	"garnetline/internal/fleet/bans"
 	"garnetline/internal/fleet/consensus"
 	"garnetline/internal/fleet/lease"
@@ -110,11 +108,11 @@
 	case !l.Enabled:
 		return nil
 	case !fleetEnabled:
-		return errors.New("enabled: wants a fleet that is enabled too")
+		return fielderror.Errorf("enabled", "wants a fleet that is enabled too")
 	case len(l.Voters) != minVoters && len(l.Voters) != maxVoters:
-		return fmt.Errorf("electors: want %d or %d names, not %d", minVoters, maxVoters, len(l.Voters))
+		return fielderror.Errorf("electors", "want %d or %d names, not %d", minVoters, maxVoters, len(l.Voters))
 	case !within(l.ElectionTimeout, minElectionTimeout, maxElectionTimeout):
-		return fmt.Errorf("election_ms: want %.0f to %.0f", minElectionTimeout, maxElectionTimeout)
+		return fielderror.Errorf("election_ms", "want %.0f to %.0f", minElectionTimeout, maxElectionTimeout)
 	}
 	if err := l.validateVoters(); err != nil {
 		return err
@@ -126,7 +124,7 @@
 	seen := map[string]bool{}
 	for _, name := range l.Voters {
 		if name == "" || len(name) > maxNameLength || seen[name] {
-			return fmt.Errorf("electors: %q is no name, or named twice", name)
+			return fielderror.Errorf("electors", "%q is no name, or named twice", name)
 		}
 		seen[name] = true
 	}
@@ -139,7 +137,7 @@
 		p.ReturnRate = recoveryprobe.DefaultSettings().ReturnRate
 	}
 	if !within(p.ReturnRate, 1, maxReturnRate) {
-		return fmt.Errorf("first_try: routers_per_s: want 1 to %.0f", maxReturnRate)
+		return fielderror.Errorf("first_try", "%w", fielderror.Errorf("routers_per_s", "want 1 to %.0f", maxReturnRate))
 	}
 	return nil
 }
@@ -155,7 +153,7 @@
 	pollOK := within(b.PollInterval, minBanPollInterval, maxBanPollInterval)
 	readyOK := within(b.ReadyTimeout, minBanReadyTimeout, maxBanReadyTimeout)
 	if !pollOK || !readyOK {
-		return errors.New("bans: every_ms or ready_wait_ms out of range")
+		return fielderror.Errorf("bans", "every_ms or ready_wait_ms out of range")
 	}
 	return nil
 }
@@ -171,7 +169,7 @@
 	minOK := within(r.MinInterval, minReportInterval, maxReportInterval)
 	maxOK := within(r.MaxInterval, r.MinInterval, maxSlowReportInterval)
 	if !minOK || !maxOK {
-		return errors.New("prober: every_ms or most_ms out of range")
+		return fielderror.Errorf("prober", "every_ms or most_ms out of range")
 	}
 	return nil
 }
--- a/internal/operatorconfig/trace.go
+++ b/internal/operatorconfig/trace.go
@@ -2,8 +2,9 @@
 
 import (
 	"errors"
-	"fmt"
 	"net/url"
+
+	"garnetline/internal/fielderror"
 )
 
 // Bounds and defaults of traces.
@@ -66,17 +67,17 @@
 func (t *Trace) validate() error {
 	switch {
 	case t.Enabled && t.Dir == "":
-		return errors.New("enabled: want a folder to keep traces in")
+		return fielderror.Errorf("enabled", "want a folder to keep traces in")
 	case t.SegmentMB < 1 || t.SegmentMB > maxSegmentMB:
-		return fmt.Errorf("segment_mb: want 1 to %d", maxSegmentMB)
+		return fielderror.Errorf("segment_mb", "want 1 to %d", maxSegmentMB)
 	case t.KeepMB < 2*t.SegmentMB || t.KeepMB > maxKeepMB:
-		return fmt.Errorf("keep_mb: want two segments or more, and %d at the most", maxKeepMB)
+		return fielderror.Errorf("keep_mb", "want two segments or more, and %d at the most", maxKeepMB)
 	case t.UndecidedKB < minUndecidedKB || t.UndecidedKB > maxUndecidedKB:
-		return fmt.Errorf("undecided_kb: want %d to %d", minUndecidedKB, maxUndecidedKB)
+		return fielderror.Errorf("undecided_kb", "want %d to %d", minUndecidedKB, maxUndecidedKB)
 	case !within(t.OrdinaryPerSecond, 0, maxOrdinaryPerSecond):
-		return fmt.Errorf("ordinary_per_s: want 0 to %.0f", maxOrdinaryPerSecond)
+		return fielderror.Errorf("ordinary_per_s", "want 0 to %.0f", maxOrdinaryPerSecond)
 	case !within(t.RetryWindow, 0, maxRetryWindow):
-		return fmt.Errorf("retry_within_ms: want 0 to %.0f", maxRetryWindow)
+		return fielderror.Errorf("retry_within_ms", "want 0 to %.0f", maxRetryWindow)
 	}
 	if err := t.validateClasses(); err != nil {
 		return err
@@ -91,12 +92,12 @@
 	seen := map[string]bool{}
 	for _, class := range t.Classes {
 		if seen[class.Name] {
-			return fmt.Errorf("class %q: named twice", class.Name)
+			return fielderror.LabeledErrorf("class", class.Name, "named twice")
 		}
 		seen[class.Name] = true
 		rateOK := class.OrdinaryPerSecond == nil || within(*class.OrdinaryPerSecond, 0, maxOrdinaryPerSecond)
 		if !rateOK || !within(class.SlowThreshold, 0, maxSlowThreshold) {
-			return fmt.Errorf("class %q: ordinary_per_s or wanted_ms out of range", class.Name)
+			return fielderror.LabeledErrorf("class", class.Name, "ordinary_per_s or wanted_ms out of range")
 		}
 	}
 	return nil
@@ -106,7 +107,7 @@
 func (c *Collector) complete() error {
 	address, err := url.Parse(c.URL)
 	if err != nil || address.Scheme != "http" || address.Host == "" {
-		return fmt.Errorf("collector: url: %q is not an http URL", c.URL)
+		return fielderror.Errorf("collector", "%w", fielderror.Errorf("url", "%q is not an http URL", c.URL))
 	}
 	if c.QueueLimit == 0 {
 		c.QueueLimit = defaultQueueLimit
@@ -115,7 +116,7 @@
 		c.Timeout = defaultExportTimeout
 	}
 	if c.QueueLimit < 1 || c.QueueLimit > maxQueueLimit || !within(c.Timeout, minExportTimeout, maxExportTimeout) {
-		return errors.New("collector: queue or timeout_ms out of range")
+		return fielderror.Errorf("collector", "queue or timeout_ms out of range")
 	}
 	return nil
 }
--- a/internal/platformconfig/config.go
+++ b/internal/platformconfig/config.go
@@ -6,11 +6,11 @@
 
 import (
 	"errors"
-	"fmt"
 	"net/netip"
 	"os"
 	"slices"
 
+	"garnetline/internal/fielderror"
 	"garnetline/routing"
 )
 
@@ -58,22 +58,9 @@
 	BytesPerSecond float64 // of one transfer; 0: not known
 }
 
-// FieldError reports a field, or an environment variable, that cannot be used.
-type FieldError struct {
-	Field string // path in the file, as in known.results[0].fleet
-	Err   error
-}
-
-// Error returns the field and the cause in one line.
-func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
-
-// Unwrap returns the cause.
-func (e *FieldError) Unwrap() error { return e.Err }
-
-// fieldErrorf returns a FieldError with a formatted cause.
-func fieldErrorf(field, format string, args ...any) error {
-	return &FieldError{Field: field, Err: fmt.Errorf(format, args...)}
-}
+// FieldError reports a field, by its path in the file as in known.results[0].fleet, or an
+// environment variable that cannot be used.
+type FieldError = fielderror.Error
 
 // Load reads a file; path "" stands for the one that EDGE_CONFIG names. env returns the value
 // of an environment variable.
--- a/internal/platformconfig/document.go
+++ b/internal/platformconfig/document.go
@@ -6,6 +6,8 @@
 	"fmt"
 	"net/netip"
 	"strconv"
+
+	"garnetline/internal/fielderror"
 )
 
 const (
@@ -47,7 +49,7 @@
 		return nil, err
 	}
 	if config.Seed, err = strconv.ParseUint(doc.Seed, 16, 64); err != nil {
-		return nil, fieldErrorf("seed", "%q is not up to 16 hex digits", doc.Seed)
+		return nil, fielderror.Errorf("seed", "%q is not up to 16 hex digits", doc.Seed)
 	}
 	if err := doc.Limits.validate(); err != nil {
 		return nil, err
@@ -56,7 +58,7 @@
 		return nil, err
 	}
 	if doc.FlowBytesPerSecond < 0 {
-		return nil, fieldErrorf("flow_bytes_per_s", "%v: negative", doc.FlowBytesPerSecond)
+		return nil, fielderror.Errorf("flow_bytes_per_s", "%v: negative", doc.FlowBytesPerSecond)
 	}
 	config.Settings.BodyBytesPerSecond = doc.FlowBytesPerSecond
 	config.Upstream.BytesPerSecond = doc.FlowBytesPerSecond
@@ -72,7 +74,7 @@
 	var wrongType *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &wrongType):
-		return nil, fieldErrorf(wrongType.Field, "is a %s", wrongType.Value)
+		return nil, fielderror.Errorf(wrongType.Field, "is a %s", wrongType.Value)
 	case err != nil:
 		return nil, fmt.Errorf("config: %w", err)
 	}
@@ -99,7 +101,7 @@
 	}
 	fd, err := strconv.Atoi(text)
 	if err != nil || fd < firstInheritedFD {
-		return 0, fieldErrorf(envListenFD, "%q is not a descriptor from %d", text, firstInheritedFD)
+		return 0, fielderror.Errorf(envListenFD, "%q is not a descriptor from %d", text, firstInheritedFD)
 	}
 	return fd, nil
 }
@@ -122,10 +124,10 @@
 
 func (l Limits) validate() error {
 	if l.MemoryMB < 0 || l.Sockets < 0 || l.Cores < 0 {
-		return fieldErrorf("limits", "%+v: negative", l)
+		return fielderror.Errorf("limits", "%+v: negative", l)
 	}
 	if l.Sockets > 0 && l.Sockets < minSockets {
-		return fieldErrorf("limits.sockets", "%d, want %d or more", l.Sockets, minSockets)
+		return fielderror.Errorf("limits.sockets", "%d, want %d or more", l.Sockets, minSockets)
 	}
 	return nil
 }
--- a/internal/platformconfig/events.go
+++ b/internal/platformconfig/events.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"garnetline/internal/clock"
+	"garnetline/internal/fielderror"
 	"garnetline/routing"
 )
 
@@ -127,15 +128,15 @@
 	}
 	zone := indexOf(c.Zones, doc.Site)
 	if zone < 0 {
-		return endpoint, fieldErrorf(path+".site", "%q is not one of settings.areas", doc.Site)
+		return endpoint, fielderror.Errorf(path+".site", "%q is not one of settings.areas", doc.Site)
 	}
 	kind := indexOf(c.Kinds, doc.Class)
 	if kind < 0 {
-		return endpoint, fieldErrorf(path+".class", "%q is not one of settings.machine_types", doc.Class)
+		return endpoint, fielderror.Errorf(path+".class", "%q is not one of settings.machine_types", doc.Class)
 	}
 	phase, ok := phasesByHealth[doc.Health]
 	if !ok {
-		return endpoint, fieldErrorf(path+".health", "unknown word %q", doc.Health)
+		return endpoint, fielderror.Errorf(path+".health", "unknown word %q", doc.Health)
 	}
 	addr, err := netip.ParseAddrPort(doc.Dial)
 	if err != nil {
@@ -159,7 +160,7 @@
 	}
 	object, err := strconv.ParseUint(doc.Object, 16, 64)
 	if err != nil || len(doc.Object) != objectIDLength {
-		return nil, fieldErrorf(path+".object", "%q is not %d hex digits", doc.Object, objectIDLength)
+		return nil, fielderror.Errorf(path+".object", "%q is not %d hex digits", doc.Object, objectIDLength)
 	}
 	return &Purge{Object: routing.ObjectID(object), At: doc.Time}, nil
 }
--- a/internal/platformconfig/settings.go
+++ b/internal/platformconfig/settings.go
@@ -9,6 +9,7 @@
 	"strconv"
 	"strings"
 
+	"garnetline/internal/fielderror"
 	"garnetline/internal/simproto"
 	"garnetline/routing"
 )
@@ -60,7 +61,7 @@
 	if text := values["limits.max_streams"]; text != "" {
 		streams, err := strconv.Atoi(text)
 		if err != nil || streams < 1 {
-			return upstream, fieldErrorf("settings.limits.max_streams", "%q is not a number from 1", text)
+			return upstream, fielderror.Errorf("settings.limits.max_streams", "%q is not a number from 1", text)
 		}
 		upstream.MaxStreams = streams
 	}
@@ -75,7 +76,7 @@
 	}
 	microseconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(microseconds > 0) || math.IsInf(microseconds, 0) {
-		return fieldErrorf("settings."+path, "%q is not a time in microseconds", text)
+		return fielderror.Errorf("settings."+path, "%q is not a time in microseconds", text)
 	}
 	*milliseconds = microseconds / 1000
 	return nil
