--- a/cmd/garnetline/admin_client.go
+++ b/cmd/garnetline/admin_client.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -23,17 +24,17 @@
 )
 
 // callAdmin makes one call to the admin API of the router that the flags name.
-func callAdmin(command *cli.Command, method, path string) ([]byte, error) {
+func callAdmin(ctx context.Context, command *cli.Command, method, path string) ([]byte, error) {
 	address, err := adminAddress(command)
 	if err != nil {
 		return nil, err
 	}
-	return callAdminAt(address, method, path)
+	return callAdminAt(ctx, address, method, path)
 }
 
 // postAdmin makes a call that changes something, and prints the response.
-func postAdmin(command *cli.Command, out io.Writer, path string) error {
-	text, err := callAdmin(command, http.MethodPost, path)
+func postAdmin(ctx context.Context, command *cli.Command, out io.Writer, path string) error {
+	text, err := callAdmin(ctx, command, http.MethodPost, path)
 	if err != nil {
 		return err
 	}
@@ -60,8 +61,9 @@
 }
 
 // callAdminAt makes one call on a connection of its own.
-func callAdminAt(address, method, path string) ([]byte, error) {
-	conn, err := net.DialTimeout("tcp", address, adminCallTimeout)
+func callAdminAt(ctx context.Context, address, method, path string) ([]byte, error) {
+	dialer := net.Dialer{Timeout: adminCallTimeout}
+	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
@@ -78,6 +80,8 @@
 		return nil, err
 	case status == http.StatusNotFound && path == "/fleet":
 		return nil, fmt.Errorf("%s: that router knows no others: its file has no fleet block, or it is not enabled", address)
+	case status == http.StatusNotFound && strings.HasPrefix(path, "/fleet/bans"):
+		return nil, fmt.Errorf("%s: that router keeps no bans in a lease registry: its file has no bans block in a duties block, or that is not enabled", address)
 	case status == http.StatusNotFound:
 		return nil, fmt.Errorf("%s: that router takes part in no duties: its file has no duties block, or it is not enabled", address)
 	case status != http.StatusOK:
--- a/cmd/garnetline/bans_command.go
+++ b/cmd/garnetline/bans_command.go
@@ -20,10 +20,10 @@
 		&cli.StringFlag{Name: "why", Usage: "`REASON` that is kept with it"},
 		&cli.Uint64Flag{Name: "version", Usage: "`VERSION` that must still hold; without it, whatever holds is replaced"})
 	change := func(operation string) cli.ActionFunc {
-		return func(_ context.Context, command *cli.Command) error { return changeBan(command, out, operation) }
+		return func(ctx context.Context, command *cli.Command) error { return changeBan(ctx, command, out, operation) }
 	}
 	return &cli.Command{Name: "bans", Usage: "the servers that operators disabled, as the lease registry keeps them, with who, when and why", Flags: flags,
-		Action: func(_ context.Context, command *cli.Command) error { return showBans(command, out) },
+		Action: func(ctx context.Context, command *cli.Command) error { return showBans(ctx, command, out) },
 		Commands: []*cli.Command{
 			{Name: "disable", ArgsUsage: "BOX", Flags: changeFlags, Usage: "disable a server: holds here at once, everywhere soon", Action: change("disable")},
 			{Name: "enable", ArgsUsage: "BOX", Flags: changeFlags, Usage: "enable a server again, once the voters agree", Action: change("enable")},
@@ -31,7 +31,7 @@
 }
 
 // changeBan disables or enables the server that the arguments name.
-func changeBan(command *cli.Command, out io.Writer, operation string) error {
+func changeBan(ctx context.Context, command *cli.Command, out io.Writer, operation string) error {
 	server := command.Args().First()
 	if server == "" {
 		return fmt.Errorf("fleet bans %s: BOX: missing", operation)
@@ -44,12 +44,12 @@
 	}
 	path := fmt.Sprintf("/fleet/bans/%s/%s/%d/%s/%s", operation, url.PathEscape(server), command.Uint64("version"),
 		url.PathEscape(setBy), url.PathEscape(command.String("why")))
-	return postAdmin(command, out, path)
+	return postAdmin(ctx, command, out, path)
 }
 
 // showBans prints the bans that a router knows of.
-func showBans(command *cli.Command, out io.Writer) error {
-	return showPage(command, out, "/fleet/bans", printBans)
+func showBans(ctx context.Context, command *cli.Command, out io.Writer) error {
+	return showPage(ctx, command, out, "/fleet/bans", printBans)
 }
 
 func printBans(out io.Writer, status *bans.Status) error {
--- a/cmd/garnetline/daemon.go
+++ b/cmd/garnetline/daemon.go
@@ -95,7 +95,7 @@
 func (d *daemon) start(ctx context.Context) error {
 	d.onClose(d.logCounters)
 	d.receiveSignals()
-	listener, err := openListener(d.startup.platform)
+	listener, err := openListener(ctx, d.startup.platform)
 	if err != nil {
 		return err
 	}
@@ -104,12 +104,12 @@
 	if err := d.build(ctx); err != nil {
 		return err
 	}
-	if err := d.startDNS(); err != nil {
+	if err := d.startDNS(ctx); err != nil {
 		return err
 	}
 	d.startParts(ctx)
 	go d.acceptClients(listener)
-	if err := d.startAdmin(); err != nil {
+	if err := d.startAdmin(ctx); err != nil {
 		return err
 	}
 	platform := d.startup.platform
--- a/cmd/garnetline/daemon_parts.go
+++ b/cmd/garnetline/daemon_parts.go
@@ -77,7 +77,7 @@
 }
 
 // startDNS opens the sockets of the DNS front, where it is enabled.
-func (d *daemon) startDNS() error {
+func (d *daemon) startDNS(ctx context.Context) error {
 	if !d.startup.operators.DNS.Enabled {
 		return nil
 	}
@@ -85,9 +85,10 @@
 		return err
 	}
 	d.onClose(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), dnsShutdownTimeout)
+		// ctx has ended by now.
+		shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), dnsShutdownTimeout)
 		defer cancel()
-		d.dns.Shutdown(ctx) //nolint:errcheck // lookups that are open after the timeout get no answer
+		d.dns.Shutdown(shutdownCtx) //nolint:errcheck // lookups that are open after the timeout get no answer
 	})
 	return nil
 }
@@ -125,12 +126,13 @@
 }
 
 // startAdmin serves the admin API, where the configuration has an address for it.
-func (d *daemon) startAdmin() error {
+func (d *daemon) startAdmin(ctx context.Context) error {
 	address := d.startup.platform.AdminListen
 	if !address.IsValid() {
 		return nil
 	}
-	listener, err := net.Listen("tcp", address.String())
+	var listenConfig net.ListenConfig
+	listener, err := listenConfig.Listen(ctx, "tcp", address.String())
 	if err != nil {
 		return fmt.Errorf("mgmt: %w", err)
 	}
--- a/cmd/garnetline/fleet.go
+++ b/cmd/garnetline/fleet.go
@@ -115,7 +115,7 @@
 	}
 	// Leases are transferred before the others are notified that this router leaves, so the
 	// transport ends after the lease manager.
-	transportCtx, stopTransport := context.WithCancel(context.Background())
+	transportCtx, stopTransport := context.WithCancel(context.WithoutCancel(ctx))
 	for _, service := range f.actors {
 		go service.Run(ctx)
 	}
--- a/cmd/garnetline/fleet_command.go
+++ b/cmd/garnetline/fleet_command.go
@@ -25,12 +25,12 @@
 	}
 	return &cli.Command{Name: "fleet", Usage: "show what a running router knows of the others", Commands: []*cli.Command{
 		{Name: "status", Usage: "the connectivity state, and how many routers there are", Flags: flags,
-			Action: func(_ context.Context, command *cli.Command) error {
-				return showFleet(command, out, printFleetStatus)
+			Action: func(ctx context.Context, command *cli.Command) error {
+				return showFleet(ctx, command, out, printFleetStatus)
 			}},
 		{Name: "members", Usage: "a line for each router", Flags: flags,
-			Action: func(_ context.Context, command *cli.Command) error {
-				return showFleet(command, out, printMembers)
+			Action: func(ctx context.Context, command *cli.Command) error {
+				return showFleet(ctx, command, out, printMembers)
 			}},
 		{Name: "watch", Usage: "a line for each change, until it is ended", Flags: flags,
 			Action: func(ctx context.Context, command *cli.Command) error {
@@ -39,10 +39,10 @@
 				return watchFleet(ctx, command, out)
 			}},
 		{Name: "duties", Usage: "who holds which lease, and the state of the lease registry at this router", Flags: flags,
-			Action: func(_ context.Context, command *cli.Command) error { return showLeases(command, out) }},
+			Action: func(ctx context.Context, command *cli.Command) error { return showLeases(ctx, command, out) }},
 		{Name: "duty", Usage: "transfer a lease", Commands: []*cli.Command{
 			{Name: "move", Usage: "from the router whose admin API is called to ROUTER, or to the one that ranks first", ArgsUsage: "DUTY [ROUTER]", Flags: flags,
-				Action: func(_ context.Context, command *cli.Command) error { return transferLease(command, out) }},
+				Action: func(ctx context.Context, command *cli.Command) error { return transferLease(ctx, command, out) }},
 		}},
 		newBansCommand(out, flags),
 		newElectorCommand(out, flags),
@@ -53,19 +53,19 @@
 func newElectorCommand(out io.Writer, flags []cli.Flag) *cli.Command {
 	return &cli.Command{Name: "elector", Usage: "add a voter, or remove one, through the leader's admin API", Commands: []*cli.Command{
 		{Name: "add", ArgsUsage: "ROUTER", Flags: flags, Usage: "one whose file names it among the electors; it is a learner until it has caught up",
-			Action: func(_ context.Context, command *cli.Command) error {
-				return postAdmin(command, out, "/fleet/elector/add/"+command.Args().First())
+			Action: func(ctx context.Context, command *cli.Command) error {
+				return postAdmin(ctx, command, out, "/fleet/elector/add/"+command.Args().First())
 			}},
 		{Name: "remove", ArgsUsage: "ROUTER", Flags: flags, Usage: "one at a time",
-			Action: func(_ context.Context, command *cli.Command) error {
-				return postAdmin(command, out, "/fleet/elector/remove/"+command.Args().First())
+			Action: func(ctx context.Context, command *cli.Command) error {
+				return postAdmin(ctx, command, out, "/fleet/elector/remove/"+command.Args().First())
 			}},
 	}}
 }
 
 // showFleet prints a router's view of its fleet as a table, or as JSON.
-func showFleet(command *cli.Command, out io.Writer, printTable func(io.Writer, *fleet.Status) error) error {
-	status, text, err := fleetStatus(command)
+func showFleet(ctx context.Context, command *cli.Command, out io.Writer, printTable func(io.Writer, *fleet.Status) error) error {
+	status, text, err := fleetStatus(ctx, command)
 	if err != nil {
 		return err
 	}
@@ -77,8 +77,8 @@
 }
 
 // fleetStatus returns a router's view of its fleet, parsed and as it came.
-func fleetStatus(command *cli.Command) (*fleet.Status, []byte, error) {
-	text, err := callAdmin(command, http.MethodGet, "/fleet")
+func fleetStatus(ctx context.Context, command *cli.Command) (*fleet.Status, []byte, error) {
+	text, err := callAdmin(ctx, command, http.MethodGet, "/fleet")
 	if err != nil {
 		return nil, nil, err
 	}
@@ -90,13 +90,13 @@
 }
 
 // showLeases prints who holds which lease.
-func showLeases(command *cli.Command, out io.Writer) error {
-	return showPage(command, out, "/fleet/duties", printLeases)
+func showLeases(ctx context.Context, command *cli.Command, out io.Writer) error {
+	return showPage(ctx, command, out, "/fleet/duties", printLeases)
 }
 
 // showPage prints what the admin API answers at path as a table, or as JSON.
-func showPage[Page any](command *cli.Command, out io.Writer, path string, printTable func(io.Writer, *Page) error) error {
-	text, err := callAdmin(command, http.MethodGet, path)
+func showPage[Page any](ctx context.Context, command *cli.Command, out io.Writer, path string, printTable func(io.Writer, *Page) error) error {
+	text, err := callAdmin(ctx, command, http.MethodGet, path)
 	if err != nil {
 		return err
 	}
@@ -112,7 +112,7 @@
 }
 
 // transferLease hands a lease of the router that is called to another one.
-func transferLease(command *cli.Command, out io.Writer) error {
+func transferLease(ctx context.Context, command *cli.Command, out io.Writer) error {
 	lease, router := command.Args().Get(0), command.Args().Get(1)
 	if lease == "" {
 		return errors.New("fleet duty move: DUTY: missing")
@@ -121,5 +121,5 @@
 	if router != "" {
 		path += "/to/" + router
 	}
-	return postAdmin(command, out, path)
+	return postAdmin(ctx, command, out, path)
 }
--- a/cmd/garnetline/fleet_watch.go
+++ b/cmd/garnetline/fleet_watch.go
@@ -25,7 +25,7 @@
 	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
 	for first := true; ; first = false {
-		status, text, callErr := fleetStatus(command)
+		status, text, callErr := fleetStatus(context.WithoutCancel(ctx), command)
 		if callErr != nil && first {
 			return callErr
 		}
--- a/cmd/garnetline/listener.go
+++ b/cmd/garnetline/listener.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"net"
 	"os"
@@ -10,9 +11,10 @@
 
 // openListener binds the clients' socket, or takes the one that the platform holds and passes
 // on from one process to the next as a descriptor.
-func openListener(config *platformconfig.Config) (net.Listener, error) {
+func openListener(ctx context.Context, config *platformconfig.Config) (net.Listener, error) {
 	if config.ListenFD == 0 {
-		listener, err := net.Listen("tcp", config.Listen.String())
+		var listenConfig net.ListenConfig
+		listener, err := listenConfig.Listen(ctx, "tcp", config.Listen.String())
 		if err != nil {
 			return nil, fmt.Errorf("listen: %w", err)
 		}
