--- a/cmd/garnetline/fleet_test.go
+++ b/cmd/garnetline/fleet_test.go
@@ -4,199 +4,264 @@
 	"bytes"
 	"context"
 	"fmt"
-	"net"
+	"net/http"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 	"time"
 
+	"garnetline/internal/daemontest"
 	"garnetline/internal/testcluster"
 )
 
-// inspect runs a command of this program and returns what it prints.
-func inspect(t *testing.T, args ...string) (string, error) {
-	t.Helper()
-	var out bytes.Buffer
-	err := newFleetCommand(&out).Run(context.Background(), append([]string{"fleet"}, args...))
-	return out.String(), err
-}
+// clusterTimeout bounds each wait for a cluster.
+const clusterTimeout = 30 * time.Second
 
-func startRig(t *testing.T, o testcluster.Options) *testcluster.Cluster {
+// startCluster starts routers that run this test binary as the program.
+func startCluster(t *testing.T, options testcluster.Options) *testcluster.Cluster {
 	t.Helper()
-	o.Program, o.Env, o.Dir = os.Args[0], []string{"GARNETLINE_TEST_PROGRAM=1"}, t.TempDir()
-	r, err := testcluster.Start(o)
+	options.Program = os.Args[0]
+	options.Env = daemontest.ProgramEnv()
+	options.Dir = t.TempDir()
+	cluster, err := testcluster.Start(options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.Close)
-	return r
+	t.Cleanup(cluster.Close)
+	return cluster
 }
 
-// The command line shows the view of a running router, as a table, as JSON, and as it
-// changes; a router without a fleet says that it has none.
-func TestFleetCommand(t *testing.T) {
-	r := startRig(t, testcluster.Options{Routers: 3, Servers: 1, Fleet: true, Seed: 1})
-	if _, err := r.WaitForConvergence(30*time.Second, r.Routers...); err != nil {
+// lineWriter passes on what is written to it, as far as there is room.
+type lineWriter chan string
+
+func (w lineWriter) Write(b []byte) (int, error) {
+	select {
+	case w <- string(b):
+	default:
+	}
+	return len(b), nil
+}
+
+// waitFor waits until a line holds a text.
+func (w lineWriter) waitFor(t *testing.T, text string) {
+	t.Helper()
+	timeout := time.After(clusterTimeout)
+	for {
+		select {
+		case line := <-w:
+			if strings.Contains(line, text) {
+				return
+			}
+		case <-timeout:
+			t.Fatalf("no line with %q within %v", text, clusterTimeout)
+		}
+	}
+}
+
+// The command line shows the view of a running router, as a table, as JSON, and as it changes.
+func TestFleetCommandShowsTheView(t *testing.T) {
+	cluster := startCluster(t, testcluster.Options{Routers: 3, Servers: 1, Fleet: true, Seed: 1})
+	if _, err := cluster.WaitForConvergence(clusterTimeout, cluster.Routers...); err != nil {
 		t.Fatal(err)
 	}
-	door := r.Routers[0].AdminAddr
-	for _, x := range []struct {
+	router := cluster.Routers[0]
+	for _, test := range []struct {
 		args []string
 		want []string
 	}{
-		{[]string{"status", "--mgmt", door}, []string{"router  r00", "there   3 of 3 known lately"}},
-		{[]string{"members", "--mgmt", door}, []string{"NAME", "r02", "alive", "itself"}},
-		{[]string{"members", "--json", "--mgmt", door}, []string{`"there": 3`, `"name": "r01"`}},
+		{[]string{"status"}, []string{"router  r00", "there   3 of 3 known lately"}},
+		{[]string{"members"}, []string{"NAME", "r02", "alive", "itself"}},
+		{[]string{"members", "--json"}, []string{`"there": 3`, `"name": "r01"`}},
 	} {
-		got, err := inspect(t, x.args...)
-		for _, w := range x.want {
-			if err != nil || !strings.Contains(got, w) {
-				t.Errorf("%v: no %q in %s, %v", x.args, w, got, err)
+		t.Run(strings.Join(test.args, " "), func(t *testing.T) {
+			var out bytes.Buffer
+			args := slices.Concat([]string{"fleet"}, test.args, []string{"--mgmt", router.AdminAddr})
+			if err := newFleetCommand(&out).Run(t.Context(), args); err != nil {
+				t.Error(err)
 			}
-		}
-	}
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
-	seen := make(chan string, 100)
-	go newFleetCommand(lineWriter(seen)).Run(ctx, []string{"fleet", "watch", "--mgmt", door})
-	waitFor := func(what string) {
-		t.Helper()
-		for late := time.After(30 * time.Second); ; {
-			select {
-			case l := <-seen:
-				if strings.Contains(l, what) {
-					return
+			for _, want := range test.want {
+				if !strings.Contains(out.String(), want) {
+					t.Errorf("no %q in %s", want, out.String())
 				}
-			case <-late:
-				t.Fatalf("watch never says %q", what)
 			}
-		}
+		})
 	}
-	waitFor("r02")
-	r.Routers[2].Kill()
-	waitFor("failed")
-	_, m, err := r.Routers[0].CallAdmin("GET", "/metrics")
-	if err != nil || !strings.Contains(string(m), `app_fleet_members{state="failed"} 1`) || !strings.Contains(string(m), "app_fleet_known 3\n") {
-		t.Errorf("%s, %v", m, err)
+
+	ctx, stop := context.WithCancel(t.Context())
+	lines, watched := make(lineWriter, 100), make(chan error, 1)
+	go func() {
+		watched <- newFleetCommand(lines).Run(ctx, []string{"fleet", "watch", "--mgmt", router.AdminAddr})
+	}()
+	lines.waitFor(t, "r02")
+	cluster.Routers[2].Kill()
+	lines.waitFor(t, "failed")
+	stop()
+	if err := <-watched; err != nil {
+		t.Errorf("fleet watch: %v", err)
+	}
+	_, page, err := router.CallAdmin("GET", "/metrics")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, want := range []string{`app_fleet_members{state="failed"} 1`, "app_fleet_known 3\n"} {
+		if !strings.Contains(string(page), want) {
+			t.Errorf("no %q in %s", want, page)
+		}
 	}
 }
 
-type lineWriter chan string
+// footprint is what others notice of one router.
+type footprint struct {
+	sockets     int
+	fleetStatus int    // of the admin API's fleet page
+	metricNames string // with their types
+	requests    []string
+}
 
-func (w lineWriter) Write(b []byte) (int, error) {
-	select {
-	case w <- string(b):
-	default:
+// measureFootprint starts a cluster of one router and has it serve five requests.
+func measureFootprint(t *testing.T, options testcluster.Options) footprint {
+	t.Helper()
+	options.Routers, options.Servers, options.Seed = 1, 1, 1
+	cluster := startCluster(t, options)
+	router := cluster.Routers[0]
+	if _, err := cluster.WaitUntil("ready", clusterTimeout, func() (bool, string) {
+		status, _, err := router.CallAdmin("GET", "/ready")
+		return status == http.StatusOK, fmt.Sprint(status, err)
+	}); err != nil {
+		t.Fatal(err)
 	}
-	return len(b), nil
+	fleetStatus, _, err := router.CallAdmin("GET", "/fleet")
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, page, err := router.CallAdmin("GET", "/metrics")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for object := 1; object <= 5; object++ {
+		target := fmt.Sprintf("/v1/part/%016x", object)
+		daemontest.Exchange(t, router.ListenAddr, readRequest(target, object, daemontest.CloseConnection))
+	}
+	return footprint{
+		sockets:     lastingSockets(t, cluster, router),
+		fleetStatus: fleetStatus,
+		metricNames: metricTypes(string(page)),
+		requests:    withoutClientTimeouts(cluster.Servers[0].Requests()),
+	}
+}
+
+// lastingSockets returns the number of sockets of a router without those of clients and the
+// admin API, which come and go: the least number in 20 looks after which it is not undercut.
+func lastingSockets(t *testing.T, cluster *testcluster.Cluster, router *testcluster.Router) int {
+	t.Helper()
+	const looks = 20
+	least := countSockets(t, router.Pid())
+	same := 0
+	if _, err := cluster.WaitUntil("its own sockets alone", clusterTimeout, func() (bool, string) {
+		if count := countSockets(t, router.Pid()); count < least {
+			least, same = count, 0
+		}
+		same++
+		return same > looks, ""
+	}); err != nil {
+		t.Fatal(err)
+	}
+	return least
 }
 
-// sockets counts the descriptors of a process that are sockets.
-func sockets(t *testing.T, pid int) (n int) {
+// countSockets counts the descriptors of a process that are sockets.
+func countSockets(t *testing.T, pid int) int {
 	t.Helper()
-	l, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
+	descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
 		t.Skipf("no /proc: %v", err)
 	}
-	for _, e := range l {
-		if to, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%s", pid, e.Name())); err == nil && strings.HasPrefix(to, "socket:") {
-			n++
+	count := 0
+	for _, descriptor := range descriptors {
+		target, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%s", pid, descriptor.Name()))
+		if err == nil && strings.HasPrefix(target, "socket:") {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// Without a fleet block, and without any file, a router has the same sockets, no page and
-// no figure of a fleet, and writes the same bytes to its boxes; with one it has a socket more.
-func TestNothingWithoutAFleetBlock(t *testing.T) {
-	of := func(o testcluster.Options) (socks int, page int, figures string, asked []string) {
-		o.Routers, o.Servers, o.Seed = 1, 1, 1
-		r := startRig(t, o)
-		x := r.Routers[0]
-		if _, err := r.WaitUntil("ready", 30*time.Second, func() (bool, string) {
-			code, _, err := x.CallAdmin("GET", "/ready")
-			return code == 200, fmt.Sprint(code, err)
-		}); err != nil {
-			t.Fatal(err)
-		}
-		page, _, err := x.CallAdmin("GET", "/fleet")
-		if err != nil {
-			t.Fatal(err)
-		}
-		_, m, err := x.CallAdmin("GET", "/metrics")
-		if err != nil {
-			t.Fatal(err)
-		}
-		var names []string
-		for line := range strings.Lines(string(m)) {
-			if strings.HasPrefix(line, "# TYPE") {
-				names = append(names, line)
-			}
-		}
-		for i := range 5 {
-			conn, err := net.Dial("tcp", x.ListenAddr)
-			if err != nil {
-				t.Fatal(err)
-			}
-			say(t, conn, fmt.Sprintf("GET /v1/part/%016x HTTP/1.1\r\nHost: x\r\nConnection: close\r\nX-Txn: %016x\r\nX-Ttl-Ms: 4000\r\n\r\n", i+1, i+1))
-			conn.Close()
-		}
-		// The sockets of clients and door come and go: those that stay are compared.
-		socks = 1 << 20
-		same := 0
-		if _, err := r.WaitUntil("its own sockets alone", 30*time.Second, func() (bool, string) {
-			if n := sockets(t, x.Pid()); n < socks {
-				socks, same = n, 0
-			}
-			same++
-			return same > 20, ""
-		}); err != nil {
-			t.Fatal(err)
+// metricTypes returns the lines of a metrics page that name a metric and its type.
+func metricTypes(page string) string {
+	var types strings.Builder
+	for line := range strings.Lines(page) {
+		if strings.HasPrefix(line, "# TYPE") {
+			types.WriteString(line)
 		}
-		for _, f := range r.Servers[0].Requests() {
-			f, _, _ = strings.Cut(f, "patience=") // what is left of the client's time differs
-			asked = append(asked, f)
-		}
-		return socks, page, strings.Join(names, ""), asked
 	}
-	bareSocks, barePage, bareFigures, bareAsked := of(testcluster.Options{NoSettingsFile: true})
-	offSocks, offPage, offFigures, offAsked := of(testcluster.Options{})
-	onSocks, onPage, onFigures, onAsked := of(testcluster.Options{Fleet: true})
-	if barePage != 404 || offPage != 404 || onPage != 200 {
-		t.Errorf("/fleet: %d without a file, %d without a block, %d with one", barePage, offPage, onPage)
+	return types.String()
+}
+
+// withoutClientTimeouts cuts each request before what is left of its client's time, which
+// differs from run to run.
+func withoutClientTimeouts(requests []string) []string {
+	var cut []string
+	for _, fields := range requests {
+		before, _, _ := strings.Cut(fields, "patience=")
+		cut = append(cut, before)
 	}
-	if bareSocks != offSocks || bareFigures != offFigures || strings.Contains(offFigures, "fleet") || !strings.Contains(onFigures, "fleet") {
-		t.Errorf("sockets %d and %d, figures:\n%s\n%s", bareSocks, offSocks, bareFigures, offFigures)
+	return cut
+}
+
+// Without a fleet block, and without any file, a router has the same sockets, no page and no
+// metric of a fleet, and writes the same bytes to its servers; with one it has a socket more.
+func TestFleetIsOffWithoutItsBlock(t *testing.T) {
+	withoutFile := measureFootprint(t, testcluster.Options{NoSettingsFile: true})
+	withoutBlock := measureFootprint(t, testcluster.Options{})
+	withBlock := measureFootprint(t, testcluster.Options{Fleet: true})
+	if withoutFile.fleetStatus != 404 || withoutBlock.fleetStatus != 404 || withBlock.fleetStatus != 200 {
+		t.Errorf("/fleet: %d without a file, %d without a block, %d with one; want 404, 404, 200", withoutFile.fleetStatus, withoutBlock.fleetStatus, withBlock.fleetStatus)
 	}
-	if onSocks != offSocks+1 {
-		t.Errorf("a fleet has %d sockets, none has %d", onSocks, offSocks)
+	if withoutFile.sockets != withoutBlock.sockets {
+		t.Errorf("%d sockets without a file, %d without a block", withoutFile.sockets, withoutBlock.sockets)
 	}
-	if len(bareAsked) != 5 || fmt.Sprint(bareAsked) != fmt.Sprint(offAsked) || fmt.Sprint(offAsked) != fmt.Sprint(onAsked) {
-		t.Errorf("sent to the box:\n%q\n%q\n%q", bareAsked, offAsked, onAsked)
+	if withBlock.sockets != withoutBlock.sockets+1 {
+		t.Errorf("%d sockets with a fleet, want one more than %d", withBlock.sockets, withoutBlock.sockets)
 	}
-}
-
-// An operators' file is checked by itself where no configuration is named, and with a
-// fleet the table of what each stance does is printed.
-func TestCheckOfAFileByItself(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "x.hcl")
-	run := func(text string) (string, error) {
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		t.Setenv("EDGE_CONFIG", "")
-		var out bytes.Buffer
-		err := newCommand(&out).Run(context.Background(), []string{"garnetline", "check", "--settings", path})
-		return out.String(), err
+	if withoutFile.metricNames != withoutBlock.metricNames {
+		t.Errorf("metrics without a file\n%s\nand without a block\n%s", withoutFile.metricNames, withoutBlock.metricNames)
 	}
-	if got, err := run("log {}\n"); err != nil || !strings.Contains(got, "x.hcl: can be used") {
-		t.Errorf("%q, %v", got, err)
+	if strings.Contains(withoutBlock.metricNames, "fleet") || !strings.Contains(withBlock.metricNames, "fleet") {
+		t.Errorf("metrics of a fleet without a block\n%s\nand with one\n%s", withoutBlock.metricNames, withBlock.metricNames)
 	}
-	if got, err := run("fleet {\n enabled = true\n keys = [\"sixteen bytes or more\"]\n}\n"); err != nil || !strings.Contains(got, "held until together") {
-		t.Errorf("%q, %v", got, err)
+	if len(withoutFile.requests) != 5 || !slices.Equal(withoutFile.requests, withoutBlock.requests) || !slices.Equal(withoutBlock.requests, withBlock.requests) {
+		t.Errorf("sent to the server:\n%q\n%q\n%q", withoutFile.requests, withoutBlock.requests, withBlock.requests)
 	}
-	if _, err := run("fleet {\n enabled = true\n}\n"); err == nil || !strings.Contains(err.Error(), "x.hcl:1: fleet: keys: ") {
-		t.Errorf("%v", err)
+}
+
+// An operators' file is checked by itself where no configuration is named, and with a fleet the
+// table of what each state of connectivity permits is printed.
+func TestCheckOfAnOperatorsFileAlone(t *testing.T) {
+	const keys = " keys = [\"sixteen bytes or more\"]\n"
+	for name, test := range map[string]struct {
+		text, wantOutput, wantError string
+	}{
+		"a log block":          {text: "log {}\n", wantOutput: "x.hcl: can be used"},
+		"a fleet":              {text: "fleet {\n enabled = true\n" + keys + "}\n", wantOutput: "held until together"},
+		"a fleet without keys": {text: "fleet {\n enabled = true\n}\n", wantError: "x.hcl:1: fleet: keys: "},
+	} {
+		t.Run(name, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "x.hcl")
+			daemontest.WriteFile(t, path, test.text)
+			t.Setenv("EDGE_CONFIG", "")
+			var out bytes.Buffer
+			err := newCommand(&out).Run(t.Context(), []string{"garnetline", "check", "--settings", path})
+			if test.wantError == "" && err != nil {
+				t.Error(err)
+			}
+			if test.wantError != "" && (err == nil || !strings.Contains(err.Error(), test.wantError)) {
+				t.Errorf("got %v, want an error with %q", err, test.wantError)
+			}
+			if !strings.Contains(out.String(), test.wantOutput) {
+				t.Errorf("no %q in %q", test.wantOutput, out.String())
+			}
+		})
 	}
 }
--- a/cmd/garnetline/golden_test.go
+++ b/cmd/garnetline/golden_test.go
@@ -29,7 +29,7 @@
 	golden.Compare(t, "duties.golden", []byte(string(text)+"\n"))
 }
 
-func describeCommand(out io.Writer, command *cli.Command, parent string) {
+func describeCommand(out *strings.Builder, command *cli.Command, parent string) {
 	path := strings.TrimSpace(parent + " " + command.Name)
 	fmt.Fprintln(out, strings.TrimSpace(path+" "+command.ArgsUsage))
 	for _, f := range command.Flags {
--- a/cmd/garnetline/trace_test.go
+++ b/cmd/garnetline/trace_test.go
@@ -1,16 +1,8 @@
 package main
 
 import (
-	"bufio"
-	"bytes"
-	"context"
 	"fmt"
-	"io"
-	"net"
 	"net/http"
-	"os"
-	"os/exec"
-	"path/filepath"
 	"slices"
 	"strings"
 	"sync"
@@ -18,6 +10,7 @@
 	"testing"
 	"time"
 
+	"garnetline/internal/daemontest"
 	"garnetline/internal/fakeserver"
 	"garnetline/internal/operatorconfig"
 	"garnetline/internal/trace"
@@ -25,361 +18,433 @@
 	"garnetline/routing"
 )
 
-// TestMain runs the program itself where a test started this binary for that.
-func TestMain(m *testing.M) {
-	if os.Getenv("GARNETLINE_TEST_PROGRAM") != "" {
-		main()
-		return
-	}
-	os.Exit(m.Run())
+// What a server of the failure test does with a request.
+type serverBehavior int
+
+const (
+	behaveWell serverBehavior = iota
+	behaveSlowly
+	failWithError
+	closeConnection
+	stayUnanswered
+)
+
+// slowReply is longer than the class's latency objective.
+const slowReply = 500 * time.Millisecond
+
+// The requests of the failure test: so many clients, and for each so many requests in turn of
+// four kinds.
+const (
+	failureClients    = 12
+	requestsPerClient = 25
+
+	kindTraced = 2 // the client sends a traceparent; a retry goes to the other router
+	kindKeyed  = 3 // a write with an idempotency key; a retry goes to the other router
+	kinds      = 4 // the others are reads whose retries go to the same router
+)
+
+// failureTest is two routers before servers that fail in several ways.
+type failureTest struct {
+	t       *testing.T
+	servers []*fakeserver.Server
+	routers []*tracedRouter
+
+	mu       sync.Mutex
+	arrivals map[string]int  // attempts that reached a server, by transaction id
+	slow     map[string]bool // requests of which one reply was slow
+
+	results [failureClients][][]clientAttempt // by client and request
 }
 
-// tracer is a router in a process of its own that traces into a folder.
-type tracer struct {
-	*exec.Cmd
-	listen, folder, ops string
-	log                 fakeserver.Output
+// clientAttempt is one sending of a request by its client.
+type clientAttempt struct {
+	transaction string
+	status      int // 0: no response
 }
 
-// until waits for what a process does by itself, and fails the test after a while.
-func until(t *testing.T, what string, ok func() bool) {
+func newFailureTest(t *testing.T) *failureTest {
 	t.Helper()
-	for range 20_000 {
-		if ok() {
-			return
-		}
-		time.Sleep(time.Millisecond)
-	}
-	t.Fatalf("%s: not so after 20 s", what)
+	test := &failureTest{t: t, arrivals: map[string]int{}, slow: map[string]bool{}}
+	failsFast := func(n int) serverBehavior { return choose(n%4 == 0, behaveWell, failWithError) }
+	unreliable := func(n int) serverBehavior {
+		return [...]serverBehavior{4: closeConnection, 7: behaveSlowly}[n%8]
+	}
+	hangs := func(n int) serverBehavior { return choose(n%7 == 6, stayUnanswered, behaveWell) }
+	reliable := func(int) serverBehavior { return behaveWell }
+	for _, behavior := range []func(n int) serverBehavior{failsFast, unreliable, hangs, reliable} {
+		test.servers = append(test.servers, daemontest.NewServer(t, test.replyBy(behavior)))
+	}
+	endpoints := []daemontest.Endpoint{
+		{ID: 1, Kind: daemontest.Cache, Addr: test.servers[0].Addr()},
+		{ID: 2, Kind: daemontest.Cache, Addr: test.servers[1].Addr()},
+		{ID: 3, Kind: daemontest.Cache, Addr: test.servers[2].Addr()},
+		{ID: 8, Kind: daemontest.Parent, Addr: test.servers[3].Addr()},
+		{ID: 9, Kind: daemontest.Origin, Addr: test.servers[3].Addr()},
+	}
+	changeLog := daemontest.NewIdleChangeLog(t)
+	for _, name := range []string{"a1", "b2"} {
+		config := daemontest.Config{Name: name, ChangeLog: changeLog.Addr(), Endpoints: endpoints}
+		test.routers = append(test.routers, startTracedRouter(t, config, "ordinary_per_s = 2\n"))
+	}
+	return test
 }
 
-func startTracer(t *testing.T, name string, log net.Addr, hosts, more string) *tracer {
-	t.Helper()
-	dir := t.TempDir()
-	r := &tracer{listen: free(t), folder: filepath.Join(dir, "traces")}
-	write := func(name, text string) string {
-		path := filepath.Join(dir, name)
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		return path
-	}
-	conf := write("config.json", fmt.Sprintf(`{"name":%q,"listen":%q,"seed":"%x","limits":{},"changelog":%q,
-"known":{"seq":1,"results":[{"seq":1,"fleet":{"seq":0,"whole":true,"hosts":[%s]}}]},"settings":%s}`, name, r.listen, name, log, hosts, platform))
-	r.ops = write("garnetline.hcl", fmt.Sprintf("trace {\n enabled = true\n folder = %q\n secret = \"shared\"\n %s}\n", r.folder, more))
-	r.Cmd = exec.Command(os.Args[0], "serve", "--config", conf, "--settings", r.ops)
-	r.Env = append(os.Environ(), "GARNETLINE_TEST_PROGRAM=1")
-	r.Stderr = &r.log
-	if err := r.Start(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { r.Process.Kill() })
-	for {
-		conn, err := net.Dial("tcp", r.listen)
-		if err != nil {
-			time.Sleep(time.Millisecond) // it has not bound its address yet
-			continue
-		}
-		w, _ := say(t, conn, "GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-		conn.Close()
-		if w.StatusCode == http.StatusOK {
-			return r
-		}
+func choose(condition bool, yes, no serverBehavior) serverBehavior {
+	if condition {
+		return yes
 	}
+	return no
 }
 
-// end stops the router in order and returns all pieces that it kept.
-func (r *tracer) end(t *testing.T) (pieces []*trace.Trace) {
-	t.Helper()
-	if err := r.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
-	if err := r.Wait(); err != nil {
-		t.Fatalf("%v: %s", err, r.log.String())
+// replyBy returns the replies of a server whose n-th request, from 1 on, meets behavior(n).
+func (f *failureTest) replyBy(behavior func(n int) serverBehavior) fakeserver.Reply {
+	received := 0
+	return func(id, _ string) string {
+		f.mu.Lock()
+		received++
+		f.arrivals[id]++
+		does := behavior(received)
+		if does == behaveSlowly {
+			f.slow[id] = true
+		}
+		f.mu.Unlock()
+		switch does {
+		case closeConnection:
+			return fakeserver.CloseConnection
+		case failWithError:
+			return fakeserver.Answer(id, "BROKE", "-", "")
+		case stayUnanswered:
+			return ""
+		case behaveSlowly:
+			time.Sleep(slowReply)
+		}
+		return fakeserver.Answer(id, "DONE", "tag=t1,minted=1", servedBody)
 	}
-	return r.pieces(t)
 }
 
-func (r *tracer) pieces(t *testing.T) (pieces []*trace.Trace) {
-	t.Helper()
-	x, err := store.Read(r.folder)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, err := x.Query(store.Filter{}, func(p *trace.Trace) bool { pieces = append(pieces, p); return true }); err != nil {
-		t.Fatal(err)
+// run has all clients send their requests.
+func (f *failureTest) run() {
+	var clients sync.WaitGroup
+	for client := range failureClients {
+		clients.Go(func() {
+			for index := range requestsPerClient {
+				f.results[client] = append(f.results[client], f.sendRequest(client, index))
+			}
+		})
 	}
-	return pieces
+	clients.Wait()
 }
 
-// Two routers, and boxes, a hub and an archive that answer fast errors, go silent and cut
-// connections: every request that failed, was refused, was tried again or was slow is
-// traced with all its attempts, counted against what the stand-ins received; a client's
-// retry at the other router belongs to its first try; and no key stands in what is kept.
-func TestEveryFailedRequestIsTraced(t *testing.T) {
-	var mu sync.Mutex
-	got := map[string]int{} // attempts by the client's id
-	slow := map[string]bool{}
-	fault := func(bad func(n int) string) func(id, fields string) string {
-		n := 0
-		return func(id, fields string) string {
-			mu.Lock()
-			n++
-			got[id]++
-			text := bad(n)
-			slow[id] = slow[id] || text == "slow"
-			mu.Unlock()
-			if text == "slow" { // more than the class's aim
-				time.Sleep(500 * time.Millisecond)
-			} else if text != "good" {
-				return text
-			}
-			return fakeserver.Answer(id, "DONE", "tag=t1,minted=1", "bytes")
+// sendRequest sends a request, and once more if it is not served.
+func (f *failureTest) sendRequest(client, index int) []clientAttempt {
+	var attempts []clientAttempt
+	for n := range 2 {
+		transaction := fmt.Sprintf("%08x%08x", client+1, 2*index+n+1)
+		router, request := f.request(client, index, n, transaction)
+		status := 0
+		connection, err := daemontest.DialContext(f.t.Context(), router.addr)
+		if err != nil {
+			f.t.Error(err)
+			return attempts
 		}
-	}
-	boxes := []*fakeserver.Server{
-		newCache(t, nil), newCache(t, fault(func(n int) string {
-			return []string{"good", "good", "good", "good", fakeserver.CloseConnection, "good", "good", "slow"}[n%8]
-		})),
-		newCache(t, fault(func(n int) string { return []string{"good", "good", "good", "good", "good", "good", ""}[n%7] })),
-		newCache(t, fault(func(int) string { return "good" })),
-	}
-	errors := 0
-	boxes[0].Reply = func(id, _ string) string { // fails fast, and says that it runs
-		mu.Lock()
-		defer mu.Unlock()
-		got[id]++
-		if errors++; errors%4 == 0 {
-			return fakeserver.Answer(id, "DONE", "tag=t1,minted=1", "bytes")
+		if response, err := connection.Do(request); err == nil {
+			status = response.Status
+		}
+		daemontest.Close(f.t, connection)
+		attempts = append(attempts, clientAttempt{transaction, status})
+		if status == http.StatusOK {
+			break
 		}
-		return fakeserver.Answer(id, "BROKE", "-", "")
-	}
-	var hosts []string
-	for i, b := range boxes[:3] {
-		hosts = append(hosts, host(i+1, "box", b.Addr()))
-	}
-	hosts = append(hosts, host(8, "parent", boxes[3].Addr()), host(9, "origin", boxes[3].Addr()))
-	log, _ := newLog(t)
-	routers := []*tracer{startTracer(t, "a1", log, strings.Join(hosts, ","), "ordinary_per_s = 2\n"), startTracer(t, "b2", log, strings.Join(hosts, ","), "ordinary_per_s = 2\n")}
-
-	type try struct {
-		txn    string
-		status int
-	}
-	const clients, each = 12, 25
-	tries := make([][][]try, clients)
-	var wg sync.WaitGroup
-	for c := range clients {
-		wg.Go(func() {
-			for i := range each {
-				var of []try
-				for n := range 2 { // the retry of a keyed request goes to the other router
-					txn := fmt.Sprintf("%08x%08x", c+1, 2*i+n+1)
-					method, path, more := "GET", fmt.Sprintf("/v1/part/%016x?block=%d", 1000+c*each+i, c), ""
-					at := routers[c%2]
-					switch {
-					case i%4 == 3:
-						method, path, more = "PUT", "/v1/form/00000000000000aa", fmt.Sprintf("X-Txn-Key: secretkey%04x%04x\r\n", c, i)
-						at = routers[(c+n)%2]
-					case i%4 == 2:
-						more = fmt.Sprintf("Traceparent: 00-%032x-%016x-01\r\n", 1<<20+c*each+i, c+1)
-						at = routers[(c+n)%2]
-					}
-					conn, err := net.Dial("tcp", at.listen)
-					if err != nil {
-						t.Error(err)
-						return
-					}
-					fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nHost: x\r\nX-Txn: %s\r\nX-Ttl-Ms: 900\r\n%s\r\n", method, path, txn, more)
-					status := 0
-					if w, err := http.ReadResponse(bufio.NewReader(conn), nil); err == nil {
-						io.Copy(io.Discard, w.Body)
-						status = w.StatusCode
-					}
-					conn.Close()
-					of = append(of, try{txn, status})
-					if status == 200 {
-						break
-					}
-				}
-				tries[c] = append(tries[c], of)
-			}
-		})
 	}
-	wg.Wait()
-	byTxn, byID := map[string]*trace.Trace{}, map[trace.ID][]*trace.Trace{}
-	lost := uint32(0)
-	for _, r := range routers {
-		for _, p := range r.end(t) {
-			if byTxn[p.TransactionID] != nil {
-				t.Errorf("%s is kept twice", p.TransactionID)
+	return attempts
+}
+
+// request returns the n-th sending of a request, and the router that gets it.
+func (f *failureTest) request(client, index, n int, transaction string) (*tracedRouter, string) {
+	number := client*requestsPerClient + index
+	header := []string{"X-Txn: " + transaction, daemontest.ClientTimeout(900 * time.Millisecond)}
+	method, target := "GET", fmt.Sprintf("/v1/part/%016x?block=%d", 1000+number, client)
+	router := f.routers[client%2]
+	switch index % kinds {
+	case kindKeyed:
+		method, target = "PUT", "/v1/form/00000000000000aa"
+		header = append(header, fmt.Sprintf("X-Txn-Key: secretkey%04x%04x", client, index))
+		router = f.routers[(client+n)%2]
+	case kindTraced:
+		header = append(header, fmt.Sprintf("Traceparent: 00-%s-%016x-01", clientTraceID(number), client+1))
+		router = f.routers[(client+n)%2]
+	}
+	return router, daemontest.Request(method, target, header...)
+}
+
+// clientTraceID is the trace that a client names for one of its requests.
+func clientTraceID(number int) string { return fmt.Sprintf("%032x", 1<<20+number) }
+
+// retainedTraces is what the routers of a failureTest retained.
+type retainedTraces struct {
+	byTransaction map[string]*trace.Trace
+	byID          map[trace.ID][]*trace.Trace
+	lost          uint32
+}
+
+// stopRouters shuts the routers down and returns what they retained.
+func (f *failureTest) stopRouters() retainedTraces {
+	f.t.Helper()
+	retained := retainedTraces{byTransaction: map[string]*trace.Trace{}, byID: map[trace.ID][]*trace.Trace{}}
+	for _, router := range f.routers {
+		for _, found := range router.stop(f.t) {
+			if retained.byTransaction[found.TransactionID] != nil {
+				f.t.Errorf("%s is retained twice", found.TransactionID)
 			}
-			byTxn[p.TransactionID], byID[p.ID] = p, append(byID[p.ID], p)
-			lost += p.LostBefore
+			retained.byTransaction[found.TransactionID] = found
+			retained.byID[found.ID] = append(retained.byID[found.ID], found)
+			retained.lost += found.LostBefore
 		}
 	}
-	must, retried, multi := 0, 0, 0
-	for c := range tries {
-		for i, of := range tries[c] {
-			for n, x := range of {
-				p := byTxn[x.txn]
-				if (x.status != 200 || n > 0 || got[x.txn] > 1 || slow[x.txn]) && p == nil {
-					t.Errorf("%s ended with %d after %d attempts, slow %v, and is not traced", x.txn, x.status, got[x.txn], slow[x.txn])
-				}
-				if p == nil {
+	return retained
+}
+
+// checkCounts is how many traces were checked, so that a test can see that it showed something.
+type checkCounts struct{ traces, retries, manyAttempts int }
+
+// checkRequests checks the traces of all requests.
+func (f *failureTest) checkRequests(retained retainedTraces) checkCounts {
+	f.t.Helper()
+	var counts checkCounts
+	for client := range f.results {
+		for index, attempts := range f.results[client] {
+			for _, attempt := range attempts {
+				f.checkClientAttempt(retained, attempt, attempt != attempts[0])
+				found := retained.byTransaction[attempt.transaction]
+				if found == nil {
 					continue
 				}
-				must++
-				sent, broken := 0, 0 // what was written to a connection that broke may not arrive
-				for _, s := range p.Spans {
-					if s.Kind == trace.Attempt && s.Flags&trace.FlagSent != 0 {
-						if sent++; routing.Result(s.Result) == routing.ConnectionLost {
-							broken++
-						}
-					}
-				}
-				if got[x.txn] > sent || got[x.txn] < sent-broken {
-					t.Errorf("%s: %d attempts are traced as sent, %d of them broke, %d arrived", x.txn, sent, broken, got[x.txn])
+				counts.traces++
+				if f.arrivals[attempt.transaction] > 1 {
+					counts.manyAttempts++
 				}
-				if got[x.txn] > 1 {
-					multi++
-				}
-				if wantOutcome := x.status == 200; wantOutcome != (p.Outcome == trace.Served) {
-					t.Errorf("%s: %v, the client had %d", x.txn, p.Outcome, x.status)
-				}
-				if i%4 == 2 && (p.ID.String() != fmt.Sprintf("%032x", 1<<20+c*each+i) || p.ClientSpan != trace.SpanID(c+1)) {
-					t.Errorf("%s: trace %v under %x, the client said another", x.txn, p.ID, p.ClientSpan)
-				}
-				if first := byTxn[of[0].txn]; n > 0 {
-					if retried++; first == nil || first.ID != p.ID {
-						t.Errorf("%s is not in the trace of its first try", x.txn)
-					}
+				if index%kinds == kindTraced {
+					f.checkClientSpan(found, client, index)
 				}
 			}
+			counts.retries += f.checkRetries(retained, attempts)
+		}
+	}
+	return counts
+}
+
+// checkRetries checks that the retries of a request are in the trace of its first sending. It
+// returns the number of those that are traced.
+func (f *failureTest) checkRetries(retained retainedTraces, attempts []clientAttempt) int {
+	f.t.Helper()
+	if len(attempts) == 0 { // no connection, which was reported
+		return 0
+	}
+	first := retained.byTransaction[attempts[0].transaction]
+	traced := 0
+	for _, retry := range attempts[1:] {
+		found := retained.byTransaction[retry.transaction]
+		if found == nil {
+			continue
+		}
+		traced++
+		if first == nil || first.ID != found.ID {
+			f.t.Errorf("%s is not in the trace of its first sending", retry.transaction)
 		}
 	}
-	if must < 50 || retried < 5 || multi < 20 || lost > 0 {
-		t.Errorf("%d pieces, %d retries, %d of several attempts, %d lost: too few to show anything", must, retried, multi, lost)
+	return traced
+}
+
+// checkClientAttempt checks that a request is traced if it has to be, with all its attempts.
+func (f *failureTest) checkClientAttempt(retained retainedTraces, attempt clientAttempt, isRetry bool) {
+	f.t.Helper()
+	id := attempt.transaction
+	served := attempt.status == http.StatusOK
+	found := retained.byTransaction[id]
+	if found == nil {
+		if !served || isRetry || f.arrivals[id] > 1 || f.slow[id] {
+			f.t.Errorf("%s ended with %d after %d attempts, slow %v, and is not traced", id, attempt.status, f.arrivals[id], f.slow[id])
+		}
+		return
+	}
+	sent, lost := countSent(found)
+	// What was written to a connection that was lost may not arrive.
+	if f.arrivals[id] > sent || f.arrivals[id] < sent-lost {
+		f.t.Errorf("%s: %d attempts are traced as sent, the connections of %d were lost, %d arrived", id, sent, lost, f.arrivals[id])
+	}
+	if served != (found.Outcome == trace.Served) {
+		f.t.Errorf("%s: outcome %v, its client got status %d", id, found.Outcome, attempt.status)
+	}
+}
+
+// countSent counts the attempts that were written, and those of them whose connections were lost.
+func countSent(found *trace.Trace) (sent, lost int) {
+	for _, span := range found.Spans {
+		if span.Kind != trace.Attempt || span.Flags&trace.FlagSent == 0 {
+			continue
+		}
+		sent++
+		if routing.Result(span.Result) == routing.ConnectionLost {
+			lost++
+		}
+	}
+	return sent, lost
+}
+
+// checkClientSpan checks that a request is in the trace that its client named.
+func (f *failureTest) checkClientSpan(found *trace.Trace, client, index int) {
+	f.t.Helper()
+	want := clientTraceID(client*requestsPerClient + index)
+	if found.ID.String() != want || found.ClientSpan != trace.SpanID(client+1) {
+		f.t.Errorf("%s: trace %v under %x, want %s under %x", found.TransactionID, found.ID, found.ClientSpan, want, client+1)
 	}
-	// No span without a parent, and one root.
-	for id, pieces := range byID {
-		ids := map[trace.SpanID]int{id.Root(): 1}
-		for _, p := range pieces {
-			for _, s := range p.Spans {
-				ids[s.ID]++
+}
+
+// checkSpanTrees checks that each span of a trace has a parent, and that there is one root.
+func checkSpanTrees(t *testing.T, byID map[trace.ID][]*trace.Trace) {
+	t.Helper()
+	for id, parts := range byID {
+		spans := map[trace.SpanID]int{id.Root(): 1}
+		for _, part := range parts {
+			for _, span := range part.Spans {
+				spans[span.ID]++
 			}
 		}
-		for _, p := range pieces {
-			for _, s := range p.Spans {
-				if ids[s.ID] != 1 || ids[s.Parent] != 1 || s.End < s.Start {
-					t.Fatalf("trace %v: span %+v", id, s)
+		for _, part := range parts {
+			for _, span := range part.Spans {
+				if spans[span.ID] != 1 || spans[span.Parent] != 1 || span.End < span.Start {
+					t.Fatalf("trace %v: span %+v", id, span)
 				}
 			}
 		}
 	}
-	// The platform's protocol knows no traces: nothing of them goes to a box.
-	for _, b := range boxes {
-		for _, fields := range b.Requests() {
-			for f := range strings.SplitSeq(fields, ",") {
-				if name, _, _ := strings.Cut(f, "="); !slices.Contains([]string{"sort", "asset", "slice", "patience", "op", "via", "tier", "fresh", "opts", "known"}, name) {
-					t.Fatalf("a box was sent the field %q", f)
+}
+
+// checkNoTraceFields checks that servers received the fields of the platform's protocol alone.
+func (f *failureTest) checkNoTraceFields() {
+	f.t.Helper()
+	known := []string{"sort", "asset", "slice", "patience", "op", "via", "tier", "fresh", "opts", "known"}
+	for _, server := range f.servers {
+		for _, fields := range server.Requests() {
+			for field := range strings.SplitSeq(fields, ",") {
+				if name, _, _ := strings.Cut(field, "="); !slices.Contains(known, name) {
+					f.t.Fatalf("a server received the field %q", field)
 				}
 			}
 		}
 	}
-	// The command line finds the guilty box, and tells no key.
-	run := func(args ...string) string {
-		var out bytes.Buffer
-		for _, r := range routers {
-			args = append(args, "--folder", r.folder)
-		}
-		if err := newTraceCommand(&out).Run(context.Background(), append([]string{"trace"}, args...)); err != nil {
-			t.Errorf("%v: %v", args, err)
-		}
-		return out.String()
+}
+
+// command runs a command of garnetline trace over what both routers retained.
+func (f *failureTest) command(args ...string) string {
+	f.t.Helper()
+	for _, router := range f.routers {
+		args = append(args, "--folder", router.traceDir)
 	}
-	lines := strings.Split(run("blame", "--most", "3"), "\n")
+	return runTraceCommand(f.t, args...)
+}
+
+// checkCommands checks that the commands find the server that fails most, and show no key.
+func (f *failureTest) checkCommands(retained retainedTraces) {
+	f.t.Helper()
+	lines := strings.Split(f.command("blame", "--most", "3"), "\n")
 	if len(lines) < 2 || !strings.Contains(lines[1], "s-00000001") {
-		t.Errorf("blame: %q", lines)
+		f.t.Errorf("blame does not begin with s-00000001: %q", lines)
 	}
-	var some *trace.Trace
-	for _, p := range byTxn {
-		if p.Attempts > 1 {
-			some = p
+	for transaction, found := range retained.byTransaction {
+		if found.Attempts > 1 {
+			if out := f.command("list", "--txn", transaction); !strings.Contains(out, found.ID.String()) {
+				f.t.Errorf("list --txn %s has no %v: %q", transaction, found.ID, out)
+			}
+			break
 		}
 	}
-	if out := run("list", "--txn", some.TransactionID); !strings.Contains(out, some.ID.String()) {
-		t.Errorf("list: %q", out)
-	}
 	for _, args := range [][]string{{"list", "--most", "1000"}, {"export", "--most", "1000"}, {"export", "--as", "html"}} {
-		if out := run(args...); strings.Contains(out, "secretkey") || len(out) < 500 {
-			t.Errorf("%v: %d bytes, or a key in them", args, len(out))
+		if out := f.command(args...); strings.Contains(out, "secretkey") || len(out) < 500 {
+			f.t.Errorf("%v: %d bytes, or an idempotency key in them", args, len(out))
 		}
 	}
 }
 
-// A router that is killed leaves what it kept, in a folder that can be opened again. The
-// operators' file is read again on SIGHUP: one that cannot be used, or
-// changes what only a restart can, is one event that names file, line and field.
-func TestKillAndReload(t *testing.T) {
-	box := newCache(t, func(id, _ string) string { return fakeserver.Answer(id, "BROKE", "-", "") })
-	log, _ := newLog(t)
-	hosts := host(1, "box", box.Addr()) + "," + host(9, "origin", box.Addr())
-	r := startTracer(t, "a1", log, hosts, "ordinary_per_s = 2\n")
-	ask := func(txn int) {
-		conn, err := net.Dial("tcp", r.listen)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer conn.Close()
-		if w, _ := say(t, conn, fmt.Sprintf("GET /v1/part/00000000000000aa HTTP/1.1\r\nHost: x\r\nX-Txn: %016x\r\nX-Ttl-Ms: 900\r\n\r\n", txn)); w.StatusCode == http.StatusOK {
-			t.Error("served by a box that fails")
+// Two routers before servers that fail fast, hang and close connections: every request that
+// failed, was rejected, was retried or was slow is traced with all its attempts, counted against
+// what the servers received; a client's retry at the other router belongs to its first sending;
+// and no idempotency key is retained.
+func TestEveryFailedRequestIsTraced(t *testing.T) {
+	test := newFailureTest(t)
+	test.run()
+	retained := test.stopRouters()
+	counts := test.checkRequests(retained)
+	if counts.traces < 50 || counts.retries < 5 || counts.manyAttempts < 20 || retained.lost > 0 {
+		t.Errorf("%+v, %d traces lost: too few to show anything", counts, retained.lost)
+	}
+	checkSpanTrees(t, retained.byID)
+	test.checkNoTraceFields()
+	test.checkCommands(retained)
+}
+
+// A router that is killed leaves what it retained, in a folder that can be opened again. The
+// operators' file is read again on SIGHUP: one that cannot be used, or that changes what only a
+// restart can, is one event that names file, line and field.
+func TestTracesOutliveReloadAndKill(t *testing.T) {
+	server := daemontest.NewServer(t, func(id, _ string) string { return fakeserver.Answer(id, "BROKE", "-", "") })
+	config := oneCache(daemontest.NewIdleChangeLog(t), server)
+	config.Name = "a1"
+	router := startTracedRouter(t, config, "ordinary_per_s = 2\n")
+	sendFailing := func(transaction int) {
+		t.Helper()
+		request := daemontest.Request("GET", "/v1/part/00000000000000aa",
+			daemontest.Transaction(transaction), daemontest.ClientTimeout(900*time.Millisecond))
+		if got := daemontest.Exchange(t, router.addr, request).Status; got == http.StatusOK {
+			t.Error("served by a cache that fails")
 		}
 	}
-	for i := range 20 {
-		ask(i + 1)
-	}
-	write := func(text string) {
-		if err := os.WriteFile(r.ops, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		r.Process.Signal(syscall.SIGHUP)
-	}
-	write("trace {\n enabled = true\n colour = 1\n}\n")
-	until(t, "a file that cannot be used", func() bool { return strings.Contains(r.log.String(), "garnetline.hcl:3: Unsupported argument") })
-	write("trace {\n enabled = true\n folder = \"elsewhere\"\n}\n")
-	until(t, "another folder", func() bool { return strings.Contains(r.log.String(), "trace: only a restart") })
-	write(fmt.Sprintf("log {\n level = \"debug\"\n}\ntrace {\n enabled = true\n folder = %q\n secret = \"shared\"\n}\n", r.folder))
-	until(t, "a good file", func() bool { return strings.Contains(r.log.String(), `"event":"configuration reloaded"`) })
-	ask(21)
-	until(t, "debug", func() bool {
-		return strings.Contains(r.log.String(), `"event":"request refused"`) || strings.Contains(r.log.String(), `"event":"request failed"`)
-	})
-	until(t, "what was kept is on disk", func() bool { return len(r.pieces(t)) == 21 })
-	r.Process.Kill()
-	r.Wait()
-	if _, err := store.Open(r.folder, 1<<20, 1<<30); err != nil {
+	for transaction := 1; transaction <= 20; transaction++ {
+		sendFailing(transaction)
+	}
+	reload := func(text string) {
+		t.Helper()
+		daemontest.WriteFile(t, router.settingsPath, text)
+		router.Signal(t, syscall.SIGHUP)
+	}
+	reload("trace {\n enabled = true\n colour = 1\n}\n")
+	router.WaitLogged(t, "garnetline.hcl:3: Unsupported argument")
+	reload("trace {\n enabled = true\n folder = \"elsewhere\"\n}\n")
+	router.WaitLogged(t, "trace: only a restart")
+	reload(fmt.Sprintf("log {\n level = \"debug\"\n}\ntrace {\n enabled = true\n folder = %q\n secret = \"shared\"\n}\n", router.traceDir))
+	router.WaitLogged(t, `"event":"configuration reloaded"`)
+	sendFailing(21)
+	router.WaitLogged(t, `"event":"request refused"`, `"event":"request failed"`)
+	daemontest.WaitUntil(t, "21 traces are on disk", func() bool { return len(router.retained(t)) == 21 })
+	router.Kill(t)
+	if _, err := store.Open(router.traceDir, 1<<20, 1<<30); err != nil {
 		t.Errorf("the folder of a killed router: %v", err)
 	}
-	x, err := store.Read(r.folder)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, traces, _ := x.Stat(); traces != 21 {
-		t.Errorf("%d traces are left, want 21", traces)
+	if got := len(router.retained(t)); got != 21 {
+		t.Errorf("%d traces are left, want 21", got)
 	}
 }
 
-// With the operators' file away, or tracing off in it, no folder is made; a class block
-// says what differs, and nothing else does.
-func TestNoTracesWithoutSettings(t *testing.T) {
-	if rec, err := newRecorder(&daemon{}); rec != nil || err != nil {
-		t.Errorf("%v, %v", rec, err)
+// Without an operators' file no folder is made; a class block overrides what it names, and
+// nothing else.
+func TestTraceSettings(t *testing.T) {
+	if recorder, err := newRecorder(&daemon{}); recorder != nil || err != nil {
+		t.Errorf("without settings: got %v, %v, want no recorder", recorder, err)
 	}
 	none := 0.0
-	s := recorderSettings(operatorconfig.Trace{OrdinaryPerSecond: 2, Classes: []operatorconfig.TraceClass{{Name: "part", SlowThreshold: 9}, {Name: "form", OrdinaryPerSecond: &none}}},
+	settings := recorderSettings(
+		operatorconfig.Trace{
+			OrdinaryPerSecond: 2,
+			Classes: []operatorconfig.TraceClass{
+				{Name: "part", SlowThreshold: 9},
+				{Name: "form", OrdinaryPerSecond: &none},
+			},
+		},
 		[]routing.Class{{Name: "part", LatencyObjective: time.Second}, {Name: "form", LatencyObjective: time.Second}})
-	if p, f := s.Classes["part"], s.Classes["form"]; p.OrdinaryPerSecond != 2 || p.LatencyObjective != 9 || f.OrdinaryPerSecond != 0 || f.LatencyObjective != 1000 {
-		t.Errorf("%+v, %+v", p, f)
+	for name, want := range map[string][2]float64{"part": {2, 9}, "form": {0, 1000}} {
+		class := settings.Classes[name]
+		if got := [2]float64{class.OrdinaryPerSecond, class.LatencyObjective}; got != want {
+			t.Errorf("%s: ordinary traces a second and latency objective %v, want %v", name, got, want)
+		}
 	}
 }
--- /dev/null
+++ b/cmd/garnetline/traced_router_test.go
@@ -0,0 +1,72 @@
+package main
+
+import (
+	"fmt"
+	"path/filepath"
+	"testing"
+
+	"garnetline/internal/daemontest"
+	"garnetline/internal/trace"
+	"garnetline/internal/trace/store"
+)
+
+// tracedRouter is a router in a process of its own that records traces.
+type tracedRouter struct {
+	*daemontest.Process
+	addr         string
+	traceDir     string
+	settingsPath string // of the operators' file
+}
+
+// startTracedRouter starts a router and waits until it is healthy. traceSettings are further
+// lines of its trace block.
+func startTracedRouter(t *testing.T, config daemontest.Config, traceSettings string) *tracedRouter {
+	t.Helper()
+	dir := t.TempDir()
+	router := &tracedRouter{
+		addr:         daemontest.FreeAddr(t),
+		traceDir:     filepath.Join(dir, "traces"),
+		settingsPath: filepath.Join(dir, "garnetline.hcl"),
+	}
+	config.ListenAddr = router.addr
+	config.Seed = fmt.Sprintf("%x", config.Name)
+	configPath := filepath.Join(dir, "config.json")
+	config.Write(t, configPath)
+	daemontest.WriteFile(t, router.settingsPath,
+		fmt.Sprintf("trace {\n enabled = true\n folder = %q\n secret = \"shared\"\n %s}\n", router.traceDir, traceSettings))
+	router.Process = daemontest.StartProcess(t, daemontest.ProcessOptions{
+		Args: []string{"serve", "--config", configPath, "--settings", router.settingsPath},
+	})
+	daemontest.WaitHealthy(t, router.addr)
+	return router
+}
+
+// stop shuts the router down and returns all that it retained.
+func (r *tracedRouter) stop(t *testing.T) []*trace.Trace {
+	t.Helper()
+	r.Stop(t)
+	return r.retained(t)
+}
+
+// retained returns what is on disk.
+func (r *tracedRouter) retained(t *testing.T) []*trace.Trace {
+	t.Helper()
+	return readTraces(t, r.traceDir)
+}
+
+// readTraces returns all traces of a folder.
+func readTraces(t *testing.T, dir string) []*trace.Trace {
+	t.Helper()
+	index, err := store.Read(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var found []*trace.Trace
+	if _, err := index.Query(store.Filter{}, func(next *trace.Trace) bool {
+		found = append(found, next)
+		return true
+	}); err != nil {
+		t.Fatal(err)
+	}
+	return found
+}
--- /dev/null
+++ b/internal/daemontest/client.go
@@ -0,0 +1,174 @@
+package daemontest
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Request returns the text of a request without a body. Header lines are "Name: value".
+func Request(method, target string, header ...string) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\nHost: x\r\n", method, target)
+	for _, line := range header {
+		text.WriteString(line + "\r\n")
+	}
+	text.WriteString("\r\n")
+	return text.String()
+}
+
+// RequestWithBody is Request for a request with a body.
+func RequestWithBody(method, target, body string, header ...string) string {
+	length := fmt.Sprintf("Content-Length: %d", len(body))
+	return Request(method, target, append(slices.Clone(header), length)...) + body
+}
+
+// Transaction returns the header line of a request's transaction id.
+func Transaction(id int) string { return fmt.Sprintf("X-Txn: %016x", id) }
+
+// ClientTimeout returns the header line of how long a request's client waits.
+func ClientTimeout(timeout time.Duration) string {
+	return fmt.Sprintf("X-Ttl-Ms: %d", timeout.Milliseconds())
+}
+
+// CloseConnection is the header line by which a client asks for the connection to be closed.
+const CloseConnection = "Connection: close"
+
+// Response is a whole response.
+type Response struct {
+	Status int
+	Body   string
+	Close  bool // the connection ends with it
+}
+
+// Client is one client connection. It belongs to one goroutine.
+type Client struct {
+	net.Conn
+	reader *bufio.Reader
+}
+
+// DialContext opens a connection, which the caller closes.
+func DialContext(ctx context.Context, addr string) (*Client, error) {
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(ctx, "tcp", addr)
+	if err != nil {
+		return nil, err
+	}
+	return &Client{Conn: conn, reader: bufio.NewReader(conn)}, nil
+}
+
+// Dial opens a connection that is closed when the test ends, if it is not closed before.
+func Dial(tb testing.TB, addr string) *Client {
+	tb.Helper()
+	client, err := DialContext(tb.Context(), addr)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	tb.Cleanup(func() {
+		if err := client.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
+			tb.Error(err)
+		}
+	})
+	return client
+}
+
+// Write sends the text of a request.
+func (c *Client) Write(request string) error {
+	_, err := io.WriteString(c.Conn, request)
+	return err
+}
+
+// Read reads one response. It fails after Timeout.
+func (c *Client) Read() (Response, error) {
+	if err := c.SetReadDeadline(time.Now().Add(Timeout)); err != nil {
+		return Response{}, err
+	}
+	response, err := http.ReadResponse(c.reader, nil)
+	if err != nil {
+		return Response{}, err
+	}
+	body, err := io.ReadAll(response.Body)
+	if err != nil {
+		return Response{}, err
+	}
+	return Response{Status: response.StatusCode, Body: string(body), Close: response.Close}, response.Body.Close()
+}
+
+// Do sends a request and reads its response.
+func (c *Client) Do(request string) (Response, error) {
+	if err := c.Write(request); err != nil {
+		return Response{}, err
+	}
+	return c.Read()
+}
+
+// Send sends a request.
+func (c *Client) Send(tb testing.TB, request string) {
+	tb.Helper()
+	if err := c.Write(request); err != nil {
+		tb.Fatal(err)
+	}
+}
+
+// Receive reads one response.
+func (c *Client) Receive(tb testing.TB) Response {
+	tb.Helper()
+	response, err := c.Read()
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return response
+}
+
+// Exchange sends a request and reads its response.
+func (c *Client) Exchange(tb testing.TB, request string) Response {
+	tb.Helper()
+	c.Send(tb, request)
+	return c.Receive(tb)
+}
+
+// Exchange sends a request on a connection of its own and reads its response.
+func Exchange(tb testing.TB, addr, request string) Response {
+	tb.Helper()
+	client := Dial(tb, addr)
+	defer Close(tb, client)
+	return client.Exchange(tb, request)
+}
+
+// Healthy reports whether a router answers its health check with 200. One that accepts no
+// connection is not healthy.
+func Healthy(ctx context.Context, addr string) bool {
+	client, err := DialContext(ctx, addr)
+	if err != nil {
+		return false
+	}
+	defer client.Close() //nolint:errcheck // the response has been read
+	response, err := client.Do(Request(http.MethodGet, "/healthz", CloseConnection))
+	return err == nil && response.Status == http.StatusOK
+}
+
+// WaitDraining waits until a router that is shutting down answers its health check with another
+// status than 200. It has to accept connections until then.
+func WaitDraining(tb testing.TB, addr string) {
+	tb.Helper()
+	WaitUntil(tb, "the health check fails", func() bool {
+		client := Dial(tb, addr)
+		defer Close(tb, client)
+		response, err := client.Do(Request(http.MethodGet, "/healthz", CloseConnection))
+		return err == nil && response.Status != http.StatusOK
+	})
+}
+
+// WaitHealthy waits until a router is healthy.
+func WaitHealthy(tb testing.TB, addr string) {
+	tb.Helper()
+	WaitUntil(tb, "the router is healthy", func() bool { return Healthy(tb.Context(), addr) })
+}
