--- a/cmd/garnetline/fleet_leases.go
+++ b/cmd/garnetline/fleet_leases.go
@@ -14,6 +14,7 @@
 	"garnetline/internal/fleet/loadreport"
 	"garnetline/internal/fleet/membership"
 	"garnetline/internal/fleet/recoveryprobe"
+	"garnetline/internal/fleet/zonelease"
 	"garnetline/internal/operatorconfig"
 	"garnetline/internal/platformconfig"
 )
@@ -110,38 +111,40 @@
 	probeSettings.ReturnRate = settings.ReturnRate
 	f.dispatcher.PublishEjected()
 	f.recoveryProbe = recoveryprobe.New(recoveryprobe.Options{
+		Options:         f.zoneOptions(zone, bootClock),
 		Settings:        probeSettings,
-		Zone:            zone,
 		Self:            f.Members().Self,
-		Valid:           f.leases.Valid,
 		LastKnownHolder: f.leases.LastKnownHolder,
 		Ejected:         f.dispatcher.Ejected,
 		ExtendEjection:  f.dispatcher.ExtendEjection,
 		RequireProbe:    f.dispatcher.RequireProbe,
-		ZonePeers:       func() []membership.ID { return f.zonePeers(zone) },
-		Send:            f.Send,
-		Clock:           bootClock,
-		Metrics:         f.metrics,
 	})
 	f.actors = append(f.actors, f.recoveryProbe)
 }
 
 func (f *fleetServices) addLoadReports(zone string, zoneIndex int, bootClock clock.Clock, settings operatorconfig.LoadReport) {
 	f.loadReports = loadreport.New(loadreport.Options{
-		Zone:        zone,
+		Options:     f.zoneOptions(zone, bootClock),
 		MinInterval: settings.MinInterval,
 		MaxInterval: settings.MaxInterval,
-		Valid:       f.leases.Valid,
 		Servers:     func() []loadreport.Server { return f.polledServers(zoneIndex) },
 		ReportLoad:  f.dispatcher.ReportLoad,
-		ZonePeers:   func() []membership.ID { return f.zonePeers(zone) },
-		Send:        f.Send,
-		Clock:       bootClock,
-		Metrics:     f.metrics,
 	})
 	f.actors = append(f.actors, f.loadReports)
 }
 
+// zoneOptions are what the services of a zone share that one router performs under a lease.
+func (f *fleetServices) zoneOptions(zone string, bootClock clock.Clock) zonelease.Options {
+	return zonelease.Options{
+		Zone:      zone,
+		Valid:     f.leases.Valid,
+		ZonePeers: func() []membership.ID { return f.zonePeers(zone) },
+		Send:      f.Send,
+		Clock:     bootClock,
+		Metrics:   f.metrics,
+	}
+}
+
 // polledServers are the caches of a zone that are ready.
 func (f *fleetServices) polledServers(zoneIndex int) []loadreport.Server {
 	var servers []loadreport.Server
--- a/internal/fleet/loadreport/collector.go
+++ b/internal/fleet/loadreport/collector.go
@@ -7,11 +7,9 @@
 	"sync"
 	"time"
 
-	"garnetline/internal/clock"
 	"garnetline/internal/fleet/fragment"
 	"garnetline/internal/fleet/lease"
-	"garnetline/internal/fleet/membership"
-	"garnetline/internal/metrics"
+	"garnetline/internal/fleet/zonelease"
 	"garnetline/routing"
 )
 
@@ -19,22 +17,14 @@
 
 // Options are what a Collector works with. No function may block.
 type Options struct {
-	Zone        string
+	zonelease.Options
 	MinInterval float64 // ms between polls of one server, at least
 	MaxInterval float64 // ms between them where nothing changes
 
-	// Valid returns the fencing token of a lease that this router holds now.
-	Valid func(leaseName string) (fencingToken uint64, ok bool)
 	// Servers returns the servers of the zone that are ready.
 	Servers func() []Server
-	// ZonePeers returns the other routers of the zone that are alive.
-	ZonePeers func() []membership.ID
-	Send      func(to membership.ID, channel fragment.Channel, packet []byte)
 	// ReportLoad takes a server's load, which was measured age ms ago.
 	ReportLoad func(server routing.ServerID, load routing.LoadReport, age float64)
-
-	Clock   clock.Clock // the boot clock
-	Metrics *metrics.Registry
 }
 
 // Collector polls servers while this router holds the lease, and takes the reports of the
--- a/internal/fleet/loadreport/collector_test.go
+++ b/internal/fleet/loadreport/collector_test.go
@@ -13,6 +13,7 @@
 	"garnetline/internal/fakeserver"
 	"garnetline/internal/fleet/fragment"
 	"garnetline/internal/fleet/membership"
+	"garnetline/internal/fleet/zonelease"
 	"garnetline/internal/metrics"
 	"garnetline/routing"
 )
@@ -23,9 +24,7 @@
 	packets := holderPackets(t, startServers(t, 5), 20)
 	received := map[routing.ServerID]int{}
 	peer := New(Options{
-		Zone:    "z",
-		Clock:   clock.NewBoot(),
-		Metrics: metrics.New(),
+		Options: zonelease.Options{Zone: "z", Clock: clock.NewBoot(), Metrics: metrics.New()},
 		ReportLoad: func(server routing.ServerID, load routing.LoadReport, age float64) {
 			received[server]++
 			if load.CPUUtilization != 0.5 || !math.IsNaN(load.HitRatio) || age < 0 || age > 10_000 {
@@ -59,23 +58,25 @@
 	var mu sync.Mutex
 	var packets [][]byte
 	holder := New(Options{
-		Zone:        "z",
+		Options: zonelease.Options{
+			Zone:    "z",
+			Clock:   clock.NewBoot(),
+			Metrics: metrics.New(),
+			Valid: func(string) (uint64, bool) {
+				current := fencingToken.Load()
+				return current, current != 0
+			},
+			ZonePeers: func() []membership.ID { return []membership.ID{2} },
+			Send: func(_ membership.ID, _ fragment.Channel, packet []byte) {
+				mu.Lock()
+				defer mu.Unlock()
+				packets = append(packets, packet)
+			},
+		},
 		MinInterval: 20,
 		MaxInterval: 20,
-		Clock:       clock.NewBoot(),
-		Metrics:     metrics.New(),
-		Valid: func(string) (uint64, bool) {
-			current := fencingToken.Load()
-			return current, current != 0
-		},
-		Servers:   func() []Server { return servers },
-		ZonePeers: func() []membership.ID { return []membership.ID{2} },
-		Send: func(_ membership.ID, _ fragment.Channel, packet []byte) {
-			mu.Lock()
-			defer mu.Unlock()
-			packets = append(packets, packet)
-		},
-		ReportLoad: func(routing.ServerID, routing.LoadReport, float64) {},
+		Servers:     func() []Server { return servers },
+		ReportLoad:  func(routing.ServerID, routing.LoadReport, float64) {},
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	go holder.Run(ctx)
--- a/internal/fleet/recoveryprobe/coordinator.go
+++ b/internal/fleet/recoveryprobe/coordinator.go
@@ -5,11 +5,10 @@
 	"slices"
 	"time"
 
-	"garnetline/internal/clock"
 	"garnetline/internal/fleet/fragment"
 	"garnetline/internal/fleet/lease"
 	"garnetline/internal/fleet/membership"
-	"garnetline/internal/metrics"
+	"garnetline/internal/fleet/zonelease"
 	"garnetline/routing"
 )
 
@@ -21,12 +20,10 @@
 
 // Options are what a Coordinator works with. No function may block.
 type Options struct {
+	zonelease.Options
 	Settings
-	Zone string
 	Self membership.ID
 
-	// Valid returns the fencing token of a lease that this router holds now.
-	Valid func(leaseName string) (fencingToken uint64, ok bool)
 	// LastKnownHolder returns a lease's holder by the latest response of the lease registry.
 	LastKnownHolder func(leaseName string) membership.ID
 	// Ejected returns the servers that this router's outlier detection has ejected.
@@ -35,12 +32,6 @@
 	ExtendEjection func(server routing.ServerID, ms float64)
 	// RequireProbe ejects a server until one request to it has succeeded.
 	RequireProbe func(server routing.ServerID)
-	// ZonePeers returns the other routers of the zone that are alive.
-	ZonePeers func() []membership.ID
-	Send      func(to membership.ID, channel fragment.Channel, message []byte)
-
-	Clock   clock.Clock // the boot clock
-	Metrics *metrics.Registry
 }
 
 // Coordinator runs a Machine: it sends its messages and has the routing module eject and probe.
