--- a/internal/fleet/loadreport/golden_test.go
+++ b/internal/fleet/loadreport/golden_test.go
@@ -8,6 +8,7 @@
 	"garnetline/internal/clock"
 	"garnetline/internal/fleet/fragment"
 	"garnetline/internal/fleet/membership"
+	"garnetline/internal/fleet/zonelease"
 	"garnetline/internal/golden"
 	"garnetline/internal/metrics"
 	"garnetline/routing"
@@ -33,13 +34,13 @@
 		},
 	}
 	var packet []byte
-	sender := New(Options{
+	sender := New(Options{Options: zonelease.Options{
 		Zone:      "z",
 		Clock:     clock.NewBoot(),
 		Metrics:   metrics.New(),
 		ZonePeers: func() []membership.ID { return []membership.ID{2} },
 		Send:      func(_ membership.ID, _ fragment.Channel, b []byte) { packet = b },
-	})
+	}})
 	maps.Copy(sender.unsent, sent)
 	sender.sendReports(now, 300)
 	golden.Compare(t, "reports.bin", packet)
@@ -47,9 +48,7 @@
 	same := func(a, b float64) bool { return a == b || math.IsNaN(a) && math.IsNaN(b) }
 	received := 0
 	receiver := New(Options{
-		Zone:    "z",
-		Clock:   clock.NewBoot(),
-		Metrics: metrics.New(),
+		Options: zonelease.Options{Zone: "z", Clock: clock.NewBoot(), Metrics: metrics.New()},
 		ReportLoad: func(server routing.ServerID, got routing.LoadReport, age float64) {
 			received++
 			want := sent[server].load
