--- a/internal/trace/codec.go
+++ b/internal/trace/codec.go
@@ -14,15 +14,15 @@
 
 // Bounds of what one record may hold.
 const (
-	maxName  = 255
-	maxSpans = 4096
+	maxTextLength = 255
+	maxSpans      = 4096
 )
 
 // Append appends t in its stored form to b. Times are kept to the microsecond.
 func Append(b []byte, t *Trace) []byte {
 	b = append(b, t.ID[:]...)
 	b = binary.AppendUvarint(b, uint64(t.ClientSpan))
-	b = name(name(name(b, t.Router), t.TransactionID), t.Class)
+	b = appendText(appendText(appendText(b, t.Router), t.TransactionID), t.Class)
 	for _, n := range []uint64{t.Object, uint64(t.Chunk), uint64(t.PurgeGroup), uint64(t.Retry), uint64(t.Outcome), uint64(t.Reasons),
 		uint64(t.LostBefore), uint64(t.Attempts), micros(t.Start), micros(t.End - t.Start), math.Float64bits(t.Weight)} {
 		b = binary.AppendUvarint(b, n)
@@ -48,26 +48,26 @@
 
 func millis(us uint64) float64 { return float64(int64(us)) / 1000 }
 
-func name(b []byte, s string) []byte {
-	s = s[:min(len(s), maxName)]
+func appendText(b []byte, s string) []byte {
+	s = s[:min(len(s), maxTextLength)]
 	return append(append(b, byte(len(s))), s...)
 }
 
 // Decode reads one trace from the whole of b.
 func Decode(b []byte) (*Trace, error) {
-	d := decoder{b: b}
+	d := decoder{remaining: b}
 	t := &Trace{}
 	copy(t.ID[:], d.take(16))
 	t.ClientSpan = SpanID(d.uint(math.MaxUint64))
-	t.Router, t.TransactionID, t.Class = d.name(), d.name(), d.name()
+	t.Router, t.TransactionID, t.Class = d.text(), d.text(), d.text()
 	t.Object, t.Chunk, t.PurgeGroup = d.uint(math.MaxUint64), uint32(d.uint(math.MaxUint32)), uint16(d.uint(math.MaxUint16))
-	t.Retry, t.Outcome, t.Reasons = uint8(d.uint(255)), Outcome(d.uint(uint64(outcomes)-1)), Reason(d.uint(255))
+	t.Retry, t.Outcome, t.Reasons = uint8(d.uint(255)), Outcome(d.uint(uint64(outcomeCount)-1)), Reason(d.uint(255))
 	t.LostBefore, t.Attempts = uint32(d.uint(math.MaxUint32)), uint8(d.uint(255))
 	start := d.uint(math.MaxInt64)
 	t.Start, t.End = millis(start), millis(start+d.uint(math.MaxInt64/2))
 	t.Weight = math.Float64frombits(d.uint(math.MaxUint64))
 	n := d.uint(maxSpans)
-	if d.bad || math.IsNaN(t.Weight) || n > uint64(len(d.b)) {
+	if d.failed || math.IsNaN(t.Weight) || n > uint64(len(d.remaining)) {
 		return nil, fmt.Errorf("%w: head", ErrCorruptRecord)
 	}
 	t.Spans = make([]Span, n)
@@ -78,20 +78,20 @@
 		s.ID, s.Parent = SpanID(d.uint(math.MaxUint64)), SpanID(d.uint(math.MaxUint64))
 		s.Server, s.FillSource = routing.ServerID(d.uint(math.MaxUint64)), routing.ServerID(d.uint(math.MaxUint64))
 		s.Bytes = uint32(d.uint(math.MaxUint32))
-		s.MaxAge, s.Inflight, s.LinkUtilization = d.float(), d.float(), d.float()
+		s.MaxAge, s.Inflight, s.LinkUtilization = d.float32(), d.float32(), d.float32()
 		at := start + uint64(d.int())
 		s.Start, s.End = millis(at), millis(at+uint64(d.int()))
-		if d.bad || s.Kind >= kinds {
+		if d.failed || s.Kind >= kindCount {
 			return nil, fmt.Errorf("%w: span %d", ErrCorruptRecord, i)
 		}
 	}
-	for len(d.b) > 0 && len(t.Links) < maxSpans {
+	for len(d.remaining) > 0 && len(t.Links) < maxSpans {
 		l := Link{From: SpanID(d.uint(math.MaxUint64))}
 		copy(l.Trace[:], d.take(16))
 		l.To = SpanID(d.uint(math.MaxUint64))
 		t.Links = append(t.Links, l)
 	}
-	if d.bad || len(d.b) > 0 {
+	if d.failed || len(d.remaining) > 0 {
 		return nil, fmt.Errorf("%w: links", ErrCorruptRecord)
 	}
 	return t, nil
@@ -99,40 +99,40 @@
 
 // decoder reads fields; bad says that one was not there or out of range.
 type decoder struct {
-	b   []byte
-	bad bool
+	remaining []byte
+	failed    bool
 }
 
 func (d *decoder) take(n int) []byte {
-	if len(d.b) < n {
-		d.bad, d.b = true, nil
+	if len(d.remaining) < n {
+		d.failed, d.remaining = true, nil
 		return make([]byte, n)
 	}
-	b := d.b[:n]
-	d.b = d.b[n:]
+	b := d.remaining[:n]
+	d.remaining = d.remaining[n:]
 	return b
 }
 
 func (d *decoder) uint(most uint64) uint64 {
-	n, k := binary.Uvarint(d.b)
+	n, k := binary.Uvarint(d.remaining)
 	if k <= 0 || n > most {
-		d.bad, d.b = true, nil
+		d.failed, d.remaining = true, nil
 		return 0
 	}
-	d.b = d.b[k:]
+	d.remaining = d.remaining[k:]
 	return n
 }
 
 func (d *decoder) int() int64 {
-	n, k := binary.Varint(d.b)
+	n, k := binary.Varint(d.remaining)
 	if k <= 0 {
-		d.bad, d.b = true, nil
+		d.failed, d.remaining = true, nil
 		return 0
 	}
-	d.b = d.b[k:]
+	d.remaining = d.remaining[k:]
 	return n
 }
 
-func (d *decoder) float() float32 { return math.Float32frombits(uint32(d.uint(math.MaxUint32))) }
+func (d *decoder) float32() float32 { return math.Float32frombits(uint32(d.uint(math.MaxUint32))) }
 
-func (d *decoder) name() string { return string(d.take(int(d.take(1)[0]))) }
+func (d *decoder) text() string { return string(d.take(int(d.take(1)[0]))) }
--- a/internal/trace/export/export.go
+++ b/internal/trace/export/export.go
@@ -25,8 +25,8 @@
 )
 
 const (
-	batchMost = 64       // traces in one call
-	answerMax = 64 << 10 // bytes of an answer that are read
+	maxBatch        = 64       // traces in one call
+	maxResponseSize = 64 << 10 // bytes of an answer that are read
 )
 
 // Options are what an Exporter is made with.
@@ -42,10 +42,10 @@
 // Exporter is a record.Sink.
 type Exporter struct {
 	Options
-	to    *url.URL
-	queue chan *trace.Trace
-	quit  chan struct{}
-	ended chan struct{}
+	collector *url.URL
+	queue     chan *trace.Trace
+	quit      chan struct{}
+	stopped   chan struct{}
 }
 
 // New returns an Exporter whose actor runs until Close.
@@ -60,7 +60,7 @@
 	if u.Path == "" {
 		u.Path = "/v1/traces"
 	}
-	x := &Exporter{Options: o, to: u, queue: make(chan *trace.Trace, o.QueueSize), quit: make(chan struct{}), ended: make(chan struct{})}
+	x := &Exporter{Options: o, collector: u, queue: make(chan *trace.Trace, o.QueueSize), quit: make(chan struct{}), stopped: make(chan struct{})}
 	go x.run()
 	return x, nil
 }
@@ -82,14 +82,14 @@
 // it has ended, within the timeout. The rest is counted as not exported.
 func (x *Exporter) Close(float64) error {
 	close(x.quit)
-	<-x.ended
+	<-x.stopped
 	return nil
 }
 
 // run sends batches; one that failed is sent again after a pause.
 func (x *Exporter) run() {
-	defer close(x.ended)
-	p := pause{draw: rand.New(rand.NewPCG(x.Seed, 3))}
+	defer close(x.stopped)
+	p := backoff{random: rand.New(rand.NewPCG(x.Seed, 3))}
 	var batch []*trace.Trace
 	for {
 		if len(batch) == 0 {
@@ -100,25 +100,25 @@
 				return
 			}
 		}
-		batch = x.more(batch)
+		batch = x.fillBatch(batch)
 		after, err := x.send(batch)
 		switch {
 		case err == nil:
 			x.Metrics.Add("traces_exported", int64(len(batch)))
-			p.most, batch = 0, nil
+			p.bound, batch = 0, nil
 			continue
-		case errors.Is(err, errFinal):
+		case errors.Is(err, errPermanent):
 			x.Metrics.Add("traces_not_exported", int64(len(batch)))
 			batch = nil
 		}
-		if p.most == 0 { // once, until a call succeeds again
-			x.Log.Warn().Err(err).Str("collector", x.to.Host).Msg("traces not exported")
+		if p.bound == 0 { // once, until a call succeeds again
+			x.Log.Warn().Err(err).Str("collector", x.collector.Host).Msg("traces not exported")
 		}
 		x.Metrics.Add("export_failures", 1)
 		select {
 		case <-time.After(clock.Duration(p.next(after))):
 		case <-x.quit:
-			if batch = x.more(batch); len(batch) > 0 {
+			if batch = x.fillBatch(batch); len(batch) > 0 {
 				if _, err := x.send(batch); err == nil {
 					x.Metrics.Add("traces_exported", int64(len(batch)))
 					batch = nil
@@ -131,8 +131,8 @@
 }
 
 // more fills a batch with what is queued.
-func (x *Exporter) more(batch []*trace.Trace) []*trace.Trace {
-	for len(batch) < batchMost {
+func (x *Exporter) fillBatch(batch []*trace.Trace) []*trace.Trace {
+	for len(batch) < maxBatch {
 		select {
 		case t := <-x.queue:
 			batch = append(batch, t)
@@ -144,18 +144,18 @@
 }
 
 // errFinal reports an answer after which the same batch would fare no better.
-var errFinal = errors.New("refused for good")
+var errPermanent = errors.New("refused for good")
 
 // send makes one call. after is how long the collector asks to be left alone, ms.
 func (x *Exporter) send(batch []*trace.Trace) (after float64, err error) {
 	body, err := render.Batch(batch)
 	if err != nil {
-		return 0, fmt.Errorf("%w: %w", errFinal, err)
+		return 0, fmt.Errorf("%w: %w", errPermanent, err)
 	}
 	within := clock.Duration(x.Timeout)
 	ctx, stop := context.WithTimeout(context.Background(), within)
 	defer stop()
-	nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", x.to.Host)
+	nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", x.collector.Host)
 	if err != nil {
 		return 0, err
 	}
@@ -165,11 +165,11 @@
 		return 0, err
 	}
 	head := fmt.Appendf(k.WriteBuffer(), "POST %s HTTP/1.1\r\nHost: %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\nConnection: close\r\n\r\n",
-		x.to.RequestURI(), x.to.Host, len(body))
+		x.collector.RequestURI(), x.collector.Host, len(body))
 	if err := k.Flush(head, body, x.Timeout); err != nil {
 		return 0, err
 	}
-	k.LimitRead(answerMax)
+	k.LimitRead(maxResponseSize)
 	line, err := k.ReadLine()
 	if err != nil {
 		return 0, err
@@ -192,25 +192,25 @@
 		return 0, err
 	case status == 429 || status == 502 || status == 503 || status == 504: // as OTLP says
 		seconds, _ := strconv.ParseFloat(header.Get("Retry-After"), 64)
-		return min(max(seconds, 0)*1000, longest), fmt.Errorf("status %d", status)
+		return min(max(seconds, 0)*1000, maxBackoff), fmt.Errorf("status %d", status)
 	}
-	return 0, fmt.Errorf("%w: status %d", errFinal, status)
+	return 0, fmt.Errorf("%w: status %d", errPermanent, status)
 }
 
 // pause is the wait after a call that failed: it doubles from shortest to longest, and
 // each is drawn from the upper half of its length, so that routers come back apart.
-type pause struct {
-	draw *rand.Rand
-	most float64
+type backoff struct {
+	random *rand.Rand
+	bound  float64
 }
 
 const (
-	shortest = 200.0 // ms
-	longest  = 30_000.0
+	minBackoff = 200.0 // ms
+	maxBackoff = 30_000.0
 )
 
 // next returns the wait, in ms: at least what the collector asked for.
-func (p *pause) next(after float64) float64 {
-	p.most = min(max(2*p.most, shortest), longest)
-	return max(p.most*(1+p.draw.Float64())/2, after)
+func (p *backoff) next(after float64) float64 {
+	p.bound = min(max(2*p.bound, minBackoff), maxBackoff)
+	return max(p.bound*(1+p.random.Float64())/2, after)
 }
--- a/internal/trace/export/export_test.go
+++ b/internal/trace/export/export_test.go
@@ -20,21 +20,21 @@
 )
 
 // collector is a stand-in that reads OTLP by OpenTelemetry's own library.
-type collector struct {
-	t      *testing.T
-	mu     sync.Mutex
-	spans  map[string]int // by trace and span
-	calls  int
-	answer func(n int) (status int, retryAfter string)
-	heard  chan bool
+type fakeCollector struct {
+	t        *testing.T
+	mu       sync.Mutex
+	spans    map[string]int // by trace and span
+	calls    int
+	respond  func(n int) (status int, retryAfter string)
+	received chan bool
 }
 
-func (c *collector) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (c *fakeCollector) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	body, _ := io.ReadAll(q.Body)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls++
-	if status, after := c.answer(c.calls); status != 200 {
+	if status, after := c.respond(c.calls); status != 200 {
 		w.Header().Set("Retry-After", after)
 		w.WriteHeader(status)
 		return
@@ -65,13 +65,13 @@
 		}
 	}
 	select {
-	case c.heard <- true:
+	case c.received <- true:
 	default:
 	}
 	io.WriteString(w, "{}")
 }
 
-func piece(n byte) *trace.Trace {
+func failedTrace(n byte) *trace.Trace {
 	l := trace.Begin(trace.Trace{ID: trace.ID{n, 9}, Router: "n1", Class: "part", Start: 1.7e12, Weight: 1, Reasons: trace.ReasonFailed}, uint64(n))
 	l.AttemptStarted(1.7e12+1, routing.SendAttempt{Server: 3, FillSource: 4})
 	l.AttemptEnded(1.7e12+5, routing.ServerError, 0, routing.LoadReport{}, trace.WireTimes{WrittenAt: 1.7e12 + 2, DialedAt: 1.7e12 + 1, ConnectedAt: 1.7e12 + 2})
@@ -79,7 +79,7 @@
 	return l.Finished()
 }
 
-func start(t *testing.T, url string, queue int, timeout float64) (*Exporter, *metrics.Registry) {
+func newExporter(t *testing.T, url string, queue int, timeout float64) (*Exporter, *metrics.Registry) {
 	t.Helper()
 	count := metrics.New()
 	x, err := New(Options{URL: url, QueueSize: queue, Timeout: timeout, Metrics: count, Log: logs.New(&bytes.Buffer{}), Seed: 1})
@@ -91,23 +91,23 @@
 
 // What is kept reaches a collector once, also after errors that pass, and is read there
 // by OpenTelemetry's library; an answer that is final drops its batch alone.
-func TestCollectorGetsAll(t *testing.T) {
-	c := &collector{t: t, spans: map[string]int{}, heard: make(chan bool, 100), answer: func(n int) (int, string) {
+func TestExporterDeliversEachSpanOnce(t *testing.T) {
+	c := &fakeCollector{t: t, spans: map[string]int{}, received: make(chan bool, 100), respond: func(n int) (int, string) {
 		return []int{503, 429, 400, 200}[min(n, 4)-1], "0"
 	}}
 	s := httptest.NewServer(c)
 	defer s.Close()
-	x, count := start(t, s.URL, 100, 2000)
-	x.Add(piece(1))
+	x, count := newExporter(t, s.URL, 100, 2000)
+	x.Add(failedTrace(1))
 	for count.Counter("traces_not_exported").Load() == 0 { // until the 400
 		time.Sleep(time.Millisecond)
 	}
-	remote := piece(2)
+	remote := failedTrace(2)
 	remote.ClientSpan = 0x77
-	for _, p := range []*trace.Trace{remote, piece(3), piece(4)} {
+	for _, p := range []*trace.Trace{remote, failedTrace(3), failedTrace(4)} {
 		x.Add(p)
 	}
-	<-c.heard
+	<-c.received
 	for count.Counter("traces_exported").Load() < 3 {
 		time.Sleep(time.Millisecond)
 	}
@@ -124,7 +124,7 @@
 
 // A collector that accepts and never answers, or is gone, holds nobody up: what does not
 // fit the queue is counted at once, and the end comes within the timeout.
-func TestCollectorThatHangsOrIsGone(t *testing.T) {
+func TestExporterDoesNotBlockOnFailingCollector(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -136,10 +136,10 @@
 	}
 	gone.Close()
 	for _, addr := range []string{l.Addr().String(), gone.Addr().String()} {
-		x, count := start(t, "http://"+addr, 10, 100)
+		x, count := newExporter(t, "http://"+addr, 10, 100)
 		began := time.Now()
 		for i := range 10_000 {
-			x.Add(piece(byte(i)))
+			x.Add(failedTrace(byte(i)))
 		}
 		if took := time.Since(began); took > 5*time.Second {
 			t.Errorf("%s: 10,000 traces took %v", addr, took)
@@ -152,17 +152,17 @@
 }
 
 // Waits grow, stay bounded and differ from router to router.
-func TestPause(t *testing.T) {
-	p, q := pause{draw: rand.New(rand.NewPCG(1, 3))}, pause{draw: rand.New(rand.NewPCG(2, 3))}
+func TestBackoffGrowsWithJitter(t *testing.T) {
+	p, q := backoff{random: rand.New(rand.NewPCG(1, 3))}, backoff{random: rand.New(rand.NewPCG(2, 3))}
 	last := 0.0
 	for i := range 20 {
 		a, b := p.next(0), q.next(0)
-		if a == b || a > longest || a < last/4 || i == 0 && a > shortest {
+		if a == b || a > maxBackoff || a < last/4 || i == 0 && a > minBackoff {
 			t.Errorf("%d: %v and %v ms", i, a, b)
 		}
 		last = a
 	}
-	if w := p.next(longest); w != longest {
-		t.Errorf("%v ms where the collector asked for %v", w, longest)
+	if w := p.next(maxBackoff); w != maxBackoff {
+		t.Errorf("%v ms where the collector asked for %v", w, maxBackoff)
 	}
 }
--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -11,7 +11,7 @@
 
 // Kept records are read by later releases, and written as they always were.
 // UPDATE_GOLDEN=1 rewrites testdata.
-func TestRecordFormat(t *testing.T) {
+func TestRecordMatchesGolden(t *testing.T) {
 	const start = 1_700_000_000_000.0
 	l := Begin(Trace{ID: ID{1, 2, 3, 15: 16}, ClientSpan: 99, Router: "n1", TransactionID: "9b1f03aa5c7e2d41", Class: "part", Object: 1 << 60, Chunk: 3,
 		PurgeGroup: 17, Retry: 1, Start: start, Reasons: ReasonRetried | ReasonSlow, Weight: 2.5, LostBefore: 4}, 5)
@@ -24,7 +24,7 @@
 	record.Links = []Link{{From: record.Spans[0].ID, Trace: ID{9}, To: 77}}
 	golden.Compare(t, "record.bin", Append(nil, record))
 	read, err := Decode(golden.Read(t, "record.bin"))
-	if err != nil || !same(record, read) {
+	if err != nil || !equalTraces(record, read) {
 		t.Errorf("read back: %+v, %v", read, err)
 	}
 }
--- a/internal/trace/render/golden_test.go
+++ b/internal/trace/render/golden_test.go
@@ -13,7 +13,7 @@
 
 // pinned returns two pieces of a trace, with each kind of span, flag and outcome of an attempt
 // at a router and at a server, and one piece of another trace.
-func pinned() (id trace.ID, pieces []*trace.Trace, other *trace.Trace) {
+func goldenTraces() (id trace.ID, pieces []*trace.Trace, other *trace.Trace) {
 	const start = 1_700_000_000_000.0
 	id = trace.ID{1, 2, 3, 15: 16}
 	l := trace.Begin(trace.Trace{ID: id, Router: "n1", TransactionID: "9b1f03aa5c7e2d41", Class: "part", Object: 1 << 60, Chunk: 3,
@@ -39,8 +39,8 @@
 }
 
 // What collectors, terminals and browsers are given of a trace. UPDATE_GOLDEN=1 rewrites testdata.
-func TestForms(t *testing.T) {
-	id, pieces, other := pinned()
+func TestFormatsMatchGolden(t *testing.T) {
+	id, pieces, other := goldenTraces()
 	spans := trace.Merge(id, pieces)
 	var otlp, waterfall, page bytes.Buffer
 	if err := OTLP(&otlp, id, spans, pieces); err != nil {
--- a/internal/trace/render/otlp.go
+++ b/internal/trace/render/otlp.go
@@ -13,17 +13,17 @@
 
 // The forms of OTLP's JSON, as far as they are used. 64-bit numbers stand as text.
 type (
-	otlp struct {
-		ResourceSpans []otlpResource `json:"resourceSpans"`
+	otlpRequest struct {
+		ResourceSpans []otlpResourceSpans `json:"resourceSpans"`
 	}
-	otlpResource struct {
-		Resource   otlpAttributes `json:"resource"`
-		ScopeSpans []otlpScope    `json:"scopeSpans"`
+	otlpResourceSpans struct {
+		Resource   otlpResource     `json:"resource"`
+		ScopeSpans []otlpScopeSpans `json:"scopeSpans"`
 	}
-	otlpAttributes struct {
+	otlpResource struct {
 		Attributes []otlpAttribute `json:"attributes"`
 	}
-	otlpScope struct {
+	otlpScopeSpans struct {
 		Scope struct {
 			Name string `json:"name"`
 		} `json:"scope"`
@@ -55,32 +55,34 @@
 	}
 )
 
-func text(k, v string) otlpAttribute { return otlpAttribute{k, otlpValue{String: &v}} }
-func whole(k string, v int64) otlpAttribute {
+func stringAttribute(k, v string) otlpAttribute { return otlpAttribute{k, otlpValue{String: &v}} }
+func intAttribute(k string, v int64) otlpAttribute {
 	s := strconv.FormatInt(v, 10)
 	return otlpAttribute{k, otlpValue{Int: &s}}
 }
-func real(k string, v float64) otlpAttribute { return otlpAttribute{k, otlpValue{Double: &v}} }
+func doubleAttribute(k string, v float64) otlpAttribute {
+	return otlpAttribute{k, otlpValue{Double: &v}}
+}
 
-func nanos(ms float64) string { return strconv.FormatInt(int64(math.Round(ms*1000))*1000, 10) }
+func formatNanos(ms float64) string { return strconv.FormatInt(int64(math.Round(ms*1000))*1000, 10) }
 
 // The kinds and codes of OTLP that are used.
 const (
-	kindInternal, kindServer, kindClient = 1, 2, 3
-	codeError                            = 2
+	otlpKindInternal, otlpKindServer, otlpKindClient = 1, 2, 3
+	otlpStatusError                                  = 2
 )
 
 // OTLP writes the spans of one trace as a line of OTLP JSON; pieces are what its
 // routers kept of it, and their attributes.
 func OTLP(w io.Writer, id trace.ID, spans []trace.Span, pieces []*trace.Trace) error {
-	return json.NewEncoder(w).Encode(otlp{[]otlpResource{resource(id, spans, pieces)}})
+	return json.NewEncoder(w).Encode(otlpRequest{[]otlpResourceSpans{newResourceSpans(id, spans, pieces)}})
 }
 
 // Batch is one OTLP request, in JSON, with the pieces of traces that one router kept.
 // A piece whose client named its own span stands under that. Else the root goes with
 // it, under the id on which all routers agree: who gets it twice has one span.
 func Batch(pieces []*trace.Trace) ([]byte, error) {
-	var all otlp
+	var all otlpRequest
 	for _, p := range pieces {
 		spans := trace.Merge(p.ID, []*trace.Trace{p})
 		if p.ClientSpan != 0 {
@@ -91,44 +93,44 @@
 			}
 			spans = spans[1:]
 		}
-		all.ResourceSpans = append(all.ResourceSpans, resource(p.ID, spans, []*trace.Trace{p}))
+		all.ResourceSpans = append(all.ResourceSpans, newResourceSpans(p.ID, spans, []*trace.Trace{p}))
 	}
 	return json.Marshal(all)
 }
 
-func resource(id trace.ID, spans []trace.Span, pieces []*trace.Trace) otlpResource {
-	scope := otlpScope{}
+func newResourceSpans(id trace.ID, spans []trace.Span, pieces []*trace.Trace) otlpResourceSpans {
+	scope := otlpScopeSpans{}
 	scope.Scope.Name = "garnetline"
 	for _, s := range spans {
-		o := otlpSpan{TraceID: id.String(), SpanID: fmt.Sprintf("%016x", uint64(s.ID)), Name: s.Kind.String(), Kind: kindInternal,
-			Start: nanos(s.Start), End: nanos(max(s.End, s.Start))}
+		o := otlpSpan{TraceID: id.String(), SpanID: fmt.Sprintf("%016x", uint64(s.ID)), Name: s.Kind.String(), Kind: otlpKindInternal,
+			Start: formatNanos(s.Start), End: formatNanos(max(s.End, s.Start))}
 		if s.Parent != 0 {
 			o.Parent = fmt.Sprintf("%016x", uint64(s.Parent))
 		}
 		switch s.Kind {
 		case trace.Client, trace.Request:
-			o.Kind = kindServer
+			o.Kind = otlpKindServer
 		case trace.Attempt:
-			o.Kind = kindClient
-			o.Attributes = append(o.Attributes, text("server", s.Server.String()), text("source", s.FillSource.String()),
-				whole("attempt", int64(s.AttemptNumber)), whole("rank", int64(s.CopyRank)), whole("bytes", int64(s.Bytes)), text("result", result(s.Result)))
+			o.Kind = otlpKindClient
+			o.Attributes = append(o.Attributes, stringAttribute("server", s.Server.String()), stringAttribute("source", s.FillSource.String()),
+				intAttribute("attempt", int64(s.AttemptNumber)), intAttribute("rank", int64(s.CopyRank)), intAttribute("bytes", int64(s.Bytes)), stringAttribute("result", resultName(s.Result)))
 			if !math.IsNaN(float64(s.Inflight)) {
-				o.Attributes = append(o.Attributes, real("inflight", float64(s.Inflight)))
+				o.Attributes = append(o.Attributes, doubleAttribute("inflight", float64(s.Inflight)))
 			}
 			if r := routing.Result(s.Result); r != routing.Served {
-				o.Status = &otlpStatus{codeError, result(s.Result)}
+				o.Status = &otlpStatus{otlpStatusError, resultName(s.Result)}
 			}
 		}
 		for _, p := range pieces {
 			if s.Kind == trace.Request && len(p.Spans) > 0 && p.Spans[0].ID == s.ID {
-				o.Attributes = append(o.Attributes, text("router", p.Router), text("class", p.Class), text("txn", p.TransactionID), text("outcome", p.Outcome.String()),
-					text("kept", ReasonNames(p.Reasons)), real("weight", p.Weight), whole("try", int64(p.Retry)), whole("lost_before", int64(p.LostBefore)))
+				o.Attributes = append(o.Attributes, stringAttribute("router", p.Router), stringAttribute("class", p.Class), stringAttribute("txn", p.TransactionID), stringAttribute("outcome", p.Outcome.String()),
+					stringAttribute("kept", ReasonNames(p.Reasons)), doubleAttribute("weight", p.Weight), intAttribute("try", int64(p.Retry)), intAttribute("lost_before", int64(p.LostBefore)))
 				if p.Outcome == trace.Failed || p.Outcome == trace.Rejected {
-					o.Status = &otlpStatus{codeError, p.Outcome.String()}
+					o.Status = &otlpStatus{otlpStatusError, p.Outcome.String()}
 				}
 			}
 		}
 		scope.Spans = append(scope.Spans, o)
 	}
-	return otlpResource{Resource: otlpAttributes{[]otlpAttribute{text("service.name", "garnetline")}}, ScopeSpans: []otlpScope{scope}}
+	return otlpResourceSpans{Resource: otlpResource{[]otlpAttribute{stringAttribute("service.name", "garnetline")}}, ScopeSpans: []otlpScopeSpans{scope}}
 }
--- a/internal/trace/render/render.go
+++ b/internal/trace/render/render.go
@@ -14,17 +14,17 @@
 )
 
 // results name the ends of attempts.
-var results = [...]string{routing.Served: "served", routing.ServerError: "error", routing.Rejected: "full", routing.TimedOut: "timed out",
+var resultNames = [...]string{routing.Served: "served", routing.ServerError: "error", routing.Rejected: "full", routing.TimedOut: "timed out",
 	routing.ConnectFailed: "unreached", routing.ConnectionLost: "broken", routing.Canceled: "cancelled", routing.NotSent: "not sent", routing.NotCached: "miss"}
 
 // notes name what a server did.
-var notes = [...]string{routing.CacheStatusUnknown: "not told", routing.Hit: "hit", routing.Filled: "filled", routing.FilledByOrigin: "filled from the archive",
+var cacheStatusNames = [...]string{routing.CacheStatusUnknown: "not told", routing.Hit: "hit", routing.Filled: "filled", routing.FilledByOrigin: "filled from the archive",
 	routing.JoinedFill: "joined a fill", routing.StaleHit: "an old copy", routing.SourceRejected: "the source refused", routing.SourceUnreachable: "the source was not reached",
 	routing.SourceMiss: "the source lacks it", routing.FillRejected: "no place for a fill", routing.OriginFailed: "the archive failed"}
 
-func result(n uint8) string {
-	if int(n) < len(results) {
-		return results[n]
+func resultName(n uint8) string {
+	if int(n) < len(resultNames) {
+		return resultNames[n]
 	}
 	return "unknown"
 }
@@ -50,7 +50,7 @@
 		if s.FillSource != s.Server && s.FillSource != 0 {
 			text += fmt.Sprintf(" from %v", s.FillSource)
 		}
-		text += ": " + result(s.Result)
+		text += ": " + resultName(s.Result)
 		if s.Bytes > 0 {
 			text += fmt.Sprintf(", %d bytes", s.Bytes)
 		}
@@ -71,8 +71,8 @@
 		if s.Server != 0 {
 			text += fmt.Sprintf(" of %v", s.Server)
 		}
-		if int(s.Result) < len(notes) {
-			text += ": " + notes[s.Result]
+		if int(s.Result) < len(cacheStatusNames) {
+			text += ": " + cacheStatusNames[s.Result]
 		}
 		return text
 	case trace.Connect:
@@ -128,7 +128,7 @@
 		for i, s := range spans {
 			x, wide := width*(s.Start-start)/long, max(width*(s.End-s.Start)/long, 1)
 			fmt.Fprintf(w, "<rect x=%.1f y=%d width=%.1f height=%d fill=%q><title>%s</title></rect><text x=%.1f y=%d>%s, %.1f ms</text>\n",
-				x, row*i+2, wide, row-4, colour(s), html.EscapeString(label(s)), min(x+3, width*0.6), row*i+14, html.EscapeString(label(s)), s.End-s.Start)
+				x, row*i+2, wide, row-4, spanColor(s), html.EscapeString(label(s)), min(x+3, width*0.6), row*i+14, html.EscapeString(label(s)), s.End-s.Start)
 		}
 		fmt.Fprintln(w, "</svg><hr>")
 	}
@@ -136,7 +136,7 @@
 	return err
 }
 
-func colour(s trace.Span) string {
+func spanColor(s trace.Span) string {
 	switch {
 	case s.Kind == trace.Wait:
 		return "#cccccc"
--- a/internal/trace/spancontext.go
+++ b/internal/trace/spancontext.go
@@ -14,13 +14,13 @@
 }
 
 // maxParent bounds what is looked at: later versions may add fields.
-const maxParent = 256
+const maxTraceparentLength = 256
 
 // ParseParent reads a traceparent header. One that is malformed, oversized, of
 // version ff or all zero is none, as the specification wants: the request is then
 // the first of a new trace. A later version is read by the fields of version 00.
 func ParseTraceparent(s string) (p SpanContext, ok bool) {
-	if len(s) < 55 || len(s) > maxParent || s[2] != '-' || s[35] != '-' || s[52] != '-' || !lower(s[:2]) || s[:2] == "ff" {
+	if len(s) < 55 || len(s) > maxTraceparentLength || s[2] != '-' || s[35] != '-' || s[52] != '-' || !isLowerHex(s[:2]) || s[:2] == "ff" {
 		return SpanContext{}, false
 	}
 	if s[:2] == "00" && len(s) != 55 || len(s) > 55 && s[55] != '-' {
@@ -28,7 +28,7 @@
 	}
 	id, ok := ParseID(s[3:35])
 	span, err := strconv.ParseUint(s[36:52], 16, 64)
-	if !ok || err != nil || !lower(s[36:52]) || span == 0 || !lower(s[53:55]) {
+	if !ok || err != nil || !isLowerHex(s[36:52]) || span == 0 || !isLowerHex(s[53:55]) {
 		return SpanContext{}, false
 	}
 	flags, err := strconv.ParseUint(s[53:55], 16, 8)
@@ -45,7 +45,7 @@
 }
 
 // lower tells whether s is of lower-case hex digits alone.
-func lower(s string) bool {
+func isLowerHex(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; (c < '0' || c > '9') && (c < 'a' || c > 'f') {
 			return false
--- a/internal/trace/store/block.go
+++ b/internal/trace/store/block.go
@@ -20,75 +20,75 @@
 )
 
 const (
-	magic    = "garnetline traces 1\n"
-	fixed    = 16       // lengths and checksums of head and body
-	blockRaw = 64 << 10 // bytes of traces at which a block is closed
-	maxHead  = 1 << 20
-	maxBody  = 8 << 20
-	maxSets  = 256 // servers that a head names; with more it says that any may be there
+	segmentMagic     = "garnetline traces 1\n"
+	preambleSize     = 16       // lengths and checksums of head and body
+	blockTarget      = 64 << 10 // bytes of traces at which a block is closed
+	maxHeaderSize    = 1 << 20
+	maxBodySize      = 8 << 20
+	maxHeaderServers = 256 // servers that a head names; with more it says that any may be there
 )
 
 // ErrBlock reports a block that cannot be read.
-var ErrBlock = errors.New("store: broken block")
+var ErrCorruptBlock = errors.New("store: broken block")
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // head says what a block holds, so that most blocks need not be read.
-type head struct {
-	from, to  float64 // of the requests' starts
-	slowest   float32 // ms
-	traces    uint32
-	spans     uint32
-	outcomes  uint8 // a bit each
-	why       trace.Reason
-	attempts  uint8 // the most
-	anyServer bool
-	classes   []string
-	servers   []uint64 // by number
-	prints    []uint32 // of the ids, by number
+type blockHeader struct {
+	firstStart, lastStart float64 // of the requests' starts
+	maxDuration           float32 // ms
+	traceCount            uint32
+	spanCount             uint32
+	outcomes              uint8 // a bit each
+	reasons               trace.Reason
+	maxAttempts           uint8 // the most
+	anyServer             bool
+	classes               []string
+	servers               []uint64 // by number
+	fingerprints          []uint32 // of the ids, by number
 }
 
 // print is what a head holds of an id.
-func print(id trace.ID) uint32 {
+func fingerprint(id trace.ID) uint32 {
 	return binary.BigEndian.Uint32(id[4:8]) ^ binary.BigEndian.Uint32(id[12:16])
 }
 
 // builder collects traces for one block.
-type builder struct {
-	raw  []byte
-	head head
+type blockBuilder struct {
+	records []byte
+	header  blockHeader
 }
 
-func (b *builder) add(t *trace.Trace) {
-	h := &b.head
-	if h.traces == 0 {
-		h.from, h.to = t.Start, t.Start
+func (b *blockBuilder) add(t *trace.Trace) {
+	h := &b.header
+	if h.traceCount == 0 {
+		h.firstStart, h.lastStart = t.Start, t.Start
 	}
-	h.from, h.to = min(h.from, t.Start), max(h.to, t.Start)
-	h.slowest = max(h.slowest, float32(t.Duration()))
-	h.traces++
-	h.spans += uint32(len(t.Spans))
+	h.firstStart, h.lastStart = min(h.firstStart, t.Start), max(h.lastStart, t.Start)
+	h.maxDuration = max(h.maxDuration, float32(t.Duration()))
+	h.traceCount++
+	h.spanCount += uint32(len(t.Spans))
 	h.outcomes |= 1 << t.Outcome
-	h.why |= t.Reasons
-	h.attempts = max(h.attempts, t.Attempts)
+	h.reasons |= t.Reasons
+	h.maxAttempts = max(h.maxAttempts, t.Attempts)
 	if !slices.Contains(h.classes, t.Class) {
 		h.classes = append(h.classes, t.Class)
 	}
 	for _, s := range t.Spans {
 		if s.Kind == trace.Attempt {
-			h.servers = insert(insert(h.servers, uint64(s.Server)), uint64(s.FillSource))
+			h.servers = insertSorted(insertSorted(h.servers, uint64(s.Server)), uint64(s.FillSource))
 		}
 	}
-	if len(h.servers) > maxSets {
+	if len(h.servers) > maxHeaderServers {
 		h.anyServer, h.servers = true, nil
 	}
-	h.prints = append(h.prints, print(t.ID))
-	mark := len(b.raw)
-	b.raw = trace.Append(append(b.raw, 0, 0, 0, 0), t)
-	binary.BigEndian.PutUint32(b.raw[mark:], uint32(len(b.raw)-mark-4))
+	h.fingerprints = append(h.fingerprints, fingerprint(t.ID))
+	mark := len(b.records)
+	b.records = trace.Append(append(b.records, 0, 0, 0, 0), t)
+	binary.BigEndian.PutUint32(b.records[mark:], uint32(len(b.records)-mark-4))
 }
 
-func insert(set []uint64, x uint64) []uint64 {
+func insertSorted(set []uint64, x uint64) []uint64 {
 	if i, found := slices.BinarySearch(set, x); !found {
 		set = slices.Insert(set, i, x)
 	}
@@ -96,31 +96,31 @@
 }
 
 // bytes returns the block as it stands in a file, and empties the builder.
-func (b *builder) bytes() []byte {
-	slices.Sort(b.head.prints)
-	out := make([]byte, fixed, fixed+1024+len(b.raw)/2)
-	out = b.head.append(out)
-	headLen := len(out) - fixed
-	out = append(out, s2.Encode(nil, b.raw)...)
-	h, body := out[fixed:fixed+headLen], out[fixed+headLen:]
+func (b *blockBuilder) finish() []byte {
+	slices.Sort(b.header.fingerprints)
+	out := make([]byte, preambleSize, preambleSize+1024+len(b.records)/2)
+	out = b.header.append(out)
+	headLen := len(out) - preambleSize
+	out = append(out, s2.Encode(nil, b.records)...)
+	h, body := out[preambleSize:preambleSize+headLen], out[preambleSize+headLen:]
 	for i, n := range []uint32{uint32(len(h)), uint32(len(body)), crc32.Checksum(h, castagnoli), crc32.Checksum(body, castagnoli)} {
 		binary.BigEndian.PutUint32(out[4*i:], n)
 	}
-	b.raw, b.head = b.raw[:0], head{}
+	b.records, b.header = b.records[:0], blockHeader{}
 	return out
 }
 
-func (h *head) append(b []byte) []byte {
-	b = binary.BigEndian.AppendUint64(b, math.Float64bits(h.from))
-	b = binary.BigEndian.AppendUint64(b, math.Float64bits(h.to))
-	b = binary.BigEndian.AppendUint32(b, math.Float32bits(h.slowest))
-	b = binary.BigEndian.AppendUint32(b, h.traces)
-	b = binary.BigEndian.AppendUint32(b, h.spans)
+func (h *blockHeader) append(b []byte) []byte {
+	b = binary.BigEndian.AppendUint64(b, math.Float64bits(h.firstStart))
+	b = binary.BigEndian.AppendUint64(b, math.Float64bits(h.lastStart))
+	b = binary.BigEndian.AppendUint32(b, math.Float32bits(h.maxDuration))
+	b = binary.BigEndian.AppendUint32(b, h.traceCount)
+	b = binary.BigEndian.AppendUint32(b, h.spanCount)
 	any := byte(0)
 	if h.anyServer {
 		any = 1
 	}
-	b = append(b, h.outcomes, byte(h.why), h.attempts, any)
+	b = append(b, h.outcomes, byte(h.reasons), h.maxAttempts, any)
 	b = binary.AppendUvarint(b, uint64(len(h.classes)))
 	for _, c := range h.classes {
 		b = append(append(b, byte(min(len(c), 255))), c[:min(len(c), 255)]...)
@@ -131,26 +131,26 @@
 		b = binary.AppendUvarint(b, s-last)
 		last = s
 	}
-	for _, p := range h.prints {
+	for _, p := range h.fingerprints {
 		b = binary.BigEndian.AppendUint32(b, p)
 	}
 	return b
 }
 
 // headFixed is the length of a head before its lists.
-const headFixed = 32
+const headerFixedSize = 32
 
-func parseHead(b []byte) (h head, err error) {
-	bad := fmt.Errorf("%w: head", ErrBlock)
-	if len(b) < headFixed {
+func parseHeader(b []byte) (h blockHeader, err error) {
+	bad := fmt.Errorf("%w: head", ErrCorruptBlock)
+	if len(b) < headerFixedSize {
 		return h, bad
 	}
 	u := binary.BigEndian
-	h.from, h.to = math.Float64frombits(u.Uint64(b)), math.Float64frombits(u.Uint64(b[8:]))
-	h.slowest = math.Float32frombits(u.Uint32(b[16:]))
-	h.traces, h.spans = u.Uint32(b[20:]), u.Uint32(b[24:])
-	h.outcomes, h.why, h.attempts, h.anyServer = b[28], trace.Reason(b[29]), b[30], b[31] == 1
-	b = b[headFixed:]
+	h.firstStart, h.lastStart = math.Float64frombits(u.Uint64(b)), math.Float64frombits(u.Uint64(b[8:]))
+	h.maxDuration = math.Float32frombits(u.Uint32(b[16:]))
+	h.traceCount, h.spanCount = u.Uint32(b[20:]), u.Uint32(b[24:])
+	h.outcomes, h.reasons, h.maxAttempts, h.anyServer = b[28], trace.Reason(b[29]), b[30], b[31] == 1
+	b = b[headerFixedSize:]
 	n, k := binary.Uvarint(b)
 	if k <= 0 || n > uint64(len(b)) {
 		return h, bad
@@ -164,7 +164,7 @@
 		b = b[1+int(b[0]):]
 	}
 	n, k = binary.Uvarint(b)
-	if k <= 0 || n > maxSets+2 {
+	if k <= 0 || n > maxHeaderServers+2 {
 		return h, bad
 	}
 	b = b[k:]
@@ -177,29 +177,29 @@
 		last += d
 		h.servers, b = append(h.servers, last), b[k:]
 	}
-	if uint64(len(b)) != 4*uint64(h.traces) {
+	if uint64(len(b)) != 4*uint64(h.traceCount) {
 		return h, bad
 	}
-	h.prints = make([]uint32, h.traces)
-	for i := range h.prints {
-		h.prints[i] = u.Uint32(b[4*i:])
+	h.fingerprints = make([]uint32, h.traceCount)
+	for i := range h.fingerprints {
+		h.fingerprints[i] = u.Uint32(b[4*i:])
 	}
 	return h, nil
 }
 
 // traces calls f with each trace of a block's body until it returns false.
-func traces(body []byte, f func(*trace.Trace) bool) error {
+func forEachTrace(body []byte, f func(*trace.Trace) bool) error {
 	n, err := s2.DecodedLen(body)
-	if err != nil || n > maxBody {
-		return fmt.Errorf("%w: body", ErrBlock)
+	if err != nil || n > maxBodySize {
+		return fmt.Errorf("%w: body", ErrCorruptBlock)
 	}
 	raw, err := s2.Decode(nil, body)
 	if err != nil {
-		return fmt.Errorf("%w: body", ErrBlock)
+		return fmt.Errorf("%w: body", ErrCorruptBlock)
 	}
 	for len(raw) > 0 {
 		if len(raw) < 4 || uint64(binary.BigEndian.Uint32(raw)) > uint64(len(raw)-4) {
-			return fmt.Errorf("%w: record", ErrBlock)
+			return fmt.Errorf("%w: record", ErrCorruptBlock)
 		}
 		n := binary.BigEndian.Uint32(raw)
 		t, err := trace.Decode(raw[4 : 4+n])
@@ -228,11 +228,11 @@
 }
 
 // may tells whether a block can hold a trace that f wants.
-func (f *Filter) may(h *head) bool {
+func (f *Filter) mayMatch(h *blockHeader) bool {
 	switch {
-	case f.Outcome != 0 && f.Outcome&h.outcomes == 0, f.Reasons != 0 && f.Reasons&h.why == 0,
-		f.MinDuration > 0 && float64(h.slowest) < f.MinDuration*(1-1e-6), f.MinAttempts > int(h.attempts),
-		h.to < f.From, f.To > 0 && h.from > f.To, f.Class != "" && !slices.Contains(h.classes, f.Class):
+	case f.Outcome != 0 && f.Outcome&h.outcomes == 0, f.Reasons != 0 && f.Reasons&h.reasons == 0,
+		f.MinDuration > 0 && float64(h.maxDuration) < f.MinDuration*(1-1e-6), f.MinAttempts > int(h.maxAttempts),
+		h.lastStart < f.From, f.To > 0 && h.firstStart > f.To, f.Class != "" && !slices.Contains(h.classes, f.Class):
 		return false
 	case f.Server != 0 && !h.anyServer:
 		if _, ok := slices.BinarySearch(h.servers, uint64(f.Server)); !ok {
@@ -240,9 +240,9 @@
 		}
 	}
 	if f.ID != (trace.ID{}) {
-		p := print(f.ID)
-		i := sort.Search(len(h.prints), func(i int) bool { return h.prints[i] >= p })
-		return i < len(h.prints) && h.prints[i] == p
+		p := fingerprint(f.ID)
+		i := sort.Search(len(h.fingerprints), func(i int) bool { return h.fingerprints[i] >= p })
+		return i < len(h.fingerprints) && h.fingerprints[i] == p
 	}
 	return true
 }
--- a/internal/trace/store/golden_test.go
+++ b/internal/trace/store/golden_test.go
@@ -13,7 +13,7 @@
 
 // Segments are read by later releases, and written as they always were.
 // UPDATE_GOLDEN=1 rewrites testdata.
-func TestSegmentFormat(t *testing.T) {
+func TestSegmentMatchesGolden(t *testing.T) {
 	folder := t.TempDir()
 	w, err := Open(folder, 1<<20, 1<<30)
 	if err != nil {
@@ -22,7 +22,7 @@
 	rng := rand.New(rand.NewPCG(11, 1))
 	var all []*trace.Trace
 	for i := range 12 {
-		x := made(rng, i)
+		x := newTrace(rng, i)
 		all = append(all, x)
 		if err := w.Add(x); err != nil {
 			t.Fatal(err)
@@ -36,7 +36,7 @@
 	if err := w.Close(all[11].End); err != nil {
 		t.Fatal(err)
 	}
-	paths, err := segments(folder)
+	paths, err := segmentPaths(folder)
 	if err != nil || len(paths) != 1 {
 		t.Fatal(paths, err)
 	}
@@ -50,7 +50,7 @@
 	if err := os.WriteFile(filepath.Join(old, "001700000000000-1-0001.traces"), golden.Read(t, "segment.bin"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	got, _ := query(t, old, Filter{})
+	got, _ := queryFolder(t, old, Filter{})
 	if len(got) != len(all) {
 		t.Fatalf("%d traces read back, want %d", len(got), len(all))
 	}
--- a/internal/trace/store/index.go
+++ b/internal/trace/store/index.go
@@ -10,12 +10,12 @@
 // it is made, and sees what had been written by then.
 type Index struct {
 	files  []string
-	blocks [][]ref // by file
+	blocks [][]blockRef // by file
 }
 
 // Read makes an Index of a folder. Files that are no segments are passed over.
 func Read(folder string) (*Index, error) {
-	paths, err := segments(folder)
+	paths, err := segmentPaths(folder)
 	if err != nil {
 		return nil, err
 	}
@@ -25,8 +25,8 @@
 		if err != nil {
 			continue // removed meanwhile
 		}
-		var refs []ref
-		err = scan(f, func(r ref) bool { refs = append(refs, r); return true })
+		var refs []blockRef
+		err = scanSegment(f, func(r blockRef) bool { refs = append(refs, r); return true })
 		f.Close()
 		if err == nil {
 			x.files, x.blocks = append(x.files, p), append(x.blocks, refs)
@@ -39,7 +39,7 @@
 func (x *Index) Stat() (blocks, traces, spans int) {
 	for _, refs := range x.blocks {
 		for _, r := range refs {
-			blocks, traces, spans = blocks+1, traces+int(r.head.traces), spans+int(r.head.spans)
+			blocks, traces, spans = blocks+1, traces+int(r.header.traceCount), spans+int(r.header.spanCount)
 		}
 	}
 	return blocks, traces, spans
@@ -53,7 +53,7 @@
 		var file *os.File
 		for j := range x.blocks[i] {
 			r := &x.blocks[i][j]
-			if !f.may(&r.head) {
+			if !f.mayMatch(&r.header) {
 				continue
 			}
 			if file == nil {
@@ -64,10 +64,10 @@
 				file = opened
 			}
 			read++
-			body, e := r.read(file)
+			body, e := r.readBody(file)
 			more := true
 			if e == nil {
-				e = traces(body, func(t *trace.Trace) bool {
+				e = forEachTrace(body, func(t *trace.Trace) bool {
 					more = !f.Matches(t) || do(t)
 					return more
 				})
--- a/internal/trace/store/store_test.go
+++ b/internal/trace/store/store_test.go
@@ -14,7 +14,7 @@
 )
 
 // made is a trace of a day on which server 7 fails fast for a while.
-func made(rng *rand.Rand, i int) *trace.Trace {
+func newTrace(rng *rand.Rand, i int) *trace.Trace {
 	var id trace.ID
 	binary.BigEndian.PutUint64(id[:8], rng.Uint64())
 	binary.BigEndian.PutUint64(id[8:], rng.Uint64())
@@ -37,7 +37,7 @@
 	return t
 }
 
-func fill(t testing.TB, folder string, n int, segment int64) []*trace.Trace {
+func writeTraces(t testing.TB, folder string, n int, segment int64) []*trace.Trace {
 	t.Helper()
 	w, err := Open(folder, segment, 1<<40)
 	if err != nil {
@@ -46,7 +46,7 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	var all []*trace.Trace
 	for i := range n {
-		x := made(rng, i)
+		x := newTrace(rng, i)
 		if err := w.Add(x); err != nil {
 			t.Fatal(err)
 		}
@@ -60,7 +60,7 @@
 	return all
 }
 
-func query(t testing.TB, folder string, f Filter) (got []*trace.Trace, read int) {
+func queryFolder(t testing.TB, folder string, f Filter) (got []*trace.Trace, read int) {
 	t.Helper()
 	x, err := Read(folder)
 	if err != nil {
@@ -75,10 +75,10 @@
 
 // A query finds what a look at every trace finds, in several segments, and reads few
 // blocks where what it wants is rare.
-func TestQueryFindsWhatAScanFinds(t *testing.T) {
+func TestQueryFindsWhatScanFinds(t *testing.T) {
 	folder := t.TempDir()
-	all := fill(t, folder, 20_000, 256<<10)
-	if paths, _ := segments(folder); len(paths) < 3 {
+	all := writeTraces(t, folder, 20_000, 256<<10)
+	if paths, _ := segmentPaths(folder); len(paths) < 3 {
 		t.Fatalf("%d segments", len(paths))
 	}
 	x, err := Read(folder)
@@ -97,7 +97,7 @@
 				want++
 			}
 		}
-		got, read := query(t, folder, f)
+		got, read := queryFolder(t, folder, f)
 		if len(got) != want || f.ID != (trace.ID{}) && (len(got) != 1 || got[0].ID != f.ID) {
 			t.Errorf("%+v: %d traces, want %d", f, len(got), want)
 		}
@@ -111,8 +111,8 @@
 // start it ends there; one that another Writer holds is left alone.
 func TestTornTailIsCutOff(t *testing.T) {
 	folder := t.TempDir()
-	fill(t, folder, 2000, 1<<30)
-	paths, _ := segments(folder)
+	writeTraces(t, folder, 2000, 1<<30)
+	paths, _ := segmentPaths(folder)
 	whole, err := os.ReadFile(paths[0])
 	if err != nil {
 		t.Fatal(err)
@@ -120,7 +120,7 @@
 	var ends []int64
 	f, _ := os.Open(paths[0])
 	defer f.Close()
-	scan(f, func(r ref) bool { ends = append(ends, r.at+r.size); return true })
+	scanSegment(f, func(r blockRef) bool { ends = append(ends, r.offset+r.size); return true })
 	if len(ends) < 3 {
 		t.Fatalf("%d blocks", len(ends))
 	}
@@ -128,7 +128,7 @@
 	for i := range 60 {
 		cut, last := int64(rng.IntN(len(whole))), int64(0)
 		if i < 3 {
-			cut = []int64{0, int64(len(magic)) - 1, ends[0] - 1}[i]
+			cut = []int64{0, int64(len(segmentMagic)) - 1, ends[0] - 1}[i]
 		}
 		for _, e := range ends {
 			if e <= cut {
@@ -140,15 +140,15 @@
 		if err := os.WriteFile(path, whole[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		before, _ := query(t, torn, Filter{})
+		before, _ := queryFolder(t, torn, Filter{})
 		w, err := Open(torn, 1<<20, 1<<30)
 		if err != nil {
 			t.Fatal(err)
 		}
 		w.Close(1)
-		after, _ := query(t, torn, Filter{})
+		after, _ := queryFolder(t, torn, Filter{})
 		info, err := os.Stat(path)
-		if size := max(last, int64(len(magic))); cut >= int64(len(magic)) && (err != nil || info.Size() != size) || cut < int64(len(magic)) && err == nil {
+		if size := max(last, int64(len(segmentMagic))); cut >= int64(len(segmentMagic)) && (err != nil || info.Size() != size) || cut < int64(len(segmentMagic)) && err == nil {
 			t.Errorf("cut at %d: %v, %v, want %d bytes", cut, info, err, size)
 		}
 		if len(before) != len(after) || (last > 0) != (len(after) > 0) {
@@ -156,13 +156,13 @@
 		}
 	}
 	w, _ := Open(folder, 1<<20, 1<<30)
-	w.Add(made(rng, 1))
+	w.Add(newTrace(rng, 1))
 	if err := w.Flush(3e12); err != nil {
 		t.Fatal(err)
 	}
-	paths, _ = segments(folder)
+	paths, _ = segmentPaths(folder)
 	own := paths[len(paths)-1]
-	w.f.Write([]byte("half a block"))
+	w.segment.Write([]byte("half a block"))
 	if _, err := Open(folder, 1<<20, 1<<30); err != nil {
 		t.Fatal(err)
 	}
@@ -173,7 +173,7 @@
 }
 
 // The oldest segments go when there is too much.
-func TestOldestGo(t *testing.T) {
+func TestWriterRemovesOldestSegments(t *testing.T) {
 	folder := t.TempDir()
 	w, err := Open(folder, 50<<10, 200<<10)
 	if err != nil {
@@ -181,18 +181,18 @@
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i := range 8000 {
-		if err := w.Add(made(rng, i)); err != nil {
+		if err := w.Add(newTrace(rng, i)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	w.Close(2e12)
 	sum := int64(0)
-	paths, _ := segments(folder)
+	paths, _ := segmentPaths(folder)
 	for _, p := range paths {
 		info, _ := os.Stat(p)
 		sum += info.Size()
 	}
-	got, _ := query(t, folder, Filter{})
+	got, _ := queryFolder(t, folder, Filter{})
 	if last := got[len(got)-1]; sum > 200<<10 || last.Start < 1.7e12+7990*5 || got[0].Start < 1.7e12+1000*5 {
 		t.Errorf("%d bytes in %d segments, from %v to %v", sum, len(paths), got[0].Start, last.Start)
 	}
@@ -202,8 +202,8 @@
 func FuzzSegment(f *testing.F) {
 	fuzzutil.AddRandomSeeds(f, 8, 200)
 	folder := f.TempDir()
-	fill(f, folder, 30, 1<<20)
-	paths, _ := segments(folder)
+	writeTraces(f, folder, 30, 1<<20)
+	paths, _ := segmentPaths(folder)
 	whole, _ := os.ReadFile(paths[0])
 	f.Add(whole)
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -215,7 +215,7 @@
 			}
 			b = c
 		}
-		os.WriteFile(filepath.Join(dir, "1"+suffix), b, 0o600)
+		os.WriteFile(filepath.Join(dir, "1"+segmentSuffix), b, 0o600)
 		if x, err := Read(dir); err == nil {
 			x.Query(Filter{}, func(*trace.Trace) bool { return true })
 		}
@@ -230,7 +230,7 @@
 func BenchmarkQuery(b *testing.B) {
 	for _, n := range []int{10_000, 100_000, 1_000_000} {
 		folder := b.TempDir()
-		all := fill(b, folder, n/3+1, 8<<20)
+		all := writeTraces(b, folder, n/3+1, 8<<20)
 		x, err := Read(folder)
 		if err != nil {
 			b.Fatal(err)
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -27,7 +27,7 @@
 
 // ParseID reads an id that stands in text.
 func ParseID(s string) (id ID, ok bool) {
-	if len(s) != 32 || !lower(s) {
+	if len(s) != 32 || !isLowerHex(s) {
 		return id, false
 	}
 	_, err := hex.Decode(id[:], []byte(s))
@@ -67,14 +67,14 @@
 	Connect                // a connection that had to be made for an attempt
 	ServerWork             // what a server did for an attempt; Result is a decide.Note
 	Fill                   // a fill, under the work that began it; others link to it
-	kinds
+	kindCount
 )
 
 var kindNames = [...]string{"client", "request", "wait", "attempt", "connect", "work", "fill"}
 
 // String is the kind's name.
 func (k Kind) String() string {
-	if k >= kinds {
+	if k >= kindCount {
 		return "unknown"
 	}
 	return kindNames[k]
@@ -82,10 +82,10 @@
 
 // Flags of an attempt.
 const (
-	FlagJoin       = 1 << iota // it was let join a fill under way
-	FlagRenew                  // an ageing copy was to be renewed behind
-	FlagCachedOnly             // the source was to give only what it holds
-	FlagSent                   // it was written whole
+	FlagJoinFill     = 1 << iota // it was let join a fill under way
+	FlagRevalidate               // an ageing copy was to be renewed behind
+	FlagOnlyIfCached             // the source was to give only what it holds
+	FlagSent                     // it was written whole
 )
 
 // Span is one piece of time in a trace.
@@ -122,14 +122,14 @@
 	Served
 	NotModified        // the client's copy holds
 	ClientDisconnected // its client went
-	outcomes
+	outcomeCount
 )
 
 var outcomeNames = [...]string{"failed", "refused", "served", "same", "left"}
 
 // String is the outcome's name.
 func (o Outcome) String() string {
-	if o >= outcomes {
+	if o >= outcomeCount {
 		return "unknown"
 	}
 	return outcomeNames[o]
@@ -187,10 +187,10 @@
 
 // Size is about how many bytes t holds in memory.
 func (t *Trace) Size() int {
-	return 220 + len(t.Router) + len(t.Class) + len(t.TransactionID) + cap(t.Spans)*spanSize
+	return 220 + len(t.Router) + len(t.Class) + len(t.TransactionID) + cap(t.Spans)*spanMemory
 }
 
-const spanSize = 80
+const spanMemory = 80
 
 // Has tells whether a server or source had a part in an attempt.
 func (t *Trace) Involves(id routing.ServerID) bool {
@@ -243,7 +243,7 @@
 		peers = slices.DeleteFunc(peers, func(t *Trace) bool {
 			p, known := by[t.Spans[0].Parent]
 			if known {
-				place(t, fit(t.Start, t.End, p.Start, p.End))
+				place(t, shiftInto(t.Start, t.End, p.Start, p.End))
 			}
 			return known
 		})
@@ -283,7 +283,7 @@
 }
 
 // fit is by how much what lasted from a to b is to be moved to lie within from and to.
-func fit(a, b, from, to float64) float64 {
+func shiftInto(a, b, from, to float64) float64 {
 	switch {
 	case a >= from && b <= to:
 		return 0
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -44,7 +44,7 @@
 }
 
 // play makes a piece by random legal steps.
-func play(id ID, rng *rand.Rand, start float64) *Trace {
+func randomTrace(id ID, rng *rand.Rand, start float64) *Trace {
 	l := Begin(Trace{ID: id, Router: "n1", TransactionID: "9b1f03aa5c7e2d41", Class: "part", Object: rng.Uint64(), Chunk: 3, PurgeGroup: 17, Start: start, Weight: 1}, rng.Uint64())
 	now := start
 	for range rng.IntN(4) {
@@ -61,7 +61,7 @@
 		}
 		l.AttemptEnded(now, routing.Result(rng.IntN(9)), rng.IntN(1000), routing.LoadReport{Inflight: 7, LinkUtilization: math.NaN()}, w)
 	}
-	l.Responded(now, Outcome(rng.IntN(int(outcomes))))
+	l.Responded(now, Outcome(rng.IntN(int(outcomeCount))))
 	if !l.Done() {
 		panic("not done")
 	}
@@ -73,7 +73,7 @@
 }
 
 // same compares traces whose missing load reports are NaN, to the microsecond.
-func same(a, b *Trace) bool {
+func equalTraces(a, b *Trace) bool {
 	if len(a.Spans) != len(b.Spans) {
 		return false
 	}
@@ -98,7 +98,7 @@
 
 // FuzzCode checks that a trace comes back as it was, and that no bytes break the
 // reader or make it hold much.
-func FuzzCode(f *testing.F) {
+func FuzzDecode(f *testing.F) {
 	fuzzutil.AddRandomSeeds(f, 16, 200)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if got, err := Decode(b); err == nil {
@@ -111,9 +111,9 @@
 			seed += uint64(c) << (i % 56)
 		}
 		rng := rand.New(rand.NewPCG(seed, 1))
-		in := play(ID{1, byte(seed)}, rng, 1.7e12+rng.Float64())
+		in := randomTrace(ID{1, byte(seed)}, rng, 1.7e12+rng.Float64())
 		code := Append(nil, in)
-		if out, err := Decode(code); err != nil || !same(in, out) {
+		if out, err := Decode(code); err != nil || !equalTraces(in, out) {
 			t.Fatalf("%v\n%+v\n%+v", err, in, out)
 		}
 		for n := range code {
@@ -126,15 +126,15 @@
 
 // The pieces of a trace that two routers made have one root, every span a parent, and
 // nothing ends before it starts; also where one piece is missing a part.
-func TestMergeHasOneRoot(t *testing.T) {
+func TestMergeReturnsOneRoot(t *testing.T) {
 	id := ID{7}
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		a, b := play(id, rng, 1000), play(id, rng, 1500)
+		a, b := randomTrace(id, rng, 1000), randomTrace(id, rng, 1500)
 		if seed%3 == 0 { // the router that made it was killed with a part of it
 			b.Spans = b.Spans[1:]
 		}
-		spans := Merge(id, []*Trace{a, b, play(ID{8}, rng, 1), a})
+		spans := Merge(id, []*Trace{a, b, randomTrace(ID{8}, rng, 1), a})
 		ids, roots := map[SpanID]bool{}, 0
 		for _, s := range spans {
 			if ids[s.ID] {
@@ -160,7 +160,7 @@
 
 // What a server tells by a clock that is seconds off lies within its attempt, all of it
 // moved alike; one whose router's piece is lost stands under the root.
-func TestServersClockIsFitted(t *testing.T) {
+func TestMergeShiftsServerSpansIntoAttempt(t *testing.T) {
 	id := ID{3}
 	l := Begin(Trace{ID: id, Router: "n1", Start: 1000}, 1)
 	p := l.AttemptStarted(1002, routing.SendAttempt{Server: 5})
@@ -193,7 +193,7 @@
 }
 
 // Order is spread evenly, and alike for all who know the id.
-func TestOrderIsEven(t *testing.T) {
+func TestOrderIsUniform(t *testing.T) {
 	var n [10]int
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 100_000 {
