--- a/internal/trace/active.go
+++ b/internal/trace/active.go
@@ -6,120 +6,195 @@
 	"garnetline/routing"
 )
 
-// waitLeast is how long, in ms, the time before an attempt must be to count as a wait:
-// less is the program's own work.
-const minWait = 0.2
+const (
+	// minWait is how long, in ms, the time before an attempt must be to get a Wait span. What
+	// is shorter is the router's own work.
+	minWait = 0.2
+	// inlineSpans is how many spans an ActiveTrace has space for without an allocation: a
+	// request that is served by its second attempt, with connections, has no more.
+	inlineSpans     = 6
+	millisPerSecond = 1000
+	// requestSpanIndex is the place of the Request span in Spans.
+	requestSpanIndex = 0
+	// noAttempt is the value of attemptIndex while no attempt is in flight.
+	noAttempt = -1
+	// untracedAttempt is the value of attemptIndex while an attempt without a span is in flight.
+	untracedAttempt = requestSpanIndex
+)
 
-// Live is the piece of a trace that one router is making, from the request's last
-// byte until its answer is given and nothing is out. It is not safe for concurrent
-// use: the goroutine that decides owns it.
+// ActiveTrace records the partial trace of one request at one router, until the request has
+// been answered and no attempt is in flight. It is not safe for concurrent use: it belongs to
+// the dispatcher's goroutine.
 type ActiveTrace struct {
 	Trace
 	requestSpan  SpanID
-	spanSeed     uint64
-	idleSince    float64 // since when nothing is out
-	attemptIndex int     // place in Spans of the attempt that is; -1: none
+	spanSeed     uint64  // the last number that a span ID was derived from
+	idleSince    float64 // Unix ms, since when no attempt is in flight
+	attemptIndex int     // place in Spans of the attempt in flight, or noAttempt
 	responded    bool
-	untraced     bool    // there is no room for its spans
-	spanBuffer   [6]Span // the usual trace needs no more
+	untraced     bool // attempts were counted without a span
+	spanBuffer   [inlineSpans]Span
 }
 
-// Begin starts a piece of the trace id with the request that t describes; t.Spans is
-// passed over. The seed differs for each piece.
-func Begin(t Trace, seed uint64) *ActiveTrace {
-	l := &ActiveTrace{Trace: t, spanSeed: seed, idleSince: t.Start, attemptIndex: -1}
-	l.Spans = l.spanBuffer[:0]
-	l.requestSpan = l.addSpan(Span{Parent: t.ID.Root(), Kind: Request, Start: t.Start})
-	return l
+// Begin starts the partial trace of the request that the given trace describes; its Spans are
+// ignored. Span IDs are derived from the seed, which must differ between the partial traces
+// of one trace.
+func Begin(request Trace, seed uint64) *ActiveTrace {
+	active := &ActiveTrace{
+		Trace:        request,
+		spanSeed:     seed,
+		idleSince:    request.Start,
+		attemptIndex: noAttempt,
+	}
+	active.Spans = active.spanBuffer[:0]
+	active.requestSpan = active.addSpan(Span{Parent: request.ID.Root(), Kind: Request, Start: request.Start})
+	return active
 }
 
-// add numbers a span and keeps it.
-func (l *ActiveTrace) addSpan(s Span) SpanID {
-	l.spanSeed++
-	s.ID = l.ID.Span(l.spanSeed)
-	if s.Kind != Attempt {
-		s.Inflight, s.LinkUtilization = float32(math.NaN()), float32(math.NaN())
+// addSpan assigns an ID to a span, appends it and returns the ID.
+func (a *ActiveTrace) addSpan(span Span) SpanID {
+	a.spanSeed++
+	span.ID = a.ID.Span(a.spanSeed)
+	if span.Kind != Attempt {
+		span.Inflight = float32(math.NaN())
+		span.LinkUtilization = float32(math.NaN())
 	}
-	l.Spans = append(l.Spans, s)
-	return s.ID
+	a.Spans = append(a.Spans, span)
+	return span.ID
 }
 
-// AttemptStarted notes that an attempt was decided, and returns the context of what is done
-// for it.
-func (l *ActiveTrace) AttemptStarted(now float64, g routing.SendAttempt) SpanContext {
-	if now-l.idleSince >= minWait {
-		l.addSpan(Span{Parent: l.requestSpan, Kind: Wait, Start: l.idleSince, End: now, AttemptNumber: l.Attempts})
+// addWait records that the request waited since the last attempt, or since it was received.
+func (a *ActiveTrace) addWait(now float64) {
+	a.addSpan(Span{
+		Parent:        a.requestSpan,
+		Kind:          Wait,
+		Start:         a.idleSince,
+		End:           now,
+		AttemptNumber: a.Attempts,
+	})
+}
+
+// waited reports whether the time since the last attempt is long enough for a Wait span.
+func (a *ActiveTrace) waited(now float64) bool { return now-a.idleSince >= minWait }
+
+// AttemptStarted records the decision to send an attempt, at a time in Unix ms. It returns
+// the context that is passed on with the attempt.
+func (a *ActiveTrace) AttemptStarted(now float64, decision routing.SendAttempt) SpanContext {
+	if a.waited(now) {
+		a.addWait(now)
 	}
-	s := Span{Parent: l.requestSpan, Kind: Attempt, AttemptNumber: l.Attempts, Start: now, Server: g.Server, FillSource: g.FillSource,
-		CopyRank: uint8(g.CopyRank), MaxAge: float32(g.MaxAge.Seconds() * 1000)}
-	if g.JoinFill {
-		s.Flags |= FlagJoinFill
+	attempt := a.addSpan(Span{
+		Parent:        a.requestSpan,
+		Kind:          Attempt,
+		AttemptNumber: a.Attempts,
+		Start:         now,
+		Server:        decision.Server,
+		FillSource:    decision.FillSource,
+		CopyRank:      uint8(decision.CopyRank),
+		MaxAge:        float32(decision.MaxAge.Seconds() * millisPerSecond),
+		Flags:         attemptFlags(decision),
+	})
+	a.Attempts++
+	a.attemptIndex = len(a.Spans) - 1
+	return SpanContext{Trace: a.ID, Span: attempt, Sampled: a.ClientSampled}
+}
+
+// attemptFlags returns the flags that follow from the decision alone.
+func attemptFlags(decision routing.SendAttempt) uint8 {
+	flags := uint8(0)
+	if decision.JoinFill {
+		flags |= FlagJoinFill
 	}
-	if g.Revalidate {
-		s.Flags |= FlagRevalidate
+	if decision.Revalidate {
+		flags |= FlagRevalidate
 	}
-	if g.OnlyIfCached {
-		s.Flags |= FlagOnlyIfCached
+	if decision.OnlyIfCached {
+		flags |= FlagOnlyIfCached
 	}
-	l.Attempts++
-	id := l.addSpan(s)
-	l.attemptIndex = len(l.Spans) - 1
-	return SpanContext{l.ID, id, l.ClientSampled}
+	return flags
 }
 
-// Wire is what the carrier of an attempt knows of it; times are 0 where there was none.
+// WireTimes is what the transport of an attempt knows about it. Times are Unix ms, and zero
+// for what did not happen.
 type WireTimes struct {
-	DialedAt, ConnectedAt float64 // when a connection was asked for on its account, and was there
-	WrittenAt             float64 // when the command was written
-	MaxAge                float64 // ms, the bound that was written
+	DialedAt    float64 // when a connection was requested because of the attempt
+	ConnectedAt float64 // when that connection was established
+	WrittenAt   float64 // when the command was written completely
+	MaxAge      float64 // ms, the oldest acceptable copy, as it was written
 }
 
-// AttemptEnded notes how the attempt that is out ended.
-func (l *ActiveTrace) AttemptEnded(now float64, r routing.Result, bytes int, load routing.LoadReport, w WireTimes) {
-	if l.attemptIndex < 0 {
+// AttemptEnded records how the attempt in flight ended, at a time in Unix ms. It does nothing
+// if none is in flight.
+func (a *ActiveTrace) AttemptEnded(now float64, result routing.Result, bytes int, load routing.LoadReport, timing WireTimes) {
+	if a.attemptIndex < 0 {
 		return
 	}
-	s := &l.Spans[l.attemptIndex]
-	s.End, s.Result, s.Bytes = now, uint8(r), uint32(bytes)
-	s.Inflight, s.LinkUtilization = float32(load.Inflight), float32(load.LinkUtilization)
-	if w.WrittenAt > 0 {
-		s.Flags |= FlagSent
-		s.MaxAge = float32(w.MaxAge)
+	attempt := &a.Spans[a.attemptIndex]
+	attempt.End = now
+	attempt.Result = uint8(result)
+	attempt.Bytes = uint32(bytes)
+	attempt.Inflight = float32(load.Inflight)
+	attempt.LinkUtilization = float32(load.LinkUtilization)
+	if timing.WrittenAt > 0 {
+		attempt.Flags |= FlagSent
+		attempt.MaxAge = float32(timing.MaxAge)
 	}
-	if w.DialedAt > 0 {
-		l.addSpan(Span{Parent: s.ID, Kind: Connect, Server: s.Server, AttemptNumber: s.AttemptNumber, Start: max(w.DialedAt, s.Start), End: max(w.ConnectedAt, w.DialedAt, s.Start)})
+	if timing.DialedAt > 0 {
+		a.addConnect(attempt, timing)
 	}
-	l.idleSince, l.attemptIndex = now, -1
+	a.idleSince = now
+	a.attemptIndex = noAttempt
 }
 
-// Blind counts attempts, as n more are out, where there is no room for their spans.
-func (l *ActiveTrace) RecordUntraced(n int) {
-	l.untraced = true
-	if n > 0 {
-		l.Attempts++
-		l.attemptIndex = 0
-	} else {
-		l.attemptIndex = -1
+// addConnect records the connection that was established for an attempt. The request for it
+// may have been made for an earlier attempt; only the time since this one began counts.
+func (a *ActiveTrace) addConnect(attempt *Span, timing WireTimes) {
+	a.addSpan(Span{
+		Parent:        attempt.ID,
+		Kind:          Connect,
+		Server:        attempt.Server,
+		AttemptNumber: attempt.AttemptNumber,
+		Start:         max(timing.DialedAt, attempt.Start),
+		End:           max(timing.ConnectedAt, timing.DialedAt, attempt.Start),
+	})
+}
+
+// RecordUntraced counts the start (1) or the end (-1) of an attempt without recording a span,
+// for a request whose spans have no memory.
+func (a *ActiveTrace) RecordUntraced(inFlightChange int) {
+	a.untraced = true
+	if inFlightChange <= 0 {
+		a.attemptIndex = noAttempt
+		return
 	}
+	a.Attempts++
+	a.attemptIndex = untracedAttempt
 }
 
-// Responded notes the final answer, or that the client left.
-func (l *ActiveTrace) Responded(now float64, o Outcome) {
-	if l.responded {
+// Responded records the final answer, or that the client disconnected, at a time in Unix ms.
+// Only the first call counts.
+func (a *ActiveTrace) Responded(now float64, outcome Outcome) {
+	if a.responded {
 		return
 	}
-	l.responded, l.Outcome, l.End = true, o, now
-	if l.attemptIndex < 0 && !l.untraced && now-l.idleSince >= minWait && o != Served && o != NotModified {
-		l.addSpan(Span{Parent: l.requestSpan, Kind: Wait, Start: l.idleSince, End: now, AttemptNumber: l.Attempts})
+	a.responded = true
+	a.Outcome = outcome
+	a.End = now
+	idle := a.attemptIndex == noAttempt && !a.untraced
+	successful := outcome == Served || outcome == NotModified
+	if idle && !successful && a.waited(now) {
+		a.addWait(now)
 	}
 }
 
-// Done tells whether the piece is whole: answered, with nothing out.
-func (l *ActiveTrace) Done() bool { return l.responded && l.attemptIndex < 0 }
+// Done reports whether the partial trace is complete: the request was answered, and no
+// attempt is in flight.
+func (a *ActiveTrace) Done() bool { return a.responded && a.attemptIndex == noAttempt }
 
-// Piece returns the finished piece. It must not be used before Done.
-func (l *ActiveTrace) Finished() *Trace {
-	l.Spans[0].End = l.End
-	l.Spans[0].Result = uint8(l.Outcome)
-	return &l.Trace
+// Finished returns the complete partial trace. It must not be called before Done reports true.
+func (a *ActiveTrace) Finished() *Trace {
+	request := &a.Spans[requestSpanIndex]
+	request.End = a.End
+	request.Result = uint8(a.Outcome)
+	return &a.Trace
 }
--- a/internal/trace/codec.go
+++ b/internal/trace/codec.go
@@ -9,130 +9,223 @@
 	"garnetline/routing"
 )
 
-// ErrCode reports bytes that are no trace.
+// ErrCorruptRecord is returned for bytes that do not encode a trace.
 var ErrCorruptRecord = errors.New("trace: broken record")
 
-// Bounds of what one record may hold.
+// Bounds of one record.
 const (
-	maxTextLength = 255
-	maxSpans      = 4096
+	maxTextLength = math.MaxUint8 // bytes of a text: its length is stored in one byte
+	maxSpans      = 4096          // spans, and links too
+	spanHeadSize  = 5             // bytes of a span's one-byte fields
 )
 
-// Append appends t in its stored form to b. Times are kept to the microsecond.
-func Append(b []byte, t *Trace) []byte {
-	b = append(b, t.ID[:]...)
-	b = binary.AppendUvarint(b, uint64(t.ClientSpan))
-	b = appendText(appendText(appendText(b, t.Router), t.TransactionID), t.Class)
-	for _, n := range []uint64{t.Object, uint64(t.Chunk), uint64(t.PurgeGroup), uint64(t.Retry), uint64(t.Outcome), uint64(t.Reasons),
-		uint64(t.LostBefore), uint64(t.Attempts), micros(t.Start), micros(t.End - t.Start), math.Float64bits(t.Weight)} {
-		b = binary.AppendUvarint(b, n)
-	}
-	b = binary.AppendUvarint(b, uint64(len(t.Spans)))
-	for _, s := range t.Spans {
-		b = append(b, byte(s.Kind), s.AttemptNumber, s.Result, s.Flags, s.CopyRank)
-		for _, n := range []uint64{uint64(s.ID), uint64(s.Parent), uint64(s.Server), uint64(s.FillSource), uint64(s.Bytes),
-			uint64(math.Float32bits(s.MaxAge)), uint64(math.Float32bits(s.Inflight)), uint64(math.Float32bits(s.LinkUtilization))} {
-			b = binary.AppendUvarint(b, n)
-		}
-		b = binary.AppendVarint(b, int64(micros(s.Start)-micros(t.Start)))
-		b = binary.AppendVarint(b, int64(micros(s.End)-micros(s.Start)))
-	}
-	for _, l := range t.Links { // to the record's end
-		b = append(binary.AppendUvarint(b, uint64(l.From)), l.Trace[:]...)
-		b = binary.AppendUvarint(b, uint64(l.To))
+// Append appends the stored form of a trace to a buffer and returns it. Times are rounded to
+// the microsecond, and texts are cut after 255 bytes.
+func Append(dst []byte, t *Trace) []byte {
+	dst = append(dst, t.ID[:]...)
+	dst = binary.AppendUvarint(dst, uint64(t.ClientSpan))
+	dst = appendText(dst, t.Router)
+	dst = appendText(dst, t.TransactionID)
+	dst = appendText(dst, t.Class)
+	dst = binary.AppendUvarint(dst, t.Object)
+	dst = binary.AppendUvarint(dst, uint64(t.Chunk))
+	dst = binary.AppendUvarint(dst, uint64(t.PurgeGroup))
+	dst = binary.AppendUvarint(dst, uint64(t.Retry))
+	dst = binary.AppendUvarint(dst, uint64(t.Outcome))
+	dst = binary.AppendUvarint(dst, uint64(t.Reasons))
+	dst = binary.AppendUvarint(dst, uint64(t.LostBefore))
+	dst = binary.AppendUvarint(dst, uint64(t.Attempts))
+	dst = binary.AppendUvarint(dst, micros(t.Start))
+	dst = binary.AppendUvarint(dst, micros(t.End-t.Start))
+	dst = binary.AppendUvarint(dst, math.Float64bits(t.Weight))
+	dst = binary.AppendUvarint(dst, uint64(len(t.Spans)))
+	start := micros(t.Start)
+	for i := range t.Spans {
+		dst = appendSpan(dst, &t.Spans[i], start)
 	}
-	return b
+	return appendLinks(dst, t.Links)
 }
 
-func micros(ms float64) uint64 { return uint64(int64(math.Round(ms * 1000))) }
+// appendSpan appends a span whose start is stored relative to the start of its trace, in
+// microseconds.
+func appendSpan(dst []byte, span *Span, traceStart uint64) []byte {
+	dst = append(dst, byte(span.Kind), span.AttemptNumber, span.Result, span.Flags, span.CopyRank)
+	dst = binary.AppendUvarint(dst, uint64(span.ID))
+	dst = binary.AppendUvarint(dst, uint64(span.Parent))
+	dst = binary.AppendUvarint(dst, uint64(span.Server))
+	dst = binary.AppendUvarint(dst, uint64(span.FillSource))
+	dst = binary.AppendUvarint(dst, uint64(span.Bytes))
+	dst = binary.AppendUvarint(dst, uint64(math.Float32bits(span.MaxAge)))
+	dst = binary.AppendUvarint(dst, uint64(math.Float32bits(span.Inflight)))
+	dst = binary.AppendUvarint(dst, uint64(math.Float32bits(span.LinkUtilization)))
+	start := micros(span.Start)
+	dst = binary.AppendVarint(dst, int64(start-traceStart))
+	return binary.AppendVarint(dst, int64(micros(span.End)-start))
+}
 
-func millis(us uint64) float64 { return float64(int64(us)) / 1000 }
+// appendLinks appends links without their number: they extend to the end of the record.
+func appendLinks(dst []byte, links []Link) []byte {
+	for _, link := range links {
+		dst = binary.AppendUvarint(dst, uint64(link.From))
+		dst = append(dst, link.Trace[:]...)
+		dst = binary.AppendUvarint(dst, uint64(link.To))
+	}
+	return dst
+}
 
-func appendText(b []byte, s string) []byte {
-	s = s[:min(len(s), maxTextLength)]
-	return append(append(b, byte(len(s))), s...)
+// appendText appends a text after its length in one byte.
+func appendText(dst []byte, text string) []byte {
+	text = text[:min(len(text), maxTextLength)]
+	dst = append(dst, byte(len(text)))
+	return append(dst, text...)
 }
 
-// Decode reads one trace from the whole of b.
-func Decode(b []byte) (*Trace, error) {
-	d := decoder{remaining: b}
+const microsPerMilli = 1000
+
+// micros converts milliseconds to microseconds. A negative time is its two's complement, so
+// that differences of two times are right.
+func micros(ms float64) uint64 { return uint64(int64(math.Round(ms * microsPerMilli))) }
+
+// millis is the inverse of micros.
+func millis(us uint64) float64 { return float64(int64(us)) / microsPerMilli }
+
+// Decode decodes a record that Append wrote; it must be the whole of the bytes. Its errors
+// are ErrCorruptRecord.
+func Decode(record []byte) (*Trace, error) {
+	fields := decoder{remaining: record}
 	t := &Trace{}
-	copy(t.ID[:], d.take(16))
-	t.ClientSpan = SpanID(d.uint(math.MaxUint64))
-	t.Router, t.TransactionID, t.Class = d.text(), d.text(), d.text()
-	t.Object, t.Chunk, t.PurgeGroup = d.uint(math.MaxUint64), uint32(d.uint(math.MaxUint32)), uint16(d.uint(math.MaxUint16))
-	t.Retry, t.Outcome, t.Reasons = uint8(d.uint(255)), Outcome(d.uint(uint64(outcomeCount)-1)), Reason(d.uint(255))
-	t.LostBefore, t.Attempts = uint32(d.uint(math.MaxUint32)), uint8(d.uint(255))
-	start := d.uint(math.MaxInt64)
-	t.Start, t.End = millis(start), millis(start+d.uint(math.MaxInt64/2))
-	t.Weight = math.Float64frombits(d.uint(math.MaxUint64))
-	n := d.uint(maxSpans)
-	if d.failed || math.IsNaN(t.Weight) || n > uint64(len(d.remaining)) {
+	start := fields.readHead(t)
+	spanCount := fields.uint(maxSpans)
+	// A span takes more than a byte, so a record cannot make Decode allocate more than it
+	// has the bytes for.
+	if fields.failed || math.IsNaN(t.Weight) || spanCount > uint64(len(fields.remaining)) {
 		return nil, fmt.Errorf("%w: head", ErrCorruptRecord)
 	}
-	t.Spans = make([]Span, n)
+	t.Spans = make([]Span, spanCount)
 	for i := range t.Spans {
-		s := &t.Spans[i]
-		k := d.take(5)
-		s.Kind, s.AttemptNumber, s.Result, s.Flags, s.CopyRank = Kind(k[0]), k[1], k[2], k[3], k[4]
-		s.ID, s.Parent = SpanID(d.uint(math.MaxUint64)), SpanID(d.uint(math.MaxUint64))
-		s.Server, s.FillSource = routing.ServerID(d.uint(math.MaxUint64)), routing.ServerID(d.uint(math.MaxUint64))
-		s.Bytes = uint32(d.uint(math.MaxUint32))
-		s.MaxAge, s.Inflight, s.LinkUtilization = d.float32(), d.float32(), d.float32()
-		at := start + uint64(d.int())
-		s.Start, s.End = millis(at), millis(at+uint64(d.int()))
-		if d.failed || s.Kind >= kindCount {
+		fields.readSpan(&t.Spans[i], start)
+		if fields.failed || t.Spans[i].Kind >= kindCount {
 			return nil, fmt.Errorf("%w: span %d", ErrCorruptRecord, i)
 		}
 	}
-	for len(d.remaining) > 0 && len(t.Links) < maxSpans {
-		l := Link{From: SpanID(d.uint(math.MaxUint64))}
-		copy(l.Trace[:], d.take(16))
-		l.To = SpanID(d.uint(math.MaxUint64))
-		t.Links = append(t.Links, l)
-	}
-	if d.failed || len(d.remaining) > 0 {
+	t.Links = fields.readLinks()
+	if fields.failed || len(fields.remaining) > 0 {
 		return nil, fmt.Errorf("%w: links", ErrCorruptRecord)
 	}
 	return t, nil
 }
 
-// decoder reads fields; bad says that one was not there or out of range.
+// decoder reads the fields of a record one after the other. Once a field was missing or out
+// of range it has failed, and all further fields are zero.
 type decoder struct {
 	remaining []byte
 	failed    bool
 }
 
-func (d *decoder) take(n int) []byte {
-	if len(d.remaining) < n {
-		d.failed, d.remaining = true, nil
-		return make([]byte, n)
+// readHead reads all fields before the spans, and returns the start in microseconds.
+func (d *decoder) readHead(t *Trace) uint64 {
+	t.ID = d.traceID()
+	t.ClientSpan = d.spanID()
+	t.Router = d.text()
+	t.TransactionID = d.text()
+	t.Class = d.text()
+	t.Object = d.uint(math.MaxUint64)
+	t.Chunk = d.uint32()
+	t.PurgeGroup = uint16(d.uint(math.MaxUint16))
+	t.Retry = d.uint8()
+	t.Outcome = Outcome(d.uint(uint64(outcomeCount) - 1))
+	t.Reasons = Reason(d.uint8())
+	t.LostBefore = d.uint32()
+	t.Attempts = d.uint8()
+	start := d.uint(math.MaxInt64)
+	duration := d.uint(math.MaxInt64 / 2)
+	t.Start = millis(start)
+	t.End = millis(start + duration)
+	t.Weight = math.Float64frombits(d.uint(math.MaxUint64))
+	return start
+}
+
+// readSpan reads a span of a trace that started at traceStart, in microseconds.
+func (d *decoder) readSpan(span *Span, traceStart uint64) {
+	head := d.take(spanHeadSize)
+	span.Kind = Kind(head[0])
+	span.AttemptNumber = head[1]
+	span.Result = head[2]
+	span.Flags = head[3]
+	span.CopyRank = head[4]
+	span.ID = d.spanID()
+	span.Parent = d.spanID()
+	span.Server = routing.ServerID(d.uint(math.MaxUint64))
+	span.FillSource = routing.ServerID(d.uint(math.MaxUint64))
+	span.Bytes = d.uint32()
+	span.MaxAge = d.float32()
+	span.Inflight = d.float32()
+	span.LinkUtilization = d.float32()
+	start := traceStart + uint64(d.int())
+	end := start + uint64(d.int())
+	span.Start = millis(start)
+	span.End = millis(end)
+}
+
+// readLinks reads links up to the end of the record, or up to the most that one may have.
+func (d *decoder) readLinks() []Link {
+	var links []Link
+	for len(d.remaining) > 0 && len(links) < maxSpans {
+		link := Link{From: d.spanID(), Trace: d.traceID(), To: d.spanID()}
+		links = append(links, link)
+	}
+	return links
+}
+
+// take reads a number of bytes; zeros if there are fewer.
+func (d *decoder) take(size int) []byte {
+	if len(d.remaining) < size {
+		d.fail()
+		return make([]byte, size)
 	}
-	b := d.remaining[:n]
-	d.remaining = d.remaining[n:]
-	return b
+	taken := d.remaining[:size]
+	d.remaining = d.remaining[size:]
+	return taken
 }
 
-func (d *decoder) uint(most uint64) uint64 {
-	n, k := binary.Uvarint(d.remaining)
-	if k <= 0 || n > most {
-		d.failed, d.remaining = true, nil
+// uint reads an unsigned varint of at most limit.
+func (d *decoder) uint(limit uint64) uint64 {
+	value, size := binary.Uvarint(d.remaining)
+	if size <= 0 || value > limit {
+		d.fail()
 		return 0
 	}
-	d.remaining = d.remaining[k:]
-	return n
+	d.remaining = d.remaining[size:]
+	return value
 }
 
+// int reads a signed varint.
 func (d *decoder) int() int64 {
-	n, k := binary.Varint(d.remaining)
-	if k <= 0 {
-		d.failed, d.remaining = true, nil
+	value, size := binary.Varint(d.remaining)
+	if size <= 0 {
+		d.fail()
 		return 0
 	}
-	d.remaining = d.remaining[k:]
-	return n
+	d.remaining = d.remaining[size:]
+	return value
 }
 
-func (d *decoder) float32() float32 { return math.Float32frombits(uint32(d.uint(math.MaxUint32))) }
+func (d *decoder) fail() {
+	d.failed = true
+	d.remaining = nil
+}
+
+func (d *decoder) uint8() uint8 { return uint8(d.uint(math.MaxUint8)) }
+
+func (d *decoder) uint32() uint32 { return uint32(d.uint(math.MaxUint32)) }
+
+func (d *decoder) float32() float32 { return math.Float32frombits(d.uint32()) }
 
-func (d *decoder) text() string { return string(d.take(int(d.take(1)[0]))) }
+func (d *decoder) spanID() SpanID { return SpanID(d.uint(math.MaxUint64)) }
+
+func (d *decoder) traceID() ID { return ID(d.take(idSize)) }
+
+func (d *decoder) text() string {
+	length := d.take(1)[0]
+	return string(d.take(int(length)))
+}
--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -1,6 +1,8 @@
 package trace
 
 import (
+	"bytes"
+	"fmt"
 	"math"
 	"testing"
 	"time"
@@ -9,22 +11,73 @@
 	"garnetline/routing"
 )
 
-// Kept records are read by later releases, and written as they always were.
-// UPDATE_GOLDEN=1 rewrites testdata.
-func TestRecordMatchesGolden(t *testing.T) {
+// goldenTrace is a partial trace with a value in every stored field.
+func goldenTrace() *Trace {
 	const start = 1_700_000_000_000.0
-	l := Begin(Trace{ID: ID{1, 2, 3, 15: 16}, ClientSpan: 99, Router: "n1", TransactionID: "9b1f03aa5c7e2d41", Class: "part", Object: 1 << 60, Chunk: 3,
-		PurgeGroup: 17, Retry: 1, Start: start, Reasons: ReasonRetried | ReasonSlow, Weight: 2.5, LostBefore: 4}, 5)
-	l.AttemptStarted(start+1, routing.SendAttempt{Server: 7, FillSource: 9, CopyRank: 2, JoinFill: true, Revalidate: true, OnlyIfCached: true, MaxAge: time.Second})
-	l.AttemptEnded(start+41.25, routing.ServerError, 0, routing.LoadReport{Inflight: 3, LinkUtilization: math.NaN()}, WireTimes{DialedAt: start + 2, ConnectedAt: start + 3, WrittenAt: start + 3.5, MaxAge: 500})
-	l.AttemptStarted(start+41.5, routing.SendAttempt{Server: 8, FillSource: 8})
-	l.AttemptEnded(start+60, routing.Served, 4096, routing.LoadReport{Inflight: math.NaN(), LinkUtilization: 0.5}, WireTimes{})
-	l.Responded(start+61, Served)
-	record := l.Finished()
-	record.Links = []Link{{From: record.Spans[0].ID, Trace: ID{9}, To: 77}}
-	golden.Compare(t, "record.bin", Append(nil, record))
-	read, err := Decode(golden.Read(t, "record.bin"))
-	if err != nil || !equalTraces(record, read) {
-		t.Errorf("read back: %+v, %v", read, err)
+	active := Begin(Trace{
+		ID:            ID{1, 2, 3, 15: 16},
+		ClientSpan:    99,
+		Router:        "n1",
+		TransactionID: "9b1f03aa5c7e2d41",
+		Class:         "part",
+		Object:        1 << 60,
+		Chunk:         3,
+		PurgeGroup:    17,
+		Retry:         1,
+		Start:         start,
+		Reasons:       ReasonRetried | ReasonSlow,
+		Weight:        2.5,
+		LostBefore:    4,
+	}, 5)
+	active.AttemptStarted(start+1, routing.SendAttempt{
+		Server:       7,
+		FillSource:   9,
+		CopyRank:     2,
+		JoinFill:     true,
+		Revalidate:   true,
+		OnlyIfCached: true,
+		MaxAge:       time.Second,
+	})
+	active.AttemptEnded(start+41.25, routing.ServerError, 0, routing.LoadReport{Inflight: 3, LinkUtilization: math.NaN()},
+		WireTimes{DialedAt: start + 2, ConnectedAt: start + 3, WrittenAt: start + 3.5, MaxAge: 500})
+	active.AttemptStarted(start+41.5, routing.SendAttempt{Server: 8, FillSource: 8})
+	active.AttemptEnded(start+60, routing.Served, 4096, routing.LoadReport{Inflight: math.NaN(), LinkUtilization: 0.5}, WireTimes{})
+	active.Responded(start+61, Served)
+	finished := active.Finished()
+	finished.Links = []Link{{From: finished.Spans[0].ID, Trace: ID{9}, To: 77}}
+	return finished
+}
+
+// Guards against a record that routers of another version cannot read: retained traces stay
+// on disk over an update. UPDATE_GOLDEN=1 rewrites testdata.
+func TestRecordMatchesGolden(t *testing.T) {
+	want := goldenTrace()
+	golden.Compare(t, "record.bin", Append(nil, want))
+	got, err := Decode(golden.Read(t, "record.bin"))
+	if err != nil {
+		t.Fatalf("Decode: %v", err)
+	}
+	if !equalTraces(got, want) {
+		t.Errorf("Decode returned\n%+v, want\n%+v", got, want)
+	}
+}
+
+// Guards against numbers and names on which routers of several versions, collectors and
+// operators agree: the ID of a trace's root, its place in the order by which routers sample,
+// the header, and the names of kinds and outcomes. UPDATE_GOLDEN=1 rewrites testdata.
+func TestDerivedValuesMatchGolden(t *testing.T) {
+	var text bytes.Buffer
+	for n := range byte(8) {
+		id := ID{n, 1, 2, 15: 255 - n}
+		header := SpanContext{Trace: id, Span: SpanID(n) + 1, Sampled: n%2 == 1}
+		fmt.Fprintf(&text, "%v root %016x span %016x order %.17g header %s\n",
+			id, uint64(id.Root()), uint64(id.Span(uint64(n)+7)), id.Order(), header)
+	}
+	for kind := range kindCount + 1 {
+		fmt.Fprintf(&text, "kind %v\n", kind)
+	}
+	for outcome := range outcomeCount + 1 {
+		fmt.Fprintf(&text, "outcome %v\n", outcome)
 	}
+	golden.Compare(t, "derived.txt", text.Bytes())
 }
--- /dev/null
+++ b/internal/trace/id_test.go
@@ -0,0 +1,35 @@
+package trace
+
+import (
+	"math/rand/v2"
+	"testing"
+)
+
+// Guards against an order that favors some IDs: the weights of sampled traces assume that it
+// is uniform.
+func TestOrderIsUniform(t *testing.T) {
+	const (
+		ids       = 100_000
+		tenths    = 10
+		tolerance = 0.04
+	)
+	var counts [tenths]int
+	rng := rand.New(rand.NewPCG(1, 2))
+	for range ids {
+		var id ID
+		for i := range id {
+			id[i] = byte(rng.Uint32())
+		}
+		order := id.Order()
+		if order <= 0 || order > 1 {
+			t.Fatalf("order of %v is %v, want a number in (0, 1]", id, order)
+		}
+		counts[min(int(order*tenths), tenths-1)]++
+	}
+	const want = ids / tenths
+	for tenth, got := range counts {
+		if got < want*(1-tolerance) || got > want*(1+tolerance) {
+			t.Errorf("%d of %d orders are in tenth %d, want %d", got, ids, tenth, want)
+		}
+	}
+}
