--- /dev/null
+++ b/internal/trace/store/filter.go
@@ -0,0 +1,99 @@
+package store
+
+import (
+	"slices"
+
+	"garnetline/internal/trace"
+	"garnetline/routing"
+)
+
+// Filter selects traces. A field with its zero value selects all, and so does the zero Filter.
+type Filter struct {
+	ID            trace.ID
+	Class         string
+	TransactionID string
+	Outcome       uint8            // the sum of 1 << outcome for each trace.Outcome that is wanted
+	Server        routing.ServerID // target or fill source of an attempt
+	MinDuration   float64          // ms
+	MinAttempts   int
+	Reasons       trace.Reason // at least one of them
+	From, To      float64      // Unix ms, bounds of the start, inclusive
+}
+
+// durationTolerance is the relative error that is allowed for a duration that a header holds
+// as a float32.
+const durationTolerance = 1e-6
+
+// mayMatch reports whether a block can hold a trace that matches.
+func (f *Filter) mayMatch(header *blockHeader) bool {
+	switch {
+	case f.Outcome != 0 && f.Outcome&header.outcomes == 0:
+		return false
+	case f.Reasons != 0 && f.Reasons&header.reasons == 0:
+		return false
+	case f.MinDuration > 0 && float64(header.maxDuration) < f.MinDuration*(1-durationTolerance):
+		return false
+	case f.MinAttempts > int(header.maxAttempts):
+		return false
+	case header.lastStart < f.From:
+		return false
+	case f.To > 0 && header.firstStart > f.To:
+		return false
+	case f.Class != "" && !slices.Contains(header.classes, f.Class):
+		return false
+	}
+	return f.mayMatchServer(header) && f.mayMatchID(header)
+}
+
+func (f *Filter) mayMatchServer(h *blockHeader) bool {
+	if f.Server == 0 || h.anyServer {
+		return true
+	}
+	_, found := slices.BinarySearch(h.servers, uint64(f.Server))
+	return found
+}
+
+func (f *Filter) mayMatchID(h *blockHeader) bool {
+	if f.ID == (trace.ID{}) {
+		return true
+	}
+	_, found := slices.BinarySearch(h.fingerprints, fingerprint(f.ID))
+	return found
+}
+
+// Matches reports whether the filter selects a trace.
+func (f *Filter) Matches(t *trace.Trace) bool {
+	return f.matchesRequest(t) && f.matchesResult(t) && f.matchesStart(t) && f.matchesServer(t)
+}
+
+func (f *Filter) matchesRequest(t *trace.Trace) bool {
+	switch {
+	case f.ID != trace.ID{} && f.ID != t.ID:
+		return false
+	case f.Class != "" && f.Class != t.Class:
+		return false
+	case f.TransactionID != "" && f.TransactionID != t.TransactionID:
+		return false
+	}
+	return true
+}
+
+func (f *Filter) matchesResult(t *trace.Trace) bool {
+	switch {
+	case f.Outcome != 0 && f.Outcome&(1<<t.Outcome) == 0:
+		return false
+	case f.Reasons != 0 && f.Reasons&t.Reasons == 0:
+		return false
+	case int(t.Attempts) < f.MinAttempts:
+		return false
+	}
+	return f.MinDuration == 0 || t.Duration() >= f.MinDuration
+}
+
+func (f *Filter) matchesStart(t *trace.Trace) bool {
+	return t.Start >= f.From && (f.To == 0 || t.Start <= f.To)
+}
+
+func (f *Filter) matchesServer(t *trace.Trace) bool {
+	return f.Server == 0 || t.Involves(f.Server)
+}
--- a/internal/trace/store/golden_test.go
+++ b/internal/trace/store/golden_test.go
@@ -11,52 +11,60 @@
 	"garnetline/internal/trace"
 )
 
-// Segments are read by later releases, and written as they always were.
-// UPDATE_GOLDEN=1 rewrites testdata.
-func TestSegmentMatchesGolden(t *testing.T) {
-	folder := t.TempDir()
-	w, err := Open(folder, 1<<20, 1<<30)
-	if err != nil {
-		t.Fatal(err)
-	}
+// writeGoldenSegment writes twelve traces in two blocks of one segment.
+func writeGoldenSegment(t *testing.T, folder string) []*trace.Trace {
+	t.Helper()
+	const (
+		traces           = 12
+		lastOfFirstBlock = 7
+	)
+	writer := openWriter(t, folder, 1<<20, 1<<30)
 	rng := rand.New(rand.NewPCG(11, 1))
-	var all []*trace.Trace
-	for i := range 12 {
-		x := newTrace(rng, i)
-		all = append(all, x)
-		if err := w.Add(x); err != nil {
-			t.Fatal(err)
+	var written []*trace.Trace
+	for i := range traces {
+		added := newTrace(rng, i)
+		written = append(written, added)
+		addTrace(t, writer, added)
+		if i != lastOfFirstBlock {
+			continue
 		}
-		if i == 7 { // a second block
-			if err := w.Flush(x.End); err != nil {
-				t.Fatal(err)
-			}
+		if err := writer.Flush(added.End); err != nil {
+			t.Fatal(err)
 		}
 	}
-	if err := w.Close(all[11].End); err != nil {
-		t.Fatal(err)
-	}
-	paths, err := segmentPaths(folder)
-	if err != nil || len(paths) != 1 {
-		t.Fatal(paths, err)
+	closeWriter(t, writer, written[traces-1].End)
+	return written
+}
+
+// Guards against a segment that routers of another version cannot read: retained traces stay
+// on disk over an update. UPDATE_GOLDEN=1 rewrites testdata.
+func TestSegmentMatchesGolden(t *testing.T) {
+	folder := t.TempDir()
+	written := writeGoldenSegment(t, folder)
+	segments := listSegments(t, folder)
+	if len(segments) != 1 {
+		t.Fatalf("%d segments, want 1", len(segments))
 	}
-	written, err := os.ReadFile(paths[0])
+	content, err := os.ReadFile(segments[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Compare(t, "segment.bin", written)
+	golden.Compare(t, "segment.bin", content)
 
-	old := t.TempDir()
-	if err := os.WriteFile(filepath.Join(old, "001700000000000-1-0001.traces"), golden.Read(t, "segment.bin"), 0o600); err != nil {
+	goldenFolder := t.TempDir()
+	path := filepath.Join(goldenFolder, "001700000000000-1-0001.traces")
+	if err := os.WriteFile(path, golden.Read(t, "segment.bin"), segmentMode); err != nil {
 		t.Fatal(err)
 	}
-	got, _ := queryFolder(t, old, Filter{})
-	if len(got) != len(all) {
-		t.Fatalf("%d traces read back, want %d", len(got), len(all))
+	found, _ := queryFolder(t, goldenFolder, Filter{})
+	if len(found) != len(written) {
+		t.Fatalf("found %d traces, want %d", len(found), len(written))
 	}
-	for i := range got {
-		if !bytes.Equal(trace.Append(nil, got[i]), trace.Append(nil, all[i])) {
-			t.Errorf("trace %d read back: %+v", i, got[i])
+	for i := range found {
+		got := trace.Append(nil, found[i])
+		want := trace.Append(nil, written[i])
+		if !bytes.Equal(got, want) {
+			t.Errorf("trace %d is %+v, want %+v", i, found[i], written[i])
 		}
 	}
 }
--- /dev/null
+++ b/internal/trace/store/segment_test.go
@@ -0,0 +1,159 @@
+package store
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"garnetline/internal/fuzzutil"
+	"garnetline/internal/trace"
+)
+
+// blockEnds returns the offsets after each block of a segment.
+func blockEnds(t *testing.T, path string) []int64 {
+	t.Helper()
+	file, err := os.Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer closeSegment(file)
+	var ends []int64
+	err = scanSegment(file, func(block blockRef) bool {
+		ends = append(ends, block.end())
+		return true
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return ends
+}
+
+// truncations returns where segments are cut in TestOpenTruncatesIncompleteBlock: at nothing,
+// within the format's line, within the first block, and at random offsets.
+func truncations(segmentSize int, ends []int64) []int64 {
+	const count = 60
+	cuts := []int64{0, int64(len(segmentMagic)) - 1, ends[0] - 1}
+	rng := rand.New(rand.NewPCG(2, 2))
+	for len(cuts) < count {
+		cuts = append(cuts, int64(rng.IntN(segmentSize)))
+	}
+	return cuts
+}
+
+// Guards against traces that cannot be read, and blocks that are appended after damaged ones,
+// where a router was killed while it wrote.
+func TestOpenTruncatesIncompleteBlock(t *testing.T) {
+	folder := t.TempDir()
+	writeTraces(t, folder, 2000, 1<<30)
+	path := listSegments(t, folder)[0]
+	whole, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ends := blockEnds(t, path)
+	if len(ends) < 3 {
+		t.Fatalf("%d blocks, want 3 or more", len(ends))
+	}
+	for _, cut := range truncations(len(whole), ends) {
+		t.Run(fmt.Sprintf("after %d bytes", cut), func(t *testing.T) {
+			checkRepaired(t, filepath.Base(path), whole[:cut], ends)
+		})
+	}
+}
+
+// checkRepaired opens and closes a Writer on an incomplete segment, and checks that its
+// complete blocks, which have the given ends, are readable before and after.
+func checkRepaired(t *testing.T, name string, incomplete []byte, ends []int64) {
+	t.Helper()
+	cut := int64(len(incomplete))
+	lastEnd := int64(0)
+	for _, end := range ends {
+		if end <= cut {
+			lastEnd = end
+		}
+	}
+	folder := t.TempDir()
+	path := filepath.Join(folder, name)
+	if err := os.WriteFile(path, incomplete, segmentMode); err != nil {
+		t.Fatal(err)
+	}
+	before, _ := queryFolder(t, folder, Filter{})
+	closeWriter(t, openWriter(t, folder, 1<<20, 1<<30), 1)
+	after, _ := queryFolder(t, folder, Filter{})
+	if len(before) != len(after) || (lastEnd > 0) != (len(after) > 0) {
+		t.Errorf("%d traces before the repair and %d after it, of blocks up to %d", len(before), len(after), lastEnd)
+	}
+	info, err := os.Stat(path)
+	if cut < int64(len(segmentMagic)) {
+		if err == nil {
+			t.Errorf("a file that is not a segment was left with %d bytes, want it removed", info.Size())
+		}
+		return
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := max(lastEnd, int64(len(segmentMagic))); info.Size() != want {
+		t.Errorf("the segment has %d bytes after the repair, want %d", info.Size(), want)
+	}
+}
+
+// Guards against a second process that truncates the segment that the first is writing.
+func TestOpenLeavesSegmentOfRunningWriter(t *testing.T) {
+	const incompleteBlock = "half a block"
+	folder := t.TempDir()
+	writer := openWriter(t, folder, 1<<20, 1<<30)
+	addTrace(t, writer, newTrace(rand.New(rand.NewPCG(2, 2)), 1))
+	if err := writer.Flush(testClose); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := writer.segment.WriteString(incompleteBlock); err != nil {
+		t.Fatal(err)
+	}
+	openWriter(t, folder, 1<<20, 1<<30)
+	content, err := os.ReadFile(listSegments(t, folder)[0])
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !strings.HasSuffix(string(content), incompleteBlock) {
+		t.Errorf("the segment of a running writer was truncated to %d bytes", len(content))
+	}
+	closeWriter(t, writer, testClose)
+}
+
+// FuzzSegment checks that no bytes of a segment make reading or repairing it panic.
+func FuzzSegment(f *testing.F) {
+	fuzzutil.AddRandomSeeds(f, 8, 200)
+	folder := f.TempDir()
+	writeTraces(f, folder, 30, 1<<20)
+	whole, err := os.ReadFile(listSegments(f, folder)[0])
+	if err != nil {
+		f.Fatal(err)
+	}
+	f.Add(whole)
+	f.Fuzz(func(t *testing.T, input []byte) {
+		content := input
+		if len(input)%2 == 1 {
+			content = damage(whole, input)
+		}
+		folder := t.TempDir()
+		if err := os.WriteFile(filepath.Join(folder, "1"+segmentSuffix), content, segmentMode); err != nil {
+			t.Fatal(err)
+		}
+		// The errors say that blocks are damaged, which is expected.
+		_, _ = readIndex(t, folder).Query(Filter{}, func(*trace.Trace) bool { return true })
+		closeWriter(t, openWriter(t, folder, 1<<20, 1<<30), 1)
+	})
+}
+
+// damage returns a copy of a segment with some bytes changed, as the input says.
+func damage(segment, input []byte) []byte {
+	damaged := append([]byte(nil), segment...)
+	for i, c := range input {
+		damaged[(i*997+int(c)*31)%len(damaged)] ^= c
+	}
+	return damaged
+}
