--- a/internal/trace/export/export.go
+++ b/internal/trace/export/export.go
@@ -1,216 +1,203 @@
-// Package export sends kept traces to a collector, as OTLP in JSON over HTTP. It has a
-// bounded queue and an actor of its own: a collector that is gone, slow, or answers
-// errors costs no request anything. What finds no room in the queue is counted.
+// Package export sends retained traces to a collector, as OTLP in JSON over HTTP.
+//
+// An Exporter has a bounded queue and a goroutine of its own: a collector that is down, slow
+// or answers errors delays no request. Traces that do not fit into the queue are counted.
 package export
 
 import (
-	"context"
 	"errors"
 	"fmt"
-	"io"
 	"math/rand/v2"
-	"net"
 	"net/url"
-	"strconv"
-	"strings"
 	"time"
 
 	"github.com/rs/zerolog"
 
 	"garnetline/internal/clock"
 	"garnetline/internal/metrics"
-	"garnetline/internal/textconn"
 	"garnetline/internal/trace"
-	"garnetline/internal/trace/render"
 )
 
 const (
-	maxBatch        = 64       // traces in one call
-	maxResponseSize = 64 << 10 // bytes of an answer that are read
+	// maxBatch is how many traces one call takes.
+	maxBatch = 64
+	// defaultPort and defaultPath complete a collector's URL. The path is OTLP's.
+	defaultPort = ":80"
+	defaultPath = "/v1/traces"
+	// backoffStream separates the random numbers of the backoff from others of the same seed.
+	backoffStream = 3
 )
 
-// Options are what an Exporter is made with.
+// The metrics that an Exporter counts.
+const (
+	metricExported    = "traces_exported"
+	metricNotExported = "traces_not_exported"
+	metricFailures    = "export_failures" // calls
+)
+
+// ErrInvalidURL is returned by New for a collector's URL that is not an http URL with a host.
+var ErrInvalidURL = errors.New("not an http URL")
+
+// Options configure an Exporter.
 type Options struct {
-	URL       string  // http
-	QueueSize int     // traces that wait
-	Timeout   float64 // ms, of one call
+	URL       string  // of the collector; http only
+	QueueSize int     // traces
+	Timeout   float64 // ms, for connecting, and from then on for writing and for the response
 	Metrics   *metrics.Registry
 	Log       *zerolog.Logger
-	Seed      uint64
+	Seed      uint64 // of the backoff's jitter; differs from router to router
 }
 
-// Exporter is a record.Sink.
+// Exporter is a recorder.Sink that sends traces to a collector.
 type Exporter struct {
 	Options
 	collector *url.URL
 	queue     chan *trace.Trace
-	quit      chan struct{}
-	stopped   chan struct{}
+	quit      chan struct{} // closed by Close
+	stopped   chan struct{} // closed when run has returned
+
+	// Owned by the goroutine of run.
+	batch   []*trace.Trace // taken from the queue and not yet exported
+	backoff backoff
 }
 
-// New returns an Exporter whose actor runs until Close.
-func New(o Options) (*Exporter, error) {
-	u, err := url.Parse(o.URL)
-	if err != nil || u.Scheme != "http" || u.Host == "" {
-		return nil, fmt.Errorf("%q is not an http URL", o.URL)
-	}
-	if u.Port() == "" {
-		u.Host += ":80"
+// New returns an Exporter whose goroutine runs until Close. Its errors are ErrInvalidURL.
+func New(options Options) (*Exporter, error) {
+	collector, err := parseCollectorURL(options.URL)
+	if err != nil {
+		return nil, err
 	}
-	if u.Path == "" {
-		u.Path = "/v1/traces"
+	x := &Exporter{
+		Options:   options,
+		collector: collector,
+		queue:     make(chan *trace.Trace, options.QueueSize),
+		quit:      make(chan struct{}),
+		stopped:   make(chan struct{}),
+		backoff:   backoff{random: rand.New(rand.NewPCG(options.Seed, backoffStream))},
 	}
-	x := &Exporter{Options: o, collector: u, queue: make(chan *trace.Trace, o.QueueSize), quit: make(chan struct{}), stopped: make(chan struct{})}
 	go x.run()
 	return x, nil
 }
 
-// Add queues a trace. It never waits.
+// parseCollectorURL parses a URL and completes its port and path.
+func parseCollectorURL(text string) (*url.URL, error) {
+	collector, err := url.Parse(text)
+	if err != nil || collector.Scheme != "http" || collector.Host == "" {
+		return nil, fmt.Errorf("%q is %w", text, ErrInvalidURL)
+	}
+	if collector.Port() == "" {
+		collector.Host += defaultPort
+	}
+	if collector.Path == "" {
+		collector.Path = defaultPath
+	}
+	return collector, nil
+}
+
+// Add queues a trace, or counts it as not exported if the queue is full. It does not block,
+// and its error is always nil.
 func (x *Exporter) Add(t *trace.Trace) error {
 	select {
 	case x.queue <- t:
 	default:
-		x.Metrics.Add("traces_not_exported", 1)
+		x.Metrics.Add(metricNotExported, 1)
 	}
 	return nil
 }
 
-// Flush has nothing to do: what is queued is sent as soon as it can be.
+// Flush does nothing: queued traces are sent without delay.
 func (x *Exporter) Flush(float64) error { return nil }
 
-// Close makes one last call with what is queued, a batch at the most, and returns when
-// it has ended, within the timeout. The rest is counted as not exported.
+// Close stops the Exporter and waits until its goroutine has returned. If the collector is
+// failing, one last call is made, with one batch; what remains is counted as not exported.
+// Close must be called once, and Add not after it.
 func (x *Exporter) Close(float64) error {
 	close(x.quit)
 	<-x.stopped
 	return nil
 }
 
-// run sends batches; one that failed is sent again after a pause.
+// run sends batches until Close. A batch whose call failed is sent again after a backoff.
 func (x *Exporter) run() {
 	defer close(x.stopped)
-	p := backoff{random: rand.New(rand.NewPCG(x.Seed, 3))}
-	var batch []*trace.Trace
-	for {
-		if len(batch) == 0 {
-			select {
-			case t := <-x.queue:
-				batch = append(batch, t)
-			case <-x.quit:
-				return
-			}
-		}
-		batch = x.fillBatch(batch)
-		after, err := x.send(batch)
-		switch {
-		case err == nil:
-			x.Metrics.Add("traces_exported", int64(len(batch)))
-			p.bound, batch = 0, nil
+	for x.waitForBatch() {
+		retryAfter, err := x.send(x.batch)
+		if err == nil {
+			x.recordExported()
+			x.backoff.reset()
 			continue
-		case errors.Is(err, errPermanent):
-			x.Metrics.Add("traces_not_exported", int64(len(batch)))
-			batch = nil
 		}
-		if p.bound == 0 { // once, until a call succeeds again
-			x.Log.Warn().Err(err).Str("collector", x.collector.Host).Msg("traces not exported")
+		x.recordFailure(err)
+		if !x.waitForBackoff(retryAfter) {
+			x.sendLast()
+			return
 		}
-		x.Metrics.Add("export_failures", 1)
+	}
+}
+
+// waitForBatch waits until there is a batch to send, and reports false on Close. A batch from
+// before is filled up and sent again.
+func (x *Exporter) waitForBatch() bool {
+	if len(x.batch) == 0 {
 		select {
-		case <-time.After(clock.Duration(p.next(after))):
+		case t := <-x.queue:
+			x.batch = append(x.batch, t)
 		case <-x.quit:
-			if batch = x.fillBatch(batch); len(batch) > 0 {
-				if _, err := x.send(batch); err == nil {
-					x.Metrics.Add("traces_exported", int64(len(batch)))
-					batch = nil
-				}
-			}
-			x.Metrics.Add("traces_not_exported", int64(len(batch)+len(x.queue)))
-			return
+			return false
 		}
 	}
+	x.fillBatch()
+	return true
 }
 
-// more fills a batch with what is queued.
-func (x *Exporter) fillBatch(batch []*trace.Trace) []*trace.Trace {
-	for len(batch) < maxBatch {
+// fillBatch adds to the batch what is queued, without waiting.
+func (x *Exporter) fillBatch() {
+	for len(x.batch) < maxBatch {
 		select {
 		case t := <-x.queue:
-			batch = append(batch, t)
+			x.batch = append(x.batch, t)
 		default:
-			return batch
+			return
 		}
 	}
-	return batch
 }
 
-// errFinal reports an answer after which the same batch would fare no better.
-var errPermanent = errors.New("refused for good")
+// recordExported counts the batch as exported.
+func (x *Exporter) recordExported() {
+	x.Metrics.Add(metricExported, int64(len(x.batch)))
+	x.batch = nil
+}
 
-// send makes one call. after is how long the collector asks to be left alone, ms.
-func (x *Exporter) send(batch []*trace.Trace) (after float64, err error) {
-	body, err := render.Batch(batch)
-	if err != nil {
-		return 0, fmt.Errorf("%w: %w", errPermanent, err)
-	}
-	within := clock.Duration(x.Timeout)
-	ctx, stop := context.WithTimeout(context.Background(), within)
-	defer stop()
-	nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", x.collector.Host)
-	if err != nil {
-		return 0, err
-	}
-	k := textconn.New(nc)
-	defer k.Close()
-	if err := nc.SetReadDeadline(time.Now().Add(within)); err != nil {
-		return 0, err
+// recordFailure counts a call that failed, and drops the batch if the collector will not take
+// it later either. It logs the first failure after a success.
+func (x *Exporter) recordFailure(err error) {
+	if errors.Is(err, errPermanent) {
+		x.Metrics.Add(metricNotExported, int64(len(x.batch)))
+		x.batch = nil
 	}
-	head := fmt.Appendf(k.WriteBuffer(), "POST %s HTTP/1.1\r\nHost: %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\nConnection: close\r\n\r\n",
-		x.collector.RequestURI(), x.collector.Host, len(body))
-	if err := k.Flush(head, body, x.Timeout); err != nil {
-		return 0, err
-	}
-	k.LimitRead(maxResponseSize)
-	line, err := k.ReadLine()
-	if err != nil {
-		return 0, err
-	}
-	_, rest, _ := strings.Cut(line, " ")
-	status, err := strconv.Atoi(rest[:min(len(rest), 3)])
-	if err != nil || !strings.HasPrefix(line, "HTTP/1.") {
-		return 0, fmt.Errorf("answer %.40q", line)
-	}
-	header, err := k.ReadMIMEHeader()
-	if err != nil {
-		return 0, err
+	if !x.backoff.active() {
+		x.Log.Warn().Err(err).Str("collector", x.collector.Host).Msg("traces not exported")
 	}
-	switch {
-	case status/100 == 2:
-		_, err := io.Copy(io.Discard, k.R) // a close before it is read could reset the call
-		if errors.Is(err, textconn.ErrMessageTooLong) {
-			err = nil
-		}
-		return 0, err
-	case status == 429 || status == 502 || status == 503 || status == 504: // as OTLP says
-		seconds, _ := strconv.ParseFloat(header.Get("Retry-After"), 64)
-		return min(max(seconds, 0)*1000, maxBackoff), fmt.Errorf("status %d", status)
-	}
-	return 0, fmt.Errorf("%w: status %d", errPermanent, status)
+	x.Metrics.Add(metricFailures, 1)
 }
 
-// pause is the wait after a call that failed: it doubles from shortest to longest, and
-// each is drawn from the upper half of its length, so that routers come back apart.
-type backoff struct {
-	random *rand.Rand
-	bound  float64
+// waitForBackoff waits until the next call may be made, and reports false on Close.
+func (x *Exporter) waitForBackoff(retryAfter float64) bool {
+	select {
+	case <-time.After(clock.Duration(x.backoff.next(retryAfter))):
+		return true
+	case <-x.quit:
+		return false
+	}
 }
 
-const (
-	minBackoff = 200.0 // ms
-	maxBackoff = 30_000.0
-)
-
-// next returns the wait, in ms: at least what the collector asked for.
-func (p *backoff) next(after float64) float64 {
-	p.bound = min(max(2*p.bound, minBackoff), maxBackoff)
-	return max(p.bound*(1+p.random.Float64())/2, after)
+// sendLast sends one more batch, and counts what remains as not exported.
+func (x *Exporter) sendLast() {
+	x.fillBatch()
+	if len(x.batch) > 0 {
+		if _, err := x.send(x.batch); err == nil {
+			x.recordExported()
+		}
+	}
+	x.Metrics.Add(metricNotExported, int64(len(x.batch)+len(x.queue)))
 }
--- a/internal/trace/export/export_test.go
+++ b/internal/trace/export/export_test.go
@@ -2,167 +2,190 @@
 
 import (
 	"bytes"
-	"io"
-	"math/rand/v2"
+	"errors"
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"sync"
 	"testing"
 	"time"
 
-	"go.opentelemetry.io/collector/pdata/ptrace"
-
 	"garnetline/internal/logs"
 	"garnetline/internal/metrics"
 	"garnetline/internal/trace"
 	"garnetline/routing"
 )
 
-// collector is a stand-in that reads OTLP by OpenTelemetry's own library.
-type fakeCollector struct {
-	t        *testing.T
-	mu       sync.Mutex
-	spans    map[string]int // by trace and span
-	calls    int
-	respond  func(n int) (status int, retryAfter string)
-	received chan bool
+// failedTrace returns the partial trace of a request that failed with its one attempt: a
+// request, an attempt, a connection and a wait.
+func failedTrace(n byte) *trace.Trace {
+	const start = 1.7e12
+	active := trace.Begin(trace.Trace{
+		ID:      trace.ID{n, 9},
+		Router:  "n1",
+		Class:   "part",
+		Start:   start,
+		Weight:  1,
+		Reasons: trace.ReasonFailed,
+	}, uint64(n))
+	active.AttemptStarted(start+1, routing.SendAttempt{Server: 3, FillSource: 4})
+	timing := trace.WireTimes{WrittenAt: start + 2, DialedAt: start + 1, ConnectedAt: start + 2}
+	active.AttemptEnded(start+5, routing.ServerError, 0, routing.LoadReport{}, timing)
+	active.Responded(start+6, trace.Failed)
+	return active.Finished()
 }
 
-func (c *fakeCollector) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	body, _ := io.ReadAll(q.Body)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.calls++
-	if status, after := c.respond(c.calls); status != 200 {
-		w.Header().Set("Retry-After", after)
-		w.WriteHeader(status)
-		return
-	}
-	got, err := (&ptrace.JSONUnmarshaler{}).UnmarshalTraces(body)
-	if err != nil || q.Header.Get("Content-Type") != "application/json" || q.URL.Path != "/v1/traces" {
-		c.t.Errorf("%v: %.200s", err, body)
-	}
-	for i := range got.ResourceSpans().Len() {
-		spans := got.ResourceSpans().At(i).ScopeSpans().At(0).Spans()
-		ids := map[string]bool{}
-		for j := range spans.Len() {
-			ids[spans.At(j).SpanID().String()] = true
-		}
-		roots := 0
-		for j := range spans.Len() {
-			s := spans.At(j)
-			c.spans[s.TraceID().String()+s.SpanID().String()]++
-			if s.EndTimestamp() < s.StartTimestamp() {
-				c.t.Errorf("%v ends before it starts", s.SpanID())
-			}
-			if !ids[s.ParentSpanID().String()] {
-				roots++
-			}
-		}
-		if roots != 1 {
-			c.t.Errorf("%d spans without a parent in the piece", roots)
-		}
-	}
-	select {
-	case c.received <- true:
-	default:
+// newExporter returns an exporter and its metrics. The timeout is in ms.
+func newExporter(t *testing.T, url string, queueSize int, timeout float64) (*Exporter, *metrics.Registry) {
+	t.Helper()
+	registry := metrics.New()
+	exporter, err := New(Options{
+		URL:       url,
+		QueueSize: queueSize,
+		Timeout:   timeout,
+		Metrics:   registry,
+		Log:       logs.New(&bytes.Buffer{}),
+		Seed:      1,
+	})
+	if err != nil {
+		t.Fatal(err)
 	}
-	io.WriteString(w, "{}")
+	return exporter, registry
 }
 
-func failedTrace(n byte) *trace.Trace {
-	l := trace.Begin(trace.Trace{ID: trace.ID{n, 9}, Router: "n1", Class: "part", Start: 1.7e12, Weight: 1, Reasons: trace.ReasonFailed}, uint64(n))
-	l.AttemptStarted(1.7e12+1, routing.SendAttempt{Server: 3, FillSource: 4})
-	l.AttemptEnded(1.7e12+5, routing.ServerError, 0, routing.LoadReport{}, trace.WireTimes{WrittenAt: 1.7e12 + 2, DialedAt: 1.7e12 + 1, ConnectedAt: 1.7e12 + 2})
-	l.Responded(1.7e12+6, trace.Failed)
-	return l.Finished()
+func addTraces(t *testing.T, exporter *Exporter, traces ...*trace.Trace) {
+	t.Helper()
+	for _, added := range traces {
+		if err := exporter.Add(added); err != nil {
+			t.Fatal(err)
+		}
+	}
 }
 
-func newExporter(t *testing.T, url string, queue int, timeout float64) (*Exporter, *metrics.Registry) {
+func closeExporter(t *testing.T, exporter *Exporter) {
 	t.Helper()
-	count := metrics.New()
-	x, err := New(Options{URL: url, QueueSize: queue, Timeout: timeout, Metrics: count, Log: logs.New(&bytes.Buffer{}), Seed: 1})
-	if err != nil {
+	if err := exporter.Close(0); err != nil {
 		t.Fatal(err)
 	}
-	return x, count
 }
 
-// What is kept reaches a collector once, also after errors that pass, and is read there
-// by OpenTelemetry's library; an answer that is final drops its batch alone.
-func TestExporterDeliversEachSpanOnce(t *testing.T) {
-	c := &fakeCollector{t: t, spans: map[string]int{}, received: make(chan bool, 100), respond: func(n int) (int, string) {
-		return []int{503, 429, 400, 200}[min(n, 4)-1], "0"
-	}}
-	s := httptest.NewServer(c)
-	defer s.Close()
-	x, count := newExporter(t, s.URL, 100, 2000)
-	x.Add(failedTrace(1))
-	for count.Counter("traces_not_exported").Load() == 0 { // until the 400
-		time.Sleep(time.Millisecond)
+func checkCounter(t *testing.T, registry *metrics.Registry, name string, want int64) {
+	t.Helper()
+	if got := registry.Counter(name).Load(); got != want {
+		t.Errorf("%s is %d, want %d", name, got, want)
 	}
-	remote := failedTrace(2)
-	remote.ClientSpan = 0x77
-	for _, p := range []*trace.Trace{remote, failedTrace(3), failedTrace(4)} {
-		x.Add(p)
+}
+
+func TestNewRejectsInvalidURL(t *testing.T) {
+	for _, text := range []string{"", "collector:4318", "https://collector:4318", "http://", "http://%zz"} {
+		t.Run(text, func(t *testing.T) {
+			if _, err := New(Options{URL: text}); !errors.Is(err, ErrInvalidURL) {
+				t.Errorf("New returned %v for %q, want %v", err, text, ErrInvalidURL)
+			}
+		})
 	}
-	<-c.received
-	for count.Counter("traces_exported").Load() < 3 {
-		time.Sleep(time.Millisecond)
+}
+
+func TestNewCompletesURL(t *testing.T) {
+	for _, test := range []struct{ text, want string }{
+		{"http://collector", "http://collector:80/v1/traces"},
+		{"http://collector:4318", "http://collector:4318/v1/traces"},
+		{"http://[::1]:4318/otlp?tenant=a", "http://[::1]:4318/otlp?tenant=a"},
+	} {
+		t.Run(test.text, func(t *testing.T) {
+			exporter, _ := newExporter(t, test.text, 1, 100)
+			closeExporter(t, exporter)
+			if got := exporter.collector.String(); got != test.want {
+				t.Errorf("the collector's URL is %s, want %s", got, test.want)
+			}
+		})
 	}
-	x.Close(0)
-	if len(c.spans) != 5+6+6 || count.Counter("traces_not_exported").Load() != 1 || count.Counter("export_failures").Load() != 3 {
-		t.Errorf("%d spans arrived: %v", len(c.spans), count.Snapshot())
+}
+
+// Guards against traces that are lost, or sent twice, where the collector fails for a time,
+// and against a batch that the collector will never take and that holds up all others.
+func TestExporterDeliversEachSpanOnce(t *testing.T) {
+	statuses := []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusBadRequest}
+	collector := newFakeCollector(t, func(call int) (int, string) {
+		if call <= len(statuses) {
+			return statuses[call-1], "0"
+		}
+		return http.StatusOK, ""
+	})
+	server := httptest.NewServer(collector)
+	defer server.Close()
+	exporter, registry := newExporter(t, server.URL, 100, 2000)
+	addTraces(t, exporter, failedTrace(1))
+	receive(t, collector.called, len(statuses)) // the batch with it is dropped by the last of them
+
+	withClientSpan := failedTrace(2)
+	withClientSpan.ClientSpan = 0x77
+	addTraces(t, exporter, withClientSpan, failedTrace(3), failedTrace(4))
+	receive(t, collector.stored, 3)
+	closeExporter(t, exporter)
+
+	checkCounter(t, registry, metricExported, 3)
+	checkCounter(t, registry, metricNotExported, 1)
+	checkCounter(t, registry, metricFailures, int64(len(statuses)))
+	spans := collector.receivedSpans()
+	if want := 5 + 6 + 6; len(spans) != want { // a trace with a client's span goes without the root
+		t.Errorf("received %d spans, want %d", len(spans), want)
 	}
-	for id, n := range c.spans {
-		if n != 1 {
-			t.Errorf("%s came %d times", id, n)
+	for id, count := range spans {
+		if count != 1 {
+			t.Errorf("received span %s %d times, want once", id, count)
 		}
 	}
 }
 
-// A collector that accepts and never answers, or is gone, holds nobody up: what does not
-// fit the queue is counted at once, and the end comes within the timeout.
-func TestExporterDoesNotBlockOnFailingCollector(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// listen returns the address of a server that accepts connections and never responds.
+func listen(t *testing.T) string {
+	t.Helper()
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	gone, err := net.Listen("tcp", "127.0.0.1:0")
+	t.Cleanup(func() { _ = listener.Close() })
+	return listener.Addr().String()
+}
+
+// unusedAddress returns an address on which nothing listens.
+func unusedAddress(t *testing.T) string {
+	t.Helper()
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	gone.Close()
-	for _, addr := range []string{l.Addr().String(), gone.Addr().String()} {
-		x, count := newExporter(t, "http://"+addr, 10, 100)
-		began := time.Now()
-		for i := range 10_000 {
-			x.Add(failedTrace(byte(i)))
-		}
-		if took := time.Since(began); took > 5*time.Second {
-			t.Errorf("%s: 10,000 traces took %v", addr, took)
-		}
-		x.Close(0)
-		if lost := count.Counter("traces_not_exported").Load(); lost != 10_000 {
-			t.Errorf("%s: %d of 10000 are told as not exported", addr, lost)
-		}
+	if err := listener.Close(); err != nil {
+		t.Fatal(err)
 	}
+	return listener.Addr().String()
 }
 
-// Waits grow, stay bounded and differ from router to router.
-func TestBackoffGrowsWithJitter(t *testing.T) {
-	p, q := backoff{random: rand.New(rand.NewPCG(1, 3))}, backoff{random: rand.New(rand.NewPCG(2, 3))}
-	last := 0.0
-	for i := range 20 {
-		a, b := p.next(0), q.next(0)
-		if a == b || a > maxBackoff || a < last/4 || i == 0 && a > minBackoff {
-			t.Errorf("%d: %v and %v ms", i, a, b)
-		}
-		last = a
-	}
-	if w := p.next(maxBackoff); w != maxBackoff {
-		t.Errorf("%v ms where the collector asked for %v", w, maxBackoff)
+// Guards against a collector that holds up requests, or the end of the program, and against
+// lost traces that are not counted.
+func TestExporterDoesNotBlockOnFailingCollector(t *testing.T) {
+	const (
+		traces     = 10_000
+		maxAddTime = 5 * time.Second // for all of them
+	)
+	for _, test := range []struct {
+		name    string
+		address string
+	}{
+		{"never responds", listen(t)},
+		{"is down", unusedAddress(t)},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			exporter, registry := newExporter(t, "http://"+test.address, 10, 100)
+			started := time.Now()
+			for i := range traces {
+				addTraces(t, exporter, failedTrace(byte(i)))
+			}
+			if elapsed := time.Since(started); elapsed > maxAddTime {
+				t.Errorf("adding %d traces took %v, want %v or less", traces, elapsed, maxAddTime)
+			}
+			closeExporter(t, exporter)
+			checkCounter(t, registry, metricNotExported, traces)
+		})
 	}
 }
