--- a/internal/trace/render/otlp.go
+++ b/internal/trace/render/otlp.go
@@ -11,126 +11,142 @@
 	"garnetline/routing"
 )
 
-// The forms of OTLP's JSON, as far as they are used. 64-bit numbers stand as text.
-type (
-	otlpRequest struct {
-		ResourceSpans []otlpResourceSpans `json:"resourceSpans"`
-	}
-	otlpResourceSpans struct {
-		Resource   otlpResource     `json:"resource"`
-		ScopeSpans []otlpScopeSpans `json:"scopeSpans"`
+// serviceName is the name of the resource and of the scope of exported spans.
+const serviceName = "garnetline"
+
+// OTLP writes the spans of one trace as a line of OTLP JSON. The partial traces are those
+// that the spans were merged from; request spans have their attributes.
+func OTLP(w io.Writer, id trace.ID, spans []trace.Span, partials []*trace.Trace) error {
+	request := otlpRequest{ResourceSpans: []otlpResourceSpans{newResourceSpans(id, spans, partials)}}
+	return json.NewEncoder(w).Encode(request)
+}
+
+// Batch returns one OTLP request in JSON with the partial traces that one router retained.
+//
+// If the client sent a span of its own, the router's spans are children of it. Otherwise the
+// root span is sent along. Its ID is the same at all routers, so that a collector that
+// receives it from several of them has one span.
+func Batch(partials []*trace.Trace) ([]byte, error) {
+	var request otlpRequest
+	for _, partial := range partials {
+		own := []*trace.Trace{partial}
+		spans := trace.Merge(partial.ID, own)
+		if partial.ClientSpan != 0 {
+			spans = replaceRoot(partial, spans)
+		}
+		request.ResourceSpans = append(request.ResourceSpans, newResourceSpans(partial.ID, spans, own))
 	}
-	otlpResource struct {
-		Attributes []otlpAttribute `json:"attributes"`
+	return json.Marshal(request)
+}
+
+// replaceRoot drops the root span and makes its children those of the client's span.
+func replaceRoot(partial *trace.Trace, spans []trace.Span) []trace.Span {
+	root := partial.ID.Root()
+	spans = spans[1:]
+	for i := range spans {
+		if spans[i].Parent == root {
+			spans[i].Parent = partial.ClientSpan
+		}
 	}
-	otlpScopeSpans struct {
-		Scope struct {
-			Name string `json:"name"`
-		} `json:"scope"`
-		Spans []otlpSpan `json:"spans"`
+	return spans
+}
+
+func newResourceSpans(id trace.ID, spans []trace.Span, partials []*trace.Trace) otlpResourceSpans {
+	scope := otlpScopeSpans{Scope: otlpScope{Name: serviceName}}
+	for i := range spans {
+		span := newOTLPSpan(id, &spans[i])
+		if spans[i].Kind == trace.Request {
+			addRequestAttributes(&span, spans[i].ID, partials)
+		}
+		scope.Spans = append(scope.Spans, span)
 	}
-	otlpSpan struct {
-		TraceID    string          `json:"traceId"`
-		SpanID     string          `json:"spanId"`
-		Parent     string          `json:"parentSpanId,omitempty"`
-		Name       string          `json:"name"`
-		Kind       int             `json:"kind"`
-		Start      string          `json:"startTimeUnixNano"`
-		End        string          `json:"endTimeUnixNano"`
-		Attributes []otlpAttribute `json:"attributes,omitempty"`
-		Status     *otlpStatus     `json:"status,omitempty"`
+	return otlpResourceSpans{
+		Resource:   otlpResource{Attributes: []otlpAttribute{stringAttribute("service.name", serviceName)}},
+		ScopeSpans: []otlpScopeSpans{scope},
 	}
-	otlpStatus struct {
-		Code    int    `json:"code"`
-		Message string `json:"message,omitempty"`
+}
+
+// newOTLPSpan converts a span, with the attributes that it has itself.
+func newOTLPSpan(id trace.ID, span *trace.Span) otlpSpan {
+	converted := otlpSpan{
+		TraceID: id.String(),
+		SpanID:  formatSpanID(span.ID),
+		Name:    span.Kind.String(),
+		Kind:    otlpKind(span.Kind),
+		Start:   formatNanos(span.Start),
+		End:     formatNanos(max(span.End, span.Start)),
 	}
-	otlpAttribute struct {
-		Key   string    `json:"key"`
-		Value otlpValue `json:"value"`
+	if span.Parent != 0 {
+		converted.Parent = formatSpanID(span.Parent)
 	}
-	otlpValue struct {
-		String *string  `json:"stringValue,omitempty"`
-		Int    *string  `json:"intValue,omitempty"`
-		Double *float64 `json:"doubleValue,omitempty"`
+	if span.Kind == trace.Attempt {
+		converted.Attributes = attemptAttributes(span)
+		if routing.Result(span.Result) != routing.Served {
+			converted.Status = &otlpStatus{Code: otlpStatusError, Message: resultName(span.Result)}
+		}
 	}
-)
-
-func stringAttribute(k, v string) otlpAttribute { return otlpAttribute{k, otlpValue{String: &v}} }
-func intAttribute(k string, v int64) otlpAttribute {
-	s := strconv.FormatInt(v, 10)
-	return otlpAttribute{k, otlpValue{Int: &s}}
-}
-func doubleAttribute(k string, v float64) otlpAttribute {
-	return otlpAttribute{k, otlpValue{Double: &v}}
+	return converted
 }
 
-func formatNanos(ms float64) string { return strconv.FormatInt(int64(math.Round(ms*1000))*1000, 10) }
-
-// The kinds and codes of OTLP that are used.
-const (
-	otlpKindInternal, otlpKindServer, otlpKindClient = 1, 2, 3
-	otlpStatusError                                  = 2
-)
-
-// OTLP writes the spans of one trace as a line of OTLP JSON; pieces are what its
-// routers kept of it, and their attributes.
-func OTLP(w io.Writer, id trace.ID, spans []trace.Span, pieces []*trace.Trace) error {
-	return json.NewEncoder(w).Encode(otlpRequest{[]otlpResourceSpans{newResourceSpans(id, spans, pieces)}})
+func otlpKind(kind trace.Kind) int {
+	switch kind {
+	case trace.Client, trace.Request:
+		return otlpKindServer
+	case trace.Attempt:
+		return otlpKindClient
+	}
+	return otlpKindInternal
 }
 
-// Batch is one OTLP request, in JSON, with the pieces of traces that one router kept.
-// A piece whose client named its own span stands under that. Else the root goes with
-// it, under the id on which all routers agree: who gets it twice has one span.
-func Batch(pieces []*trace.Trace) ([]byte, error) {
-	var all otlpRequest
-	for _, p := range pieces {
-		spans := trace.Merge(p.ID, []*trace.Trace{p})
-		if p.ClientSpan != 0 {
-			for i, s := range spans[1:] {
-				if s.Parent == p.ID.Root() {
-					spans[1+i].Parent = p.ClientSpan
-				}
-			}
-			spans = spans[1:]
-		}
-		all.ResourceSpans = append(all.ResourceSpans, newResourceSpans(p.ID, spans, []*trace.Trace{p}))
+func attemptAttributes(span *trace.Span) []otlpAttribute {
+	attributes := []otlpAttribute{
+		stringAttribute("server", span.Server.String()),
+		stringAttribute("source", span.FillSource.String()),
+		intAttribute("attempt", int64(span.AttemptNumber)),
+		intAttribute("rank", int64(span.CopyRank)),
+		intAttribute("bytes", int64(span.Bytes)),
+		stringAttribute("result", resultName(span.Result)),
+	}
+	if !math.IsNaN(float64(span.Inflight)) {
+		attributes = append(attributes, doubleAttribute("inflight", float64(span.Inflight)))
 	}
-	return json.Marshal(all)
+	return attributes
 }
 
-func newResourceSpans(id trace.ID, spans []trace.Span, pieces []*trace.Trace) otlpResourceSpans {
-	scope := otlpScopeSpans{}
-	scope.Scope.Name = "garnetline"
-	for _, s := range spans {
-		o := otlpSpan{TraceID: id.String(), SpanID: fmt.Sprintf("%016x", uint64(s.ID)), Name: s.Kind.String(), Kind: otlpKindInternal,
-			Start: formatNanos(s.Start), End: formatNanos(max(s.End, s.Start))}
-		if s.Parent != 0 {
-			o.Parent = fmt.Sprintf("%016x", uint64(s.Parent))
+// addRequestAttributes adds to a request span what the partial trace that begins with it has.
+func addRequestAttributes(span *otlpSpan, id trace.SpanID, partials []*trace.Trace) {
+	for _, partial := range partials {
+		if len(partial.Spans) == 0 || partial.Spans[0].ID != id {
+			continue
 		}
-		switch s.Kind {
-		case trace.Client, trace.Request:
-			o.Kind = otlpKindServer
-		case trace.Attempt:
-			o.Kind = otlpKindClient
-			o.Attributes = append(o.Attributes, stringAttribute("server", s.Server.String()), stringAttribute("source", s.FillSource.String()),
-				intAttribute("attempt", int64(s.AttemptNumber)), intAttribute("rank", int64(s.CopyRank)), intAttribute("bytes", int64(s.Bytes)), stringAttribute("result", resultName(s.Result)))
-			if !math.IsNaN(float64(s.Inflight)) {
-				o.Attributes = append(o.Attributes, doubleAttribute("inflight", float64(s.Inflight)))
-			}
-			if r := routing.Result(s.Result); r != routing.Served {
-				o.Status = &otlpStatus{otlpStatusError, resultName(s.Result)}
-			}
+		span.Attributes = append(span.Attributes, requestAttributes(partial)...)
+		if partial.Outcome == trace.Failed || partial.Outcome == trace.Rejected {
+			span.Status = &otlpStatus{Code: otlpStatusError, Message: partial.Outcome.String()}
 		}
-		for _, p := range pieces {
-			if s.Kind == trace.Request && len(p.Spans) > 0 && p.Spans[0].ID == s.ID {
-				o.Attributes = append(o.Attributes, stringAttribute("router", p.Router), stringAttribute("class", p.Class), stringAttribute("txn", p.TransactionID), stringAttribute("outcome", p.Outcome.String()),
-					stringAttribute("kept", ReasonNames(p.Reasons)), doubleAttribute("weight", p.Weight), intAttribute("try", int64(p.Retry)), intAttribute("lost_before", int64(p.LostBefore)))
-				if p.Outcome == trace.Failed || p.Outcome == trace.Rejected {
-					o.Status = &otlpStatus{otlpStatusError, p.Outcome.String()}
-				}
-			}
-		}
-		scope.Spans = append(scope.Spans, o)
 	}
-	return otlpResourceSpans{Resource: otlpResource{[]otlpAttribute{stringAttribute("service.name", "garnetline")}}, ScopeSpans: []otlpScopeSpans{scope}}
+}
+
+func requestAttributes(partial *trace.Trace) []otlpAttribute {
+	return []otlpAttribute{
+		stringAttribute("router", partial.Router),
+		stringAttribute("class", partial.Class),
+		stringAttribute("txn", partial.TransactionID),
+		stringAttribute("outcome", partial.Outcome.String()),
+		stringAttribute("kept", ReasonNames(partial.Reasons)),
+		doubleAttribute("weight", partial.Weight),
+		intAttribute("try", int64(partial.Retry)),
+		intAttribute("lost_before", int64(partial.LostBefore)),
+	}
+}
+
+func formatSpanID(id trace.SpanID) string { return fmt.Sprintf("%016x", uint64(id)) }
+
+// formatNanos converts milliseconds to nanoseconds as text, rounded to the microsecond.
+func formatNanos(ms float64) string {
+	const (
+		microsPerMilli = 1000
+		nanosPerMicro  = 1000
+	)
+	micros := int64(math.Round(ms * microsPerMilli))
+	return strconv.FormatInt(micros*nanosPerMicro, 10)
 }
--- /dev/null
+++ b/internal/trace/render/page.go
@@ -0,0 +1,91 @@
+package render
+
+import (
+	"fmt"
+	"html"
+	"io"
+
+	"garnetline/internal/trace"
+	"garnetline/routing"
+)
+
+// The measures of a page's drawings, in pixels.
+const (
+	drawingWidth  = 900.0
+	drawingMargin = 20
+	rowHeight     = 20
+	rowGap        = 4
+	barTop        = 2  // from the top of the row
+	textBaseline  = 14 // from the top of the row
+	textIndent    = 3
+	minBarWidth   = 1
+	// maxTextStart keeps the descriptions of late spans within the drawing.
+	maxTextStart = drawingWidth * 0.6
+)
+
+// The colors of spans, as the last line of a page explains them.
+const (
+	colorWait          = "#cccccc"
+	colorRequest       = "#bfe0bf"
+	colorServedAttempt = "#a9c8ee"
+	colorFailedAttempt = "#f2a9a0"
+)
+
+// Page writes traces as one HTML page with a drawing of each. The spans of each trace are
+// those that trace.Merge returns; a trace without spans is left out. It returns the first
+// error of writing.
+func Page(w io.Writer, title string, traces [][]trace.Span) error {
+	page := &pageWriter{out: w}
+	page.writef("<!doctype html><meta charset=utf-8><title>%s</title>"+
+		"<style>body{font:13px sans-serif}text{font:11px sans-serif}</style><h1>%[1]s</h1>\n", html.EscapeString(title))
+	for _, spans := range traces {
+		if len(spans) > 0 {
+			page.writeDrawing(spans)
+		}
+	}
+	page.writef("<p>Times in milliseconds. Blue: served; red: failed; grey: held; green: the request.</p>\n")
+	return page.err
+}
+
+// pageWriter writes a page, and keeps the first error.
+type pageWriter struct {
+	out io.Writer
+	err error
+}
+
+func (p *pageWriter) writef(format string, values ...any) {
+	if p.err == nil {
+		_, p.err = fmt.Fprintf(p.out, format, values...)
+	}
+}
+
+// writeDrawing draws a trace, with one row for each span.
+func (p *pageWriter) writeDrawing(spans []trace.Span) {
+	root := &spans[0]
+	duration := max(root.End-root.Start, minDuration)
+	p.writef("<svg width=%.0f height=%d role=img>\n", drawingWidth+drawingMargin, rowHeight*len(spans)+rowGap)
+	for i := range spans {
+		span := &spans[i]
+		left := drawingWidth * (span.Start - root.Start) / duration
+		width := max(drawingWidth*(span.End-span.Start)/duration, minBarWidth)
+		top := rowHeight * i
+		text := html.EscapeString(label(span))
+		p.writef("<rect x=%.1f y=%d width=%.1f height=%d fill=%q><title>%s</title></rect>",
+			left, top+barTop, width, rowHeight-rowGap, spanColor(span), text)
+		p.writef("<text x=%.1f y=%d>%s, %.1f ms</text>\n",
+			min(left+textIndent, maxTextStart), top+textBaseline, text, span.End-span.Start)
+	}
+	p.writef("</svg><hr>\n")
+}
+
+func spanColor(span *trace.Span) string {
+	switch {
+	case span.Kind == trace.Wait:
+		return colorWait
+	case span.Kind != trace.Attempt:
+		return colorRequest
+	case routing.Result(span.Result) == routing.Served:
+		return colorServedAttempt
+	}
+	return colorFailedAttempt
+}
--- /dev/null
+++ b/internal/trace/render/waterfall.go
@@ -0,0 +1,80 @@
+package render
+
+import (
+	"fmt"
+	"io"
+	"math"
+	"strings"
+
+	"garnetline/internal/trace"
+)
+
+// Waterfall writes a trace as lines of text, each with the start and the duration of a span
+// in ms, a bar of the given number of columns, and a description. The spans are those that
+// trace.Merge returns. It returns the first error of writing.
+func Waterfall(w io.Writer, spans []trace.Span, columns int) error {
+	if len(spans) == 0 {
+		return nil
+	}
+	root := &spans[0]
+	drawing := &waterfall{
+		out:      w,
+		columns:  columns,
+		start:    root.Start,
+		duration: max(root.End-root.Start, minDuration),
+		children: map[trace.SpanID][]*trace.Span{},
+	}
+	for i := range spans[1:] {
+		span := &spans[1+i]
+		drawing.children[span.Parent] = append(drawing.children[span.Parent], span)
+	}
+	drawing.writeTree(root, 0)
+	return drawing.err
+}
+
+// waterfall holds the state of one Waterfall.
+type waterfall struct {
+	out             io.Writer
+	columns         int
+	start, duration float64 // ms, of the whole trace
+	children        map[trace.SpanID][]*trace.Span
+	err             error // the first one
+}
+
+// writeTree writes a span and, indented, those below it.
+func (d *waterfall) writeTree(span *trace.Span, depth int) {
+	const indent = "  "
+	_, err := fmt.Fprintf(d.out, "%9.1f %9.1f |%s| %s%s\n",
+		span.Start-d.start, span.End-span.Start, d.bar(span), strings.Repeat(indent, depth), label(span))
+	if d.err == nil {
+		d.err = err
+	}
+	for _, child := range d.children[span.ID] {
+		d.writeTree(child, depth+1)
+	}
+}
+
+// bar draws when the span was, with one column at least.
+func (d *waterfall) bar(span *trace.Span) string {
+	from := int(d.column(span.Start))
+	from = min(max(from, 0), d.columns-1)
+	to := int(math.Ceil(d.column(span.End)))
+	to = min(max(to, from+1), d.columns)
+	return strings.Repeat(" ", from) + strings.Repeat(barMark(span.Kind), to-from) + strings.Repeat(" ", d.columns-to)
+}
+
+// column converts a time in Unix ms to columns from the start of the trace.
+func (d *waterfall) column(at float64) float64 {
+	return float64(d.columns) * (at - d.start) / d.duration
+}
+
+// barMark returns the character that a bar is drawn with.
+func barMark(kind trace.Kind) string {
+	switch kind {
+	case trace.Wait:
+		return "·"
+	case trace.Connect:
+		return "-"
+	}
+	return "="
+}
