--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -76,7 +76,7 @@
 	PurgeGroup    uint16
 	Retry         uint8 // number of earlier tries that the router knows of
 	Outcome       Outcome
-	Start         float64 // Unix ms, when the request was complete
+	Start         float64 // Unix ms, when the request had been received completely
 	End           float64 // Unix ms, when it was answered
 	Reasons       Reason
 	Weight        float64 // how many traces of its class and kind it represents
