--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -58,12 +58,12 @@
 }
 
 // jsonKeys writes the keys of a type as encoding/json names them, with their kinds.
-func jsonKeys(out *strings.Builder, at string, value reflect.Type) {
+func jsonKeys(out *strings.Builder, path string, value reflect.Type) {
 	switch value.Kind() {
 	case reflect.Pointer:
-		jsonKeys(out, at, value.Elem())
+		jsonKeys(out, path, value.Elem())
 	case reflect.Slice:
-		jsonKeys(out, at+"[]", value.Elem())
+		jsonKeys(out, path+"[]", value.Elem())
 	case reflect.Struct:
 		for i := range value.NumField() {
 			f := value.Field(i)
@@ -74,10 +74,10 @@
 			if more != "" {
 				more = "," + more
 			}
-			jsonKeys(out, at+"."+name+more, f.Type)
+			jsonKeys(out, path+"."+name+more, f.Type)
 		}
 	default:
-		fmt.Fprintf(out, "%s %s\n", at, value.Kind())
+		fmt.Fprintf(out, "%s %s\n", path, value.Kind())
 	}
 }
 
--- a/internal/discovery/apply_test.go
+++ b/internal/discovery/apply_test.go
@@ -122,7 +122,7 @@
 }
 
 // check compares a guard with the model.
-func (m guardModel) check(t *testing.T, guard *routing.Guard, at float64) {
+func (m guardModel) check(t *testing.T, guard *routing.Guard, now float64) {
 	t.Helper()
 	for id := range routing.ServerID(5) {
 		if guard.Excludes(id) == m.ready[id] {
@@ -131,12 +131,12 @@
 	}
 	for group := range 4 {
 		purgedAt, purged := m.purgedAt[group]
-		want := purged && purgedAt+6000 > at
-		if guard.MayBeStale(clock.Duration(at), 99, group) != want {
-			t.Fatalf("group %d purged at %.0f: now %.0f, want %v", group, purgedAt, at, want)
+		want := purged && purgedAt+6000 > now
+		if guard.MayBeStale(clock.Duration(now), 99, group) != want {
+			t.Fatalf("group %d purged at %.0f: now %.0f, want %v", group, purgedAt, now, want)
 		}
-		age := guard.MaxAge(clock.Duration(at), 8*time.Second, 99, group)
-		bound := max(clock.Duration(at-purgedAt), time.Microsecond) + time.Millisecond
+		age := guard.MaxAge(clock.Duration(now), 8*time.Second, 99, group)
+		bound := max(clock.Duration(now-purgedAt), time.Microsecond) + time.Millisecond
 		if want && age > bound || !want && age != 8*time.Second {
 			t.Fatalf("group %d: age %v", group, age)
 		}
--- a/internal/fleet/consensus/wal/wal_test.go
+++ b/internal/fleet/consensus/wal/wal_test.go
@@ -203,22 +203,22 @@
 	if _, _, err := writeUntilFailure(intact, 12); err != nil {
 		t.Fatal(err)
 	}
-	for at := 1; at <= intact.calls; at++ {
+	for failingCall := 1; failingCall <= intact.calls; failingCall++ {
 		for seed := range uint64(5) {
 			m := newMemoryFS()
-			m.failAtCall = at
+			m.failAtCall = failingCall
 			acknowledged, inProgress, _ := writeUntilFailure(m, 12)
-			m.crash(rand.New(rand.NewPCG(seed, uint64(at))))
+			m.crash(rand.New(rand.NewPCG(seed, uint64(failingCall))))
 			l, found, _, err := Open(m, "f/1")
 			if err != nil {
-				t.Fatalf("call %d failed: then %v", at, err)
+				t.Fatalf("call %d failed: then %v", failingCall, err)
 			}
 			if got := describe(found); got != describe(acknowledged) && got != describe(inProgress) {
 				// A record of entries may be there without the hard state that came with it.
 				half := inProgress
 				half.HardState = acknowledged.HardState
 				if got != describe(half) {
-					t.Fatalf("call %d failed: found %s, want %s or %s", at, got, describe(acknowledged), describe(inProgress))
+					t.Fatalf("call %d failed: found %s, want %s or %s", failingCall, got, describe(acknowledged), describe(inProgress))
 				}
 			}
 			closeFile(t, l)
--- a/internal/fleet/loadreport/collector_test.go
+++ b/internal/fleet/loadreport/collector_test.go
@@ -55,7 +55,7 @@
 func holderPackets(t *testing.T, servers []Server, wanted int) [][]byte {
 	t.Helper()
 	var fencingToken atomic.Uint64
-	var mu sync.Mutex
+	var packetsMu sync.Mutex
 	var packets [][]byte
 	holder := New(Options{
 		Options: zonelease.Options{
@@ -68,8 +68,8 @@
 			},
 			ZonePeers: func() []membership.ID { return []membership.ID{2} },
 			Send: func(_ membership.ID, _ fragment.Channel, packet []byte) {
-				mu.Lock()
-				defer mu.Unlock()
+				packetsMu.Lock()
+				defer packetsMu.Unlock()
 				packets = append(packets, packet)
 			},
 		},
@@ -81,8 +81,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	go holder.Run(ctx)
 	sentPackets := func() int {
-		mu.Lock()
-		defer mu.Unlock()
+		packetsMu.Lock()
+		defer packetsMu.Unlock()
 		return len(packets)
 	}
 	time.Sleep(100 * time.Millisecond)
--- a/internal/fleet/wireformat/fields_test.go
+++ b/internal/fleet/wireformat/fields_test.go
@@ -23,7 +23,7 @@
 	fixed64 := protowire.AppendFixed64(protowire.AppendTag(nil, 3, protowire.Fixed64Type), 7)
 	fixed32 := protowire.AppendFixed32(protowire.AppendTag(nil, 4, protowire.Fixed32Type), 7)
 	refused := protowire.AppendVarint(protowire.AppendTag(nil, 99, protowire.VarintType), 1)
-	for name, tt := range map[string]struct {
+	for name, test := range map[string]struct {
 		message         []byte
 		plain, extended []string
 		ok, extendedOK  bool
@@ -39,11 +39,11 @@
 		"number of a field that is 0": {[]byte{0, 1}, nil, nil, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got, ok := collect(ParseFields, tt.message); !slices.Equal(got, tt.plain) || ok != tt.ok {
-				t.Errorf("ParseFields: %v, %v, want %v, %v", got, ok, tt.plain, tt.ok)
+			if got, ok := collect(ParseFields, test.message); !slices.Equal(got, test.plain) || ok != test.ok {
+				t.Errorf("ParseFields: %v, %v, want %v, %v", got, ok, test.plain, test.ok)
 			}
-			if got, ok := collect(ParseFieldsFixed64, tt.message); !slices.Equal(got, tt.extended) || ok != tt.extendedOK {
-				t.Errorf("ParseFieldsFixed64: %v, %v, want %v, %v", got, ok, tt.extended, tt.extendedOK)
+			if got, ok := collect(ParseFieldsFixed64, test.message); !slices.Equal(got, test.extended) || ok != test.extendedOK {
+				t.Errorf("ParseFieldsFixed64: %v, %v, want %v, %v", got, ok, test.extended, test.extendedOK)
 			}
 		})
 	}
--- a/internal/fleet/wireformat/writer_test.go
+++ b/internal/fleet/wireformat/writer_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestWriter(t *testing.T) {
-	for name, tt := range map[string]struct {
+	for name, test := range map[string]struct {
 		write func(w *Writer)
 		want  string
 	}{
@@ -22,14 +22,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var zero Writer
-			tt.write(&zero)
-			if got := zero.Encoded(); string(got) != tt.want {
-				t.Errorf("%x, want %x", got, tt.want)
+			test.write(&zero)
+			if got := zero.Encoded(); string(got) != test.want {
+				t.Errorf("%x, want %x", got, test.want)
 			}
 			appending := NewWriter([]byte("before"))
-			tt.write(appending)
-			if got := appending.Encoded(); !bytes.Equal(got, []byte("before"+tt.want)) {
-				t.Errorf("appended: %x, want %x", got, "before"+tt.want)
+			test.write(appending)
+			if got := appending.Encoded(); !bytes.Equal(got, []byte("before"+test.want)) {
+				t.Errorf("appended: %x, want %x", got, "before"+test.want)
 			}
 		})
 	}
--- a/internal/operatorconfig/golden_test.go
+++ b/internal/operatorconfig/golden_test.go
@@ -10,28 +10,28 @@
 )
 
 // formatKeys writes each key that a block is read from with its value, by the tags.
-func formatKeys(out *strings.Builder, at string, value reflect.Value) {
+func formatKeys(out *strings.Builder, path string, value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Pointer:
 		if value.IsNil() {
-			fmt.Fprintf(out, "%s none\n", at)
+			fmt.Fprintf(out, "%s none\n", path)
 			return
 		}
-		formatKeys(out, at, value.Elem())
+		formatKeys(out, path, value.Elem())
 	case reflect.Struct:
 		for i := range value.NumField() {
-			formatKeys(out, at+"."+value.Type().Field(i).Tag.Get("hcl"), value.Field(i))
+			formatKeys(out, path+"."+value.Type().Field(i).Tag.Get("hcl"), value.Field(i))
 		}
 	case reflect.Slice:
 		if value.Type().Elem().Kind() != reflect.Struct {
-			fmt.Fprintf(out, "%s %q\n", at, value.Interface())
+			fmt.Fprintf(out, "%s %q\n", path, value.Interface())
 			return
 		}
 		for i := range value.Len() {
-			formatKeys(out, fmt.Sprintf("%s[%d]", at, i), value.Index(i))
+			formatKeys(out, fmt.Sprintf("%s[%d]", path, i), value.Index(i))
 		}
 	default:
-		fmt.Fprintf(out, "%s %v\n", at, value.Interface())
+		fmt.Fprintf(out, "%s %v\n", path, value.Interface())
 	}
 }
 
