--- a/internal/netsim/netsim.go
+++ b/internal/netsim/netsim.go
@@ -15,7 +15,7 @@
 )
 
 // udpHead is what the network adds to a datagram: IPv4 and UDP.
-const udpHead = 28
+const headerBytes = 28
 
 // Machine is what a host runs.
 type Machine interface {
@@ -34,17 +34,17 @@
 // Host is one process of a router.
 type Host struct {
 	Machine
-	Name        string
-	Addr        netip.AddrPort
-	Self        membership.Update
-	Dead        bool
-	PacketsSent int64 // packets
-	BytesSent   int64 // that it sent, sealed, with the network's heads
-	paused      float64
-	wake        float64 // of its earliest timer that is in the queue
-	queued      []*membership.Packet
-	Clock       func(now float64) float64                     // its own; nil: the network's
-	OnStep      func(h *Host, now float64, out *fleet.Output) // may be nil
+	Name         string
+	Addr         netip.AddrPort
+	Self         membership.Update
+	Dead         bool
+	PacketsSent  int64 // packets
+	BytesSent    int64 // that it sent, sealed, with the network's heads
+	pausedUntil  float64
+	nextTimerAt  float64 // of its earliest timer that is in the queue
+	socketBuffer []*membership.Packet
+	Clock        func(now float64) float64                     // its own; nil: the network's
+	OnStep       func(h *Host, now float64, out *fleet.Output) // may be nil
 }
 
 // Link decides what becomes of a packet from one host to another.
@@ -59,16 +59,16 @@
 
 // Net is the network and its hosts.
 type Network struct {
-	Now    float64
-	Link   Link
-	Rng    *rand.Rand
-	Hosts  []*Host
-	Events int64
-	Tap    func(Datagram) // sees what is sent; may be nil
-	at     map[netip.AddrPort]*Host
-	queue  heap
-	n      uint64
-	room   []byte
+	Now          float64
+	Link         Link
+	Rng          *rand.Rand
+	Hosts        []*Host
+	Events       int64
+	Tap          func(Datagram) // sees what is sent; may be nil
+	hostsByAddr  map[netip.AddrPort]*Host
+	events       eventQueue
+	lastSequence uint64
+	encodeBuffer []byte
 }
 
 // Send is a packet as it went to an address.
@@ -79,12 +79,12 @@
 
 // Inject has a packet arrive now, once more or for the first time.
 func (v *Network) Inject(s Datagram) {
-	v.push(event{at: v.Now, p: &s.Packet, addr: s.To})
+	v.schedule(event{at: v.Now, packet: &s.Packet, destination: s.To})
 }
 
 // New returns an empty network.
 func New(seed uint64) *Network {
-	return &Network{Link: Link{Delay: 0.2, Jitter: 0.3}, Rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), at: map[netip.AddrPort]*Host{}}
+	return &Network{Link: Link{Delay: 0.2, Jitter: 0.3}, Rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), hostsByAddr: map[netip.AddrPort]*Host{}}
 }
 
 // Addr is the address of the i-th place of the network.
@@ -102,7 +102,7 @@
 
 // Start adds a process of a router at a place, with a seat and a life.
 func (v *Network) StartHost(place int, name string, seat membership.ID, life uint64, set fleet.Settings, bare bool) *Host {
-	h := &Host{Name: name, Addr: Addr(place), wake: math.Inf(1),
+	h := &Host{Name: name, Addr: Addr(place), nextTimerAt: math.Inf(1),
 		Self: membership.Update{ID: seat, Revision: membership.FirstRevision(life), Name: name, Zone: fmt.Sprintf("z%d", place%3), Version: "v", Addr: Addr(place)}}
 	rng := rand.New(rand.NewPCG(v.Rng.Uint64(), v.Rng.Uint64()))
 	seeds := []netip.AddrPort{Addr(0), Addr(1)}
@@ -112,30 +112,30 @@
 		h.Machine = fleet.New(set, h.Self, seeds, rng, v.Now)
 	}
 	v.Hosts = append(v.Hosts, h)
-	v.at[h.Addr] = h
-	v.push(event{at: v.Now, to: h})
+	v.hostsByAddr[h.Addr] = h
+	v.schedule(event{at: v.Now, host: h})
 	return h
 }
 
 // Kill ends a process without a word.
 func (v *Network) Kill(h *Host) {
 	h.Dead = true
-	if v.at[h.Addr] == h {
-		delete(v.at, h.Addr)
+	if v.hostsByAddr[h.Addr] == h {
+		delete(v.hostsByAddr, h.Addr)
 	}
 }
 
 // Leave ends a process in order.
 func (v *Network) Leave(h *Host) {
 	out := h.Machine.Leave(v.Now)
-	v.carry(h, &out)
+	v.sendPackets(h, &out)
 	v.Kill(h)
 }
 
 // Stall stops a process for a while. What comes for it waits, up to what a socket holds.
 func (v *Network) Pause(h *Host, ms float64) {
-	h.paused = v.Now + ms
-	v.push(event{at: h.paused, to: h})
+	h.pausedUntil = v.Now + ms
+	v.schedule(event{at: h.pausedUntil, host: h})
 }
 
 // Do steps a host by something other than the network.
@@ -146,30 +146,30 @@
 
 // Run goes on until a moment.
 func (v *Network) Run(until float64) {
-	for len(v.queue) > 0 && v.queue[0].at <= until {
-		e := v.queue.pop()
+	for len(v.events) > 0 && v.events[0].at <= until {
+		e := v.events.pop()
 		v.Now = e.at
 		v.Events++
-		h := e.to
-		if e.p != nil {
-			if h = v.at[e.addr]; h == nil || h.Dead {
+		h := e.host
+		if e.packet != nil {
+			if h = v.hostsByAddr[e.destination]; h == nil || h.Dead {
 				continue // nobody is there, as on a real network
 			}
-		} else if h.wake <= e.at {
-			h.wake = math.Inf(1)
+		} else if h.nextTimerAt <= e.at {
+			h.nextTimerAt = math.Inf(1)
 		}
 		switch {
 		case h.Dead:
-		case v.Now < h.paused:
-			if e.p != nil && len(h.queued) < 200 {
-				h.queued = append(h.queued, e.p)
+		case v.Now < h.pausedUntil:
+			if e.packet != nil && len(h.socketBuffer) < 200 {
+				h.socketBuffer = append(h.socketBuffer, e.packet)
 			}
 		default:
-			for _, p := range h.queued {
+			for _, p := range h.socketBuffer {
 				v.stepHost(h, p)
 			}
-			h.queued = h.queued[:0]
-			v.stepHost(h, e.p)
+			h.socketBuffer = h.socketBuffer[:0]
+			v.stepHost(h, e.packet)
 		}
 	}
 	v.Now = until
@@ -192,27 +192,27 @@
 		now = h.Clock(now)
 	}
 	out := h.Machine.Step(now, p)
-	v.carry(h, &out.Output)
+	v.sendPackets(h, &out.Output)
 	if h.OnStep != nil {
 		h.OnStep(h, v.Now, &out)
 	}
 	// One timer a host: a later one is set when it fires.
-	if at := v.Now + max(out.WakeAt-now, 0.05); at < h.wake {
-		h.wake = at
-		v.push(event{at: at, to: h})
+	if at := v.Now + max(out.WakeAt-now, 0.05); at < h.nextTimerAt {
+		h.nextTimerAt = at
+		v.schedule(event{at: at, host: h})
 	}
 }
 
 // carry sends what a host wants sent.
-func (v *Network) carry(h *Host, out *membership.Output) {
+func (v *Network) sendPackets(h *Host, out *membership.Output) {
 	for _, s := range out.Packets {
-		v.room = s.Packet.Append(v.room[:0])
+		v.encodeBuffer = s.Packet.Append(v.encodeBuffer[:0])
 		h.PacketsSent++
 		if v.Tap != nil {
 			v.Tap(Datagram{s.To, *s.Packet})
 		}
-		h.BytesSent += int64(len(v.room) + packetcrypto.Overhead + udpHead)
-		to := v.at[s.To]
+		h.BytesSent += int64(len(v.encodeBuffer) + packetcrypto.Overhead + headerBytes)
+		to := v.hostsByAddr[s.To]
 		if v.Link.Partitioned != nil && to != nil && v.Link.Partitioned(h, to) {
 			continue
 		}
@@ -231,34 +231,34 @@
 				late += v.Link.ExtraDelay(s.Packet)
 			}
 			p := *s.Packet // what a host does with it is nobody else's matter
-			v.push(event{at: v.Now + late, p: &p, addr: s.To})
+			v.schedule(event{at: v.Now + late, packet: &p, destination: s.To})
 		}
 	}
 }
 
 // event is a packet that arrives, or a timer.
 type event struct {
-	at   float64
-	n    uint64 // what was pushed first goes first
-	to   *Host
-	p    *membership.Packet
-	addr netip.AddrPort
+	at          float64
+	sequence    uint64 // what was pushed first goes first
+	host        *Host
+	packet      *membership.Packet
+	destination netip.AddrPort
 }
 
-func (v *Network) push(e event) {
-	v.n++
-	e.n = v.n
-	v.queue.push(e)
+func (v *Network) schedule(e event) {
+	v.lastSequence++
+	e.sequence = v.lastSequence
+	v.events.push(e)
 }
 
 // heap is the queue of events, a binary heap of values: container/heap would box each.
-type heap []event
+type eventQueue []event
 
-func (q heap) less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].n < q[j].n
+func (q eventQueue) less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
 
-func (q *heap) push(e event) {
+func (q *eventQueue) push(e event) {
 	h := append(*q, e)
 	for i := len(h) - 1; i > 0; {
 		up := (i - 1) / 2
@@ -271,7 +271,7 @@
 	*q = h
 }
 
-func (q *heap) pop() event {
+func (q *eventQueue) pop() event {
 	h := *q
 	e := h[0]
 	last := len(h) - 1
@@ -333,7 +333,7 @@
 }
 
 // viewer is a machine that can be asked how it sees a router.
-type viewer interface {
+type stateMachine interface {
 	State(membership.ID) (membership.State, bool)
 }
 
@@ -341,7 +341,7 @@
 func (v *Network) StateCounts(x *Host) (n [4]int) {
 	for _, h := range v.Hosts {
 		if h != x && !h.Dead {
-			if s, known := h.Machine.(viewer).State(x.Self.ID); known {
+			if s, known := h.Machine.(stateMachine).State(x.Self.ID); known {
 				n[s]++
 			}
 		}
--- a/internal/netsim/netsim_test.go
+++ b/internal/netsim/netsim_test.go
@@ -11,17 +11,17 @@
 )
 
 // settled is a fleet whose views are alike.
-func settled(t testing.TB, seed uint64, n int) *Network {
+func convergedFleet(t testing.TB, seed uint64, n int) *Network {
 	t.Helper()
 	v := New(seed)
 	v.StartFleet(n, fleet.DefaultSettings(), false)
-	alike(t, v, 10_000)
+	requireConvergence(t, v, 10_000)
 	v.Run(v.Now + 8000) // until stances hold too
 	return v
 }
 
 // alike waits until all views are.
-func alike(t testing.TB, v *Network, within float64) float64 {
+func requireConvergence(t testing.TB, v *Network, within float64) float64 {
 	t.Helper()
 	at := v.Now
 	if !v.RunUntil(at+within, 50, v.Converged) {
@@ -51,9 +51,9 @@
 	return &n
 }
 
-func TestKilledIsKnownToAll(t *testing.T) {
+func TestCrashedRouterIsFailedAtAllPeers(t *testing.T) {
 	for _, n := range []int{3, 8, 30} {
-		v := settled(t, 1, n)
+		v := convergedFleet(t, 1, n)
 		wrong := spoken(v, "failed")
 		x := v.Hosts[n-1]
 		v.Kill(x)
@@ -68,7 +68,7 @@
 }
 
 // The same seed gives the same run, to the last packet.
-func TestSameSeedSameRun(t *testing.T) {
+func TestRunFollowsFromSeed(t *testing.T) {
 	of := func(seed uint64) string {
 		v := New(seed)
 		v.Link = Link{Loss: 0.1, Duplicate: 0.1, Delay: 1, Jitter: 5}
@@ -86,17 +86,17 @@
 }
 
 // sides cuts all whose places are in different sides.
-func sides(of func(place int) int) func(a, b *Host) bool {
+func partitionBy(of func(place int) int) func(a, b *Host) bool {
 	place := func(h *Host) int { var n int; fmt.Sscanf(h.Name, "r%d", &n); return n }
 	return func(a, b *Host) bool { return of(place(a)) != of(place(b)) }
 }
 
 // Halves and thirds fail each other, each side stays of one view and is partial; when the
 // cut heals all views are alike within 3 s, and the stances after the time for more room.
-func TestCutsHeal(t *testing.T) {
+func TestPartitionHeals(t *testing.T) {
 	for parts := 2; parts <= 3; parts++ {
-		v := settled(t, 2, 12)
-		v.Link.Partitioned = sides(func(p int) int { return p % parts })
+		v := convergedFleet(t, 2, 12)
+		v.Link.Partitioned = partitionBy(func(p int) int { return p % parts })
 		v.Run(v.Now + 15_000)
 		for _, h := range v.Hosts {
 			if n, s := h.Membership().PresentCount(), h.Machine.(*fleet.Node).Connectivity(); n != 12/parts || s.State != connectivity.Partial || s.Known != 12 {
@@ -104,7 +104,7 @@
 			}
 		}
 		v.Link.Partitioned = nil
-		took := alike(t, v, 3000)
+		took := requireConvergence(t, v, 3000)
 		v.Run(v.Now + 12_000)
 		for _, h := range v.Hosts {
 			if s := h.Machine.(*fleet.Node).Connectivity(); s.State != connectivity.Together {
@@ -116,14 +116,14 @@
 
 // One that hears and is not heard, one way to one neighbour or to all but one, and two
 // sides that see each other through one router alone: nobody is failed.
-func TestOneWayAndBridge(t *testing.T) {
+func TestIndirectlyReachableRoutersAreNotFailed(t *testing.T) {
 	for what, cut := range map[string]func(a, b *Host) bool{
 		"A does not reach B": func(a, b *Host) bool { return a.Name == "r001" && b.Name == "r002" },
 		"bridge": func(a, b *Host) bool {
-			return a.Name != "r000" && b.Name != "r000" && sides(func(p int) int { return p % 2 })(a, b)
+			return a.Name != "r000" && b.Name != "r000" && partitionBy(func(p int) int { return p % 2 })(a, b)
 		},
 	} {
-		v := settled(t, 3, 9)
+		v := convergedFleet(t, 3, 9)
 		n := spoken(v, "failed")
 		v.Link.Partitioned = cut
 		v.Run(v.Now + 60_000)
@@ -135,20 +135,20 @@
 
 // One that is not heard by anybody, though it hears all, is failed by all and does not
 // fail the others; it comes back when it is heard.
-func TestMute(t *testing.T) {
-	v := settled(t, 4, 9)
+func TestRouterThatIsNotReceivedFromIsFailed(t *testing.T) {
+	v := convergedFleet(t, 4, 9)
 	x := v.Hosts[4]
 	v.Link.Partitioned = func(a, _ *Host) bool { return a == x }
 	if !v.RunUntil(v.Now+5000, 50, func() bool { return v.StateCounts(x)[membership.Failed] == 8 }) {
 		t.Errorf("a mute router is %v", v.StateCounts(x))
 	}
 	v.Link.Partitioned = nil
-	alike(t, v, 3000)
+	requireConvergence(t, v, 3000)
 }
 
 // One that was stopped for 30 s and wakes fails nobody, and is back soon.
-func TestStalledWakesAndFailsNobody(t *testing.T) {
-	v := settled(t, 5, 8)
+func TestRouterThatContinuesAfterStallFailsNobody(t *testing.T) {
+	v := convergedFleet(t, 5, 8)
 	x := v.Hosts[3]
 	said := 0
 	for _, h := range v.Hosts {
@@ -165,7 +165,7 @@
 	if n := v.StateCounts(x)[membership.Failed]; n != 7 {
 		t.Errorf("stopped for 29.9 s it is failed for %d of 7", n)
 	}
-	took := alike(t, v, 3000)
+	took := requireConvergence(t, v, 3000)
 	v.Run(v.Now + 20_000)
 	if said != 0 {
 		t.Errorf("%d times another was said to have failed; back after %.0f ms", said, took)
@@ -174,8 +174,8 @@
 
 // A fifth of all packets lost, one neighbour that stalls, and ones that come late, twice
 // or out of order: nobody that lives is failed for more than a moment.
-func TestRough(t *testing.T) {
-	v := settled(t, 6, 8)
+func TestLossAndOneStallingRouterFailNoOther(t *testing.T) {
+	v := convergedFleet(t, 6, 8)
 	x := v.Hosts[7]
 	wrong := 0
 	for _, h := range v.Hosts {
@@ -199,7 +199,7 @@
 
 // Packets of an hour ago change nothing: a router that left stays gone, one that lives
 // stays, though all that was ever sent comes once more.
-func TestOldPackets(t *testing.T) {
+func TestReplayedPacketsChangeNothing(t *testing.T) {
 	v := New(7)
 	const hour = 3_600_000
 	again := false
@@ -211,7 +211,7 @@
 			old = append(old, s)
 		}
 	}
-	alike(t, v, 10_000)
+	requireConvergence(t, v, 10_000)
 	v.Run(v.Now + 5000)
 	v.Leave(v.Hosts[4])
 	v.Run(v.Now + 5000)
@@ -240,7 +240,7 @@
 // All routers are restarted one after another within seconds, under their names; at the
 // end all are there in their second lives, and nobody else.
 func TestRollingRestart(t *testing.T) {
-	v := settled(t, 8, 10)
+	v := convergedFleet(t, 8, 10)
 	for _, h := range append([]*Host(nil), v.Hosts...) {
 		v.Kill(h)
 		v.Run(v.Now + 150)
@@ -249,7 +249,7 @@
 		v.StartHost(place, h.Name, h.Self.ID, 2, fleet.DefaultSettings(), false)
 		v.Run(v.Now + 150)
 	}
-	alike(t, v, 5000)
+	requireConvergence(t, v, 5000)
 	for _, h := range v.Hosts {
 		if h.Dead {
 			continue
@@ -263,8 +263,8 @@
 }
 
 // All but one are killed: it is alone, and its share of what is shared does not grow.
-func TestAllKilledButOne(t *testing.T) {
-	v := settled(t, 9, 8)
+func TestLastRouterIsAlone(t *testing.T) {
+	v := convergedFleet(t, 9, 8)
 	for _, h := range v.Hosts[1:] {
 		v.Kill(h)
 	}
@@ -277,8 +277,8 @@
 
 // One of 60 that is cut off from all is alone within 4 s, long before it has failed them
 // one by one, and together again when it is not.
-func TestCutOffFromAll(t *testing.T) {
-	v := settled(t, 14, 60)
+func TestIsolatedRouterIsAloneSoon(t *testing.T) {
+	v := convergedFleet(t, 14, 60)
 	x := v.Hosts[7]
 	stands := func(s connectivity.State) func() bool {
 		return func() bool { return x.Machine.(*fleet.Node).Connectivity().State == s }
@@ -295,8 +295,8 @@
 
 // Clocks that differ by a day, and one that runs a tenth too fast, change nothing: no time
 // is told from one router to another.
-func TestClocks(t *testing.T) {
-	v := settled(t, 15, 8)
+func TestClockDifferencesChangeNothing(t *testing.T) {
+	v := convergedFleet(t, 15, 8)
 	v.Hosts[2].Clock = func(now float64) float64 { return now + 86_400_000 }
 	v.Hosts[3].Clock = func(now float64) float64 { return now * 1.1 }
 	n := spoken(v, "failed")
@@ -308,13 +308,13 @@
 	if !v.RunUntil(v.Now+4000, 50, func() bool { return v.StateCounts(v.Hosts[5])[membership.Failed] == 7 }) {
 		t.Errorf("a killed one is %v", v.StateCounts(v.Hosts[5]))
 	}
-	alike(t, v, 3000)
+	requireConvergence(t, v, 3000)
 }
 
 // A router that comes back at another address is found there, with its life before it
 // still answering at the old one for a while: it is one member.
-func TestMovedAndTwoProcessesOfOneRouter(t *testing.T) {
-	v := settled(t, 10, 6)
+func TestTwoProcessesOfOneRouterAreOneMember(t *testing.T) {
+	v := convergedFleet(t, 10, 6)
 	old := v.Hosts[2]
 	next := v.StartHost(40, old.Name, old.Self.ID, 2, fleet.DefaultSettings(), false)
 	v.Run(v.Now + 5000)
@@ -336,7 +336,7 @@
 		}
 	}
 	v.Kill(next) // the new one was no good: the one before has its seat back
-	alike(t, v, 10_000)
+	requireConvergence(t, v, 10_000)
 	if w := old.Membership().Self(); w.Incarnation() != 3 {
 		t.Errorf("the one before is back as life %d", w.Incarnation())
 	}
@@ -350,8 +350,8 @@
 }
 
 // Two routers with one name by mistake: all say so, and both keep their places.
-func TestOneNameTwice(t *testing.T) {
-	v := settled(t, 11, 5)
+func TestNameConflictIsReportedAndBothStay(t *testing.T) {
+	v := convergedFleet(t, 11, 5)
 	n := spoken(v, "conflict")
 	x := v.StartHost(41, "r003", membership.ID(v.Rng.Uint64()|1), 1, fleet.DefaultSettings(), false)
 	v.Run(v.Now + 20_000)
@@ -365,8 +365,8 @@
 
 // A thousand members that do not exist, told by one that has the key: they go again, the
 // memory is bounded, and nobody that lives is failed.
-func TestGhosts(t *testing.T) {
-	v := settled(t, 12, 8)
+func TestFalseMembersDisappear(t *testing.T) {
+	v := convergedFleet(t, 12, 8)
 	wrong := 0
 	real := map[membership.ID]bool{}
 	for _, h := range v.Hosts {
@@ -403,8 +403,8 @@
 
 // A link that flaps at the worst period for the stance: what gives room comes ever more
 // rarely, and what takes it at once.
-func TestFlapping(t *testing.T) {
-	v := settled(t, 13, 6)
+func TestConnectivityIsDampedWhileLinkFlaps(t *testing.T) {
+	v := convergedFleet(t, 13, 6)
 	swings := 0
 	v.Hosts[0].OnStep = func(_ *Host, _ float64, out *fleet.Output) {
 		if out.ConnectivityChanged {
