--- /dev/null
+++ b/internal/netsim/link.go
@@ -0,0 +1,88 @@
+package netsim
+
+import (
+	"math/rand/v2"
+
+	"garnetline/internal/fleet/membership"
+	"garnetline/internal/fleet/packetcrypto"
+)
+
+const (
+	// defaultDelay and defaultJitter are those of a new network, in ms: hosts of one site.
+	defaultDelay  = 0.2
+	defaultJitter = 0.3
+
+	// headerBytes is the size of the IPv4 and UDP headers of a datagram.
+	headerBytes = 28
+)
+
+// Link says what happens to packets on their way. It applies to all pairs of hosts. The zero
+// value delivers everything at once.
+type Link struct {
+	Loss      float64 // share of packets that is lost, from 0 to 1
+	Duplicate float64 // share of packets that is delivered twice, from 0 to 1
+	Delay     float64 // shortest delay, ms
+	Jitter    float64 // mean of an exponentially distributed delay on top, ms
+
+	// Partitioned, unless nil, reports whether packets of one host do not reach another.
+	Partitioned func(from, to *Host) bool
+
+	// ExtraDelay, unless nil, returns a further delay of a packet, ms.
+	ExtraDelay func(packet *membership.Packet) float64
+}
+
+// partitions reports whether the link drops all packets of one host to another. to is nil
+// where nobody listens at the destination.
+func (l *Link) partitions(from, to *Host) bool {
+	return l.Partitioned != nil && to != nil && l.Partitioned(from, to)
+}
+
+// drawLoss reports whether a packet is lost.
+func (l *Link) drawLoss(rng *rand.Rand) bool {
+	return l.Loss > 0 && rng.Float64() < l.Loss
+}
+
+// drawDelay returns the delay of a packet, ms.
+func (l *Link) drawDelay(rng *rand.Rand, packet *membership.Packet) float64 {
+	delay := l.Delay
+	if l.Jitter > 0 {
+		delay += rng.ExpFloat64() * l.Jitter
+	}
+	if l.ExtraDelay != nil {
+		delay += l.ExtraDelay(packet)
+	}
+	return delay
+}
+
+// sendPackets sends what a step of a host called for.
+func (n *Network) sendPackets(from *Host, out *membership.Output) {
+	for _, outgoing := range out.Packets {
+		n.countSent(from, outgoing.Packet)
+		if n.Tap != nil {
+			n.Tap(Datagram{To: outgoing.To, Packet: *outgoing.Packet})
+		}
+		if n.Link.partitions(from, n.hostsByAddr[outgoing.To]) {
+			continue
+		}
+		n.transmit(outgoing)
+		if n.Rng.Float64() < n.Link.Duplicate {
+			n.transmit(outgoing)
+		}
+	}
+}
+
+func (n *Network) countSent(from *Host, packet *membership.Packet) {
+	n.encodeBuffer = packet.Append(n.encodeBuffer[:0])
+	from.PacketsSent++
+	from.BytesSent += int64(len(n.encodeBuffer) + packetcrypto.Overhead + headerBytes)
+}
+
+// transmit schedules the arrival of one copy of a packet, unless it is lost.
+func (n *Network) transmit(outgoing membership.OutgoingPacket) {
+	if n.Link.drawLoss(n.Rng) {
+		return
+	}
+	delay := n.Link.drawDelay(n.Rng, outgoing.Packet)
+	packet := *outgoing.Packet // the receiver may change its copy
+	n.schedule(event{at: n.Now + delay, packet: &packet, destination: outgoing.To})
+}
--- a/internal/netsim/netsim.go
+++ b/internal/netsim/netsim.go
@@ -1,350 +1,213 @@
-// Package netsim runs the state machines of many routers on one manual clock and a
-// network of its own, deterministic from one seed: the same code as in the daemon, by
-// the hundred, in one goroutine.
+// Package netsim simulates a network of routers that run the fleet's state machines, the same
+// code as in the daemon. All routers share one manual clock and one goroutine, and a run
+// follows from its seed alone, to the last packet. It is for tests and experiments.
+//
+// Random numbers are drawn in a fixed order, on which recorded results of experiments rest:
+// a change of this package must neither add nor reorder draws.
 package netsim
 
 import (
 	"fmt"
-	"math"
 	"math/rand/v2"
 	"net/netip"
 
 	"garnetline/internal/fleet"
 	"garnetline/internal/fleet/membership"
-	"garnetline/internal/fleet/packetcrypto"
 )
 
-// udpHead is what the network adds to a datagram: IPv4 and UDP.
-const headerBytes = 28
+const (
+	// randomStream selects the stream of the generator; the seed is the other half of its state.
+	randomStream uint64 = 0x9e3779b97f4a7c15
 
-// Machine is what a host runs.
-type Machine interface {
-	Step(now float64, p *membership.Packet) fleet.Output
-	Leave(now float64) membership.Output
-}
-
-// Bare runs membership alone, without words of boxes and stance.
-type MembershipOnly struct{ *membership.Machine }
+	// hostPort is the UDP port of all hosts.
+	hostPort = 7946
 
-// Step steps it.
-func (b MembershipOnly) Step(now float64, p *membership.Packet) fleet.Output {
-	return fleet.Output{Output: b.Machine.Step(now, p)}
-}
+	// zoneCount is the number of zones over which hosts are spread by their slot.
+	zoneCount = 3
+)
 
-// Host is one process of a router.
-type Host struct {
-	Machine
-	Name         string
-	Addr         netip.AddrPort
-	Self         membership.Update
-	Dead         bool
-	PacketsSent  int64 // packets
-	BytesSent    int64 // that it sent, sealed, with the network's heads
-	pausedUntil  float64
-	nextTimerAt  float64 // of its earliest timer that is in the queue
-	socketBuffer []*membership.Packet
-	Clock        func(now float64) float64                     // its own; nil: the network's
-	OnStep       func(h *Host, now float64, out *fleet.Output) // may be nil
-}
+// Network is a simulated network with its hosts. It is not safe for concurrent use.
+type Network struct {
+	Now    float64 // ms since the start of the run
+	Link   Link    // may be changed between two calls of Run
+	Rng    *rand.Rand
+	Hosts  []*Host // all that were ever started, those that are dead included
+	Events int64   // number of packets and timers handled so far
 
-// Link decides what becomes of a packet from one host to another.
-type Link struct {
-	Loss        float64                            // share that is lost
-	Duplicate   float64                            // share that comes twice
-	Delay       float64                            // ms at the least
-	Jitter      float64                            // mean of what comes on top
-	Partitioned func(from, to *Host) bool          // nil: nothing is
-	ExtraDelay  func(p *membership.Packet) float64 // further delay; nil: none
-}
+	// Tap, unless nil, is called with each packet that a host sends, lost ones included.
+	Tap func(Datagram)
 
-// Net is the network and its hosts.
-type Network struct {
-	Now          float64
-	Link         Link
-	Rng          *rand.Rand
-	Hosts        []*Host
-	Events       int64
-	Tap          func(Datagram) // sees what is sent; may be nil
-	hostsByAddr  map[netip.AddrPort]*Host
+	hostsByAddr  map[netip.AddrPort]*Host // the process that listens there
 	events       eventQueue
-	lastSequence uint64
+	lastSequence uint64 // of the latest event that was scheduled
 	encodeBuffer []byte
 }
 
-// Send is a packet as it went to an address.
+// Datagram is a packet with the address that it was sent to.
 type Datagram struct {
 	To     netip.AddrPort
 	Packet membership.Packet
 }
 
-// Inject has a packet arrive now, once more or for the first time.
-func (v *Network) Inject(s Datagram) {
-	v.schedule(event{at: v.Now, packet: &s.Packet, destination: s.To})
-}
-
-// New returns an empty network.
+// New returns a network without hosts, whose links lose nothing and delay a packet by
+// fractions of a millisecond.
 func New(seed uint64) *Network {
-	return &Network{Link: Link{Delay: 0.2, Jitter: 0.3}, Rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), hostsByAddr: map[netip.AddrPort]*Host{}}
+	return &Network{
+		Link:        Link{Delay: defaultDelay, Jitter: defaultJitter},
+		Rng:         rand.New(rand.NewPCG(seed, randomStream)),
+		hostsByAddr: map[netip.AddrPort]*Host{},
+	}
 }
 
-// Addr is the address of the i-th place of the network.
-func Addr(i int) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(i >> 8), byte(i)}), 7946)
+// Addr returns the address of a slot, a place on the network that one process at a time
+// listens on.
+func Addr(slot int) netip.AddrPort {
+	ip := netip.AddrFrom4([4]byte{127, 1, byte(slot >> 8), byte(slot)})
+	return netip.AddrPortFrom(ip, hostPort)
 }
 
-// Fleet adds n routers of one fleet, each in its first life, that find each other by the
-// address of the first.
-func (v *Network) StartFleet(n int, set fleet.Settings, bare bool) {
-	for i := range n {
-		v.StartHost(i, fmt.Sprintf("r%03d", i), membership.ID(v.Rng.Uint64()|1), 1, set, bare)
+// StartFleet starts routers in the slots from 0 on, each in its first incarnation. They find
+// each other by the addresses of the first two. With membershipOnly, hosts run the membership
+// protocol alone, without gossip about servers and without connectivity.
+func (n *Network) StartFleet(routers int, settings fleet.Settings, membershipOnly bool) {
+	for slot := range routers {
+		name := fmt.Sprintf("r%03d", slot)
+		id := membership.ID(n.Rng.Uint64() | 1) // never 0, which stands for no router
+		n.StartHost(slot, name, id, 1, settings, membershipOnly)
 	}
 }
 
-// Start adds a process of a router at a place, with a seat and a life.
-func (v *Network) StartHost(place int, name string, seat membership.ID, life uint64, set fleet.Settings, bare bool) *Host {
-	h := &Host{Name: name, Addr: Addr(place), nextTimerAt: math.Inf(1),
-		Self: membership.Update{ID: seat, Revision: membership.FirstRevision(life), Name: name, Zone: fmt.Sprintf("z%d", place%3), Version: "v", Addr: Addr(place)}}
-	rng := rand.New(rand.NewPCG(v.Rng.Uint64(), v.Rng.Uint64()))
+// StartHost starts a process of a router in a slot and returns it. A process that ran there
+// receives nothing any more.
+func (n *Network) StartHost(slot int, name string, id membership.ID, incarnation uint64, settings fleet.Settings, membershipOnly bool) *Host {
+	self := membership.Update{
+		ID:       id,
+		Revision: membership.FirstRevision(incarnation),
+		Name:     name,
+		Zone:     fmt.Sprintf("z%d", slot%zoneCount),
+		Version:  "v",
+		Addr:     Addr(slot),
+	}
+	rng := rand.New(rand.NewPCG(n.Rng.Uint64(), n.Rng.Uint64()))
 	seeds := []netip.AddrPort{Addr(0), Addr(1)}
-	if bare {
-		h.Machine = MembershipOnly{membership.New(set.Membership, h.Self, seeds, rng, nil, v.Now)}
+	host := newHost(self)
+	if membershipOnly {
+		host.Machine = MembershipOnly{membership.New(settings.Membership, self, seeds, rng, nil, n.Now)}
 	} else {
-		h.Machine = fleet.New(set, h.Self, seeds, rng, v.Now)
+		host.Machine = fleet.New(settings, self, seeds, rng, n.Now)
 	}
-	v.Hosts = append(v.Hosts, h)
-	v.hostsByAddr[h.Addr] = h
-	v.schedule(event{at: v.Now, host: h})
-	return h
+	n.Hosts = append(n.Hosts, host)
+	n.hostsByAddr[host.Addr] = host
+	n.schedule(event{at: n.Now, host: host})
+	return host
 }
 
-// Kill ends a process without a word.
-func (v *Network) Kill(h *Host) {
-	h.Dead = true
-	if v.hostsByAddr[h.Addr] == h {
-		delete(v.hostsByAddr, h.Addr)
+// Kill ends a process as a crash does: it sends nothing any more.
+func (n *Network) Kill(host *Host) {
+	host.Dead = true
+	if n.hostsByAddr[host.Addr] == host {
+		delete(n.hostsByAddr, host.Addr)
 	}
 }
 
-// Leave ends a process in order.
-func (v *Network) Leave(h *Host) {
-	out := h.Machine.Leave(v.Now)
-	v.sendPackets(h, &out)
-	v.Kill(h)
+// Leave shuts a process down in order: it notifies its peers first.
+func (n *Network) Leave(host *Host) {
+	out := host.Leave(n.Now)
+	n.sendPackets(host, &out)
+	n.Kill(host)
 }
 
-// Stall stops a process for a while. What comes for it waits, up to what a socket holds.
-func (v *Network) Pause(h *Host, ms float64) {
-	h.pausedUntil = v.Now + ms
-	v.schedule(event{at: h.pausedUntil, host: h})
+// Pause stops a process for ms milliseconds, as SIGSTOP does. Packets for it wait, up to what
+// a socket buffer holds.
+func (n *Network) Pause(host *Host, ms float64) {
+	host.pausedUntil = n.Now + ms
+	n.schedule(event{at: host.pausedUntil, host: host})
 }
 
-// Do steps a host by something other than the network.
-func (v *Network) Step(h *Host, f func()) {
-	f()
-	v.stepHost(h, nil)
+// Step calls action, which may change the state of host, and then lets the host act on it.
+func (n *Network) Step(host *Host, action func()) {
+	action()
+	n.stepHost(host, nil)
 }
 
-// Run goes on until a moment.
-func (v *Network) Run(until float64) {
-	for len(v.events) > 0 && v.events[0].at <= until {
-		e := v.events.pop()
-		v.Now = e.at
-		v.Events++
-		h := e.host
-		if e.packet != nil {
-			if h = v.hostsByAddr[e.destination]; h == nil || h.Dead {
-				continue // nobody is there, as on a real network
-			}
-		} else if h.nextTimerAt <= e.at {
-			h.nextTimerAt = math.Inf(1)
-		}
-		switch {
-		case h.Dead:
-		case v.Now < h.pausedUntil:
-			if e.packet != nil && len(h.socketBuffer) < 200 {
-				h.socketBuffer = append(h.socketBuffer, e.packet)
-			}
-		default:
-			for _, p := range h.socketBuffer {
-				v.stepHost(h, p)
-			}
-			h.socketBuffer = h.socketBuffer[:0]
-			v.stepHost(h, e.packet)
+// Inject delivers a datagram now, once more or for the first time.
+func (n *Network) Inject(datagram Datagram) {
+	n.schedule(event{at: n.Now, packet: &datagram.Packet, destination: datagram.To})
+}
+
+// Run handles all events up to the time until, in ms, and sets the clock to it.
+func (n *Network) Run(until float64) {
+	for len(n.events) > 0 && n.events[0].at <= until {
+		next := n.events.pop()
+		n.Now = next.at
+		n.Events++
+		if next.packet != nil {
+			n.handlePacket(next)
+		} else {
+			n.handleTimer(next)
 		}
 	}
-	v.Now = until
+	n.Now = until
 }
 
-// Until goes on in steps until a condition holds, and tells whether it did by then.
-func (v *Network) RunUntil(limit, step float64, ok func() bool) bool {
-	for !ok() {
-		if v.Now >= limit {
+// RunUntil runs in steps of step milliseconds until condition holds, and reports whether it
+// did before the time limit.
+func (n *Network) RunUntil(limit, step float64, condition func() bool) bool {
+	for !condition() {
+		if n.Now >= limit {
 			return false
 		}
-		v.Run(v.Now + step)
+		n.Run(n.Now + step)
 	}
 	return true
 }
 
-func (v *Network) stepHost(h *Host, p *membership.Packet) {
-	now := v.Now
-	if h.Clock != nil {
-		now = h.Clock(now)
-	}
-	out := h.Machine.Step(now, p)
-	v.sendPackets(h, &out.Output)
-	if h.OnStep != nil {
-		h.OnStep(h, v.Now, &out)
-	}
-	// One timer a host: a later one is set when it fires.
-	if at := v.Now + max(out.WakeAt-now, 0.05); at < h.nextTimerAt {
-		h.nextTimerAt = at
-		v.schedule(event{at: at, host: h})
-	}
-}
-
-// carry sends what a host wants sent.
-func (v *Network) sendPackets(h *Host, out *membership.Output) {
-	for _, s := range out.Packets {
-		v.encodeBuffer = s.Packet.Append(v.encodeBuffer[:0])
-		h.PacketsSent++
-		if v.Tap != nil {
-			v.Tap(Datagram{s.To, *s.Packet})
-		}
-		h.BytesSent += int64(len(v.encodeBuffer) + packetcrypto.Overhead + headerBytes)
-		to := v.hostsByAddr[s.To]
-		if v.Link.Partitioned != nil && to != nil && v.Link.Partitioned(h, to) {
-			continue
-		}
-		for n := 0; n < 2; n++ {
-			if n == 1 && v.Rng.Float64() >= v.Link.Duplicate {
-				break
-			}
-			if v.Link.Loss > 0 && v.Rng.Float64() < v.Link.Loss {
-				continue
-			}
-			late := v.Link.Delay
-			if v.Link.Jitter > 0 {
-				late += v.Rng.ExpFloat64() * v.Link.Jitter
-			}
-			if v.Link.ExtraDelay != nil {
-				late += v.Link.ExtraDelay(s.Packet)
-			}
-			p := *s.Packet // what a host does with it is nobody else's matter
-			v.schedule(event{at: v.Now + late, packet: &p, destination: s.To})
-		}
+// handlePacket hands a packet to the process that listens at its destination. Where none
+// does, the packet is lost.
+func (n *Network) handlePacket(arrival event) {
+	if host := n.hostsByAddr[arrival.destination]; host != nil {
+		n.stepUnlessPaused(host, arrival.packet)
 	}
 }
 
-// event is a packet that arrives, or a timer.
-type event struct {
-	at          float64
-	sequence    uint64 // what was pushed first goes first
-	host        *Host
-	packet      *membership.Packet
-	destination netip.AddrPort
+func (n *Network) handleTimer(timer event) {
+	timer.host.clearTimer(timer.at)
+	n.stepUnlessPaused(timer.host, nil)
 }
 
-func (v *Network) schedule(e event) {
-	v.lastSequence++
-	e.sequence = v.lastSequence
-	v.events.push(e)
-}
-
-// heap is the queue of events, a binary heap of values: container/heap would box each.
-type eventQueue []event
-
-func (q eventQueue) less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
-}
-
-func (q *eventQueue) push(e event) {
-	h := append(*q, e)
-	for i := len(h) - 1; i > 0; {
-		up := (i - 1) / 2
-		if !h.less(i, up) {
-			break
+// stepUnlessPaused steps a host with a packet, or nil for a timer. A host that is paused
+// buffers the packet and handles it with the first event after the pause.
+func (n *Network) stepUnlessPaused(host *Host, packet *membership.Packet) {
+	switch {
+	case host.Dead:
+	case n.Now < host.pausedUntil:
+		host.buffer(packet)
+	default:
+		for _, buffered := range host.socketBuffer {
+			n.stepHost(host, buffered)
 		}
-		h[i], h[up] = h[up], h[i]
-		i = up
+		host.socketBuffer = host.socketBuffer[:0]
+		n.stepHost(host, packet)
 	}
-	*q = h
 }
 
-func (q *eventQueue) pop() event {
-	h := *q
-	e := h[0]
-	last := len(h) - 1
-	h[0] = h[last]
-	h[last] = event{}
-	h = h[:last]
-	for i := 0; ; {
-		c := 2*i + 1
-		if c >= len(h) {
-			break
-		}
-		if c+1 < len(h) && h.less(c+1, c) {
-			c++
-		}
-		if !h.less(c, i) {
-			break
-		}
-		h[c], h[i] = h[i], h[c]
-		i = c
+func (n *Network) stepHost(host *Host, packet *membership.Packet) {
+	hostNow := host.localTime(n.Now)
+	out := host.Step(hostNow, packet)
+	n.sendPackets(host, &out.Output)
+	if host.OnStep != nil {
+		host.OnStep(host, n.Now, &out)
 	}
-	*q = h
-	return e
-}
-
-// Alike tells whether all hosts that live hold the same routers as there, and nobody else.
-func (v *Network) Converged() bool {
-	var want [membership.BucketCount]uint32
-	first := true
-	live := 0
-	for _, h := range v.Hosts {
-		if !h.Dead {
-			live++
-		}
+	wakeAt := n.Now + max(out.WakeAt-hostNow, minTimerDelay)
+	if host.setTimer(wakeAt) {
+		n.schedule(event{at: wakeAt, host: host})
 	}
-	for _, h := range v.Hosts {
-		if h.Dead {
-			continue
-		}
-		m := h.Membership()
-		if first {
-			want, first = m.Checksums(), false
-		}
-		if m.Checksums() != want || m.PresentCount() != live {
-			return false
-		}
-	}
-	return true
 }
 
-// Member returns a host's machine of membership.
-func (h *Host) Membership() *membership.Machine {
-	switch m := h.Machine.(type) {
-	case MembershipOnly:
-		return m.Machine
-	case *fleet.Node:
-		return m.Machine
-	}
-	return nil
-}
-
-// viewer is a machine that can be asked how it sees a router.
-type stateMachine interface {
-	State(membership.ID) (membership.State, bool)
-}
-
-// SeenAs counts how the others that live see a host.
-func (v *Network) StateCounts(x *Host) (n [4]int) {
-	for _, h := range v.Hosts {
-		if h != x && !h.Dead {
-			if s, known := h.Machine.(stateMachine).State(x.Self.ID); known {
-				n[s]++
-			}
-		}
-	}
-	return n
+// schedule puts an event into the queue. Events of one time are handled in the order in which
+// they were scheduled.
+func (n *Network) schedule(scheduled event) {
+	n.lastSequence++
+	scheduled.sequence = n.lastSequence
+	n.events.push(scheduled)
 }
--- /dev/null
+++ b/internal/netsim/view.go
@@ -0,0 +1,51 @@
+package netsim
+
+import "garnetline/internal/fleet/membership"
+
+// stateCount is the number of states in which a router may be seen.
+const stateCount = membership.Left + 1
+
+// StateCounts counts hosts by the state in which they see a router.
+type StateCounts [stateCount]int
+
+// Converged reports whether all live hosts have the same view, in which just the live hosts
+// are present. It is for fleets whose hosts have a membership machine.
+func (n *Network) Converged() bool {
+	live := n.liveHosts()
+	if len(live) == 0 {
+		return true
+	}
+	want := live[0].Membership().Checksums()
+	for _, host := range live {
+		view := host.Membership()
+		if view.Checksums() != want || view.PresentCount() != len(live) {
+			return false
+		}
+	}
+	return true
+}
+
+// StateCounts counts, by state, how the other live hosts see subject. Hosts that do not know
+// it are not counted.
+func (n *Network) StateCounts(subject *Host) StateCounts {
+	var counts StateCounts
+	for _, host := range n.Hosts {
+		if host == subject || host.Dead {
+			continue
+		}
+		if state, known := host.State(subject.Self.ID); known {
+			counts[state]++
+		}
+	}
+	return counts
+}
+
+func (n *Network) liveHosts() []*Host {
+	live := make([]*Host, 0, len(n.Hosts))
+	for _, host := range n.Hosts {
+		if !host.Dead {
+			live = append(live, host)
+		}
+	}
+	return live
+}
