--- /dev/null
+++ b/internal/netsim/failure_detection_test.go
@@ -0,0 +1,120 @@
+package netsim
+
+import (
+	"fmt"
+	"testing"
+
+	"garnetline/internal/fleet"
+	"garnetline/internal/fleet/membership"
+)
+
+func TestCrashedRouterIsFailedAtAllPeers(t *testing.T) {
+	for _, routers := range []int{3, 8, 30} {
+		t.Run(fmt.Sprintf("%d routers", routers), func(t *testing.T) {
+			network := convergedFleet(t, 1, routers)
+			ownFailures := countOwnFailures(network)
+			crashed := network.Hosts[routers-1]
+			network.Kill(crashed)
+			runUntilFailed(t, network, crashed, routers-1, 3000, 10)
+			if *ownFailures > routers-1 {
+				t.Errorf("%d times a host concluded that one failed, want at most %d", *ownFailures, routers-1)
+			}
+		})
+	}
+}
+
+// A router that no other receives from, though it receives from all, is failed by all and
+// does not fail the others. It is back when they receive from it again.
+func TestRouterThatIsNotReceivedFromIsFailed(t *testing.T) {
+	network := convergedFleet(t, 4, 9)
+	mute := network.Hosts[4]
+	network.Link.Partitioned = func(from, _ *Host) bool { return from == mute }
+	runUntilFailed(t, network, mute, 8, 5000, 50)
+	network.Link.Partitioned = nil
+	requireConvergence(t, network, 3000)
+}
+
+// A router that was stopped for 30 s and continues fails nobody, and is back soon.
+func TestRouterThatContinuesAfterStallFailsNobody(t *testing.T) {
+	network := convergedFleet(t, 5, 8)
+	stalled := network.Hosts[3]
+	otherFailures := countFailuresExcept(network, stalled)
+	network.Pause(stalled, 30_000)
+	network.Run(network.Now + 29_900)
+	if got := network.StateCounts(stalled)[membership.Failed]; got != 7 {
+		t.Errorf("after a stall of 29.9 s, %d hosts see the router as failed, want 7", got)
+	}
+	took := requireConvergence(t, network, 3000)
+	network.Run(network.Now + 20_000)
+	if *otherFailures != 0 {
+		t.Errorf("%d times another router was failed, want 0; converged after %.0f ms", *otherFailures, took)
+	}
+}
+
+// With a fifth of all packets lost, packets that are late, duplicated or out of order, and one
+// router that stalls again and again, no other router is failed.
+func TestLossAndOneStallingRouterFailNoOther(t *testing.T) {
+	network := convergedFleet(t, 6, 8)
+	stalling := network.Hosts[7]
+	otherFailures := countFailuresExcept(network, stalling)
+	network.Link = Link{Loss: 0.2, Duplicate: 0.1, Delay: 1, Jitter: 10}
+	for range 60 {
+		network.Pause(stalling, 2000*network.Rng.Float64())
+		network.Run(network.Now + 4000)
+	}
+	if *otherFailures != 0 {
+		t.Errorf("%d times a live router was failed, want 0", *otherFailures)
+	}
+}
+
+// Clocks that differ by a day, and one that runs a tenth too fast, change nothing: routers
+// never send each other times.
+func TestClockDifferencesChangeNothing(t *testing.T) {
+	network := convergedFleet(t, 15, 8)
+	network.Hosts[2].Clock = func(now float64) float64 { return now + 86_400_000 }
+	network.Hosts[3].Clock = func(now float64) float64 { return now * 1.1 }
+	ownFailures := countOwnFailures(network)
+	network.Run(network.Now + 60_000)
+	if *ownFailures != 0 {
+		t.Errorf("%d times a live router was failed, want 0", *ownFailures)
+	}
+	crashed := network.Hosts[5]
+	network.Kill(crashed)
+	runUntilFailed(t, network, crashed, 7, 4000, 50)
+	requireConvergence(t, network, 3000)
+}
+
+// Packets of long ago change nothing: a router that left stays away and one that is alive
+// stays, though all packets that were ever sent arrive once more.
+func TestReplayedPacketsChangeNothing(t *testing.T) {
+	network := New(7)
+	network.StartFleet(5, fleet.DefaultSettings(), false)
+	var recorded []Datagram
+	network.Tap = func(sent Datagram) { recorded = append(recorded, sent) }
+	requireConvergence(t, network, 10_000)
+	network.Run(network.Now + 5000)
+	network.Leave(network.Hosts[4])
+	network.Run(network.Now + 5000)
+	network.Tap = nil
+	const hour = 3_600_000
+	network.Run(network.Now + hour/6)
+
+	changes := countEvents(network, func(_ *Host, event membership.Event) bool {
+		switch event.Kind {
+		case membership.EventJoined, membership.EventBack, membership.EventFailed, membership.EventSuspect:
+			return true
+		}
+		return false
+	})
+	replaysBefore := network.Hosts[0].Membership().Replays
+	for _, datagram := range recorded {
+		network.Inject(datagram)
+	}
+	network.Run(network.Now + 30_000)
+	if *changes != 0 {
+		t.Errorf("%d changes by %d replayed packets, want 0", *changes, len(recorded))
+	}
+	if got := network.Hosts[0].Membership().Replays; got == replaysBefore {
+		t.Errorf("replays counted: %d, want more than the %d before", got, replaysBefore)
+	}
+}
--- /dev/null
+++ b/internal/netsim/partition_test.go
@@ -0,0 +1,126 @@
+package netsim
+
+import (
+	"fmt"
+	"testing"
+
+	"garnetline/internal/fleet"
+	"garnetline/internal/fleet/connectivity"
+)
+
+// Two or three sides of a partition fail each other, and each converges and knows that it is
+// partial. When the partition heals, all views are the same within 3 s, and connectivity
+// follows after the time for which it holds back.
+func TestPartitionHeals(t *testing.T) {
+	const routers = 12
+	for _, sides := range []int{2, 3} {
+		t.Run(fmt.Sprintf("%d sides", sides), func(t *testing.T) {
+			network := convergedFleet(t, 2, routers)
+			network.Link.Partitioned = partitionBy(func(slot int) int { return slot % sides })
+			network.Run(network.Now + 15_000)
+			for _, host := range network.Hosts {
+				present := host.Membership().PresentCount()
+				status := connectivityOf(host)
+				if present != routers/sides || status.State != connectivity.Partial || status.Known != routers {
+					t.Errorf("%s sees %d routers, want %d; connectivity %+v, want partial of %d",
+						host.Name, present, routers/sides, status, routers)
+				}
+			}
+			network.Link.Partitioned = nil
+			took := requireConvergence(t, network, 3000)
+			network.Run(network.Now + 12_000)
+			for _, host := range network.Hosts {
+				if got := connectivityOf(host).State; got != connectivity.Together {
+					t.Errorf("%s is %v, want %v; views converged after %.0f ms", host.Name, got, connectivity.Together, took)
+				}
+			}
+		})
+	}
+}
+
+// Where each router can be reached in one direction or through another router, nobody is
+// failed.
+func TestIndirectlyReachableRoutersAreNotFailed(t *testing.T) {
+	betweenSides := partitionBy(func(slot int) int { return slot % 2 })
+	tests := []struct {
+		name        string
+		partitioned func(from, to *Host) bool
+	}{
+		{"one direction between two routers", func(from, to *Host) bool {
+			return from.Name == "r001" && to.Name == "r002"
+		}},
+		{"two sides with one router between", func(from, to *Host) bool {
+			return from.Name != "r000" && to.Name != "r000" && betweenSides(from, to)
+		}},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			network := convergedFleet(t, 3, 9)
+			ownFailures := countOwnFailures(network)
+			network.Link.Partitioned = test.partitioned
+			network.Run(network.Now + 60_000)
+			if *ownFailures != 0 {
+				t.Errorf("%d times a router was failed, want 0", *ownFailures)
+			}
+		})
+	}
+}
+
+// A router whose peers all crashed is alone and still knows of all: its quotas of what the
+// fleet divides do not grow.
+func TestLastRouterIsAlone(t *testing.T) {
+	network := convergedFleet(t, 9, 8)
+	for _, host := range network.Hosts[1:] {
+		network.Kill(host)
+	}
+	network.Run(network.Now + 30_000)
+	if got := connectivityOf(network.Hosts[0]); got.State != connectivity.Alone || got.Known != 8 {
+		t.Errorf("connectivity %+v, want alone of 8 known", got)
+	}
+}
+
+// One router of 60 that is cut off from all is alone within 4 s, long before it has failed them
+// one by one, and together with them again when the partition has healed.
+func TestIsolatedRouterIsAloneSoon(t *testing.T) {
+	network := convergedFleet(t, 14, 60)
+	isolated := network.Hosts[7]
+	expectState := func(want connectivity.State, within float64) {
+		t.Helper()
+		reached := func() bool { return connectivityOf(isolated).State == want }
+		if !network.RunUntil(network.Now+within, 50, reached) {
+			t.Errorf("after %.0f ms the router is %v, want %v; it sees %d routers",
+				within, connectivityOf(isolated).State, want, isolated.Membership().PresentCount())
+		}
+	}
+	network.Link.Partitioned = isolate(isolated)
+	expectState(connectivity.Alone, 4000)
+	network.Link.Partitioned = nil
+	expectState(connectivity.Together, 20_000)
+}
+
+// A link that flaps at the worst period for connectivity: changes for the better come ever more
+// rarely, changes for the worse at once.
+func TestConnectivityIsDampedWhileLinkFlaps(t *testing.T) {
+	network := convergedFleet(t, 13, 6)
+	flapping := network.Hosts[0]
+	changes := 0
+	flapping.OnStep = func(_ *Host, _ float64, out *fleet.Output) {
+		if out.ConnectivityChanged {
+			changes++
+		}
+	}
+	const flaps = 20
+	for range flaps {
+		network.Link.Partitioned = isolate(flapping)
+		network.Run(network.Now + 6000)
+		network.Link.Partitioned = nil
+		network.Run(network.Now + 12_000)
+	}
+	if changes < 2 || changes > flaps {
+		t.Errorf("%d changes of connectivity in %d flaps, want 2 to %d", changes, flaps, flaps)
+	}
+	network.Run(network.Now + 90_000)
+	if got := connectivityOf(flapping).State; got != connectivity.Together {
+		t.Errorf("after the link has been up for long the router is %v, want %v", got, connectivity.Together)
+	}
+}
