--- a/cmd/fleetlab/fleet.go
+++ b/cmd/fleetlab/fleet.go
@@ -52,31 +52,31 @@
 				}
 				text = string(b)
 			}
-			steps, err := parse(name, text)
+			steps, err := parseScenario(name, text)
 			if err != nil {
 				return err
 			}
-			program, err := beside(c)
+			program, err := programPath(c)
 			if err != nil {
 				return err
 			}
 			ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
-			return show(ctx, program, steps)
+			return playScenario(ctx, program, steps)
 		}}
 }
 
 // step is one line of a file.
-type step struct {
+type operation struct {
 	at    time.Duration
 	words []string
 	line  string
 }
 
 // most is how many routers are started at once.
-const most = 60
+const maxRouters = 60
 
-func parse(name, text string) (steps []step, err error) {
+func parseScenario(name, text string) (steps []operation, err error) {
 	in := bufio.NewScanner(strings.NewReader(text))
 	for n := 1; in.Scan(); n++ {
 		line, _, _ := strings.Cut(in.Text(), "#")
@@ -84,7 +84,7 @@
 		if len(w) == 0 {
 			continue
 		}
-		bad := func(why string) ([]step, error) { return nil, fmt.Errorf("%s:%d: %s", name, n, why) }
+		bad := func(why string) ([]operation, error) { return nil, fmt.Errorf("%s:%d: %s", name, n, why) }
 		at, err := strconv.ParseFloat(w[0], 64)
 		if err != nil || !(at >= 0 && at <= 3600) || len(w) < 2 {
 			return bad("want seconds up to 3600 and what is done then")
@@ -102,7 +102,7 @@
 		case len(steps) > 0 && time.Duration(at*float64(time.Second)) < steps[len(steps)-1].at:
 			return bad("comes before the line above")
 		}
-		steps = append(steps, step{time.Duration(at * float64(time.Second)), w[1:], strings.TrimSpace(strings.TrimPrefix(strings.TrimSpace(line), w[0]))})
+		steps = append(steps, operation{time.Duration(at * float64(time.Second)), w[1:], strings.TrimSpace(strings.TrimPrefix(strings.TrimSpace(line), w[0]))})
 	}
 	if len(steps) == 0 {
 		return nil, fmt.Errorf("%s: there is nothing to do", name)
@@ -111,10 +111,10 @@
 }
 
 // show carries the steps out.
-func show(ctx context.Context, program string, steps []step) error {
+func playScenario(ctx context.Context, program string, steps []operation) error {
 	n, err := strconv.Atoi(steps[0].words[1])
-	if err != nil || n < 1 || n > most {
-		return fmt.Errorf("routers: want 1 to %d", most)
+	if err != nil || n < 1 || n > maxRouters {
+		return fmt.Errorf("routers: want 1 to %d", maxRouters)
 	}
 	dir, err := os.MkdirTemp("", "fleetlab")
 	if err != nil {
@@ -134,13 +134,13 @@
 			return nil
 		case <-time.After(100 * time.Millisecond):
 		}
-		look(r, time.Since(began), seen)
+		printChangedViews(r, time.Since(began), seen)
 		for ; next < len(steps) && steps[next].at <= time.Since(began); next++ {
 			if steps[next].words[0] == "end" {
 				return nil
 			}
 			fmt.Printf("%6.1f s  ==> %s\n", time.Since(began).Seconds(), steps[next].line)
-			if err := do(r, steps[next].words); err != nil {
+			if err := applyOperation(r, steps[next].words); err != nil {
 				return fmt.Errorf("%s: %w", steps[next].line, err)
 			}
 		}
@@ -151,7 +151,7 @@
 }
 
 // look prints what has changed in the views.
-func look(r *testcluster.Cluster, at time.Duration, seen map[string]string) {
+func printChangedViews(r *testcluster.Cluster, at time.Duration, seen map[string]string) {
 	for _, x := range r.Routers {
 		now := "is not running"
 		if x.Running() {
@@ -182,7 +182,7 @@
 }
 
 // do carries one step out.
-func do(r *testcluster.Cluster, w []string) error {
+func applyOperation(r *testcluster.Cluster, w []string) error {
 	var err error
 	find := func(name string) *testcluster.Router {
 		for _, x := range r.Routers {
--- a/cmd/fleetlab/golden_test.go
+++ b/cmd/fleetlab/golden_test.go
@@ -7,6 +7,6 @@
 )
 
 // The tour is a file of faults that users change and give back. UPDATE_GOLDEN=1 rewrites testdata.
-func TestTour(t *testing.T) {
+func TestTourIsUnchanged(t *testing.T) {
 	golden.Compare(t, "tour.golden", []byte(tour))
 }
--- a/cmd/fleetlab/leases.go
+++ b/cmd/fleetlab/leases.go
@@ -38,7 +38,7 @@
 		var mu sync.Mutex
 		var all experiment.LeaseResult
 		runs := (c.Int("handovers") + each - 1) / each
-		parallel(runs, func(i int) {
+		forEachParallel(runs, func(i int) {
 			r := experiment.LeaseHandovers{Seed: uint64(i + 1), ClockDrift: 1, Routers: 3 + i%3, MaxHandovers: each}.Run()
 			mu.Lock()
 			defer mu.Unlock()
@@ -57,7 +57,7 @@
 		fmt.Fprintln(f, "| off | seeds that show it | smallest schedule: faults and moves | handovers until then | what is seen there |\n| --- | --- | --- | --- | --- |")
 		for _, off := range append(slices.Clone(experiment.Safeguards), "ten times the drift") {
 			n, best := 0, experiment.LeaseResult{}
-			parallel(c.Int("seeds"), func(i int) {
+			forEachParallel(c.Int("seeds"), func(i int) {
 				o := experiment.LeaseHandovers{Seed: uint64(i + 1), Without: off, ClockDrift: 1, Routers: 3, MaxHandovers: 2000}
 				if off == "ten times the drift" {
 					o.Without, o.ClockDrift = experiment.NoSafeguard, 10
@@ -79,7 +79,7 @@
 }
 
 // statesCommand visits the states of a lease, and writes what was seen.
-func statesCommand() *cli.Command {
+func leaseStatesCommand() *cli.Command {
 	return &cli.Command{Name: "lease-states", Usage: "visit the states of two routers and a register one by one", Flags: []cli.Flag{
 		&cli.StringFlag{Name: "out", Usage: "`FOLDER` for states.md", Value: "."},
 		&cli.IntFlag{Name: "most", Usage: "states visited in the larger bounds", Value: 300_000},
@@ -99,14 +99,14 @@
 			all = append(all, wide)
 		}
 		rows := make([]string, len(all))
-		parallel(len(all), func(i int) { rows[i] = all[i].Row(all[i].Run()) })
+		forEachParallel(len(all), func(i int) { rows[i] = all[i].Row(all[i].Run()) })
 		_, err = fmt.Fprintln(f, strings.Join(rows, "\n"))
 		return err
 	}}
 }
 
 // parallel calls f with 0 to n-1, as many at once as there are processors.
-func parallel(n int, f func(i int)) {
+func forEachParallel(n int, f func(i int)) {
 	var wg sync.WaitGroup
 	room := make(chan struct{}, runtime.GOMAXPROCS(0))
 	for i := range n {
@@ -125,11 +125,11 @@
 		&cli.StringFlag{Name: "out", Usage: "`FOLDER` for handovers.md and the chart", Value: "."},
 		&cli.IntFlag{Name: "handovers", Value: 200},
 		&cli.IntFlag{Name: "seed", Value: 1},
-		&cli.StringSliceFlag{Name: "kind", Usage: "only handovers of this kind; may be given several times", Value: kindsOfEnd},
+		&cli.StringSliceFlag{Name: "kind", Usage: "only handovers of this kind; may be given several times", Value: handoverKinds},
 		&cli.FloatFlag{Name: "tell", Usage: "print the routers' logs after a planned handover that left nobody acting for longer, `ms`", Value: 300},
 		&cli.StringFlag{Name: "program", Usage: "the daemon; without it, garnetline beside this program"},
 	}, Action: func(ctx context.Context, c *cli.Command) error {
-		program, err := beside(c)
+		program, err := programPath(c)
 		if err != nil {
 			return err
 		}
@@ -150,7 +150,7 @@
 
 // registerCommand plays electors and routers with some duties and with many, and a month of
 // them with a tick of a second.
-func registerCommand() *cli.Command {
+func leaseRegistryCommand() *cli.Command {
 	return &cli.Command{Name: "register", Usage: "what duties cost the electors: questions, bytes, memory, disk", Flags: []cli.Flag{
 		&cli.StringFlag{Name: "out", Usage: "`FOLDER` for register.md", Value: "."},
 		&cli.FloatFlag{Name: "days", Usage: "of the long run", Value: 30},
@@ -186,7 +186,7 @@
 }
 
 // worthCommand compares who may ask the boxes of a location for their load, and how often.
-func worthCommand() *cli.Command {
+func loadReportingCommand() *cli.Command {
 	return &cli.Command{Name: "worth", Usage: "who asks the boxes for their load: nobody, everybody, one by hash, one by lease", Flags: []cli.Flag{
 		&cli.StringFlag{Name: "out", Usage: "`FOLDER` for worth.md", Value: "."},
 	}, Action: func(_ context.Context, c *cli.Command) error {
@@ -203,14 +203,14 @@
 
 // returnsCommand has a box fail and come back, before routers that try it again each by
 // itself, and before routers of which one tries it first.
-func returnsCommand() *cli.Command {
+func recoveryProbeCommand() *cli.Command {
 	return &cli.Command{Name: "returns", Usage: "a box that comes back, with one router that tries it first and without", Flags: []cli.Flag{
 		&cli.StringFlag{Name: "out", Usage: "`FOLDER` for returns.md", Value: "."},
 		&cli.IntSliceFlag{Name: "routers", Value: []int{8, 30}},
 		&cli.IntFlag{Name: "times", Usage: "the box fails and comes back", Value: 3},
 		&cli.StringFlag{Name: "program", Usage: "the daemon; without it, garnetline beside this program"},
 	}, Action: func(_ context.Context, c *cli.Command) error {
-		program, err := beside(c)
+		program, err := programPath(c)
 		if err != nil {
 			return err
 		}
@@ -296,7 +296,7 @@
 
 func sorted(x []float64) []float64 { slices.Sort(x); return x }
 
-func beside(c *cli.Command) (string, error) {
+func programPath(c *cli.Command) (string, error) {
 	if p := c.String("program"); p != "" {
 		return p, nil
 	}
@@ -305,10 +305,10 @@
 }
 
 // kinds of handovers that are played.
-var kindsOfEnd = []string{"moved by staff", "ended in order", "killed", "stopped past its end", "cut off from all but the boxes", "cut off one way from the leader"}
+var handoverKinds = []string{"moved by staff", "ended in order", "killed", "stopped past its end", "cut off from all but the boxes", "cut off one way from the leader"}
 
 // planned are those in which the holder itself hands the duty on.
-var planned = kindsOfEnd[:2]
+var plannedKinds = handoverKinds[:2]
 
 func handovers(r *testcluster.Cluster, rng *rand.Rand, n int, kinds []string, tell float64, out string) error {
 	const duty = "probe/edge"
@@ -384,7 +384,7 @@
 				done++
 				gap := float64(acts[i].ReceivedAt.Sub(acts[i-1].ReceivedAt).Microseconds()) / 1000
 				gaps[kind] = append(gaps[kind], gap)
-				if gap > tell && slices.Contains(planned, kind) {
+				if gap > tell && slices.Contains(plannedKinds, kind) {
 					fmt.Fprintf(os.Stderr, "%s: from token %d at %v to %d at %v, %.0f ms\n%s\n", kind, acts[i-1].Token, acts[i-1].ReceivedAt.UnixMilli(), acts[i].Token, acts[i].ReceivedAt.UnixMilli(), gap, r.Logs(6))
 				}
 			}
@@ -412,7 +412,7 @@
 	fmt.Fprintf(f, "\n%d handovers, acts after one of a later token: %s. %d requests of clients meanwhile, %d without one whole answer, %d served, p50 %.1f ms, p99 %.1f ms.\n",
 		done, broken, res.Requests, len(res.Lost), res.Statuses[200], float64(res.P50.Microseconds())/1000, float64(res.P99.Microseconds())/1000)
 	fmt.Fprintf(f, "\nAt the routers that ran to the end: %d packets dropped for the bounds of a second, %d suspicions of them refuted, of %d packets.\n",
-		figure(r, "over_budget"), figure(r, "refuted"), figure(r, "packets_out"))
+		sumFleetCounter(r, "over_budget"), sumFleetCounter(r, "refuted"), sumFleetCounter(r, "packets_out"))
 	for _, x := range res.Lost {
 		fmt.Fprintln(os.Stderr, x)
 	}
@@ -420,7 +420,7 @@
 }
 
 // figure is the sum of one of the fleet's counters over the routers that run.
-func figure(r *testcluster.Cluster, name string) (sum int) {
+func sumFleetCounter(r *testcluster.Cluster, name string) (sum int) {
 	for _, x := range r.Running() {
 		_, b, _ := x.CallAdmin("GET", "/metrics")
 		for line := range strings.Lines(string(b)) {
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -22,7 +22,7 @@
 		Commands: []*cli.Command{
 			fleetCommand(),
 			requestsCommand(),
-			leasesCommand(), statesCommand(), returnsCommand(), registerCommand(), worthCommand(),
+			leasesCommand(), leaseStatesCommand(), recoveryProbeCommand(), leaseRegistryCommand(), loadReportingCommand(),
 			handoversCommand(),
 			{Name: "members", Usage: "measure membership on the virtual network: a table and charts", Flags: []cli.Flag{
 				&cli.StringFlag{Name: "out", Usage: "`FOLDER` for members.md and the charts", Value: "."},
--- a/cmd/fleetlab/requests.go
+++ b/cmd/fleetlab/requests.go
@@ -18,7 +18,7 @@
 		&cli.IntFlag{Name: "routers", Value: 8}, &cli.IntFlag{Name: "rounds", Value: 3},
 		&cli.StringFlag{Name: "program", Usage: "the daemon; without it, garnetline beside this program"},
 	}, Action: func(_ context.Context, c *cli.Command) error {
-		program, err := beside(c)
+		program, err := programPath(c)
 		if err != nil {
 			return err
 		}
@@ -26,7 +26,7 @@
 		fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- |")
 		for round := range c.Int("rounds") {
 			for _, on := range []bool{false, true} {
-				res, err := faulty(program, c.Int("routers"), uint64(round+1), on)
+				res, err := runRequests(program, c.Int("routers"), uint64(round+1), on)
 				if err != nil {
 					return err
 				}
@@ -43,7 +43,7 @@
 
 // faulty plays the same faults each time: one router killed and started again, one
 // stopped for 3 s, a cut in halves, loss and garbling, a box that fails.
-func faulty(program string, n int, seed uint64, on bool) (testcluster.Result, error) {
+func runRequests(program string, n int, seed uint64, on bool) (testcluster.Result, error) {
 	dir, err := os.MkdirTemp("", "fleetlab")
 	if err != nil {
 		return testcluster.Result{}, err
