--- /dev/null
+++ b/cmd/fleetlab/handover_kinds.go
@@ -0,0 +1,134 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"time"
+
+	"garnetline/internal/faultproxy"
+	"garnetline/internal/testcluster"
+)
+
+const (
+	// handoverTimeout is how long a handover may take.
+	handoverTimeout = 15 * time.Second
+
+	// optionalHandoverTimeout is how long a run waits for a handover that need not happen.
+	optionalHandoverTimeout = 3 * time.Second
+)
+
+// errNotHolder is returned for a router that has lost the lease before it could be disturbed.
+var errNotHolder = errors.New("the router does not hold the lease any more")
+
+// handoverKind is a way to make a router lose its lease.
+type handoverKind struct {
+	name     string // in tables, charts and the flag kind
+	planned  bool   // the holder itself transfers the lease
+	optional bool   // the holder may keep its lease
+	timeout  time.Duration
+
+	// disturb makes the holder lose its lease and returns what repairs it.
+	disturb func(run *handoverRun, holder *testcluster.Router) (repair func() error, err error)
+}
+
+var handoverKinds = []handoverKind{
+	{name: "moved by staff", planned: true, timeout: handoverTimeout, disturb: (*handoverRun).transferLease},
+	{name: "ended in order", planned: true, timeout: handoverTimeout, disturb: (*handoverRun).shutDownHolder},
+	{name: "killed", timeout: handoverTimeout, disturb: (*handoverRun).killHolder},
+	{name: "stopped past its end", timeout: handoverTimeout, disturb: (*handoverRun).pauseHolder},
+	{name: "cut off from all but the boxes", timeout: handoverTimeout, disturb: (*handoverRun).isolateHolder},
+	// Other routers may relay what the holder cannot send to the leader.
+	{name: "cut off one way from the leader", optional: true, timeout: optionalHandoverTimeout, disturb: (*handoverRun).cutOffFromLeader},
+}
+
+func handoverKindNames() []string {
+	var names []string
+	for _, kind := range handoverKinds {
+		names = append(names, kind.name)
+	}
+	return names
+}
+
+// findHandoverKinds returns the kinds with these names, in the order of the names.
+func findHandoverKinds(names []string) ([]handoverKind, error) {
+	byName := map[string]handoverKind{}
+	for _, kind := range handoverKinds {
+		byName[kind.name] = kind
+	}
+	var found []handoverKind
+	for _, name := range names {
+		kind, known := byName[name]
+		if !known {
+			return nil, fmt.Errorf("%q is not a kind of handover; want one of %q", name, handoverKindNames())
+		}
+		found = append(found, kind)
+	}
+	return found, nil
+}
+
+// noRepair is for disturbances that leave nothing to repair.
+func noRepair() error { return nil }
+
+// transferLease has an operator move the lease to another router.
+func (r *handoverRun) transferLease(holder *testcluster.Router) (func() error, error) {
+	err := postAdmin(holder, "/fleet/duty/move/"+probeLease)
+	var rejected *adminError
+	if errors.As(err, &rejected) && rejected.status == http.StatusServiceUnavailable {
+		return nil, errNotHolder
+	}
+	return noRepair, err
+}
+
+func (r *handoverRun) shutDownHolder(holder *testcluster.Router) (func() error, error) {
+	r.load.SetExcused(holder, true)
+	return holder.Start, holder.Stop()
+}
+
+func (r *handoverRun) killHolder(holder *testcluster.Router) (func() error, error) {
+	r.load.SetExcused(holder, true)
+	holder.Kill()
+	return holder.Start, nil
+}
+
+func (r *handoverRun) pauseHolder(holder *testcluster.Router) (func() error, error) {
+	r.load.SetExcused(holder, true)
+	return holder.Resume, holder.Pause()
+}
+
+// isolateHolder cuts the holder off from all routers; it still reaches the servers.
+func (r *handoverRun) isolateHolder(holder *testcluster.Router) (func() error, error) {
+	for _, router := range r.cluster.Routers {
+		if router != holder {
+			r.cut(holder, router)
+			r.cut(router, holder)
+		}
+	}
+	return r.healLinks, nil
+}
+
+// cutOffFromLeader drops what the holder sends to the leader of the lease registry.
+func (r *handoverRun) cutOffFromLeader(holder *testcluster.Router) (func() error, error) {
+	for _, router := range r.cluster.Routers {
+		if router != holder && leadsRegistry(router) {
+			r.cut(holder, router)
+		}
+	}
+	return r.healLinks, nil
+}
+
+// leadsRegistry reports whether a router responds that it is the leader.
+func leadsRegistry(router *testcluster.Router) bool {
+	status, err := router.Leases()
+	return err == nil && status.Register.Leading
+}
+
+// cut drops all packets of one router to another.
+func (r *handoverRun) cut(from, to *testcluster.Router) {
+	r.cluster.Proxy.Set(from.ProxyName(), to.ProxyName(), faultproxy.Fault{Partitioned: true})
+}
+
+func (r *handoverRun) healLinks() error {
+	r.cluster.Proxy.Heal()
+	return nil
+}
--- /dev/null
+++ b/cmd/fleetlab/membership.go
@@ -0,0 +1,94 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"time"
+
+	"github.com/urfave/cli/v3"
+
+	"garnetline/internal/experiment"
+)
+
+// quietPeriod is how long a fleet without faults runs to measure its traffic, in ms of
+// simulated time.
+const quietPeriod = 20_000
+
+// membershipCommand measures how fast failures are detected, what the protocol costs, and how
+// often it is wrong.
+func membershipCommand() *cli.Command {
+	return &cli.Command{
+		Name:  "members",
+		Usage: "measure membership on the simulated network: a table and charts",
+		Flags: []cli.Flag{
+			outFlag("members.md and the charts"),
+			&cli.IntSliceFlag{Name: "sizes", Usage: "numbers of routers", Value: []int{3, 30, 300, 1000}},
+			&cli.IntFlag{Name: "seeds", Usage: "runs of each", Value: 10},
+			&cli.IntFlag{Name: "kills", Usage: "routers killed in each run, fewer where there are over 30", Value: 20},
+			&cli.DurationFlag{Name: "rough", Usage: "simulated time under each fault, less where there are over 30", Value: 10 * time.Minute},
+		},
+		Action: measureMembership,
+	}
+}
+
+func measureMembership(_ context.Context, command *cli.Command) error {
+	startedAt := time.Now()
+	folder := command.String("out")
+	faultPeriod := command.Duration("rough")
+	measurement := experiment.Membership{
+		Sizes:       command.IntSlice("sizes"),
+		Seeds:       command.Int("seeds"),
+		Kills:       command.Int("kills"),
+		QuietPeriod: quietPeriod,
+		FaultPeriod: wholeMilliseconds(faultPeriod),
+		Losses:      []float64{0, 0.05, 0.2},
+	}
+	results := measurement.Run(os.Stderr)
+	if err := os.MkdirAll(folder, 0o755); err != nil {
+		return err
+	}
+	err := writeReport(folder, "members.md", func(table *report) error {
+		table.printf("Made by `fleetlab members --sizes %v --seeds %d --kills %d --rough %v`, %v.\n\n",
+			measurement.Sizes, measurement.Seeds, measurement.Kills, faultPeriod, time.Since(startedAt).Round(time.Second))
+		experiment.MembershipTable(table, results)
+		return nil
+	})
+	if err != nil {
+		return err
+	}
+	return experiment.MembershipCharts(folder, results)
+}
+
+// falsePositivesCommand counts how often routers that are alive are suspected or failed.
+func falsePositivesCommand() *cli.Command {
+	return &cli.Command{
+		Name:  "day",
+		Usage: "a simulated day of a fleet under loss: which live routers are suspected or failed",
+		Flags: []cli.Flag{
+			&cli.IntFlag{Name: "routers", Value: 30},
+			&cli.IntFlag{Name: "seeds", Value: 10},
+			&cli.FloatFlag{Name: "loss", Value: 0.05},
+			&cli.DurationFlag{Name: "for", Value: 24 * time.Hour},
+		},
+		Action: measureFalsePositives,
+	}
+}
+
+func measureFalsePositives(_ context.Context, command *cli.Command) error {
+	routers := command.Int("routers")
+	loss := command.Float("loss")
+	duration := wholeMilliseconds(command.Duration("for"))
+	forEachParallel(command.Int("seeds"), func(index int) {
+		seed := index + 1
+		result := experiment.MeasureFalsePositives(routers, uint64(seed), loss, duration)
+		fmt.Printf("%d routers, seed %d, %s, %.0f hours: %d suspicions, %d failures of routers that lived\n",
+			routers, seed, result.Fault, result.Hours, result.Suspicions, result.Failures)
+	})
+	return nil
+}
+
+// wholeMilliseconds converts a duration for an experiment's clock.
+func wholeMilliseconds(duration time.Duration) float64 {
+	return float64(duration.Milliseconds())
+}
--- /dev/null
+++ b/cmd/fleetlab/recovery_probe.go
@@ -0,0 +1,195 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"slices"
+	"time"
+
+	"github.com/urfave/cli/v3"
+
+	"garnetline/internal/experiment"
+	"garnetline/internal/testcluster"
+)
+
+const (
+	// recoveryProbeLease is the lease whose holder probes ejected servers of the cluster's zone.
+	recoveryProbeLease = "first/edge"
+
+	// recoveryRequestRate is the rate of requests of all clients together, a second.
+	recoveryRequestRate = 160
+
+	// fullServerRate is the number of requests in one second from which on a server counts as
+	// used by all routers: clearly more than half of its third of the rate.
+	fullServerRate = 30
+
+	// serverFailure is how long the server fails.
+	serverFailure = 4 * time.Second
+
+	// shortestRecovery is longer than the window in which requests are counted, so that none
+	// from before the failure are in it.
+	shortestRecovery = 1100 * time.Millisecond
+
+	// firstRequestStep is the resolution with which the first request after a failure is found.
+	firstRequestStep = 5 * time.Millisecond
+)
+
+// recoveryProbeCommand has a server fail and recover, before routers that probe it each by
+// itself, and before routers that leave the first probe to the holder of a lease.
+func recoveryProbeCommand() *cli.Command {
+	return &cli.Command{
+		Name:  "returns",
+		Usage: "a server that recovers, with one router that probes it for all and without",
+		Flags: []cli.Flag{
+			outFlag("returns.md"),
+			&cli.IntSliceFlag{Name: "routers", Value: []int{8, 30}},
+			&cli.IntFlag{Name: "times", Usage: "the server fails and recovers", Value: 3},
+			programFlag(),
+		},
+		Action: measureRecoveryProbe,
+	}
+}
+
+func measureRecoveryProbe(_ context.Context, command *cli.Command) error {
+	program, err := programPath(command)
+	if err != nil {
+		return err
+	}
+	failures := command.Int("times")
+	return writeReport(command.String("out"), "returns.md", func(table *report) error {
+		table.printf("Made by `fleetlab returns --times %d`: processes on one machine, 3 boxes, 160 requests a second in all, one box fails for 4 s; `routers_per_s = 10`.\n\n", failures)
+		table.println("| routers | the duty | requests at the box in the first 0.1 s, 1 s from the first try | all in again after, s | without one whole answer |")
+		table.println("| --- | --- | --- | --- | --- |")
+		for _, routers := range command.IntSlice("routers") {
+			for _, coordinated := range []bool{false, true} {
+				run := recoveryRun{routers: routers, failures: failures, coordinated: coordinated}
+				if err := run.play(program); err != nil {
+					return err
+				}
+				table.println(run.row())
+				fmt.Fprintln(os.Stderr, run.row())
+			}
+		}
+		return nil
+	})
+}
+
+// recoveryRun measures one cluster, a server of which fails several times.
+type recoveryRun struct {
+	routers     int
+	failures    int
+	coordinated bool // the holder of a lease probes first
+
+	cluster *testcluster.Cluster
+	server  *testcluster.Server // that fails
+
+	// One of each failure: requests in the first 0.1 s and in the first second from the first
+	// request after it, and seconds until all routers use the server again.
+	firstTenth  []float64
+	firstSecond []float64
+	recovery    []float64
+
+	clients testcluster.Result
+}
+
+func (r *recoveryRun) play(program string) error {
+	options := testcluster.Options{
+		Program:       program,
+		Routers:       r.routers,
+		Servers:       3,
+		Fleet:         true,
+		Voters:        5,
+		Seed:          1,
+		FleetSettings: shortConnectivityDelay,
+	}
+	if r.coordinated {
+		options.LeaseSettings = " first_try {\n  routers_per_s = 10\n }\n"
+	}
+	return withCluster(options, func(cluster *testcluster.Cluster) error {
+		r.cluster = cluster
+		r.server = cluster.Servers[0]
+		return r.measure()
+	})
+}
+
+func (r *recoveryRun) measure() error {
+	if err := r.awaitFleet(); err != nil {
+		return err
+	}
+	interval := time.Duration(r.routers) * time.Second / recoveryRequestRate
+	load := r.cluster.StartLoad(interval, r.cluster.Routers...)
+	for range r.failures {
+		if _, err := r.cluster.WaitUntil("all routers use the server", convergenceTimeout, r.usedByAll); err != nil {
+			return err
+		}
+		if err := r.failAndRecover(); err != nil {
+			return err
+		}
+	}
+	r.clients = load.Stop()
+	return nil
+}
+
+// awaitFleet waits until the routers see each other and, if one is to probe first, until one
+// holds the lease for it.
+func (r *recoveryRun) awaitFleet() error {
+	if _, err := r.cluster.WaitForConvergence(convergenceTimeout, r.cluster.Routers...); err != nil {
+		return err
+	}
+	if !r.coordinated {
+		return nil
+	}
+	_, _, err := r.cluster.WaitForHolder(convergenceTimeout, recoveryProbeLease, r.cluster.Routers...)
+	return err
+}
+
+// usedByAll reports whether the server gets its part of the requests, and how many they are.
+func (r *recoveryRun) usedByAll() (ok bool, seen string) {
+	now := time.Now()
+	rate := r.server.RequestsBetween(now.Add(-time.Second), now)
+	return rate >= fullServerRate, fmt.Sprint(rate)
+}
+
+// failAndRecover has the server fail and records how the routers return to it.
+func (r *recoveryRun) failAndRecover() error {
+	r.server.SetFailing(true)
+	time.Sleep(serverFailure)
+	recoveredAt := time.Now()
+	r.server.SetFailing(false)
+	usedAgain := func() (bool, string) {
+		if time.Since(recoveredAt) < shortestRecovery {
+			return false, ""
+		}
+		return r.usedByAll()
+	}
+	took, err := r.cluster.WaitUntil("all routers use the server again", convergenceTimeout, usedAgain)
+	if err != nil {
+		return err
+	}
+	firstRequestAt := recoveredAt
+	for r.server.RequestsBetween(recoveredAt, firstRequestAt) == 0 {
+		firstRequestAt = firstRequestAt.Add(firstRequestStep)
+	}
+	requestsWithin := func(window time.Duration) float64 {
+		return float64(r.server.RequestsBetween(recoveredAt, firstRequestAt.Add(window)))
+	}
+	r.firstTenth = append(r.firstTenth, requestsWithin(100*time.Millisecond))
+	r.firstSecond = append(r.firstSecond, requestsWithin(time.Second))
+	r.recovery = append(r.recovery, took.Seconds())
+	return nil
+}
+
+// row returns the result as a row of the table.
+func (r *recoveryRun) row() string {
+	lease := "off"
+	if r.coordinated {
+		lease = "on"
+	}
+	return fmt.Sprintf("| %d | %s | %.0f, %.0f | %.1f | %d of %d |", r.routers, lease,
+		median(r.firstTenth), median(r.firstSecond), median(r.recovery), len(r.clients.Lost), r.clients.Requests)
+}
+
+func median(values []float64) float64 {
+	return experiment.Quantile(slices.Sorted(slices.Values(values)), 0.5)
+}
