--- a/cmd/fleetlab/fleet.go
+++ b/cmd/fleetlab/fleet.go
@@ -32,8 +32,8 @@
 		Usage:     "start routers and put faults between them; print the views as they change",
 		ArgsUsage: "[FILE]",
 		Description: "FILE has a line for each thing done: seconds, then routers N, kill R, start R, stop R, stall R, wake R,\n" +
-			"cut A B, oneway A B, loss A B SHARE, split A.. / B.., heal, disable SERVER at R, enable SERVER at R, end.\n" +
-			"Without one a short tour is given, which --print prints.",
+			"cut A B, oneway A B, loss A B SHARE, split A.. / B.., heal, disable ID at R, enable ID at R, end.\n" +
+			"ID is a server's, such as s-00000001. Without FILE a short tour is given, which --print prints.",
 		Flags: []cli.Flag{
 			programFlag(),
 			&cli.BoolFlag{Name: "print", Usage: "print the tour's file and end"},
@@ -47,7 +47,7 @@
 		fmt.Print(tour)
 		return nil
 	}
-	scenario, err := loadScenario(command.Args().First())
+	played, err := loadScenario(command.Args().First())
 	if err != nil {
 		return err
 	}
@@ -59,13 +59,13 @@
 	defer stop()
 	options := testcluster.Options{
 		Program: program,
-		Routers: scenario.routers,
+		Routers: played.routers,
 		Servers: 3,
 		Fleet:   true,
 		Seed:    1,
 	}
 	return withCluster(options, func(cluster *testcluster.Cluster) error {
-		return newScenarioRun(cluster, scenario).play(ctx)
+		return newScenarioRun(cluster, played).play(ctx)
 	})
 }
 
--- a/cmd/fleetlab/scenario.go
+++ b/cmd/fleetlab/scenario.go
@@ -86,12 +86,12 @@
 		arguments: fields[2:],
 		text:      strings.TrimSpace(strings.TrimPrefix(strings.TrimSpace(line), fields[0])),
 	}
-	action, known := actions[parsed.verb]
+	entry, known := actions[parsed.verb]
 	switch {
 	case !known:
 		return operation{}, fmt.Errorf("%s: no such thing can be done", parsed.verb)
-	case action.arguments != anyNumber && len(parsed.arguments) != action.arguments:
-		return operation{}, fmt.Errorf("%s: want %d words after it", parsed.verb, action.arguments)
+	case entry.arguments != anyNumber && len(parsed.arguments) != entry.arguments:
+		return operation{}, fmt.Errorf("%s: want %d words after it", parsed.verb, entry.arguments)
 	}
 	return parsed, nil
 }
--- a/cmd/fleetlab/scenario_test.go
+++ b/cmd/fleetlab/scenario_test.go
@@ -40,8 +40,8 @@
 		t.Fatal(err)
 	}
 	seen := map[verb]bool{}
-	for _, operation := range parsed.operations {
-		seen[operation.verb] = true
+	for _, played := range parsed.operations {
+		seen[played.verb] = true
 	}
 	for known := range actions {
 		if !seen[known] {
