--- a/cmd/fleetlab/lease_registry.go
+++ b/cmd/fleetlab/lease_registry.go
@@ -23,7 +23,7 @@
 // month of simulated time, with long leases.
 func leaseRegistryCommand() *cli.Command {
 	return &cli.Command{
-		Name:  "register",
+		Name:  "lease-registry",
 		Usage: "what leases cost the voters: requests, bytes, memory, disk",
 		Flags: []cli.Flag{
 			outFlag("register.md"),
@@ -36,7 +36,7 @@
 func measureLeaseRegistry(_ context.Context, command *cli.Command) error {
 	days := command.Float("days")
 	return writeReport(command.String("out"), "register.md", func(table *report) error {
-		table.printf("Made by `fleetlab register --days %g`: electors, routers and their register on one virtual clock, a message takes 0.3 ms and 0.3 on average on top; a duty is handed on twice a second, and in the last run, whose tick is 1 s and lease 60 s, once a minute, while a router is deaf for two leases every hour.\n\n", days)
+		table.printf("Made by `fleetlab lease-registry --days %g`: electors, routers and their register on one virtual clock, a message takes 0.3 ms and 0.3 on average on top; a duty is handed on twice a second, and in the last run, whose tick is 1 s and lease 60 s, once a minute, while a router is deaf for two leases every hour.\n\n", days)
 		table.println("| electors, routers, duties | hours | held at the end | from ask to grant, ms: median, p99 | handed on, ms: median, p99 | questions/s | between electors: messages/s, bytes/s | questions and answers: bytes/s | commands | syncs of a disk | its most, KB | heap of all after each eighth, MB |")
 		table.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 		for _, run := range registryRuns(days) {
--- a/cmd/fleetlab/load_reporting.go
+++ b/cmd/fleetlab/load_reporting.go
@@ -12,7 +12,7 @@
 // how often.
 func loadReportingCommand() *cli.Command {
 	return &cli.Command{
-		Name:   "worth",
+		Name:   "load-reporting",
 		Usage:  "who probes servers for their load: nobody, everybody, one by hash, one by lease",
 		Flags:  []cli.Flag{outFlag("worth.md")},
 		Action: measureLoadReporting,
@@ -21,7 +21,7 @@
 
 func measureLoadReporting(_ context.Context, command *cli.Command) error {
 	return writeReport(command.String("out"), "worth.md", func(table *report) error {
-		table.printf("Made by `fleetlab worth`: 90 virtual seconds, 20 boxes in one location, which is cut in two from 30 to 60 s; six in ten routers are on the register's side.\n\n")
+		table.printf("Made by `fleetlab load-reporting`: 90 virtual seconds, 20 boxes in one location, which is cut in two from 30 to 60 s; six in ten routers are on the register's side.\n\n")
 		experiment.LoadReportingTable(table)
 		return nil
 	})
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -33,6 +33,31 @@
 	return &cli.Command{
 		Name:     "fleetlab",
 		Usage:    "several routers together: shown, and measured",
-		Commands: commands,
+		Commands: append(commands, deprecatedCommands()...),
 	}
 }
+
+// renamedCommands are the commands that had another name in the version before.
+var renamedCommands = []struct {
+	oldName    string
+	newCommand func() *cli.Command
+}{
+	{"returns", recoveryProbeCommand},
+	{"register", leaseRegistryCommand},
+	{"worth", loadReportingCommand},
+	{"members", membershipCommand},
+	{"day", falsePositivesCommand},
+}
+
+// deprecatedCommands returns the renamed commands under their old names. They work for one
+// more version and are not listed in the help. cli.Command.Aliases would be.
+func deprecatedCommands() []*cli.Command {
+	var commands []*cli.Command
+	for _, renamed := range renamedCommands {
+		command := renamed.newCommand()
+		command.Name = renamed.oldName
+		command.Hidden = true
+		commands = append(commands, command)
+	}
+	return commands
+}
--- a/cmd/fleetlab/membership.go
+++ b/cmd/fleetlab/membership.go
@@ -19,7 +19,7 @@
 // often it is wrong.
 func membershipCommand() *cli.Command {
 	return &cli.Command{
-		Name:  "members",
+		Name:  "membership",
 		Usage: "measure membership on the simulated network: a table and charts",
 		Flags: []cli.Flag{
 			outFlag("members.md and the charts"),
@@ -49,7 +49,7 @@
 		return err
 	}
 	err := writeReport(folder, "members.md", func(table *report) error {
-		table.printf("Made by `fleetlab members --sizes %v --seeds %d --kills %d --rough %v`, %v.\n\n",
+		table.printf("Made by `fleetlab membership --sizes %v --seeds %d --kills %d --rough %v`, %v.\n\n",
 			measurement.Sizes, measurement.Seeds, measurement.Kills, faultPeriod, time.Since(startedAt).Round(time.Second))
 		experiment.MembershipTable(table, results)
 		return nil
@@ -63,7 +63,7 @@
 // falsePositivesCommand counts how often routers that are alive are suspected or failed.
 func falsePositivesCommand() *cli.Command {
 	return &cli.Command{
-		Name:  "day",
+		Name:  "false-positives",
 		Usage: "a simulated day of a fleet under loss: which live routers are suspected or failed",
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "routers", Value: 30},
--- a/cmd/fleetlab/recovery_probe.go
+++ b/cmd/fleetlab/recovery_probe.go
@@ -39,7 +39,7 @@
 // itself, and before routers that leave the first probe to the holder of a lease.
 func recoveryProbeCommand() *cli.Command {
 	return &cli.Command{
-		Name:  "returns",
+		Name:  "recovery-probe",
 		Usage: "a server that recovers, with one router that probes it for all and without",
 		Flags: []cli.Flag{
 			outFlag("returns.md"),
@@ -58,7 +58,7 @@
 	}
 	failures := command.Int("times")
 	return writeReport(command.String("out"), "returns.md", func(table *report) error {
-		table.printf("Made by `fleetlab returns --times %d`: processes on one machine, 3 boxes, 160 requests a second in all, one box fails for 4 s; `routers_per_s = 10`.\n\n", failures)
+		table.printf("Made by `fleetlab recovery-probe --times %d`: processes on one machine, 3 boxes, 160 requests a second in all, one box fails for 4 s; `routers_per_s = 10`.\n\n", failures)
 		table.println("| routers | the duty | requests at the box in the first 0.1 s, 1 s from the first try | all in again after, s | without one whole answer |")
 		table.println("| --- | --- | --- | --- | --- |")
 		for _, routers := range command.IntSlice("routers") {
