--- a/internal/trace/analysis/analysis.go
+++ b/internal/trace/analysis/analysis.go
@@ -34,16 +34,16 @@
 	return true, true
 }
 
-type tally struct{ failed, all, n, bad float64 }
+type attemptCounts struct{ weightedFailed, weightedTotal, observed, observedFailed float64 }
 
 // Finder takes traces and tells the suspects.
 type Finder struct {
-	by  map[[2]string]*tally
-	sum tally
+	counts map[[2]string]*attemptCounts
+	total  attemptCounts
 }
 
 // New returns an empty Finder.
-func New() *Finder { return &Finder{by: map[[2]string]*tally{}} }
+func New() *Finder { return &Finder{counts: map[[2]string]*attemptCounts{}} }
 
 // Add takes the attempts of a trace, each as often as the trace stands for.
 func (f *Finder) Add(t *trace.Trace) {
@@ -55,51 +55,51 @@
 		if !known {
 			continue
 		}
-		f.count(&f.sum, t.Weight, failed)
-		f.count(f.at("server", s.Server.String()), t.Weight, failed)
-		f.count(f.at("router", t.Router), t.Weight, failed)
+		f.record(&f.total, t.Weight, failed)
+		f.record(f.countsOf("server", s.Server.String()), t.Weight, failed)
+		f.record(f.countsOf("router", t.Router), t.Weight, failed)
 		if s.FillSource != s.Server {
-			f.count(f.at("source", s.FillSource.String()), t.Weight, failed)
-			f.count(f.at("pair", s.Server.String()+" from "+s.FillSource.String()), t.Weight, failed)
+			f.record(f.countsOf("source", s.FillSource.String()), t.Weight, failed)
+			f.record(f.countsOf("pair", s.Server.String()+" from "+s.FillSource.String()), t.Weight, failed)
 		}
 	}
 }
 
-func (f *Finder) at(what, name string) *tally {
+func (f *Finder) countsOf(what, name string) *attemptCounts {
 	k := [2]string{what, name}
-	if f.by[k] == nil {
-		f.by[k] = &tally{}
+	if f.counts[k] == nil {
+		f.counts[k] = &attemptCounts{}
 	}
-	return f.by[k]
+	return f.counts[k]
 }
 
 // count books by weight, and by number: a weight of a hundred is one observation.
-func (f *Finder) count(t *tally, weight float64, failed bool) {
-	t.all += weight
-	t.n++
+func (f *Finder) record(t *attemptCounts, weight float64, failed bool) {
+	t.weightedTotal += weight
+	t.observed++
 	if failed {
-		t.failed += weight
-		t.bad++
+		t.weightedFailed += weight
+		t.observedFailed++
 	}
 }
 
 // z is the 97.5% quantile of the normal distribution.
-const z = 1.959964
+const normalQuantile = 1.959964
 
 // Suspects returns all that have a part in failed attempts, the one that most surely
 // raises the rate first. The interval is Newcombe's, of two Wilson scores, on as many
 // observations as the weights are worth.
 func (f *Finder) Suspects() []Suspect {
 	var out []Suspect
-	for k, t := range f.by {
-		rest := tally{f.sum.failed - t.failed, f.sum.all - t.all, f.sum.n - t.n, f.sum.bad - t.bad}
-		if t.bad == 0 || rest.n <= 0 {
+	for k, t := range f.counts {
+		rest := attemptCounts{f.total.weightedFailed - t.weightedFailed, f.total.weightedTotal - t.weightedTotal, f.total.observed - t.observed, f.total.observedFailed - t.observedFailed}
+		if t.observedFailed == 0 || rest.observed <= 0 {
 			continue
 		}
-		s := Suspect{Kind: k[0], Name: k[1], Failed: t.failed, Total: t.all, FailedWithout: max(rest.failed, 0), TotalWithout: rest.all}
-		s.Rate, s.RateWithout = t.failed/t.all, max(rest.failed, 0)/rest.all
-		l1, u1 := wilson(s.Rate, t.n)
-		l2, u2 := wilson(s.RateWithout, rest.n)
+		s := Suspect{Kind: k[0], Name: k[1], Failed: t.weightedFailed, Total: t.weightedTotal, FailedWithout: max(rest.weightedFailed, 0), TotalWithout: rest.weightedTotal}
+		s.Rate, s.RateWithout = t.weightedFailed/t.weightedTotal, max(rest.weightedFailed, 0)/rest.weightedTotal
+		l1, u1 := wilsonInterval(s.Rate, t.observed)
+		l2, u2 := wilsonInterval(s.RateWithout, rest.observed)
 		d := s.Rate - s.RateWithout
 		s.ConfidenceLow = d - math.Sqrt((s.Rate-l1)*(s.Rate-l1)+(u2-s.RateWithout)*(u2-s.RateWithout))
 		s.ConfidenceHigh = d + math.Sqrt((u1-s.Rate)*(u1-s.Rate)+(s.RateWithout-l2)*(s.RateWithout-l2))
@@ -112,9 +112,9 @@
 }
 
 // wilson is the score interval of a rate p in n observations.
-func wilson(p, n float64) (low, high float64) {
-	mid, half := p+z*z/(2*n), z*math.Sqrt(p*(1-p)/n+z*z/(4*n*n))
-	return max(0, (mid-half)/(1+z*z/n)), min(1, (mid+half)/(1+z*z/n))
+func wilsonInterval(p, n float64) (low, high float64) {
+	mid, half := p+normalQuantile*normalQuantile/(2*n), normalQuantile*math.Sqrt(p*(1-p)/n+normalQuantile*normalQuantile/(4*n*n))
+	return max(0, (mid-half)/(1+normalQuantile*normalQuantile/n)), min(1, (mid+half)/(1+normalQuantile*normalQuantile/n))
 }
 
 // Line is a suspect as a line of a table.
--- a/internal/trace/analysis/analysis_test.go
+++ b/internal/trace/analysis/analysis_test.go
@@ -10,7 +10,7 @@
 )
 
 // day is a day on which one server, or one source, fails a part of its attempts.
-func day(seed uint64, n int, fails func(server, source routing.ServerID, rng *rand.Rand) bool) *Finder {
+func simulateFailures(seed uint64, n int, fails func(server, source routing.ServerID, rng *rand.Rand) bool) *Finder {
 	rng, f := rand.New(rand.NewPCG(seed, 1)), New()
 	for range n {
 		t := &trace.Trace{Router: []string{"n1", "n2"}[rng.IntN(2)], Weight: 1}
@@ -30,11 +30,11 @@
 
 // The guilty server or source stands first, with an interval above zero that holds the
 // true difference; on a day without one, nobody stands out.
-func TestGuiltyStandsFirst(t *testing.T) {
+func TestFaultyServerOrSourceRanksFirst(t *testing.T) {
 	server := func(s, _ routing.ServerID, rng *rand.Rand) bool {
 		return s == 3 && rng.IntN(10) < 6 || rng.IntN(100) < 2
 	}
-	got := day(1, 20_000, server).Suspects()
+	got := simulateFailures(1, 20_000, server).Suspects()
 	if got[0].Kind != "server" && got[0].Kind != "pair" || got[0].ConfidenceLow < 0.3 {
 		t.Errorf("%+v", got[0])
 	}
@@ -49,7 +49,7 @@
 	}
 	source := func(_, s routing.ServerID, rng *rand.Rand) bool { return s == 101 && rng.IntN(10) < 3 }
 	found := false
-	for _, s := range day(2, 20_000, source).Suspects()[:9] {
+	for _, s := range simulateFailures(2, 20_000, source).Suspects()[:9] {
 		found = found || s.Kind == "source" && s.Name == "s-00000065" && s.ConfidenceLow > 0.2
 	}
 	if !found {
@@ -57,7 +57,7 @@
 	}
 	bold := 0
 	for seed := range uint64(40) {
-		for _, s := range day(10+seed, 4000, func(_, _ routing.ServerID, rng *rand.Rand) bool { return rng.IntN(20) == 0 }).Suspects() {
+		for _, s := range simulateFailures(10+seed, 4000, func(_, _ routing.ServerID, rng *rand.Rand) bool { return rng.IntN(20) == 0 }).Suspects() {
 			if s.Kind == "server" && s.ConfidenceLow > 0 {
 				bold++
 			}
@@ -69,9 +69,9 @@
 }
 
 // The score interval has its textbook values.
-func TestWilson(t *testing.T) {
+func TestWilsonInterval(t *testing.T) {
 	for _, c := range [][4]float64{{0.5, 10, 0.2366, 0.7634}, {0, 20, 0, 0.1611}, {0.1, 100, 0.0552, 0.1744}} {
-		if l, u := wilson(c[0], c[1]); math.Abs(l-c[2]) > 1e-3 || math.Abs(u-c[3]) > 1e-3 {
+		if l, u := wilsonInterval(c[0], c[1]); math.Abs(l-c[2]) > 1e-3 || math.Abs(u-c[3]) > 1e-3 {
 			t.Errorf("%v: %.4f to %.4f", c, l, u)
 		}
 	}
--- a/internal/trace/instrument/instrument.go
+++ b/internal/trace/instrument/instrument.go
@@ -8,20 +8,20 @@
 )
 
 // Core returns a recorder as a core's tracer.
-func Dispatcher(r *recorder.Recorder) dispatch.Tracer { return tracer{r} }
+func Dispatcher(r *recorder.Recorder) dispatch.Tracer { return dispatchTracer{r} }
 
-type tracer struct{ r *recorder.Recorder }
+type dispatchTracer struct{ recorder *recorder.Recorder }
 
 // Open begins to follow a request.
-func (t tracer) Open(now float64, q *dispatch.Request, class *routing.Class) dispatch.RequestTrace {
+func (t dispatchTracer) Open(now float64, q *dispatch.Request, class *routing.Class) dispatch.RequestTrace {
 	a := recorder.Request{TransactionID: q.TransactionID, IdempotencyKey: q.IdempotencyKey, Object: q.Object, Chunk: q.Chunk, PurgeGroup: q.Group, ReceivedAt: now}
 	if o := q.Client; o != nil {
 		a.ReceivedAt, a.TraceParent, a.ClientAddress = o.ReceivedAt, o.TraceParent, o.Address
 	}
-	return t.r.Open(now, a, class)
+	return t.recorder.Open(now, a, class)
 }
 
 // Close takes a request that is done.
-func (t tracer) Close(now float64, done dispatch.RequestTrace) {
-	t.r.Close(now, done.(*recorder.RequestTrace))
+func (t dispatchTracer) Close(now float64, done dispatch.RequestTrace) {
+	t.recorder.Close(now, done.(*recorder.RequestTrace))
 }
--- a/internal/trace/propagation/correlator.go
+++ b/internal/trace/propagation/correlator.go
@@ -6,7 +6,7 @@
 // where the same client asked this router for the same part within the retry time and
 // was not served, the trace of that try; else a new one. The last rule is a guess. It
 // errs where two clients share an address and one is refused while the other asks, and
-// misses a try that comes to another router. BenchmarkGuess measures how often.
+// misses a try that comes to another router. BenchmarkRetryGuess measures how often.
 package propagation
 
 import (
@@ -35,102 +35,102 @@
 	ClientSpan    trace.SpanID // the client's own span
 	ClientSampled bool         // the client samples it
 	Retry         uint8        // 0: the first, as far as is known
-	guess         uint64       // its place in the table of unserved tries; 0: none
+	unservedKey   uint64       // its place in the table of unserved tries; 0: none
 }
 
 // halfMost is how many unserved tries one half of the table holds.
-const halfMost = 1 << 14
+const generationCapacity = 1 << 14
 
 // Linker ties requests to traces. It is not safe for concurrent use.
 type Correlator struct {
-	secret     []byte
-	within     float64
-	seed, hide uint64
-	n          uint64
-	young, old map[uint64]unserved
+	secret            []byte
+	retryWindow       float64
+	seed, objectSeed  uint64
+	newTraces         uint64
+	current, previous map[uint64]unservedRequest
 }
 
 // unserved is a try whose client may come again.
-type unserved struct {
-	id  trace.ID
-	at  float64
-	try uint8
+type unservedRequest struct {
+	traceID trace.ID
+	endedAt float64
+	retry   uint8
 }
 
 // New returns a Linker. Routers with the same secret agree on the trace of a key; the
 // seed differs from router to router, and from start to start.
 func New(secret string, within float64, seed uint64) *Correlator {
-	return &Correlator{secret: []byte(secret), within: within, seed: seed, young: map[uint64]unserved{},
-		hide: xxhash.Sum64String("object " + secret)}
+	return &Correlator{secret: []byte(secret), retryWindow: within, seed: seed, current: map[uint64]unservedRequest{},
+		objectSeed: xxhash.Sum64String("object " + secret)}
 }
 
 // Within sets for how long, in ms, a try that was not served waits for the next.
-func (l *Correlator) SetRetryWindow(ms float64) { l.within = ms }
+func (l *Correlator) SetRetryWindow(ms float64) { l.retryWindow = ms }
 
 // Tie returns where a request belongs that came at now, in Unix ms.
 func (l *Correlator) Correlate(now float64, a Request) Correlation {
-	t := Correlation{guess: l.place(a)}
-	u, again := l.find(t.guess)
-	again = again && now-u.at <= l.within
+	t := Correlation{unservedKey: l.unservedKey(a)}
+	u, again := l.lookup(t.unservedKey)
+	again = again && now-u.endedAt <= l.retryWindow
 	if again {
-		t.Retry = min(u.try+1, 255)
+		t.Retry = min(u.retry+1, 255)
 	}
 	if p, ok := trace.ParseTraceparent(a.TraceParent); ok {
 		t.ID, t.ClientSpan, t.ClientSampled = p.Trace, p.Span, p.Sampled
-		if again && u.id != p.Trace {
+		if again && u.traceID != p.Trace {
 			t.Retry = 0
 		}
 		return t
 	}
 	switch {
 	case a.IdempotencyKey != "":
-		t.ID = l.keyed(a.IdempotencyKey)
-		if u.id != t.ID {
+		t.ID = l.idempotentTraceID(a.IdempotencyKey)
+		if u.traceID != t.ID {
 			t.Retry = 0
 		}
 	case again:
-		t.ID = u.id
+		t.ID = u.traceID
 	default:
-		l.n++
-		binary.BigEndian.PutUint64(t.ID[:8], xx(l.seed, l.n))
-		binary.BigEndian.PutUint64(t.ID[8:], xx(l.n, l.seed))
+		l.newTraces++
+		binary.BigEndian.PutUint64(t.ID[:8], hashUint64(l.seed, l.newTraces))
+		binary.BigEndian.PutUint64(t.ID[8:], hashUint64(l.newTraces, l.seed))
 	}
 	return t
 }
 
 // Ended takes the end of a request that Tie was asked for.
 func (l *Correlator) RequestEnded(now float64, t Correlation, served bool) {
-	if t.guess == 0 {
+	if t.unservedKey == 0 {
 		return
 	}
 	if served {
-		delete(l.young, t.guess)
-		delete(l.old, t.guess)
+		delete(l.current, t.unservedKey)
+		delete(l.previous, t.unservedKey)
 		return
 	}
-	if len(l.young) >= halfMost {
-		l.young, l.old = map[uint64]unserved{}, l.young
+	if len(l.current) >= generationCapacity {
+		l.current, l.previous = map[uint64]unservedRequest{}, l.current
 	}
-	l.young[t.guess] = unserved{t.ID, now, t.Retry}
+	l.current[t.unservedKey] = unservedRequest{t.ID, now, t.Retry}
 }
 
-func (l *Correlator) find(place uint64) (unserved, bool) {
+func (l *Correlator) lookup(place uint64) (unservedRequest, bool) {
 	if place == 0 {
-		return unserved{}, false
+		return unservedRequest{}, false
 	}
-	u, ok := l.young[place]
+	u, ok := l.current[place]
 	if !ok {
-		u, ok = l.old[place]
+		u, ok = l.previous[place]
 	}
 	return u, ok
 }
 
 // Hide returns a number that stands for an object: alike at all routers with the same
 // secret, and without that it does not tell the object.
-func (l *Correlator) HashObject(object uint64) uint64 { return xx(l.hide, object) }
+func (l *Correlator) HashObject(object uint64) uint64 { return hashUint64(l.objectSeed, object) }
 
 // keyed is the trace of an idempotency key, from which the key can't be had.
-func (l *Correlator) keyed(key string) (id trace.ID) {
+func (l *Correlator) idempotentTraceID(key string) (id trace.ID) {
 	m := hmac.New(sha256.New, l.secret)
 	m.Write([]byte(key))
 	copy(id[:], m.Sum(nil))
@@ -139,7 +139,7 @@
 
 // place is the place of a client's request in the table: of its key or, without one,
 // of what it asks for. Nothing that names a client is kept as it came.
-func (l *Correlator) place(a Request) uint64 {
+func (l *Correlator) unservedKey(a Request) uint64 {
 	if a.ClientAddress == "" && a.IdempotencyKey == "" {
 		return 0
 	}
@@ -158,7 +158,7 @@
 	return max(d.Sum64(), 1)
 }
 
-func xx(seed, n uint64) uint64 {
+func hashUint64(seed, n uint64) uint64 {
 	var b [8]byte
 	binary.BigEndian.PutUint64(b[:], n)
 	d := xxhash.NewWithSeed(seed)
--- a/internal/trace/propagation/correlator_test.go
+++ b/internal/trace/propagation/correlator_test.go
@@ -9,13 +9,13 @@
 	"garnetline/internal/trace"
 )
 
-const parent = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
+const clientTraceparent = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
 
 // A retry belongs to its first try: by the client's word, by its key also at another
 // router, and else by what it asks for, within the retry time and after no service.
-func TestTie(t *testing.T) {
+func TestRetryJoinsItsTrace(t *testing.T) {
 	a, b := New("s", 1000, 1), New("s", 1000, 2)
-	if x := a.Correlate(0, Request{TraceParent: parent, IdempotencyKey: "k"}); x.ID.String() != parent[3:35] || x.ClientSpan != 0xf067aa0ba902b7 {
+	if x := a.Correlate(0, Request{TraceParent: clientTraceparent, IdempotencyKey: "k"}); x.ID.String() != clientTraceparent[3:35] || x.ClientSpan != 0xf067aa0ba902b7 {
 		t.Errorf("%+v", x)
 	}
 	x, y := a.Correlate(0, Request{IdempotencyKey: "secret-key", ClientAddress: "1.1.1.1"}), b.Correlate(5e6, Request{IdempotencyKey: "secret-key", ClientAddress: "2.2.2.2"})
@@ -48,28 +48,28 @@
 	if served := a.Correlate(1014, ask); served.ID == first.ID {
 		t.Error("a request after one that was served is taken for its retry")
 	}
-	if bad := a.Correlate(0, Request{TraceParent: "00-" + strings.Repeat("0", 32) + parent[35:]}); bad.ID == (trace.ID{}) || bad.ClientSpan != 0 {
+	if bad := a.Correlate(0, Request{TraceParent: "00-" + strings.Repeat("0", 32) + clientTraceparent[35:]}); bad.ID == (trace.ID{}) || bad.ClientSpan != 0 {
 		t.Errorf("an all-zero parent: %+v", bad)
 	}
 }
 
 // The table stays within its bound whatever comes.
-func TestTableIsBounded(t *testing.T) {
+func TestUnservedTableIsBounded(t *testing.T) {
 	l := New("", 1e9, 1)
-	for i := range 5 * halfMost {
+	for i := range 5 * generationCapacity {
 		x := l.Correlate(float64(i), Request{ClientAddress: "c", Object: uint64(i)})
 		l.RequestEnded(float64(i), x, false)
 	}
-	if n := len(l.young) + len(l.old); n > 2*halfMost {
-		t.Errorf("%d entries, want at most %d", n, 2*halfMost)
+	if n := len(l.current) + len(l.previous); n > 2*generationCapacity {
+		t.Errorf("%d entries, want at most %d", n, 2*generationCapacity)
 	}
 }
 
-// BenchmarkGuess measures the guess for requests without a traceparent or a key:
+// BenchmarkRetryGuess measures the guess for requests without a traceparent or a key:
 // clients behind so many addresses, a tenth refused, of which half come again after a
 // second; objects by a skewed draw. wrong: first tries that are taken for retries;
 // missed: retries that are not known for ones.
-func BenchmarkGuess(b *testing.B) {
+func BenchmarkRetryGuess(b *testing.B) {
 	for _, addresses := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("addresses=%d", addresses), func(b *testing.B) {
 			rng := rand.New(rand.NewPCG(1, 2))
--- a/internal/trace/propagation/golden_test.go
+++ b/internal/trace/propagation/golden_test.go
@@ -10,7 +10,7 @@
 
 // Routers of several releases with one secret agree on the trace of an idempotency key and on
 // the number that stands for an object. UPDATE_GOLDEN=1 rewrites testdata.
-func TestSharedNumbers(t *testing.T) {
+func TestGoldenDerivedIDs(t *testing.T) {
 	var text bytes.Buffer
 	for _, secret := range []string{"", "a secret"} {
 		l := New(secret, 10_000, 5)
--- a/internal/trace/recorder/recorder.go
+++ b/internal/trace/recorder/recorder.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	mailbox    = 1024                   // kept traces that wait to be written; more are lost, and counted
-	flushEvery = 250 * time.Millisecond // what a kill can lose of what was kept
-	openSize   = 760                    // bytes of a trace whose request is open, with the spans of two attempts
+	queueCapacity = 1024                   // kept traces that wait to be written; more are lost, and counted
+	flushInterval = 250 * time.Millisecond // what a kill can lose of what was kept
+	reservedBytes = 760                    // bytes of a trace whose request is open, with the spans of two attempts
 )
 
 // Sink is where kept traces go: segments, or another place. It has one caller.
@@ -86,24 +86,24 @@
 // Recorder follows requests. Open and Close belong to the core's goroutine.
 type Recorder struct {
 	Options
-	next  atomic.Pointer[Settings] // to go over to, once
-	link  *propagation.Correlator
-	keep  *sampling.Sampler
-	n     uint64
-	asked bool // Settings.Sampled
-	box   chan *trace.Trace
-	quit  chan struct{}
-	ended chan struct{}
+	pendingSettings     atomic.Pointer[Settings] // to go over to, once
+	correlator          *propagation.Correlator
+	sampler             *sampling.Sampler
+	requests            uint64
+	retainClientSampled bool // Settings.Sampled
+	retained            chan *trace.Trace
+	shutdown            chan struct{}
+	stopped             chan struct{}
 }
 
 // New returns a Recorder; Run is to be called.
 func New(o Options, s Settings) *Recorder {
-	return &Recorder{Options: o, link: propagation.New(o.Secret, s.RetryWindow, o.Seed), keep: sampling.New(s.UndecidedBytes, s.DefaultClass, s.Classes), asked: s.RetainClientSampled,
-		box: make(chan *trace.Trace, mailbox), quit: make(chan struct{}), ended: make(chan struct{})}
+	return &Recorder{Options: o, correlator: propagation.New(o.Secret, s.RetryWindow, o.Seed), sampler: sampling.New(s.UndecidedBytes, s.DefaultClass, s.Classes), retainClientSampled: s.RetainClientSampled,
+		retained: make(chan *trace.Trace, queueCapacity), shutdown: make(chan struct{}), stopped: make(chan struct{})}
 }
 
 // Adopt goes over to other settings, at the next request.
-func (r *Recorder) UpdateSettings(s Settings) { r.next.Store(&s) }
+func (r *Recorder) UpdateSettings(s Settings) { r.pendingSettings.Store(&s) }
 
 // Asked is a request as it is followed.
 type Request struct {
@@ -117,16 +117,16 @@
 // Trail is one request that is followed.
 type RequestTrace struct {
 	*trace.ActiveTrace
-	link    *propagation.Correlator
-	tie     propagation.Correlation
-	room    bool    // there was memory for its spans
-	stretch float64 // of its class's aim
-	bytes   int     // that came
+	correlator     *propagation.Correlator
+	correlation    propagation.Correlation
+	spansReserved  bool    // there was memory for its spans
+	transferFactor float64 // of its class's aim
+	responseBytes  int     // that came
 }
 
 // AttemptStarted notes an attempt.
 func (t *RequestTrace) AttemptStarted(now float64, g routing.SendAttempt) trace.SpanContext {
-	if t.room {
+	if t.spansReserved {
 		return t.ActiveTrace.AttemptStarted(now, g)
 	}
 	t.ActiveTrace.RecordUntraced(1)
@@ -137,13 +137,13 @@
 // may still be out.
 func (t *RequestTrace) Responded(now float64, o trace.Outcome) {
 	t.ActiveTrace.Responded(now, o)
-	t.link.RequestEnded(now, t.tie, o == trace.Served || o == trace.NotModified)
+	t.correlator.RequestEnded(now, t.correlation, o == trace.Served || o == trace.NotModified)
 }
 
 // AttemptEnded notes the end of one.
 func (t *RequestTrace) AttemptEnded(now float64, res routing.Result, bytes int, load routing.LoadReport, w trace.WireTimes) {
-	t.bytes = bytes
-	if t.room {
+	t.responseBytes = bytes
+	if t.spansReserved {
 		t.ActiveTrace.AttemptEnded(now, res, bytes, load, w)
 	} else {
 		t.ActiveTrace.RecordUntraced(-1)
@@ -152,10 +152,10 @@
 
 // Open begins to follow a request.
 func (r *Recorder) Open(now float64, q Request, class *routing.Class) *RequestTrace {
-	if s := r.next.Swap(nil); s != nil {
-		r.link.SetRetryWindow(s.RetryWindow)
-		r.keep.UpdateSettings(s.UndecidedBytes, s.DefaultClass, s.Classes)
-		r.asked = s.RetainClientSampled
+	if s := r.pendingSettings.Swap(nil); s != nil {
+		r.correlator.SetRetryWindow(s.RetryWindow)
+		r.sampler.UpdateSettings(s.UndecidedBytes, s.DefaultClass, s.Classes)
+		r.retainClientSampled = s.RetainClientSampled
 	}
 	if q.ReceivedAt == 0 {
 		q.ReceivedAt = now
@@ -164,12 +164,12 @@
 	if class.Idempotency == routing.IdempotentWithKey {
 		ask.IdempotencyKey = q.IdempotencyKey
 	}
-	t := &RequestTrace{link: r.link, tie: r.link.Correlate(now, ask), room: r.keep.Reserve(openSize), stretch: class.ObjectiveTransferFactor}
-	r.n++
-	piece := trace.Trace{ID: t.tie.ID, ClientSpan: t.tie.ClientSpan, Retry: t.tie.Retry, Router: r.Router, TransactionID: q.TransactionID, Class: class.Name,
-		Object: r.link.HashObject(uint64(q.Object)), Chunk: uint32(q.Chunk), PurgeGroup: uint16(q.PurgeGroup), Start: min(q.ReceivedAt, now),
-		ClientSampled: t.tie.ClientSampled && r.asked}
-	t.ActiveTrace = trace.Begin(piece, r.Seed+r.n<<20|1)
+	t := &RequestTrace{correlator: r.correlator, correlation: r.correlator.Correlate(now, ask), spansReserved: r.sampler.Reserve(reservedBytes), transferFactor: class.ObjectiveTransferFactor}
+	r.requests++
+	piece := trace.Trace{ID: t.correlation.ID, ClientSpan: t.correlation.ClientSpan, Retry: t.correlation.Retry, Router: r.Router, TransactionID: q.TransactionID, Class: class.Name,
+		Object: r.correlator.HashObject(uint64(q.Object)), Chunk: uint32(q.Chunk), PurgeGroup: uint16(q.PurgeGroup), Start: min(q.ReceivedAt, now),
+		ClientSampled: t.correlation.ClientSampled && r.retainClientSampled}
+	t.ActiveTrace = trace.Begin(piece, r.Seed+r.requests<<20|1)
 	return t
 }
 
@@ -177,42 +177,42 @@
 func (r *Recorder) Close(now float64, t *RequestTrace) {
 	p := t.Finished()
 	if pace := r.ClientBytesPerSecond(); pace > 0 {
-		p.SizeAllowance = t.stretch * float64(t.bytes) / pace * 1000
+		p.SizeAllowance = t.transferFactor * float64(t.responseBytes) / pace * 1000
 	}
 	served := p.Outcome == trace.Served || p.Outcome == trace.NotModified
-	r.send(r.keep.Tick(now)) // windows that are over, before what ends now is drawn in its own
-	if !t.room {
-		r.keep.RecordUntraced(p.Class, p.Duration()-p.SizeAllowance, p.Outcome, int(p.Attempts), p.Retry)
+	r.enqueue(r.sampler.Tick(now)) // windows that are over, before what ends now is drawn in its own
+	if !t.spansReserved {
+		r.sampler.RecordUntraced(p.Class, p.Duration()-p.SizeAllowance, p.Outcome, int(p.Attempts), p.Retry)
 		r.Metrics.Add("traces_without_room", 1)
 		return
 	}
-	if kept := r.keep.Finish(p, openSize); kept != nil {
+	if kept := r.sampler.Finish(p, reservedBytes); kept != nil {
 		if !served {
 			r.Log.Debug().Str("trace", p.ID.String()).Str("class", p.Class).Int("attempts", int(p.Attempts)).
 				Float64("took_ms", p.Duration()).Msg("request " + p.Outcome.String())
 		}
-		r.send([]*trace.Trace{kept})
+		r.enqueue([]*trace.Trace{kept})
 	}
 }
 
 // send hands kept traces to the actor. One for which there is no room is lost, and if
 // it had to be kept the next one says so.
-func (r *Recorder) send(kept []*trace.Trace) {
+func (r *Recorder) enqueue(kept []*trace.Trace) {
 	for _, t := range kept {
 		select {
-		case r.box <- t:
+		case r.retained <- t:
 			r.Metrics.Add("traces_kept", 1)
-			r.tell(t)
+			r.notifyServers(t)
 		default:
 			r.Metrics.Add("traces_not_taken", 1)
-			r.keep.RecordLost(t)
+			r.sampler.RecordLost(t)
 		}
 	}
 }
 
 // tell tells the servers that had a part in a trace that it is kept. t belongs to the
 // actor by now, and is only read.
-func (r *Recorder) tell(t *trace.Trace) {
+func (r *Recorder) notifyServers(t *trace.Trace) {
 	if r.NotifyRetained == nil {
 		return
 	}
@@ -226,27 +226,27 @@
 
 // Run writes what is kept until Finish.
 func (r *Recorder) Run() {
-	defer close(r.ended)
-	tick := time.NewTicker(flushEvery)
+	defer close(r.stopped)
+	tick := time.NewTicker(flushInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case t := <-r.box:
-			r.failed(r.Sink.Add(t))
+		case t := <-r.retained:
+			r.reportSinkError(r.Sink.Add(t))
 		case <-tick.C:
-			r.failed(r.Sink.Flush(r.Clock.Now()))
-		case <-r.quit:
-			for len(r.box) > 0 {
-				r.failed(r.Sink.Add(<-r.box))
+			r.reportSinkError(r.Sink.Flush(r.Clock.Now()))
+		case <-r.shutdown:
+			for len(r.retained) > 0 {
+				r.reportSinkError(r.Sink.Add(<-r.retained))
 			}
-			r.failed(r.Sink.Close(r.Clock.Now()))
+			r.reportSinkError(r.Sink.Close(r.Clock.Now()))
 			return
 		}
 	}
 }
 
 // failed notes an error of the sink, the first of a kind at each counted step.
-func (r *Recorder) failed(err error) {
+func (r *Recorder) reportSinkError(err error) {
 	if err != nil {
 		r.Metrics.Add("traces_failed", 1)
 		if n := r.Metrics.Counter("traces_failed").Load(); n&(n-1) == 0 { // the 1st, 2nd, 4th, 8th ...
@@ -258,7 +258,7 @@
 // Finish decides what is undecided and returns when all that is kept is written. The
 // core must have stopped, and Run have been called.
 func (r *Recorder) Shutdown() {
-	r.send(r.keep.Close())
-	close(r.quit)
-	<-r.ended
+	r.enqueue(r.sampler.Close())
+	close(r.shutdown)
+	<-r.stopped
 }
--- a/internal/trace/sampling/sampler.go
+++ b/internal/trace/sampling/sampler.go
@@ -35,20 +35,20 @@
 // until three are due: the weight of fewer, though right in the mean, varies without a
 // bound. No window is longer than longest.
 const (
-	window  = 1000.0
-	least   = 3.0
-	longest = 60_000.0
+	minWindowLength    = 1000.0
+	minTracesPerWindow = 3.0
+	maxWindowLength    = 60_000.0
 )
 
 // Keeper decides what is kept. It is not safe for concurrent use.
 type Sampler struct {
-	classes map[string]*draw
-	other   Class
-	most    int // bytes
-	open    int // bytes of traces whose requests are open
-	held    int // bytes of ordinary traces that are not decided
-	lost    uint32
-	Counts  Counts
+	windows        map[string]*classWindow
+	defaultClass   Class
+	maxBytes       int // bytes
+	openBytes      int // bytes of traces whose requests are open
+	candidateBytes int // bytes of ordinary traces that are not decided
+	unreportedLost uint32
+	Counts         Counts
 }
 
 // Counts tells what a Keeper did.
@@ -60,100 +60,100 @@
 }
 
 // draw is a window of one class.
-type draw struct {
+type classWindow struct {
 	Class
-	began float64
-	bound float64 // the lowest order that was turned away; 1: none
-	n     int     // how many may be held
-	span  float64 // length of the window, ms
-	held  byOrder
+	startedAt     float64
+	threshold     float64 // the lowest order that was turned away; 1: none
+	maxCandidates int     // how many may be held
+	length        float64 // length of the window, ms
+	candidates    candidateHeap
 }
 
 // New returns a Keeper that holds most bytes. Classes that are not named have other.
 func New(most int, other Class, classes map[string]Class) *Sampler {
-	k := &Sampler{classes: map[string]*draw{}, most: most}
+	k := &Sampler{windows: map[string]*classWindow{}, maxBytes: most}
 	k.UpdateSettings(most, other, classes)
 	return k
 }
 
 // Adopt goes over to other settings. What is held stays, drawn as it was.
 func (k *Sampler) UpdateSettings(most int, other Class, classes map[string]Class) {
-	k.most, k.other = most, other
+	k.maxBytes, k.defaultClass = most, other
 	for name, c := range classes {
-		k.class(name).set(c)
+		k.window(name).configure(c)
 	}
-	for name, d := range k.classes {
+	for name, d := range k.windows {
 		if _, named := classes[name]; !named {
-			d.set(other)
+			d.configure(other)
 		}
 	}
 }
 
-func (k *Sampler) class(name string) *draw {
-	d := k.classes[name]
+func (k *Sampler) window(name string) *classWindow {
+	d := k.windows[name]
 	if d == nil {
-		d = &draw{bound: 1}
-		d.set(k.other)
-		k.classes[name] = d
+		d = &classWindow{threshold: 1}
+		d.configure(k.defaultClass)
+		k.windows[name] = d
 	}
 	return d
 }
 
-func (d *draw) set(c Class) {
-	d.Class, d.span = c, window
+func (d *classWindow) configure(c Class) {
+	d.Class, d.length = c, minWindowLength
 	if c.OrdinaryPerSecond > 0 {
-		d.span = min(max(window, least*1000/c.OrdinaryPerSecond), longest)
+		d.length = min(max(minWindowLength, minTracesPerWindow*1000/c.OrdinaryPerSecond), maxWindowLength)
 	}
-	d.n = int(math.Ceil(c.OrdinaryPerSecond * d.span / 1000))
+	d.maxCandidates = int(math.Ceil(c.OrdinaryPerSecond * d.length / 1000))
 }
 
 // Open asks for room for a request's trace. Without it the request is not traced, and
 // Missed is to be told its end.
 func (k *Sampler) Reserve(size int) bool {
-	for k.open+k.held+size > k.most {
-		if !k.push() {
+	for k.openBytes+k.candidateBytes+size > k.maxBytes {
+		if !k.evictCandidate() {
 			k.Counts.Untraced++
 			return false
 		}
 	}
-	k.open += size
+	k.openBytes += size
 	return true
 }
 
 // push gives up the ordinary trace of the highest order of all classes.
-func (k *Sampler) push() bool {
-	var from *draw
-	for _, d := range k.classes {
-		if len(d.held) > 0 && (from == nil || d.held[0].order > from.held[0].order) {
+func (k *Sampler) evictCandidate() bool {
+	var from *classWindow
+	for _, d := range k.windows {
+		if len(d.candidates) > 0 && (from == nil || d.candidates[0].order > from.candidates[0].order) {
 			from = d
 		}
 	}
 	if from == nil {
 		return false
 	}
-	k.turnAway(from)
+	k.dropHighest(from)
 	k.Counts.Evicted++
 	return true
 }
 
 // turnAway gives up the highest of a class.
-func (k *Sampler) turnAway(d *draw) {
-	e := heap.Pop(&d.held).(entry)
-	d.bound = min(d.bound, e.order)
-	k.held -= e.size
+func (k *Sampler) dropHighest(d *classWindow) {
+	e := heap.Pop(&d.candidates).(candidate)
+	d.threshold = min(d.threshold, e.order)
+	k.candidateBytes -= e.size
 }
 
 // Missed takes the end of a request that was not traced; took is in ms, less what its
 // bytes allow.
 func (k *Sampler) RecordUntraced(class string, took float64, outcome trace.Outcome, attempts int, try uint8) {
-	if k.why(k.class(class), took, outcome, attempts, try) != 0 {
-		k.lost++
+	if k.retentionReasons(k.window(class), took, outcome, attempts, try) != 0 {
+		k.unreportedLost++
 		k.Counts.Lost++
 	}
 }
 
 // why tells why a request must be kept; 0: it is ordinary.
-func (k *Sampler) why(d *draw, took float64, o trace.Outcome, attempts int, try uint8) (why trace.Reason) {
+func (k *Sampler) retentionReasons(d *classWindow, took float64, o trace.Outcome, attempts int, try uint8) (why trace.Reason) {
 	switch o {
 	case trace.Failed, trace.ClientDisconnected:
 		why |= trace.ReasonFailed
@@ -176,104 +176,104 @@
 // window is over. It returns t where it is kept, with the reason and the weight.
 // Tick must have been called with this time or a later one of the same window.
 func (k *Sampler) Finish(t *trace.Trace, size int) *trace.Trace {
-	k.open -= size
-	d := k.class(t.Class)
-	t.Reasons = k.why(d, t.Duration()-t.SizeAllowance, t.Outcome, int(t.Attempts), t.Retry)
+	k.openBytes -= size
+	d := k.window(t.Class)
+	t.Reasons = k.retentionReasons(d, t.Duration()-t.SizeAllowance, t.Outcome, int(t.Attempts), t.Retry)
 	if t.ClientSampled {
 		t.Reasons |= trace.ReasonClientSampled
 	}
 	if t.Reasons != 0 {
 		t.Weight = 1
 		k.Counts.Retained++
-		return k.mark(t)
+		return k.attachLost(t)
 	}
 	k.Counts.Ordinary++
 	order := t.ID.Order()
-	if order >= d.bound {
+	if order >= d.threshold {
 		return nil
 	}
-	if d.n == 0 {
-		d.bound = 0
+	if d.maxCandidates == 0 {
+		d.threshold = 0
 		return nil
 	}
 	size = t.Size()
-	heap.Push(&d.held, entry{order, size, t})
-	k.held += size
-	for len(d.held) > d.n {
-		k.turnAway(d)
+	heap.Push(&d.candidates, candidate{order, size, t})
+	k.candidateBytes += size
+	for len(d.candidates) > d.maxCandidates {
+		k.dropHighest(d)
 	}
-	for k.open+k.held > k.most && k.push() {
+	for k.openBytes+k.candidateBytes > k.maxBytes && k.evictCandidate() {
 	}
 	return nil
 }
 
 // Lose takes back a trace that was returned as kept and could not be taken.
 func (k *Sampler) RecordLost(t *trace.Trace) {
-	k.lost += t.LostBefore
+	k.unreportedLost += t.LostBefore
 	if t.Reasons&^trace.ReasonSampled != 0 {
-		k.lost++
+		k.unreportedLost++
 		k.Counts.Lost++
 	}
 }
 
 // mark has the next kept trace say what was lost before it.
-func (k *Sampler) mark(t *trace.Trace) *trace.Trace {
-	t.LostBefore, k.lost = k.lost, 0
+func (k *Sampler) attachLost(t *trace.Trace) *trace.Trace {
+	t.LostBefore, k.unreportedLost = k.unreportedLost, 0
 	return t
 }
 
 // Tick closes the windows that are over and returns what was drawn in them.
 func (k *Sampler) Tick(now float64) (kept []*trace.Trace) {
-	for _, d := range k.classes {
-		if now >= d.began && now < d.began+d.span {
+	for _, d := range k.windows {
+		if now >= d.startedAt && now < d.startedAt+d.length {
 			continue
 		}
-		kept = k.close(d, kept)
-		d.began = now - math.Mod(now, d.span)
+		kept = k.closeWindow(d, kept)
+		d.startedAt = now - math.Mod(now, d.length)
 	}
 	return kept
 }
 
 // Close ends all windows, as at the end of the program.
 func (k *Sampler) Close() (kept []*trace.Trace) {
-	for _, d := range k.classes {
-		kept = k.close(d, kept)
+	for _, d := range k.windows {
+		kept = k.closeWindow(d, kept)
 	}
 	return kept
 }
 
-func (k *Sampler) close(d *draw, kept []*trace.Trace) []*trace.Trace {
-	for _, e := range d.held {
-		e.t.Reasons, e.t.Weight = trace.ReasonSampled, 1/d.bound
-		k.held -= e.size
+func (k *Sampler) closeWindow(d *classWindow, kept []*trace.Trace) []*trace.Trace {
+	for _, e := range d.candidates {
+		e.trace.Reasons, e.trace.Weight = trace.ReasonSampled, 1/d.threshold
+		k.candidateBytes -= e.size
 		k.Counts.Sampled++
-		kept = append(kept, k.mark(e.t))
+		kept = append(kept, k.attachLost(e.trace))
 	}
-	d.held, d.bound = d.held[:0], 1
+	d.candidates, d.threshold = d.candidates[:0], 1
 	return kept
 }
 
 // Bytes returns how much is held for traces that are open or not decided.
-func (k *Sampler) Bytes() int { return k.open + k.held }
+func (k *Sampler) Bytes() int { return k.openBytes + k.candidateBytes }
 
 // entry is a held trace.
-type entry struct {
+type candidate struct {
 	order float64
 	size  int
-	t     *trace.Trace
+	trace *trace.Trace
 }
 
 // byOrder is a heap with the highest order on top: what is given up next.
-type byOrder []entry
+type candidateHeap []candidate
 
-func (h byOrder) Len() int           { return len(h) }
-func (h byOrder) Less(i, j int) bool { return h[i].order > h[j].order }
-func (h byOrder) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *byOrder) Push(x any)        { *h = append(*h, x.(entry)) }
-func (h *byOrder) Pop() any {
+func (h candidateHeap) Len() int           { return len(h) }
+func (h candidateHeap) Less(i, j int) bool { return h[i].order > h[j].order }
+func (h candidateHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *candidateHeap) Push(x any)        { *h = append(*h, x.(candidate)) }
+func (h *candidateHeap) Pop() any {
 	old := *h
 	x := old[len(old)-1]
-	old[len(old)-1] = entry{}
+	old[len(old)-1] = candidate{}
 	*h = old[:len(old)-1]
 	return x
 }
--- a/internal/trace/sampling/sampler_test.go
+++ b/internal/trace/sampling/sampler_test.go
@@ -16,12 +16,12 @@
 	return id
 }
 
-func ended(rng *rand.Rand, class string, at, took float64, o trace.Outcome) *trace.Trace {
+func finishedTrace(rng *rand.Rand, class string, at, took float64, o trace.Outcome) *trace.Trace {
 	return &trace.Trace{ID: newID(rng), Class: class, Start: at - took, End: at, Outcome: o, Attempts: 1}
 }
 
 // What failed, was refused, tried again or slow is kept, each with its reason.
-func TestWhatIsKeptAlways(t *testing.T) {
+func TestRetentionReasons(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	k := New(1<<20, Class{LatencyObjective: 400}, nil)
 	for i, c := range []struct {
@@ -35,7 +35,7 @@
 		{10, trace.Served, 2, 0, trace.ReasonRetried}, {10, trace.Served, 1, 1, trace.ReasonRetried}, {401, trace.Served, 1, 0, trace.ReasonSlow},
 		{500, trace.Rejected, 2, 1, trace.ReasonSlow | trace.ReasonRejected | trace.ReasonRetried}, {400, trace.Served, 1, 0, 0}, {10, trace.NotModified, 1, 0, 0},
 	} {
-		x := ended(rng, "part", 1e6, c.took, c.o)
+		x := finishedTrace(rng, "part", 1e6, c.took, c.o)
 		x.Attempts, x.Retry = c.attempts, c.try
 		if !k.Reserve(300) {
 			t.Fatal("no room")
@@ -49,7 +49,7 @@
 
 // The weights of what is drawn stand for what was met, without a bias, in windows
 // that are quiet, busy and short of memory; and the budget holds in each window.
-func TestWeightsAreUnbiased(t *testing.T) {
+func TestSampledWeightsAreUnbiased(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		n, most     int
@@ -74,7 +74,7 @@
 					t.Fatalf("%s: no room", c.name)
 				}
 				met++
-				if k.Finish(ended(rng, "part", now+float64(i), 5, trace.Served), 200) != nil {
+				if k.Finish(finishedTrace(rng, "part", now+float64(i), 5, trace.Served), 200) != nil {
 					t.Fatalf("%s: an ordinary trace is kept at once", c.name)
 				}
 				if k.Bytes() > c.most {
@@ -96,13 +96,13 @@
 }
 
 // Two routers that meet the same traces draw the same ones.
-func TestRoutersDrawAlike(t *testing.T) {
+func TestRoutersSampleTheSameTraces(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	a, b := New(1<<20, Class{OrdinaryPerSecond: 4}, nil), New(1<<20, Class{OrdinaryPerSecond: 4}, nil)
 	a.Tick(1e6)
 	b.Tick(1e6)
 	for range 300 {
-		x := ended(rng, "part", 1e6, 5, trace.Served)
+		x := finishedTrace(rng, "part", 1e6, 5, trace.Served)
 		y := *x
 		a.Reserve(200)
 		b.Reserve(200)
@@ -125,7 +125,7 @@
 
 // Where even what is open fills the memory, requests are not traced, and what would
 // have been kept is counted and told by the next trace that is.
-func TestLostAreTold(t *testing.T) {
+func TestLostTracesAreReportedOnce(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
 	k := New(1000, Class{OrdinaryPerSecond: 5}, nil)
 	for range 3 {
@@ -139,10 +139,10 @@
 	k.RecordUntraced("part", 10, trace.Failed, 1, 0)
 	k.RecordUntraced("part", 10, trace.Served, 1, 0)
 	k.RecordUntraced("part", 10, trace.Served, 3, 0)
-	if x := k.Finish(ended(rng, "part", 1e6, 5, trace.Rejected), 300); x == nil || x.LostBefore != 2 {
+	if x := k.Finish(finishedTrace(rng, "part", 1e6, 5, trace.Rejected), 300); x == nil || x.LostBefore != 2 {
 		t.Errorf("%+v: want a mark of two", x)
 	}
-	if x := k.Finish(ended(rng, "part", 1e6, 5, trace.Rejected), 300); x == nil || x.LostBefore != 0 {
+	if x := k.Finish(finishedTrace(rng, "part", 1e6, 5, trace.Rejected), 300); x == nil || x.LostBefore != 0 {
 		t.Errorf("%+v: marked twice", x)
 	}
 	if k.Counts.Lost != 2 || k.Counts.Untraced != 1 {
@@ -150,9 +150,9 @@
 	}
 }
 
-// FuzzKeeper checks by random steps that the bound holds, that all that must be kept
+// FuzzSamplerAccounting checks by random steps that the bound holds, that all that must be kept
 // is kept or told as lost, and that nothing is held in the end.
-func FuzzSampler(f *testing.F) {
+func FuzzSamplerAccounting(f *testing.F) {
 	fuzzutil.AddRandomSeeds(f, 16, 600)
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		rng := rand.New(rand.NewPCG(uint64(len(steps)), 9))
@@ -186,7 +186,7 @@
 			case 2:
 				if open > 0 {
 					open--
-					z := ended(rng, class, now, took, o)
+					z := finishedTrace(rng, class, now, took, o)
 					if took > 50 || class == "b" && took > 10 || o != trace.Served && o != trace.NotModified {
 						must++
 					}
@@ -202,27 +202,27 @@
 		}
 		for ; open > 0; open-- {
 			must++
-			take(k.Finish(ended(rng, "a", now, 5, trace.Failed), 300))
+			take(k.Finish(finishedTrace(rng, "a", now, 5, trace.Failed), 300))
 		}
 		take(k.Close()...)
 		if k.Bytes() != 0 {
 			t.Errorf("%d bytes are held in the end", k.Bytes())
 		}
-		if lost += int64(k.lost); got+lost != must {
+		if lost += int64(k.unreportedLost); got+lost != must {
 			t.Errorf("%d had to be kept: %d are, %d are told as lost", must, got, lost)
 		}
 	})
 }
 
 // tail is the plain form: all traces of a window in a slice, sorted when it is over.
-type tail struct{ all []*trace.Trace }
+type windowBuffer struct{ all []*trace.Trace }
 
-// BenchmarkTail measures the held traces against a plain buffer of all of a window,
+// BenchmarkSampler measures the held traces against a plain buffer of all of a window,
 // at 10,000 requests a second: bytes held and time a trace.
-func BenchmarkTail(b *testing.B) {
+func BenchmarkSampler(b *testing.B) {
 	const rate = 10_000
 	make := func(rng *rand.Rand, at float64) *trace.Trace {
-		x := ended(rng, "part", at, 5, trace.Served)
+		x := finishedTrace(rng, "part", at, 5, trace.Served)
 		x.Spans = append(x.Spans, trace.Span{}, trace.Span{}, trace.Span{})
 		return x
 	}
@@ -240,7 +240,7 @@
 		b.ReportMetric(float64(most), "heldB")
 	})
 	b.Run("plain", func(b *testing.B) {
-		rng, most, held, p, kept := rand.New(rand.NewPCG(1, 1)), 0, 0, tail{}, 0
+		rng, most, held, p, kept := rand.New(rand.NewPCG(1, 1)), 0, 0, windowBuffer{}, 0
 		for i := range b.N {
 			if i%rate == 0 {
 				for _, x := range p.all {
--- a/internal/trace/serverspans/buffer.go
+++ b/internal/trace/serverspans/buffer.go
@@ -12,12 +12,12 @@
 import "garnetline/internal/trace"
 
 // piece is the spans of one trace that wait.
-type piece struct {
-	t      *trace.Trace
-	until  float64
-	failed bool
-	rides  []*piece // fills of other traces that it rode
-	done   bool     // kept or forgotten
+type partialTrace struct {
+	trace       *trace.Trace
+	expiresAt   float64
+	failed      bool
+	joinedFills []*partialTrace // fills of other traces that it rode
+	released    bool            // kept or forgotten
 }
 
 // Counts tells what a Holder did.
@@ -25,57 +25,57 @@
 
 // Holder holds pieces. It is not safe for concurrent use.
 type Buffer struct {
-	limit  float64 // ms
-	most   int     // bytes
-	bytes  int
-	by     map[trace.ID][]*piece
-	fills  map[trace.SpanID]*piece
-	order  []*piece // by the time they came
-	Counts Counts
+	decisionTimeout float64 // ms
+	maxBytes        int     // bytes
+	bytes           int
+	byTrace         map[trace.ID][]*partialTrace
+	byFill          map[trace.SpanID]*partialTrace
+	byArrival       []*partialTrace // by the time they came
+	Counts          Counts
 }
 
 // New returns a Holder that holds pieces for limit ms, and at most so many bytes.
 func New(limit float64, most int) *Buffer {
-	return &Buffer{limit: limit, most: most, by: map[trace.ID][]*piece{}, fills: map[trace.SpanID]*piece{}}
+	return &Buffer{decisionTimeout: limit, maxBytes: most, byTrace: map[trace.ID][]*partialTrace{}, byFill: map[trace.SpanID]*partialTrace{}}
 }
 
 // Add holds a piece; failed says that the server's own part did. It returns what the
 // bound on memory pushes out and had failed: the oldest go first, those that did not
 // fail before all others.
 func (h *Buffer) Add(now float64, t *trace.Trace, failed bool) (kept []*trace.Trace) {
-	p := &piece{t: t, until: now + h.limit, failed: failed}
+	p := &partialTrace{trace: t, expiresAt: now + h.decisionTimeout, failed: failed}
 	for _, l := range t.Links {
-		if f := h.fills[l.To]; f != nil {
-			p.rides = append(p.rides, f)
+		if f := h.byFill[l.To]; f != nil {
+			p.joinedFills = append(p.joinedFills, f)
 		}
 	}
 	for _, s := range t.Spans {
 		if s.Kind == trace.Fill {
-			h.fills[s.ID] = p
+			h.byFill[s.ID] = p
 		}
 	}
-	h.by[t.ID] = append(h.by[t.ID], p)
-	h.order = append(h.order, p)
+	h.byTrace[t.ID] = append(h.byTrace[t.ID], p)
+	h.byArrival = append(h.byArrival, p)
 	h.bytes += t.Size()
-	for h.bytes > h.most {
-		out := h.oldest()
+	for h.bytes > h.maxBytes {
+		out := h.evictionCandidate()
 		h.Counts.Evicted++
 		if out.failed {
 			h.Counts.RetainedFailed++
-			kept = append(kept, out.t)
+			kept = append(kept, out.trace)
 		}
-		h.forget(out)
+		h.release(out)
 	}
 	return kept
 }
 
 // oldest is the oldest that did not fail, or the oldest.
-func (h *Buffer) oldest() (first *piece) {
-	for _, p := range h.order {
-		if !p.done && !p.failed {
+func (h *Buffer) evictionCandidate() (first *partialTrace) {
+	for _, p := range h.byArrival {
+		if !p.released && !p.failed {
 			return p
 		}
-		if !p.done && first == nil {
+		if !p.released && first == nil {
 			first = p
 		}
 	}
@@ -84,12 +84,12 @@
 
 // Kept takes a verdict and returns what is to be kept for it.
 func (h *Buffer) Retain(id trace.ID) (kept []*trace.Trace) {
-	for _, p := range h.by[id] {
-		for _, q := range append(p.rides, p) {
-			if !q.done {
+	for _, p := range h.byTrace[id] {
+		for _, q := range append(p.joinedFills, p) {
+			if !q.released {
 				h.Counts.Retained++
-				kept = append(kept, q.t)
-				h.forget(q)
+				kept = append(kept, q.trace)
+				h.release(q)
 			}
 		}
 	}
@@ -98,43 +98,43 @@
 
 // Tick returns what is kept at its limit without a verdict.
 func (h *Buffer) Tick(now float64) (kept []*trace.Trace) {
-	for len(h.order) > 0 && (h.order[0].done || h.order[0].until <= now) {
-		p := h.order[0]
-		h.order[0] = nil
-		h.order = h.order[1:]
-		if p.done {
+	for len(h.byArrival) > 0 && (h.byArrival[0].released || h.byArrival[0].expiresAt <= now) {
+		p := h.byArrival[0]
+		h.byArrival[0] = nil
+		h.byArrival = h.byArrival[1:]
+		if p.released {
 			continue
 		}
 		if p.failed {
 			h.Counts.RetainedFailed++
-			kept = append(kept, p.t)
+			kept = append(kept, p.trace)
 		} else {
 			h.Counts.Discarded++
 		}
-		h.forget(p)
+		h.release(p)
 	}
 	return kept
 }
 
 // forget gives back what a piece holds. It is the one place for that.
-func (h *Buffer) forget(p *piece) {
-	p.done = true
-	h.bytes -= p.t.Size()
-	for _, s := range p.t.Spans {
-		if h.fills[s.ID] == p {
-			delete(h.fills, s.ID)
+func (h *Buffer) release(p *partialTrace) {
+	p.released = true
+	h.bytes -= p.trace.Size()
+	for _, s := range p.trace.Spans {
+		if h.byFill[s.ID] == p {
+			delete(h.byFill, s.ID)
 		}
 	}
-	left := h.by[p.t.ID][:0]
-	for _, q := range h.by[p.t.ID] {
+	left := h.byTrace[p.trace.ID][:0]
+	for _, q := range h.byTrace[p.trace.ID] {
 		if q != p {
 			left = append(left, q)
 		}
 	}
 	if len(left) == 0 {
-		delete(h.by, p.t.ID)
+		delete(h.byTrace, p.trace.ID)
 	} else {
-		h.by[p.t.ID] = left
+		h.byTrace[p.trace.ID] = left
 	}
 }
 
--- a/internal/trace/serverspans/buffer_test.go
+++ b/internal/trace/serverspans/buffer_test.go
@@ -8,7 +8,7 @@
 	"garnetline/internal/trace"
 )
 
-func work(id byte, span trace.SpanID, fill trace.SpanID, rides ...trace.Link) *trace.Trace {
+func serverTrace(id byte, span trace.SpanID, fill trace.SpanID, rides ...trace.Link) *trace.Trace {
 	t := &trace.Trace{ID: trace.ID{id}, Router: "s-00000005", Spans: []trace.Span{{ID: span, Kind: trace.ServerWork}}, Links: rides}
 	if fill != 0 {
 		t.Spans = append(t.Spans, trace.Span{ID: fill, Parent: span, Kind: trace.Fill})
@@ -18,11 +18,11 @@
 
 // A verdict keeps the pieces of its trace and the fill that it rode, which belongs to a
 // first asker whose own trace is not kept; a verdict after the limit finds nothing.
-func TestVerdicts(t *testing.T) {
+func TestRetentionDecisions(t *testing.T) {
 	h := New(1000, 1<<20)
-	first := work(1, 10, 11)
+	first := serverTrace(1, 10, 11)
 	h.Add(0, first, false)
-	rider := work(2, 20, 0, trace.Link{From: 20, Trace: trace.ID{1}, To: 11})
+	rider := serverTrace(2, 20, 0, trace.Link{From: 20, Trace: trace.ID{1}, To: 11})
 	h.Add(1, rider, false)
 	if kept := h.Retain(trace.ID{2}); len(kept) != 2 || kept[0] != first || kept[1] != rider {
 		t.Errorf("%v", kept)
@@ -30,8 +30,8 @@
 	if kept := append(h.Retain(trace.ID{2}), h.Retain(trace.ID{1})...); len(kept) != 0 {
 		t.Errorf("kept twice: %v", kept)
 	}
-	h.Add(2, work(3, 30, 0), false)
-	failed := work(4, 40, 0)
+	h.Add(2, serverTrace(3, 30, 0), false)
+	failed := serverTrace(4, 40, 0)
 	h.Add(3, failed, true)
 	if kept := h.Tick(1001); len(kept) != 0 {
 		t.Errorf("before the limit: %v", kept)
@@ -44,9 +44,9 @@
 	}
 }
 
-// FuzzHolder checks by random steps that the bound holds, nothing is kept twice, what
+// FuzzBufferAccounting checks by random steps that the bound holds, nothing is kept twice, what
 // failed is always kept in the end, and nothing is held then.
-func FuzzBuffer(f *testing.F) {
+func FuzzBufferAccounting(f *testing.F) {
 	fuzzutil.AddRandomSeeds(f, 16, 500)
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		const most = 5000
@@ -65,7 +65,7 @@
 			x := steps[i+1]
 			switch steps[i] % 4 {
 			case 0, 1:
-				w := work(x%16, next, map[bool]trace.SpanID{true: next + 1}[x%3 == 0])
+				w := serverTrace(x%16, next, map[bool]trace.SpanID{true: next + 1}[x%3 == 0])
 				if x%5 == 0 && len(fills) > 0 {
 					w.Links = append(w.Links, fills[rng.IntN(len(fills))])
 				}
@@ -91,8 +91,8 @@
 				t.Error("what failed was forgotten")
 			}
 		}
-		if h.Bytes() != 0 || len(h.by) != 0 || len(h.fills) != 0 {
-			t.Errorf("%d bytes, %d traces and %d fills are held in the end", h.Bytes(), len(h.by), len(h.fills))
+		if h.Bytes() != 0 || len(h.byTrace) != 0 || len(h.byFill) != 0 {
+			t.Errorf("%d bytes, %d traces and %d fills are held in the end", h.Bytes(), len(h.byTrace), len(h.byFill))
 		}
 	})
 }
