--- a/internal/trace/recorder/recorder.go
+++ b/internal/trace/recorder/recorder.go
@@ -182,7 +182,7 @@
 	served := p.Outcome == trace.Served || p.Outcome == trace.NotModified
 	r.enqueue(r.sampler.Tick(now)) // windows that are over, before what ends now is drawn in its own
 	if !t.spansReserved {
-		r.sampler.RecordUntraced(p.Class, p.Duration()-p.SizeAllowance, p.Outcome, int(p.Attempts), p.Retry)
+		r.sampler.RecordUntraced(p)
 		r.Metrics.Add("traces_without_room", 1)
 		return
 	}
--- a/internal/trace/sampling/sampler.go
+++ b/internal/trace/sampling/sampler.go
@@ -1,18 +1,21 @@
-// Package sampling decides, when a request has ended, whether its trace is kept. It does
-// no I/O and has no clock: the caller tells the time, in Unix milliseconds.
+// Package sampling decides, when a request has ended, whether its trace is retained (tail
+// sampling). It does no I/O and has no clock: the caller passes the time, in Unix
+// milliseconds.
 //
-// What failed, was refused, was tried again or was slower than its class wants is
-// kept always and at once. Of the ordinary rest each class has a budget a second. A
-// class's traces of one window are drawn by trace.ID.Order: those with the lowest
-// orders are held, and the lowest order that was turned away is the bound under which
-// all were held. So each held trace stands for one over that bound, whatever came
-// when, and routers that meet the same trace draw alike without a word between them.
+// A trace is retained at once if its request failed, was rejected, was retried or was slower
+// than the latency objective of its class. All other traces are ordinary, and each class has
+// a rate of ordinary traces to sample. The ordinary traces of one class and one window are
+// sampled by trace.ID.Order, which spreads ids evenly over (0, 1] (bottom-k sampling): those
+// of the lowest orders are the candidates, and the lowest order that was dropped is the
+// threshold below which every trace met is a candidate. So each sampled trace stands for
+// 1/threshold traces, in whatever sequence they came, and routers that meet the same trace
+// choose alike without talking to each other.
 //
-// The memory for what is open and for what is held is one budget. Where it does not
-// suffice ordinary traces go first, those of the highest order of all classes, which
-// lowers their class's bound and so keeps the weights right. Where even that does not
-// do, the request is not traced; if it would have been kept, it is counted, and the
-// next kept trace says how many were lost before it.
+// Traces of requests in flight and candidates share one memory budget. Where it is exceeded,
+// the candidate of the highest order of all classes is evicted, which lowers the threshold of
+// its class and so keeps the weights right. If no candidate is left, the request is not
+// traced; one that would have been retained is counted as lost, and the next retained trace
+// carries the number of those lost before it.
 package sampling
 
 import (
@@ -22,258 +25,233 @@
 	"garnetline/internal/trace"
 )
 
-// Class is what a Keeper knows of one class.
+// Class is the sampling policy of one request class.
 type Class struct {
-	LatencyObjective  float64 // ms; slower traces are kept
-	OrdinaryPerSecond float64 // ordinary traces kept a second
-	// All of them are kept: a router can't know whether a keyed request was tried at
-	// another one before, and the pieces of a trace that is kept are all wanted.
+	LatencyObjective  float64 // ms; slower traces are retained; 0: no objective
+	OrdinaryPerSecond float64 // ordinary traces sampled per second
+	// RetainAll retains every trace of the class: a router cannot know whether a request with
+	// an idempotency key was sent to another router before, and all partial traces of a
+	// retained trace are wanted.
 	RetainAll bool
 }
 
-// window is how long ordinary traces of a class are drawn together, ms, or longer
-// until three are due: the weight of fewer, though right in the mean, varies without a
-// bound. No window is longer than longest.
-const (
-	minWindowLength    = 1000.0
-	minTracesPerWindow = 3.0
-	maxWindowLength    = 60_000.0
-)
-
-// Keeper decides what is kept. It is not safe for concurrent use.
-type Sampler struct {
-	windows        map[string]*classWindow
-	defaultClass   Class
-	maxBytes       int // bytes
-	openBytes      int // bytes of traces whose requests are open
-	candidateBytes int // bytes of ordinary traces that are not decided
-	unreportedLost uint32
-	Counts         Counts
-}
-
-// Counts tells what a Keeper did.
+// Counts is what a Sampler has done since it was made, in traces.
 type Counts struct {
-	Retained, Ordinary, Sampled int64 // kept always; ordinary ones met; of those, kept
-	Evicted                     int64 // ordinary ones given up for room
-	Untraced                    int64 // requests for which there was no room
-	Lost                        int64 // of those, the ones that had to be kept
+	Retained int64 // retained at once, whatever the rate
+	Ordinary int64 // ordinary traces that finished
+	Sampled  int64 // ordinary traces that were retained as candidates of their window
+	Evicted  int64 // candidates that were dropped for lack of memory
+	Untraced int64 // requests that were not traced for lack of memory
+	Lost     int64 // traces to be retained that were untraced or that the caller could not accept
 }
 
-// draw is a window of one class.
-type classWindow struct {
-	Class
-	startedAt     float64
-	threshold     float64 // the lowest order that was turned away; 1: none
-	maxCandidates int     // how many may be held
-	length        float64 // length of the window, ms
-	candidates    candidateHeap
+// Sampler decides which traces are retained. It is not safe for concurrent use.
+type Sampler struct {
+	Counts Counts
+
+	windows        map[string]*classWindow // by class name
+	defaultClass   Class
+	maxBytes       int
+	openBytes      int    // reserved for the traces of requests in flight
+	candidateBytes int    // of ordinary traces whose windows are not over
+	unreportedLost uint32 // lost traces that no retained trace carries yet
 }
 
-// New returns a Keeper that holds most bytes. Classes that are not named have other.
-func New(most int, other Class, classes map[string]Class) *Sampler {
-	k := &Sampler{windows: map[string]*classWindow{}, maxBytes: most}
-	k.UpdateSettings(most, other, classes)
-	return k
+// New returns a Sampler that holds at most maxBytes. Classes that the map does not name follow
+// defaultClass.
+func New(maxBytes int, defaultClass Class, classes map[string]Class) *Sampler {
+	s := &Sampler{windows: map[string]*classWindow{}}
+	s.UpdateSettings(maxBytes, defaultClass, classes)
+	return s
 }
 
-// Adopt goes over to other settings. What is held stays, drawn as it was.
-func (k *Sampler) UpdateSettings(most int, other Class, classes map[string]Class) {
-	k.maxBytes, k.defaultClass = most, other
-	for name, c := range classes {
-		k.window(name).configure(c)
+// UpdateSettings replaces the settings given to New. Candidates stay, and a memory budget that
+// shrank is met with the next trace.
+func (s *Sampler) UpdateSettings(maxBytes int, defaultClass Class, classes map[string]Class) {
+	s.maxBytes = maxBytes
+	s.defaultClass = defaultClass
+	for name, class := range classes {
+		s.window(name).configure(class)
 	}
-	for name, d := range k.windows {
+	for name, window := range s.windows {
 		if _, named := classes[name]; !named {
-			d.configure(other)
+			window.configure(defaultClass)
 		}
 	}
 }
 
-func (k *Sampler) window(name string) *classWindow {
-	d := k.windows[name]
-	if d == nil {
-		d = &classWindow{threshold: 1}
-		d.configure(k.defaultClass)
-		k.windows[name] = d
-	}
-	return d
-}
-
-func (d *classWindow) configure(c Class) {
-	d.Class, d.length = c, minWindowLength
-	if c.OrdinaryPerSecond > 0 {
-		d.length = min(max(minWindowLength, minTracesPerWindow*1000/c.OrdinaryPerSecond), maxWindowLength)
+// window returns the window of a class, which is made when the class is first met.
+func (s *Sampler) window(className string) *classWindow {
+	window := s.windows[className]
+	if window == nil {
+		window = newClassWindow(s.defaultClass)
+		s.windows[className] = window
 	}
-	d.maxCandidates = int(math.Ceil(c.OrdinaryPerSecond * d.length / 1000))
+	return window
 }
 
-// Open asks for room for a request's trace. Without it the request is not traced, and
-// Missed is to be told its end.
-func (k *Sampler) Reserve(size int) bool {
-	for k.openBytes+k.candidateBytes+size > k.maxBytes {
-		if !k.evictCandidate() {
-			k.Counts.Untraced++
+// Reserve reserves size bytes for the trace of a new request and evicts candidates for it. If
+// it reports false the request must not be traced, and its end is passed to RecordUntraced.
+func (s *Sampler) Reserve(size int) bool {
+	for s.openBytes+s.candidateBytes+size > s.maxBytes {
+		if !s.evictCandidate() {
+			s.Counts.Untraced++
 			return false
 		}
 	}
-	k.openBytes += size
+	s.openBytes += size
 	return true
 }
 
-// push gives up the ordinary trace of the highest order of all classes.
-func (k *Sampler) evictCandidate() bool {
-	var from *classWindow
-	for _, d := range k.windows {
-		if len(d.candidates) > 0 && (from == nil || d.candidates[0].order > from.candidates[0].order) {
-			from = d
+// evictCandidate drops the candidate of the highest order of all classes and reports whether
+// there was one.
+func (s *Sampler) evictCandidate() bool {
+	var fullest *classWindow
+	for _, window := range s.windows {
+		if len(window.candidates) == 0 {
+			continue
+		}
+		if fullest == nil || window.candidates[0].order > fullest.candidates[0].order {
+			fullest = window
 		}
 	}
-	if from == nil {
+	if fullest == nil {
 		return false
 	}
-	k.dropHighest(from)
-	k.Counts.Evicted++
+	s.candidateBytes -= fullest.dropHighest()
+	s.Counts.Evicted++
 	return true
 }
 
-// turnAway gives up the highest of a class.
-func (k *Sampler) dropHighest(d *classWindow) {
-	e := heap.Pop(&d.candidates).(candidate)
-	d.threshold = min(d.threshold, e.order)
-	k.candidateBytes -= e.size
-}
-
-// Missed takes the end of a request that was not traced; took is in ms, less what its
-// bytes allow.
-func (k *Sampler) RecordUntraced(class string, took float64, outcome trace.Outcome, attempts int, try uint8) {
-	if k.retentionReasons(k.window(class), took, outcome, attempts, try) != 0 {
-		k.unreportedLost++
-		k.Counts.Lost++
+// RecordUntraced handles the end of a request for which Reserve reported false. Of t only the
+// class, the times, the outcome and the numbers of attempts and retries are read.
+func (s *Sampler) RecordUntraced(t *trace.Trace) {
+	if retentionReasons(&s.window(t.Class).Class, t) != 0 {
+		s.unreportedLost++
+		s.Counts.Lost++
 	}
 }
 
-// why tells why a request must be kept; 0: it is ordinary.
-func (k *Sampler) retentionReasons(d *classWindow, took float64, o trace.Outcome, attempts int, try uint8) (why trace.Reason) {
-	switch o {
+// retentionReasons returns why a trace must be retained, or 0 if it is ordinary.
+func retentionReasons(class *Class, t *trace.Trace) trace.Reason {
+	var reasons trace.Reason
+	switch t.Outcome {
 	case trace.Failed, trace.ClientDisconnected:
-		why |= trace.ReasonFailed
+		reasons |= trace.ReasonFailed
 	case trace.Rejected:
-		why |= trace.ReasonRejected
+		reasons |= trace.ReasonRejected
 	}
-	if attempts > 1 || try > 0 {
-		why |= trace.ReasonRetried
+	if t.Attempts > 1 || t.Retry > 0 {
+		reasons |= trace.ReasonRetried
 	}
-	if d.RetainAll {
-		why |= trace.ReasonIdempotent
+	if class.RetainAll {
+		reasons |= trace.ReasonIdempotent
 	}
-	if d.LatencyObjective > 0 && took > d.LatencyObjective {
-		why |= trace.ReasonSlow
+	if class.LatencyObjective > 0 && t.Duration()-t.SizeAllowance > class.LatencyObjective {
+		reasons |= trace.ReasonSlow
 	}
-	return why
+	return reasons
 }
 
-// End decides on a trace for which Open gave room of size, or holds it until its
-// window is over. It returns t where it is kept, with the reason and the weight.
-// Tick must have been called with this time or a later one of the same window.
-func (k *Sampler) Finish(t *trace.Trace, size int) *trace.Trace {
-	k.openBytes -= size
-	d := k.window(t.Class)
-	t.Reasons = k.retentionReasons(d, t.Duration()-t.SizeAllowance, t.Outcome, int(t.Attempts), t.Retry)
+// Finish handles the end of a request for whose trace Reserve reserved size bytes. It returns t
+// with its reasons and weight if the trace is retained at once, and nil if it is ordinary: Tick
+// returns it when its window is over, if it is sampled. Tick must have been called with this
+// time or a later one of the same window.
+func (s *Sampler) Finish(t *trace.Trace, size int) *trace.Trace {
+	s.openBytes -= size
+	window := s.window(t.Class)
+	t.Reasons = retentionReasons(&window.Class, t)
 	if t.ClientSampled {
 		t.Reasons |= trace.ReasonClientSampled
 	}
 	if t.Reasons != 0 {
 		t.Weight = 1
-		k.Counts.Retained++
-		return k.attachLost(t)
+		s.Counts.Retained++
+		return s.attachLost(t)
 	}
-	k.Counts.Ordinary++
+	s.Counts.Ordinary++
+	s.addCandidate(window, t)
+	return nil
+}
+
+// addCandidate adds an ordinary trace to the candidates of its window, unless its order is too
+// high, and drops what exceeds the number of candidates or the memory budget.
+func (s *Sampler) addCandidate(window *classWindow, t *trace.Trace) {
 	order := t.ID.Order()
-	if order >= d.threshold {
-		return nil
+	if order >= window.threshold {
+		return
 	}
-	if d.maxCandidates == 0 {
-		d.threshold = 0
-		return nil
+	if window.maxCandidates == 0 {
+		window.threshold = 0
+		return
 	}
-	size = t.Size()
-	heap.Push(&d.candidates, candidate{order, size, t})
-	k.candidateBytes += size
-	for len(d.candidates) > d.maxCandidates {
-		k.dropHighest(d)
+	size := t.Size()
+	heap.Push(&window.candidates, candidate{order: order, size: size, trace: t})
+	s.candidateBytes += size
+	for len(window.candidates) > window.maxCandidates {
+		s.candidateBytes -= window.dropHighest()
 	}
-	for k.openBytes+k.candidateBytes > k.maxBytes && k.evictCandidate() {
+	for s.openBytes+s.candidateBytes > s.maxBytes {
+		if !s.evictCandidate() {
+			return
+		}
 	}
-	return nil
 }
 
-// Lose takes back a trace that was returned as kept and could not be taken.
-func (k *Sampler) RecordLost(t *trace.Trace) {
-	k.unreportedLost += t.LostBefore
+// RecordLost takes back a trace that Finish, Tick or Close returned and that the caller could
+// not accept. One that had to be retained is counted as lost, and what it would have reported
+// as lost before it is left for the next one.
+func (s *Sampler) RecordLost(t *trace.Trace) {
+	s.unreportedLost += t.LostBefore
 	if t.Reasons&^trace.ReasonSampled != 0 {
-		k.unreportedLost++
-		k.Counts.Lost++
+		s.unreportedLost++
+		s.Counts.Lost++
 	}
 }
 
-// mark has the next kept trace say what was lost before it.
-func (k *Sampler) attachLost(t *trace.Trace) *trace.Trace {
-	t.LostBefore, k.unreportedLost = k.unreportedLost, 0
+// attachLost makes a retained trace carry the number of traces that were lost before it.
+func (s *Sampler) attachLost(t *trace.Trace) *trace.Trace {
+	t.LostBefore = s.unreportedLost
+	s.unreportedLost = 0
 	return t
 }
 
-// Tick closes the windows that are over and returns what was drawn in them.
-func (k *Sampler) Tick(now float64) (kept []*trace.Trace) {
-	for _, d := range k.windows {
-		if now >= d.startedAt && now < d.startedAt+d.length {
+// Tick closes the windows that are over at now, in Unix ms, and returns the traces that were
+// sampled in them.
+func (s *Sampler) Tick(now float64) []*trace.Trace {
+	var sampled []*trace.Trace
+	for _, window := range s.windows {
+		if window.contains(now) {
 			continue
 		}
-		kept = k.closeWindow(d, kept)
-		d.startedAt = now - math.Mod(now, d.length)
+		sampled = s.closeWindow(window, sampled)
+		window.startedAt = now - math.Mod(now, window.length)
 	}
-	return kept
+	return sampled
 }
 
-// Close ends all windows, as at the end of the program.
-func (k *Sampler) Close() (kept []*trace.Trace) {
-	for _, d := range k.windows {
-		kept = k.closeWindow(d, kept)
+// Close closes all windows, as at the end of the program, and returns the traces that were
+// sampled in them.
+func (s *Sampler) Close() []*trace.Trace {
+	var sampled []*trace.Trace
+	for _, window := range s.windows {
+		sampled = s.closeWindow(window, sampled)
 	}
-	return kept
+	return sampled
 }
 
-func (k *Sampler) closeWindow(d *classWindow, kept []*trace.Trace) []*trace.Trace {
-	for _, e := range d.candidates {
-		e.trace.Reasons, e.trace.Weight = trace.ReasonSampled, 1/d.threshold
-		k.candidateBytes -= e.size
-		k.Counts.Sampled++
-		kept = append(kept, k.attachLost(e.trace))
+// closeWindow appends the candidates of a window, with their weights, to sampled.
+func (s *Sampler) closeWindow(window *classWindow, sampled []*trace.Trace) []*trace.Trace {
+	for _, candidate := range window.candidates {
+		candidate.trace.Reasons = trace.ReasonSampled
+		candidate.trace.Weight = 1 / window.threshold
+		s.candidateBytes -= candidate.size
+		s.Counts.Sampled++
+		sampled = append(sampled, s.attachLost(candidate.trace))
 	}
-	d.candidates, d.threshold = d.candidates[:0], 1
-	return kept
-}
-
-// Bytes returns how much is held for traces that are open or not decided.
-func (k *Sampler) Bytes() int { return k.openBytes + k.candidateBytes }
-
-// entry is a held trace.
-type candidate struct {
-	order float64
-	size  int
-	trace *trace.Trace
+	window.reset()
+	return sampled
 }
 
-// byOrder is a heap with the highest order on top: what is given up next.
-type candidateHeap []candidate
-
-func (h candidateHeap) Len() int           { return len(h) }
-func (h candidateHeap) Less(i, j int) bool { return h[i].order > h[j].order }
-func (h candidateHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *candidateHeap) Push(x any)        { *h = append(*h, x.(candidate)) }
-func (h *candidateHeap) Pop() any {
-	old := *h
-	x := old[len(old)-1]
-	old[len(old)-1] = candidate{}
-	*h = old[:len(old)-1]
-	return x
-}
+// Bytes returns how many bytes are reserved for requests in flight or held by candidates.
+func (s *Sampler) Bytes() int { return s.openBytes + s.candidateBytes }
