--- a/internal/trace/propagation/correlator.go
+++ b/internal/trace/propagation/correlator.go
@@ -1,12 +1,14 @@
 // Package propagation decides which trace a request belongs to. It does no I/O and has no
 // clock.
 //
-// In this order: the trace that the client's traceparent names; in keyed classes the
-// one that follows from the idempotency key, at whatever router the try arrives; else,
-// where the same client asked this router for the same part within the retry time and
-// was not served, the trace of that try; else a new one. The last rule is a guess. It
-// errs where two clients share an address and one is refused while the other asks, and
-// misses a try that comes to another router. BenchmarkRetryGuess measures how often.
+// The first rule that applies decides: the trace named by the client's traceparent header; for
+// classes with idempotency keys the trace derived from the key, at whatever router the retry
+// arrives; the trace of an earlier request of the same client for the same chunk that this
+// router did not serve within the retry window; else a new trace.
+//
+// The third rule is a guess. It errs where two clients share an address and one is rejected
+// while the other sends a request, and misses a retry that arrives at another router.
+// BenchmarkRetryGuess measures how often.
 package propagation
 
 import (
@@ -19,149 +21,151 @@
 	"garnetline/internal/trace"
 )
 
-// Ask is a request as far as its trace depends on it.
+// Request is what decides the trace of a request.
 type Request struct {
-	TraceParent    string // the traceparent header, as it came
-	IdempotencyKey string // idempotency key, of a keyed class
-	ClientAddress  string // the client's address without its port; "": not known
+	TraceParent    string // the traceparent header as received, not validated
+	IdempotencyKey string // empty unless the class has idempotency keys
+	ClientAddress  string // without the port; empty: not known
 	Class          string
 	Object         uint64
 	Chunk          int
 }
 
-// Tie is where a request belongs.
+// Correlation is the trace that a request belongs to.
 type Correlation struct {
 	ID            trace.ID
-	ClientSpan    trace.SpanID // the client's own span
-	ClientSampled bool         // the client samples it
-	Retry         uint8        // 0: the first, as far as is known
-	unservedKey   uint64       // its place in the table of unserved tries; 0: none
+	ClientSpan    trace.SpanID // the client's own span; 0: none
+	ClientSampled bool         // the client samples the trace
+	Retry         uint8        // 0: the first request of its trace, as far as this router knows
+	unservedKey   uint64       // in the table of unserved requests; 0: not in it
 }
 
-// halfMost is how many unserved tries one half of the table holds.
-const generationCapacity = 1 << 14
-
-// Linker ties requests to traces. It is not safe for concurrent use.
+// Correlator assigns requests to traces. It is not safe for concurrent use.
 type Correlator struct {
-	secret            []byte
-	retryWindow       float64
-	seed, objectSeed  uint64
-	newTraces         uint64
-	current, previous map[uint64]unservedRequest
+	secret      []byte
+	retryWindow float64 // ms
+	seed        uint64
+	objectSeed  uint64
+	newTraces   uint64 // number of traces begun, from which their ids are derived
+	unserved    unservedTable
 }
 
-// unserved is a try whose client may come again.
-type unservedRequest struct {
-	traceID trace.ID
-	endedAt float64
-	retry   uint8
-}
-
-// New returns a Linker. Routers with the same secret agree on the trace of a key; the
-// seed differs from router to router, and from start to start.
-func New(secret string, within float64, seed uint64) *Correlator {
-	return &Correlator{secret: []byte(secret), retryWindow: within, seed: seed, current: map[uint64]unservedRequest{},
-		objectSeed: xxhash.Sum64String("object " + secret)}
+// New returns a Correlator. Routers with the same secret derive the same trace from an
+// idempotency key. retryWindow is in ms, see SetRetryWindow. The seed must differ between
+// routers and between starts of a router.
+func New(secret string, retryWindow float64, seed uint64) *Correlator {
+	return &Correlator{
+		secret:      []byte(secret),
+		retryWindow: retryWindow,
+		seed:        seed,
+		objectSeed:  xxhash.Sum64String("object " + secret),
+		unserved:    newUnservedTable(),
+	}
 }
 
-// Within sets for how long, in ms, a try that was not served waits for the next.
-func (l *Correlator) SetRetryWindow(ms float64) { l.retryWindow = ms }
+// SetRetryWindow sets for how long, in ms, a request after one that was not served is taken for
+// its retry.
+func (c *Correlator) SetRetryWindow(ms float64) { c.retryWindow = ms }
 
-// Tie returns where a request belongs that came at now, in Unix ms.
-func (l *Correlator) Correlate(now float64, a Request) Correlation {
-	t := Correlation{unservedKey: l.unservedKey(a)}
-	u, again := l.lookup(t.unservedKey)
-	again = again && now-u.endedAt <= l.retryWindow
-	if again {
-		t.Retry = min(u.retry+1, 255)
-	}
-	if p, ok := trace.ParseTraceparent(a.TraceParent); ok {
-		t.ID, t.ClientSpan, t.ClientSampled = p.Trace, p.Span, p.Sampled
-		if again && u.traceID != p.Trace {
-			t.Retry = 0
-		}
-		return t
-	}
+// Correlate returns the trace of a request that arrived at now, in Unix ms.
+func (c *Correlator) Correlate(now float64, request Request) Correlation {
+	correlation := Correlation{unservedKey: c.unservedKey(request)}
+	earlier, found := c.unserved.lookup(correlation.unservedKey)
+	isRetry := found && now-earlier.endedAt <= c.retryWindow
+	parent, hasParent := trace.ParseTraceparent(request.TraceParent)
 	switch {
-	case a.IdempotencyKey != "":
-		t.ID = l.idempotentTraceID(a.IdempotencyKey)
-		if u.traceID != t.ID {
-			t.Retry = 0
-		}
-	case again:
-		t.ID = u.traceID
+	case hasParent:
+		correlation.ID = parent.Trace
+		correlation.ClientSpan = parent.Span
+		correlation.ClientSampled = parent.Sampled
+	case request.IdempotencyKey != "":
+		correlation.ID = c.idempotentTraceID(request.IdempotencyKey)
+	case isRetry:
+		correlation.ID = earlier.traceID
 	default:
-		l.newTraces++
-		binary.BigEndian.PutUint64(t.ID[:8], hashUint64(l.seed, l.newTraces))
-		binary.BigEndian.PutUint64(t.ID[8:], hashUint64(l.newTraces, l.seed))
+		correlation.ID = c.newTraceID()
 	}
-	return t
+	if isRetry && earlier.traceID == correlation.ID {
+		correlation.Retry = earlier.retry + 1
+	}
+	return correlation
 }
 
-// Ended takes the end of a request that Tie was asked for.
-func (l *Correlator) RequestEnded(now float64, t Correlation, served bool) {
-	if t.unservedKey == 0 {
+// RequestEnded handles the end, at now in Unix ms, of a request that Correlate was called for.
+// served reports whether the client got a usable response and so will not retry.
+func (c *Correlator) RequestEnded(now float64, correlation Correlation, served bool) {
+	if correlation.unservedKey == 0 {
 		return
 	}
 	if served {
-		delete(l.current, t.unservedKey)
-		delete(l.previous, t.unservedKey)
+		c.unserved.remove(correlation.unservedKey)
 		return
 	}
-	if len(l.current) >= generationCapacity {
-		l.current, l.previous = map[uint64]unservedRequest{}, l.current
-	}
-	l.current[t.unservedKey] = unservedRequest{t.ID, now, t.Retry}
+	c.unserved.add(correlation.unservedKey, unservedRequest{
+		traceID: correlation.ID,
+		endedAt: now,
+		retry:   correlation.Retry,
+	})
 }
 
-func (l *Correlator) lookup(place uint64) (unservedRequest, bool) {
-	if place == 0 {
-		return unservedRequest{}, false
-	}
-	u, ok := l.current[place]
-	if !ok {
-		u, ok = l.previous[place]
-	}
-	return u, ok
-}
+// HashObject returns a number that stands for an object in stored traces. It is the same at all
+// routers with the same secret, and without the secret it does not disclose the object.
+func (c *Correlator) HashObject(object uint64) uint64 { return hashUint64(c.objectSeed, object) }
 
-// Hide returns a number that stands for an object: alike at all routers with the same
-// secret, and without that it does not tell the object.
-func (l *Correlator) HashObject(object uint64) uint64 { return hashUint64(l.objectSeed, object) }
+// newTraceID derives the id of the next new trace.
+func (c *Correlator) newTraceID() trace.ID {
+	c.newTraces++
+	var id trace.ID
+	binary.BigEndian.PutUint64(id[:8], hashUint64(c.seed, c.newTraces))
+	binary.BigEndian.PutUint64(id[8:], hashUint64(c.newTraces, c.seed))
+	return id
+}
 
-// keyed is the trace of an idempotency key, from which the key can't be had.
-func (l *Correlator) idempotentTraceID(key string) (id trace.ID) {
-	m := hmac.New(sha256.New, l.secret)
-	m.Write([]byte(key))
-	copy(id[:], m.Sum(nil))
+// idempotentTraceID derives the trace of an idempotency key, which cannot be got back from it.
+func (c *Correlator) idempotentTraceID(key string) trace.ID {
+	mac := hmac.New(sha256.New, c.secret)
+	mac.Write([]byte(key))
+	var id trace.ID
+	copy(id[:], mac.Sum(nil))
 	return id
 }
 
-// place is the place of a client's request in the table: of its key or, without one,
-// of what it asks for. Nothing that names a client is kept as it came.
-func (l *Correlator) unservedKey(a Request) uint64 {
-	if a.ClientAddress == "" && a.IdempotencyKey == "" {
+// unservedKey returns the key of a request in the table of unserved requests: a hash of its
+// idempotency key or else of the client and what it asks for, so that nothing that identifies
+// a client is retained in clear. It is 0 where neither is known.
+func (c *Correlator) unservedKey(request Request) uint64 {
+	if request.ClientAddress == "" && request.IdempotencyKey == "" {
 		return 0
 	}
-	d := xxhash.NewWithSeed(l.seed)
-	if a.IdempotencyKey != "" {
-		d.WriteString(a.IdempotencyKey)
-	} else {
-		var b [16]byte
-		binary.BigEndian.PutUint64(b[:8], a.Object)
-		binary.BigEndian.PutUint64(b[8:], uint64(a.Chunk))
-		d.Write(b[:])
-		d.WriteString(a.Class)
-		d.WriteString("\x00")
-		d.WriteString(a.ClientAddress)
+	digest := xxhash.NewWithSeed(c.seed)
+	if request.IdempotencyKey != "" {
+		hashString(digest, request.IdempotencyKey)
+		return nonZeroSum(digest)
 	}
-	return max(d.Sum64(), 1)
+	var resource [16]byte
+	binary.BigEndian.PutUint64(resource[:8], request.Object)
+	binary.BigEndian.PutUint64(resource[8:], uint64(request.Chunk))
+	hashBytes(digest, resource[:])
+	hashString(digest, request.Class)
+	hashString(digest, "\x00")
+	hashString(digest, request.ClientAddress)
+	return nonZeroSum(digest)
 }
 
-func hashUint64(seed, n uint64) uint64 {
-	var b [8]byte
-	binary.BigEndian.PutUint64(b[:], n)
-	d := xxhash.NewWithSeed(seed)
-	d.Write(b[:])
-	return max(d.Sum64(), 1)
+// hashUint64 returns a seeded hash that is never 0.
+func hashUint64(seed, number uint64) uint64 {
+	var encoded [8]byte
+	binary.BigEndian.PutUint64(encoded[:], number)
+	digest := xxhash.NewWithSeed(seed)
+	hashBytes(digest, encoded[:])
+	return nonZeroSum(digest)
 }
+
+// hashBytes adds bytes to a digest, which never fails.
+func hashBytes(digest *xxhash.Digest, added []byte) { _, _ = digest.Write(added) }
+
+// hashString adds a string to a digest, which never fails.
+func hashString(digest *xxhash.Digest, added string) { _, _ = digest.WriteString(added) }
+
+// nonZeroSum returns the hash of a digest, with 1 for 0, which stands for none.
+func nonZeroSum(digest *xxhash.Digest) uint64 { return max(digest.Sum64(), 1) }
--- a/internal/trace/propagation/correlator_test.go
+++ b/internal/trace/propagation/correlator_test.go
@@ -1,110 +1,131 @@
 package propagation
 
 import (
-	"fmt"
-	"math/rand/v2"
 	"strings"
 	"testing"
 
 	"garnetline/internal/trace"
 )
 
-const clientTraceparent = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
+const (
+	clientTraceparent = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
+	clientTraceID     = "4bf92f3577b34da6a3ce929d0e0e4736"
+	clientSpan        = 0xf067aa0ba902b7
+	retryWindow       = 1000.0 // ms
+)
 
-// A retry belongs to its first try: by the client's word, by its key also at another
-// router, and else by what it asks for, within the retry time and after no service.
-func TestRetryJoinsItsTrace(t *testing.T) {
-	a, b := New("s", 1000, 1), New("s", 1000, 2)
-	if x := a.Correlate(0, Request{TraceParent: clientTraceparent, IdempotencyKey: "k"}); x.ID.String() != clientTraceparent[3:35] || x.ClientSpan != 0xf067aa0ba902b7 {
-		t.Errorf("%+v", x)
-	}
-	x, y := a.Correlate(0, Request{IdempotencyKey: "secret-key", ClientAddress: "1.1.1.1"}), b.Correlate(5e6, Request{IdempotencyKey: "secret-key", ClientAddress: "2.2.2.2"})
-	if x.ID != y.ID || x.ID == (trace.ID{}) || strings.Contains(string(x.ID[:]), "secret") {
-		t.Errorf("%v and %v: want one trace for one key", x, y)
+// chunkRequest is a request without a traceparent and without an idempotency key.
+func chunkRequest() Request {
+	return Request{ClientAddress: "1.1.1.1", Class: "part", Object: 7, Chunk: 3}
+}
+
+// unservedFirst returns a correlator and the correlation of a chunkRequest that ended at 10 ms
+// and was not served.
+func unservedFirst(t *testing.T) (*Correlator, Correlation) {
+	t.Helper()
+	correlator := New("s", retryWindow, 1)
+	first := correlator.Correlate(0, chunkRequest())
+	if first.ID == (trace.ID{}) || first.Retry != 0 {
+		t.Fatalf("the first request has trace %v and retry %d, want a new trace and 0", first.ID, first.Retry)
 	}
-	if z := New("other", 1000, 1).Correlate(0, Request{IdempotencyKey: "secret-key"}); z.ID == x.ID {
-		t.Error("the trace of a key does not depend on the secret")
+	correlator.RequestEnded(10, first, false)
+	return correlator, first
+}
+
+// The client's traceparent decides, whatever else is known.
+func TestTraceparentDecides(t *testing.T) {
+	got := New("s", retryWindow, 1).Correlate(0, Request{TraceParent: clientTraceparent, IdempotencyKey: "k"})
+	if got.ID.String() != clientTraceID || got.ClientSpan != clientSpan || !got.ClientSampled || got.Retry != 0 {
+		t.Errorf("got %+v, want the client's trace, sampled, and its span", got)
 	}
-	ask := Request{ClientAddress: "1.1.1.1", Class: "part", Object: 7, Chunk: 3}
-	first := a.Correlate(0, ask)
-	if again := a.Correlate(1, ask); again.ID == first.ID {
-		t.Error("a second request is taken for a retry of one that is open")
+}
+
+// A traceparent of zeros is passed over.
+func TestZeroTraceparentBeginsNewTrace(t *testing.T) {
+	zero := "00-" + strings.Repeat("0", 32) + clientTraceparent[35:]
+	got := New("s", retryWindow, 1).Correlate(0, Request{TraceParent: zero})
+	if got.ID == (trace.ID{}) || got.ClientSpan != 0 {
+		t.Errorf("got %+v, want a new trace and no client span", got)
 	}
-	a.RequestEnded(10, first, false)
-	if again := a.Correlate(1010, ask); again.ID != first.ID || again.Retry != 1 {
-		t.Errorf("%+v: want the second try of %+v", again, first)
+}
+
+// An idempotency key has one trace at all routers of a secret, which does not disclose it.
+func TestIdempotencyKeyHasOneTraceAtAllRouters(t *testing.T) {
+	const key = "secret-key"
+	first := New("s", retryWindow, 1).Correlate(0, Request{IdempotencyKey: key, ClientAddress: "1.1.1.1"})
+	second := New("s", retryWindow, 2).Correlate(5e6, Request{IdempotencyKey: key, ClientAddress: "2.2.2.2"})
+	if first.ID != second.ID || first.ID == (trace.ID{}) {
+		t.Errorf("traces %v and %v, want one for one key", first.ID, second.ID)
 	}
-	for _, other := range []Request{{ClientAddress: "1.1.1.2", Class: "part", Object: 7, Chunk: 3}, {ClientAddress: "1.1.1.1", Class: "part", Object: 7, Chunk: 4},
-		{ClientAddress: "1.1.1.1", Class: "sheet", Object: 7, Chunk: 3}, {ClientAddress: "1.1.1.1", Class: "part", Object: 8, Chunk: 3}} {
-		if o := a.Correlate(11, other); o.ID == first.ID || o.Retry != 0 {
-			t.Errorf("%+v is taken for a retry", other)
-		}
+	if strings.Contains(string(first.ID[:]), "secret") {
+		t.Errorf("the trace %q discloses the key", first.ID[:])
 	}
-	if late := a.Correlate(1011, ask); late.ID == first.ID {
-		t.Error("a retry after the retry time")
+	if other := New("other", retryWindow, 1).Correlate(0, Request{IdempotencyKey: key}); other.ID == first.ID {
+		t.Errorf("trace %v for two secrets, want two traces", other.ID)
 	}
-	a.RequestEnded(1012, first, false)
-	a.RequestEnded(1013, first, true)
-	if served := a.Correlate(1014, ask); served.ID == first.ID {
-		t.Error("a request after one that was served is taken for its retry")
+}
+
+// A request is a retry of an equal one that ended unserved, until the retry window is over.
+func TestRetryJoinsTraceWithinWindow(t *testing.T) {
+	correlator, first := unservedFirst(t)
+	if got := correlator.Correlate(10+retryWindow, chunkRequest()); got.ID != first.ID || got.Retry != 1 {
+		t.Errorf("got trace %v and retry %d, want %v and 1", got.ID, got.Retry, first.ID)
 	}
-	if bad := a.Correlate(0, Request{TraceParent: "00-" + strings.Repeat("0", 32) + clientTraceparent[35:]}); bad.ID == (trace.ID{}) || bad.ClientSpan != 0 {
-		t.Errorf("an all-zero parent: %+v", bad)
+	if got := correlator.Correlate(11+retryWindow, chunkRequest()); got.ID == first.ID || got.Retry != 0 {
+		t.Errorf("got trace %v and retry %d after the retry window, want a new trace and 0", got.ID, got.Retry)
 	}
 }
 
-// The table stays within its bound whatever comes.
-func TestUnservedTableIsBounded(t *testing.T) {
-	l := New("", 1e9, 1)
-	for i := range 5 * generationCapacity {
-		x := l.Correlate(float64(i), Request{ClientAddress: "c", Object: uint64(i)})
-		l.RequestEnded(float64(i), x, false)
+// A request beside an equal one that is still open is not its retry.
+func TestConcurrentRequestIsNoRetry(t *testing.T) {
+	correlator := New("s", retryWindow, 1)
+	first := correlator.Correlate(0, chunkRequest())
+	if got := correlator.Correlate(1, chunkRequest()); got.ID == first.ID {
+		t.Errorf("got trace %v, want a new one while the first request is open", got.ID)
 	}
-	if n := len(l.current) + len(l.previous); n > 2*generationCapacity {
-		t.Errorf("%d entries, want at most %d", n, 2*generationCapacity)
+}
+
+// A request after one that was served is not its retry.
+func TestRequestAfterServedOneIsNoRetry(t *testing.T) {
+	correlator, first := unservedFirst(t)
+	correlator.RequestEnded(1012, first, false)
+	correlator.RequestEnded(1013, first, true)
+	if got := correlator.Correlate(1014, chunkRequest()); got.ID == first.ID {
+		t.Errorf("got trace %v, want a new one after the first request was served", got.ID)
 	}
 }
 
-// BenchmarkRetryGuess measures the guess for requests without a traceparent or a key:
-// clients behind so many addresses, a tenth refused, of which half come again after a
-// second; objects by a skewed draw. wrong: first tries that are taken for retries;
-// missed: retries that are not known for ones.
-func BenchmarkRetryGuess(b *testing.B) {
-	for _, addresses := range []int{10, 100, 1000} {
-		b.Run(fmt.Sprintf("addresses=%d", addresses), func(b *testing.B) {
-			rng := rand.New(rand.NewPCG(1, 2))
-			zipf := rand.NewZipf(rng, 1.1, 10, 20_000)
-			l := New("", 5000, 1)
-			type retry struct {
-				at  float64
-				ask Request
-				id  trace.ID
-			}
-			var queue []retry
-			wrong, missed, firsts, retries := 0, 0, 0, 0
-			for i := range b.N {
-				now := float64(i) * 5 // 200 a second
-				var x Correlation
-				ask := Request{ClientAddress: fmt.Sprint(rng.IntN(addresses)), Class: "part", Object: zipf.Uint64(), Chunk: rng.IntN(15)}
-				if len(queue) > 0 && queue[0].at <= now {
-					r := queue[0]
-					queue, ask, retries = queue[1:], r.ask, retries+1
-					if x = l.Correlate(now, ask); x.ID != r.id {
-						missed++
-					}
-				} else {
-					firsts++
-					if x = l.Correlate(now, ask); x.Retry > 0 {
-						wrong++
-					}
-				}
-				refused := rng.IntN(10) == 0
-				if l.RequestEnded(now+50, x, !refused); refused && rng.IntN(2) == 0 {
-					queue = append(queue, retry{now + 1000, ask, x.ID})
-				}
+// Client, chunk, class and object must all be equal for a retry.
+func TestDifferentRequestIsNoRetry(t *testing.T) {
+	tests := map[string]func(*Request){
+		"client": func(r *Request) { r.ClientAddress = "1.1.1.2" },
+		"chunk":  func(r *Request) { r.Chunk = 4 },
+		"class":  func(r *Request) { r.Class = "sheet" },
+		"object": func(r *Request) { r.Object = 8 },
+	}
+	for name, change := range tests {
+		t.Run(name, func(t *testing.T) {
+			correlator, first := unservedFirst(t)
+			request := chunkRequest()
+			change(&request)
+			if got := correlator.Correlate(11, request); got.ID == first.ID || got.Retry != 0 {
+				t.Errorf("got trace %v and retry %d, want a new trace and 0", got.ID, got.Retry)
 			}
-			b.ReportMetric(100*float64(wrong)/float64(max(firsts, 1)), "wrong%")
-			b.ReportMetric(100*float64(missed)/float64(max(retries, 1)), "missed%")
 		})
 	}
 }
+
+// The table stays within its limit, however many requests are not served.
+func TestUnservedTableIsBounded(t *testing.T) {
+	const limit = 2 * generationCapacity
+	correlator := New("", 1e9, 1)
+	for i := range 5 * generationCapacity {
+		now := float64(i)
+		correlation := correlator.Correlate(now, Request{ClientAddress: "c", Object: uint64(i)})
+		correlator.RequestEnded(now, correlation, false)
+	}
+	table := &correlator.unserved
+	if got := len(table.current) + len(table.previous); got > limit {
+		t.Errorf("%d entries, want at most %d", got, limit)
+	}
+}
