--- a/internal/trace/instrument/instrument.go
+++ b/internal/trace/instrument/instrument.go
@@ -1,4 +1,5 @@
-// Package instrument ties a recorder to a core, so that neither knows the other.
+// Package instrument connects a trace recorder to a dispatcher, so that neither of the two
+// imports the other.
 package instrument
 
 import (
@@ -7,21 +8,31 @@
 	"garnetline/routing"
 )
 
-// Core returns a recorder as a core's tracer.
+// Dispatcher returns a recorder as the tracer of a dispatcher, for dispatch.Dispatcher.SetTracer.
 func Dispatcher(r *recorder.Recorder) dispatch.Tracer { return dispatchTracer{r} }
 
+// dispatchTracer implements dispatch.Tracer.
 type dispatchTracer struct{ recorder *recorder.Recorder }
 
-// Open begins to follow a request.
-func (t dispatchTracer) Open(now float64, q *dispatch.Request, class *routing.Class) dispatch.RequestTrace {
-	a := recorder.Request{TransactionID: q.TransactionID, IdempotencyKey: q.IdempotencyKey, Object: q.Object, Chunk: q.Chunk, PurgeGroup: q.Group, ReceivedAt: now}
-	if o := q.Client; o != nil {
-		a.ReceivedAt, a.TraceParent, a.ClientAddress = o.ReceivedAt, o.TraceParent, o.Address
+// Open begins the trace of a request.
+func (t dispatchTracer) Open(now float64, request *dispatch.Request, class *routing.Class) dispatch.RequestTrace {
+	traced := recorder.Request{
+		TransactionID:  request.TransactionID,
+		IdempotencyKey: request.IdempotencyKey,
+		Object:         request.Object,
+		Chunk:          request.Chunk,
+		PurgeGroup:     request.Group,
+		ReceivedAt:     now,
 	}
-	return t.recorder.Open(now, a, class)
+	if client := request.Client; client != nil {
+		traced.ReceivedAt = client.ReceivedAt
+		traced.TraceParent = client.TraceParent
+		traced.ClientAddress = client.Address
+	}
+	return t.recorder.Open(now, traced, class)
 }
 
-// Close takes a request that is done.
+// Close ends the trace of a request that is done, which Open returned.
 func (t dispatchTracer) Close(now float64, done dispatch.RequestTrace) {
 	t.recorder.Close(now, done.(*recorder.RequestTrace))
 }
--- a/internal/trace/recorder/recorder.go
+++ b/internal/trace/recorder/recorder.go
@@ -1,18 +1,15 @@
-// Package recorder follows the requests of a core and keeps the traces of those that
-// package keep wants, in segments. What it does on the core's goroutine is bounded and
-// never blocks; files are written by an actor of its own.
+// Package recorder records the traces of a dispatcher's requests and passes those that package
+// sampling retains to sinks.
+//
+// What it does on the dispatcher's goroutine is bounded and never blocks: retained traces go
+// through a queue to a goroutine of their own, which calls the sinks.
 package recorder
 
 import (
-	"errors"
 	"slices"
 	"sync/atomic"
 	"time"
 
-	"github.com/rs/zerolog"
-
-	"garnetline/internal/clock"
-	"garnetline/internal/metrics"
 	"garnetline/internal/trace"
 	"garnetline/internal/trace/propagation"
 	"garnetline/internal/trace/sampling"
@@ -20,245 +17,216 @@
 )
 
 const (
-	queueCapacity = 1024                   // kept traces that wait to be written; more are lost, and counted
-	flushInterval = 250 * time.Millisecond // what a kill can lose of what was kept
-	reservedBytes = 760                    // bytes of a trace whose request is open, with the spans of two attempts
+	// queueCapacity is how many retained traces wait for the sinks at the most; those beyond it
+	// are lost, and counted.
+	queueCapacity = 1024
+	// flushInterval bounds which retained traces are lost when the process is killed.
+	flushInterval = 250 * time.Millisecond
+	// reservedBytes is reserved for the trace of a request in flight: its size with the spans of
+	// two attempts.
+	reservedBytes = 760
 )
 
-// Sink is where kept traces go: segments, or another place. It has one caller.
-type Sink interface {
-	Add(t *trace.Trace) error
-	Flush(now float64) error
-	Close(now float64) error
-}
-
-// Sinks hands what is kept to each of several sinks. All are told, whatever one answers.
-type Sinks []Sink
-
-// Add hands a trace to all.
-func (s Sinks) Add(t *trace.Trace) (err error) {
-	for _, x := range s {
-		err = errors.Join(err, x.Add(t))
-	}
-	return err
-}
+// spanSeedShift leaves 2^20 span ids to each request before those of the next one follow.
+const spanSeedShift = 20
 
-// Flush has all write what they hold.
-func (s Sinks) Flush(now float64) (err error) {
-	for _, x := range s {
-		err = errors.Join(err, x.Flush(now))
-	}
-	return err
-}
-
-// Close closes all.
-func (s Sinks) Close(now float64) (err error) {
-	for _, x := range s {
-		err = errors.Join(err, x.Close(now))
-	}
-	return err
-}
-
-// Options are what a Recorder is made with.
-type Options struct {
-	Clock   clock.Clock
-	Router  string // its name, as it stands in traces
-	Secret  string // mixed into whatever names a key; the same at all routers
-	Seed    uint64 // differs at each start
-	Metrics *metrics.Registry
-	Log     *zerolog.Logger
-	Sink    Sink
-	// Kept tells a server that a trace in which it had a part is kept; nil: none is told.
-	// It is called on the core's goroutine and must not block.
-	NotifyRetained       func(server routing.ServerID, id trace.ID)
-	ClientBytesPerSecond func() float64 // bytes a second of a transfer to a client, as of now; 0: not told
-}
-
-// Settings are what may change while the program runs.
-type Settings struct {
-	UndecidedBytes      int     // bytes
-	RetryWindow         float64 // ms
-	RetainClientSampled bool    // what a client samples is kept
-	DefaultClass        sampling.Class
-	Classes             map[string]sampling.Class
-}
+// Names of the metrics, all of them counters.
+const (
+	metricRetained  = "traces_kept"
+	metricQueueFull = "traces_not_taken"
+	metricUntraced  = "traces_without_room"
+	metricSinkError = "traces_failed"
+)
 
-// Recorder follows requests. Open and Close belong to the core's goroutine.
+// Recorder records the traces of requests. Open and Close belong to the dispatcher's goroutine,
+// Run to a goroutine of its own; UpdateSettings may be called from any.
 type Recorder struct {
 	Options
-	pendingSettings     atomic.Pointer[Settings] // to go over to, once
+	pendingSettings     atomic.Pointer[Settings] // applied by the next Open
 	correlator          *propagation.Correlator
 	sampler             *sampling.Sampler
-	requests            uint64
-	retainClientSampled bool // Settings.Sampled
+	requests            uint64 // opened so far
+	retainClientSampled bool
 	retained            chan *trace.Trace
 	shutdown            chan struct{}
 	stopped             chan struct{}
 }
 
-// New returns a Recorder; Run is to be called.
-func New(o Options, s Settings) *Recorder {
-	return &Recorder{Options: o, correlator: propagation.New(o.Secret, s.RetryWindow, o.Seed), sampler: sampling.New(s.UndecidedBytes, s.DefaultClass, s.Classes), retainClientSampled: s.RetainClientSampled,
-		retained: make(chan *trace.Trace, queueCapacity), shutdown: make(chan struct{}), stopped: make(chan struct{})}
-}
-
-// Adopt goes over to other settings, at the next request.
-func (r *Recorder) UpdateSettings(s Settings) { r.pendingSettings.Store(&s) }
-
-// Asked is a request as it is followed.
-type Request struct {
-	TransactionID, IdempotencyKey string
-	Object                        routing.ObjectID
-	Chunk, PurgeGroup             int
-	ReceivedAt                    float64 // when its last byte came; 0: now
-	TraceParent, ClientAddress    string  // the traceparent that came with it, not checked; the client's address
-}
-
-// Trail is one request that is followed.
-type RequestTrace struct {
-	*trace.ActiveTrace
-	correlator     *propagation.Correlator
-	correlation    propagation.Correlation
-	spansReserved  bool    // there was memory for its spans
-	transferFactor float64 // of its class's aim
-	responseBytes  int     // that came
-}
-
-// AttemptStarted notes an attempt.
-func (t *RequestTrace) AttemptStarted(now float64, g routing.SendAttempt) trace.SpanContext {
-	if t.spansReserved {
-		return t.ActiveTrace.AttemptStarted(now, g)
+// New returns a Recorder. Run must be called for retained traces to reach the sink.
+func New(options Options, settings Settings) *Recorder {
+	return &Recorder{
+		Options:             options,
+		correlator:          propagation.New(options.Secret, settings.RetryWindow, options.Seed),
+		sampler:             sampling.New(settings.UndecidedBytes, settings.DefaultClass, settings.Classes),
+		retainClientSampled: settings.RetainClientSampled,
+		retained:            make(chan *trace.Trace, queueCapacity),
+		shutdown:            make(chan struct{}),
+		stopped:             make(chan struct{}),
 	}
-	t.ActiveTrace.RecordUntraced(1)
-	return trace.SpanContext{}
 }
 
-// Responded notes the answer. From here on the client may come again, though an attempt
-// may still be out.
-func (t *RequestTrace) Responded(now float64, o trace.Outcome) {
-	t.ActiveTrace.Responded(now, o)
-	t.correlator.RequestEnded(now, t.correlation, o == trace.Served || o == trace.NotModified)
-}
+// UpdateSettings replaces the settings from the next request on. It may be called from any
+// goroutine.
+func (r *Recorder) UpdateSettings(settings Settings) { r.pendingSettings.Store(&settings) }
 
-// AttemptEnded notes the end of one.
-func (t *RequestTrace) AttemptEnded(now float64, res routing.Result, bytes int, load routing.LoadReport, w trace.WireTimes) {
-	t.responseBytes = bytes
-	if t.spansReserved {
-		t.ActiveTrace.AttemptEnded(now, res, bytes, load, w)
-	} else {
-		t.ActiveTrace.RecordUntraced(-1)
+// applySettings applies the last settings that UpdateSettings was called with, once.
+func (r *Recorder) applySettings() {
+	settings := r.pendingSettings.Swap(nil)
+	if settings == nil {
+		return
 	}
+	r.correlator.SetRetryWindow(settings.RetryWindow)
+	r.sampler.UpdateSettings(settings.UndecidedBytes, settings.DefaultClass, settings.Classes)
+	r.retainClientSampled = settings.RetainClientSampled
 }
 
-// Open begins to follow a request.
-func (r *Recorder) Open(now float64, q Request, class *routing.Class) *RequestTrace {
-	if s := r.pendingSettings.Swap(nil); s != nil {
-		r.correlator.SetRetryWindow(s.RetryWindow)
-		r.sampler.UpdateSettings(s.UndecidedBytes, s.DefaultClass, s.Classes)
-		r.retainClientSampled = s.RetainClientSampled
+// Open begins the trace of a request at now, in Unix ms. It must be called on the dispatcher's
+// goroutine.
+func (r *Recorder) Open(now float64, request Request, class *routing.Class) *RequestTrace {
+	r.applySettings()
+	if request.ReceivedAt == 0 {
+		request.ReceivedAt = now
 	}
-	if q.ReceivedAt == 0 {
-		q.ReceivedAt = now
+	t := &RequestTrace{
+		correlator:     r.correlator,
+		correlation:    r.correlator.Correlate(now, request.propagationRequest(class)),
+		spansReserved:  r.sampler.Reserve(reservedBytes),
+		transferFactor: class.ObjectiveTransferFactor,
 	}
-	ask := propagation.Request{TraceParent: q.TraceParent, ClientAddress: q.ClientAddress, Class: class.Name, Object: uint64(q.Object), Chunk: q.Chunk}
-	if class.Idempotency == routing.IdempotentWithKey {
-		ask.IdempotencyKey = q.IdempotencyKey
-	}
-	t := &RequestTrace{correlator: r.correlator, correlation: r.correlator.Correlate(now, ask), spansReserved: r.sampler.Reserve(reservedBytes), transferFactor: class.ObjectiveTransferFactor}
 	r.requests++
-	piece := trace.Trace{ID: t.correlation.ID, ClientSpan: t.correlation.ClientSpan, Retry: t.correlation.Retry, Router: r.Router, TransactionID: q.TransactionID, Class: class.Name,
-		Object: r.correlator.HashObject(uint64(q.Object)), Chunk: uint32(q.Chunk), PurgeGroup: uint16(q.PurgeGroup), Start: min(q.ReceivedAt, now),
-		ClientSampled: t.correlation.ClientSampled && r.retainClientSampled}
-	t.ActiveTrace = trace.Begin(piece, r.Seed+r.requests<<20|1)
+	partial := trace.Trace{
+		ID:            t.correlation.ID,
+		ClientSpan:    t.correlation.ClientSpan,
+		Retry:         t.correlation.Retry,
+		Router:        r.Router,
+		TransactionID: request.TransactionID,
+		Class:         class.Name,
+		Object:        r.correlator.HashObject(uint64(request.Object)),
+		Chunk:         uint32(request.Chunk),
+		PurgeGroup:    uint16(request.PurgeGroup),
+		Start:         min(request.ReceivedAt, now),
+		ClientSampled: t.correlation.ClientSampled && r.retainClientSampled,
+	}
+	t.ActiveTrace = trace.Begin(partial, r.Seed+r.requests<<spanSeedShift|1)
 	return t
 }
 
-// Close takes a request that is done.
+// Close ends the trace of a request that is done, see trace.ActiveTrace.Done, at now in Unix
+// ms. It must be called on the dispatcher's goroutine, once.
 func (r *Recorder) Close(now float64, t *RequestTrace) {
-	p := t.Finished()
-	if pace := r.ClientBytesPerSecond(); pace > 0 {
-		p.SizeAllowance = t.transferFactor * float64(t.responseBytes) / pace * 1000
+	finished := t.Finished()
+	if bytesPerSecond := r.ClientBytesPerSecond(); bytesPerSecond > 0 {
+		finished.SizeAllowance = t.transferFactor * float64(t.responseBytes) / bytesPerSecond * 1000
 	}
-	served := p.Outcome == trace.Served || p.Outcome == trace.NotModified
-	r.enqueue(r.sampler.Tick(now)) // windows that are over, before what ends now is drawn in its own
+	// Windows that are over are closed before this trace becomes a candidate of its own.
+	r.enqueue(r.sampler.Tick(now)...)
 	if !t.spansReserved {
-		r.sampler.RecordUntraced(p)
-		r.Metrics.Add("traces_without_room", 1)
+		r.sampler.RecordUntraced(finished)
+		r.Metrics.Add(metricUntraced, 1)
 		return
 	}
-	if kept := r.sampler.Finish(p, reservedBytes); kept != nil {
-		if !served {
-			r.Log.Debug().Str("trace", p.ID.String()).Str("class", p.Class).Int("attempts", int(p.Attempts)).
-				Float64("took_ms", p.Duration()).Msg("request " + p.Outcome.String())
-		}
-		r.enqueue([]*trace.Trace{kept})
+	retained := r.sampler.Finish(finished, reservedBytes)
+	if retained == nil {
+		return
 	}
+	if !isServed(retained.Outcome) {
+		r.logUnserved(retained)
+	}
+	r.enqueue(retained)
+}
+
+func (r *Recorder) logUnserved(t *trace.Trace) {
+	r.Log.Debug().
+		Str("trace", t.ID.String()).
+		Str("class", t.Class).
+		Int("attempts", int(t.Attempts)).
+		Float64("took_ms", t.Duration()).
+		Msg("request " + t.Outcome.String())
 }
 
-// send hands kept traces to the actor. One for which there is no room is lost, and if
-// it had to be kept the next one says so.
-func (r *Recorder) enqueue(kept []*trace.Trace) {
-	for _, t := range kept {
+// enqueue passes retained traces to Run. One for which the queue has no place is lost, and if
+// it had to be retained the next one reports it.
+func (r *Recorder) enqueue(retained ...*trace.Trace) {
+	for _, t := range retained {
 		select {
 		case r.retained <- t:
-			r.Metrics.Add("traces_kept", 1)
+			r.Metrics.Add(metricRetained, 1)
 			r.notifyServers(t)
 		default:
-			r.Metrics.Add("traces_not_taken", 1)
+			r.Metrics.Add(metricQueueFull, 1)
 			r.sampler.RecordLost(t)
 		}
 	}
 }
 
-// tell tells the servers that had a part in a trace that it is kept. t belongs to the
-// actor by now, and is only read.
+// notifyServers notifies each server to which an attempt was sent that the trace is retained,
+// unless an earlier attempt at the same server was not sent. The trace belongs to Run by now,
+// and is only read.
 func (r *Recorder) notifyServers(t *trace.Trace) {
 	if r.NotifyRetained == nil {
 		return
 	}
-	for i, s := range t.Spans {
-		again := slices.ContainsFunc(t.Spans[:i], func(x trace.Span) bool { return x.Kind == trace.Attempt && x.Server == s.Server })
-		if s.Kind == trace.Attempt && s.Flags&trace.FlagSent != 0 && !again {
-			r.NotifyRetained(s.Server, t.ID)
+	for i, span := range t.Spans {
+		if span.Kind != trace.Attempt || span.Flags&trace.FlagSent == 0 {
+			continue
+		}
+		if !hasAttemptAt(t.Spans[:i], span.Server) {
+			r.NotifyRetained(span.Server, t.ID)
 		}
 	}
 }
 
-// Run writes what is kept until Finish.
+// hasAttemptAt reports whether one of the spans is an attempt at a server.
+func hasAttemptAt(spans []trace.Span, server routing.ServerID) bool {
+	return slices.ContainsFunc(spans, func(span trace.Span) bool {
+		return span.Kind == trace.Attempt && span.Server == server
+	})
+}
+
+// Run passes retained traces to the sink until Shutdown is called.
 func (r *Recorder) Run() {
 	defer close(r.stopped)
-	tick := time.NewTicker(flushInterval)
-	defer tick.Stop()
+	flush := time.NewTicker(flushInterval)
+	defer flush.Stop()
 	for {
 		select {
 		case t := <-r.retained:
 			r.reportSinkError(r.Sink.Add(t))
-		case <-tick.C:
+		case <-flush.C:
 			r.reportSinkError(r.Sink.Flush(r.Clock.Now()))
 		case <-r.shutdown:
-			for len(r.retained) > 0 {
-				r.reportSinkError(r.Sink.Add(<-r.retained))
-			}
-			r.reportSinkError(r.Sink.Close(r.Clock.Now()))
+			r.drain()
 			return
 		}
 	}
 }
 
-// failed notes an error of the sink, the first of a kind at each counted step.
+// drain passes what is still queued to the sink and closes it.
+func (r *Recorder) drain() {
+	for len(r.retained) > 0 {
+		r.reportSinkError(r.Sink.Add(<-r.retained))
+	}
+	r.reportSinkError(r.Sink.Close(r.Clock.Now()))
+}
+
+// reportSinkError counts an error of the sink, if there is one, and logs the 1st, 2nd, 4th, 8th
+// and so on, so that a full disk does not fill the log as well.
 func (r *Recorder) reportSinkError(err error) {
-	if err != nil {
-		r.Metrics.Add("traces_failed", 1)
-		if n := r.Metrics.Counter("traces_failed").Load(); n&(n-1) == 0 { // the 1st, 2nd, 4th, 8th ...
-			r.Log.Error().Err(err).Int64("failures", n).Msg("traces not written")
-		}
+	if err == nil {
+		return
+	}
+	r.Metrics.Add(metricSinkError, 1)
+	failures := r.Metrics.Counter(metricSinkError).Load()
+	if isPowerOfTwo := failures&(failures-1) == 0; isPowerOfTwo {
+		r.Log.Error().Err(err).Int64("failures", failures).Msg("traces not written")
 	}
 }
 
-// Finish decides what is undecided and returns when all that is kept is written. The
-// core must have stopped, and Run have been called.
+// Shutdown samples the ordinary traces that are undecided and returns when the sink has been
+// given all retained traces and is closed. The dispatcher must have stopped, and Run must have
+// been called.
 func (r *Recorder) Shutdown() {
-	r.enqueue(r.sampler.Close())
+	r.enqueue(r.sampler.Close()...)
 	close(r.shutdown)
 	<-r.stopped
 }
