--- a/internal/trace/analysis/analysis.go
+++ b/internal/trace/analysis/analysis.go
@@ -1,124 +1,185 @@
-// Package analysis finds what failed requests have in common: which server, source of a
-// fill, pair of both, or router has a part in more failed attempts than chance gives.
+// Package analysis finds what failed attempts have in common: which server, fill source, pair
+// of both, or router took part in more of them than chance explains.
 package analysis
 
 import (
 	"cmp"
 	"fmt"
-	"math"
 	"slices"
 
 	"garnetline/internal/trace"
 	"garnetline/routing"
 )
 
-// Suspect is one thing that attempts have in common.
+// SuspectKind is what a Suspect is, as it is printed.
+type SuspectKind string
+
+// The kinds of suspects.
+const (
+	KindServer     SuspectKind = "server"
+	KindFillSource SuspectKind = "source"
+	KindPair       SuspectKind = "pair" // a server together with the source of its fill
+	KindRouter     SuspectKind = "router"
+)
+
+// Suspect is one thing that failed attempts have in common. Numbers of attempts are weighted: an
+// attempt counts as often as its trace stands for.
 type Suspect struct {
-	Kind                          string  // "server", "source", "pair", "router"
-	Name                          string  // of it
-	Failed, Total                 float64 // attempts that it had a part in, by weight
-	FailedWithout, TotalWithout   float64 // failed and all attempts without it
-	Rate, RateWithout             float64
-	ConfidenceLow, ConfidenceHigh float64 // of Rate - RateRest, with 95% confidence
+	Kind           SuspectKind
+	Name           string
+	Failed         float64 // failed attempts that it took part in
+	Total          float64 // attempts that it took part in
+	FailedWithout  float64 // failed attempts that it took no part in
+	TotalWithout   float64 // attempts that it took no part in
+	Rate           float64 // Failed / Total
+	RateWithout    float64 // FailedWithout / TotalWithout
+	ConfidenceLow  float64 // of Rate - RateWithout, the lower bound at 95% confidence
+	ConfidenceHigh float64 // and the upper bound
+}
+
+// Line returns the suspect as a line of a table, without a newline.
+func (s Suspect) Line() string {
+	return fmt.Sprintf("%-6s  %-28s %6.1f%% of %-8.0f %6.1f%% of %-8.0f %+6.1f to %+.1f points",
+		s.Kind, s.Name, 100*s.Rate, s.Total, 100*s.RateWithout, s.TotalWithout, 100*s.ConfidenceLow, 100*s.ConfidenceHigh)
 }
 
-// Failure tells whether an attempt counts as failed. One that was given up since its
-// client left, or never left, says nothing: known is false.
-func Failure(r routing.Result) (failed, known bool) {
-	switch r {
+// attemptStatus is what an attempt says about those who took part in it.
+type attemptStatus uint8
+
+const (
+	statusUnknown attemptStatus = iota // canceled or not sent: it says nothing
+	statusSucceeded
+	statusFailed
+)
+
+// statusOf returns the status of an attempt with a result. A rejection is no failure: a server
+// that sheds load works as it should.
+func statusOf(result routing.Result) attemptStatus {
+	switch result {
 	case routing.Served, routing.NotCached, routing.Rejected:
-		return false, true
+		return statusSucceeded
 	case routing.Canceled, routing.NotSent:
-		return false, false
+		return statusUnknown
 	}
-	return true, true
+	return statusFailed
 }
 
-type attemptCounts struct{ weightedFailed, weightedTotal, observed, observedFailed float64 }
+// suspectKey identifies a suspect.
+type suspectKey struct {
+	kind SuspectKind
+	name string
+}
 
-// Finder takes traces and tells the suspects.
+// attemptCounts counts attempts, weighted and as observed: an attempt of weight 100 is one
+// observation.
+type attemptCounts struct {
+	weightedFailed float64
+	weightedTotal  float64
+	observedFailed float64
+	observed       float64
+}
+
+func (c *attemptCounts) record(weight float64, status attemptStatus) {
+	c.weightedTotal += weight
+	c.observed++
+	if status == statusFailed {
+		c.weightedFailed += weight
+		c.observedFailed++
+	}
+}
+
+// without returns the counts of the attempts that are in c and not in part.
+func (c *attemptCounts) without(part *attemptCounts) attemptCounts {
+	return attemptCounts{
+		weightedFailed: c.weightedFailed - part.weightedFailed,
+		weightedTotal:  c.weightedTotal - part.weightedTotal,
+		observedFailed: c.observedFailed - part.observedFailed,
+		observed:       c.observed - part.observed,
+	}
+}
+
+// Finder counts the attempts of traces by who took part in them, and finds suspects. It is not
+// safe for concurrent use.
 type Finder struct {
-	counts map[[2]string]*attemptCounts
+	counts map[suspectKey]*attemptCounts
 	total  attemptCounts
 }
 
 // New returns an empty Finder.
-func New() *Finder { return &Finder{counts: map[[2]string]*attemptCounts{}} }
+func New() *Finder { return &Finder{counts: map[suspectKey]*attemptCounts{}} }
 
-// Add takes the attempts of a trace, each as often as the trace stands for.
+// Add counts the attempts of a trace, each with the trace's weight. Attempts that were canceled
+// or not sent are passed over.
 func (f *Finder) Add(t *trace.Trace) {
-	for _, s := range t.Spans {
-		if s.Kind != trace.Attempt {
-			continue
-		}
-		failed, known := Failure(routing.Result(s.Result))
-		if !known {
+	for _, span := range t.Spans {
+		if span.Kind != trace.Attempt {
 			continue
 		}
-		f.record(&f.total, t.Weight, failed)
-		f.record(f.countsOf("server", s.Server.String()), t.Weight, failed)
-		f.record(f.countsOf("router", t.Router), t.Weight, failed)
-		if s.FillSource != s.Server {
-			f.record(f.countsOf("source", s.FillSource.String()), t.Weight, failed)
-			f.record(f.countsOf("pair", s.Server.String()+" from "+s.FillSource.String()), t.Weight, failed)
+		if status := statusOf(routing.Result(span.Result)); status != statusUnknown {
+			f.addAttempt(t, span, status)
 		}
 	}
 }
 
-func (f *Finder) countsOf(what, name string) *attemptCounts {
-	k := [2]string{what, name}
-	if f.counts[k] == nil {
-		f.counts[k] = &attemptCounts{}
+func (f *Finder) addAttempt(t *trace.Trace, attempt trace.Span, status attemptStatus) {
+	server := attempt.Server.String()
+	f.total.record(t.Weight, status)
+	f.countsOf(KindServer, server).record(t.Weight, status)
+	f.countsOf(KindRouter, t.Router).record(t.Weight, status)
+	if attempt.FillSource != attempt.Server {
+		source := attempt.FillSource.String()
+		f.countsOf(KindFillSource, source).record(t.Weight, status)
+		f.countsOf(KindPair, server+" from "+source).record(t.Weight, status)
 	}
-	return f.counts[k]
 }
 
-// count books by weight, and by number: a weight of a hundred is one observation.
-func (f *Finder) record(t *attemptCounts, weight float64, failed bool) {
-	t.weightedTotal += weight
-	t.observed++
-	if failed {
-		t.weightedFailed += weight
-		t.observedFailed++
+// countsOf returns the counts of a suspect, which are made when it is first met.
+func (f *Finder) countsOf(kind SuspectKind, name string) *attemptCounts {
+	key := suspectKey{kind, name}
+	counts := f.counts[key]
+	if counts == nil {
+		counts = &attemptCounts{}
+		f.counts[key] = counts
 	}
+	return counts
 }
 
-// z is the 97.5% quantile of the normal distribution.
-const normalQuantile = 1.959964
-
-// Suspects returns all that have a part in failed attempts, the one that most surely
-// raises the rate first. The interval is Newcombe's, of two Wilson scores, on as many
-// observations as the weights are worth.
+// Suspects returns all that took part in failed attempts, except what took part in every
+// attempt. The one that most surely raises the failure rate, that is with the highest
+// ConfidenceLow, comes first.
 func (f *Finder) Suspects() []Suspect {
-	var out []Suspect
-	for k, t := range f.counts {
-		rest := attemptCounts{f.total.weightedFailed - t.weightedFailed, f.total.weightedTotal - t.weightedTotal, f.total.observed - t.observed, f.total.observedFailed - t.observedFailed}
-		if t.observedFailed == 0 || rest.observed <= 0 {
+	var suspects []Suspect
+	for key, counts := range f.counts {
+		without := f.total.without(counts)
+		if counts.observedFailed == 0 || without.observed <= 0 {
 			continue
 		}
-		s := Suspect{Kind: k[0], Name: k[1], Failed: t.weightedFailed, Total: t.weightedTotal, FailedWithout: max(rest.weightedFailed, 0), TotalWithout: rest.weightedTotal}
-		s.Rate, s.RateWithout = t.weightedFailed/t.weightedTotal, max(rest.weightedFailed, 0)/rest.weightedTotal
-		l1, u1 := wilsonInterval(s.Rate, t.observed)
-		l2, u2 := wilsonInterval(s.RateWithout, rest.observed)
-		d := s.Rate - s.RateWithout
-		s.ConfidenceLow = d - math.Sqrt((s.Rate-l1)*(s.Rate-l1)+(u2-s.RateWithout)*(u2-s.RateWithout))
-		s.ConfidenceHigh = d + math.Sqrt((u1-s.Rate)*(u1-s.Rate)+(s.RateWithout-l2)*(s.RateWithout-l2))
-		out = append(out, s)
+		suspects = append(suspects, newSuspect(key, counts, &without))
 	}
-	slices.SortFunc(out, func(a, b Suspect) int {
-		return cmp.Or(cmp.Compare(b.ConfidenceLow, a.ConfidenceLow), cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name))
+	slices.SortFunc(suspects, func(a, b Suspect) int {
+		return cmp.Or(
+			cmp.Compare(b.ConfidenceLow, a.ConfidenceLow),
+			cmp.Compare(a.Kind, b.Kind),
+			cmp.Compare(a.Name, b.Name),
+		)
 	})
-	return out
-}
-
-// wilson is the score interval of a rate p in n observations.
-func wilsonInterval(p, n float64) (low, high float64) {
-	mid, half := p+normalQuantile*normalQuantile/(2*n), normalQuantile*math.Sqrt(p*(1-p)/n+normalQuantile*normalQuantile/(4*n*n))
-	return max(0, (mid-half)/(1+normalQuantile*normalQuantile/n)), min(1, (mid+half)/(1+normalQuantile*normalQuantile/n))
+	return suspects
 }
 
-// Line is a suspect as a line of a table.
-func (s Suspect) Line() string {
-	return fmt.Sprintf("%-6s  %-28s %6.1f%% of %-8.0f %6.1f%% of %-8.0f %+6.1f to %+.1f points",
-		s.Kind, s.Name, 100*s.Rate, s.Total, 100*s.RateWithout, s.TotalWithout, 100*s.ConfidenceLow, 100*s.ConfidenceHigh)
+func newSuspect(key suspectKey, with, without *attemptCounts) Suspect {
+	// A difference of sums of weights may be just below zero.
+	failedWithout := max(without.weightedFailed, 0)
+	suspect := Suspect{
+		Kind:          key.kind,
+		Name:          key.name,
+		Failed:        with.weightedFailed,
+		Total:         with.weightedTotal,
+		FailedWithout: failedWithout,
+		TotalWithout:  without.weightedTotal,
+		Rate:          with.weightedFailed / with.weightedTotal,
+		RateWithout:   failedWithout / without.weightedTotal,
+	}
+	suspect.ConfidenceLow, suspect.ConfidenceHigh = differenceInterval(
+		suspect.Rate, with.observed, suspect.RateWithout, without.observed)
+	return suspect
 }
