--- a/internal/bodies/spool/bench_test.go
+++ b/internal/bodies/spool/benchmark_test.go
@@ -8,8 +8,8 @@
 
 // BenchmarkKeep measures keeping a body and reading it back, in the spool and in memory
 // alone, as growing a slice does.
-func BenchmarkKeep(b *testing.B) {
-	s, err := Open(Options{FS: Disk{}, Folder: b.TempDir(), Name: "n", Blocks: 64, Segments: 64})
+func BenchmarkWriteAndReadBack(b *testing.B) {
+	s, err := Open(Options{FileSystem: OSFileSystem{}, Directory: b.TempDir(), Name: "n", BlocksPerSegment: 64, MaxSegments: 64})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -19,7 +19,7 @@
 		b.Run(fmt.Sprintf("%d/spool", size), func(b *testing.B) {
 			b.SetBytes(int64(size))
 			for b.Loop() {
-				x := s.New()
+				x := s.NewBody()
 				for left := size; left > 0; left -= len(piece) {
 					if _, err := x.Write(piece[:min(left, len(piece))]); err != nil {
 						b.Fatal(err)
--- a/internal/bodies/spool/spool_test.go
+++ b/internal/bodies/spool/spool_test.go
@@ -13,49 +13,49 @@
 )
 
 // faulty is a file layer that fails at one call, in one of several ways.
-type faulty struct {
-	Disk
+type faultyFileSystem struct {
+	OSFileSystem
 	at, calls int // the call that fails; 0: none
 	how       int
 }
 
-func (f *faulty) fails() bool { f.calls++; return f.calls == f.at }
+func (f *faultyFileSystem) fails() bool { f.calls++; return f.calls == f.at }
 
-func (f *faulty) Create(path string) (File, error) {
+func (f *faultyFileSystem) Create(path string) (File, error) {
 	if f.fails() {
 		return nil, syscall.EMFILE
 	}
-	g, err := f.Disk.Create(path)
-	return &file{g, f}, err
+	g, err := f.OSFileSystem.Create(path)
+	return &faultyFile{g, f}, err
 }
 
-func (f *faulty) Remove(path string) error {
+func (f *faultyFileSystem) Remove(path string) error {
 	if f.fails() {
 		return syscall.EIO
 	}
-	return f.Disk.Remove(path)
+	return f.OSFileSystem.Remove(path)
 }
 
-func (f *faulty) Names(folder string) ([]string, error) {
+func (f *faultyFileSystem) List(folder string) ([]string, error) {
 	if f.fails() {
 		return nil, syscall.EIO
 	}
-	return f.Disk.Names(folder)
+	return f.OSFileSystem.List(folder)
 }
 
-func (f *faulty) Held(path string) (bool, error) {
+func (f *faultyFileSystem) InUse(path string) (bool, error) {
 	if f.fails() {
 		return false, syscall.EIO
 	}
-	return f.Disk.Held(path)
+	return f.OSFileSystem.InUse(path)
 }
 
-type file struct {
+type faultyFile struct {
 	File
-	f *faulty
+	f *faultyFileSystem
 }
 
-func (g *file) Truncate(n int64) error {
+func (g *faultyFile) Truncate(n int64) error {
 	if g.f.fails() {
 		return syscall.ENOSPC
 	}
@@ -63,7 +63,7 @@
 }
 
 // WriteAt fails, writes a part, or writes something else and says that all is well.
-func (g *file) WriteAt(p []byte, at int64) (int, error) {
+func (g *faultyFile) WriteAt(p []byte, at int64) (int, error) {
 	if !g.f.fails() {
 		return g.File.WriteAt(p, at)
 	}
@@ -78,7 +78,7 @@
 	return g.File.WriteAt(q, at)
 }
 
-func (g *file) ReadAt(p []byte, at int64) (int, error) {
+func (g *faultyFile) ReadAt(p []byte, at int64) (int, error) {
 	if g.f.fails() {
 		return 0, syscall.EIO
 	}
@@ -87,11 +87,11 @@
 
 // With every call of the file layer failing in turn, in each way: what is read is what
 // was written or an error, never a part or another body's; and all room comes back.
-func TestEveryCallFailsInTurn(t *testing.T) {
+func TestEachFailingCallLosesNoBlock(t *testing.T) {
 	for how := range 3 {
 		for at, last := 0, 1; at <= last; at++ {
-			f := &faulty{at: at, how: how}
-			s, err := Open(Options{FS: f, Folder: t.TempDir(), Name: "n1", Blocks: 2, Segments: 3})
+			f := &faultyFileSystem{at: at, how: how}
+			s, err := Open(Options{FileSystem: f, Directory: t.TempDir(), Name: "n1", BlocksPerSegment: 2, MaxSegments: 3})
 			if err != nil {
 				continue
 			}
@@ -99,7 +99,7 @@
 			failed := 0
 			for round := range 3 { // blocks are used again
 				var want [2][]byte
-				bodies := [2]*Body{s.New(), s.New()}
+				bodies := [2]*Body{s.NewBody(), s.NewBody()}
 				for i := range 5 {
 					p := bytes.Repeat([]byte{byte(16*round + 2*i + 1)}, 1+rng.IntN(BlockSize))
 					if n, err := bodies[i%2].Write(p); err == nil && n == len(p) {
@@ -138,20 +138,20 @@
 
 // The files of a dead process are found and removed one by one; a living one's are left
 // alone, and what a body held cannot be read from them without the key.
-func TestFilesOfOthers(t *testing.T) {
+func TestStaleFilesAreRemoved(t *testing.T) {
 	folder := t.TempDir()
-	o := Options{FS: Disk{}, Folder: folder, Name: "old", Blocks: 4, Segments: 2}
+	o := Options{FileSystem: OSFileSystem{}, Directory: folder, Name: "old", BlocksPerSegment: 4, MaxSegments: 2}
 	live, err := Open(o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	secret := bytes.Repeat([]byte("a solution"), 2*BlockSize/10)
-	b := live.New()
+	b := live.NewBody()
 	if _, err := b.Write(secret); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"dead-0", "dead-1"} {
-		if err := os.WriteFile(filepath.Join(folder, name+suffix), []byte("left"), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(folder, name+fileSuffix), []byte("left"), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -164,16 +164,16 @@
 		t.Errorf("%d files of dead processes, want 2", dead)
 	}
 	for more := true; more; {
-		if more, err = s.Sweep(); err != nil {
+		if more, err = s.RemoveStaleFile(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	names, _ := Disk{}.Names(folder)
+	names, _ := OSFileSystem{}.List(folder)
 	if len(names) != 1 {
 		t.Errorf("left: %v, want the living one's", names)
 	}
 	text, _ := os.ReadFile(filepath.Join(folder, names[0]))
-	if bytes.Contains(text, []byte("a solution")) || len(text) != 4*(BlockSize+overhead) {
+	if bytes.Contains(text, []byte("a solution")) || len(text) != 4*(BlockSize+sealOverhead) {
 		t.Errorf("%d bytes on disk, or a body in clear", len(text))
 	}
 	got := make([]byte, len(secret))
@@ -181,19 +181,19 @@
 		t.Errorf("the living one's body: %v", err)
 	}
 	live.Close()
-	if _, err := b.ReadAt(got, 0); !errors.Is(err, ErrEnded) {
+	if _, err := b.ReadAt(got, 0); !errors.Is(err, ErrClosed) {
 		t.Errorf("after the end: %v", err)
 	}
 	s.Close()
-	if names, _ := (Disk{}).Names(folder); len(names) != 0 {
+	if names, _ := (OSFileSystem{}).List(folder); len(names) != 0 {
 		t.Errorf("left in the end: %v", names)
 	}
 }
 
 // Bodies of many writers at once come back whole, also read while they are written, and
 // a spool without room says so to the one that asks.
-func TestManyAtOnce(t *testing.T) {
-	s, err := Open(Options{FS: Disk{}, Folder: t.TempDir(), Name: "n", Blocks: 8, Segments: 4})
+func TestConcurrentBodies(t *testing.T) {
+	s, err := Open(Options{FileSystem: OSFileSystem{}, Directory: t.TempDir(), Name: "n", BlocksPerSegment: 8, MaxSegments: 4})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -204,7 +204,7 @@
 		wg.Go(func() {
 			rng := rand.New(rand.NewPCG(uint64(w), 1))
 			for range 20 {
-				b, sum := s.New(), []byte(nil)
+				b, sum := s.NewBody(), []byte(nil)
 				for range rng.IntN(6) {
 					p := bytes.Repeat([]byte{byte(w + 1)}, 1+rng.IntN(2*BlockSize))
 					if _, err := b.Write(p); err != nil {
@@ -229,7 +229,7 @@
 	if used, _ := s.Used(); used != 0 {
 		t.Errorf("%d blocks are used in the end", used)
 	}
-	if b := s.New(); true {
+	if b := s.NewBody(); true {
 		if _, err := b.Write(make([]byte, 40*BlockSize)); !errors.Is(err, ErrFull) {
 			t.Errorf("beyond all room: %v", err)
 		}
