--- a/internal/bodies/allocator_test.go
+++ b/internal/bodies/allocator_test.go
@@ -1,195 +1,140 @@
 package bodies
 
 import (
-	"strings"
+	"slices"
 	"testing"
+)
 
-	"garnetline/internal/fuzzutil"
+// Indices of the classes of testClasses.
+const (
+	solutionClass = iota
+	uploadClass
+	noteClass
 )
 
-func classes() []Class {
-	return []Class{{Name: "solution", MaxMemoryBytes: 40, MaxDiskBytes: 200, MaxBytes: 300, PriorityWeight: 3, GuaranteedFraction: 0.25},
-		{Name: "upload", MaxMemoryBytes: 20, MaxDiskBytes: 100, MaxBytes: 400, PriorityWeight: 1}, {Name: "note", MaxMemoryBytes: 10, MaxBytes: 10, PriorityWeight: 1, GuaranteedFraction: 0.1}}
+func testClasses() []Class {
+	return []Class{
+		{Name: "solution", MaxMemoryBytes: 40, MaxDiskBytes: 200, MaxBytes: 300, PriorityWeight: 3, GuaranteedFraction: 0.25},
+		{Name: "upload", MaxMemoryBytes: 20, MaxDiskBytes: 100, MaxBytes: 400, PriorityWeight: 1},
+		{Name: "note", MaxMemoryBytes: 10, MaxBytes: 10, PriorityWeight: 1, GuaranteedFraction: 0.1},
+	}
 }
 
-func newAllocator(t testing.TB, b Budget) *Allocator {
-	t.Helper()
-	k, err := New(b, classes())
+func newAllocator(tb testing.TB, budget Budget, classes []Class) *Allocator {
+	tb.Helper()
+	allocator, err := New(budget, classes)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	return k
+	return allocator
 }
 
-// FuzzKeeper checks by random steps, also with budgets that shrink, that what is booked
-// is what open bodies hold, that nothing new goes beyond a budget, that a class has its
-// guaranteed part whatever others hold, that what cannot be repeated stays so, and that
-// all comes back to zero.
-func FuzzAllocatorAccounting(f *testing.F) {
-	fuzzutil.AddRandomSeeds(f, 24, 800)
-	f.Fuzz(func(t *testing.T, steps []byte) {
-		budget := Budget{MemoryBytes: 100, DiskBytes: 300, DiskBodies: 3, DiskBytesPerSecond: 200}
-		k, now := newAllocator(t, budget), 0.0
-		var open []*Body
-		once := map[*Body]bool{}
-		for i := 0; i+1 < len(steps) && i < 3000; i += 2 {
-			x := int64(steps[i+1])
-			m0, d0, f0 := k.Used()
-			switch op := steps[i] % 8; {
-			case op < 3:
-				class := int(x % 3)
-				size := []int64{-1, x % 50, 2 * x}[x/3%3]
-				own := k.memory.guaranteed(class)-k.memory.used[class] >= size && m0+size <= budget.MemoryBytes
-				b, step := k.Admit(now, class, size)
-				if (step == Reject) != (size > k.classes[class].MaxBytes) || (b == nil) != (step == Reject) {
-					t.Fatalf("%d bytes of class %d: %v", size, class, step)
-				}
-				if size > 0 && own && size <= k.classes[class].MaxMemoryBytes && b.Location != InMemory {
-					t.Fatalf("%d bytes within the guaranteed part are kept in %v", size, b.Location)
-				}
-				if b != nil {
-					open = append(open, b)
-				}
-			case op < 6 && len(open) > 0:
-				b := open[int(x)%len(open)]
-				place, kept := b.Location, b.Repeatable()
-				switch step := k.Grow(now, b, 1+x%60); {
-				case step == Continue && b.Location != place, step == MoveToDisk && (place != InMemory || b.Location != OnDisk),
-					step == StopRetaining && (b.Location != NotRetained || b.Repeatable() == b.FirstByteSent), step == Reject && b.FirstByteSent, step == Abort && !b.FirstByteSent:
-					t.Fatalf("%v took a body from %v to %v, left %v", step, place, b.Location, b.FirstByteSent)
-				case step >= Reject:
-					k.Close(b)
-				}
-				if once[b] && b.Repeatable() || !kept && b.Repeatable() {
-					t.Fatal("what could be sent once may be sent again")
-				}
-			case op == 6 && len(open) > 0:
-				b := open[int(x)%len(open)]
-				switch {
-				case x%3 == 0:
-					b.FirstByteSent = true
-				case x%3 == 1 && k.DiskFailed(b) == StopRetaining && b.Location != NotRetained:
-					t.Fatal("kept though its files cannot be used")
-				default:
-					k.Close(b)
-					k.Close(b)
-				}
-				once[b] = once[b] || !b.Repeatable()
-			case op == 7:
-				if now += float64(x) * 10; x%5 == 0 {
-					budget = Budget{MemoryBytes: 20 + x, DiskBytes: 2 * x, DiskBodies: x % 4, DiskBytesPerSecond: float64(x)}
-					if err := k.UpdateBudget(budget); err != nil {
-						t.Fatal(err)
-					}
-				}
-			}
-			m, d, n := k.Used()
-			if m > max(m0, budget.MemoryBytes) || d > max(d0, budget.DiskBytes) || n > max(f0, budget.DiskBodies) {
-				t.Fatalf("%d, %d, %d are used after %d, %d, %d, of %+v", m, d, n, m0, d0, f0, budget)
-			}
-			var wantM, wantD, wantN int64
-			for _, b := range open {
-				switch b.Location {
-				case InMemory:
-					wantM += b.reserved
-				case OnDisk:
-					wantD, wantN = wantD+b.reserved, wantN+1
-				}
-			}
-			if m != wantM || d != wantD || n != wantN {
-				t.Fatalf("%d, %d, %d are booked, bodies hold %d, %d, %d", m, d, n, wantM, wantD, wantN)
-			}
-		}
-		for _, b := range open {
-			k.Close(b)
-		}
-		if m, d, n := k.Used(); m != 0 || d != 0 || n != 0 || k.memory.borrowed != 0 || k.disk.borrowed != 0 || k.diskBodies.borrowed != 0 {
-			t.Errorf("%d, %d, %d are used in the end", m, d, n)
-		}
-	})
+// bodyState is all that decides what can happen to a body.
+type bodyState struct {
+	location           Location
+	received, reserved int64
+	firstByteSent      bool
+	closed             bool
 }
 
-// Every state of one body that steps of its owner can reach, at small size: none lets a
-// byte that has left be sent again from a body that is not kept, and none loses room.
-func TestReachableStatesOfOneBody(t *testing.T) {
-	type state struct {
-		place       Location
-		size, held  int64
-		left, ended bool
+// The steps of a body's owner in stateSearch.
+const (
+	stepGrowByOne = iota
+	stepGrowByTwo
+	stepSendFirstByte
+	stepDiskFails
+	stepClose
+	stepCount
+)
+
+// stateSearch visits every state of one body that steps of its owner can reach.
+type stateSearch struct {
+	t    *testing.T
+	seen map[bodyState]bool
+}
+
+// visit replays the steps after an announced size, and goes on from a state that is new.
+func (s *stateSearch) visit(announced int64, steps []int) {
+	s.t.Helper()
+	state := s.replay(announced, steps)
+	if s.seen[state] {
+		return
 	}
-	seen := map[state]bool{}
-	var walk func(path []int)
-	walk = func(path []int) {
-		k, _ := New(Budget{MemoryBytes: 4, DiskBytes: 8, DiskBodies: 1, DiskBytesPerSecond: 1e9}, []Class{{Name: "a", MaxMemoryBytes: 2, MaxDiskBytes: 5, MaxBytes: 7, PriorityWeight: 1}})
-		b, _ := k.Admit(1000, 0, int64(path[0]))
-		left := false // its first byte left while, or before, it was not kept
-		for _, op := range path[1:] {
-			switch op {
-			case 0, 1:
-				if step := k.Grow(1000, b, int64(op+1)); step >= Reject {
-					k.Close(b)
-				}
-			case 2:
-				b.FirstByteSent = true
-			case 3:
-				k.DiskFailed(b)
-			case 4:
-				k.Close(b)
-			}
-			left = left || b.FirstByteSent && b.Location == NotRetained
-			if left && b.Repeatable() {
-				t.Fatalf("%v: may be sent again", path)
+	s.seen[state] = true
+	for step := range stepCount {
+		s.visit(announced, append(slices.Clone(steps), step))
+	}
+}
+
+// replay applies the steps to a new body, checks it after each, and returns its state.
+func (s *stateSearch) replay(announced int64, steps []int) bodyState {
+	s.t.Helper()
+	const now = 1000.0
+	classes := []Class{{Name: "a", MaxMemoryBytes: 2, MaxDiskBytes: 5, MaxBytes: 7, PriorityWeight: 1}}
+	allocator := newAllocator(s.t, Budget{MemoryBytes: 4, DiskBytes: 8, DiskBodies: 1, DiskBytesPerSecond: 1e9}, classes)
+	body, action := allocator.Admit(now, 0, announced)
+	if body == nil {
+		s.t.Fatalf("%d bytes announced: %v, want to be admitted", announced, action)
+	}
+	sentUnretained := false // its first byte was sent while, or before, it was not retained
+	for _, step := range steps {
+		switch step {
+		case stepGrowByOne, stepGrowByTwo:
+			if allocator.Grow(now, body, int64(step+1)).endsRequest() {
+				allocator.Close(body)
 			}
+		case stepSendFirstByte:
+			body.FirstByteSent = true
+		case stepDiskFails:
+			allocator.DiskFailed(body)
+		case stepClose:
+			allocator.Close(body)
 		}
-		if m, d, n := k.Used(); (b.closed || b.Location == NotRetained) && m+d+n > 0 {
-			t.Fatalf("%v: holds %d, %d, %d", path, m, d, n)
-		}
-		s := state{b.Location, b.Received, b.reserved, b.FirstByteSent, b.closed}
-		if seen[s] {
-			return
-		}
-		seen[s] = true
-		for op := range 5 {
-			walk(append(append([]int(nil), path...), op))
+		sentUnretained = sentUnretained || body.FirstByteSent && body.Location == NotRetained
+		if sentUnretained && body.Repeatable() {
+			s.t.Fatalf("%d bytes announced, steps %v: repeatable, want not", announced, steps)
 		}
 	}
-	for _, size := range []int{-1, 1, 4, 7} {
-		walk([]int{size})
-	}
-	if t.Logf("%d states", len(seen)); len(seen) != 54 {
-		t.Errorf("%d states, want 54", len(seen))
+	usage := allocator.Usage()
+	if (body.closed || body.Location == NotRetained) && usage != (Usage{}) {
+		s.t.Fatalf("%d bytes announced, steps %v: %+v is reserved for a body that is not retained", announced, steps, usage)
 	}
+	return bodyState{body.Location, body.Received, body.reserved, body.FirstByteSent, body.closed}
 }
 
-// The room that is lent goes to what is worth most when all want it, and the table says
-// what each class does.
-func TestPriorityAndPolicyTable(t *testing.T) {
-	k := newAllocator(t, Budget{MemoryBytes: 1000})
-	for range 100 {
-		k.Admit(0, 1, 20)
+// No state of one body, at small sizes, lets a body be sent again that was sent without being
+// retained, and none loses a reservation.
+func TestReachableStatesOfOneBody(t *testing.T) {
+	const wantStates = 54
+	search := &stateSearch{t: t, seen: map[bodyState]bool{}}
+	for _, announced := range []int64{-1, 1, 4, 7} {
+		search.visit(announced, nil)
 	}
-	m, _, _ := k.Used()
-	if own := int64(0.35 * 1000); m == 0 || m > 1000-own {
-		t.Errorf("uploads have %d of 1000", m)
+	if got := len(search.seen); got != wantStates {
+		t.Errorf("%d states, want %d", got, wantStates)
 	}
+}
+
+// What is lent goes to the highest priority weight when all classes want it, also if others come
+// first, and leaves the guarantees.
+func TestHighestPriorityWeightBorrowsMost(t *testing.T) {
+	const (
+		total              = 1000
+		guaranteed         = 350 // to solutions and notes
+		guaranteedSolution = 250
+		lentToSolutions    = 300
+	)
+	allocator := newAllocator(t, Budget{MemoryBytes: total}, testClasses())
 	for range 100 {
-		k.Admit(0, 0, 40)
-	}
-	if got := k.memory.used[0]; got < 250+300 {
-		t.Errorf("solutions have %d though what was lent to them is worth more", got)
+		allocator.Admit(0, uploadClass, 20)
 	}
-	var out strings.Builder
-	if err := WritePolicyTable(&out, classes(), map[string]Idempotency{"solution": IdempotentWithKey, "note": NonIdempotent}); err != nil {
-		t.Fatal(err)
+	if got := allocator.Usage().MemoryBytes; got == 0 || got > total-guaranteed {
+		t.Errorf("uploads use %d of %d bytes, want some, and %d left", got, total, guaranteed)
 	}
-	for _, want := range []string{"solution 201 to 300 bytes nowhere failed", "within the key's window", "note 1 to 10 bytes memory failed"} {
-		if !strings.Contains(strings.Join(strings.Fields(out.String()), " "), want) {
-			t.Errorf("%q is not in\n%s", want, out.String())
-		}
+	for range 100 {
+		allocator.Admit(0, solutionClass, 40)
 	}
-	for _, bad := range [][]Class{{{Name: "a", PriorityWeight: 1, MaxMemoryBytes: 9}}, {{Name: "a"}}, {{Name: "a", PriorityWeight: 1, GuaranteedFraction: 0.6}, {Name: "b", PriorityWeight: 1, GuaranteedFraction: 0.6}}, {{Name: "a", PriorityWeight: 1}, {Name: "a", PriorityWeight: 1}}} {
-		if _, err := New(Budget{}, bad); err == nil {
-			t.Errorf("%+v was taken", bad)
-		}
+	if got, want := allocator.memory.used[solutionClass], int64(guaranteedSolution+lentToSolutions); got < want {
+		t.Errorf("solutions use %d bytes, want at least %d", got, want)
 	}
 }
--- /dev/null
+++ b/internal/bodies/fuzz_test.go
@@ -0,0 +1,180 @@
+package bodies
+
+import (
+	"testing"
+
+	"garnetline/internal/fuzzutil"
+)
+
+const fuzzMaxSteps = 1500
+
+// allocatorModel knows the bodies of an allocator and what must hold of them.
+type allocatorModel struct {
+	t         *testing.T
+	allocator *Allocator
+	budget    Budget
+	now       float64 // ms
+	bodies    []*Body // closed ones included
+	sentOnce  map[*Body]bool
+}
+
+// FuzzAllocatorAccounting checks by random steps, also with budgets that shrink, that what is
+// reserved is what open bodies hold, that nothing new exceeds a budget, that a class has its
+// guarantee whatever others use, that a body that cannot be repeated stays so, and that nothing
+// is reserved in the end.
+func FuzzAllocatorAccounting(f *testing.F) {
+	fuzzutil.AddRandomSeeds(f, 24, 800)
+	f.Fuzz(func(t *testing.T, steps []byte) {
+		budget := Budget{MemoryBytes: 100, DiskBytes: 300, DiskBodies: 3, DiskBytesPerSecond: 200}
+		model := &allocatorModel{
+			t:         t,
+			allocator: newAllocator(t, budget, testClasses()),
+			budget:    budget,
+			sentOnce:  map[*Body]bool{},
+		}
+		for i := 0; i+1 < len(steps) && i < 2*fuzzMaxSteps; i += 2 {
+			before := model.allocator.Usage()
+			model.step(steps[i], int64(steps[i+1]))
+			model.checkUsage(before)
+		}
+		model.closeAll()
+	})
+}
+
+func (m *allocatorModel) step(operation byte, argument int64) {
+	switch operation %= 8; {
+	case operation < 3:
+		m.admit(argument)
+	case operation < 6 && len(m.bodies) > 0:
+		m.grow(m.bodies[int(argument)%len(m.bodies)], 1+argument%60)
+	case operation == 6 && len(m.bodies) > 0:
+		m.sendFailOrClose(m.bodies[int(argument)%len(m.bodies)], argument%3)
+	case operation == 7:
+		m.now += float64(argument) * 10
+		if argument%5 == 0 {
+			m.updateBudget(argument)
+		}
+	}
+}
+
+// admit admits a body of unknown, small or any size.
+func (m *allocatorModel) admit(argument int64) {
+	m.t.Helper()
+	class := int(argument % 3)
+	size := []int64{-1, argument % 50, 2 * argument}[argument/3%3]
+	policy := m.allocator.classes[class]
+	memory := &m.allocator.memory
+	fitsGuarantee := memory.guaranteed(class)-memory.used[class] >= size && memory.usedByAll()+size <= m.budget.MemoryBytes
+	body, action := m.allocator.Admit(m.now, class, size)
+	if rejected := action == Reject; rejected != (size > policy.MaxBytes) || (body == nil) != rejected {
+		m.t.Fatalf("%d bytes of class %s: %v, want them rejected above %d", size, policy.Name, action, policy.MaxBytes)
+	}
+	if size > 0 && fitsGuarantee && size <= policy.MaxMemoryBytes && body.Location != InMemory {
+		m.t.Fatalf("%d bytes of class %s within its guarantee are in %v, want memory", size, policy.Name, body.Location)
+	}
+	if body != nil {
+		m.bodies = append(m.bodies, body)
+	}
+}
+
+func (m *allocatorModel) grow(body *Body, more int64) {
+	m.t.Helper()
+	location, repeatable := body.Location, body.Repeatable()
+	action := m.allocator.Grow(m.now, body, more)
+	if !allowedAction(action, location, body) {
+		m.t.Fatalf("%v moved a body from %v to %v, first byte sent: %t, repeatable: %t",
+			action, location, body.Location, body.FirstByteSent, body.Repeatable())
+	}
+	if action.endsRequest() {
+		m.allocator.Close(body)
+	}
+	if body.Repeatable() && (m.sentOnce[body] || !repeatable) {
+		m.t.Fatal("a body that could be sent once is repeatable")
+	}
+}
+
+// allowedAction reports whether an action agrees with where a body was and what became of it.
+func allowedAction(action Action, before Location, body *Body) bool {
+	switch action {
+	case Continue:
+		return body.Location == before
+	case MoveToDisk:
+		return before == InMemory && body.Location == OnDisk
+	case StopRetaining:
+		return body.Location == NotRetained && body.Repeatable() != body.FirstByteSent
+	case Reject:
+		return !body.FirstByteSent
+	case Abort:
+		return body.FirstByteSent
+	}
+	return false
+}
+
+// sendFailOrClose sends a body's first byte, or has its disk fail and closes it, or closes it.
+func (m *allocatorModel) sendFailOrClose(body *Body, operation int64) {
+	m.t.Helper()
+	if operation == 0 {
+		body.FirstByteSent = true
+	} else {
+		if operation == 1 && m.allocator.DiskFailed(body) == StopRetaining && body.Location != NotRetained {
+			m.t.Fatalf("a body whose files cannot be used is in %v", body.Location)
+		}
+		m.allocator.Close(body)
+		m.allocator.Close(body)
+	}
+	m.sentOnce[body] = m.sentOnce[body] || !body.Repeatable()
+}
+
+func (m *allocatorModel) updateBudget(argument int64) {
+	m.t.Helper()
+	m.budget = Budget{
+		MemoryBytes:        20 + argument,
+		DiskBytes:          2 * argument,
+		DiskBodies:         argument % 4,
+		DiskBytesPerSecond: float64(argument),
+	}
+	if err := m.allocator.UpdateBudget(m.budget); err != nil {
+		m.t.Fatal(err)
+	}
+}
+
+// checkUsage compares what is reserved with the budget and with what bodies hold. Only what was
+// reserved before a budget shrank may exceed it.
+func (m *allocatorModel) checkUsage(before Usage) {
+	m.t.Helper()
+	got := m.allocator.Usage()
+	if got.MemoryBytes > max(before.MemoryBytes, m.budget.MemoryBytes) ||
+		got.DiskBytes > max(before.DiskBytes, m.budget.DiskBytes) ||
+		got.DiskBodies > max(before.DiskBodies, m.budget.DiskBodies) {
+		m.t.Fatalf("%+v is reserved after %+v, of %+v", got, before, m.budget)
+	}
+	var want Usage
+	for _, body := range m.bodies {
+		switch body.Location {
+		case InMemory:
+			want.MemoryBytes += body.reserved
+		case OnDisk:
+			want.DiskBytes += body.reserved
+			want.DiskBodies++
+		case NotRetained:
+		}
+	}
+	if got != want {
+		m.t.Fatalf("%+v is reserved, bodies hold %+v", got, want)
+	}
+}
+
+func (m *allocatorModel) closeAll() {
+	m.t.Helper()
+	for _, body := range m.bodies {
+		m.allocator.Close(body)
+	}
+	if got := m.allocator.Usage(); got != (Usage{}) {
+		m.t.Errorf("%+v is reserved in the end", got)
+	}
+	for name, quota := range map[string]quota{"memory": m.allocator.memory, "disk": m.allocator.disk, "disk bodies": m.allocator.diskBodies} {
+		if quota.borrowed != 0 {
+			m.t.Errorf("%d of %s is borrowed in the end", quota.borrowed, name)
+		}
+	}
+}
