--- a/internal/bodies/spool/benchmark_test.go
+++ b/internal/bodies/spool/benchmark_test.go
@@ -6,42 +6,58 @@
 	"testing"
 )
 
-// BenchmarkKeep measures keeping a body and reading it back, in the spool and in memory
-// alone, as growing a slice does.
+// benchmarkPart is how many bytes of a body are received at a time.
+const benchmarkPart = 16 << 10
+
+// BenchmarkWriteAndReadBack measures storing a body and reading it back, in a spool and, for
+// comparison, in a slice that grows.
 func BenchmarkWriteAndReadBack(b *testing.B) {
-	s, err := Open(Options{FileSystem: OSFileSystem{}, Directory: b.TempDir(), Name: "n", BlocksPerSegment: 64, MaxSegments: 64})
-	if err != nil {
-		b.Fatal(err)
-	}
-	defer s.Close()
-	piece := make([]byte, 16<<10)
+	spool := openSpool(b, Options{FileSystem: OSFileSystem{}, Directory: b.TempDir(), Name: "n", BlocksPerSegment: 64, MaxSegments: 64})
+	defer func() {
+		if err := spool.Close(); err != nil {
+			b.Error(err)
+		}
+	}()
 	for _, size := range []int{1 << 10, 48_000, 5 << 20, 60 << 20} {
 		b.Run(fmt.Sprintf("%d/spool", size), func(b *testing.B) {
 			b.SetBytes(int64(size))
 			for b.Loop() {
-				x := s.NewBody()
-				for left := size; left > 0; left -= len(piece) {
-					if _, err := x.Write(piece[:min(left, len(piece))]); err != nil {
-						b.Fatal(err)
-					}
-				}
-				if n, err := io.Copy(io.Discard, io.NewSectionReader(x, 0, x.Size())); err != nil || n != int64(size) {
-					b.Fatal(n, err)
-				}
-				x.Close()
+				writeToSpool(b, spool, size)
 			}
 		})
 		b.Run(fmt.Sprintf("%d/memory", size), func(b *testing.B) {
 			b.SetBytes(int64(size))
 			for b.Loop() {
-				var x []byte
-				for left := size; left > 0; left -= len(piece) {
-					x = append(x, piece[:min(left, len(piece))]...)
-				}
-				if len(x) != size {
-					b.Fatal(len(x))
-				}
+				writeToMemory(b, size)
 			}
 		})
 	}
 }
+
+var benchmarkData [benchmarkPart]byte
+
+func writeToSpool(b *testing.B, spool *Spool, size int) {
+	b.Helper()
+	body := spool.NewBody()
+	defer body.Close()
+	for left := size; left > 0; left -= benchmarkPart {
+		if _, err := body.Write(benchmarkData[:min(left, benchmarkPart)]); err != nil {
+			b.Fatal(err)
+		}
+	}
+	n, err := io.Copy(io.Discard, io.NewSectionReader(body, 0, body.Size()))
+	if err != nil || n != int64(size) {
+		b.Fatalf("read %d of %d bytes: %v", n, size, err)
+	}
+}
+
+func writeToMemory(b *testing.B, size int) {
+	b.Helper()
+	var body []byte
+	for left := size; left > 0; left -= benchmarkPart {
+		body = append(body, benchmarkData[:min(left, benchmarkPart)]...)
+	}
+	if len(body) != size {
+		b.Fatalf("%d bytes, want %d", len(body), size)
+	}
+}
--- /dev/null
+++ b/internal/bodies/spool/body.go
@@ -0,0 +1,120 @@
+package spool
+
+import (
+	"io"
+	"sync"
+)
+
+// sealedBlock is a block of a body that has been written.
+type sealedBlock struct {
+	blockAddress
+	counter uint64 // for its nonce
+	size    int    // bytes of the body
+}
+
+// Body is one body in a spool. It has one writer, and may be read while it is written, up to what
+// Size returns. It must be closed.
+type Body struct {
+	spool *Spool
+
+	mu      sync.Mutex
+	blocks  []sealedBlock
+	pending []byte // less than a block, not written yet
+	size    int64
+	err     error // once set, the body cannot be used
+}
+
+// NewBody begins a body.
+func (s *Spool) NewBody() *Body { return &Body{spool: s} }
+
+// Write appends to the body. After an error none of it can be read.
+func (b *Body) Write(data []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	remaining := data
+	for len(remaining) > 0 && b.err == nil {
+		part := remaining[:min(len(remaining), BlockSize-len(b.pending))]
+		remaining = remaining[len(part):]
+		b.pending = append(b.pending, part...)
+		b.size += int64(len(part))
+		if len(b.pending) == BlockSize {
+			b.err = b.sealPending()
+		}
+	}
+	if b.err != nil {
+		return 0, b.err
+	}
+	return len(data), nil
+}
+
+// sealPending writes what is pending as a block. The block belongs to the body even if it could
+// not be written, so that it is freed.
+func (b *Body) sealPending() error {
+	block, err := b.spool.allocateBlock()
+	if err != nil {
+		return err
+	}
+	sealed := b.spool.seal(b.pending, block.counter, len(b.blocks))
+	b.blocks = append(b.blocks, sealedBlock{block.blockAddress, block.counter, len(b.pending)})
+	b.pending = b.pending[:0]
+	return writeSealed(block, sealed)
+}
+
+// Size returns how many bytes of the body have been written so far.
+func (b *Body) Size() int64 {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.size
+}
+
+// ReadAt implements io.ReaderAt for what has been written so far, whose end is io.EOF. After a
+// block that cannot be read or opened the body cannot be used any more.
+func (b *Body) ReadAt(buffer []byte, offset int64) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.err != nil {
+		return 0, b.err
+	}
+	n := 0
+	for n < len(buffer) && offset < b.size {
+		var block []byte
+		block, b.err = b.block(int(offset / BlockSize))
+		if b.err != nil {
+			return 0, b.err
+		}
+		copied := copy(buffer[n:], block[offset%BlockSize:])
+		n += copied
+		offset += int64(copied)
+	}
+	if n < len(buffer) {
+		return n, io.EOF
+	}
+	return n, nil
+}
+
+// block returns the bytes of a block, written or pending.
+func (b *Body) block(index int) ([]byte, error) {
+	if index == len(b.blocks) {
+		return b.pending, nil
+	}
+	block := b.blocks[index]
+	file, err := b.spool.segmentFile(block.segment)
+	if err != nil {
+		return nil, err
+	}
+	sealed, err := readSealed(file, block)
+	if err != nil {
+		return nil, err
+	}
+	return b.spool.unseal(sealed, block.counter, index)
+}
+
+// Close ends the body and frees its blocks. Further calls have no effect.
+func (b *Body) Close() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.spool.freeBlocks(b.blocks)
+	b.blocks = nil
+	b.pending = nil
+	b.err = ErrClosed
+}
