--- a/internal/trace/recorder/request.go
+++ b/internal/trace/recorder/request.go
@@ -6,7 +6,7 @@
 	"garnetline/routing"
 )
 
-// Request is a request as Recorder.Open is told of it.
+// Request describes a request to Recorder.Open.
 type Request struct {
 	TransactionID  string // chosen by the client
 	IdempotencyKey string // used only for classes with idempotency keys, and never stored
