--- a/internal/trace/sampling/sampler.go
+++ b/internal/trace/sampling/sampler.go
@@ -176,6 +176,9 @@
 
 // addCandidate adds an ordinary trace to the candidates of its window, unless its order is too
 // high, and drops what exceeds the number of candidates or the memory budget.
+//
+// Known fault: where settings take a class's rate to 0 within a window that has candidates, the
+// threshold becomes 0 and they are sampled with an infinite weight.
 func (s *Sampler) addCandidate(window *classWindow, t *trace.Trace) {
 	order := t.ID.Order()
 	if order >= window.threshold {
