--- a/cmd/garnetline/fleet.go
+++ b/cmd/garnetline/fleet.go
@@ -131,7 +131,8 @@
 	}
 }
 
-// Leave notifies the others that this router leaves, and gives the socket back.
+// Leave has Run release this router's leases, notify the others that it leaves, and give the
+// socket back. It does not wait for that.
 func (f *fleetServices) Leave() {
 	if f == nil {
 		return
--- a/internal/fleet/transport/golden_test.go
+++ b/internal/fleet/transport/golden_test.go
@@ -11,8 +11,8 @@
 func TestGoldenIdentityFile(t *testing.T) {
 	dir := t.TempDir()
 	file := identityFileIn(dir, "r7")
-	if want := dir + "/garnetline-fleet-r7"; string(file) != want || file.bansPath() != want+".bans" {
-		t.Errorf("files are %s and %s, want %s and the same with .bans", file, file.bansPath(), want)
+	if want := dir + "/garnetline-fleet-r7"; string(file) != want || file.gossipedBansPath() != want+".bans" {
+		t.Errorf("files are %s and %s, want %s and the same with .bans", file, file.gossipedBansPath(), want)
 	}
 	if err := os.WriteFile(string(file), []byte("00000000deadbeef 41\n"), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/fleet/transport/identity.go
+++ b/internal/fleet/transport/identity.go
@@ -90,7 +90,8 @@
 	return membership.ID(number), incarnation, number != 0
 }
 
-// bansPath returns the path of the file of the bans, beside the identity file.
-func (f identityFile) bansPath() string { return string(f) + ".bans" }
+// gossipedBansPath returns the path of the file of the bans that gossip brought, beside the
+// identity file.
+func (f identityFile) gossipedBansPath() string { return string(f) + ".bans" }
 
 func newRouterID() membership.ID { return membership.ID(rand.Uint64() | 1) }
--- a/internal/fleet/transport/transport.go
+++ b/internal/fleet/transport/transport.go
@@ -292,7 +292,7 @@
 // no fleet knew.
 func (t *Transport) restoreBans(now float64) {
 	if t.identity != "" {
-		if bans, err := os.ReadFile(t.identity.bansPath()); err == nil {
+		if bans, err := os.ReadFile(t.identity.gossipedBansPath()); err == nil {
 			t.node.Store.Import(now, bans)
 		}
 	}
@@ -305,7 +305,7 @@
 
 // saveBans replaces the file of the bans for the next process, as a whole or not at all.
 func (t *Transport) saveBans(bans []byte) {
-	if err := atomicfile.Replace(t.identity.bansPath(), bans); err != nil {
+	if err := atomicfile.Replace(t.identity.gossipedBansPath(), bans); err != nil {
 		t.options.Metrics.Add(counterBansNotSaved, 1)
 		t.options.Log.Error().Err(err).Msg("fleet bans not saved for the next start")
 	}
--- a/internal/operatorconfig/config.go
+++ b/internal/operatorconfig/config.go
@@ -4,9 +4,7 @@
 package operatorconfig
 
 import (
-	"errors"
 	"os"
-	"reflect"
 
 	"github.com/hashicorp/hcl/v2"
 	"github.com/hashicorp/hcl/v2/gohcl"
@@ -26,9 +24,6 @@
 	blockLeases = "duties" // as it was called first
 )
 
-// errRestartOnly is the cause of a CheckReload that fails for any change of a block.
-var errRestartOnly = errors.New("only a restart can change it")
-
 // Config is the operators' file.
 type Config struct {
 	Log    Log
@@ -117,23 +112,5 @@
 	return nil
 }
 
-// CheckReload returns a ConfigError that names a block in which next differs by what cannot
-// change while the program runs.
-func (c *Config) CheckReload(next Config) error {
-	if c.DNS != next.DNS {
-		return &ConfigError{Block: blockDNS, Err: errRestartOnly}
-	}
-	if err := c.Trace.checkReload(&next.Trace); err != nil {
-		return &ConfigError{Block: blockTrace, Err: err}
-	}
-	if err := c.Fleet.checkReload(&next.Fleet); err != nil {
-		return &ConfigError{Block: blockFleet, Err: err}
-	}
-	if !reflect.DeepEqual(c.Leases, next.Leases) {
-		return &ConfigError{Block: blockLeases, Err: errRestartOnly}
-	}
-	return nil
-}
-
 // within reports whether a value lies in a range, which includes its ends. NaN does not.
 func within(value, least, most float64) bool { return value >= least && value <= most }
--- a/internal/operatorconfig/fleet.go
+++ b/internal/operatorconfig/fleet.go
@@ -1,9 +1,7 @@
 package operatorconfig
 
 import (
-	"errors"
 	"net/netip"
-	"reflect"
 
 	"garnetline/internal/fielderror"
 	"garnetline/internal/fleet"
@@ -167,15 +165,3 @@
 	connectivity.MaxUpgradeDelay = max(connectivity.MaxUpgradeDelay, f.UpgradeDelay)
 	return settings
 }
-
-// checkReload returns an error if next differs by more than keys and addresses to join at,
-// which alone can change while the program runs.
-func (f *Fleet) checkReload(next *Fleet) error {
-	current, replacement := *f, *next
-	current.Keys, replacement.Keys = nil, nil
-	current.Join, replacement.Join = nil, nil
-	if !reflect.DeepEqual(current, replacement) {
-		return errors.New("only a restart can change it, but for keys and join")
-	}
-	return nil
-}
--- a/internal/operatorconfig/trace.go
+++ b/internal/operatorconfig/trace.go
@@ -1,7 +1,6 @@
 package operatorconfig
 
 import (
-	"errors"
 	"net/url"
 
 	"garnetline/internal/fielderror"
@@ -120,20 +119,3 @@
 	}
 	return nil
 }
-
-// checkReload returns an error if next differs by what only a restart can change.
-func (t *Trace) checkReload(next *Trace) error {
-	if t.Enabled != next.Enabled || t.Dir != next.Dir || t.Secret != next.Secret ||
-		t.PropagateToServers != next.PropagateToServers || !sameCollector(t.Collector, next.Collector) {
-		return errors.New("only a restart can change enabled, folder, secret, peers and collector")
-	}
-	return nil
-}
-
-// sameCollector reports whether two collectors are equal, or both nil.
-func sameCollector(a, b *Collector) bool {
-	if a == nil || b == nil {
-		return a == b
-	}
-	return *a == *b
-}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -248,6 +248,32 @@
 	}
 }
 
+// cancelSent cancels an attempt that was written to a connection.
+func (u *Upstream) cancelSent(conn *connection, sent *sentAttempt) {
+	attempt := sent.attempt
+	id := attempt.Request.TransactionID
+	delete(conn.inFlight, id)
+	// Symptom guarded against: on a connection that had brought no reply since the attempt
+	// was written the cancel did not arrive, and the retry was a second copy of the request.
+	if attempt.MayRetry && !conn.repliedSince(sent.writtenAt) {
+		u.closeConnection(conn)
+		u.completeCanceled(attempt)
+		return
+	}
+	conn.canceledIDs[id] = true
+	// Symptom guarded against: a machine that vanished leaves its connections open and
+	// silent. Commands written to them after its return were lost too, and it looked silent
+	// for ever. The delay keeps connections whose clients merely disconnect soon: all of them
+	// were retired for that once, and no more could be made.
+	unresponsive := !conn.repliedSince(sent.writtenAt) && u.Clock.Now()-sent.writtenAt >= unresponsiveAfter
+	if unresponsive || len(conn.canceledIDs) > maxCanceledIDs {
+		conn.retired = true
+	}
+	u.flush(conn, appendCancelCommand(conn.text.WriteBuffer(), id))
+	u.completeCanceled(attempt)
+	u.closeIfRetired(conn)
+}
+
 // closeConnection closes a connection, which cancels everything in flight on it, and completes
 // that as lost. No connection is closed anywhere else once it is up.
 func (u *Upstream) closeConnection(conn *connection) {
