--- a/plugin/call.go
+++ b/plugin/call.go
@@ -16,29 +16,29 @@
 	"garnetline/routing"
 )
 
-const codeUnknown = codes.FailedPrecondition
+const codeNotDescribed = codes.FailedPrecondition
 
-// call carries the attempts of one unary RPC out.
-type call struct {
-	p      *Plugin
+// unaryCall carries the attempts of one unary RPC out.
+type unaryCall struct {
+	plugin *Plugin
 	ctx    context.Context
 	invoke func(ctx context.Context) error
 
-	mu     sync.Mutex
-	closed bool
-	out    sync.WaitGroup
-	err    error // of the latest attempt
+	mu       sync.Mutex
+	finished bool
+	inFlight sync.WaitGroup
+	lastErr  error // of the latest attempt
 }
 
-// unary carries a unary RPC out by the core's decisions.
-func (p *Plugin) unary(ctx context.Context, method string, req, reply any, cc *grpc.ClientConn, invoker grpc.UnaryInvoker, opts ...grpc.CallOption) error {
-	r, err := p.request(ctx, method, req)
+// interceptUnary carries a unary RPC out by the core's decisions.
+func (p *Plugin) interceptUnary(ctx context.Context, method string, req, reply any, cc *grpc.ClientConn, invoker grpc.UnaryInvoker, opts ...grpc.CallOption) error {
+	r, err := p.newRequest(ctx, method, req)
 	if err != nil {
 		return err
 	}
-	c := &call{p: p, ctx: ctx, invoke: func(ctx context.Context) error { return invoker(ctx, method, req, reply, cc, opts...) }}
+	c := &unaryCall{plugin: p, ctx: ctx, invoke: func(ctx context.Context) error { return invoker(ctx, method, req, reply, cc, opts...) }}
 	a, err := p.submit(ctx, r, c)
-	c.end()
+	c.finish()
 	if err != nil {
 		return err
 	}
@@ -50,34 +50,34 @@
 func (p *Plugin) submit(ctx context.Context, r *dispatch.Request, c dispatch.Transport) (dispatch.Response, error) {
 	answers := make(chan dispatch.Response, 1)
 	r.Transport, r.Respond = c, func(a dispatch.Response) { answers <- a }
-	if !p.core.Submit(r) {
+	if !p.dispatcher.Submit(r) {
 		return dispatch.Response{}, status.Error(codes.Canceled, "garnetline: the plugin is closed")
 	}
 	select {
 	case a := <-answers:
 		return a, nil
 	case <-ctx.Done():
-		p.core.Disconnect(r)
+		p.dispatcher.Disconnect(r)
 		return dispatch.Response{}, status.FromContextError(ctx.Err()).Err()
-	case <-p.done:
+	case <-p.stopped:
 		return dispatch.Response{}, status.Error(codes.Canceled, "garnetline: the plugin is closed")
 	}
 }
 
-// end lets no further attempt begin and waits for the one that is out: it
+// finish lets no further attempt begin and waits for the one that is out: it
 // still writes to the caller's reply.
-func (c *call) end() {
+func (c *unaryCall) finish() {
 	c.mu.Lock()
-	c.closed = true
+	c.finished = true
 	c.mu.Unlock()
-	c.out.Wait()
+	c.inFlight.Wait()
 }
 
 // result turns the core's answer into that of the RPC.
-func (c *call) result(a dispatch.Response) error {
+func (c *unaryCall) result(a dispatch.Response) error {
 	switch a.Kind {
 	case dispatch.Served, dispatch.NotModified:
-		return c.err
+		return c.lastErr
 	case dispatch.Rejected:
 		s := status.New(codes.Unavailable, "garnetline: refused, a retry is harmless")
 		if t, err := s.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(clock.Duration(a.RetryAfter))}); err == nil {
@@ -85,32 +85,32 @@
 		}
 		return s.Err()
 	}
-	if c.err != nil {
-		return c.err
+	if c.lastErr != nil {
+		return c.lastErr
 	}
 	return status.Error(codes.DeadlineExceeded, "garnetline: no answer in time")
 }
 
 // Send begins an attempt.
-func (c *call) Send(a *dispatch.Attempt) *dispatch.Completion {
-	addr, ok := c.p.listed(a.Decision.Server)
+func (c *unaryCall) Send(a *dispatch.Attempt) *dispatch.Completion {
+	addr, ok := c.plugin.serverAddress(a.Decision.Server)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !ok || c.closed {
+	if !ok || c.finished {
 		return dispatch.Unsent(a, routing.NotSent)
 	}
-	ctx, stop := context.WithDeadline(c.ctx, time.Now().Add(clock.Duration(a.ExpiresAt-c.p.clock.Now())))
+	ctx, stop := context.WithDeadline(c.ctx, time.Now().Add(clock.Duration(a.ExpiresAt-c.plugin.clock.Now())))
 	a.TransportState = cancelRPC(stop)
-	c.out.Add(1)
+	c.inFlight.Add(1)
 	go func() {
-		defer c.out.Done()
+		defer c.inFlight.Done()
 		defer stop()
-		to := &choice{addr: addr}
-		err := c.invoke(context.WithValue(within(ctx, a.Trace), choiceKey{}, to))
+		to := &selectedServer{address: addr}
+		err := c.invoke(context.WithValue(withAttemptTraceparent(ctx, a.Trace), selectedServerKey{}, to))
 		c.mu.Lock()
-		c.err = err
+		c.lastErr = err
 		c.mu.Unlock()
-		c.p.core.Complete(outcome(a, err, to.picked.Load()))
+		c.plugin.dispatcher.Complete(completionOf(a, err, to.picked.Load()))
 	}()
 	return nil
 }
@@ -124,9 +124,9 @@
 // Release implements dispatch.TransportState. Nothing is counted.
 func (c cancelRPC) Release(*dispatch.Attempt) {}
 
-// outcome tells what the end of an RPC says of its attempt. What is no word
+// completionOf tells what the end of an RPC says of its attempt. What is no word
 // of the transport is the application's, and is an answer.
-func outcome(a *dispatch.Attempt, err error, picked bool) dispatch.Completion {
+func completionOf(a *dispatch.Attempt, err error, picked bool) dispatch.Completion {
 	e := dispatch.Completion{Attempt: a, Load: dispatch.UnknownLoad(), Response: dispatch.Response{Kind: dispatch.Served, Server: a.Decision.Server}}
 	switch code := status.Code(err); {
 	case code == codes.OK:
@@ -146,30 +146,30 @@
 	return e
 }
 
-// named carries a stream's attempt out: it is over once its server is named.
-type named struct{ p *Plugin }
+// resolveOnlyTransport carries a stream's attempt out: it is over once its server is named.
+type resolveOnlyTransport struct{ plugin *Plugin }
 
-func (n named) Send(a *dispatch.Attempt) *dispatch.Completion {
-	if _, ok := n.p.listed(a.Decision.Server); !ok {
+func (n resolveOnlyTransport) Send(a *dispatch.Attempt) *dispatch.Completion {
+	if _, ok := n.plugin.serverAddress(a.Decision.Server); !ok {
 		return dispatch.Unsent(a, routing.NotSent)
 	}
 	return dispatch.Resolved(a)
 }
 
-// stream has the core choose a stream's server. A stream is not tried again:
+// interceptStream has the core choose a stream's server. A stream is not tried again:
 // what was sent on it can't be.
-func (p *Plugin) stream(ctx context.Context, desc *grpc.StreamDesc, cc *grpc.ClientConn, method string, streamer grpc.Streamer, opts ...grpc.CallOption) (grpc.ClientStream, error) {
-	r, err := p.request(ctx, method, nil)
+func (p *Plugin) interceptStream(ctx context.Context, desc *grpc.StreamDesc, cc *grpc.ClientConn, method string, streamer grpc.Streamer, opts ...grpc.CallOption) (grpc.ClientStream, error) {
+	r, err := p.newRequest(ctx, method, nil)
 	if err != nil {
 		return nil, err
 	}
-	a, err := p.submit(ctx, r, named{p})
+	a, err := p.submit(ctx, r, resolveOnlyTransport{p})
 	if err != nil {
 		return nil, err
 	}
-	addr, ok := p.listed(a.Server)
+	addr, ok := p.serverAddress(a.Server)
 	if a.Kind != dispatch.Served || !ok {
-		return nil, (&call{}).result(dispatch.Response{Kind: dispatch.Rejected, RetryAfter: a.RetryAfter})
+		return nil, (&unaryCall{}).result(dispatch.Response{Kind: dispatch.Rejected, RetryAfter: a.RetryAfter})
 	}
-	return streamer(context.WithValue(ctx, choiceKey{}, &choice{addr: addr}), desc, cc, method, opts...)
+	return streamer(context.WithValue(ctx, selectedServerKey{}, &selectedServer{address: addr}), desc, cc, method, opts...)
 }
--- a/plugin/describe.go
+++ b/plugin/describe.go
@@ -12,35 +12,62 @@
 	"gopkg.in/yaml.v3"
 )
 
-// Effect tells what running an operation twice may do.
-type Effect int
+// Idempotency tells what executing an operation twice may do. Its values are those of
+// routing.Idempotency.
+type Idempotency int
 
-// The effects of operations.
+// The kinds of idempotency.
 const (
-	Safe   Effect = iota // reads: may be repeated at will
-	Keyed                // carries an idempotency key: repeats are dropped for a while
-	Unsafe               // must not run twice
+	// Idempotent operations may be repeated at will, as reads.
+	Idempotent Idempotency = iota
+	// IdempotentWithKey operations carry an idempotency key: servers discard repeats of a key
+	// for a while (Class.Window).
+	IdempotentWithKey
+	// NonIdempotent operations must not be executed twice.
+	NonIdempotent
 )
 
-var effects = map[string]Effect{"safe": Safe, "keyed": Keyed, "unsafe": Unsafe}
+// Effect is the older name of Idempotency.
+//
+// Deprecated: use Idempotency.
+type Effect = Idempotency
+
+// Older names of the kinds of idempotency.
+const (
+	// Safe is Idempotent.
+	//
+	// Deprecated: use Idempotent.
+	Safe = Idempotent
+	// Keyed is IdempotentWithKey.
+	//
+	// Deprecated: use IdempotentWithKey.
+	Keyed = IdempotentWithKey
+	// Unsafe is NonIdempotent.
+	//
+	// Deprecated: use NonIdempotent.
+	Unsafe = NonIdempotent
+)
+
+// idempotencyByEffect holds the values of effectExtension.
+var idempotencyByEffect = map[string]Idempotency{"safe": Idempotent, "keyed": IdempotentWithKey, "unsafe": NonIdempotent}
 
 // Extensions that a description may use.
 const (
-	extClass  = "x-garnetline-class"  // the class; without it, the operation's one tag
-	extEffect = "x-garnetline-effect" // safe, keyed or unsafe; without it, see OpenAPI and AsyncAPI
-	extRPC    = "x-garnetline-rpc"    // the RPC's full name; without it, operationId is the method's
+	classExtension  = "x-garnetline-class"  // the class; without it, the operation's one tag
+	effectExtension = "x-garnetline-effect" // safe, keyed or unsafe; without it, see OpenAPI and AsyncAPI
+	rpcExtension    = "x-garnetline-rpc"    // the RPC's full name; without it, operationId is the method's
 )
 
-// keyHeader is the header by which a description shows that an operation
+// idempotencyKeyHeader is the header by which a description shows that an operation
 // carries an idempotency key.
-const keyHeader = "Idempotency-Key"
+const idempotencyKeyHeader = "Idempotency-Key"
 
 // Operation is how one operation of a description is treated.
 type Operation struct {
 	ID     string
 	RPC    string // full name of the RPC, as /package.Service/Method; may be empty
 	Class  string
-	Effect Effect
+	Effect Idempotency
 }
 
 // Operations are the operations of a description by id.
@@ -64,7 +91,7 @@
 	case twice:
 		return fmt.Errorf("%s: operationId: %q stands for two operations", place, op.ID)
 	case op.Class == "":
-		return fmt.Errorf("%s: no class: want %s or one tag", place, extClass)
+		return fmt.Errorf("%s: no class: want %s or one tag", place, classExtension)
 	case !slices.Contains(classes, op.Class):
 		return fmt.Errorf("%s: class %q is not one of %s", place, op.Class, strings.Join(classes, ", "))
 	}
@@ -90,14 +117,14 @@
 		item := paths[path].Operations()
 		for _, method := range slices.Sorted(maps.Keys(item)) {
 			o, place := item[method], fmt.Sprintf("openapi: paths.%s.%s", path, strings.ToLower(method))
-			op := Operation{ID: o.OperationID, Effect: Unsafe}
+			op := Operation{ID: o.OperationID, Effect: NonIdempotent}
 			switch method {
 			case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace:
-				op.Effect = Safe
+				op.Effect = Idempotent
 			default:
 				for _, p := range slices.Concat(paths[path].Parameters, o.Parameters) {
-					if p.Value != nil && p.Value.In == "header" && strings.EqualFold(p.Value.Name, keyHeader) {
-						op.Effect = Keyed
+					if p.Value != nil && p.Value.In == "header" && strings.EqualFold(p.Value.Name, idempotencyKeyHeader) {
+						op.Effect = IdempotentWithKey
 					}
 				}
 			}
@@ -109,7 +136,7 @@
 				}
 				return s, ok, nil
 			}
-			if err := op.extend(place, o.Tags, get); err != nil {
+			if err := op.applyExtensions(place, o.Tags, get); err != nil {
 				return nil, err
 			}
 			if err := ops.add(place, op, classes); err != nil {
@@ -120,27 +147,27 @@
 	return ops, nil
 }
 
-// extend takes what the extensions say.
-func (op *Operation) extend(place string, tags []string, get func(string) (string, bool, error)) error {
-	class, ok, err := get(extClass)
+// applyExtensions takes what the extensions say.
+func (op *Operation) applyExtensions(place string, tags []string, get func(string) (string, bool, error)) error {
+	class, ok, err := get(classExtension)
 	if err != nil {
 		return err
 	}
 	if op.Class = class; !ok && len(tags) == 1 {
 		op.Class = tags[0]
 	}
-	if op.RPC, ok, err = get(extRPC); err != nil {
+	if op.RPC, ok, err = get(rpcExtension); err != nil {
 		return err
 	}
 	if ok && (!strings.HasPrefix(op.RPC, "/") || strings.Count(op.RPC, "/") != 2) {
-		return fmt.Errorf("%s.%s: %q is not /package.Service/Method", place, extRPC, op.RPC)
+		return fmt.Errorf("%s.%s: %q is not /package.Service/Method", place, rpcExtension, op.RPC)
 	}
-	word, ok, err := get(extEffect)
+	word, ok, err := get(effectExtension)
 	if err != nil || !ok {
 		return err
 	}
-	if op.Effect, ok = effects[word]; !ok {
-		return fmt.Errorf("%s.%s: %q is not safe, keyed or unsafe", place, extEffect, word)
+	if op.Effect, ok = idempotencyByEffect[word]; !ok {
+		return fmt.Errorf("%s.%s: %q is not safe, keyed or unsafe", place, effectExtension, word)
 	}
 	return nil
 }
@@ -157,37 +184,37 @@
 	if len(root.Content) == 0 || root.Content[0].Kind != yaml.MappingNode {
 		return nil, fmt.Errorf("asyncapi: not a document")
 	}
-	d := &async{root: root.Content[0], classes: classes, ops: Operations{}}
-	version := text(at(d.root, "asyncapi"))
+	d := &asyncAPIDocument{root: root.Content[0], classes: classes, operations: Operations{}}
+	version := scalarText(mappingValue(d.root, "asyncapi"))
 	var err error
 	switch {
 	case strings.HasPrefix(version, "2."):
-		err = d.version2()
+		err = d.readVersion2()
 	case strings.HasPrefix(version, "3."):
-		err = d.version3()
+		err = d.readVersion3()
 	default:
 		err = fmt.Errorf("asyncapi: asyncapi: version %q is neither 2 nor 3", version)
 	}
-	return d.ops, err
+	return d.operations, err
 }
 
-// async is an AsyncAPI document that is being read.
-type async struct {
-	root    *yaml.Node
-	classes []string
-	ops     Operations
+// asyncAPIDocument is an AsyncAPI document that is being read.
+type asyncAPIDocument struct {
+	root       *yaml.Node
+	classes    []string
+	operations Operations
 }
 
-func (d *async) version2() error {
-	return each(at(d.root, "channels"), func(channel string, c *yaml.Node) error {
+func (d *asyncAPIDocument) readVersion2() error {
+	return forEachEntry(mappingValue(d.root, "channels"), func(channel string, c *yaml.Node) error {
 		for word, receives := range map[string]bool{"publish": false, "subscribe": true} {
 			// In version 2 the words are those of the client.
-			o := at(c, word)
+			o := mappingValue(c, word)
 			if o == nil {
 				continue
 			}
 			place := fmt.Sprintf("asyncapi: channels.%s.%s", channel, word)
-			if err := d.operation(place, text(at(o, "operationId")), o, receives, at(o, "message")); err != nil {
+			if err := d.addOperation(place, scalarText(mappingValue(o, "operationId")), o, receives, mappingValue(o, "message")); err != nil {
 				return err
 			}
 		}
@@ -195,79 +222,79 @@
 	})
 }
 
-func (d *async) version3() error {
-	return each(at(d.root, "operations"), func(id string, o *yaml.Node) error {
+func (d *asyncAPIDocument) readVersion3() error {
+	return forEachEntry(mappingValue(d.root, "operations"), func(id string, o *yaml.Node) error {
 		place := "asyncapi: operations." + id
-		action := text(at(o, "action"))
+		action := scalarText(mappingValue(o, "action"))
 		if action != "send" && action != "receive" {
 			return fmt.Errorf("%s.action: %q is neither send nor receive", place, action)
 		}
-		messages := at(o, "messages")
+		messages := mappingValue(o, "messages")
 		if messages == nil {
-			channel, err := d.follow(place+".channel", at(o, "channel"))
+			channel, err := d.followReference(place+".channel", mappingValue(o, "channel"))
 			if err != nil {
 				return err
 			}
-			messages = at(channel, "messages")
+			messages = mappingValue(channel, "messages")
 		}
-		return d.operation(place, id, o, action == "receive", messages)
+		return d.addOperation(place, id, o, action == "receive", messages)
 	})
 }
 
-// operation takes one operation with its messages: one, a list or a mapping.
-func (d *async) operation(place, id string, o *yaml.Node, receives bool, messages *yaml.Node) error {
-	op := Operation{ID: id, Effect: Unsafe}
+// addOperation takes one operation with its messages: one, a list or a mapping.
+func (d *asyncAPIDocument) addOperation(place, id string, o *yaml.Node, receives bool, messages *yaml.Node) error {
+	op := Operation{ID: id, Effect: NonIdempotent}
 	if receives {
-		op.Effect = Safe
-	} else if keyed, err := d.keyed(place+".messages", messages); err != nil {
+		op.Effect = Idempotent
+	} else if keyed, err := d.allCarryKey(place+".messages", messages); err != nil {
 		return err
 	} else if keyed {
-		op.Effect = Keyed
+		op.Effect = IdempotentWithKey
 	}
 	var tags []string
-	for _, t := range children(at(o, "tags")) {
-		tags = append(tags, text(at(t, "name")))
+	for _, t := range childNodes(mappingValue(o, "tags")) {
+		tags = append(tags, scalarText(mappingValue(t, "name")))
 	}
 	get := func(name string) (string, bool, error) {
-		n := at(o, name)
+		n := mappingValue(o, name)
 		if n != nil && (n.Kind != yaml.ScalarNode || n.Tag != "!!str") {
 			return "", true, fmt.Errorf("%s.%s: line %d: not a text", place, name, n.Line)
 		}
-		return text(n), n != nil, nil
+		return scalarText(n), n != nil, nil
 	}
-	if err := op.extend(place, tags, get); err != nil {
+	if err := op.applyExtensions(place, tags, get); err != nil {
 		return err
 	}
-	return d.ops.add(place, op, d.classes)
+	return d.operations.add(place, op, d.classes)
 }
 
-// keyed tells whether all messages carry an idempotency key in their headers.
-func (d *async) keyed(place string, messages *yaml.Node) (bool, error) {
+// allCarryKey tells whether all messages carry an idempotency key in their headers.
+func (d *asyncAPIDocument) allCarryKey(place string, messages *yaml.Node) (bool, error) {
 	if messages == nil {
 		return false, nil
 	}
-	messages, err := d.follow(place, messages)
+	messages, err := d.followReference(place, messages)
 	if err != nil {
 		return false, err
 	}
 	list := []*yaml.Node{messages}
 	switch {
-	case at(messages, "oneOf") != nil:
-		list = children(at(messages, "oneOf"))
-	case messages.Kind == yaml.SequenceNode, at(messages, "headers") == nil && at(messages, "payload") == nil:
-		list = children(messages)
+	case mappingValue(messages, "oneOf") != nil:
+		list = childNodes(mappingValue(messages, "oneOf"))
+	case messages.Kind == yaml.SequenceNode, mappingValue(messages, "headers") == nil && mappingValue(messages, "payload") == nil:
+		list = childNodes(messages)
 	}
 	for _, m := range list {
-		if m, err = d.follow(place, m); err != nil {
+		if m, err = d.followReference(place, m); err != nil {
 			return false, err
 		}
-		headers, err := d.follow(place+".headers", at(m, "headers"))
+		headers, err := d.followReference(place+".headers", mappingValue(m, "headers"))
 		if err != nil {
 			return false, err
 		}
 		found := false
-		each(at(headers, "properties"), func(name string, _ *yaml.Node) error {
-			found = found || strings.EqualFold(name, keyHeader)
+		forEachEntry(mappingValue(headers, "properties"), func(name string, _ *yaml.Node) error {
+			found = found || strings.EqualFold(name, idempotencyKeyHeader)
 			return nil
 		})
 		if !found {
@@ -277,31 +304,31 @@
 	return len(list) > 0, nil
 }
 
-// follow resolves a reference within the document. Few are followed in a row:
+// followReference resolves a reference within the document. Few are followed in a row:
 // a circle of them ends.
-func (d *async) follow(place string, n *yaml.Node) (*yaml.Node, error) {
+func (d *asyncAPIDocument) followReference(place string, n *yaml.Node) (*yaml.Node, error) {
 	for range 16 {
-		ref := at(n, "$ref")
+		ref := mappingValue(n, "$ref")
 		if ref == nil {
 			return n, nil
 		}
-		path, ok := strings.CutPrefix(text(ref), "#/")
+		path, ok := strings.CutPrefix(scalarText(ref), "#/")
 		if !ok {
-			return nil, fmt.Errorf("%s: line %d: $ref %q leads out of the document", place, ref.Line, text(ref))
+			return nil, fmt.Errorf("%s: line %d: $ref %q leads out of the document", place, ref.Line, scalarText(ref))
 		}
 		n = d.root
 		for word := range strings.SplitSeq(path, "/") {
 			word = strings.ReplaceAll(strings.ReplaceAll(word, "~1", "/"), "~0", "~")
-			if n = at(n, word); n == nil {
-				return nil, fmt.Errorf("%s: line %d: $ref %q leads nowhere", place, ref.Line, text(ref))
+			if n = mappingValue(n, word); n == nil {
+				return nil, fmt.Errorf("%s: line %d: $ref %q leads nowhere", place, ref.Line, scalarText(ref))
 			}
 		}
 	}
 	return nil, fmt.Errorf("%s: $ref goes round in a circle", place)
 }
 
-// at returns the value of a key in a mapping, or nil.
-func at(n *yaml.Node, key string) *yaml.Node {
+// mappingValue returns the value of a key in a mapping, or nil.
+func mappingValue(n *yaml.Node, key string) *yaml.Node {
 	if n != nil && n.Kind == yaml.MappingNode {
 		for i := 0; i+1 < len(n.Content); i += 2 {
 			if n.Content[i].Value == key {
@@ -312,8 +339,8 @@
 	return nil
 }
 
-// each calls f for the entries of a mapping in their order.
-func each(n *yaml.Node, f func(string, *yaml.Node) error) error {
+// forEachEntry calls f for the entries of a mapping in their order.
+func forEachEntry(n *yaml.Node, f func(string, *yaml.Node) error) error {
 	if n == nil || n.Kind != yaml.MappingNode {
 		return nil
 	}
@@ -325,8 +352,8 @@
 	return nil
 }
 
-// children returns the values of a list or mapping.
-func children(n *yaml.Node) (out []*yaml.Node) {
+// childNodes returns the values of a list or mapping.
+func childNodes(n *yaml.Node) (out []*yaml.Node) {
 	switch {
 	case n == nil:
 	case n.Kind == yaml.SequenceNode:
@@ -339,7 +366,7 @@
 	return out
 }
 
-func text(n *yaml.Node) string {
+func scalarText(n *yaml.Node) string {
 	if n == nil || n.Kind != yaml.ScalarNode {
 		return ""
 	}
--- a/plugin/describe_test.go
+++ b/plugin/describe_test.go
@@ -80,11 +80,11 @@
 		doc  string
 		want []Operation
 	}{
-		{"OpenAPI", OpenAPI, openapi, []Operation{{"GetPart", "", "part", Safe}, {"Solve", "", "form", Keyed},
-			{"Forget", "/puzzles.Solutions/Remove", "form", Unsafe}, {"Replace", "", "form", Safe}}},
-		{"AsyncAPI 3", AsyncAPI, asyncapi3, []Operation{{"sendSolution", "", "form", Keyed}, {"sendNote", "", "form", Unsafe},
-			{"receivePart", "", "part", Safe}}},
-		{"AsyncAPI 2", AsyncAPI, asyncapi2, []Operation{{"receivePart", "", "part", Safe}, {"sendSolution", "", "form", Keyed}}},
+		{"OpenAPI", OpenAPI, openapi, []Operation{{"GetPart", "", "part", Idempotent}, {"Solve", "", "form", IdempotentWithKey},
+			{"Forget", "/puzzles.Solutions/Remove", "form", NonIdempotent}, {"Replace", "", "form", Idempotent}}},
+		{"AsyncAPI 3", AsyncAPI, asyncapi3, []Operation{{"sendSolution", "", "form", IdempotentWithKey}, {"sendNote", "", "form", NonIdempotent},
+			{"receivePart", "", "part", Idempotent}}},
+		{"AsyncAPI 2", AsyncAPI, asyncapi2, []Operation{{"receivePart", "", "part", Idempotent}, {"sendSolution", "", "form", IdempotentWithKey}}},
 	} {
 		ops, err := c.read([]byte(c.doc), classes)
 		if err != nil || len(ops) != len(c.want) {
@@ -144,7 +144,7 @@
 	f.Fuzz(func(t *testing.T, doc []byte) {
 		ops, err := AsyncAPI(doc, classes)
 		for id, op := range ops {
-			if err == nil && (op.ID != id || op.Class != "part" && op.Class != "form" || op.Effect > Unsafe) {
+			if err == nil && (op.ID != id || op.Class != "part" && op.Class != "form" || op.Effect > NonIdempotent) {
 				t.Errorf("%s: %+v", id, op)
 			}
 		}
--- a/plugin/example_test.go
+++ b/plugin/example_test.go
@@ -25,6 +25,6 @@
 		return
 	}
 	op, ok := ops.Find("/puzzles.Solutions/Solve")
-	fmt.Println(ok, op.Class, op.Effect == plugin.Keyed)
+	fmt.Println(ok, op.Class, op.Effect == plugin.IdempotentWithKey)
 	// Output: true solution true
 }
--- a/plugin/grpc.go
+++ b/plugin/grpc.go
@@ -21,25 +21,25 @@
 )
 
 const (
-	balancerName = "garnetline"
-	scheme       = "garnetline"
-	lookupFor    = 2 * time.Second
+	balancerName  = "garnetline"
+	targetScheme  = "garnetline"
+	lookupTimeout = 2 * time.Second
 )
 
-func init() { balancer.Register(base.NewBalancerBuilder(balancerName, pickers{}, base.Config{})) }
+func init() { balancer.Register(base.NewBalancerBuilder(balancerName, pickerBuilder{}, base.Config{})) }
 
-// choice is the server that the core chose for an RPC.
-type choice struct {
-	addr   string
-	picked atomic.Bool // a connection to it was there
+// selectedServer is the server that the core chose for an RPC.
+type selectedServer struct {
+	address string
+	picked  atomic.Bool // a connection to it was there
 }
 
-type choiceKey struct{}
+type selectedServerKey struct{}
 
-// pickers makes the picker of the servers that are connected.
-type pickers struct{}
+// pickerBuilder makes the picker of the servers that are connected.
+type pickerBuilder struct{}
 
-func (pickers) Build(info base.PickerBuildInfo) balancer.Picker {
+func (pickerBuilder) Build(info base.PickerBuildInfo) balancer.Picker {
 	p := picker{}
 	for sc, i := range info.ReadySCs {
 		p[i.Address.Addr] = sc
@@ -51,13 +51,13 @@
 type picker map[string]balancer.SubConn
 
 func (p picker) Pick(info balancer.PickInfo) (balancer.PickResult, error) {
-	c, ok := info.Ctx.Value(choiceKey{}).(*choice)
+	c, ok := info.Ctx.Value(selectedServerKey{}).(*selectedServer)
 	if !ok {
 		return balancer.PickResult{}, status.Error(codes.Internal, "garnetline: the plugin's interceptors are not in use")
 	}
-	sc, ok := p[c.addr]
+	sc, ok := p[c.address]
 	if !ok {
-		return balancer.PickResult{}, status.Errorf(codes.Unavailable, "garnetline: %s is not connected", c.addr)
+		return balancer.PickResult{}, status.Errorf(codes.Unavailable, "garnetline: %s is not connected", c.address)
 	}
 	c.picked.Store(true)
 	return balancer.PickResult{SubConn: sc}, nil
@@ -65,12 +65,12 @@
 
 // Scheme is that of the targets that the plugin resolves, as in
 // garnetline://DNSSERVER/NAME; without a DNS server the system's is asked.
-func (p *Plugin) Scheme() string { return scheme }
+func (p *Plugin) Scheme() string { return targetScheme }
 
 // Build starts to follow the SRV records of the target's name.
 func (p *Plugin) Build(target resolver.Target, cc resolver.ClientConn, _ resolver.BuildOptions) (resolver.Resolver, error) {
 	ctx, stop := context.WithCancel(context.Background())
-	w := &watcher{p: p, cc: cc, name: target.Endpoint(), stop: stop, now: make(chan struct{}, 1), dns: net.DefaultResolver}
+	w := &srvResolver{plugin: p, conn: cc, name: target.Endpoint(), cancel: stop, lookupRequested: make(chan struct{}, 1), dns: net.DefaultResolver}
 	if server := target.URL.Host; server != "" {
 		if _, _, err := net.SplitHostPort(server); err != nil {
 			server = net.JoinHostPort(server, "53")
@@ -79,52 +79,52 @@
 			return (&net.Dialer{}).DialContext(ctx, network, server)
 		}}
 	}
-	w.done.Add(1)
+	w.running.Add(1)
 	go w.run(ctx)
 	return w, nil
 }
 
-// watcher is the actor that follows the list of servers in DNS.
-type watcher struct {
-	p    *Plugin
-	cc   resolver.ClientConn
-	dns  *net.Resolver
-	name string
-	now  chan struct{}
-	stop context.CancelFunc
-	done sync.WaitGroup
+// srvResolver is the actor that follows the list of servers in DNS.
+type srvResolver struct {
+	plugin          *Plugin
+	conn            resolver.ClientConn
+	dns             *net.Resolver
+	name            string
+	lookupRequested chan struct{}
+	cancel          context.CancelFunc
+	running         sync.WaitGroup
 }
 
 // ResolveNow asks for a lookup before the next is due.
-func (w *watcher) ResolveNow(resolver.ResolveNowOptions) {
+func (w *srvResolver) ResolveNow(resolver.ResolveNowOptions) {
 	select {
-	case w.now <- struct{}{}:
+	case w.lookupRequested <- struct{}{}:
 	default:
 	}
 }
 
-// Close ends the watcher.
-func (w *watcher) Close() {
-	w.stop()
-	w.done.Wait()
+// Close ends the resolver.
+func (w *srvResolver) Close() {
+	w.cancel()
+	w.running.Wait()
 }
 
-func (w *watcher) run(ctx context.Context) {
-	defer w.done.Done()
-	tick := time.NewTicker(w.p.opts.Refresh)
+func (w *srvResolver) run(ctx context.Context) {
+	defer w.running.Done()
+	tick := time.NewTicker(w.plugin.options.Refresh)
 	defer tick.Stop()
 	for {
 		if hosts, err := w.lookup(ctx); err == nil {
-			w.tell(hosts)
+			w.publish(hosts)
 		} else if ctx.Err() == nil {
-			w.p.count.Add("lookups_failed", 1)
-			w.cc.ReportError(err) // the last list stands
+			w.plugin.metrics.Add("lookups_failed", 1)
+			w.conn.ReportError(err) // the last list stands
 		}
 		select {
 		case <-tick.C:
-		case <-w.now:
+		case <-w.lookupRequested:
 			select { // no more often than ten times a refresh
-			case <-time.After(w.p.opts.Refresh / 10):
+			case <-time.After(w.plugin.options.Refresh / 10):
 			case <-ctx.Done():
 			}
 		case <-ctx.Done():
@@ -135,8 +135,8 @@
 
 // lookup asks for the servers of the name: the SRV records of the lowest
 // priority and their addresses.
-func (w *watcher) lookup(ctx context.Context) ([]platformconfig.Endpoint, error) {
-	ctx, stop := context.WithTimeout(ctx, lookupFor)
+func (w *srvResolver) lookup(ctx context.Context) ([]platformconfig.Endpoint, error) {
+	ctx, stop := context.WithTimeout(ctx, lookupTimeout)
 	defer stop()
 	_, records, err := w.dns.LookupSRV(ctx, "", "", w.name)
 	if err != nil {
@@ -153,29 +153,29 @@
 		}
 		for _, a := range addrs {
 			at := netip.AddrPortFrom(a.Unmap(), r.Port)
-			hosts = append(hosts, platformconfig.Endpoint{Addr: at, Server: routing.Server{ID: routing.ServerID(hash(at.String())),
+			hosts = append(hosts, platformconfig.Endpoint{Addr: at, Server: routing.Server{ID: routing.ServerID(hashString(at.String())),
 				Phase: routing.Ready, Weight: max(float64(r.Weight), 1)}})
 		}
 	}
 	return hosts, nil
 }
 
-// tell hands a list to gRPC, which connects, and to the core. A server that
+// publish hands a list to gRPC, which connects, and to the core. A server that
 // is no longer on it gets nothing from here on, whatever was decided before.
-func (w *watcher) tell(hosts []platformconfig.Endpoint) {
+func (w *srvResolver) publish(hosts []platformconfig.Endpoint) {
 	servers, state := map[routing.ServerID]string{}, resolver.State{}
 	for _, h := range hosts {
 		servers[h.ID] = h.Addr.String()
 		state.Addresses = append(state.Addresses, resolver.Address{Addr: h.Addr.String()})
 	}
-	w.p.servers.Store(&servers)
-	w.p.core.HandleWatchEvent(platformconfig.WatchEvent{ListUpdate: true, Snapshot: true, Endpoints: hosts})
-	if err := w.cc.UpdateState(state); err != nil {
-		w.p.count.Add("lists_not_taken", 1)
+	w.plugin.servers.Store(&servers)
+	w.plugin.dispatcher.HandleWatchEvent(platformconfig.WatchEvent{ListUpdate: true, Snapshot: true, Endpoints: hosts})
+	if err := w.conn.UpdateState(state); err != nil {
+		w.plugin.metrics.Add("lists_not_taken", 1)
 	}
 }
 
-func hash(s string) uint64 {
+func hashString(s string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(s))
 	return max(h.Sum64(), 1)
--- a/plugin/plugin.go
+++ b/plugin/plugin.go
@@ -59,22 +59,22 @@
 
 // Plugin holds the decisions for one ClientConn.
 type Plugin struct {
-	opts    Options
-	clock   clock.Clock
-	core    *dispatch.Dispatcher
-	classes map[classKey]int
-	count   *metrics.Registry
-	servers atomic.Pointer[map[routing.ServerID]string] // listed ones, by id
-	tracer  *recorder.Recorder                          // nil: none
-	stop    context.CancelFunc
-	done    chan struct{}
-	close   sync.Once
+	options    Options
+	clock      clock.Clock
+	dispatcher *dispatch.Dispatcher
+	classes    map[classKey]int
+	metrics    *metrics.Registry
+	servers    atomic.Pointer[map[routing.ServerID]string] // listed ones, by id
+	recorder   *recorder.Recorder                          // nil: none
+	cancel     context.CancelFunc
+	stopped    chan struct{}
+	closeOnce  sync.Once
 }
 
-// classKey is a class with an effect: the module takes the effect from the class.
+// classKey is a class with an idempotency: the module takes it from the class.
 type classKey struct {
-	name   string
-	effect Effect
+	name        string
+	idempotency Idempotency
 }
 
 // New returns a Plugin that has no servers yet; Close ends it.
@@ -90,7 +90,7 @@
 	if o.Refresh < 0 || o.Attempts < 0 {
 		return nil, errors.New("plugin: Refresh, Attempts: want more than 0")
 	}
-	p := &Plugin{opts: o, clock: c, classes: map[classKey]int{}, count: metrics.New(), done: make(chan struct{})}
+	p := &Plugin{options: o, clock: c, classes: map[classKey]int{}, metrics: metrics.New(), stopped: make(chan struct{})}
 	p.servers.Store(&map[routing.ServerID]string{})
 	set := routing.Settings{Zones: 1, Kinds: 1, ParentKind: -1, OriginKind: -1, RoutersByZone: []int{1}, Routers: 1,
 		MaxAttempts: o.Attempts, MaxRetryAfter: time.Second, CanCancel: true, WeightIsCapacity: true,
@@ -99,7 +99,7 @@
 		if k.Name == "" || k.Aim <= 0 || k.Deadline <= 0 {
 			return nil, fmt.Errorf("plugin: Classes[%d]: want a Name, an Aim and a Deadline", i)
 		}
-		for e := Safe; e <= Unsafe; e++ {
+		for e := Idempotent; e <= NonIdempotent; e++ {
 			p.classes[classKey{k.Name, e}] = len(set.Classes)
 			set.Classes = append(set.Classes, routing.Class{Name: k.Name, Idempotency: routing.Idempotency(e), KeyWindow: k.Window,
 				LatencyObjective: k.Aim, Deadline: k.Deadline, PriorityWeight: max(k.Worth, 0)})
@@ -114,32 +114,32 @@
 		}
 	}
 	var err error
-	if p.core, err = dispatch.New(p.clock, set, rand.Uint64(), p.count); err != nil {
+	if p.dispatcher, err = dispatch.New(p.clock, set, rand.Uint64(), p.metrics); err != nil {
 		return nil, fmt.Errorf("plugin: %w", err)
 	}
-	if p.tracer, err = o.Trace.recorder(c, p.count, o.Classes); err != nil {
+	if p.recorder, err = o.Trace.newRecorder(c, p.metrics, o.Classes); err != nil {
 		return nil, fmt.Errorf("plugin: Trace: %w", err)
 	}
-	if p.tracer != nil {
-		p.core.SetTracer(instrument.Dispatcher(p.tracer))
-		go p.tracer.Run()
+	if p.recorder != nil {
+		p.dispatcher.SetTracer(instrument.Dispatcher(p.recorder))
+		go p.recorder.Run()
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	p.stop = stop
+	p.cancel = stop
 	go func() {
-		p.core.Run(ctx)
-		close(p.done)
+		p.dispatcher.Run(ctx)
+		close(p.stopped)
 	}()
 	return p, nil
 }
 
 // Close ends the plugin's goroutine. RPCs begun after it fail.
 func (p *Plugin) Close() {
-	p.close.Do(func() {
-		p.stop()
-		<-p.done
-		if p.tracer != nil {
-			p.tracer.Shutdown()
+	p.closeOnce.Do(func() {
+		p.cancel()
+		<-p.stopped
+		if p.recorder != nil {
+			p.recorder.Shutdown()
 		}
 	})
 }
@@ -151,39 +151,39 @@
 		grpc.WithDefaultServiceConfig(fmt.Sprintf(`{"loadBalancingConfig":[{%q:{}}]}`, balancerName)),
 		grpc.WithDisableServiceConfig(),
 		grpc.WithDisableRetry(), // the module decides what is tried again
-		grpc.WithChainUnaryInterceptor(p.unary),
-		grpc.WithChainStreamInterceptor(p.stream),
+		grpc.WithChainUnaryInterceptor(p.interceptUnary),
+		grpc.WithChainStreamInterceptor(p.interceptStream),
 	}
 }
 
-// request makes the core's request of an RPC.
-func (p *Plugin) request(ctx context.Context, method string, req any) (*dispatch.Request, error) {
-	op, ok := p.opts.Operations.Find(method)
+// newRequest makes the core's request of an RPC.
+func (p *Plugin) newRequest(ctx context.Context, method string, req any) (*dispatch.Request, error) {
+	op, ok := p.options.Operations.Find(method)
 	if !ok {
-		return nil, status.Errorf(codeUnknown, "garnetline: %s is not in the description", method)
+		return nil, status.Errorf(codeNotDescribed, "garnetline: %s is not in the description", method)
 	}
 	r := &dispatch.Request{Class: p.classes[classKey{op.Class, op.Effect}]}
 	k := Key{}
-	if p.opts.Key != nil {
-		k = p.opts.Key(method, req)
+	if p.options.Key != nil {
+		k = p.options.Key(method, req)
 	}
 	if k.Object == 0 {
-		k.Object = hash(method)
+		k.Object = hashString(method)
 	}
 	r.Object, r.Chunk, r.Group = routing.ObjectID(k.Object), k.Part, k.Group
-	left := clock.Millis(p.opts.Classes[r.Class/int(Unsafe+1)].Deadline)
+	left := clock.Millis(p.options.Classes[r.Class/int(NonIdempotent+1)].Deadline)
 	if at, ok := ctx.Deadline(); ok {
 		left = clock.Millis(time.Until(at))
 	}
 	r.Deadline = p.clock.Now() + left
-	if p.tracer != nil {
-		r.Client = &dispatch.ClientInfo{ReceivedAt: p.clock.Now(), TraceParent: caller(ctx)}
+	if p.recorder != nil {
+		r.Client = &dispatch.ClientInfo{ReceivedAt: p.clock.Now(), TraceParent: callerTraceparent(ctx)}
 	}
 	return r, nil
 }
 
-// listed tells the address of a server that may be sent to now.
-func (p *Plugin) listed(id routing.ServerID) (string, bool) {
+// serverAddress tells the address of a server that may be sent to now.
+func (p *Plugin) serverAddress(id routing.ServerID) (string, bool) {
 	addr, ok := (*p.servers.Load())[id]
 	return addr, ok
 }
--- a/plugin/plugin_test.go
+++ b/plugin/plugin_test.go
@@ -142,7 +142,7 @@
 	o := Options{Classes: []Class{{Name: "part", Aim: time.Second, Deadline: 20 * time.Second, Window: time.Second}},
 		Operations: ops, Refresh: 5 * time.Millisecond, Key: func(_ string, req any) Key {
 			if q, ok := req.(*health.HealthCheckRequest); ok {
-				return Key{Object: hash(q.Service)}
+				return Key{Object: hashString(q.Service)}
 			}
 			return Key{}
 		}}
@@ -221,7 +221,7 @@
 	r.mu.Unlock()
 	gone := fmt.Sprintf("127.0.0.1:%d", r.servers[0].port)
 	for now := asked; ; {
-		if _, still := r.p.listed(routing.ServerID(hash(gone))); !still {
+		if _, still := r.p.serverAddress(routing.ServerID(hashString(gone))); !still {
 			break
 		}
 		r.mu.Lock()
@@ -327,7 +327,7 @@
 		}
 	}
 	r := newRig(t, "get", 1)
-	if err := r.p.unary(t.Context(), "/a.B/Other", nil, nil, nil, nil); status.Code(err) != codes.FailedPrecondition {
+	if err := r.p.interceptUnary(t.Context(), "/a.B/Other", nil, nil, nil, nil); status.Code(err) != codes.FailedPrecondition {
 		t.Errorf("an RPC that is not described: %v", err)
 	}
 }
--- a/plugin/trace.go
+++ b/plugin/trace.go
@@ -18,8 +18,8 @@
 	"garnetline/internal/trace/store"
 )
 
-// traceparent is the metadata in which W3C Trace Context travels.
-const traceparent = "traceparent"
+// traceparentKey is the metadata in which W3C Trace Context travels.
+const traceparentKey = "traceparent"
 
 // Trace says where traces of RPCs are kept: a span for each call, under the caller's
 // own span, and one for each attempt, whose id goes to the server as traceparent.
@@ -32,8 +32,8 @@
 	KeepMB   int     // of all segments, the oldest go first; 0: 64
 }
 
-// recorder makes what follows the calls; nil where there is no Trace.
-func (t *Trace) recorder(c clock.Clock, count *metrics.Registry, classes []Class) (*recorder.Recorder, error) {
+// newRecorder makes what follows the calls; nil where there is no Trace.
+func (t *Trace) newRecorder(c clock.Clock, count *metrics.Registry, classes []Class) (*recorder.Recorder, error) {
 	if t == nil {
 		return nil, nil
 	}
@@ -54,9 +54,9 @@
 	return recorder.New(o, s), nil
 }
 
-// caller is the traceparent of the caller's own span: of the span in its context or,
+// callerTraceparent is the traceparent of the caller's own span: of the span in its context or,
 // where it has none, of the metadata that it sends.
-func caller(ctx context.Context) string {
+func callerTraceparent(ctx context.Context) string {
 	if s := oteltrace.SpanContextFromContext(ctx); s.IsValid() {
 		id, span := s.TraceID(), s.SpanID()
 		var n uint64
@@ -66,16 +66,16 @@
 		return trace.SpanContext{Trace: trace.ID(id), Span: trace.SpanID(n), Sampled: s.IsSampled()}.String()
 	}
 	if md, ok := metadata.FromOutgoingContext(ctx); ok {
-		if v := md.Get(traceparent); len(v) == 1 {
+		if v := md.Get(traceparentKey); len(v) == 1 {
 			return v[0]
 		}
 	}
 	return ""
 }
 
-// within has what an attempt does stand under its span. The caller's own traceparent
+// withAttemptTraceparent has what an attempt does stand under its span. The caller's own traceparent
 // is replaced; without tracing ctx is returned as it is.
-func within(ctx context.Context, t *dispatch.AttemptTrace) context.Context {
+func withAttemptTraceparent(ctx context.Context, t *dispatch.AttemptTrace) context.Context {
 	if t == nil || t.Context.Span == 0 {
 		return ctx
 	}
@@ -84,6 +84,6 @@
 	if md == nil {
 		md = metadata.MD{}
 	}
-	md.Set(traceparent, t.Context.String())
+	md.Set(traceparentKey, t.Context.String())
 	return metadata.NewOutgoingContext(ctx, md)
 }
--- a/plugin/trace_test.go
+++ b/plugin/trace_test.go
@@ -28,7 +28,7 @@
 			md, _ := metadata.FromIncomingContext(ctx)
 			mu.Lock()
 			defer mu.Unlock()
-			if v := md.Get(traceparent); len(v) == 1 && md.Get("kept")[0] == "as it is" {
+			if v := md.Get(traceparentKey); len(v) == 1 && md.Get("kept")[0] == "as it is" {
 				p, ok := trace.ParseTraceparent(v[0])
 				if !ok {
 					t.Errorf("%q", v[0])
@@ -39,7 +39,7 @@
 		})
 	}
 	own := oteltrace.NewSpanContext(oteltrace.SpanContextConfig{TraceID: oteltrace.TraceID{1, 2, 3}, SpanID: oteltrace.SpanID{0, 0, 0, 0, 0, 0, 1, 2}, TraceFlags: oteltrace.FlagsSampled})
-	ctx := metadata.AppendToOutgoingContext(oteltrace.ContextWithSpanContext(t.Context(), own), "kept", "as it is", traceparent, "another")
+	ctx := metadata.AppendToOutgoingContext(oteltrace.ContextWithSpanContext(t.Context(), own), "kept", "as it is", traceparentKey, "another")
 	if _, err := r.client.Check(ctx, &health.HealthCheckRequest{Service: "traced"}); err == nil {
 		t.Error("served though all servers are broken")
 	}
@@ -69,7 +69,7 @@
 			t.Errorf("attempt %d reached its server as %v, is traced as %x", i, p, attempts[i])
 		}
 	}
-	if plain := within(ctx, nil); plain != ctx {
+	if plain := withAttemptTraceparent(ctx, nil); plain != ctx {
 		t.Error("without tracing the context was changed")
 	}
 }
