--- a/plugin/describe.go
+++ b/plugin/describe.go
@@ -21,7 +21,7 @@
 	// Idempotent operations may be repeated at will, as reads.
 	Idempotent Idempotency = iota
 	// IdempotentWithKey operations carry an idempotency key: servers discard repeats of a key
-	// for a while (Class.Window).
+	// for a while (Class.KeyWindow).
 	IdempotentWithKey
 	// NonIdempotent operations must not be executed twice.
 	NonIdempotent
--- a/plugin/grpc.go
+++ b/plugin/grpc.go
@@ -111,7 +111,7 @@
 
 func (w *srvResolver) run(ctx context.Context) {
 	defer w.running.Done()
-	tick := time.NewTicker(w.plugin.options.Refresh)
+	tick := time.NewTicker(w.plugin.options.RefreshInterval)
 	defer tick.Stop()
 	for {
 		if hosts, err := w.lookup(ctx); err == nil {
@@ -124,7 +124,7 @@
 		case <-tick.C:
 		case <-w.lookupRequested:
 			select { // no more often than ten times a refresh
-			case <-time.After(w.plugin.options.Refresh / 10):
+			case <-time.After(w.plugin.options.RefreshInterval / 10):
 			case <-ctx.Done():
 			}
 		case <-ctx.Done():
--- /dev/null
+++ b/plugin/options_test.go
@@ -0,0 +1,104 @@
+package plugin
+
+import (
+	"reflect"
+	"testing"
+	"time"
+)
+
+// sameOptions are options in pairs: with the deprecated fields, and with those that replace
+// them.
+func sameOptions() map[string]struct{ deprecated, current Options } {
+	oneClass := func(class Class) Options { return Options{Classes: []Class{class}} }
+	return map[string]struct{ deprecated, current Options }{
+		"nothing is set": {Options{}, Options{}},
+		"LatencyObjective": {
+			oneClass(Class{Aim: 400 * time.Millisecond}),
+			oneClass(Class{LatencyObjective: 400 * time.Millisecond}),
+		},
+		"KeyWindow": {
+			oneClass(Class{Window: 2 * time.Second}),
+			oneClass(Class{KeyWindow: 2 * time.Second}),
+		},
+		"PriorityWeight":               {oneClass(Class{Worth: 3}), oneClass(Class{PriorityWeight: 3})},
+		"PriorityWeight below 0":       {oneClass(Class{Worth: -3}), oneClass(Class{PriorityWeight: -3})},
+		"RefreshInterval":              {Options{Refresh: time.Second}, Options{RefreshInterval: time.Second}},
+		"RefreshInterval below 0":      {Options{Refresh: -1}, Options{RefreshInterval: -1}},
+		"MaxAttempts":                  {Options{Attempts: 7}, Options{MaxAttempts: 7}},
+		"MaxAttempts below 0":          {Options{Attempts: -1}, Options{MaxAttempts: -1}},
+		"Trace, nothing is set":        {Options{Trace: &Trace{}}, Options{Trace: &Trace{}}},
+		"Trace.OrdinaryPerSecond":      {Options{Trace: &Trace{Ordinary: 0.5}}, Options{Trace: &Trace{OrdinaryPerSecond: 0.5}}},
+		"Trace.MaxSizeMB":              {Options{Trace: &Trace{KeepMB: 32}}, Options{Trace: &Trace{MaxSizeMB: 32}}},
+		"both, the new field prevails": {Options{Attempts: 7, MaxAttempts: 3}, Options{MaxAttempts: 3}},
+	}
+}
+
+// clearDeprecated sets the deprecated fields to zero.
+func clearDeprecated(options Options) Options {
+	options.Refresh = 0
+	options.Attempts = 0
+	for i := range options.Classes {
+		options.Classes[i].Aim = 0
+		options.Classes[i].Window = 0
+		options.Classes[i].Worth = 0
+	}
+	if options.Trace != nil {
+		options.Trace.Ordinary = 0
+		options.Trace.KeepMB = 0
+	}
+	return options
+}
+
+func TestDeprecatedOptionsAreTheSame(t *testing.T) {
+	for name, same := range sameOptions() {
+		t.Run(name, func(t *testing.T) {
+			got := clearDeprecated(same.deprecated.withDefaults())
+			want := clearDeprecated(same.current.withDefaults())
+			if !reflect.DeepEqual(got, want) {
+				t.Errorf("the deprecated fields give %+v, the new ones %+v", got, want)
+			}
+		})
+	}
+}
+
+func TestDeprecatedKeyIsTheSame(t *testing.T) {
+	const method = "/puzzles.Parts/GetPart"
+	for name, same := range map[string]struct{ deprecated, current Key }{
+		"nothing is set": {Key{}, Key{}},
+		"Chunk":          {Key{Object: 1, Part: 5, Group: 2}, Key{Object: 1, Chunk: 5, Group: 2}},
+		"both":           {Key{Object: 1, Part: 5, Chunk: 4}, Key{Object: 1, Chunk: 4}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			got, want := same.deprecated.withDefaults(method), same.current.withDefaults(method)
+			got.Part = 0
+			if got != want {
+				t.Errorf("the deprecated field gives %+v, the new one %+v", got, want)
+			}
+		})
+	}
+}
+
+func TestDefaults(t *testing.T) {
+	got := Options{Classes: []Class{{Name: "part"}}, Trace: &Trace{}}.withDefaults()
+	want := Options{
+		Classes:         []Class{{Name: "part", PriorityWeight: 1}},
+		RefreshInterval: 500 * time.Millisecond,
+		MaxAttempts:     4,
+		Trace:           &Trace{MaxSizeMB: 64},
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("defaults %+v, want %+v", got, want)
+	}
+	if key, want := (Key{}).withDefaults("/a.B/Get"), (Key{Object: hashString("/a.B/Get")}); key != want {
+		t.Errorf("key %+v, want %+v", key, want)
+	}
+}
+
+func TestOptionsOfTheCallerAreNotChanged(t *testing.T) {
+	options := Options{Classes: []Class{{Name: "part", Aim: time.Second}}, Trace: &Trace{Ordinary: 1}}
+	options.withDefaults()
+	want := Options{Classes: []Class{{Name: "part", Aim: time.Second}}, Trace: &Trace{Ordinary: 1}}
+	if !reflect.DeepEqual(options, want) {
+		t.Errorf("options are %+v now, were %+v", options, want)
+	}
+}
--- a/plugin/plugin.go
+++ b/plugin/plugin.go
@@ -31,32 +31,6 @@
 	"garnetline/routing"
 )
 
-// Class describes a class of RPCs.
-type Class struct {
-	Name     string
-	Aim      time.Duration // an answer within it is in time
-	Deadline time.Duration // where the caller's context has none
-	Window   time.Duration // for keyed operations: repeats are dropped for so long
-	Worth    float64       // of an answer in time, against other classes; 0 is 1
-}
-
-// Key names what an RPC asks for. RPCs for the same object and part go to the
-// same server while that is well.
-type Key struct {
-	Object      uint64
-	Part, Group int
-}
-
-// Options configure a Plugin.
-type Options struct {
-	Classes    []Class
-	Operations Operations
-	Key        func(fullMethod string, req any) Key // nil: by the method alone
-	Refresh    time.Duration                        // between DNS lookups; 0: half a second
-	Attempts   int                                  // of one RPC at the most; 0: 4
-	Trace      *Trace                               // nil: nothing is traced, and no metadata is added
-}
-
 // Plugin holds the decisions for one ClientConn.
 type Plugin struct {
 	options    Options
@@ -81,31 +55,23 @@
 func New(o Options) (*Plugin, error) { return newPlugin(o, clock.NewSystem()) }
 
 func newPlugin(o Options, c clock.Clock) (*Plugin, error) {
-	if o.Refresh == 0 {
-		o.Refresh = 500 * time.Millisecond
-	}
-	if o.Attempts == 0 {
-		o.Attempts = 4
-	}
-	if o.Refresh < 0 || o.Attempts < 0 {
+	o = o.withDefaults()
+	if o.RefreshInterval < 0 || o.MaxAttempts < 0 {
 		return nil, errors.New("plugin: Refresh, Attempts: want more than 0")
 	}
 	p := &Plugin{options: o, clock: c, classes: map[classKey]int{}, metrics: metrics.New(), stopped: make(chan struct{})}
 	p.servers.Store(&map[routing.ServerID]string{})
 	set := routing.Settings{Zones: 1, Kinds: 1, ParentKind: -1, OriginKind: -1, RoutersByZone: []int{1}, Routers: 1,
-		MaxAttempts: o.Attempts, MaxRetryAfter: time.Second, CanCancel: true, WeightIsCapacity: true,
+		MaxAttempts: o.MaxAttempts, MaxRetryAfter: time.Second, CanCancel: true, WeightIsCapacity: true,
 		CacheSlowStart: routing.SlowStart{InitialCapacity: 1}}
 	for i, k := range o.Classes {
-		if k.Name == "" || k.Aim <= 0 || k.Deadline <= 0 {
+		if k.Name == "" || k.LatencyObjective <= 0 || k.Deadline <= 0 {
 			return nil, fmt.Errorf("plugin: Classes[%d]: want a Name, an Aim and a Deadline", i)
 		}
 		for e := Idempotent; e <= NonIdempotent; e++ {
 			p.classes[classKey{k.Name, e}] = len(set.Classes)
-			set.Classes = append(set.Classes, routing.Class{Name: k.Name, Idempotency: routing.Idempotency(e), KeyWindow: k.Window,
-				LatencyObjective: k.Aim, Deadline: k.Deadline, PriorityWeight: max(k.Worth, 0)})
-			if k.Worth == 0 {
-				set.Classes[len(set.Classes)-1].PriorityWeight = 1
-			}
+			set.Classes = append(set.Classes, routing.Class{Name: k.Name, Idempotency: routing.Idempotency(e), KeyWindow: k.KeyWindow,
+				LatencyObjective: k.LatencyObjective, Deadline: k.Deadline, PriorityWeight: max(k.PriorityWeight, 0)})
 		}
 	}
 	for id, op := range o.Operations {
@@ -167,10 +133,8 @@
 	if p.options.Key != nil {
 		k = p.options.Key(method, req)
 	}
-	if k.Object == 0 {
-		k.Object = hashString(method)
-	}
-	r.Object, r.Chunk, r.Group = routing.ObjectID(k.Object), k.Part, k.Group
+	k = k.withDefaults(method)
+	r.Object, r.Chunk, r.Group = routing.ObjectID(k.Object), k.Chunk, k.Group
 	left := clock.Millis(p.options.Classes[r.Class/int(NonIdempotent+1)].Deadline)
 	if at, ok := ctx.Deadline(); ok {
 		left = clock.Millis(time.Until(at))
--- a/plugin/trace.go
+++ b/plugin/trace.go
@@ -1,6 +1,7 @@
 package plugin
 
 import (
+	"cmp"
 	"context"
 	"io"
 	"math/rand/v2"
@@ -21,15 +22,28 @@
 // traceparentKey is the metadata in which W3C Trace Context travels.
 const traceparentKey = "traceparent"
 
-// Trace says where traces of RPCs are kept: a span for each call, under the caller's
-// own span, and one for each attempt, whose id goes to the server as traceparent.
+// Trace tells where traces of RPCs are stored: a span for each call, under the caller's own
+// span, and one for each attempt, whose id goes to the server as traceparent. The command
 // `garnetline trace --folder Folder` shows them.
 type Trace struct {
-	Folder   string  // of the segments; the process must be able to write there
-	Name     string  // of this client in its traces
-	Secret   string  // mixed into whatever names a call; the same as at the routers
-	Ordinary float64 // ordinary calls kept a second, a class; others are kept always
-	KeepMB   int     // of all segments, the oldest go first; 0: 64
+	Folder            string  // of the segments; the process must be able to write there
+	Name              string  // of this client in its traces
+	Secret            string  // mixed into the hashes that stand for calls; the same as at the routers
+	OrdinaryPerSecond float64 // calls without a fault that are retained, in each class; others always are
+	MaxSizeMB         int     // of all segments, the oldest are deleted first; 0: 64
+
+	// Deprecated: use OrdinaryPerSecond.
+	Ordinary float64
+	// Deprecated: use MaxSizeMB.
+	KeepMB int
+}
+
+// withDefaults returns the settings with the values of deprecated fields and defaults in the
+// fields that are zero.
+func (t Trace) withDefaults() Trace {
+	t.OrdinaryPerSecond = cmp.Or(t.OrdinaryPerSecond, t.Ordinary)
+	t.MaxSizeMB = cmp.Or(t.MaxSizeMB, t.KeepMB, defaultMaxSizeMB)
+	return t
 }
 
 // newRecorder makes what follows the calls; nil where there is no Trace.
@@ -37,10 +51,7 @@
 	if t == nil {
 		return nil, nil
 	}
-	most := int64(t.KeepMB)
-	if most == 0 {
-		most = 64
-	}
+	most := int64(t.MaxSizeMB)
 	w, err := store.Open(t.Folder, most<<20/16, most<<20)
 	if err != nil {
 		return nil, err
@@ -49,7 +60,7 @@
 		Sink: w, ClientBytesPerSecond: func() float64 { return 0 }}
 	s := recorder.Settings{UndecidedBytes: 4 << 20, RetainClientSampled: true, Classes: map[string]sampling.Class{}}
 	for _, k := range classes {
-		s.Classes[k.Name] = sampling.Class{LatencyObjective: clock.Millis(k.Aim), OrdinaryPerSecond: t.Ordinary}
+		s.Classes[k.Name] = sampling.Class{LatencyObjective: clock.Millis(k.LatencyObjective), OrdinaryPerSecond: t.OrdinaryPerSecond}
 	}
 	return recorder.New(o, s), nil
 }
