--- /dev/null
+++ b/plugin/yaml.go
@@ -0,0 +1,52 @@
+package plugin
+
+import (
+	"iter"
+
+	"gopkg.in/yaml.v3"
+)
+
+// mappingEntries returns the entries of a mapping in their order. It has none for a node that
+// is nil or of another kind.
+func mappingEntries(node *yaml.Node) iter.Seq2[string, *yaml.Node] {
+	return func(yield func(string, *yaml.Node) bool) {
+		if node == nil || node.Kind != yaml.MappingNode {
+			return
+		}
+		for i := 0; i+1 < len(node.Content); i += 2 {
+			if !yield(node.Content[i].Value, node.Content[i+1]) {
+				return
+			}
+		}
+	}
+}
+
+// mappingValue returns the value of a key in a mapping, or nil.
+func mappingValue(node *yaml.Node, key string) *yaml.Node {
+	for name, value := range mappingEntries(node) {
+		if name == key {
+			return value
+		}
+	}
+	return nil
+}
+
+// childNodes returns the values of a list or mapping.
+func childNodes(node *yaml.Node) []*yaml.Node {
+	if node != nil && node.Kind == yaml.SequenceNode {
+		return node.Content
+	}
+	var values []*yaml.Node
+	for _, value := range mappingEntries(node) {
+		values = append(values, value)
+	}
+	return values
+}
+
+// scalarText returns the text of a scalar, or nothing for a node that is nil or of another kind.
+func scalarText(node *yaml.Node) string {
+	if node == nil || node.Kind != yaml.ScalarNode {
+		return ""
+	}
+	return node.Value
+}
