--- a/plugin/call.go
+++ b/plugin/call.go
@@ -3,69 +3,52 @@
 import (
 	"context"
 	"sync"
-	"time"
 
-	"google.golang.org/genproto/googleapis/rpc/errdetails"
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
-	"google.golang.org/protobuf/types/known/durationpb"
 
 	"garnetline/internal/clock"
 	"garnetline/internal/dispatch"
 	"garnetline/routing"
 )
 
-const codeNotDescribed = codes.FailedPrecondition
-
-// unaryCall carries the attempts of one unary RPC out.
-type unaryCall struct {
-	plugin *Plugin
-	ctx    context.Context
-	invoke func(ctx context.Context) error
-
-	mu       sync.Mutex
-	finished bool
-	inFlight sync.WaitGroup
-	lastErr  error // of the latest attempt
-}
-
-// interceptUnary carries a unary RPC out by the core's decisions.
-func (p *Plugin) interceptUnary(ctx context.Context, method string, req, reply any, cc *grpc.ClientConn, invoker grpc.UnaryInvoker, opts ...grpc.CallOption) error {
-	r, err := p.newRequest(ctx, method, req)
+// interceptUnary carries out a unary RPC: the dispatcher decides which attempts are made,
+// and at which servers.
+func (p *Plugin) interceptUnary(
+	ctx context.Context, fullMethod string, message, reply any,
+	conn *grpc.ClientConn, invoker grpc.UnaryInvoker, options ...grpc.CallOption,
+) error {
+	request, err := p.newRequest(ctx, fullMethod, message)
 	if err != nil {
 		return err
 	}
-	c := &unaryCall{plugin: p, ctx: ctx, invoke: func(ctx context.Context) error { return invoker(ctx, method, req, reply, cc, opts...) }}
-	a, err := p.submit(ctx, r, c)
-	c.finish()
+	call := &unaryCall{plugin: p, ctx: ctx}
+	call.invoke = func(ctx context.Context) error {
+		return invoker(ctx, fullMethod, message, reply, conn, options...)
+	}
+	response, err := p.submit(ctx, request, call)
+	call.finish()
 	if err != nil {
 		return err
 	}
-	return c.result(a)
+	return call.result(response)
 }
 
-// submit hands a request to the core and waits for its answer, or for the
-// caller to leave.
-func (p *Plugin) submit(ctx context.Context, r *dispatch.Request, c dispatch.Transport) (dispatch.Response, error) {
-	answers := make(chan dispatch.Response, 1)
-	r.Transport, r.Respond = c, func(a dispatch.Response) { answers <- a }
-	if !p.dispatcher.Submit(r) {
-		return dispatch.Response{}, status.Error(codes.Canceled, "garnetline: the plugin is closed")
-	}
-	select {
-	case a := <-answers:
-		return a, nil
-	case <-ctx.Done():
-		p.dispatcher.Disconnect(r)
-		return dispatch.Response{}, status.FromContextError(ctx.Err()).Err()
-	case <-p.stopped:
-		return dispatch.Response{}, status.Error(codes.Canceled, "garnetline: the plugin is closed")
-	}
+// unaryCall is one unary RPC, and the transport that carries out its attempts.
+type unaryCall struct {
+	plugin *Plugin
+	ctx    context.Context                 // of the caller
+	invoke func(ctx context.Context) error // makes one attempt, which writes to the caller's reply
+
+	mu       sync.Mutex
+	finished bool // no further attempt begins
+	lastErr  error
+	inFlight sync.WaitGroup // attempts
 }
 
-// finish lets no further attempt begin and waits for the one that is out: it
-// still writes to the caller's reply.
+// finish lets no further attempt begin and waits for the one in flight, which still writes
+// to the caller's reply.
 func (c *unaryCall) finish() {
 	c.mu.Lock()
 	c.finished = true
@@ -73,17 +56,14 @@
 	c.inFlight.Wait()
 }
 
-// result turns the core's answer into that of the RPC.
-func (c *unaryCall) result(a dispatch.Response) error {
-	switch a.Kind {
+// result returns the error that the caller gets for the dispatcher's response. The call must
+// be finished.
+func (c *unaryCall) result(response dispatch.Response) error {
+	switch response.Kind {
 	case dispatch.Served, dispatch.NotModified:
 		return c.lastErr
 	case dispatch.Rejected:
-		s := status.New(codes.Unavailable, "garnetline: refused, a retry is harmless")
-		if t, err := s.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(clock.Duration(a.RetryAfter))}); err == nil {
-			s = t
-		}
-		return s.Err()
+		return rejectedError(response.RetryAfter)
 	}
 	if c.lastErr != nil {
 		return c.lastErr
@@ -91,85 +71,74 @@
 	return status.Error(codes.DeadlineExceeded, "garnetline: no answer in time")
 }
 
-// Send begins an attempt.
-func (c *unaryCall) Send(a *dispatch.Attempt) *dispatch.Completion {
-	addr, ok := c.plugin.serverAddress(a.Decision.Server)
+// Send implements dispatch.Transport: it begins an attempt in a goroutine that finish waits
+// for.
+func (c *unaryCall) Send(attempt *dispatch.Attempt) *dispatch.Completion {
+	address, listed := c.plugin.serverAddress(attempt.Decision.Server)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !ok || c.finished {
-		return dispatch.Unsent(a, routing.NotSent)
+	if !listed || c.finished {
+		return dispatch.Unsent(attempt, routing.NotSent)
 	}
-	ctx, stop := context.WithDeadline(c.ctx, time.Now().Add(clock.Duration(a.ExpiresAt-c.plugin.clock.Now())))
-	a.TransportState = cancelRPC(stop)
+	remaining := clock.Duration(attempt.ExpiresAt - c.plugin.clock.Now())
+	ctx, cancel := context.WithTimeout(c.ctx, remaining)
+	attempt.TransportState = cancelRPC(cancel)
 	c.inFlight.Add(1)
 	go func() {
 		defer c.inFlight.Done()
-		defer stop()
-		to := &selectedServer{address: addr}
-		err := c.invoke(context.WithValue(withAttemptTraceparent(ctx, a.Trace), selectedServerKey{}, to))
-		c.mu.Lock()
-		c.lastErr = err
-		c.mu.Unlock()
-		c.plugin.dispatcher.Complete(completionOf(a, err, to.picked.Load()))
+		defer cancel()
+		c.runAttempt(ctx, attempt, address)
 	}()
 	return nil
 }
 
+// runAttempt carries out an attempt and reports its end to the dispatcher.
+func (c *unaryCall) runAttempt(ctx context.Context, attempt *dispatch.Attempt, address string) {
+	ctx = withAttemptTraceparent(ctx, attempt.Trace)
+	ctx, server := withSelectedServer(ctx, address)
+	err := c.invoke(ctx)
+	c.mu.Lock()
+	c.lastErr = err
+	c.mu.Unlock()
+	c.plugin.dispatcher.Complete(dispatch.Completion{
+		Attempt:  attempt,
+		Result:   attemptResult(status.Code(err), server.picked.Load(), attempt.Class.Idempotency),
+		Load:     dispatch.UnknownLoad(),
+		Response: dispatch.Response{Kind: dispatch.Served, Server: attempt.Decision.Server},
+	})
+}
+
 // cancelRPC cancels the RPC of an attempt: gRPC resets its stream, and the invoker returns.
 type cancelRPC context.CancelFunc
 
 // Cancel implements dispatch.TransportState.
 func (c cancelRPC) Cancel(*dispatch.Attempt) { c() }
 
-// Release implements dispatch.TransportState. Nothing is counted.
+// Release implements dispatch.TransportState. The attempt's goroutine releases its context.
 func (c cancelRPC) Release(*dispatch.Attempt) {}
 
-// completionOf tells what the end of an RPC says of its attempt. What is no word
-// of the transport is the application's, and is an answer.
-func completionOf(a *dispatch.Attempt, err error, picked bool) dispatch.Completion {
-	e := dispatch.Completion{Attempt: a, Load: dispatch.UnknownLoad(), Response: dispatch.Response{Kind: dispatch.Served, Server: a.Decision.Server}}
-	switch code := status.Code(err); {
-	case code == codes.OK:
-	case !picked && code == codes.Unavailable:
-		e.Result = routing.ConnectFailed // no connection was there to write to
-	case code == codes.Unavailable:
-		e.Result = routing.ConnectionLost
-	case code == codes.Canceled:
-		e.Result = routing.Canceled
-	case code == codes.DeadlineExceeded:
-		e.Result = routing.TimedOut
-	case code == codes.ResourceExhausted && a.Class.Idempotency == routing.Idempotent:
-		e.Result = routing.Rejected
-	case code == codes.Internal, code == codes.DataLoss, code == codes.Aborted, code == codes.ResourceExhausted:
-		e.Result = routing.ServerError
-	}
-	return e
-}
-
-// resolveOnlyTransport carries a stream's attempt out: it is over once its server is named.
-type resolveOnlyTransport struct{ plugin *Plugin }
-
-func (n resolveOnlyTransport) Send(a *dispatch.Attempt) *dispatch.Completion {
-	if _, ok := n.plugin.serverAddress(a.Decision.Server); !ok {
-		return dispatch.Unsent(a, routing.NotSent)
-	}
-	return dispatch.Resolved(a)
-}
-
-// interceptStream has the core choose a stream's server. A stream is not tried again:
-// what was sent on it can't be.
-func (p *Plugin) interceptStream(ctx context.Context, desc *grpc.StreamDesc, cc *grpc.ClientConn, method string, streamer grpc.Streamer, opts ...grpc.CallOption) (grpc.ClientStream, error) {
-	r, err := p.newRequest(ctx, method, nil)
-	if err != nil {
-		return nil, err
-	}
-	a, err := p.submit(ctx, r, resolveOnlyTransport{p})
-	if err != nil {
-		return nil, err
-	}
-	addr, ok := p.serverAddress(a.Server)
-	if a.Kind != dispatch.Served || !ok {
-		return nil, (&unaryCall{}).result(dispatch.Response{Kind: dispatch.Rejected, RetryAfter: a.RetryAfter})
+// attemptResult returns what the status of an RPC says of its attempt. A code that neither
+// gRPC nor an overloaded or broken server returns is the application's, and a response.
+// picked tells whether there was a connection to write to.
+func attemptResult(code codes.Code, picked bool, idempotency routing.Idempotency) routing.Result {
+	switch code {
+	case codes.Unavailable:
+		if !picked {
+			return routing.ConnectFailed
+		}
+		return routing.ConnectionLost
+	case codes.Canceled:
+		return routing.Canceled
+	case codes.DeadlineExceeded:
+		return routing.TimedOut
+	case codes.ResourceExhausted:
+		// The server may have executed a part: only an idempotent RPC counts as rejected.
+		if idempotency == routing.Idempotent {
+			return routing.Rejected
+		}
+		return routing.ServerError
+	case codes.Internal, codes.DataLoss, codes.Aborted:
+		return routing.ServerError
 	}
-	return streamer(context.WithValue(ctx, selectedServerKey{}, &selectedServer{address: addr}), desc, cc, method, opts...)
+	return routing.Served
 }
--- a/plugin/plugin.go
+++ b/plugin/plugin.go
@@ -1,14 +1,16 @@
 // Package plugin brings the edge router's decisions into a gRPC client: which
-// server an RPC goes to, how long to wait, when to try again and when to give
-// up. Servers are found by DNS, and an OpenAPI or AsyncAPI description tells
-// what may be repeated.
+// server an RPC goes to, how long to wait, when to retry and when to give up.
+// Servers are found by DNS, and an OpenAPI or AsyncAPI description tells what
+// may be retried.
 //
-//	ops, err := plugin.OpenAPI(doc, []string{"part", "form"})
-//	p, err := plugin.New(plugin.Options{Classes: classes, Operations: ops, Key: key})
+//	operations, err := plugin.OpenAPI(doc, []string{"part", "form"})
+//	p, err := plugin.New(plugin.Options{Classes: classes, Operations: operations, Key: key})
 //	defer p.Close()
-//	cc, err := grpc.NewClient("garnetline://127.0.0.1:53/_puzzles._tcp.example.org", append(p.DialOptions(), creds)...)
+//	conn, err := grpc.NewClient("garnetline://127.0.0.1:53/_puzzles._tcp.example.org", append(p.DialOptions(), credentials)...)
 //
-// A Plugin serves one ClientConn.
+// A Plugin serves one ClientConn. It is the resolver of the connection's target, chooses
+// the server of each RPC in its interceptors, and its balancer picks the connection to
+// that server.
 package plugin
 
 import (
@@ -18,10 +20,8 @@
 	"math/rand/v2"
 	"sync"
 	"sync/atomic"
-	"time"
 
 	"google.golang.org/grpc"
-	"google.golang.org/grpc/status"
 
 	"garnetline/internal/clock"
 	"garnetline/internal/dispatch"
@@ -31,75 +31,74 @@
 	"garnetline/routing"
 )
 
-// Plugin holds the decisions for one ClientConn.
+// Plugin makes the decisions for one ClientConn. All its methods may be called from any
+// goroutine.
 type Plugin struct {
-	options    Options
+	options    Options // with defaults
 	clock      clock.Clock
 	dispatcher *dispatch.Dispatcher
-	classes    map[classKey]int
+	classes    *classTable
 	metrics    *metrics.Registry
-	servers    atomic.Pointer[map[routing.ServerID]string] // listed ones, by id
-	recorder   *recorder.Recorder                          // nil: none
-	cancel     context.CancelFunc
-	stopped    chan struct{}
+	servers    atomic.Pointer[serverAddresses] // of the latest endpoint list
+	recorder   *recorder.Recorder              // nil: nothing is traced
+	cancel     context.CancelFunc              // ends the dispatcher
+	stopped    chan struct{}                   // closed when the dispatcher has ended
 	closeOnce  sync.Once
 }
 
-// classKey is a class with an idempotency: the module takes it from the class.
-type classKey struct {
-	name        string
-	idempotency Idempotency
-}
+// serverAddresses are the addresses of listed servers, as HOST:PORT.
+type serverAddresses map[routing.ServerID]string
 
-// New returns a Plugin that has no servers yet; Close ends it.
-func New(o Options) (*Plugin, error) { return newPlugin(o, clock.NewSystem()) }
+// New returns a Plugin that has no servers yet. Close releases what it uses.
+func New(options Options) (*Plugin, error) { return newPlugin(options, clock.NewSystem()) }
 
-func newPlugin(o Options, c clock.Clock) (*Plugin, error) {
-	o = o.withDefaults()
-	if o.RefreshInterval < 0 || o.MaxAttempts < 0 {
+func newPlugin(options Options, clk clock.Clock) (*Plugin, error) {
+	options = options.withDefaults()
+	if options.RefreshInterval < 0 || options.MaxAttempts < 0 {
 		return nil, errors.New("plugin: Refresh, Attempts: want more than 0")
 	}
-	p := &Plugin{options: o, clock: c, classes: map[classKey]int{}, metrics: metrics.New(), stopped: make(chan struct{})}
-	p.servers.Store(&map[routing.ServerID]string{})
-	set := routing.Settings{Zones: 1, Kinds: 1, ParentKind: -1, OriginKind: -1, RoutersByZone: []int{1}, Routers: 1,
-		MaxAttempts: o.MaxAttempts, MaxRetryAfter: time.Second, CanCancel: true, WeightIsCapacity: true,
-		CacheSlowStart: routing.SlowStart{InitialCapacity: 1}}
-	for i, k := range o.Classes {
-		if k.Name == "" || k.LatencyObjective <= 0 || k.Deadline <= 0 {
-			return nil, fmt.Errorf("plugin: Classes[%d]: want a Name, an Aim and a Deadline", i)
-		}
-		for e := Idempotent; e <= NonIdempotent; e++ {
-			p.classes[classKey{k.Name, e}] = len(set.Classes)
-			set.Classes = append(set.Classes, routing.Class{Name: k.Name, Idempotency: routing.Idempotency(e), KeyWindow: k.KeyWindow,
-				LatencyObjective: k.LatencyObjective, Deadline: k.Deadline, PriorityWeight: max(k.PriorityWeight, 0)})
-		}
+	classes, err := newClassTable(options.Classes)
+	if err != nil {
+		return nil, err
 	}
-	for id, op := range o.Operations {
-		if _, ok := p.classes[classKey{op.Class, op.Effect}]; !ok {
-			return nil, fmt.Errorf("plugin: Operations[%q]: class %q is not one of Classes", id, op.Class)
-		}
+	if err := classes.checkOperations(options.Operations); err != nil {
+		return nil, err
 	}
-	var err error
-	if p.dispatcher, err = dispatch.New(p.clock, set, rand.Uint64(), p.metrics); err != nil {
+	plugin := &Plugin{
+		options: options,
+		clock:   clk,
+		classes: classes,
+		metrics: metrics.New(),
+		stopped: make(chan struct{}),
+	}
+	plugin.servers.Store(&serverAddresses{})
+	settings := routingSettings(options.MaxAttempts, classes.routing)
+	if plugin.dispatcher, err = dispatch.New(clk, settings, rand.Uint64(), plugin.metrics); err != nil {
 		return nil, fmt.Errorf("plugin: %w", err)
 	}
-	if p.recorder, err = o.Trace.newRecorder(c, p.metrics, o.Classes); err != nil {
+	if plugin.recorder, err = newRecorder(options.Trace, clk, plugin.metrics, options.Classes); err != nil {
 		return nil, fmt.Errorf("plugin: Trace: %w", err)
 	}
+	plugin.start()
+	return plugin, nil
+}
+
+// start runs the dispatcher and, if calls are traced, the recorder. Close waits for both.
+func (p *Plugin) start() {
 	if p.recorder != nil {
 		p.dispatcher.SetTracer(instrument.Dispatcher(p.recorder))
 		go p.recorder.Run()
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	p.cancel = stop
+	ctx, cancel := context.WithCancel(context.Background())
+	p.cancel = cancel
 	go func() {
+		defer close(p.stopped)
 		p.dispatcher.Run(ctx)
-		close(p.stopped)
 	}()
-	return p, nil
 }
 
-// Close ends the plugin's goroutine. RPCs begun after it fail.
+// Close ends the plugin's goroutines and waits for them, but for those of the ClientConn's
+// resolver, which the ClientConn ends. RPCs begun after it fail with codes.Canceled.
 func (p *Plugin) Close() {
 	p.closeOnce.Do(func() {
 		p.cancel()
@@ -110,44 +109,20 @@
 	})
 }
 
-// DialOptions are what the ClientConn is to be made with.
+// DialOptions returns the options that the ClientConn must be made with.
 func (p *Plugin) DialOptions() []grpc.DialOption {
 	return []grpc.DialOption{
 		grpc.WithResolvers(p),
 		grpc.WithDefaultServiceConfig(fmt.Sprintf(`{"loadBalancingConfig":[{%q:{}}]}`, balancerName)),
 		grpc.WithDisableServiceConfig(),
-		grpc.WithDisableRetry(), // the module decides what is tried again
+		grpc.WithDisableRetry(), // the plugin decides what is retried
 		grpc.WithChainUnaryInterceptor(p.interceptUnary),
 		grpc.WithChainStreamInterceptor(p.interceptStream),
 	}
 }
 
-// newRequest makes the core's request of an RPC.
-func (p *Plugin) newRequest(ctx context.Context, method string, req any) (*dispatch.Request, error) {
-	op, ok := p.options.Operations.Find(method)
-	if !ok {
-		return nil, status.Errorf(codeNotDescribed, "garnetline: %s is not in the description", method)
-	}
-	r := &dispatch.Request{Class: p.classes[classKey{op.Class, op.Effect}]}
-	k := Key{}
-	if p.options.Key != nil {
-		k = p.options.Key(method, req)
-	}
-	k = k.withDefaults(method)
-	r.Object, r.Chunk, r.Group = routing.ObjectID(k.Object), k.Chunk, k.Group
-	left := clock.Millis(p.options.Classes[r.Class/int(NonIdempotent+1)].Deadline)
-	if at, ok := ctx.Deadline(); ok {
-		left = clock.Millis(time.Until(at))
-	}
-	r.Deadline = p.clock.Now() + left
-	if p.recorder != nil {
-		r.Client = &dispatch.ClientInfo{ReceivedAt: p.clock.Now(), TraceParent: callerTraceparent(ctx)}
-	}
-	return r, nil
-}
-
-// serverAddress tells the address of a server that may be sent to now.
+// serverAddress returns the address of a server that is listed now, and whether it is.
 func (p *Plugin) serverAddress(id routing.ServerID) (string, bool) {
-	addr, ok := (*p.servers.Load())[id]
-	return addr, ok
+	address, ok := (*p.servers.Load())[id]
+	return address, ok
 }
--- /dev/null
+++ b/plugin/request.go
@@ -0,0 +1,91 @@
+package plugin
+
+import (
+	"context"
+	"hash/fnv"
+	"time"
+
+	"google.golang.org/genproto/googleapis/rpc/errdetails"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+	"google.golang.org/protobuf/types/known/durationpb"
+
+	"garnetline/internal/clock"
+	"garnetline/internal/dispatch"
+	"garnetline/routing"
+)
+
+// newRequest returns the dispatcher's request for an RPC. message is nil for a stream.
+func (p *Plugin) newRequest(ctx context.Context, fullMethod string, message any) (*dispatch.Request, error) {
+	operation, ok := p.options.Operations.Find(fullMethod)
+	if !ok {
+		return nil, status.Errorf(codes.FailedPrecondition, "garnetline: %s is not in the description", fullMethod)
+	}
+	var key Key
+	if p.options.Key != nil {
+		key = p.options.Key(fullMethod, message)
+	}
+	key = key.withDefaults(fullMethod)
+	class := p.classes.indexOf(operation)
+	remaining := remainingTime(ctx, p.classes.routing[class].Deadline)
+	request := &dispatch.Request{
+		Class:    class,
+		Object:   routing.ObjectID(key.Object),
+		Chunk:    key.Chunk,
+		Group:    key.Group,
+		Deadline: p.clock.Now() + clock.Millis(remaining),
+	}
+	if p.recorder != nil {
+		request.Client = &dispatch.ClientInfo{ReceivedAt: p.clock.Now(), TraceParent: callerTraceparent(ctx)}
+	}
+	return request, nil
+}
+
+// remainingTime returns how long the caller waits: until the deadline of its context or,
+// where it has none, for a default.
+func remainingTime(ctx context.Context, defaultTime time.Duration) time.Duration {
+	if deadline, ok := ctx.Deadline(); ok {
+		return time.Until(deadline)
+	}
+	return defaultTime
+}
+
+// submit hands a request to the dispatcher and waits for its response, for the caller to
+// give up, or for the plugin to be closed.
+func (p *Plugin) submit(ctx context.Context, request *dispatch.Request, transport dispatch.Transport) (dispatch.Response, error) {
+	responses := make(chan dispatch.Response, 1)
+	request.Transport = transport
+	request.Respond = func(response dispatch.Response) { responses <- response }
+	if !p.dispatcher.Submit(request) {
+		return dispatch.Response{}, errClosed()
+	}
+	select {
+	case response := <-responses:
+		return response, nil
+	case <-ctx.Done():
+		p.dispatcher.Disconnect(request)
+		return dispatch.Response{}, status.FromContextError(ctx.Err()).Err()
+	case <-p.stopped:
+		return dispatch.Response{}, errClosed()
+	}
+}
+
+func errClosed() error { return status.Error(codes.Canceled, "garnetline: the plugin is closed") }
+
+// rejectedError returns the error of an RPC that was not executed. It tells the caller, in a
+// RetryInfo, when to retry.
+func rejectedError(retryAfterMs float64) error {
+	rejected := status.New(codes.Unavailable, "garnetline: refused, a retry is harmless")
+	retryInfo := &errdetails.RetryInfo{RetryDelay: durationpb.New(clock.Duration(retryAfterMs))}
+	if detailed, err := rejected.WithDetails(retryInfo); err == nil {
+		rejected = detailed
+	}
+	return rejected.Err()
+}
+
+// hashString returns a hash that is not 0: the key 0 means that there is none.
+func hashString(text string) uint64 {
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(text)) // never fails
+	return max(hash.Sum64(), 1)
+}
--- a/plugin/trace.go
+++ b/plugin/trace.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"context"
+	"encoding/binary"
 	"io"
 	"math/rand/v2"
 
@@ -19,9 +20,16 @@
 	"garnetline/internal/trace/store"
 )
 
-// traceparentKey is the metadata in which W3C Trace Context travels.
+// traceparentKey is the key of the metadata that carries W3C Trace Context.
 const traceparentKey = "traceparent"
 
+// Sizes of what is traced.
+const (
+	bytesPerMB       = 1 << 20
+	segmentsPerStore = 16             // the oldest segment is deleted to make room
+	undecidedBytes   = 4 * bytesPerMB // memory for traces that may still be retained
+)
+
 // Trace tells where traces of RPCs are stored: a span for each call, under the caller's own
 // span, and one for each attempt, whose id goes to the server as traceparent. The command
 // `garnetline trace --folder Folder` shows them.
@@ -46,55 +54,70 @@
 	return t
 }
 
-// newRecorder makes what follows the calls; nil where there is no Trace.
-func (t *Trace) newRecorder(c clock.Clock, count *metrics.Registry, classes []Class) (*recorder.Recorder, error) {
-	if t == nil {
+// newRecorder returns the recorder of calls, or nil if settings is nil. Defaults of settings
+// and classes are set.
+func newRecorder(settings *Trace, clk clock.Clock, registry *metrics.Registry, classes []Class) (*recorder.Recorder, error) {
+	if settings == nil {
 		return nil, nil
 	}
-	most := int64(t.MaxSizeMB)
-	w, err := store.Open(t.Folder, most<<20/16, most<<20)
+	maxBytes := int64(settings.MaxSizeMB) * bytesPerMB
+	segments, err := store.Open(settings.Folder, maxBytes/segmentsPerStore, maxBytes)
 	if err != nil {
 		return nil, err
 	}
-	o := recorder.Options{Clock: c, Router: t.Name, Secret: t.Secret, Seed: rand.Uint64(), Metrics: count, Log: logs.New(io.Discard), // the host's log is its own
-		Sink: w, ClientBytesPerSecond: func() float64 { return 0 }}
-	s := recorder.Settings{UndecidedBytes: 4 << 20, RetainClientSampled: true, Classes: map[string]sampling.Class{}}
-	for _, k := range classes {
-		s.Classes[k.Name] = sampling.Class{LatencyObjective: clock.Millis(k.LatencyObjective), OrdinaryPerSecond: t.OrdinaryPerSecond}
+	sampled := map[string]sampling.Class{}
+	for _, class := range classes {
+		sampled[class.Name] = sampling.Class{
+			LatencyObjective:  clock.Millis(class.LatencyObjective),
+			OrdinaryPerSecond: settings.OrdinaryPerSecond,
+		}
 	}
-	return recorder.New(o, s), nil
+	return recorder.New(recorder.Options{
+		Clock:                clk,
+		Router:               settings.Name,
+		Secret:               settings.Secret,
+		Seed:                 rand.Uint64(),
+		Metrics:              registry,
+		Log:                  logs.New(io.Discard), // the application's log is its own
+		Sink:                 segments,
+		ClientBytesPerSecond: func() float64 { return 0 },
+	}, recorder.Settings{
+		UndecidedBytes:      undecidedBytes,
+		RetainClientSampled: true,
+		Classes:             sampled,
+	}), nil
 }
 
-// callerTraceparent is the traceparent of the caller's own span: of the span in its context or,
-// where it has none, of the metadata that it sends.
+// callerTraceparent returns the traceparent of the caller's own span: of the span in its
+// context or, where it has none, of the metadata that it sends. It is empty if there is none.
 func callerTraceparent(ctx context.Context) string {
-	if s := oteltrace.SpanContextFromContext(ctx); s.IsValid() {
-		id, span := s.TraceID(), s.SpanID()
-		var n uint64
-		for _, b := range span {
-			n = n<<8 | uint64(b)
-		}
-		return trace.SpanContext{Trace: trace.ID(id), Span: trace.SpanID(n), Sampled: s.IsSampled()}.String()
+	if span := oteltrace.SpanContextFromContext(ctx); span.IsValid() {
+		spanID := span.SpanID()
+		return trace.SpanContext{
+			Trace:   trace.ID(span.TraceID()),
+			Span:    trace.SpanID(binary.BigEndian.Uint64(spanID[:])),
+			Sampled: span.IsSampled(),
+		}.String()
 	}
-	if md, ok := metadata.FromOutgoingContext(ctx); ok {
-		if v := md.Get(traceparentKey); len(v) == 1 {
-			return v[0]
-		}
+	outgoing, _ := metadata.FromOutgoingContext(ctx)
+	if values := outgoing.Get(traceparentKey); len(values) == 1 {
+		return values[0]
 	}
 	return ""
 }
 
-// withAttemptTraceparent has what an attempt does stand under its span. The caller's own traceparent
-// is replaced; without tracing ctx is returned as it is.
-func withAttemptTraceparent(ctx context.Context, t *dispatch.AttemptTrace) context.Context {
-	if t == nil || t.Context.Span == 0 {
+// withAttemptTraceparent returns a context whose metadata carries the span of an attempt, in
+// place of the caller's own traceparent. If the attempt is not traced, it returns ctx itself.
+func withAttemptTraceparent(ctx context.Context, attempt *dispatch.AttemptTrace) context.Context {
+	if attempt == nil || attempt.Context.Span == 0 {
 		return ctx
 	}
-	md, _ := metadata.FromOutgoingContext(ctx)
-	md = md.Copy()
-	if md == nil {
-		md = metadata.MD{}
+	outgoing, ok := metadata.FromOutgoingContext(ctx)
+	if ok {
+		outgoing = outgoing.Copy()
+	} else {
+		outgoing = metadata.MD{}
 	}
-	md.Set(traceparentKey, t.Context.String())
-	return metadata.NewOutgoingContext(ctx, md)
+	outgoing.Set(traceparentKey, attempt.Context.String())
+	return metadata.NewOutgoingContext(ctx, outgoing)
 }
