--- a/plugin/compatibility_test.go
+++ b/plugin/compatibility_test.go
@@ -39,9 +39,9 @@
 		{"trace directory", plugin.Options{Classes: []plugin.Class{valid}, Trace: &plugin.Trace{Folder: notDirectory}}, "plugin: Trace: mkdir FILE: not a directory"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			p, err := plugin.New(test.options)
+			accepted, err := plugin.New(test.options)
 			if err == nil {
-				p.Close()
+				accepted.Close()
 				t.Fatal("New accepted the options")
 			}
 			if got := strings.ReplaceAll(err.Error(), notDirectory, "FILE"); got != test.want {
@@ -93,15 +93,15 @@
 
 // The codes and texts with which RPCs fail without a server stay as they are.
 func TestRPCErrorTexts(t *testing.T) {
-	p, err := plugin.New(plugin.Options{
+	router, err := plugin.New(plugin.Options{
 		Classes:    []plugin.Class{{Name: "part", Aim: 10 * time.Millisecond, Deadline: 20 * time.Millisecond}},
 		Operations: plugin.Operations{"Get": {ID: "Get", Class: "part", Effect: plugin.Safe}},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(p.Close)
-	options := append(p.DialOptions(), grpc.WithTransportCredentials(insecure.NewCredentials()))
+	t.Cleanup(router.Close)
+	options := append(router.DialOptions(), grpc.WithTransportCredentials(insecure.NewCredentials()))
 	client, err := grpc.NewClient("garnetline://127.0.0.1:1/_none._tcp.example.test", options...)
 	if err != nil {
 		t.Fatal(err)
@@ -130,6 +130,6 @@
 	}
 	_, err = client.NewStream(t.Context(), &grpc.StreamDesc{ServerStreams: true}, "/a.B/Get")
 	check(status.Convert(err), codes.Unavailable, "garnetline: refused, a retry is harmless")
-	p.Close()
+	router.Close()
 	check(call("/a.B/Get"), codes.Canceled, "garnetline: the plugin is closed")
 }
--- a/plugin/example_test.go
+++ b/plugin/example_test.go
@@ -9,7 +9,7 @@
 // A description says what may be repeated: reads at will, writes with a key
 // for as long as the key is remembered.
 func ExampleOpenAPI() {
-	ops, err := plugin.OpenAPI([]byte(`
+	operations, err := plugin.OpenAPI([]byte(`
 openapi: 3.0.3
 info: {title: puzzles, version: "1"}
 paths:
@@ -24,7 +24,7 @@
 		fmt.Println(err)
 		return
 	}
-	op, ok := ops.Find("/puzzles.Solutions/Solve")
-	fmt.Println(ok, op.Class, op.Effect == plugin.IdempotentWithKey)
+	operation, ok := operations.Find("/puzzles.Solutions/Solve")
+	fmt.Println(ok, operation.Class, operation.Effect == plugin.IdempotentWithKey)
 	// Output: true solution true
 }
--- a/plugin/options_test.go
+++ b/plugin/options_test.go
@@ -102,3 +102,21 @@
 		t.Errorf("options are %+v now, were %+v", options, want)
 	}
 }
+
+func TestInvalidOptionsAreRejected(t *testing.T) {
+	validClass := Class{Name: "part", LatencyObjective: 1, Deadline: 1}
+	for name, options := range map[string]Options{
+		"no class":             {},
+		"no latency objective": {Classes: []Class{{Name: "part", Deadline: 1}}},
+		"unknown class":        {Classes: []Class{validClass}, Operations: Operations{"Check": {ID: "Check", Class: "form"}}},
+		"refresh interval":     {Classes: []Class{validClass}, RefreshInterval: -1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			plugin, err := New(options)
+			if err == nil {
+				plugin.Close()
+				t.Errorf("New accepted %+v", options)
+			}
+		})
+	}
+}
--- a/plugin/trace_test.go
+++ b/plugin/trace_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"sync"
 	"testing"
 
@@ -15,61 +16,121 @@
 	"garnetline/internal/trace/store"
 )
 
-// A call is a span under its caller's own, each of its attempts a span under that whose
-// id reaches the server; what the servers saw and what is kept are the same. Without
-// tracing the caller's metadata goes on as it is.
+// A call is a span under its caller's own, and each of its attempts is a span under that,
+// whose id reaches the server: what the servers saw and what is stored are the same.
 func TestCallsAreTraced(t *testing.T) {
 	folder := t.TempDir()
-	r := newRig(t, "get", 3, func(o *Options) { o.Trace = &Trace{Folder: folder, Name: "page", Ordinary: 1} })
-	var mu sync.Mutex
-	var seen []trace.SpanContext
-	for i, s := range r.servers {
-		s.set(func(ctx context.Context) error {
-			md, _ := metadata.FromIncomingContext(ctx)
-			mu.Lock()
-			defer mu.Unlock()
-			if v := md.Get(traceparentKey); len(v) == 1 && md.Get("kept")[0] == "as it is" {
-				p, ok := trace.ParseTraceparent(v[0])
-				if !ok {
-					t.Errorf("%q", v[0])
-				}
-				seen = append(seen, p)
-			}
+	client := newTestClient(t, "get", 3, func(options *Options) {
+		options.Trace = &Trace{Folder: folder, Name: "page", OrdinaryPerSecond: 1}
+	})
+	seen := &seenSpans{t: t}
+	for i, server := range client.servers {
+		server.setRespond(func(ctx context.Context) error {
+			seen.record(ctx)
 			return status.Errorf(codes.Internal, "server %d is broken", i)
 		})
 	}
-	own := oteltrace.NewSpanContext(oteltrace.SpanContextConfig{TraceID: oteltrace.TraceID{1, 2, 3}, SpanID: oteltrace.SpanID{0, 0, 0, 0, 0, 0, 1, 2}, TraceFlags: oteltrace.FlagsSampled})
-	ctx := metadata.AppendToOutgoingContext(oteltrace.ContextWithSpanContext(t.Context(), own), "kept", "as it is", traceparentKey, "another")
-	if _, err := r.client.Check(ctx, &health.HealthCheckRequest{Service: "traced"}); err == nil {
+	caller := callerSpan()
+	if _, err := client.health.Check(callerContext(t, caller), &health.HealthCheckRequest{Service: "traced"}); err == nil {
 		t.Error("served though all servers are broken")
 	}
-	r.p.Close()
-	x, err := store.Read(folder)
-	if err != nil {
-		t.Fatal(err)
-	}
-	var pieces []*trace.Trace
-	if _, err := x.Query(store.Filter{ID: trace.ID(own.TraceID())}, func(p *trace.Trace) bool { pieces = append(pieces, p); return true }); err != nil {
-		t.Fatal(err)
+	client.plugin.Close()
+
+	stored := readTraces(t, folder, trace.ID(caller.TraceID()))
+	if len(stored) != 1 || stored[0].ClientSpan != 0x102 || stored[0].Router != "page" {
+		t.Fatalf("%+v: want one trace of page under the caller's span", stored)
 	}
-	if len(pieces) != 1 || pieces[0].ClientSpan != 0x102 || pieces[0].Router != "page" {
-		t.Fatalf("%+v: want one piece under the caller's span", pieces)
+	attempts := attemptSpans(stored[0])
+	spans := seen.all()
+	if len(spans) < 3 || len(attempts) != len(spans) {
+		t.Fatalf("%d attempts are stored, servers saw %d; want as many, and at least 3", len(attempts), len(spans))
 	}
-	var attempts []trace.SpanID
-	for _, s := range pieces[0].Spans {
-		if s.Kind == trace.Attempt {
-			attempts = append(attempts, s.ID)
+	for i, span := range spans {
+		want := trace.SpanContext{Trace: trace.ID(caller.TraceID()), Span: attempts[i], Sampled: true}
+		if span.Trace != want.Trace || span.Span != want.Span || !span.Sampled {
+			t.Errorf("attempt %d reached its server as %v, want %v", i, span, want)
 		}
 	}
-	if len(seen) < 3 || len(attempts) != len(seen) {
-		t.Fatalf("%d attempts are traced, servers saw %d", len(attempts), len(seen))
+}
+
+func TestContextIsUnchangedWithoutTracing(t *testing.T) {
+	ctx := callerContext(t, callerSpan())
+	if got := withAttemptTraceparent(ctx, nil); got != ctx {
+		t.Errorf("context %v, want %v", got, ctx)
 	}
-	for i, p := range seen {
-		if p.Trace != trace.ID(own.TraceID()) || p.Span != attempts[i] || !p.Sampled {
-			t.Errorf("attempt %d reached its server as %v, is traced as %x", i, p, attempts[i])
-		}
+}
+
+// callerSpan returns the span of a caller, whose id is 0x102.
+func callerSpan() oteltrace.SpanContext {
+	return oteltrace.NewSpanContext(oteltrace.SpanContextConfig{
+		TraceID:    oteltrace.TraceID{1, 2, 3},
+		SpanID:     oteltrace.SpanID{0, 0, 0, 0, 0, 0, 1, 2},
+		TraceFlags: oteltrace.FlagsSampled,
+	})
+}
+
+// callerContext returns a context with a span, metadata of the caller and a traceparent that
+// is replaced.
+func callerContext(t *testing.T, span oteltrace.SpanContext) context.Context {
+	t.Helper()
+	ctx := oteltrace.ContextWithSpanContext(t.Context(), span)
+	return metadata.AppendToOutgoingContext(ctx, "kept", "as it is", traceparentKey, "another")
+}
+
+// seenSpans collects the spans under which servers were called.
+type seenSpans struct {
+	t     *testing.T
+	mu    sync.Mutex
+	spans []trace.SpanContext
+}
+
+// record collects the span of a call that has one traceparent and the caller's metadata.
+func (s *seenSpans) record(ctx context.Context) {
+	incoming, _ := metadata.FromIncomingContext(ctx)
+	values := incoming.Get(traceparentKey)
+	if len(values) != 1 || !slices.Equal(incoming.Get("kept"), []string{"as it is"}) {
+		return
+	}
+	span, ok := trace.ParseTraceparent(values[0])
+	if !ok {
+		s.t.Errorf("traceparent %q is malformed", values[0])
 	}
-	if plain := withAttemptTraceparent(ctx, nil); plain != ctx {
-		t.Error("without tracing the context was changed")
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.spans = append(s.spans, span)
+}
+
+func (s *seenSpans) all() []trace.SpanContext {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Clone(s.spans)
+}
+
+// readTraces returns the stored traces that have an id.
+func readTraces(t *testing.T, folder string, id trace.ID) []*trace.Trace {
+	t.Helper()
+	index, err := store.Read(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var traces []*trace.Trace
+	_, err = index.Query(store.Filter{ID: id}, func(found *trace.Trace) bool {
+		traces = append(traces, found)
+		return true
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return traces
+}
+
+// attemptSpans returns the ids of the spans of attempts.
+func attemptSpans(stored *trace.Trace) []trace.SpanID {
+	var ids []trace.SpanID
+	for _, span := range stored.Spans {
+		if span.Kind == trace.Attempt {
+			ids = append(ids, span.ID)
+		}
 	}
+	return ids
 }
