--- a/plugin/compatibility_test.go
+++ b/plugin/compatibility_test.go
@@ -133,3 +133,22 @@
 	router.Close()
 	check(call("/a.B/Get"), codes.Canceled, "garnetline: the plugin is closed")
 }
+
+// The older names are the new ones, so that users' code compiles and behaves as before.
+func TestDeprecatedNamesAreTheSame(t *testing.T) {
+	for name, pair := range map[string]struct {
+		deprecated plugin.Effect
+		current    plugin.Idempotency
+	}{
+		"Safe":   {plugin.Safe, plugin.Idempotent},
+		"Keyed":  {plugin.Keyed, plugin.IdempotentWithKey},
+		"Unsafe": {plugin.Unsafe, plugin.NonIdempotent},
+	} {
+		if pair.deprecated != pair.current {
+			t.Errorf("%s is %d, want %d", name, pair.deprecated, pair.current)
+		}
+	}
+	if got := int(plugin.Unsafe); got != 2 {
+		t.Errorf("Unsafe is %d, want 2", got)
+	}
+}
