--- a/internal/frontend/httpfront/clients_test.go
+++ b/internal/frontend/httpfront/clients_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"bufio"
-	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"strings"
@@ -21,8 +19,8 @@
 	server := newServer(dispatcher)
 	conn := dial(t, server)
 	send(t, conn, getRequest(objectTarget))
-	conn.Close()
-	if r := <-dispatcher.disconnected; r != dispatcher.request(0) {
+	closeConn(t, conn)
+	if request := <-dispatcher.disconnected; request != dispatcher.request(0) {
 		t.Error("the client of another request was reported")
 	}
 }
@@ -30,8 +28,12 @@
 // Guards against reading ahead only up to the first byte: a client that sent more and then
 // disconnected was not noticed, and its request was forwarded.
 func TestDisconnectAfterReadAhead(t *testing.T) {
-	for name, more := range map[string]string{"a byte": "G", "a request": getRequest(objectTarget), "requests": strings.Repeat(getRequest(objectTarget), 100),
-		"more than is kept": strings.Repeat("x", 3*maxReadAheadBytes)} {
+	for name, more := range map[string]string{
+		"a byte":            "G",
+		"a request":         getRequest(objectTarget),
+		"requests":          strings.Repeat(getRequest(objectTarget), 100),
+		"more than is kept": strings.Repeat("x", 3*maxReadAheadBytes),
+	} {
 		t.Run(name, func(t *testing.T) {
 			dispatcher := &fakeDispatcher{hold: true}
 			server := newServer(dispatcher)
@@ -39,18 +41,18 @@
 			send(t, conn, getRequest(objectTarget))
 			waitFor(t, "the request is submitted", func() bool { return dispatcher.count() == 1 })
 			send(t, conn, more)
-			conn.Close()
+			closeConn(t, conn)
 			select {
-			case r := <-dispatcher.disconnected:
-				if r != dispatcher.request(0) {
+			case request := <-dispatcher.disconnected:
+				if request != dispatcher.request(0) {
 					t.Error("the client of another request was reported")
 				}
-			case <-time.After(20 * time.Second):
+			case <-time.After(readTimeout):
 				t.Error("the disconnect was not reported")
 			}
 			waitFor(t, "the connection is closed", func() bool { return server.connCount() == 0 })
-			if dispatcher.count() != 1 {
-				t.Errorf("%d requests were submitted", dispatcher.count())
+			if count := dispatcher.count(); count != 1 {
+				t.Errorf("%d requests were submitted, want 1", count)
 			}
 		})
 	}
@@ -71,13 +73,13 @@
 	dispatcher.request(0).Respond(dispatch.Response{Kind: dispatch.Served, Body: []byte("1")})
 	readResponse(t, reader, "1")
 	waitFor(t, "the second is submitted", func() bool { return dispatcher.count() == 2 })
-	if request := dispatcher.request(1); request.Deadline != startTime+1500-responseMarginMs {
-		t.Errorf("the second has until %v, as if it had arrived later than it did", request.Deadline-startTime)
+	if got, want := dispatcher.request(1).Deadline, startTime+1500-responseMarginMs; got != want {
+		t.Errorf("the second has %v ms from the start, want %v, as it arrived then", got-startTime, want-startTime)
 	}
 	send(t, conn, strings.Repeat("x", 2*maxReadAheadBytes))
 	waitReadAheadOverflow(t, server)
 	dispatcher.request(1).Respond(dispatch.Response{Kind: dispatch.Served, Body: []byte("2")})
-	if r := readResponse(t, reader, "2"); !r.Close {
+	if response := readResponse(t, reader, "2"); !response.closes {
 		t.Error("a connection whose bytes were discarded is kept alive")
 	}
 }
@@ -93,8 +95,7 @@
 	for i := range 5 {
 		send(t, conn, putRequest(1)+"a")
 		waitFor(t, "the request is submitted", func() bool { return dispatcher.count() == i+1 })
-		conn.(*net.TCPConn).SetLinger(0) // the close is a reset
-		conn.Close()
+		resetConn(t, conn)
 		conn = dialAt(t, addr)
 		waitFor(t, "the disconnect is reported", func() bool { return len(dispatcher.disconnected) > 0 })
 		if <-dispatcher.disconnected != dispatcher.request(i) {
@@ -104,17 +105,30 @@
 	dispatcher.setResponse(servedX, false)
 	send(t, conn, putRequest(1)+"a")
 	readResponse(t, bufio.NewReader(conn), "x")
-	conn.Close()
+	closeConn(t, conn)
+}
+
+// resetConn closes a connection with a reset.
+func resetConn(t *testing.T, conn net.Conn) {
+	t.Helper()
+	if err := conn.(*net.TCPConn).SetLinger(0); err != nil {
+		t.Fatal(err)
+	}
+	closeConn(t, conn)
 }
 
 // Connections of clients that are silent, send slowly or flood are closed within 3 s of their
 // start, or 6 s where too long a body was announced, however the bytes are spread. A request
 // that was begun gets a response. (The symptom: each had 5 s or more, anew for each request.)
 func TestMisbehavingClientsAreClosedInTime(t *testing.T) {
+	chunked := strings.Replace(putRequest(0), "Content-Length: 0", "Transfer-Encoding: chunked", 1)
 	for _, test := range []struct {
-		name, text, more string
-		every, within    float64
-		status           int
+		name         string
+		text         string  // what the client sends first
+		repeat       string  // what it sends then, again and again
+		byteInterval float64 // ms between two bytes; 0: none
+		within       float64 // ms
+		status       int     // of the response; 0: none
 	}{
 		{"silence", "", "", 0, 3000, 0},
 		{"half a line", "GET " + objectTarget, "", 0, 3000, 400},
@@ -123,26 +137,31 @@
 		{"a trickled head", strings.TrimSuffix(getRequest(objectTarget, "X-A: "), "\r\n\r\n"), "a", 15, 3000, 408},
 		{"a trickled body", putRequest(40_000), "a", 10, 3000, 408},
 		{"a body that stops", putRequest(40_000) + "abc", "", 0, 3000, 408},
-		{"chunks that never end", strings.Replace(putRequest(0), "Content-Length: 0", "Transfer-Encoding: chunked", 1), strings.Repeat("1\r\na\r\n", 800), 0, 6000, 413},
+		{"chunks that never end", chunked, strings.Repeat("1\r\na\r\n", 800), 0, 6000, 413},
 		{"a trickle after the rejection", "x\r\n", "a", 500, 3000, 400},
 		{"a flood after the rejection", "x\r\n" + strings.Repeat("a", 5000), strings.Repeat("a", 5000), 0, 3000, 400},
 		{"a huge body", putRequest(60_000_000) + "a", strings.Repeat("a", 5000), 0, 6000, 413},
 	} {
-		manual := clock.NewManual(startTime)
-		server := newServer(&fakeDispatcher{})
-		server.Clock = manual
-		client := &slowClient{clock: manual, text: test.text, repeat: test.more, byteInterval: test.every}
-		server.newConn(client).serve()
-		if took := manual.Now() - startTime; took > test.within {
-			t.Errorf("%s: closed after %.0f ms", test.name, took)
-		}
-		status := 0
-		if r, err := http.ReadResponse(bufio.NewReader(&client.out), nil); err == nil {
-			status = r.StatusCode
-		}
-		if status != test.status {
-			t.Errorf("%s: status %d, want %d", test.name, status, test.status)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			manual := clock.NewManual(startTime)
+			server := newServer(&fakeDispatcher{})
+			server.Clock = manual
+			client := &slowClient{clock: manual, text: test.text, repeat: test.repeat, byteInterval: test.byteInterval}
+			server.newConn(client).serve()
+			if took := manual.Now() - startTime; took > test.within {
+				t.Errorf("closed after %.0f ms, want %.0f at most", took, test.within)
+			}
+			if test.status == 0 {
+				if client.out.Len() > 0 {
+					t.Errorf("response %q, want none", client.out.String())
+				}
+				return
+			}
+			response := mustReadResponse(t, bufio.NewReader(&client.out))
+			if response.status != test.status {
+				t.Errorf("status %d, want %d", response.status, test.status)
+			}
+		})
 	}
 }
 
@@ -157,31 +176,25 @@
 		return evictionOnlyConn{conn.(*net.TCPConn)}, nil
 	})
 	active := dialAt(t, addr)
-	request := func(c net.Conn) error {
-		send(t, c, getRequest(objectTarget))
-		r, err := http.ReadResponse(bufio.NewReader(c), nil)
-		if err != nil || r.StatusCode != http.StatusOK {
-			return fmt.Errorf("%v %w", r, err)
-		}
-		_, err = io.Copy(io.Discard, r.Body)
-		return err
-	}
-	dispatcher.setResponse(dispatcher.response, true)
+	dispatcher.setResponse(servedX, true)
 	send(t, active, getRequest(objectTarget))
 	waitFor(t, "the request is submitted", func() bool { return dispatcher.count() == 1 })
-	dispatcher.setResponse(dispatcher.response, false)
+	dispatcher.setResponse(servedX, false)
 	for i := range 40 { // half of them are idle after a request, half are silent
-		c := dialAt(t, addr)
+		conn := dialAt(t, addr)
 		if i%2 == 0 {
-			if err := request(c); err != nil {
-				t.Fatalf("connection %d: %v", i, err)
+			send(t, conn, getRequest(objectTarget))
+			response, err := parseResponse(bufio.NewReader(conn), http.MethodGet)
+			if err != nil || response.status != http.StatusOK {
+				t.Fatalf("connection %d: response %+v, %v; want status %d", i, response, err, http.StatusOK)
 			}
 		}
 		manual.Advance(newConnGraceMs)
 	}
-	dispatcher.request(0).Respond(dispatcher.response)
-	if r, err := http.ReadResponse(bufio.NewReader(active), nil); err != nil || r.StatusCode != http.StatusOK {
-		t.Errorf("the one whose request was open: %v %v", r, err)
+	dispatcher.request(0).Respond(servedX)
+	response, err := parseResponse(bufio.NewReader(active), http.MethodGet)
+	if err != nil || response.status != http.StatusOK {
+		t.Errorf("the one whose request was open: response %+v, %v; want status %d", response, err, http.StatusOK)
 	}
 }
 
@@ -190,21 +203,24 @@
 func TestOutOfDescriptors(t *testing.T) {
 	server := newServer(&fakeDispatcher{response: servedX})
 	accepted := 0
-	addr := serveHooked(t, server, func(c net.Conn) (net.Conn, error) {
-		if accepted++; accepted <= 3 {
-			c.Close()
-			return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
+	const failures = 3
+	addr := serveHooked(t, server, func(conn net.Conn) (net.Conn, error) {
+		if accepted++; accepted > failures {
+			return conn, nil
+		}
+		if err := conn.Close(); err != nil {
+			t.Error(err)
 		}
-		return c, nil
+		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	})
-	for range 3 {
+	for range failures {
 		dialAt(t, addr)
 	}
 	conn := dialAt(t, addr)
 	send(t, conn, getRequest(objectTarget))
 	readResponse(t, bufio.NewReader(conn), "x")
-	if n := server.Metrics.Counter("accept_errors").Load(); n != 3 {
-		t.Errorf("%d accept errors", n)
+	if got := server.Metrics.Counter("accept_errors").Load(); got != failures {
+		t.Errorf("%d accept errors, want %d", got, failures)
 	}
-	conn.Close()
+	closeConn(t, conn)
 }
--- a/internal/frontend/httpfront/helpers_test.go
+++ b/internal/frontend/httpfront/helpers_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -10,6 +11,7 @@
 	"strconv"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
@@ -87,26 +89,59 @@
 // shut down at the end of the test.
 func dial(t *testing.T, server *Server) net.Conn {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener := listen(t)
+	startServer(t, server, listener)
+	return connect(t, listener.Addr().String())
+}
+
+// listen returns a listener on a loopback address.
+func listen(tb testing.TB) net.Listener {
+	tb.Helper()
+	listener, err := new(net.ListenConfig).Listen(tb.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	done := make(chan error, 1)
-	go func() { done <- server.Serve(listener) }()
-	conn, err := net.Dial("tcp", listener.Addr().String())
+	return listener
+}
+
+// startServer has the server accept connections of a listener. It is shut down at the end of
+// the test, after the connections that connect returned later have been closed.
+func startServer(tb testing.TB, server *Server, listener net.Listener) {
+	tb.Helper()
+	served := make(chan error, 1)
+	go func() { served <- server.Serve(listener) }()
+	tb.Cleanup(func() {
+		server.Shutdown()
+		if err := <-served; err != nil {
+			tb.Errorf("Serve: %v", err)
+		}
+	})
+}
+
+// connect returns a connection to addr. It is closed at the end of the test, unless the test
+// has closed it.
+func connect(tb testing.TB, addr string) net.Conn {
+	tb.Helper()
+	conn, err := new(net.Dialer).DialContext(tb.Context(), "tcp", addr)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	t.Cleanup(func() {
-		conn.Close()
-		server.Shutdown()
-		if err := <-done; err != nil {
-			t.Error(err)
+	tb.Cleanup(func() {
+		if err := conn.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
+			tb.Error(err)
 		}
 	})
 	return conn
 }
 
+// closeConn closes a connection.
+func closeConn(t *testing.T, conn net.Conn) {
+	t.Helper()
+	if err := conn.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // send writes a text that must be written whole.
 func send(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
@@ -115,6 +150,29 @@
 	}
 }
 
+// sendInBackground writes a text while the test reads the response. The server may close the
+// connection before it has read all of it, so that errors do not matter.
+func sendInBackground(t *testing.T, conn net.Conn, text string) {
+	t.Helper()
+	written := make(chan struct{})
+	go func() {
+		defer close(written)
+		_, _ = io.WriteString(conn, text)
+	}()
+	t.Cleanup(func() {
+		_ = conn.SetWriteDeadline(time.Now()) // fails if the connection is closed, and ends the write
+		<-written
+	})
+}
+
+// setReadDeadline ends reads of a connection after readTimeout.
+func setReadDeadline(t *testing.T, conn net.Conn) {
+	t.Helper()
+	if err := conn.SetReadDeadline(time.Now().Add(readTimeout)); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // connCount returns how many connections are open.
 func (s *Server) connCount() int {
 	s.mu.Lock()
@@ -191,25 +249,71 @@
 func (m *memoryConn) SetReadDeadline(time.Time) error  { return nil }
 func (m *memoryConn) SetWriteDeadline(time.Time) error { return nil }
 
-// waitFor waits until a condition holds, for 20 s at most.
+// readTimeout bounds how long a test waits for a response or a condition.
+const readTimeout = 20 * time.Second
+
+// waitFor waits until a condition holds, for readTimeout at most.
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(readTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("timed out waiting until " + what)
 		}
 	}
 }
 
-// readResponse reads a response, which must be complete and have this body.
-func readResponse(t *testing.T, reader *bufio.Reader, body string) *http.Response {
+// clientResponse is a complete response as a client reads it.
+type clientResponse struct {
+	status int
+	header http.Header
+	body   string
+	closes bool // the connection is closed after it
+}
+
+// parseResponse reads a response to a request with a method.
+func parseResponse(reader *bufio.Reader, method string) (clientResponse, error) {
+	response, err := http.ReadResponse(reader, &http.Request{Method: method})
+	if err != nil {
+		return clientResponse{}, err
+	}
+	body, err := io.ReadAll(response.Body)
+	if closeErr := response.Body.Close(); err == nil {
+		err = closeErr
+	}
+	return clientResponse{
+		status: response.StatusCode,
+		header: response.Header,
+		body:   string(body),
+		closes: response.Close,
+	}, err
+}
+
+// parseFinalResponse reads responses up to the first that is not 100 Continue.
+func parseFinalResponse(reader *bufio.Reader, method string) (clientResponse, error) {
+	for {
+		response, err := parseResponse(reader, method)
+		if err != nil || response.status != http.StatusContinue {
+			return response, err
+		}
+	}
+}
+
+// mustReadResponse reads a response to a GET request, which must be complete.
+func mustReadResponse(t *testing.T, reader *bufio.Reader) clientResponse {
 	t.Helper()
-	response, err := http.ReadResponse(reader, nil)
+	response, err := parseResponse(reader, http.MethodGet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b, err := io.ReadAll(response.Body); err != nil || string(b) != body {
-		t.Fatalf("%d bytes of %d: %v", len(b), len(body), err)
+	return response
+}
+
+// readResponse reads a response, which must be complete and have this body.
+func readResponse(t *testing.T, reader *bufio.Reader, body string) clientResponse {
+	t.Helper()
+	response := mustReadResponse(t, reader)
+	if response.body != body {
+		t.Fatalf("body %.100q of %d bytes, want %.100q of %d", response.body, len(response.body), body, len(body))
 	}
 	return response
 }
@@ -220,6 +324,7 @@
 	*net.TCPConn
 	gate        chan bool
 	deadlineSet chan bool
+	deadline    atomic.Pointer[time.Time] // of reads, as it was set last
 }
 
 func newGatedConn() *gatedConn {
@@ -239,6 +344,7 @@
 
 func (g *gatedConn) SetReadDeadline(t time.Time) error {
 	err := g.TCPConn.SetReadDeadline(t)
+	g.deadline.Store(&t)
 	select {
 	case g.deadlineSet <- true:
 	default:
@@ -246,6 +352,12 @@
 	return err
 }
 
+// deadlinePassed reports whether the read deadline that was set last is in the past.
+func (g *gatedConn) deadlinePassed() bool {
+	deadline := g.deadline.Load()
+	return deadline != nil && !deadline.IsZero() && deadline.Before(time.Now())
+}
+
 // hookedListener passes accepted connections through a function of the test.
 type hookedListener struct {
 	net.Listener
@@ -264,24 +376,17 @@
 // accept, and returns the address.
 func serveHooked(t *testing.T, server *Server, accept func(net.Conn) (net.Conn, error)) string {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	go server.Serve(&hookedListener{listener, accept})
-	t.Cleanup(server.Shutdown)
+	listener := listen(t)
+	startServer(t, server, &hookedListener{listener, accept})
 	return listener.Addr().String()
 }
 
-// dialAt returns a connection to addr. It is closed at the end of the test.
+// dialAt returns a connection to addr whose reads end after readTimeout. It is closed at the
+// end of the test.
 func dialAt(t *testing.T, addr string) net.Conn {
 	t.Helper()
-	conn, err := net.Dial("tcp", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { conn.Close() })
-	conn.SetReadDeadline(time.Now().Add(20 * time.Second))
+	conn := connect(t, addr)
+	setReadDeadline(t, conn)
 	return conn
 }
 
@@ -323,17 +428,26 @@
 	})
 }
 
-// unreadBytes returns how many bytes wait to be read from a socket.
-func unreadBytes(t *testing.T, c *net.TCPConn) (n int) {
+// unreadBytes returns how many bytes wait to be read from a socket; -1 stands for none.
+func unreadBytes(t *testing.T, socket syscall.Conn) int {
 	t.Helper()
-	raw, err := c.SyscallConn()
+	unread := 0
+	control(t, socket, func(fd int) {
+		unread, _, _ = syscall.Recvfrom(fd, make([]byte, 4096), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	})
+	return unread
+}
+
+// control calls a function with the descriptor of a socket.
+func control(t *testing.T, socket syscall.Conn, call func(fd int)) {
+	t.Helper()
+	raw, err := socket.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw.Control(func(fd uintptr) {
-		n, _, _ = syscall.Recvfrom(int(fd), make([]byte, 4096), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-	})
-	return n
+	if err := raw.Control(func(fd uintptr) { call(int(fd)) }); err != nil {
+		t.Fatal(err)
+	}
 }
 
 // stoppedDispatcher is a dispatcher that has stopped.
--- a/internal/frontend/httpfront/lifecycle_test.go
+++ b/internal/frontend/httpfront/lifecycle_test.go
@@ -25,12 +25,9 @@
 			<-server.serveDone
 		}
 		send(t, conn, getRequest(objectTarget))
-		r, err := http.ReadResponse(reader, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if io.Copy(io.Discard, r.Body); r.StatusCode != http.StatusOK || r.Close != last {
-			t.Errorf("accepting ended: %v; status %d, close %v", last, r.StatusCode, r.Close)
+		response := mustReadResponse(t, reader)
+		if response.status != http.StatusOK || response.closes != last {
+			t.Errorf("status %d, closes %v; want status %d, closes %v", response.status, response.closes, http.StatusOK, last)
 		}
 	}
 }
@@ -42,45 +39,46 @@
 	server := newServer(dispatcher)
 	conn := dial(t, server)
 	reader := bufio.NewReader(conn)
-	ask := func(text string) *http.Response {
+	request := func(text string) clientResponse {
 		t.Helper()
 		send(t, conn, text)
-		r, err := http.ReadResponse(reader, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		io.Copy(io.Discard, r.Body)
-		return r
+		return mustReadResponse(t, reader)
 	}
 	health := "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
-	if r := ask(health); r.StatusCode != http.StatusOK {
-		t.Error("not healthy:", r.Status)
+	if got := request(health); got.status != http.StatusOK {
+		t.Errorf("health check: status %d, want %d", got.status, http.StatusOK)
 	}
 	server.FailHealthChecks()
-	if r := ask(health); r.StatusCode != http.StatusServiceUnavailable {
-		t.Error("still healthy:", r.Status)
+	if got := request(health); got.status != http.StatusServiceUnavailable {
+		t.Errorf("health check after FailHealthChecks: status %d, want %d", got.status, http.StatusServiceUnavailable)
 	}
-	if r := ask(getRequest(objectTarget)); r.StatusCode != http.StatusOK || r.Close {
-		t.Error("not served after FailHealthChecks:", r.Status)
+	if got := request(getRequest(objectTarget)); got.status != http.StatusOK || got.closes {
+		t.Errorf("request after FailHealthChecks: status %d, closes %v; want status %d, kept alive", got.status, got.closes, http.StatusOK)
 	}
-	response := dispatcher.response
-	dispatcher.setResponse(response, true)
+	dispatcher.setResponse(servedX, true)
 	send(t, conn, getRequest(objectTarget))
 	waitFor(t, "the request is submitted", func() bool { return dispatcher.count() == 2 })
-	done := make(chan bool)
-	go func() {
-		server.Shutdown()
-		close(done)
-	}()
+	done := startShutdown(server)
 	waitFor(t, "the shutdown begins", server.keepAlivesDisabled.Load)
-	dispatcher.request(1).Respond(response)
-	r, err := http.ReadResponse(reader, nil)
-	if err != nil || r.StatusCode != http.StatusOK || !r.Close {
-		t.Errorf("open at the shutdown: %v %v", r, err)
+	dispatcher.request(1).Respond(servedX)
+	response, err := parseResponse(reader, http.MethodGet)
+	if err != nil || response.status != http.StatusOK || !response.closes {
+		t.Errorf("open at the shutdown: response %+v, %v; want status %d, closed", response, err, http.StatusOK)
 	}
 	<-done
 }
 
+// startShutdown begins the server's shutdown and returns a channel that is closed when the
+// server is shut down.
+func startShutdown(server *Server) <-chan struct{} {
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		server.Shutdown()
+	}()
+	return done
+}
+
 // Guards against a listener that is closed while connections wait to be accepted and there is
 // no capacity for one more: each has brought a request.
 func TestBacklogServedAtShutdown(t *testing.T) {
@@ -91,24 +89,19 @@
 	send(t, conns[0], getRequest(objectTarget))
 	waitFor(t, "the request is submitted", func() bool { return dispatcher.count() == 1 })
 	for range 5 { // one is accepted and waits for capacity, the others are not
-		c, err := net.Dial("tcp", conns[0].RemoteAddr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
-		send(t, c, getRequest(objectTarget))
-		conns = append(conns, c)
+		conn := connect(t, conns[0].RemoteAddr().String())
+		send(t, conn, getRequest(objectTarget))
+		conns = append(conns, conn)
 	}
 	dispatcher.setResponse(servedX, false)
-	done := make(chan bool)
-	go func() { server.Shutdown(); close(done) }()
+	done := startShutdown(server)
 	<-server.serveDone
 	dispatcher.request(0).Respond(servedX)
-	for _, c := range conns {
-		if r := readResponse(t, bufio.NewReader(c), "x"); !r.Close {
+	for _, conn := range conns {
+		if response := readResponse(t, bufio.NewReader(conn), "x"); !response.closes {
 			t.Error("a connection is kept alive at shutdown")
 		}
-		c.Close()
+		closeConn(t, conn)
 	}
 	<-done
 }
@@ -117,48 +110,42 @@
 // forwarded, and its response could not be written.
 func TestNoRequestReadAfterFinalResponse(t *testing.T) {
 	for name, test := range map[string]struct {
-		text  string
-		end   func(*testing.T, *Server)
-		taken int
+		text      string
+		end       func(*testing.T, *Server) // ends the connection; nil: the text does
+		submitted int                       // requests
 	}{
 		"the client asks for the close": {getRequest(objectTarget, "Connection: close"), nil, 1},
 		"the request is malformed":      {"hello\r\n\r\n", nil, 0},
 		"the server stops accepting":    {getRequest(objectTarget), func(_ *testing.T, server *Server) { server.StopAccepting() }, 1},
-		"the server shuts down": {getRequest(objectTarget), func(t *testing.T, server *Server) {
-			t.Helper()
-			go server.Shutdown()
-			waitFor(t, "the shutdown begins", server.shuttingDown.Load)
-		}, 1},
-		"the connection is evicted": {getRequest(objectTarget), evictAll, 1},
-		"too much is read ahead":    {getRequest(objectTarget) + strings.Repeat("x", 2*maxReadAheadBytes), waitReadAheadOverflow, 1},
+		"the server shuts down":         {getRequest(objectTarget), beginShutdown, 1},
+		"the connection is evicted":     {getRequest(objectTarget), evictAll, 1},
+		"too much is read ahead":        {getRequest(objectTarget) + strings.Repeat("x", 2*maxReadAheadBytes), waitReadAheadOverflow, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			dispatcher := &fakeDispatcher{hold: true}
 			server := newServer(dispatcher)
 			conn := dial(t, server)
-			conn.SetReadDeadline(time.Now().Add(20 * time.Second))
+			setReadDeadline(t, conn)
 			send(t, conn, test.text+getRequest(objectTarget)) // the second request is there already
-			waitFor(t, "the first is submitted", func() bool { return dispatcher.count() == test.taken })
+			waitFor(t, "the first is submitted", func() bool { return dispatcher.count() == test.submitted })
 			if test.end != nil {
 				test.end(t, server)
 			}
-			if test.taken > 0 {
+			if test.submitted > 0 {
 				dispatcher.request(0).Respond(servedX)
 			}
 			reader := bufio.NewReader(conn)
-			r, err := http.ReadResponse(reader, nil)
-			if err != nil || !r.Close {
-				t.Fatalf("%v %v", r, err)
+			if response := mustReadResponse(t, reader); !response.closes {
+				t.Fatalf("response %+v keeps the connection alive", response)
 			}
-			io.Copy(io.Discard, r.Body)
 			_, _ = io.WriteString(conn, getRequest(objectTarget)) // nobody reads it, or the connection is closed
 			if b, err := reader.ReadByte(); err == nil {
 				t.Errorf("%q after the last response", b)
 			}
-			conn.Close()
+			closeConn(t, conn)
 			waitFor(t, "the connection is closed", func() bool { return server.connCount() == 0 })
-			if dispatcher.count() != test.taken {
-				t.Errorf("%d requests were submitted, want %d", dispatcher.count(), test.taken)
+			if count := dispatcher.count(); count != test.submitted {
+				t.Errorf("%d requests were submitted, want %d", count, test.submitted)
 			}
 		})
 	}
@@ -168,18 +155,10 @@
 // closed, at an eviction, at shutdown or at its timeout: a read whose deadline has passed does
 // not look at the socket.
 func TestRequestCrossesIdleClose(t *testing.T) {
-	for name, end := range map[string]func(server *Server, c *conn){
-		"evicted": func(server *Server, c *conn) {
-			server.mu.Lock()
-			defer server.mu.Unlock()
-			if server.evictionCandidate() != c {
-				t.Error("it is not the candidate")
-			}
-			c.evicted = true
-			c.text.NetConn.SetReadDeadline(time.Now())
-		},
-		"finished": func(server *Server, _ *conn) { go server.Shutdown() },
-		"idle":     func(_ *Server, c *conn) { c.text.NetConn.SetReadDeadline(time.Now()) },
+	for name, end := range map[string]func(t *testing.T, server *Server, idle *conn){
+		"evicted":  evictIdle,
+		"finished": func(_ *testing.T, server *Server, _ *conn) { startShutdown(server) },
+		"idle":     timeOutIdle,
 	} {
 		t.Run(name, func(t *testing.T) {
 			dispatcher := &fakeDispatcher{response: servedX}
@@ -191,40 +170,76 @@
 			gated.gate <- true // the first request
 			gated.gate <- true // the read-ahead
 			readResponse(t, reader, "x")
-			var c *conn
-			waitFor(t, "the connection is idle", func() bool {
-				server.mu.Lock()
-				defer server.mu.Unlock()
-				for c = range server.conns {
-					return c.state == stateIdle
-				}
-				return false
-			})
+			idle := waitIdle(t, server)
 			select {
 			case <-gated.deadlineSet:
 			default:
 			}
 			send(t, client, getRequest(objectTarget)) // it is in the socket, and the read is at the gate
-			end(server, c)
+			end(t, server, idle)
 			<-gated.deadlineSet
-			time.Sleep(time.Millisecond) // the deadline is in the past
+			waitFor(t, "the deadline is in the past", gated.deadlinePassed)
 			close(gated.gate)
 			readResponse(t, reader, "x")
-			client.Close()
+			closeConn(t, client)
 		})
 	}
 }
 
+// waitIdle waits until the server's only connection is idle, and returns it.
+func waitIdle(t *testing.T, server *Server) *conn {
+	t.Helper()
+	var idle *conn
+	waitFor(t, "the connection is idle", func() bool {
+		server.mu.Lock()
+		defer server.mu.Unlock()
+		for idle = range server.conns {
+			return idle.state == stateIdle
+		}
+		return false
+	})
+	return idle
+}
+
+// evictIdle evicts a connection, which must be the one that the server would evict.
+func evictIdle(t *testing.T, server *Server, idle *conn) {
+	t.Helper()
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	if server.evictionCandidate() != idle {
+		t.Error("the idle connection is not the candidate for eviction")
+	}
+	idle.evicted = true
+	endRead(t, idle.text.NetConn)
+}
+
+// timeOutIdle ends the wait of an idle connection for its next request.
+func timeOutIdle(t *testing.T, _ *Server, idle *conn) {
+	t.Helper()
+	endRead(t, idle.text.NetConn)
+}
+
+// endRead ends a read of a connection at once.
+func endRead(t *testing.T, conn net.Conn) {
+	t.Helper()
+	if err := conn.SetReadDeadline(time.Now()); err != nil {
+		t.Error(err)
+	}
+}
+
+// beginShutdown begins the server's shutdown and waits until it is seen to have begun.
+func beginShutdown(t *testing.T, server *Server) {
+	t.Helper()
+	startShutdown(server)
+	waitFor(t, "the shutdown begins", server.shuttingDown.Load)
+}
+
 // Guards against a new connection that is closed without a response while its first request
 // is in the socket: at an eviction, at shutdown and at its timeout.
 func TestFirstRequestCrossesClose(t *testing.T) {
 	for name, end := range map[string]func(*testing.T, *Server){
-		"evicted": evictAll,
-		"finished": func(t *testing.T, server *Server) {
-			t.Helper()
-			go server.Shutdown()
-			waitFor(t, "the shutdown begins", server.shuttingDown.Load)
-		},
+		"evicted":  evictAll,
+		"finished": beginShutdown,
 		"too late": func(*testing.T, *Server) {},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -236,11 +251,14 @@
 			waitFor(t, "the request is in the socket", func() bool { return unreadBytes(t, gated.TCPConn) == len(getRequest(objectTarget)) })
 			end(t, server)
 			server.mu.Lock()
-			gated.SetReadDeadline(time.Now().Add(-time.Second)) // whatever time it had
+			err := gated.SetReadDeadline(time.Now().Add(-time.Second)) // whatever time it had
 			server.mu.Unlock()
+			if err != nil {
+				t.Fatal(err)
+			}
 			close(gated.gate)
 			readResponse(t, bufio.NewReader(client), "x")
-			client.Close()
+			closeConn(t, client)
 		})
 	}
 }
@@ -252,7 +270,9 @@
 	dispatcher := &fakeDispatcher{hold: true}
 	server := newServer(dispatcher)
 	conn := dial(t, server).(*net.TCPConn)
-	conn.SetReadBuffer(16 << 10) // most of the response waits at the server
+	if err := conn.SetReadBuffer(16 << 10); err != nil { // most of the response waits at the server
+		t.Fatal(err)
+	}
 	send(t, conn, getRequest(objectTarget, "Connection: close"))
 	waitFor(t, "the request is submitted", func() bool { return dispatcher.count() == 1 })
 	send(t, conn, strings.Repeat("x", 32<<10)) // more than a reader's buffer takes
@@ -269,14 +289,11 @@
 	waitFor(t, "the connection is accepted", func() bool { return server.connCount() == 1 })
 	server.mu.Lock()
 	defer server.mu.Unlock()
-	for c := range server.conns {
-		raw, err := c.text.NetConn.(syscall.Conn).SyscallConn()
-		if err != nil {
-			t.Fatal(err)
-		}
-		raw.Control(func(fd uintptr) {
-			if on, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil || on == 0 {
-				t.Errorf("TCP_NODELAY is %d, %v", on, err)
+	for accepted := range server.conns {
+		control(t, accepted.text.NetConn.(syscall.Conn), func(fd int) {
+			noDelay, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
+			if err != nil || noDelay == 0 {
+				t.Errorf("TCP_NODELAY is %d, %v; want it set", noDelay, err)
 			}
 		})
 	}
--- a/internal/frontend/httpfront/request_test.go
+++ b/internal/frontend/httpfront/request_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"bytes"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"reflect"
@@ -16,7 +15,7 @@
 )
 
 // Requests that cannot be used are rejected by the server and not submitted.
-func TestMalformedRequests(t *testing.T) {
+func TestMalformedRequestsAreRejected(t *testing.T) {
 	for _, test := range []struct {
 		name, text string
 		status     int
@@ -53,17 +52,18 @@
 		{"head too long", getRequest(objectTarget, "X-A: "+strings.Repeat("a", 20_000)), 431},
 		{"one long line", strings.Repeat("a", 40_000), 431},
 	} {
-		dispatcher := &fakeDispatcher{}
-		conn := dial(t, newServer(dispatcher))
-		go io.WriteString(conn, test.text)
-		response, err := http.ReadResponse(bufio.NewReader(conn), nil)
-		if err != nil {
-			t.Errorf("%s: %v", test.name, err)
-			continue
-		}
-		if response.StatusCode != test.status || dispatcher.count() != 0 {
-			t.Errorf("%s: status %d, %d requests submitted", test.name, response.StatusCode, dispatcher.count())
-		}
+		t.Run(test.name, func(t *testing.T) {
+			dispatcher := &fakeDispatcher{}
+			conn := dial(t, newServer(dispatcher))
+			sendInBackground(t, conn, test.text)
+			response := mustReadResponse(t, bufio.NewReader(conn))
+			if response.status != test.status {
+				t.Errorf("status %d, want %d", response.status, test.status)
+			}
+			if count := dispatcher.count(); count != 0 {
+				t.Errorf("%d requests were submitted, want none", count)
+			}
+		})
 	}
 }
 
@@ -106,16 +106,12 @@
 	reader := bufio.NewReader(conn)
 	for _, request := range []string{text, as} {
 		send(t, conn, request)
-		response, err := http.ReadResponse(reader, nil)
-		if err == nil && response.StatusCode == http.StatusContinue {
-			response, err = http.ReadResponse(reader, nil)
-		}
-		if err != nil || response.StatusCode != http.StatusOK || response.Close {
-			t.Fatalf("%v %v", response, err)
+		response, err := parseFinalResponse(reader, http.MethodGet)
+		if err != nil || response.status != http.StatusOK || response.closes {
+			t.Fatalf("response %+v, %v; want status %d, kept alive", response, err, http.StatusOK)
 		}
-		io.Copy(io.Discard, response.Body)
 	}
-	conn.Close()
+	closeConn(t, conn)
 	one, other := dispatcher.request(0), dispatcher.request(1)
 	one.Respond, other.Respond = nil, nil
 	if !reflect.DeepEqual(one, other) {
@@ -124,22 +120,27 @@
 }
 
 // A body in chunks or after 100 Continue is the same body.
-func TestRequestBodies(t *testing.T) {
+func TestRequestBodyFormsAreEquivalent(t *testing.T) {
 	want := strings.Repeat("ab\r\n", 12_000)
 	chunks := "PUT /v1/form/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: x\r\nX-Txn: 9b1f03aa5c7e2d41\r\nX-Ttl-Ms: 1500\r\nX-Txn-Key: k1\r\n" +
 		"Transfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(want), want)
-	for _, text := range []string{putRequest(len(want)) + want, chunks, putRequest(len(want), "Expect: 100-continue") + want} {
-		dispatcher := &fakeDispatcher{response: dispatch.Response{Kind: dispatch.Served, Body: []byte("ok")}}
-		conn := dial(t, newServer(dispatcher))
-		go io.WriteString(conn, text)
-		reader := bufio.NewReader(conn)
-		response, err := http.ReadResponse(reader, nil)
-		if err == nil && response.StatusCode == http.StatusContinue {
-			response, err = http.ReadResponse(reader, nil)
-		}
-		if err != nil || response.StatusCode != http.StatusOK || string(dispatcher.request(0).Body) != want {
-			t.Errorf("%.200q: %v %v", text, response, err)
-		}
+	for name, text := range map[string]string{
+		"length":       putRequest(len(want)) + want,
+		"chunks":       chunks,
+		"100 Continue": putRequest(len(want), "Expect: 100-continue") + want,
+	} {
+		t.Run(name, func(t *testing.T) {
+			dispatcher := &fakeDispatcher{response: dispatch.Response{Kind: dispatch.Served, Body: []byte("ok")}}
+			conn := dial(t, newServer(dispatcher))
+			sendInBackground(t, conn, text)
+			response, err := parseFinalResponse(bufio.NewReader(conn), http.MethodPut)
+			if err != nil || response.status != http.StatusOK {
+				t.Fatalf("response %+v, %v; want status %d", response, err, http.StatusOK)
+			}
+			if got := string(dispatcher.request(0).Body); got != want {
+				t.Errorf("body %.100q of %d bytes, want %.100q of %d", got, len(got), want, len(want))
+			}
+		})
 	}
 }
 
@@ -151,41 +152,48 @@
 	server := newServer(dispatcher)
 	server.Clock = manual
 	text := putRequest(3) + "abc"
-	server.newConn(&slowClient{clock: manual, text: text, byteInterval: 15}).serve()
-	if dispatcher.count() != 1 {
-		t.Fatalf("%d requests were submitted", dispatcher.count())
+	const byteInterval = 15 // ms
+	server.newConn(&slowClient{clock: manual, text: text, byteInterval: byteInterval}).serve()
+	if count := dispatcher.count(); count != 1 {
+		t.Fatalf("%d requests were submitted, want 1", count)
 	}
-	if last := 15 * float64(len(text)); dispatcher.request(0).Deadline != startTime+last+1500-responseMarginMs {
-		t.Errorf("the deadline is %v, the last byte arrived at %v", dispatcher.request(0).Deadline-startTime, last)
+	lastByteAt := startTime + byteInterval*float64(len(text))
+	if got, want := dispatcher.request(0).Deadline, lastByteAt+1500-responseMarginMs; got != want {
+		t.Errorf("the deadline is %v ms from the start, want %v", got-startTime, want-startTime)
 	}
 }
 
 // FuzzConn: whatever a client sends, it gets complete responses only, and one for each request
 // that was submitted and whose client was not reported as disconnected.
 func FuzzConn(f *testing.F) {
-	for _, server := range []string{getRequest(objectTarget), getRequest(objectTarget) + getRequest(objectTarget), putRequest(3) + "abc" + getRequest("/healthz"), putRequest(5) + "ab",
-		getRequest(objectTarget, "Connection: close") + getRequest(objectTarget), "GET / HTTP/1.0\r\n\r\n", "\r\n\r\n\r\n", "PUT /v1/form/1 HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n"} {
-		f.Add([]byte(server))
+	for _, text := range []string{
+		getRequest(objectTarget),
+		getRequest(objectTarget) + getRequest(objectTarget),
+		putRequest(3) + "abc" + getRequest("/healthz"),
+		putRequest(5) + "ab",
+		getRequest(objectTarget, "Connection: close") + getRequest(objectTarget),
+		"GET / HTTP/1.0\r\n\r\n",
+		"\r\n\r\n\r\n",
+		"PUT /v1/form/1 HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n",
+	} {
+		f.Add([]byte(text))
 	}
-	f.Fuzz(func(t *testing.T, b []byte) {
+	f.Fuzz(func(t *testing.T, sent []byte) {
 		dispatcher := &fakeDispatcher{response: dispatch.Response{Kind: dispatch.Served, Body: []byte("body"), ETag: "t"}}
 		server := newServer(dispatcher)
-		dispatcher.disconnected = make(chan *dispatch.Request, len(b)+1)
-		client := &memoryConn{in: bytes.NewReader(b)}
+		dispatcher.disconnected = make(chan *dispatch.Request, len(sent)+1)
+		client := &memoryConn{in: bytes.NewReader(sent)}
 		server.newConn(client).serve()
 		served, reader := 0, bufio.NewReader(&client.out)
 		for {
 			if _, err := reader.Peek(1); err != nil {
 				break
 			}
-			r, err := http.ReadResponse(reader, nil)
+			response, err := parseResponse(reader, http.MethodGet)
 			if err != nil {
-				t.Fatalf("malformed response: %v", err)
-			}
-			if _, err := io.ReadAll(r.Body); err != nil {
-				t.Fatalf("incomplete response: %v", err)
+				t.Fatalf("malformed or incomplete response: %v", err)
 			}
-			if r.StatusCode == http.StatusOK && r.Header.Get("Etag") != "" {
+			if response.status == http.StatusOK && response.header.Get("Etag") != "" {
 				served++
 			}
 		}
--- a/internal/frontend/httpfront/response_test.go
+++ b/internal/frontend/httpfront/response_test.go
@@ -23,34 +23,58 @@
 	conn := dial(t, newServer(dispatcher))
 	reader := bufio.NewReader(conn)
 	for _, test := range []struct {
-		response dispatch.Response
-		status   int
-		name     string
-		value    string
-		body     string
+		name       string
+		response   dispatch.Response
+		wantStatus int
+		header     string
+		wantValue  string // of the header
+		wantBody   string
 	}{
-		{dispatch.Response{Kind: dispatch.Served, Body: []byte("a\x00\r\nb"), ETag: "t1"}, 200, "Etag", `"t1"`, "a\x00\r\nb"},
-		{dispatch.Response{Kind: dispatch.NotModified, ETag: "t1"}, 304, "Etag", `"t1"`, ""},
-		{dispatch.Response{Kind: dispatch.Rejected, RetryAfter: 250}, 503, "X-Throttle-Ms", "250", "refused: a retry is harmless\n"},
-		{dispatch.Response{Kind: dispatch.Failed}, 502, "X-Throttle-Ms", "", "failed\n"},
-		{dispatch.Response{Kind: dispatch.DuplicateID}, 409, "X-Throttle-Ms", "", "X-Txn: another request with it is open\n"},
-		{dispatch.Response{Kind: dispatch.Served}, 200, "Content-Length", "0", ""},
+		{"served", dispatch.Response{Kind: dispatch.Served, Body: []byte("a\x00\r\nb"), ETag: "t1"}, 200, "Etag", `"t1"`, "a\x00\r\nb"},
+		{"not modified", dispatch.Response{Kind: dispatch.NotModified, ETag: "t1"}, 304, "Etag", `"t1"`, ""},
+		{"rejected", dispatch.Response{Kind: dispatch.Rejected, RetryAfter: 250}, 503, "X-Throttle-Ms", "250", "refused: a retry is harmless\n"},
+		{"failed", dispatch.Response{Kind: dispatch.Failed}, 502, "X-Throttle-Ms", "", "failed\n"},
+		{"duplicate", dispatch.Response{Kind: dispatch.DuplicateID}, 409, "X-Throttle-Ms", "", "X-Txn: another request with it is open\n"},
+		{"served without a body", dispatch.Response{Kind: dispatch.Served}, 200, "Content-Length", "0", ""},
 	} {
-		dispatcher.setResponse(test.response, false)
-		send(t, conn, getRequest(objectTarget, `If-None-Match: "t1"`, "X-Family: 17", "X-Working-Set-Kb: 412.5"))
-		response, err := http.ReadResponse(reader, &http.Request{Method: http.MethodGet})
-		if err != nil {
-			t.Fatal(err)
-		}
-		body, err := io.ReadAll(response.Body)
-		if err != nil || response.StatusCode != test.status || response.Header.Get(test.name) != test.value || string(body) != test.body || response.Close {
-			t.Errorf("%+v: %d %v %q %v", test.response, response.StatusCode, response.Header, body, err)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			dispatcher.setResponse(test.response, false)
+			send(t, conn, getRequest(objectTarget, `If-None-Match: "t1"`, "X-Family: 17", "X-Working-Set-Kb: 412.5"))
+			got := mustReadResponse(t, reader)
+			if got.status != test.wantStatus {
+				t.Errorf("status %d, want %d", got.status, test.wantStatus)
+			}
+			if value := got.header.Get(test.header); value != test.wantValue {
+				t.Errorf("%s %q, want %q", test.header, value, test.wantValue)
+			}
+			if got.body != test.wantBody {
+				t.Errorf("body %q, want %q", got.body, test.wantBody)
+			}
+			if got.closes {
+				t.Error("the connection is not kept alive")
+			}
+		})
 	}
-	request := dispatcher.request(0)
-	if request.TransactionID != "9b1f03aa5c7e2d41" || request.Object != 0x7f3a9c21e0b4d655 || request.Chunk != 3 || request.Group != 17 || request.IfNoneMatch != "t1" || request.SizeKB != 412.5 ||
-		request.Deadline != startTime+1500-responseMarginMs {
-		t.Errorf("%+v", request)
+}
+
+func TestRequestIsSubmittedWithItsHeaders(t *testing.T) {
+	dispatcher := &fakeDispatcher{response: servedX}
+	conn := dial(t, newServer(dispatcher))
+	send(t, conn, getRequest(objectTarget, `If-None-Match: "t1"`, "X-Family: 17", "X-Working-Set-Kb: 412.5"))
+	readResponse(t, bufio.NewReader(conn), "x")
+	got := *dispatcher.request(0)
+	for name, field := range map[string]struct{ got, want any }{
+		"transaction": {got.TransactionID, "9b1f03aa5c7e2d41"},
+		"object":      {got.Object, routing.ObjectID(0x7f3a9c21e0b4d655)},
+		"chunk":       {got.Chunk, 3},
+		"group":       {got.Group, 17},
+		"entity tag":  {got.IfNoneMatch, "t1"},
+		"size":        {got.SizeKB, 412.5},
+		"deadline":    {got.Deadline, startTime + 1500 - responseMarginMs},
+	} {
+		if field.got != field.want {
+			t.Errorf("%s %v, want %v", name, field.got, field.want)
+		}
 	}
 }
 
@@ -60,11 +84,22 @@
 	classes := []routing.Class{{Deadline: 6 * time.Second}, {Deadline: time.Second}}
 	server.Classes = func() []routing.Class { return classes }
 	now := server.Clock.Now()
-	c := &conn{server: server}
-	for _, x := range []struct{ until, want float64 }{{0, minWriteTimeoutMs}, {now + 500, minWriteTimeoutMs}, {now + 4000, 4000}, {now + 600_000, 6000}} {
-		if got := c.writeTimeoutMs(&request{clientDeadline: x.until}); got != x.want {
-			t.Errorf("waits %v more: %v to write, want %v", x.until-now, got, x.want)
-		}
+	client := &conn{server: server}
+	for _, test := range []struct {
+		name     string
+		deadline float64
+		want     float64 // ms
+	}{
+		{"unknown", 0, minWriteTimeoutMs},
+		{"short", now + 500, minWriteTimeoutMs},
+		{"usual", now + 4000, 4000},
+		{"longer than any class's", now + 600_000, 6000},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := client.writeTimeoutMs(&request{clientDeadline: test.deadline}); got != test.want {
+				t.Errorf("%v ms to write, want %v", got, test.want)
+			}
+		})
 	}
 }
 
@@ -73,23 +108,15 @@
 func exchange(t *testing.T, server *Server, text string) []byte {
 	t.Helper()
 	conn := dial(t, server)
-	defer conn.Close()
-	go io.WriteString(conn, text)
+	sendInBackground(t, conn, text)
 	var raw bytes.Buffer
 	reader := bufio.NewReader(io.TeeReader(conn, &raw))
 	method, _, _ := strings.Cut(text, " ")
-	for {
-		response, err := http.ReadResponse(reader, &http.Request{Method: method})
-		if err != nil {
-			t.Fatal(err)
-		}
-		if _, err := io.Copy(io.Discard, response.Body); err != nil {
-			t.Fatal(err)
-		}
-		if response.StatusCode != http.StatusContinue {
-			return raw.Bytes()
-		}
+	if _, err := parseFinalResponse(reader, method); err != nil {
+		t.Fatal(err)
 	}
+	closeConn(t, conn)
+	return raw.Bytes()
 }
 
 // responseCase is a request and what it is responded to with.
