--- a/internal/frontend/dnsfront/config_test.go
+++ b/internal/frontend/dnsfront/config_test.go
@@ -7,14 +7,24 @@
 	"testing"
 )
 
-// An error names the key at fault; the example in deploy is valid.
-func TestLoadConfig(t *testing.T) {
-	if c, err := LoadConfig(""); err != nil || c.Enabled {
-		t.Errorf("without a file: %+v %v", c, err)
-	}
-	if c, err := LoadConfig("../../../deploy/dns.toml"); err != nil || c.Enabled || c.Zone != "garnetline.local." {
-		t.Errorf("deploy/dns.toml: %+v %v", c, err)
+func TestDNSIsDisabledByDefault(t *testing.T) {
+	for name, path := range map[string]string{
+		"no file":               "",
+		"the example in deploy": "../../../deploy/dns.toml",
+	} {
+		t.Run(name, func(t *testing.T) {
+			config, err := LoadConfig(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if config.Enabled || config.Zone != "garnetline.local." {
+				t.Errorf("%+v, want it disabled, with zone garnetline.local.", config)
+			}
+		})
 	}
+}
+
+func TestConfigErrorsNameTheKey(t *testing.T) {
 	for text, want := range map[string]string{
 		`listen = "x"`:        "listen",
 		`zone = "."`:          "zone",
@@ -23,28 +33,41 @@
 		`max_connections = 0`: "max_connections",
 		`ttl = 5`:             "ttl",
 	} {
-		path := filepath.Join(t.TempDir(), "dns.toml")
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if _, err := LoadConfig(path); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", text, err)
-		}
+		t.Run(text, func(t *testing.T) {
+			_, err := LoadConfig(writeConfig(t, text))
+			if err == nil || !strings.Contains(err.Error(), want) {
+				t.Errorf("error %v, want %s in it", err, want)
+			}
+		})
 	}
 }
 
-// Every key of the older file for DNS alone, and the defaults.
-func TestConfigKeys(t *testing.T) {
+// writeConfig writes a configuration file and returns its path.
+func writeConfig(t *testing.T, text string) string {
+	t.Helper()
 	path := filepath.Join(t.TempDir(), "dns.toml")
-	text := "enabled = true\nlisten = \"127.0.0.1:53\"\nzone = \"A.test\"\npatience_ms = 2.5\nmax_inflight = 3\nmax_connections = 4\n"
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c, err := LoadConfig(path)
-	if want := (Config{true, "127.0.0.1:53", "a.test.", 2.5, 3, 4}); err != nil || c != want {
-		t.Errorf("%+v %v, want %+v", c, err, want)
+	return path
+}
+
+// Every key of the older file for DNS alone.
+func TestConfigKeys(t *testing.T) {
+	text := "enabled = true\nlisten = \"127.0.0.1:53\"\nzone = \"A.test\"\npatience_ms = 2.5\nmax_inflight = 3\nmax_connections = 4\n"
+	got, err := LoadConfig(writeConfig(t, text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := Config{Enabled: true, Listen: "127.0.0.1:53", Zone: "a.test.", TimeoutMs: 2.5, MaxInflight: 3, MaxConnections: 4}
+	if got != want {
+		t.Errorf("%+v, want %+v", got, want)
 	}
-	if c, want := DefaultConfig(), (Config{false, "127.0.0.1:5353", "garnetline.local.", 1000, 256, 32}); c != want {
-		t.Errorf("without keys %+v, want %+v", c, want)
+}
+
+func TestDefaultConfig(t *testing.T) {
+	want := Config{Enabled: false, Listen: "127.0.0.1:5353", Zone: "garnetline.local.", TimeoutMs: 1000, MaxInflight: 256, MaxConnections: 32}
+	if got := DefaultConfig(); got != want {
+		t.Errorf("%+v, want %+v", got, want)
 	}
 }
--- a/internal/frontend/dnsfront/harness_test.go
+++ b/internal/frontend/dnsfront/harness_test.go
@@ -21,6 +21,12 @@
 // testZone is the zone of the server under test.
 const testZone = "garnet.test."
 
+// purgeRetention is how long the server respects a purge.
+const purgeRetention = 6 * time.Second
+
+// exchangeTimeout bounds how long a test waits for a reply.
+const exchangeTimeout = 5 * time.Second
+
 // startTime is what the clock of newHarness shows first.
 const startTime = 1.7e12
 
@@ -35,11 +41,25 @@
 	listed     chan platformconfig.WatchEvent
 }
 
-func (h *harness) UpdateEndpoints(ev platformconfig.WatchEvent) { h.listed <- ev }
+// UpdateEndpoints is called by the dispatcher with each change of the endpoint list.
+func (h *harness) UpdateEndpoints(event platformconfig.WatchEvent) { h.listed <- event }
+
+// The kinds of servers in testSettings.
+const (
+	cacheKind = iota
+	parentKind
+	originKind
+	kindCount
+)
 
 // testSettings returns settings with one zone and two classes: part is read, form is written.
 func testSettings() routing.Settings {
-	slowStart := routing.SlowStart{InitialCapacity: 0.15, Duration: 16 * time.Second, OverloadFactor: 3, OverloadWindow: 1500 * time.Millisecond}
+	slowStart := routing.SlowStart{
+		InitialCapacity: 0.15,
+		Duration:        16 * time.Second,
+		OverloadFactor:  3,
+		OverloadWindow:  1500 * time.Millisecond,
+	}
 	read := routing.Class{
 		Name:             "part",
 		Idempotency:      routing.Idempotent,
@@ -53,16 +73,16 @@
 	write.Write = true
 	return routing.Settings{
 		Zones:           1,
-		Kinds:           3,
-		ParentKind:      1,
-		OriginKind:      2,
+		Kinds:           kindCount,
+		ParentKind:      parentKind,
+		OriginKind:      originKind,
 		RoutersByZone:   []int{1},
 		Routers:         1,
 		MaxAttempts:     6,
 		MaxRetryAfter:   time.Second,
 		CanCancel:       true,
 		CanJoinFill:     true,
-		PurgeRetention:  6 * time.Second,
+		PurgeRetention:  purgeRetention,
 		CacheSlowStart:  slowStart,
 		ParentSlowStart: slowStart,
 		Classes:         []routing.Class{read, write},
@@ -71,68 +91,78 @@
 
 // newHarness starts a server and a dispatcher, whose settings change may alter.
 func newHarness(t *testing.T, change ...func(*routing.Settings)) *harness {
-	h := &harness{t: t, clock: clock.NewManual(startTime), listed: make(chan platformconfig.WatchEvent, 1)}
+	t.Helper()
+	front := &harness{t: t, clock: clock.NewManual(startTime), listed: make(chan platformconfig.WatchEvent, 1)}
 	settings := testSettings()
-	for _, f := range change {
-		f(&settings)
+	for _, apply := range change {
+		apply(&settings)
 	}
 	var err error
-	if h.dispatcher, err = dispatch.New(h.clock, settings, 1, metrics.New()); err != nil {
+	if front.dispatcher, err = dispatch.New(front.clock, settings, 1, metrics.New()); err != nil {
 		t.Fatal(err)
 	}
 	server := New(Options{
 		Config:     Config{Listen: "127.0.0.1:0", Zone: testZone, TimeoutMs: 1000, MaxInflight: 64, MaxConnections: 4},
-		Clock:      h.clock,
-		Dispatcher: h.dispatcher,
+		Clock:      front.clock,
+		Dispatcher: front.dispatcher,
 		Classes:    func() []routing.Class { return settings.Classes },
-		Guard:      h.guard.Load,
+		Guard:      front.guard.Load,
 		Metrics:    metrics.New(),
 	})
-	h.dispatcher.AddListeners(server, h)
-	ctx, stop := context.WithCancel(context.Background())
-	done := make(chan struct{})
-	go func() {
-		h.dispatcher.Run(ctx)
-		close(done)
-	}()
+	front.dispatcher.AddListeners(server, front)
+	front.runDispatcher()
 	addr, err := server.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.addr = addr.String()
+	front.addr = addr.String()
 	t.Cleanup(func() {
 		if err := server.Shutdown(context.Background()); err != nil {
 			t.Error(err)
 		}
-		stop()
-		<-done
 	})
-	return h
+	return front
+}
+
+// runDispatcher starts the dispatcher, which is stopped at the end of the test, after what
+// uses it.
+func (h *harness) runDispatcher() {
+	ctx, cancel := context.WithCancel(context.Background())
+	stopped := make(chan struct{})
+	go func() {
+		defer close(stopped)
+		h.dispatcher.Run(ctx)
+	}()
+	h.t.Cleanup(func() {
+		cancel()
+		<-stopped
+	})
 }
 
 // publish changes the endpoint list as the watcher does: the guard first, then the dispatcher.
 func (h *harness) publish(snapshot bool, endpoints ...platformconfig.Endpoint) {
-	g := routing.Guard{Ready: map[routing.ServerID]bool{}, PurgeRetention: 6 * time.Second}
+	guard := routing.Guard{Ready: map[routing.ServerID]bool{}, PurgeRetention: purgeRetention}
 	if old := h.guard.Load(); old != nil && !snapshot {
-		g.Purges = old.Purges
+		guard.Purges = old.Purges
 		for id := range old.Ready {
-			g.Ready[id] = true
+			guard.Ready[id] = true
 		}
 	}
 	for _, changed := range endpoints {
-		g.Ready[changed.ID] = changed.Phase == routing.Ready
+		guard.Ready[changed.ID] = changed.Phase == routing.Ready
 	}
-	h.guard.Store(&g)
+	h.guard.Store(&guard)
 	h.dispatcher.HandleWatchEvent(platformconfig.WatchEvent{ListUpdate: true, Snapshot: snapshot, Endpoints: endpoints})
 	<-h.listed
 }
 
 // purge publishes the purge of an object, or of a group if the object is 0.
 func (h *harness) purge(object routing.ObjectID, group int) {
-	g := *h.guard.Load()
-	g.Purges = append(g.Purges, routing.PurgeRecord{Object: object, Group: group, At: clock.Duration(h.clock.Now())})
-	h.guard.Store(&g)
-	h.dispatcher.HandleWatchEvent(platformconfig.WatchEvent{Purge: &platformconfig.Purge{Object: object, Group: group, At: h.clock.Now()}})
+	guard := *h.guard.Load()
+	guard.Purges = append(guard.Purges, routing.PurgeRecord{Object: object, Group: group, At: clock.Duration(h.clock.Now())})
+	h.guard.Store(&guard)
+	purge := &platformconfig.Purge{Object: object, Group: group, At: h.clock.Now()}
+	h.dispatcher.HandleWatchEvent(platformconfig.WatchEvent{Purge: purge})
 }
 
 // endpoint returns a server whose address is 127.0.9.ID.
@@ -145,50 +175,71 @@
 
 // listServers publishes three caches, a parent and an origin.
 func (h *harness) listServers() {
-	h.publish(true, endpoint(1, 0, routing.Ready), endpoint(2, 0, routing.Ready), endpoint(3, 0, routing.Ready),
-		endpoint(8, 1, routing.Ready), endpoint(9, 2, routing.Ready))
+	h.publish(true,
+		endpoint(1, cacheKind, routing.Ready),
+		endpoint(2, cacheKind, routing.Ready),
+		endpoint(3, cacheKind, routing.Ready),
+		endpoint(8, parentKind, routing.Ready),
+		endpoint(9, originKind, routing.Ready),
+	)
+}
+
+// listOneCache publishes a cache, a parent and an origin.
+func (h *harness) listOneCache() {
+	h.publish(true,
+		endpoint(1, cacheKind, routing.Ready),
+		endpoint(8, parentKind, routing.Ready),
+		endpoint(9, originKind, routing.Ready),
+	)
 }
 
 // queryName returns a name for each number.
 func queryName(i int) string { return fmt.Sprintf("%d.%016x.g%d.part.%s", i%3, 1+i, i%7, testZone) }
 
 // query sends a question over UDP or TCP and returns the reply.
-func (h *harness) query(network, name string, kind uint16) *dns.Msg {
-	h.t.Helper()
-	m, _, err := (&dns.Client{Net: network, Timeout: 5 * time.Second}).Exchange(new(dns.Msg).SetQuestion(name, kind), h.addr)
+func (h *harness) query(t *testing.T, network, name string, kind uint16) *dns.Msg {
+	t.Helper()
+	client := &dns.Client{Net: network, Timeout: exchangeTimeout}
+	reply, _, err := client.ExchangeContext(t.Context(), new(dns.Msg).SetQuestion(name, kind), h.addr)
 	if err != nil {
-		h.t.Fatalf("%s %s: %v", network, name, err)
+		t.Fatalf("%s %s: %v", network, name, err)
 	}
-	return m
+	return reply
 }
 
 // answeredAddress returns the first address in a reply, or nothing.
-func answeredAddress(m *dns.Msg) string {
-	for _, rr := range m.Answer {
-		if a, ok := rr.(*dns.A); ok {
-			return a.A.String()
+func answeredAddress(reply *dns.Msg) string {
+	for _, record := range reply.Answer {
+		if address, ok := record.(*dns.A); ok {
+			return address.A.String()
 		}
 	}
 	return ""
 }
 
-// exchangeRaw sends a packed question and returns the packed reply.
-func (h *harness) exchangeRaw(network string, query []byte) []byte {
-	h.t.Helper()
-	nc, err := net.Dial(network, h.addr)
+// exchangeRaw sends the bytes of a query and returns those of the reply.
+func (h *harness) exchangeRaw(t *testing.T, network string, query []byte) []byte {
+	t.Helper()
+	netConn, err := new(net.Dialer).DialContext(t.Context(), network, h.addr)
 	if err != nil {
-		h.t.Fatal(err)
+		t.Fatal(err)
+	}
+	defer func() {
+		if err := netConn.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
+	if err := netConn.SetDeadline(time.Now().Add(exchangeTimeout)); err != nil {
+		t.Fatal(err)
 	}
-	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(5 * time.Second))
-	conn := &dns.Conn{Conn: nc}
+	conn := &dns.Conn{Conn: netConn}
 	if _, err := conn.Write(query); err != nil {
-		h.t.Fatal(err)
+		t.Fatal(err)
 	}
-	answer := make([]byte, 4096)
-	n, err := conn.Read(answer)
+	reply := make([]byte, 4096)
+	n, err := conn.Read(reply)
 	if err != nil {
-		h.t.Fatal(err)
+		t.Fatal(err)
 	}
-	return answer[:n]
+	return reply[:n]
 }
--- a/internal/frontend/dnsfront/server_test.go
+++ b/internal/frontend/dnsfront/server_test.go
@@ -1,12 +1,12 @@
 package dnsfront
 
 import (
+	"bytes"
 	"encoding/hex"
 	"fmt"
-	"net"
+	"maps"
 	"strings"
 	"testing"
-	"time"
 
 	"github.com/miekg/dns"
 
@@ -20,17 +20,17 @@
 // a name, the question and the reply. Only one cache is listed, so that the fixture does not
 // depend on the selection.
 func TestGoldenMessages(t *testing.T) {
-	h := newHarness(t)
-	h.publish(true, endpoint(1, 0, routing.Ready), endpoint(8, 1, routing.Ready), endpoint(9, 2, routing.Ready))
+	front := newHarness(t)
+	front.listOneCache()
 	const target = "s-00000001." + testZone
 	question := func(name string, kind uint16) *dns.Msg { return new(dns.Msg).SetQuestion(name, kind) }
 	other := func(change func(*dns.Msg)) *dns.Msg {
-		m := question(queryName(1), dns.TypeA)
-		change(m)
-		return m
+		message := question(queryName(1), dns.TypeA)
+		change(message)
+		return message
 	}
 	purged := fmt.Sprintf("0.%016x.part.%s", 0xaa, testZone)
-	h.purge(0xaa, 0)
+	front.purge(0xaa, 0)
 	var out strings.Builder
 	for _, test := range []struct {
 		name     string
@@ -63,39 +63,46 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		answer := h.exchangeRaw("udp", query)
-		if tcp := h.exchangeRaw("tcp", query); string(tcp) != string(answer) {
-			t.Errorf("%s: % x over UDP, % x over TCP", test.name, answer, tcp)
+		reply := front.exchangeRaw(t, "udp", query)
+		if tcp := front.exchangeRaw(t, "tcp", query); !bytes.Equal(tcp, reply) {
+			t.Errorf("%s: % x over UDP, % x over TCP; want the same", test.name, reply, tcp)
 		}
-		fmt.Fprintf(&out, "%s\t%s\t%s\n", test.name, hex.EncodeToString(query), hex.EncodeToString(answer))
+		fmt.Fprintf(&out, "%s\t%s\t%s\n", test.name, hex.EncodeToString(query), hex.EncodeToString(reply))
 	}
 	golden.Compare(t, "messages.golden", []byte(out.String()))
 }
 
 // The answer to an SRV query has the port and a target that resolves for as long as it may be
 // used.
-func TestSRV(t *testing.T) {
-	h := newHarness(t)
-	h.listServers()
-	m := h.query("udp", queryName(4), dns.TypeSRV)
-	srv, ok := m.Answer[0].(*dns.SRV)
-	if !ok || srv.Port != 5050 || srv.Hdr.Ttl != 0 || len(m.Extra) != 1 {
-		t.Fatalf("%v", m)
+func TestSRVAnswerHasPortAndTarget(t *testing.T) {
+	front := newHarness(t)
+	front.listServers()
+	reply := front.query(t, "udp", queryName(4), dns.TypeSRV)
+	if len(reply.Answer) == 0 || len(reply.Extra) != 1 {
+		t.Fatalf("%v, want an answer with one additional record", reply)
 	}
-	want := m.Extra[0].(*dns.A).A.String()
-	if got := answeredAddress(h.query("udp", srv.Target, dns.TypeA)); got != want {
+	srv, ok := reply.Answer[0].(*dns.SRV)
+	if !ok || srv.Port != 5050 || srv.Hdr.Ttl != 0 {
+		t.Fatalf("%v, want an SRV record with port 5050 and TTL 0", reply)
+	}
+	address, ok := reply.Extra[0].(*dns.A)
+	if !ok {
+		t.Fatalf("%v, want an address as additional record", reply)
+	}
+	want := address.A.String()
+	if got := answeredAddress(front.query(t, "udp", srv.Target, dns.TypeA)); got != want {
 		t.Errorf("the target resolves to %q, want %q", got, want)
 	}
-	h.clock.Advance(1500)
-	if m := h.query("udp", srv.Target, dns.TypeA); m.Rcode != dns.RcodeNameError {
-		t.Errorf("the target still resolves: %v", m)
+	front.clock.Advance(1500)
+	if reply := front.query(t, "udp", srv.Target, dns.TypeA); reply.Rcode != dns.RcodeNameError {
+		t.Errorf("the target still resolves: %v, want %s", reply, dns.RcodeToString[dns.RcodeNameError])
 	}
 }
 
 // Queries that are not for an object, or that cannot be answered.
-func TestOtherQueries(t *testing.T) {
-	h := newHarness(t)
-	h.listServers()
+func TestResponseCodes(t *testing.T) {
+	front := newHarness(t)
+	front.listServers()
 	for _, test := range []struct {
 		name string
 		kind uint16
@@ -114,125 +121,125 @@
 		{"part." + testZone, dns.TypeA, dns.RcodeFormatError},
 	} {
 		for _, network := range []string{"udp", "tcp"} {
-			if m := h.query(network, test.name, test.kind); m.Rcode != test.want {
-				t.Errorf("%s %s: %s, want %s", network, test.name, dns.RcodeToString[m.Rcode], dns.RcodeToString[test.want])
-			}
+			t.Run(network+" "+test.name+" "+dns.TypeToString[test.kind], func(t *testing.T) {
+				if got := front.query(t, network, test.name, test.kind).Rcode; got != test.want {
+					t.Errorf("%s, want %s", dns.RcodeToString[got], dns.RcodeToString[test.want])
+				}
+			})
 		}
 	}
-	conn, err := net.Dial("udp", h.addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer conn.Close()
-	broken := append([]byte{0x12, 0x34, 1, 0, 0, 1, 0, 0, 0, 0, 0, 0}, 0x3f, 'x') // a question cut short
-	if _, err := conn.Write(broken); err != nil {
-		t.Fatal(err)
-	}
-	reply := make([]byte, 512)
-	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if n, err := conn.Read(reply); err != nil || n < 4 || int(reply[3]&15) != dns.RcodeFormatError {
-		t.Errorf("a broken message: % x, %v", reply[:n], err)
+}
+
+func TestMalformedMessageIsAFormatError(t *testing.T) {
+	front := newHarness(t)
+	front.listServers()
+	header := []byte{0x12, 0x34, 1, 0, 0, 1, 0, 0, 0, 0, 0, 0}
+	reply := front.exchangeRaw(t, "udp", append(header, 0x3f, 'x')) // a question cut short
+	const rcodeByte, rcodeMask = 3, 0x0f
+	if len(reply) <= rcodeByte || int(reply[rcodeByte]&rcodeMask) != dns.RcodeFormatError {
+		t.Errorf("reply % x, want response code %d", reply, dns.RcodeFormatError)
 	}
 }
 
 // While copies from before a purge may exist, no server is returned for what was purged, since
 // an answer cannot limit the age of a copy.
-func TestPurge(t *testing.T) {
-	h := newHarness(t)
-	h.listServers()
+func TestPurgedObjectsAreNotAnswered(t *testing.T) {
+	front := newHarness(t)
+	front.listServers()
 	chunk := func(object, group string) string { return "0." + object + group + ".part." + testZone }
-	const hit, other = "00000000000000aa", "00000000000000bb"
+	const purged, other = "00000000000000aa", "00000000000000bb"
 	check := func(when, name string, want int) {
 		t.Helper()
-		if m := h.query("udp", name, dns.TypeA); m.Rcode != want || (want == dns.RcodeSuccess) != (answeredAddress(m) != "") {
-			t.Errorf("%s, %s: %v %v", when, name, dns.RcodeToString[m.Rcode], m.Answer)
+		reply := front.query(t, "udp", name, dns.TypeA)
+		if reply.Rcode != want {
+			t.Errorf("%s, %s: %s, want %s", when, name, dns.RcodeToString[reply.Rcode], dns.RcodeToString[want])
+		}
+		answered := answeredAddress(reply) != ""
+		if wantAnswer := want == dns.RcodeSuccess; answered != wantAnswer {
+			t.Errorf("%s, %s: answer %v, want an address: %v", when, name, reply.Answer, wantAnswer)
 		}
 	}
-	h.purge(0xaa, 0)
-	check("purged object", chunk(hit, ".g3"), dns.RcodeServerFailure)
+	front.purge(0xaa, 0)
+	check("purged object", chunk(purged, ".g3"), dns.RcodeServerFailure)
 	check("another object", chunk(other, ".g3"), dns.RcodeSuccess)
-	h.purge(0, 5)
+	front.purge(0, 5)
 	check("purged group", chunk(other, ".g5"), dns.RcodeServerFailure)
 	check("another group", chunk(other, ".g4"), dns.RcodeSuccess)
 	check("a name without a group", chunk(other, ""), dns.RcodeServerFailure)
 	check("a write", "0."+other+".g5.form."+testZone, dns.RcodeSuccess)
-	h.clock.Advance(6001)
-	check("after the retention", chunk(hit, ".g5"), dns.RcodeSuccess)
+	front.clock.Advance(clock.Millis(purgeRetention) + 1)
+	check("after the retention", chunk(purged, ".g5"), dns.RcodeSuccess)
 }
 
-// resolver caches answers for their TTL, by the clock of the test.
-type resolver struct {
-	harness *harness
-	cache   map[string]cachedAnswer
+// cachingResolver caches answers for their TTL, by the clock of the test.
+type cachingResolver struct {
+	front *harness
+	cache map[string]cachedAnswer
 }
 
 type cachedAnswer struct {
-	addr      string
-	expiresAt float64
+	address   string
+	expiresAt float64 // ms
 }
 
-func (s *resolver) resolve(name string) string {
-	if k, ok := s.cache[name]; ok && s.harness.clock.Now() < k.expiresAt {
-		return k.addr
+// resolve returns the address of a name, or nothing.
+func (r *cachingResolver) resolve(name string) string {
+	if cached, ok := r.cache[name]; ok && r.front.clock.Now() < cached.expiresAt {
+		return cached.address
 	}
-	m := s.harness.query("udp", name, dns.TypeA)
-	addr := answeredAddress(m)
-	if addr != "" {
-		s.cache[name] = cachedAnswer{addr, s.harness.clock.Now() + 1000*float64(m.Answer[0].Header().Ttl)}
+	reply := r.front.query(r.front.t, "udp", name, dns.TypeA)
+	address := answeredAddress(reply)
+	if address != "" {
+		ttlMs := 1000 * float64(reply.Answer[0].Header().Ttl)
+		r.cache[name] = cachedAnswer{address, r.front.clock.Now() + ttlMs}
 	}
-	return addr
+	return address
 }
 
 // A resolver that caches answers for their TTL does not return a draining server, from 300 ms
 // after the drain on.
 func TestDrainingServersAreNotAnswered(t *testing.T) {
-	h := newHarness(t)
-	h.listServers()
-	caching := &resolver{harness: h, cache: map[string]cachedAnswer{}}
-	named := map[string]bool{}
+	front := newHarness(t)
+	front.listServers()
+	resolver := &cachingResolver{front: front, cache: map[string]cachedAnswer{}}
+	answered := map[string]bool{}
 	for i := range 60 {
-		named[caching.resolve(queryName(i))] = true
+		answered[resolver.resolve(queryName(i))] = true
 	}
-	if !named["127.0.9.1"] || !named["127.0.9.2"] || !named["127.0.9.3"] || len(named) != 3 {
-		t.Fatalf("named %v, want all three caches", named)
+	if want := map[string]bool{"127.0.9.1": true, "127.0.9.2": true, "127.0.9.3": true}; !maps.Equal(answered, want) {
+		t.Fatalf("answers %v, want all three caches", answered)
 	}
-	h.publish(false, endpoint(2, 0, routing.Draining))
+	front.publish(false, endpoint(2, cacheKind, routing.Draining))
 	for range 4 {
-		h.clock.Advance(300)
+		front.clock.Advance(300)
 		for i := range 60 {
-			if got := caching.resolve(queryName(i)); got == "127.0.9.2" || got == "" {
-				t.Fatalf("%.0f ms after the drain: %q", h.clock.Now()-startTime, got)
+			if got := resolver.resolve(queryName(i)); got == "127.0.9.2" || got == "" {
+				t.Fatalf("%.0f ms after the drain: %q", front.clock.Now()-startTime, got)
 			}
 		}
 	}
-	h.publish(false, endpoint(1, 0, routing.Removed), endpoint(3, 0, routing.Draining))
-	if m := h.query("tcp", queryName(1), dns.TypeA); m.Rcode != dns.RcodeServerFailure {
-		t.Errorf("without a ready cache: %v", dns.RcodeToString[m.Rcode])
+	front.publish(false, endpoint(1, cacheKind, routing.Removed), endpoint(3, cacheKind, routing.Draining))
+	if got := front.query(t, "tcp", queryName(1), dns.TypeA).Rcode; got != dns.RcodeServerFailure {
+		t.Errorf("without a ready cache: %s, want %s", dns.RcodeToString[got], dns.RcodeToString[dns.RcodeServerFailure])
 	}
 }
 
 // A server that is warming up is selected no more often than slow start allows, where lookups
 // are all that is known of its load.
 func TestLookupsCountAgainstWarmingServers(t *testing.T) {
-	h := newHarness(t)
-	h.publish(true, endpoint(1, 0, routing.Ready), endpoint(8, 1, routing.Ready), endpoint(9, 2, routing.Ready))
-	cold := endpoint(2, 0, routing.Ready)
-	cold.StartedAt = clock.Duration(h.clock.Now())
-	h.publish(false, cold)
+	front := newHarness(t)
+	front.listOneCache()
+	warmingUp := endpoint(2, cacheKind, routing.Ready)
+	warmingUp.StartedAt = clock.Duration(front.clock.Now())
+	front.publish(false, warmingUp)
 	for i := range 200 { // no capacity has been observed: there is none to spare
-		h.clock.Advance(5)
-		if got := answeredAddress(h.query("udp", queryName(i), dns.TypeA)); got != "127.0.9.1" {
+		front.clock.Advance(5)
+		if got := answeredAddress(front.query(t, "udp", queryName(i), dns.TypeA)); got != "127.0.9.1" {
 			t.Fatalf("lookup %d returns %q while the other server is warming up", i, got)
 		}
 	}
-	h.clock.Advance(20_000)
-	warm := 0
-	for i := range 60 {
-		if answeredAddress(h.query("udp", queryName(i), dns.TypeA)) == "127.0.9.2" {
-			warm++
-		}
-	}
-	if warm == 0 {
+	front.clock.Advance(20_000)
+	if selected := front.countAnswers(t, "127.0.9.2", 60, 0); selected == 0 {
 		t.Error("the server is never selected after it has warmed up")
 	}
 }
@@ -240,25 +247,37 @@
 // Where weights are capacities, a server that is warming up is selected for its quota of the
 // lookups, within the budget of each window.
 func TestWarmingServersStayWithinTheirBudget(t *testing.T) {
-	h := newHarness(t, func(s *routing.Settings) { s.WeightIsCapacity, s.TransferKBPerSecond = true, 1000 })
-	heavy := func(id, kind int, started float64) platformconfig.Endpoint {
+	front := newHarness(t, func(settings *routing.Settings) {
+		settings.WeightIsCapacity = true
+		settings.TransferKBPerSecond = 1000
+	})
+	weighted := func(id, kind int, startedAt float64) platformconfig.Endpoint {
 		server := endpoint(id, kind, routing.Ready)
 		server.Weight = 10
-		server.StartedAt = clock.Duration(started)
+		server.StartedAt = clock.Duration(startedAt)
 		return server
 	}
-	h.publish(true, heavy(1, 0, 0), heavy(8, 1, 0), heavy(9, 2, 0))
-	h.publish(false, heavy(2, 0, h.clock.Now()))
-	cold := 0
-	for i := range 150 {
-		h.clock.Advance(10)
-		if answeredAddress(h.query("udp", queryName(i), dns.TypeA)) == "127.0.9.2" {
-			cold++
-		}
-	}
+	front.publish(true, weighted(1, cacheKind, 0), weighted(8, parentKind, 0), weighted(9, originKind, 0))
+	front.publish(false, weighted(2, cacheKind, front.clock.Now()))
+	selected := front.countAnswers(t, "127.0.9.2", 150, 10)
 	// In 1.5 s it may get 3 times its capacity: 0.15 to 0.23 of 10 transfers at a time, each
 	// of 0.4 s, the latency objective of the class. That is 3 * 0.23 * 10 * 1.5 / 0.4 at most.
-	if most := 25; cold == 0 || cold > most {
-		t.Errorf("the server was selected %d times in its first window, want 1 to %d", cold, most)
+	const maxSelected = 25
+	if selected == 0 || selected > maxSelected {
+		t.Errorf("the server was selected %d times in its first window, want 1 to %d", selected, maxSelected)
+	}
+}
+
+// countAnswers resolves names, one each intervalMs, and returns how many were answered with
+// an address.
+func (h *harness) countAnswers(t *testing.T, address string, names int, intervalMs float64) int {
+	t.Helper()
+	count := 0
+	for i := range names {
+		h.clock.Advance(intervalMs)
+		if answeredAddress(h.query(t, "udp", queryName(i), dns.TypeA)) == address {
+			count++
+		}
 	}
+	return count
 }
