--- a/internal/frontend/dnsfront/server_test.go
+++ b/internal/frontend/dnsfront/server_test.go
@@ -281,3 +281,15 @@
 	}
 	return count
 }
+
+// A query beyond MaxInflight is answered at once, so that its resolver asks elsewhere.
+func TestQueriesBeyondTheLimitFail(t *testing.T) {
+	server := New(Options{Config: Config{Zone: testZone, MaxInflight: 1}})
+	server.slots <- struct{}{} // a query is being answered
+	query := new(dns.Msg).SetQuestion(queryName(1), dns.TypeA)
+	reply := new(dns.Msg).SetReply(query)
+	server.answerWithinLimit(reply, query.Question[0])
+	if reply.Rcode != dns.RcodeServerFailure || len(reply.Answer) != 0 {
+		t.Errorf("%s %v, want %s without an answer", dns.RcodeToString[reply.Rcode], reply.Answer, dns.RcodeToString[dns.RcodeServerFailure])
+	}
+}
