--- a/internal/frontend/httpfront/helpers_test.go
+++ b/internal/frontend/httpfront/helpers_test.go
@@ -2,16 +2,13 @@
 
 import (
 	"bufio"
-	"bytes"
 	"errors"
 	"io"
 	"net"
 	"net/http"
-	"os"
 	"strconv"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
@@ -195,60 +192,6 @@
 	return strings.Replace(getRequest("/v1/form/7f3a9c21e0b4d655", headers...), "GET", "PUT", 1)
 }
 
-// slowClient is a connection to a client that sends a text at a pace, on a manual clock, and
-// then sends nothing more or another text without end.
-type slowClient struct {
-	memoryConn
-	clock        *clock.Manual
-	text         string
-	repeat       string  // sent again and again after text
-	byteInterval float64 // ms between two bytes; 0: 10 MB/s
-	readDeadline float64
-}
-
-func (s *slowClient) SetReadDeadline(t time.Time) error {
-	s.readDeadline = s.clock.Now() + 1e9
-	if !t.IsZero() {
-		s.readDeadline = s.clock.Now() + clock.Millis(time.Until(t))
-	}
-	return nil
-}
-
-func (s *slowClient) Read(buffer []byte) (int, error) {
-	if s.text == "" {
-		s.text = s.repeat
-	}
-	at := s.clock.Now() + s.byteInterval
-	if s.text == "" || at > s.readDeadline {
-		s.clock.Advance(max(0, s.readDeadline-s.clock.Now()))
-		return 0, os.ErrDeadlineExceeded
-	}
-	n := 1
-	if s.byteInterval == 0 {
-		n = copy(buffer, s.text)
-		at += float64(n) / 1e4
-	}
-	copy(buffer[:n], s.text)
-	s.clock.Advance(at - s.clock.Now())
-	s.text = s.text[n:]
-	return n, nil
-}
-
-func (s *slowClient) CloseWrite() error { return nil }
-
-// memoryConn is a connection that reads from in and keeps what is written.
-type memoryConn struct {
-	net.Conn
-	in  io.Reader
-	out bytes.Buffer
-}
-
-func (m *memoryConn) Read(p []byte) (int, error)       { return m.in.Read(p) }
-func (m *memoryConn) Write(p []byte) (int, error)      { return m.out.Write(p) }
-func (m *memoryConn) Close() error                     { return nil }
-func (m *memoryConn) SetReadDeadline(time.Time) error  { return nil }
-func (m *memoryConn) SetWriteDeadline(time.Time) error { return nil }
-
 // readTimeout bounds how long a test waits for a response or a condition.
 const readTimeout = 20 * time.Second
 
@@ -318,60 +261,6 @@
 	return response
 }
 
-// gatedConn is a connection whose reads each wait for a value on gate, and which signals
-// that a read deadline was set.
-type gatedConn struct {
-	*net.TCPConn
-	gate        chan bool
-	deadlineSet chan bool
-	deadline    atomic.Pointer[time.Time] // of reads, as it was set last
-}
-
-func newGatedConn() *gatedConn {
-	return &gatedConn{gate: make(chan bool), deadlineSet: make(chan bool, 1)}
-}
-
-// accept is for serveHooked.
-func (g *gatedConn) accept(conn net.Conn) (net.Conn, error) {
-	g.TCPConn = conn.(*net.TCPConn)
-	return g, nil
-}
-
-func (g *gatedConn) Read(p []byte) (int, error) {
-	<-g.gate
-	return g.TCPConn.Read(p)
-}
-
-func (g *gatedConn) SetReadDeadline(t time.Time) error {
-	err := g.TCPConn.SetReadDeadline(t)
-	g.deadline.Store(&t)
-	select {
-	case g.deadlineSet <- true:
-	default:
-	}
-	return err
-}
-
-// deadlinePassed reports whether the read deadline that was set last is in the past.
-func (g *gatedConn) deadlinePassed() bool {
-	deadline := g.deadline.Load()
-	return deadline != nil && !deadline.IsZero() && deadline.Before(time.Now())
-}
-
-// hookedListener passes accepted connections through a function of the test.
-type hookedListener struct {
-	net.Listener
-	accept func(net.Conn) (net.Conn, error)
-}
-
-func (l *hookedListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
-	if err != nil {
-		return nil, err
-	}
-	return l.accept(c)
-}
-
 // serveHooked starts the server on a loopback address, passes accepted connections through
 // accept, and returns the address.
 func serveHooked(t *testing.T, server *Server, accept func(net.Conn) (net.Conn, error)) string {
@@ -390,22 +279,6 @@
 	return conn
 }
 
-// singleByteConn returns one byte from each read.
-type singleByteConn struct{ *net.TCPConn }
-
-func (c singleByteConn) Read(p []byte) (int, error) { return c.TCPConn.Read(p[:1]) }
-
-// evictionOnlyConn is a connection whose reads do not time out, but for those that are ended
-// at once.
-type evictionOnlyConn struct{ *net.TCPConn }
-
-func (c evictionOnlyConn) SetReadDeadline(t time.Time) error {
-	if t.After(time.Now()) {
-		t = time.Time{}
-	}
-	return c.TCPConn.SetReadDeadline(t)
-}
-
 // evictAll marks all connections as evicted.
 func evictAll(_ *testing.T, s *Server) {
 	s.mu.Lock()
@@ -464,15 +337,3 @@
 }
 
 func (d *immediateDispatcher) Disconnect(*dispatch.Request) {}
-
-// repeatingReader reads one text again and again.
-type repeatingReader struct {
-	text string
-	at   int
-}
-
-func (r *repeatingReader) Read(p []byte) (int, error) {
-	n := copy(p, r.text[r.at:])
-	r.at = (r.at + n) % len(r.text)
-	return n, nil
-}
