--- a/plugin/call_test.go
+++ b/plugin/call_test.go
@@ -11,6 +11,7 @@
 	health "google.golang.org/grpc/health/grpc_health_v1"
 	"google.golang.org/grpc/status"
 
+	"garnetline/internal/dispatch"
 	"garnetline/routing"
 )
 
@@ -125,6 +126,31 @@
 	}
 }
 
+func TestResultOfAResponse(t *testing.T) {
+	lost := status.Error(codes.Unavailable, "going down")
+	for _, test := range []struct {
+		name    string
+		lastErr error
+		kind    dispatch.ResponseKind
+		code    codes.Code
+		text    string
+	}{
+		{"served", nil, dispatch.Served, codes.OK, ""},
+		{"served with the application's error", status.Error(codes.NotFound, "no such part"), dispatch.Served, codes.NotFound, "no such part"},
+		{"rejected", lost, dispatch.Rejected, codes.Unavailable, "garnetline: refused, a retry is harmless"},
+		{"failed after an attempt", lost, dispatch.Failed, codes.Unavailable, "going down"},
+		{"failed without an attempt", nil, dispatch.Failed, codes.DeadlineExceeded, "garnetline: no answer in time"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			call := &unaryCall{lastErr: test.lastErr}
+			got := status.Convert(call.result(dispatch.Response{Kind: test.kind}))
+			if got.Code() != test.code || got.Message() != test.text {
+				t.Errorf("%v %q, want %v %q", got.Code(), got.Message(), test.code, test.text)
+			}
+		})
+	}
+}
+
 func TestStreamIsServed(t *testing.T) {
 	client := newTestClient(t, "get", 2)
 	stream, err := client.health.Watch(t.Context(), &health.HealthCheckRequest{Service: "x"})
--- a/plugin/options.go
+++ b/plugin/options.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Class describes a class of RPCs.
+// Class describes a class of RPCs. A deprecated field is used where the field that replaces
+// it is zero.
 type Class struct {
 	Name             string
 	LatencyObjective time.Duration // a response within it is in time
@@ -32,7 +33,8 @@
 }
 
 // Key names what an RPC asks for. RPCs for the same object and chunk go to the same server
-// as long as that server is healthy.
+// as long as that server is healthy. A deprecated field is used where the field that replaces
+// it is zero.
 type Key struct {
 	Object uint64 // 0: one that stands for the method
 	Chunk  int    // of the object
@@ -52,7 +54,8 @@
 	return k
 }
 
-// Options configure a Plugin.
+// Options configure a Plugin. A deprecated field is used where the field that replaces it is
+// zero.
 type Options struct {
 	Classes    []Class
 	Operations Operations // the RPCs that may be called
--- a/plugin/trace.go
+++ b/plugin/trace.go
@@ -32,7 +32,8 @@
 
 // Trace tells where traces of RPCs are stored: a span for each call, under the caller's own
 // span, and one for each attempt, whose id goes to the server as traceparent. The command
-// `garnetline trace --folder Folder` shows them.
+// `garnetline trace --folder Folder` shows them. A deprecated field is used where the field
+// that replaces it is zero.
 type Trace struct {
 	Folder            string  // of the segments; the process must be able to write there
 	Name              string  // of this client in its traces
--- a/plugin/trace_test.go
+++ b/plugin/trace_test.go
@@ -60,6 +60,30 @@
 	}
 }
 
+func TestCallerTraceparent(t *testing.T) {
+	const sent = "00-01020300000000000000000000000000-0000000000000102-01"
+	withMetadata := func(pairs ...string) context.Context {
+		return metadata.AppendToOutgoingContext(t.Context(), pairs...)
+	}
+	for _, test := range []struct {
+		name string
+		ctx  context.Context
+		want string
+	}{
+		{"the span of the context", callerContext(t, callerSpan()), sent},
+		{"metadata", withMetadata(traceparentKey, sent), sent},
+		{"metadata twice", withMetadata(traceparentKey, sent, traceparentKey, sent), ""},
+		{"other metadata", withMetadata("kept", "as it is"), ""},
+		{"nothing", t.Context(), ""},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := callerTraceparent(test.ctx); got != test.want {
+				t.Errorf("traceparent %q, want %q", got, test.want)
+			}
+		})
+	}
+}
+
 // callerSpan returns the span of a caller, whose id is 0x102.
 func callerSpan() oteltrace.SpanContext {
 	return oteltrace.NewSpanContext(oteltrace.SpanContextConfig{
