--- a/internal/frontend/httpfront/helpers_test.go
+++ b/internal/frontend/httpfront/helpers_test.go
@@ -2,11 +2,10 @@
 
 import (
 	"bufio"
-	"bytes"
+	"errors"
 	"io"
 	"net"
 	"net/http"
-	"os"
 	"strconv"
 	"strings"
 	"sync"
@@ -87,26 +86,59 @@
 // shut down at the end of the test.
 func dial(t *testing.T, server *Server) net.Conn {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener := listen(t)
+	startServer(t, server, listener)
+	return connect(t, listener.Addr().String())
+}
+
+// listen returns a listener on a loopback address.
+func listen(tb testing.TB) net.Listener {
+	tb.Helper()
+	listener, err := new(net.ListenConfig).Listen(tb.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	done := make(chan error, 1)
-	go func() { done <- server.Serve(listener) }()
-	conn, err := net.Dial("tcp", listener.Addr().String())
+	return listener
+}
+
+// startServer has the server accept connections of a listener. It is shut down at the end of
+// the test, after the connections that connect returned later have been closed.
+func startServer(tb testing.TB, server *Server, listener net.Listener) {
+	tb.Helper()
+	served := make(chan error, 1)
+	go func() { served <- server.Serve(listener) }()
+	tb.Cleanup(func() {
+		server.Shutdown()
+		if err := <-served; err != nil {
+			tb.Errorf("Serve: %v", err)
+		}
+	})
+}
+
+// connect returns a connection to addr. It is closed at the end of the test, unless the test
+// has closed it.
+func connect(tb testing.TB, addr string) net.Conn {
+	tb.Helper()
+	conn, err := new(net.Dialer).DialContext(tb.Context(), "tcp", addr)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	t.Cleanup(func() {
-		conn.Close()
-		server.Shutdown()
-		if err := <-done; err != nil {
-			t.Error(err)
+	tb.Cleanup(func() {
+		if err := conn.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
+			tb.Error(err)
 		}
 	})
 	return conn
 }
 
+// closeConn closes a connection.
+func closeConn(t *testing.T, conn net.Conn) {
+	t.Helper()
+	if err := conn.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // send writes a text that must be written whole.
 func send(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
@@ -115,6 +147,29 @@
 	}
 }
 
+// sendInBackground writes a text while the test reads the response. The server may close the
+// connection before it has read all of it, so that errors do not matter.
+func sendInBackground(t *testing.T, conn net.Conn, text string) {
+	t.Helper()
+	written := make(chan struct{})
+	go func() {
+		defer close(written)
+		_, _ = io.WriteString(conn, text)
+	}()
+	t.Cleanup(func() {
+		_ = conn.SetWriteDeadline(time.Now()) // fails if the connection is closed, and ends the write
+		<-written
+	})
+}
+
+// setReadDeadline ends reads of a connection after readTimeout.
+func setReadDeadline(t *testing.T, conn net.Conn) {
+	t.Helper()
+	if err := conn.SetReadDeadline(time.Now().Add(readTimeout)); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // connCount returns how many connections are open.
 func (s *Server) connCount() int {
 	s.mu.Lock()
@@ -137,170 +192,93 @@
 	return strings.Replace(getRequest("/v1/form/7f3a9c21e0b4d655", headers...), "GET", "PUT", 1)
 }
 
-// slowClient is a connection to a client that sends a text at a pace, on a manual clock, and
-// then sends nothing more or another text without end.
-type slowClient struct {
-	memoryConn
-	clock        *clock.Manual
-	text         string
-	repeat       string  // sent again and again after text
-	byteInterval float64 // ms between two bytes; 0: 10 MB/s
-	readDeadline float64
-}
-
-func (s *slowClient) SetReadDeadline(t time.Time) error {
-	s.readDeadline = s.clock.Now() + 1e9
-	if !t.IsZero() {
-		s.readDeadline = s.clock.Now() + clock.Millis(time.Until(t))
-	}
-	return nil
-}
-
-func (s *slowClient) Read(buffer []byte) (int, error) {
-	if s.text == "" {
-		s.text = s.repeat
-	}
-	at := s.clock.Now() + s.byteInterval
-	if s.text == "" || at > s.readDeadline {
-		s.clock.Advance(max(0, s.readDeadline-s.clock.Now()))
-		return 0, os.ErrDeadlineExceeded
-	}
-	n := 1
-	if s.byteInterval == 0 {
-		n = copy(buffer, s.text)
-		at += float64(n) / 1e4
-	}
-	copy(buffer[:n], s.text)
-	s.clock.Advance(at - s.clock.Now())
-	s.text = s.text[n:]
-	return n, nil
-}
-
-func (s *slowClient) CloseWrite() error { return nil }
-
-// memoryConn is a connection that reads from in and keeps what is written.
-type memoryConn struct {
-	net.Conn
-	in  io.Reader
-	out bytes.Buffer
-}
+// readTimeout bounds how long a test waits for a response or a condition.
+const readTimeout = 20 * time.Second
 
-func (m *memoryConn) Read(p []byte) (int, error)       { return m.in.Read(p) }
-func (m *memoryConn) Write(p []byte) (int, error)      { return m.out.Write(p) }
-func (m *memoryConn) Close() error                     { return nil }
-func (m *memoryConn) SetReadDeadline(time.Time) error  { return nil }
-func (m *memoryConn) SetWriteDeadline(time.Time) error { return nil }
-
-// waitFor waits until a condition holds, for 20 s at most.
+// waitFor waits until a condition holds, for readTimeout at most.
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(readTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("timed out waiting until " + what)
 		}
 	}
 }
 
-// readResponse reads a response, which must be complete and have this body.
-func readResponse(t *testing.T, reader *bufio.Reader, body string) *http.Response {
-	t.Helper()
-	response, err := http.ReadResponse(reader, nil)
+// clientResponse is a complete response as a client reads it.
+type clientResponse struct {
+	status int
+	header http.Header
+	body   string
+	closes bool // the connection is closed after it
+}
+
+// parseResponse reads a response to a request with a method.
+func parseResponse(reader *bufio.Reader, method string) (clientResponse, error) {
+	response, err := http.ReadResponse(reader, &http.Request{Method: method})
 	if err != nil {
-		t.Fatal(err)
+		return clientResponse{}, err
 	}
-	if b, err := io.ReadAll(response.Body); err != nil || string(b) != body {
-		t.Fatalf("%d bytes of %d: %v", len(b), len(body), err)
+	body, err := io.ReadAll(response.Body)
+	if closeErr := response.Body.Close(); err == nil {
+		err = closeErr
 	}
-	return response
-}
-
-// gatedConn is a connection whose reads each wait for a value on gate, and which signals
-// that a read deadline was set.
-type gatedConn struct {
-	*net.TCPConn
-	gate        chan bool
-	deadlineSet chan bool
-}
-
-func newGatedConn() *gatedConn {
-	return &gatedConn{gate: make(chan bool), deadlineSet: make(chan bool, 1)}
-}
-
-// accept is for serveHooked.
-func (g *gatedConn) accept(conn net.Conn) (net.Conn, error) {
-	g.TCPConn = conn.(*net.TCPConn)
-	return g, nil
-}
-
-func (g *gatedConn) Read(p []byte) (int, error) {
-	<-g.gate
-	return g.TCPConn.Read(p)
-}
-
-func (g *gatedConn) SetReadDeadline(t time.Time) error {
-	err := g.TCPConn.SetReadDeadline(t)
-	select {
-	case g.deadlineSet <- true:
-	default:
+	return clientResponse{
+		status: response.StatusCode,
+		header: response.Header,
+		body:   string(body),
+		closes: response.Close,
+	}, err
+}
+
+// parseFinalResponse reads responses up to the first that is not 100 Continue.
+func parseFinalResponse(reader *bufio.Reader, method string) (clientResponse, error) {
+	for {
+		response, err := parseResponse(reader, method)
+		if err != nil || response.status != http.StatusContinue {
+			return response, err
+		}
 	}
-	return err
 }
 
-// hookedListener passes accepted connections through a function of the test.
-type hookedListener struct {
-	net.Listener
-	accept func(net.Conn) (net.Conn, error)
+// mustReadResponse reads a response to a GET request, which must be complete.
+func mustReadResponse(t *testing.T, reader *bufio.Reader) clientResponse {
+	t.Helper()
+	response, err := parseResponse(reader, http.MethodGet)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return response
 }
 
-func (l *hookedListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
-	if err != nil {
-		return nil, err
+// readResponse reads a response, which must be complete and have this body.
+func readResponse(t *testing.T, reader *bufio.Reader, body string) clientResponse {
+	t.Helper()
+	response := mustReadResponse(t, reader)
+	if response.body != body {
+		t.Fatalf("body %.100q of %d bytes, want %.100q of %d", response.body, len(response.body), body, len(body))
 	}
-	return l.accept(c)
+	return response
 }
 
 // serveHooked starts the server on a loopback address, passes accepted connections through
 // accept, and returns the address.
 func serveHooked(t *testing.T, server *Server, accept func(net.Conn) (net.Conn, error)) string {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	go server.Serve(&hookedListener{listener, accept})
-	t.Cleanup(server.Shutdown)
+	listener := listen(t)
+	startServer(t, server, &hookedListener{listener, accept})
 	return listener.Addr().String()
 }
 
-// dialAt returns a connection to addr. It is closed at the end of the test.
+// dialAt returns a connection to addr whose reads end after readTimeout. It is closed at the
+// end of the test.
 func dialAt(t *testing.T, addr string) net.Conn {
 	t.Helper()
-	conn, err := net.Dial("tcp", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { conn.Close() })
-	conn.SetReadDeadline(time.Now().Add(20 * time.Second))
+	conn := connect(t, addr)
+	setReadDeadline(t, conn)
 	return conn
 }
 
-// singleByteConn returns one byte from each read.
-type singleByteConn struct{ *net.TCPConn }
-
-func (c singleByteConn) Read(p []byte) (int, error) { return c.TCPConn.Read(p[:1]) }
-
-// evictionOnlyConn is a connection whose reads do not time out, but for those that are ended
-// at once.
-type evictionOnlyConn struct{ *net.TCPConn }
-
-func (c evictionOnlyConn) SetReadDeadline(t time.Time) error {
-	if t.After(time.Now()) {
-		t = time.Time{}
-	}
-	return c.TCPConn.SetReadDeadline(t)
-}
-
 // evictAll marks all connections as evicted.
 func evictAll(_ *testing.T, s *Server) {
 	s.mu.Lock()
@@ -323,17 +301,26 @@
 	})
 }
 
-// unreadBytes returns how many bytes wait to be read from a socket.
-func unreadBytes(t *testing.T, c *net.TCPConn) (n int) {
+// unreadBytes returns how many bytes wait to be read from a socket; -1 stands for none.
+func unreadBytes(t *testing.T, socket syscall.Conn) int {
 	t.Helper()
-	raw, err := c.SyscallConn()
+	unread := 0
+	control(t, socket, func(fd int) {
+		unread, _, _ = syscall.Recvfrom(fd, make([]byte, 4096), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	})
+	return unread
+}
+
+// control calls a function with the descriptor of a socket.
+func control(t *testing.T, socket syscall.Conn, call func(fd int)) {
+	t.Helper()
+	raw, err := socket.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw.Control(func(fd uintptr) {
-		n, _, _ = syscall.Recvfrom(int(fd), make([]byte, 4096), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-	})
-	return n
+	if err := raw.Control(func(fd uintptr) { call(int(fd)) }); err != nil {
+		t.Fatal(err)
+	}
 }
 
 // stoppedDispatcher is a dispatcher that has stopped.
@@ -350,15 +337,3 @@
 }
 
 func (d *immediateDispatcher) Disconnect(*dispatch.Request) {}
-
-// repeatingReader reads one text again and again.
-type repeatingReader struct {
-	text string
-	at   int
-}
-
-func (r *repeatingReader) Read(p []byte) (int, error) {
-	n := copy(p, r.text[r.at:])
-	r.at = (r.at + n) % len(r.text)
-	return n, nil
-}
