--- a/internal/fakeserver/changelog.go
+++ b/internal/fakeserver/changelog.go
@@ -10,7 +10,7 @@
 )
 
 // beat is how often a teller says something where there is nothing new.
-const beat = 400 * time.Millisecond
+const heartbeatInterval = 400 * time.Millisecond
 
 // Teller is a stand-in change log that tells events: to each connection those after the
 // number that it asks from, then what comes, and a word now and then.
@@ -19,7 +19,7 @@
 	mu     sync.Mutex
 	frames [][]byte // of the events, in order; the first has the number base+1
 	base   uint64
-	moved  chan struct{}
+	changed  chan struct{}
 	closed bool
 }
 
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &ChangeLog{Listener: l, base: base, moved: make(chan struct{})}
+	t := &ChangeLog{Listener: l, base: base, changed: make(chan struct{})}
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -53,35 +53,35 @@
 }
 
 // Change tells that boxes changed.
-func (t *ChangeLog) UpdateEndpoints(hosts ...Endpoint) {
-	b := []byte{2}
-	for _, h := range hosts {
-		b = binary.BigEndian.AppendUint32(b, h.ID)
-		ip := h.Addr.Addr().As4()
-		b = append(b, ip[:]...)
-		b = binary.BigEndian.AppendUint16(b, h.Addr.Port())
-		b = append(b, h.Phase, 0, h.Kind, 0, 0)
-		b = binary.BigEndian.AppendUint32(b, uint32(h.Weight*1000))
-		b = binary.BigEndian.AppendUint64(b, h.Started)
+func (t *ChangeLog) UpdateEndpoints(endpoints ...Endpoint) {
+	body := []byte{2}
+	for _, endpoint := range endpoints {
+		body = binary.BigEndian.AppendUint32(body, endpoint.ID)
+		ip := endpoint.Addr.Addr().As4()
+		body = append(body, ip[:]...)
+		body = binary.BigEndian.AppendUint16(body, endpoint.Addr.Port())
+		body = append(body, endpoint.Phase, 0, endpoint.Kind, 0, 0)
+		body = binary.BigEndian.AppendUint32(body, uint32(endpoint.Weight*1000))
+		body = binary.BigEndian.AppendUint64(body, endpoint.Started)
 	}
-	t.tell(b)
+	t.appendEvent(body)
 }
 
 // Purge tells that an object was purged at a moment, Unix ms.
 func (t *ChangeLog) Purge(object, at uint64) {
-	b := binary.BigEndian.AppendUint64([]byte{3}, object)
-	t.tell(binary.BigEndian.AppendUint64(b, at))
+	body := binary.BigEndian.AppendUint64([]byte{3}, object)
+	t.appendEvent(binary.BigEndian.AppendUint64(body, at))
 }
 
-func (t *ChangeLog) tell(body []byte) {
+func (t *ChangeLog) appendEvent(body []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.frames = append(t.frames, frame(t.base+uint64(len(t.frames))+1, body))
-	close(t.moved)
-	t.moved = make(chan struct{})
+	t.frames = append(t.frames, encodeFrame(t.base+uint64(len(t.frames))+1, body))
+	close(t.changed)
+	t.changed = make(chan struct{})
 }
 
-func frame(seq uint64, body []byte) []byte {
+func encodeFrame(seq uint64, body []byte) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(8+len(body)))
 	return append(binary.BigEndian.AppendUint64(b, seq), body...)
 }
@@ -90,40 +90,40 @@
 func (t *ChangeLog) Close() error {
 	t.mu.Lock()
 	t.closed = true
-	close(t.moved)
-	t.moved = make(chan struct{})
+	close(t.changed)
+	t.changed = make(chan struct{})
 	t.mu.Unlock()
 	return t.Listener.Close()
 }
 
 func (t *ChangeLog) serve(conn net.Conn) {
 	defer conn.Close()
-	var b [8]byte
-	if _, err := io.ReadFull(conn, b[:]); err != nil {
+	var request [8]byte
+	if _, err := io.ReadFull(conn, request[:]); err != nil {
 		return
 	}
-	for seq := binary.BigEndian.Uint64(b[:]); ; {
+	for seq := binary.BigEndian.Uint64(request[:]); ; {
 		t.mu.Lock()
-		moved, closed := t.moved, t.closed
-		var out []byte
+		changed, closed := t.changed, t.closed
+		var frames []byte
 		for ; seq < t.base+uint64(len(t.frames)); seq++ {
 			if seq >= t.base {
-				out = append(out, t.frames[seq-t.base]...)
+				frames = append(frames, t.frames[seq-t.base]...)
 			}
 		}
 		t.mu.Unlock()
 		if closed {
 			return
 		}
-		if out == nil {
-			out = frame(seq, []byte{0})
+		if frames == nil {
+			frames = encodeFrame(seq, []byte{0})
 		}
-		if _, err := conn.Write(out); err != nil {
+		if _, err := conn.Write(frames); err != nil {
 			return
 		}
 		select {
-		case <-moved:
-		case <-time.After(beat):
+		case <-changed:
+		case <-time.After(heartbeatInterval):
 		}
 	}
 }
--- a/internal/fakeserver/output.go
+++ b/internal/fakeserver/output.go
@@ -9,19 +9,19 @@
 // there is so far.
 type Output struct {
 	mu sync.Mutex
-	b  bytes.Buffer
+	buffer  bytes.Buffer
 }
 
 // Write keeps p.
 func (o *Output) Write(p []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.b.Write(p)
+	return o.buffer.Write(p)
 }
 
 // String returns what has been written.
 func (o *Output) String() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.b.String()
+	return o.buffer.String()
 }
--- a/internal/fakeserver/server.go
+++ b/internal/fakeserver/server.go
@@ -20,7 +20,7 @@
 type Reply func(id, fields string) string
 
 // most is the longest string that a box takes from a router.
-const most = 1 << 26
+const maxStringLength = 1 << 26
 
 // Box is a stand-in cache, hub or archive.
 type Server struct {
@@ -34,10 +34,10 @@
 
 // SetGauges sets what gives the fields of the answer to a probe with a tag; without it
 // none is answered.
-func (b *Server) SetLoadReport(f func(tag string) string) {
+func (b *Server) SetLoadReport(loadReport func(tag string) string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.loadReport = f
+	b.loadReport = loadReport
 }
 
 // NewBox returns a box that listens until it is closed.
@@ -69,56 +69,56 @@
 // serve answers the requests of a connection, one after another, until it ends.
 func (b *Server) serve(conn net.Conn) {
 	defer conn.Close()
-	in := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	for {
-		words, err := command(in)
+		command, err := readCommand(reader)
 		if err != nil {
 			return
 		}
 		b.mu.Lock()
-		gauges := b.loadReport
+		loadReport := b.loadReport
 		b.mu.Unlock()
-		if len(words) == 2 && words[0] == "gauges" && gauges != nil {
-			if _, err := io.WriteString(conn, Answer(words[1], "FIT", gauges(words[1]), "")); err != nil {
+		if len(command) == 2 && command[0] == "gauges" && loadReport != nil {
+			if _, err := io.WriteString(conn, Answer(command[1], "FIT", loadReport(command[1]), "")); err != nil {
 				return
 			}
 			continue
 		}
-		if len(words) < 3 || words[0] != "serve" {
+		if len(command) < 3 || command[0] != "serve" {
 			continue
 		}
 		b.mu.Lock()
-		b.requests = append(b.requests, words[2])
+		b.requests = append(b.requests, command[2])
 		b.mu.Unlock()
-		text := b.Reply(words[1], words[2])
-		if text == CloseConnection {
+		reply := b.Reply(command[1], command[2])
+		if reply == CloseConnection {
 			return
 		}
-		if _, err := io.WriteString(conn, text); err != nil {
+		if _, err := io.WriteString(conn, reply); err != nil {
 			return
 		}
 	}
 }
 
 // command reads one command: a RESP array of bulk strings.
-func command(in *bufio.Reader) ([]string, error) {
-	var n int
-	if _, err := fmt.Fscanf(in, "*%d\r\n", &n); err != nil || n < 0 || n > 16 {
-		return nil, fmt.Errorf("array of %d: %v", n, err)
+func readCommand(reader *bufio.Reader) ([]string, error) {
+	var count int
+	if _, err := fmt.Fscanf(reader, "*%d\r\n", &count); err != nil || count < 0 || count > 16 {
+		return nil, fmt.Errorf("array of %d: %v", count, err)
 	}
-	var words []string
-	for range n {
-		var l int
-		if _, err := fmt.Fscanf(in, "$%d\r\n", &l); err != nil || l < 0 || l > most {
-			return nil, fmt.Errorf("string of %d: %v", l, err)
+	var arguments []string
+	for range count {
+		var length int
+		if _, err := fmt.Fscanf(reader, "$%d\r\n", &length); err != nil || length < 0 || length > maxStringLength {
+			return nil, fmt.Errorf("string of %d: %v", length, err)
 		}
-		b := make([]byte, l+2)
-		if _, err := io.ReadFull(in, b); err != nil {
+		text := make([]byte, length+2)
+		if _, err := io.ReadFull(reader, text); err != nil {
 			return nil, err
 		}
-		words = append(words, string(b[:l]))
+		arguments = append(arguments, string(text[:length]))
 	}
-	return words, nil
+	return arguments, nil
 }
 
 // Answer puts an answer together.
@@ -131,7 +131,7 @@
 	net.Listener
 	RequestedSeqs chan uint64 // the number that each connection asks from
 	mu            sync.Mutex
-	open          []net.Conn
+	connections          []net.Conn
 }
 
 // NewLog returns a change log that listens until it is closed.
@@ -148,7 +148,7 @@
 				return
 			}
 			g.mu.Lock()
-			g.open = append(g.open, conn)
+			g.connections = append(g.connections, conn)
 			g.mu.Unlock()
 			var b [8]byte
 			if _, err := io.ReadFull(conn, b[:]); err == nil {
@@ -163,7 +163,7 @@
 func (g *IdleChangeLog) Close() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, c := range g.open {
+	for _, c := range g.connections {
 		c.Close()
 	}
 	return g.Listener.Close()
--- a/internal/fakeserver/tracing_server.go
+++ b/internal/fakeserver/tracing_server.go
@@ -19,45 +19,45 @@
 	Verdicts int            // verdicts; to be read after Close
 
 	mu     sync.Mutex
-	h      *serverspans.Buffer
-	w      *store.Writer
+	buffer      *serverspans.Buffer
+	writer      *store.Writer
 	fills  map[string]trace.Link // by object; one stays under way to the end
-	next   uint64
-	errors int
+	nextSpan   uint64
+	erringRequests int
 }
 
 // NewSpeaker returns a speaker that keeps its spans in a folder; span ids begin at first.
-func NewTracingServer(name, folder string, hub *TracingServer, first uint64) (*TracingServer, error) {
-	w, err := store.Open(folder, 1<<20, 1<<30)
-	return &TracingServer{Name: name, Parent: hub, h: serverspans.New(60_000, 1<<20), w: w, fills: map[string]trace.Link{}, next: first}, err
+func NewTracingServer(name, folder string, parent *TracingServer, firstSpan uint64) (*TracingServer, error) {
+	writer, err := store.Open(folder, 1<<20, 1<<30)
+	return &TracingServer{Name: name, Parent: parent, buffer: serverspans.New(60_000, 1<<20), writer: writer, fills: map[string]trace.Link{}, nextSpan: firstSpan}, err
 }
 
 // Close lets the limit of all that is held pass, and returns how many pieces that kept.
 func (s *TracingServer) Close() (own int, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.keep(s.h.Tick(s.now() + 1e6))
-	return int(s.h.Counts.RetainedFailed), s.w.Close(s.now())
+	s.write(s.buffer.Tick(s.now() + 1e6))
+	return int(s.buffer.Counts.RetainedFailed), s.writer.Close(s.now())
 }
 
 // ask has a hub fill for a span of a box, which hands on the verdicts that it was told.
-func (s *TracingServer) ask(p trace.SpanContext, class string) {
+func (s *TracingServer) fill(p trace.SpanContext, class string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.next++
+	s.nextSpan++
 	start := s.now()
-	work := trace.Span{ID: p.Trace.Span(s.next), Parent: p.Span, Kind: trace.ServerWork, Start: start, Result: uint8(routing.FilledByOrigin)}
-	fetch := trace.Span{ID: p.Trace.Span(s.next | 1<<40), Parent: work.ID, Kind: trace.Fill, Start: s.now(), End: s.now(), Result: uint8(routing.FilledByOrigin)}
+	work := trace.Span{ID: p.Trace.Span(s.nextSpan), Parent: p.Span, Kind: trace.ServerWork, Start: start, Result: uint8(routing.FilledByOrigin)}
+	fetch := trace.Span{ID: p.Trace.Span(s.nextSpan | 1<<40), Parent: work.ID, Kind: trace.Fill, Start: s.now(), End: s.now(), Result: uint8(routing.FilledByOrigin)}
 	work.End = s.now()
-	s.keep(s.h.Add(work.End, &trace.Trace{ID: p.Trace, Router: s.Name, Class: class, Start: start, End: work.End, Weight: 1, Outcome: trace.Served,
+	s.write(s.buffer.Add(work.End, &trace.Trace{ID: p.Trace, Router: s.Name, Class: class, Start: start, End: work.End, Weight: 1, Outcome: trace.Served,
 		Spans: []trace.Span{work, fetch}}, false))
 }
 
-func (s *TracingServer) hear(id trace.ID) {
+func (s *TracingServer) handleVerdict(id trace.ID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.Verdicts++
-	s.keep(s.h.Retain(id))
+	s.write(s.buffer.Retain(id))
 }
 
 // Ahead is by how much, in ms, a speaker's clock is off.
@@ -65,9 +65,9 @@
 
 func (s *TracingServer) now() float64 { return float64(time.Now().UnixMicro())/1000 + ClockSkew }
 
-func (s *TracingServer) keep(kept []*trace.Trace) {
+func (s *TracingServer) write(kept []*trace.Trace) {
 	for _, t := range kept {
-		s.w.Add(t)
+		s.writer.Add(t)
 	}
 }
 
@@ -76,55 +76,55 @@
 func (s *TracingServer) Serve(id, fields string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f := map[string]string{}
-	for x := range strings.SplitSeq(fields, ",") {
-		k, v, _ := strings.Cut(x, "=")
-		f[k] = v
+	values := map[string]string{}
+	for item := range strings.SplitSeq(fields, ",") {
+		k, v, _ := strings.Cut(item, "=")
+		values[k] = v
 	}
 	start := s.now()
-	s.keep(s.h.Tick(start))
-	if v := f["kept"]; v != "" {
-		for x := range strings.SplitSeq(v, "+") {
-			if id, ok := trace.ParseID(x); ok {
+	s.write(s.buffer.Tick(start))
+	if v := values["kept"]; v != "" {
+		for item := range strings.SplitSeq(v, "+") {
+			if id, ok := trace.ParseID(item); ok {
 				s.Verdicts++
-				kept := s.h.Retain(id)
-				for _, t := range kept { // a fill that a rider keeps is of another trace
-					s.Parent.hear(t.ID)
+				kept := s.buffer.Retain(id)
+				for _, record := range kept { // a fill that a rider keeps is of another trace
+					s.Parent.handleVerdict(record.ID)
 				}
-				s.keep(kept)
+				s.write(kept)
 			}
 		}
 	}
-	p, traced := trace.ParseTraceparent(f["trace"])
-	s.next++
-	work := trace.Span{ID: p.Trace.Span(s.next), Parent: p.Span, Kind: trace.ServerWork, Start: start, Result: uint8(routing.Hit)}
-	t := &trace.Trace{ID: p.Trace, Router: s.Name, TransactionID: id, Class: f["sort"], Start: start, Weight: 1, Outcome: trace.Served}
+	parent, traced := trace.ParseTraceparent(values["trace"])
+	s.nextSpan++
+	work := trace.Span{ID: parent.Trace.Span(s.nextSpan), Parent: parent.Span, Kind: trace.ServerWork, Start: start, Result: uint8(routing.Hit)}
+	record := &trace.Trace{ID: parent.Trace, Router: s.Name, TransactionID: id, Class: values["sort"], Start: start, Weight: 1, Outcome: trace.Served}
 	failed := false
-	switch asset := f["asset"]; {
+	switch asset := values["asset"]; {
 	case strings.HasSuffix(asset, "e"): // an error now and then
-		if s.errors++; s.errors%2 == 1 {
-			failed, t.Outcome, work.Result = true, trace.Failed, uint8(routing.OriginFailed)
+		if s.erringRequests++; s.erringRequests%2 == 1 {
+			failed, record.Outcome, work.Result = true, trace.Failed, uint8(routing.OriginFailed)
 		}
 	case strings.HasSuffix(asset, "f"):
 		if l, ok := s.fills[asset]; ok {
 			work.Result = uint8(routing.JoinedFill)
-			t.Links = append(t.Links, trace.Link{From: work.ID, Trace: l.Trace, To: l.To})
+			record.Links = append(record.Links, trace.Link{From: work.ID, Trace: l.Trace, To: l.To})
 			break
 		}
 		work.Result = uint8(routing.Filled)
-		fill := trace.Span{ID: p.Trace.Span(s.next | 1<<40), Parent: work.ID, Kind: trace.Fill, Start: s.now(), Result: uint8(routing.FilledByOrigin)}
-		s.fills[asset] = trace.Link{Trace: p.Trace, To: fill.ID}
+		fill := trace.Span{ID: parent.Trace.Span(s.nextSpan | 1<<40), Parent: work.ID, Kind: trace.Fill, Start: s.now(), Result: uint8(routing.FilledByOrigin)}
+		s.fills[asset] = trace.Link{Trace: parent.Trace, To: fill.ID}
 		if traced {
-			s.Parent.ask(trace.SpanContext{Trace: p.Trace, Span: fill.ID}, f["sort"])
+			s.Parent.fill(trace.SpanContext{Trace: parent.Trace, Span: fill.ID}, values["sort"])
 		}
 		fill.End = s.now()
-		t.Spans = append(t.Spans, fill)
+		record.Spans = append(record.Spans, fill)
 	}
 	work.End = s.now()
-	t.End = work.End
-	t.Spans = append([]trace.Span{work}, t.Spans...)
+	record.End = work.End
+	record.Spans = append([]trace.Span{work}, record.Spans...)
 	if traced {
-		s.keep(s.h.Add(t.End, t, failed))
+		s.write(s.buffer.Add(record.End, record, failed))
 	}
 	if failed {
 		return Answer(id, "BROKE", "-", "")
