--- a/internal/fakeserver/changelog.go
+++ b/internal/fakeserver/changelog.go
@@ -9,121 +9,166 @@
 	"time"
 )
 
-// beat is how often a teller says something where there is nothing new.
+// heartbeatInterval is how long a connection of a ChangeLog stays without a frame.
 const heartbeatInterval = 400 * time.Millisecond
 
-// Teller is a stand-in change log that tells events: to each connection those after the
-// number that it asks from, then what comes, and a word now and then.
+// Sizes of parts of frames, bytes.
+const (
+	sequenceSize    = 8
+	frameLengthSize = 4
+)
+
+// The first byte of a frame's body.
+const (
+	frameHeartbeat = 0
+	frameEndpoints = 2
+	framePurge     = 3
+)
+
+// weightScale is what a weight is multiplied by on the wire.
+const weightScale = 1000
+
+// ChangeLog is a fake change log that sends events: to each connection those after the
+// sequence number that it requests, then new ones as they are added, and heartbeats.
 type ChangeLog struct {
 	net.Listener
-	mu     sync.Mutex
-	frames [][]byte // of the events, in order; the first has the number base+1
-	base   uint64
-	changed  chan struct{}
-	closed bool
+
+	mu      sync.Mutex
+	frames  [][]byte // of the events, in order; the first has the number base+1
+	base    uint64
+	changed chan struct{} // closed, and replaced, at each change
+	closed  bool
 }
 
-// Listed is a box as a change log tells it.
+// Endpoint is a server as a change log announces it.
 type Endpoint struct {
 	ID      uint32
 	Addr    netip.AddrPort
-	Phase   byte // 0 ready, 1 draining, 2 gone
+	Phase   byte // 0 ready, 1 draining, 2 removed
 	Kind    byte
 	Weight  float64
 	Started uint64 // Unix ms
 }
 
-// NewTeller returns a change log whose first event will have the number base+1.
+// NewChangeLog returns a change log whose first event will have the sequence number base+1. It
+// serves until it is closed.
 func NewChangeLog(base uint64) (*ChangeLog, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := listenLoopback()
 	if err != nil {
 		return nil, err
 	}
-	t := &ChangeLog{Listener: l, base: base, changed: make(chan struct{})}
-	go func() {
-		for {
-			conn, err := l.Accept()
-			if err != nil {
-				return
-			}
-			go t.serve(conn)
-		}
-	}()
-	return t, nil
+	changeLog := &ChangeLog{Listener: listener, base: base, changed: make(chan struct{})}
+	go acceptLoop(listener, func(conn net.Conn) { go changeLog.serve(conn) })
+	return changeLog, nil
 }
 
-// Change tells that boxes changed.
-func (t *ChangeLog) UpdateEndpoints(endpoints ...Endpoint) {
-	body := []byte{2}
+// UpdateEndpoints adds an event that endpoints changed.
+func (c *ChangeLog) UpdateEndpoints(endpoints ...Endpoint) {
+	body := []byte{frameEndpoints}
 	for _, endpoint := range endpoints {
-		body = binary.BigEndian.AppendUint32(body, endpoint.ID)
-		ip := endpoint.Addr.Addr().As4()
-		body = append(body, ip[:]...)
-		body = binary.BigEndian.AppendUint16(body, endpoint.Addr.Port())
-		body = append(body, endpoint.Phase, 0, endpoint.Kind, 0, 0)
-		body = binary.BigEndian.AppendUint32(body, uint32(endpoint.Weight*1000))
-		body = binary.BigEndian.AppendUint64(body, endpoint.Started)
+		body = endpoint.appendTo(body)
 	}
-	t.appendEvent(body)
+	c.addEvent(body)
 }
 
-// Purge tells that an object was purged at a moment, Unix ms.
-func (t *ChangeLog) Purge(object, at uint64) {
-	body := binary.BigEndian.AppendUint64([]byte{3}, object)
-	t.appendEvent(binary.BigEndian.AppendUint64(body, at))
+// appendTo appends the endpoint as it is on the wire. Its bytes of zero are not used by the
+// fake servers.
+func (e Endpoint) appendTo(body []byte) []byte {
+	body = binary.BigEndian.AppendUint32(body, e.ID)
+	ip := e.Addr.Addr().As4()
+	body = append(body, ip[:]...)
+	body = binary.BigEndian.AppendUint16(body, e.Addr.Port())
+	body = append(body, e.Phase, 0, e.Kind, 0, 0)
+	body = binary.BigEndian.AppendUint32(body, uint32(e.Weight*weightScale))
+	return binary.BigEndian.AppendUint64(body, e.Started)
 }
 
-func (t *ChangeLog) appendEvent(body []byte) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.frames = append(t.frames, encodeFrame(t.base+uint64(len(t.frames))+1, body))
-	close(t.changed)
-	t.changed = make(chan struct{})
+// Purge adds an event that an object was purged at a time, Unix ms.
+func (c *ChangeLog) Purge(object, at uint64) {
+	body := binary.BigEndian.AppendUint64([]byte{framePurge}, object)
+	c.addEvent(binary.BigEndian.AppendUint64(body, at))
 }
 
-func encodeFrame(seq uint64, body []byte) []byte {
-	b := binary.BigEndian.AppendUint32(nil, uint32(8+len(body)))
-	return append(binary.BigEndian.AppendUint64(b, seq), body...)
+// addEvent gives an event the next sequence number and wakes all connections.
+func (c *ChangeLog) addEvent(body []byte) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.frames = append(c.frames, encodeFrame(c.lastSequence()+1, body))
+	c.notifyChanged()
 }
 
-// Close ends the log and its connections.
-func (t *ChangeLog) Close() error {
-	t.mu.Lock()
-	t.closed = true
-	close(t.changed)
-	t.changed = make(chan struct{})
-	t.mu.Unlock()
-	return t.Listener.Close()
+// Close closes the listener and ends the connections; it does not wait for them.
+func (c *ChangeLog) Close() error {
+	c.mu.Lock()
+	c.closed = true
+	c.notifyChanged()
+	c.mu.Unlock()
+	return c.Listener.Close()
 }
 
-func (t *ChangeLog) serve(conn net.Conn) {
-	defer conn.Close()
-	var request [8]byte
+// notifyChanged wakes all connections; c.mu is held.
+func (c *ChangeLog) notifyChanged() {
+	close(c.changed)
+	c.changed = make(chan struct{})
+}
+
+// lastSequence is the number of the newest event; c.mu is held.
+func (c *ChangeLog) lastSequence() uint64 { return c.base + uint64(len(c.frames)) }
+
+// encodeFrame returns a frame: the length of what follows, the sequence number, the body.
+func encodeFrame(sequence uint64, body []byte) []byte {
+	frame := make([]byte, 0, frameLengthSize+sequenceSize+len(body))
+	frame = binary.BigEndian.AppendUint32(frame, uint32(sequenceSize+len(body)))
+	frame = binary.BigEndian.AppendUint64(frame, sequence)
+	return append(frame, body...)
+}
+
+// serve sends frames on a connection until it breaks or the change log is closed.
+func (c *ChangeLog) serve(conn net.Conn) {
+	defer func() { _ = conn.Close() }()
+	var request [sequenceSize]byte
 	if _, err := io.ReadFull(conn, request[:]); err != nil {
 		return
 	}
-	for seq := binary.BigEndian.Uint64(request[:]); ; {
-		t.mu.Lock()
-		changed, closed := t.changed, t.closed
-		var frames []byte
-		for ; seq < t.base+uint64(len(t.frames)); seq++ {
-			if seq >= t.base {
-				frames = append(frames, t.frames[seq-t.base]...)
-			}
-		}
-		t.mu.Unlock()
-		if closed {
+	sequence := binary.BigEndian.Uint64(request[:])
+	for {
+		next := c.framesAfter(sequence)
+		if next.closed {
 			return
 		}
-		if frames == nil {
-			frames = encodeFrame(seq, []byte{0})
+		sequence = next.sequence
+		if next.frames == nil {
+			next.frames = encodeFrame(sequence, []byte{frameHeartbeat})
 		}
-		if _, err := conn.Write(frames); err != nil {
+		if _, err := conn.Write(next.frames); err != nil {
 			return
 		}
 		select {
-		case <-changed:
+		case <-next.changed:
 		case <-time.After(heartbeatInterval):
 		}
 	}
 }
+
+// pendingFrames is what a connection has to send.
+type pendingFrames struct {
+	frames   []byte          // nil if there is nothing new
+	sequence uint64          // after frames
+	changed  <-chan struct{} // closed when there is more
+	closed   bool            // the change log is
+}
+
+// framesAfter returns the events after a sequence number. A number before the first event
+// yields all events, one after the last yields none.
+func (c *ChangeLog) framesAfter(sequence uint64) pendingFrames {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	pending := pendingFrames{changed: c.changed, closed: c.closed}
+	for ; sequence < c.lastSequence(); sequence++ {
+		if sequence >= c.base {
+			pending.frames = append(pending.frames, c.frames[sequence-c.base]...)
+		}
+	}
+	pending.sequence = sequence
+	return pending
+}
--- /dev/null
+++ b/internal/fakeserver/idle_changelog.go
@@ -0,0 +1,53 @@
+package fakeserver
+
+import (
+	"encoding/binary"
+	"io"
+	"net"
+	"sync"
+)
+
+// requestedSeqsBuffer is how many connections may request a sequence number before a test
+// reads the first.
+const requestedSeqsBuffer = 8
+
+// IdleChangeLog is a fake change log that sends nothing and keeps its connections open.
+type IdleChangeLog struct {
+	net.Listener
+	RequestedSeqs chan uint64 // the sequence number that each connection requests
+
+	mu          sync.Mutex
+	connections []net.Conn
+}
+
+// NewIdleChangeLog returns an idle change log that listens until it is closed.
+func NewIdleChangeLog() (*IdleChangeLog, error) {
+	listener, err := listenLoopback()
+	if err != nil {
+		return nil, err
+	}
+	idle := &IdleChangeLog{Listener: listener, RequestedSeqs: make(chan uint64, requestedSeqsBuffer)}
+	go acceptLoop(listener, idle.readRequest)
+	return idle, nil
+}
+
+// readRequest keeps a connection and reads the sequence number that it requests.
+func (c *IdleChangeLog) readRequest(conn net.Conn) {
+	c.mu.Lock()
+	c.connections = append(c.connections, conn)
+	c.mu.Unlock()
+	var request [sequenceSize]byte
+	if _, err := io.ReadFull(conn, request[:]); err == nil {
+		c.RequestedSeqs <- binary.BigEndian.Uint64(request[:])
+	}
+}
+
+// Close closes the listener and the connections.
+func (c *IdleChangeLog) Close() error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, conn := range c.connections {
+		_ = conn.Close()
+	}
+	return c.Listener.Close()
+}
--- /dev/null
+++ b/internal/fakeserver/resp.go
@@ -0,0 +1,81 @@
+package fakeserver
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+)
+
+// Bounds of a command that a router sends.
+const (
+	maxArguments    = 16
+	maxStringLength = 1 << 26 // bytes
+)
+
+// crlfSize is the size in bytes of what ends a bulk string.
+const crlfSize = 2
+
+// lengthError is an array or a bulk string of a command whose length cannot be read or is out
+// of bounds.
+type lengthError struct {
+	what   string
+	length int
+	err    error // nil if the length is out of bounds
+}
+
+func (e *lengthError) Error() string {
+	if e.err == nil {
+		return fmt.Sprintf("%s of length %d is out of bounds", e.what, e.length)
+	}
+	return fmt.Sprintf("length of %s: %v", e.what, e.err)
+}
+
+func (e *lengthError) Unwrap() error { return e.err }
+
+// readCommand reads one command: a RESP array of bulk strings.
+func readCommand(reader *bufio.Reader) ([]string, error) {
+	count, err := readLength(reader, "array", "*%d\r\n", maxArguments)
+	if err != nil {
+		return nil, err
+	}
+	arguments := make([]string, 0, count)
+	for range count {
+		argument, err := readBulkString(reader)
+		if err != nil {
+			return nil, err
+		}
+		arguments = append(arguments, argument)
+	}
+	return arguments, nil
+}
+
+func readBulkString(reader *bufio.Reader) (string, error) {
+	length, err := readLength(reader, "string", "$%d\r\n", maxStringLength)
+	if err != nil {
+		return "", err
+	}
+	text := make([]byte, length+crlfSize)
+	if _, err := io.ReadFull(reader, text); err != nil {
+		return "", err
+	}
+	return string(text[:length]), nil
+}
+
+// readLength reads the line with the length of what follows, which is at most limit.
+func readLength(reader *bufio.Reader, what, format string, limit int) (int, error) {
+	var length int
+	if _, err := fmt.Fscanf(reader, format, &length); err != nil {
+		return 0, &lengthError{what: what, err: err}
+	}
+	if length < 0 || length > limit {
+		return 0, &lengthError{what: what, length: length}
+	}
+	return length, nil
+}
+
+// Answer returns an answer to the request with an id, as a RESP array of bulk strings.
+func Answer(id, status, fields, body string) string {
+	return "*4\r\n" + bulkString(id) + bulkString(status) + bulkString(fields) + bulkString(body)
+}
+
+func bulkString(text string) string { return fmt.Sprintf("$%d\r\n%s\r\n", len(text), text) }
