--- a/internal/testcluster/leases.go
+++ b/internal/testcluster/leases.go
@@ -8,22 +8,27 @@
 	"time"
 )
 
-// DutyPage is what a router shows of duties.
+// LeaseStatus is what a router shows of leases, as the admin API writes it.
 type LeaseStatus struct {
 	Register struct {
-		Elector, Leading bool
-		Leader, Fault    string
-		Voters, Learners []string
-		Term, Applied    uint64
-		Duties           []struct {
-			Duty, Holder string
-			Token        uint64
-		}
-	}
+		Elector  bool     `json:"elector"`
+		Leading  bool     `json:"leading"`
+		Leader   string   `json:"leader"`
+		Fault    string   `json:"fault"`
+		Voters   []string `json:"voters"`
+		Learners []string `json:"learners"`
+		Term     uint64   `json:"term"`
+		Applied  uint64   `json:"applied"`
+		Duties   []struct {
+			Duty   string `json:"duty"`
+			Holder string `json:"holder"`
+			Token  uint64 `json:"token"`
+		} `json:"duties"`
+	} `json:"register"`
 	Held []struct {
-		Duty  string
-		Token uint64
-	}
+		Duty  string `json:"Duty"`
+		Token uint64 `json:"Token"`
+	} `json:"held"`
 }
 
 // Duties is what the router shows of duties.
