--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -50,27 +50,27 @@
 
 // Rig is what runs.
 type Cluster struct {
-	o         Options
-	Proxy     *faultproxy.Proxy
-	Servers   []*Server
-	ChangeLog *fakeserver.ChangeLog
-	Routers   []*Router
-	claim     net.Listener
-	base      netip.Addr
-	mu        sync.Mutex
-	began     time.Time
+	options      Options
+	Proxy        *faultproxy.Proxy
+	Servers      []*Server
+	ChangeLog    *fakeserver.ChangeLog
+	Routers      []*Router
+	addressClaim net.Listener
+	base         netip.Addr
+	mu           sync.Mutex
+	startedAt    time.Time
 }
 
 // Box is a stand-in box with its name on the list.
 type Server struct {
 	*fakeserver.Server
-	ID       routing.ServerID
-	Name     string
-	mu       sync.Mutex
-	fail     bool
-	attempts map[string]int // by the request's id
-	asked    []time.Time    // when each came
-	probes   []Probe
+	ID           routing.ServerID
+	Name         string
+	mu           sync.Mutex
+	failing      bool
+	attempts     map[string]int // by the request's id
+	requestTimes []time.Time    // when each came
+	probes       []Probe
 }
 
 // Act is a probe that came, with the token that its tag has.
@@ -80,7 +80,7 @@
 }
 
 // gauges answers a probe.
-func (b *Server) gauges(tag string) string {
+func (b *Server) answerHealthCheck(tag string) string {
 	var a Probe
 	var n uint64
 	fmt.Sscanf(tag, "p%d.%d", &a.Token, &n)
@@ -103,32 +103,32 @@
 	Name, ListenAddr, AdminAddr, FleetAddr string // addresses of its own; Mgmt is the newest process's
 	AdvertisedAddr                         string // where the others write to
 	Output                                 *fakeserver.Output
-	rig                                    *Cluster
+	cluster                                *Cluster
 	dir                                    string
-	conf, ops                              string
+	configFile, settingsFile               string
 	Voters                                 []string // in its file; nil: the rig's
-	socket                                 *os.File // of the clients, held for each of its processes
+	clientSocket                           *os.File // of the clients, held for each of its processes
 	starts                                 int
 	*process                               // the newest; nil before the first
 }
 
 // process is one life of a router.
 type process struct {
-	cmd  *exec.Cmd
-	done chan struct{}
-	exit error // once done is closed
+	cmd     *exec.Cmd
+	exited  chan struct{}
+	exitErr error // once done is closed
 }
 
 // claimPort is where a rig holds its part of the loopback addresses, so that no two rigs
 // have the same: its ports can then be nobody else's.
-const claimPort = 20017
+const addressClaimPort = 20017
 
 // Start starts the parties, and the routers one after another without waiting.
 func Start(o Options) (r *Cluster, err error) {
 	if o.Timeout == 0 {
 		o.Timeout = 30 * time.Second
 	}
-	r = &Cluster{o: o, Proxy: faultproxy.New(o.Seed), began: time.Now()}
+	r = &Cluster{options: o, Proxy: faultproxy.New(o.Seed), startedAt: time.Now()}
 	defer func() {
 		if err != nil {
 			r.Close()
@@ -139,7 +139,7 @@
 		fmt.Fprint(h, os.Getpid(), time.Now().UnixNano(), i)
 		x := h.Sum32()
 		r.base = netip.AddrFrom4([4]byte{127, byte(64 + x%128), byte(x >> 8), 0})
-		if r.claim, err = net.Listen("tcp", netip.AddrPortFrom(r.at(255), claimPort).String()); err == nil {
+		if r.addressClaim, err = net.Listen("tcp", netip.AddrPortFrom(r.address(255), addressClaimPort).String()); err == nil {
 			break
 		}
 	}
@@ -151,10 +151,10 @@
 	}
 	for i := range o.Servers {
 		b := &Server{ID: routing.ServerID(i + 1), Name: fmt.Sprintf("box%d", i+1), attempts: map[string]int{}}
-		if b.Server, err = fakeserver.NewServer(b.reply); err != nil {
+		if b.Server, err = fakeserver.NewServer(b.answerRequest); err != nil {
 			return nil, err
 		}
-		b.SetLoadReport(b.gauges)
+		b.SetLoadReport(b.answerHealthCheck)
 		r.Servers = append(r.Servers, b)
 	}
 	for i := range o.Routers {
@@ -166,17 +166,17 @@
 }
 
 // at is the i-th address of this rig's part of the loopback.
-func (r *Cluster) at(i int) netip.Addr {
+func (r *Cluster) address(i int) netip.Addr {
 	b := r.base.As4()
 	b[3] = byte(i)
 	return netip.AddrFrom4(b)
 }
 
-func (b *Server) reply(id, fields string) string {
+func (b *Server) answerRequest(id, fields string) string {
 	b.mu.Lock()
-	fail := b.fail
+	fail := b.failing
 	b.attempts[id]++
-	b.asked = append(b.asked, time.Now())
+	b.requestTimes = append(b.requestTimes, time.Now())
 	b.mu.Unlock()
 	if fail {
 		return fakeserver.Answer(id, "BROKE", "-", "")
@@ -203,7 +203,7 @@
 func (b *Server) RequestsBetween(from, to time.Time) (n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, at := range b.asked {
+	for _, at := range b.requestTimes {
 		if !at.Before(from) && at.Before(to) {
 			n++
 		}
@@ -215,10 +215,10 @@
 func (b *Server) SetFailing(on bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.fail = on
+	b.failing = on
 }
 
-const platform = `{"areas":["edge"],"machine_types":["box","parent","origin"],"zone":0,"weights":"rough",
+const platformSettings = `{"areas":["edge"],"machine_types":["box","parent","origin"],"zone":0,"weights":"rough",
 "classes":[{"name":"part","effect":"read_like","aim_us":400000,"deadline_us":4000000,"value":2.0},
  {"name":"form","effect":"idempotency_key","group":"all","window_us":2000000,"aim_us":400000,"deadline_us":4000000,"value":3.0}],
 "family_info":{"class_write":[false,true],"root_kind":2,"second_tier_kind":1,"seats_by_zone":[%d],"cleared_within_us":6000000,"one_flow_kb_per_s":5000,"can_join":true},
@@ -227,8 +227,8 @@
 // Add starts a further router with a name, in the i-th place of the fleet. Two may have
 // one name: each has files of its own.
 func (r *Cluster) AddRouter(name string, i int) (*Router, error) {
-	x := &Router{Name: name, rig: r, dir: filepath.Join(r.o.Dir, fmt.Sprintf("%s-%d", name, i)), Output: &fakeserver.Output{}}
-	ip := r.at(i + 1)
+	x := &Router{Name: name, cluster: r, dir: filepath.Join(r.options.Dir, fmt.Sprintf("%s-%d", name, i)), Output: &fakeserver.Output{}}
+	ip := r.address(i + 1)
 	port := func(n uint16) string { return netip.AddrPortFrom(ip, n).String() }
 	x.ListenAddr, x.AdminAddr, x.FleetAddr = port(8080), port(8081), port(7946)
 	real := netip.MustParseAddrPort(x.FleetAddr)
@@ -263,9 +263,9 @@
 	}
 	conf := fmt.Sprintf(`{"name":%q,"listen":%q,"mgmt":%q,"seed":"%d","limits":{},"changelog":%q,
 "known":{"seq":1,"results":[{"seq":1,"fleet":{"seq":0,"whole":true,"hosts":[%s]}}]},"settings":%s}`,
-		name, x.ListenAddr, x.AdminAddr, i+1, log, strings.Join(hosts, ","), fmt.Sprintf(platform, max(1, r.o.Routers)))
-	x.conf, x.ops = filepath.Join(x.dir, "config.json"), filepath.Join(x.dir, "garnetline.hcl")
-	if err := os.WriteFile(x.conf, []byte(conf), 0o600); err != nil {
+		name, x.ListenAddr, x.AdminAddr, i+1, log, strings.Join(hosts, ","), fmt.Sprintf(platformSettings, max(1, r.options.Routers)))
+	x.configFile, x.settingsFile = filepath.Join(x.dir, "config.json"), filepath.Join(x.dir, "garnetline.hcl")
+	if err := os.WriteFile(x.configFile, []byte(conf), 0o600); err != nil {
 		return nil, err
 	}
 	if err := x.WriteSettings(FleetKey); err != nil {
@@ -280,11 +280,11 @@
 // Settings writes a router's operators' file, with the keys given.
 func (x *Router) WriteSettings(keys ...string) error {
 	var join []string
-	x.rig.mu.Lock()
-	for _, o := range x.rig.Routers[:min(3, len(x.rig.Routers))] {
+	x.cluster.mu.Lock()
+	for _, o := range x.cluster.Routers[:min(3, len(x.cluster.Routers))] {
 		join = append(join, fmt.Sprintf("%q", o.AdvertisedAddr))
 	}
-	x.rig.mu.Unlock()
+	x.cluster.mu.Unlock()
 	if len(join) == 0 {
 		join = []string{fmt.Sprintf("%q", x.AdvertisedAddr)}
 	}
@@ -293,11 +293,11 @@
 		quoted[i] = fmt.Sprintf("%q", k)
 	}
 	text := "log {\n level = \"info\"\n}\n"
-	if x.rig.o.Fleet {
+	if x.cluster.options.Fleet {
 		text += fmt.Sprintf("fleet {\n enabled = true\n name = \"rig\"\n listen = %q\n advertise = %q\n join = [%s]\n keys = [%s]\n%s}\n",
-			x.FleetAddr, x.AdvertisedAddr, strings.Join(join, ", "), strings.Join(quoted, ", "), x.rig.o.FleetSettings)
+			x.FleetAddr, x.AdvertisedAddr, strings.Join(join, ", "), strings.Join(quoted, ", "), x.cluster.options.FleetSettings)
 	}
-	if n := x.rig.o.Voters; n > 0 {
+	if n := x.cluster.options.Voters; n > 0 {
 		names := x.Voters
 		for i := range n {
 			if x.Voters == nil {
@@ -308,9 +308,9 @@
 		for i := range names {
 			names[i] = fmt.Sprintf("%q", names[i])
 		}
-		text += fmt.Sprintf("duties {\n enabled = true\n electors = [%s]\n prober {\n  every_ms = 20\n  most_ms = 20\n }\n%s}\n", strings.Join(names, ", "), x.rig.o.LeaseSettings)
+		text += fmt.Sprintf("duties {\n enabled = true\n electors = [%s]\n prober {\n  every_ms = 20\n  most_ms = 20\n }\n%s}\n", strings.Join(names, ", "), x.cluster.options.LeaseSettings)
 	}
-	return os.WriteFile(x.ops, []byte(text), 0o600)
+	return os.WriteFile(x.settingsFile, []byte(text), 0o600)
 }
 
 // State is the router's folder that outlives its process.
@@ -321,37 +321,37 @@
 
 // Start starts the router's process; it may be its second and later life.
 func (x *Router) Start() error {
-	if x.socket == nil {
+	if x.clientSocket == nil {
 		l, err := net.Listen("tcp", x.ListenAddr)
 		if err != nil {
 			return err
 		}
 		defer l.Close()
-		if x.socket, err = l.(*net.TCPListener).File(); err != nil {
+		if x.clientSocket, err = l.(*net.TCPListener).File(); err != nil {
 			return err
 		}
 	}
 	x.starts++
 	x.AdminAddr = netip.AddrPortFrom(netip.MustParseAddrPort(x.ListenAddr).Addr(), uint16(9000+x.starts)).String()
-	args := []string{"serve", "--config", x.conf}
-	if !x.rig.o.NoSettingsFile {
-		args = append(args, "--settings", x.ops)
+	args := []string{"serve", "--config", x.configFile}
+	if !x.cluster.options.NoSettingsFile {
+		args = append(args, "--settings", x.settingsFile)
 	}
-	cmd := exec.Command(x.rig.o.Program, args...)
-	cmd.Env = append(append(os.Environ(), "TMPDIR="+filepath.Join(x.dir, "state"), "GOMAXPROCS=2"), x.rig.o.Env...)
+	cmd := exec.Command(x.cluster.options.Program, args...)
+	cmd.Env = append(append(os.Environ(), "TMPDIR="+filepath.Join(x.dir, "state"), "GOMAXPROCS=2"), x.cluster.options.Env...)
 	cmd.Env = append(cmd.Env, "EDGE_LISTEN_FD=3", "EDGE_MGMT="+x.AdminAddr)
-	cmd.ExtraFiles = []*os.File{x.socket}
+	cmd.ExtraFiles = []*os.File{x.clientSocket}
 	cmd.Stderr = x.Output
 	// A rig that is itself killed leaves nobody behind.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	p := &process{cmd: cmd, done: make(chan struct{})}
+	p := &process{cmd: cmd, exited: make(chan struct{})}
 	x.process = p
 	go func() {
-		p.exit = cmd.Wait()
-		close(p.done)
+		p.exitErr = cmd.Wait()
+		close(p.exited)
 	}()
 	return nil
 }
@@ -363,7 +363,7 @@
 	if err := x.Start(); err != nil {
 		return err
 	}
-	if _, err := x.rig.WaitUntil(x.Name+"'s successor is ready", x.rig.o.Timeout, func() (bool, string) {
+	if _, err := x.cluster.WaitUntil(x.Name+"'s successor is ready", x.cluster.options.Timeout, func() (bool, string) {
 		code, _, err := x.CallAdmin("GET", "/ready")
 		return code == 200, fmt.Sprint(code, err)
 	}); err != nil {
@@ -376,10 +376,10 @@
 	}
 	old.cmd.Process.Signal(syscall.SIGTERM)
 	select {
-	case <-old.done:
-	case <-time.After(x.rig.o.Timeout):
+	case <-old.exited:
+	case <-time.After(x.cluster.options.Timeout):
 		old.cmd.Process.Kill()
-		err = errors.Join(err, fmt.Errorf("%s: the process before is still there after %v", x.Name, x.rig.o.Timeout))
+		err = errors.Join(err, fmt.Errorf("%s: the process before is still there after %v", x.Name, x.cluster.options.Timeout))
 	}
 	return err
 }
@@ -413,7 +413,7 @@
 // Running tells whether the process is there, stalled or not.
 func (x *Router) Running() bool {
 	select {
-	case <-x.done:
+	case <-x.exited:
 		return false
 	default:
 		return true
@@ -429,7 +429,7 @@
 // Kill ends the process without a word and waits until it is gone.
 func (x *Router) Kill() {
 	x.cmd.Process.Kill()
-	<-x.done
+	<-x.exited
 }
 
 // Stall stops the process, Wake has it go on.
@@ -444,10 +444,10 @@
 		return err
 	}
 	select {
-	case <-x.done:
-		return x.exit
-	case <-time.After(x.rig.o.Timeout):
-		return fmt.Errorf("%s: still there after %v", x.Name, x.rig.o.Timeout)
+	case <-x.exited:
+		return x.exitErr
+	case <-time.After(x.cluster.options.Timeout):
+		return fmt.Errorf("%s: still there after %v", x.Name, x.cluster.options.Timeout)
 	}
 }
 
@@ -463,11 +463,11 @@
 
 // Door makes one call at the router's door.
 func (x *Router) CallAdmin(method, path string) (int, []byte, error) {
-	return call(x.AdminAddr, method+" "+path+" HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 2*time.Second)
+	return sendRequest(x.AdminAddr, method+" "+path+" HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 2*time.Second)
 }
 
 // call says one request on a connection of its own and reads all of the answer.
-func call(addr, request string, within time.Duration) (code int, body []byte, err error) {
+func sendRequest(addr, request string, within time.Duration) (code int, body []byte, err error) {
 	conn, err := net.DialTimeout("tcp", addr, within)
 	if err != nil {
 		return 0, nil, err
@@ -527,8 +527,8 @@
 		if x.process != nil {
 			x.Kill()
 		}
-		if x.socket != nil {
-			x.socket.Close()
+		if x.clientSocket != nil {
+			x.clientSocket.Close()
 		}
 	}
 	for _, b := range r.Servers {
@@ -539,8 +539,8 @@
 	if r.ChangeLog != nil {
 		r.ChangeLog.Close()
 	}
-	if r.claim != nil {
-		r.claim.Close()
+	if r.addressClaim != nil {
+		r.addressClaim.Close()
 	}
 	r.Proxy.Close()
 }
--- a/internal/testcluster/fleet_test.go
+++ b/internal/testcluster/fleet_test.go
@@ -16,20 +16,20 @@
 )
 
 // The program, and the same with faults that tests set.
-var program, faulty string
+var program, faultProgram string
 
 // TestMain builds both once.
-func TestMain(m *testing.M) { os.Exit(run(m)) }
+func TestMain(m *testing.M) { os.Exit(buildAndRun(m)) }
 
-func run(m *testing.M) int {
+func buildAndRun(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "rig")
 	if err != nil {
 		fmt.Println(err)
 		return 1
 	}
 	defer os.RemoveAll(dir)
-	program, faulty = filepath.Join(dir, "garnetline"), filepath.Join(dir, "faulty")
-	for to, tags := range map[string]string{program: "", faulty: "faults"} {
+	program, faultProgram = filepath.Join(dir, "garnetline"), filepath.Join(dir, "faulty")
+	for to, tags := range map[string]string{program: "", faultProgram: "faults"} {
 		if out, err := exec.Command("go", "build", "-tags", tags, "-o", to, "garnetline/cmd/garnetline").CombinedOutput(); err != nil {
 			fmt.Printf("%v: %s\n", err, out)
 			return 1
@@ -51,7 +51,7 @@
 	}
 }
 
-func no(t *testing.T, err error) {
+func requireNoError(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
@@ -59,10 +59,10 @@
 }
 
 // within is the bound of what is waited for: wide, since the machine may be busy.
-const within = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
 // fleetOf is a fleet in which all see each other and are together.
-func fleetOf(t *testing.T, o Options) *Cluster {
+func startFleet(t *testing.T, o Options) *Cluster {
 	t.Helper()
 	o.Dir, o.Fleet = t.TempDir(), true
 	if o.Program == "" {
@@ -72,15 +72,15 @@
 	// process that gets no processor for a second is to be failed by none of them.
 	o.FleetSettings += " more_room_after_ms = 1000\n probe_ms = 250\n timeout_ms = 120\n suspect_ms = 1500\n"
 	r, err := Start(o)
-	no(t, err)
+	requireNoError(t, err)
 	t.Cleanup(r.Close)
-	must(t, "all joined")(r.WaitForConvergence(within, r.Routers...))
-	must(t, "all together")(r.WaitForConnectivity(within, "together", r.Routers...))
+	must(t, "all joined")(r.WaitForConvergence(waitTimeout, r.Routers...))
+	must(t, "all together")(r.WaitForConnectivity(waitTimeout, "together", r.Routers...))
 	return r
 }
 
 // quiet fails the test where a router that lived was said to have failed by any.
-func quiet(t *testing.T, r *Cluster, but ...string) {
+func expectNoFalseFailures(t *testing.T, r *Cluster, but ...string) {
 	t.Helper()
 	for _, x := range r.Routers {
 		for line := range strings.Lines(x.Output.String()) {
@@ -100,30 +100,30 @@
 
 // Eight routers: one is killed, one leaves, both come back, while requests go on. Each
 // request has one whole answer.
-func TestKillLeaveAndComeBack(t *testing.T) {
-	r := fleetOf(t, Options{Routers: 8, Servers: 3, Seed: 1})
+func TestKilledAndStoppedRoutersRejoin(t *testing.T) {
+	r := startFleet(t, Options{Routers: 8, Servers: 3, Seed: 1})
 	l := r.StartLoad(40*time.Millisecond, r.Routers...)
 	x, y := r.Routers[5], r.Routers[6]
 	l.SetExcused(x, true)
 	x.Kill()
-	must(t, "killed one failed")(r.WaitForState(within, x, "failed", r.Running()...))
+	must(t, "killed one failed")(r.WaitForState(waitTimeout, x, "failed", r.Running()...))
 	l.SetExcused(y, true)
-	no(t, y.Stop())
-	must(t, "one that left has left")(r.WaitForState(within, y, "left", r.Running()...))
-	no(t, x.Start())
-	no(t, y.Start())
-	must(t, "both back")(r.WaitForConvergence(within, r.Routers...))
+	requireNoError(t, y.Stop())
+	must(t, "one that left has left")(r.WaitForState(waitTimeout, y, "left", r.Running()...))
+	requireNoError(t, x.Start())
+	requireNoError(t, y.Start())
+	must(t, "both back")(r.WaitForConvergence(waitTimeout, r.Routers...))
 	if n := r.Routers[0].CountLogLines(`"what":"failed"`, `"member":"`+y.Name+`"`); n != 0 {
 		t.Errorf("one that left was said to have failed")
 	}
 	l.SetExcused(x, false)
 	l.SetExcused(y, false)
-	end(t, l)
-	quiet(t, r, x.Name)
+	stopLoad(t, l)
+	expectNoFalseFailures(t, r, x.Name)
 }
 
 // end ends a load and checks what it saw.
-func end(t *testing.T, l *Load) {
+func stopLoad(t *testing.T, l *Load) {
 	t.Helper()
 	res := l.Stop()
 	if err := res.Check(0.98); err != nil || res.Requests < 20 {
@@ -134,8 +134,8 @@
 
 // A cut into halves, and one in which two sides see each other through one router; all
 // views are alike after each has healed. Requests go on through all of it.
-func TestCuts(t *testing.T) {
-	r := fleetOf(t, Options{Routers: 8, Servers: 3, Seed: 2})
+func TestFleetConvergesAfterPartitions(t *testing.T) {
+	r := startFleet(t, Options{Routers: 8, Servers: 3, Seed: 2})
 	l := r.StartLoad(50*time.Millisecond, r.Routers...)
 	ways := func(l []*Router) (w []string) {
 		for _, x := range l {
@@ -145,24 +145,24 @@
 	}
 	a, b := r.Routers[:4], r.Routers[4:]
 	r.Proxy.Partition(ways(a), ways(b))
-	must(t, "one half by itself")(r.WaitForConvergence(within, a...))
-	must(t, "the other half")(r.WaitForConvergence(within, b...))
-	must(t, "both partial")(r.WaitForConnectivity(within, "partial", r.Routers...))
+	must(t, "one half by itself")(r.WaitForConvergence(waitTimeout, a...))
+	must(t, "the other half")(r.WaitForConvergence(waitTimeout, b...))
+	must(t, "both partial")(r.WaitForConnectivity(waitTimeout, "partial", r.Routers...))
 	r.Proxy.Heal()
-	must(t, "healed: all views alike")(r.WaitForConvergence(within, r.Routers...))
-	must(t, "and together")(r.WaitForConnectivity(within, "together", r.Routers...))
+	must(t, "healed: all views alike")(r.WaitForConvergence(waitTimeout, r.Routers...))
+	must(t, "and together")(r.WaitForConnectivity(waitTimeout, "together", r.Routers...))
 	r.Proxy.Partition(ways(r.Routers[1:4]), ways(b)) // the first is the bridge
 	time.Sleep(4 * time.Second)                      // long enough to be failed in, were it not for the bridge
-	must(t, "all there across a bridge")(r.WaitForConvergence(within, r.Routers...))
+	must(t, "all there across a bridge")(r.WaitForConvergence(waitTimeout, r.Routers...))
 	r.Proxy.Heal()
-	end(t, l)
+	stopLoad(t, l)
 }
 
 // One hears and is not heard by one other; a fifth of all packets is lost and some come
 // late, twice or spoilt; one neighbour is stopped now and then and another has a tenth of
 // a processor. Nobody that runs is failed.
-func TestRough(t *testing.T) {
-	r := fleetOf(t, Options{Routers: 8, Servers: 3, Seed: 3})
+func TestLossAndStallsFailNoHealthyRouter(t *testing.T) {
+	r := startFleet(t, Options{Routers: 8, Servers: 3, Seed: 3})
 	l := r.StartLoad(50*time.Millisecond, r.Routers[:6]...)
 	for _, a := range r.Routers {
 		for _, b := range r.Routers {
@@ -172,16 +172,16 @@
 	r.Proxy.Set(r.Routers[1].ProxyName(), r.Routers[2].ProxyName(), faultproxy.Fault{Partitioned: true})
 	stalls, slow := r.Routers[7], r.Routers[6].Throttle(0.1)
 	for range 4 {
-		no(t, stalls.Pause())
+		requireNoError(t, stalls.Pause())
 		time.Sleep(700 * time.Millisecond)
-		no(t, stalls.Resume())
+		requireNoError(t, stalls.Resume())
 		time.Sleep(700 * time.Millisecond)
 	}
 	slow()
 	r.Proxy.Heal()
-	must(t, "all there")(r.WaitForConvergence(within, r.Routers...))
-	end(t, l)
-	quiet(t, r, stalls.Name, r.Routers[6].Name)
+	must(t, "all there")(r.WaitForConvergence(waitTimeout, r.Routers...))
+	stopLoad(t, l)
+	expectNoFalseFailures(t, r, stalls.Name, r.Routers[6].Name)
 	for _, x := range []*Router{stalls, r.Routers[6]} {
 		if n := x.CountLogLines(`"what":"failed"`); n != 0 {
 			t.Errorf("%s, slow itself, said %d times that another had failed", x.Name, n)
@@ -190,30 +190,30 @@
 }
 
 // One that was stopped until all had failed it wakes: it fails nobody, and is back.
-func TestStalledWakes(t *testing.T) {
-	r := fleetOf(t, Options{Routers: 8, Servers: 1, Seed: 4})
+func TestStalledRouterRejoinsAndFailsNobody(t *testing.T) {
+	r := startFleet(t, Options{Routers: 8, Servers: 1, Seed: 4})
 	x := r.Routers[2]
-	no(t, x.Pause())
-	must(t, "stopped one failed")(r.WaitForState(within, x, "failed", r.Running(x)...))
+	requireNoError(t, x.Pause())
+	must(t, "stopped one failed")(r.WaitForState(waitTimeout, x, "failed", r.Running(x)...))
 	time.Sleep(2 * time.Second)
-	no(t, x.Resume())
-	must(t, "awake, it is back")(r.WaitForConvergence(within, r.Routers...))
+	requireNoError(t, x.Resume())
+	must(t, "awake, it is back")(r.WaitForConvergence(waitTimeout, r.Routers...))
 	if n := x.CountLogLines(`"what":"failed"`); n != 0 || x.CountLogLines(`"what":"woken"`) == 0 {
 		t.Errorf("it said %d times that another had failed, and %d times that it woke", n, x.CountLogLines(`"what":"woken"`))
 	}
-	quiet(t, r, x.Name)
+	expectNoFalseFailures(t, r, x.Name)
 }
 
 // All are restarted one after another within seconds; then all but one are killed, which
 // is alone and goes on serving.
-func TestRollingRestartAndAlone(t *testing.T) {
-	r := fleetOf(t, Options{Routers: 6, Servers: 2, Seed: 5})
+func TestRollingRestartAndLastRouterServesAlone(t *testing.T) {
+	r := startFleet(t, Options{Routers: 6, Servers: 2, Seed: 5})
 	for _, x := range r.Routers {
 		x.Kill()
-		no(t, x.Start())
+		requireNoError(t, x.Start())
 		time.Sleep(150 * time.Millisecond)
 	}
-	must(t, "all in their second lives")(r.WaitUntil("life 2 of each in each view", within, func() (bool, string) {
+	must(t, "all in their second lives")(r.WaitUntil("life 2 of each in each view", waitTimeout, func() (bool, string) {
 		for _, x := range r.Routers {
 			s, err := x.Status()
 			if err != nil || s.Present != 6 {
@@ -227,35 +227,35 @@
 		}
 		return true, ""
 	}))
-	must(t, "all together")(r.WaitForConnectivity(within, "together", r.Routers...))
+	must(t, "all together")(r.WaitForConnectivity(waitTimeout, "together", r.Routers...))
 	for _, x := range r.Routers[1:] {
 		x.Kill()
 	}
-	must(t, "alone")(r.WaitForConnectivity(within, "alone", r.Routers[0]))
+	must(t, "alone")(r.WaitForConnectivity(waitTimeout, "alone", r.Routers[0]))
 	s, err := r.Routers[0].Status()
-	no(t, err)
+	requireNoError(t, err)
 	if code, _, err := r.Routers[0].CallAdmin("GET", "/ready"); s.Known != 6 || code != 200 || err != nil {
 		t.Errorf("alone: %d known, /ready %d %v", s.Known, code, err)
 	}
 	l := r.StartLoad(20*time.Millisecond, r.Routers[0])
 	time.Sleep(600 * time.Millisecond)
-	end(t, l)
+	stopLoad(t, l)
 }
 
 // While a router is upgraded, its two processes are one member; a ban set at the door of
 // the new one meanwhile holds at all; requests go on.
-func TestUpgradeIsOneMember(t *testing.T) {
-	r := fleetOf(t, Options{Routers: 5, Servers: 3, Seed: 6})
+func TestUpgradingRouterIsOneMember(t *testing.T) {
+	r := startFleet(t, Options{Routers: 5, Servers: 3, Seed: 6})
 	l := r.StartLoad(30*time.Millisecond, r.Routers...)
 	x := r.Routers[1]
-	no(t, x.Upgrade(func() error {
+	requireNoError(t, x.Upgrade(func() error {
 		if code, b, err := x.CallAdmin("POST", "/caches/disable/s-00000002"); code != 200 {
 			return fmt.Errorf("ban: %d %s %v", code, b, err)
 		}
-		_, err := r.WaitForBan(within, "s-00000002", true, r.Routers...)
+		_, err := r.WaitForBan(waitTimeout, "s-00000002", true, r.Routers...)
 		return err
 	}))
-	must(t, "one member, in its second life")(r.WaitUntil("life 2", within, func() (bool, string) {
+	must(t, "one member, in its second life")(r.WaitUntil("life 2", waitTimeout, func() (bool, string) {
 		s, err := r.Routers[0].Status()
 		if err != nil {
 			return false, err.Error()
@@ -267,17 +267,17 @@
 		}
 		return false, "not there"
 	}))
-	quiet(t, r)
-	end(t, l)
+	expectNoFalseFailures(t, r)
+	stopLoad(t, l)
 }
 
 // Two routers with one name by mistake: told loudly by all, and both have their places.
-func TestOneNameTwice(t *testing.T) {
-	r := fleetOf(t, Options{Routers: 4, Servers: 1, Seed: 7})
+func TestNameConflictIsReportedAndBothStay(t *testing.T) {
+	r := startFleet(t, Options{Routers: 4, Servers: 1, Seed: 7})
 	y, err := r.AddRouter("r02", 4)
-	no(t, err)
-	must(t, "both there")(r.WaitForConvergence(within, r.Routers...))
-	must(t, "told")(r.WaitUntil("each tells of the name", within, func() (bool, string) {
+	requireNoError(t, err)
+	must(t, "both there")(r.WaitForConvergence(waitTimeout, r.Routers...))
+	must(t, "told")(r.WaitUntil("each tells of the name", waitTimeout, func() (bool, string) {
 		for _, x := range r.Routers {
 			if x.CountLogLines(`"level":"error"`, `"what":"conflict"`) != 1 {
 				return false, x.ProxyName() + " has not"
@@ -286,21 +286,21 @@
 		return true, ""
 	}))
 	y.Kill()
-	must(t, "the mistaken one failed, the other not")(r.WaitForState(within, y, "failed", r.Running()...))
-	must(t, "the first kept its place")(r.WaitForState(within, r.Routers[2], "alive", r.Running()...))
+	must(t, "the mistaken one failed, the other not")(r.WaitForState(waitTimeout, y, "failed", r.Running()...))
+	must(t, "the first kept its place")(r.WaitForState(waitTimeout, r.Routers[2], "alive", r.Running()...))
 }
 
 // The key is changed by SIGHUP, in three steps, without losing a member; one with
 // another key, of another fleet, and bytes that are nothing are told apart and dropped.
-func TestKeysAndStrangers(t *testing.T) {
-	r := fleetOf(t, Options{Routers: 5, Servers: 1, Seed: 8})
+func TestKeyRotationAndForeignPackets(t *testing.T) {
+	r := startFleet(t, Options{Routers: 5, Servers: 1, Seed: 8})
 	const next = "another key for routers on loopback"
 	for _, keys := range [][]string{{FleetKey, next}, {next, FleetKey}, {next}} {
 		for _, x := range r.Routers {
 			was := x.CountLogLines(`"event":"configuration reloaded"`)
-			no(t, x.WriteSettings(keys...))
-			no(t, x.Signal(syscall.SIGHUP))
-			must(t, x.Name+" reloaded")(r.WaitUntil("reloaded", within, func() (bool, string) { return x.CountLogLines(`"event":"configuration reloaded"`) > was, "" }))
+			requireNoError(t, x.WriteSettings(keys...))
+			requireNoError(t, x.Signal(syscall.SIGHUP))
+			must(t, x.Name+" reloaded")(r.WaitUntil("reloaded", waitTimeout, func() (bool, string) { return x.CountLogLines(`"event":"configuration reloaded"`) > was, "" }))
 		}
 	}
 	for what, b := range map[string][]byte{
@@ -309,24 +309,24 @@
 		"other_fleets":   append([]byte("gf\x01"), make([]byte, 200)...),
 	} {
 		c, err := net.Dial("udp", r.Routers[0].FleetAddr)
-		no(t, err)
+		requireNoError(t, err)
 		for range 20 {
 			c.Write(b)
 		}
 		c.Close()
-		must(t, what)(r.WaitUntil("counted", within, func() (bool, string) {
+		must(t, what)(r.WaitUntil("counted", waitTimeout, func() (bool, string) {
 			_, m, err := r.Routers[0].CallAdmin("GET", "/metrics")
 			return strings.Contains(string(m), "app_fleet_"+what+"_total 20\n"), fmt.Sprintf("%s %v", m, err)
 		}))
 	}
-	must(t, "all there")(r.WaitForConvergence(within, r.Routers...))
-	quiet(t, r)
+	must(t, "all there")(r.WaitForConvergence(waitTimeout, r.Routers...))
+	expectNoFalseFailures(t, r)
 }
 
 // A router whose change log is cut off hears drains and purges from its neighbours, and
 // drops them when its log is back; a ban set at one door holds at all.
-func TestWordsReachOneWithoutItsLog(t *testing.T) {
-	r := fleetOf(t, Options{Routers: 8, Servers: 3, Seed: 9})
+func TestGossipReplacesUnreachableChangeLog(t *testing.T) {
+	r := startFleet(t, Options{Routers: 8, Servers: 3, Seed: 9})
 	deaf := r.Routers[3]
 	r.Proxy.SetBoth(deaf.ProxyName(), "log", faultproxy.Fault{Partitioned: true})
 	time.Sleep(2 * time.Second) // until it takes itself for cut off; later is as good
@@ -339,36 +339,36 @@
 			return strings.Contains(string(m), "app_out_of_rotation "+want+"\n"), fmt.Sprintf("%s %v", m, err)
 		}
 	}
-	must(t, "drain followed without its log")(r.WaitUntil("one box out of rotation", within, out("1")))
+	must(t, "drain followed without its log")(r.WaitUntil("one box out of rotation", waitTimeout, out("1")))
 	was := b.RequestCount()
 	l := r.StartLoad(20*time.Millisecond, deaf)
 	time.Sleep(600 * time.Millisecond)
-	end(t, l)
+	stopLoad(t, l)
 	if n := b.RequestCount() - was; n != 0 {
 		t.Errorf("%d requests to a box that drains", n)
 	}
 	r.ChangeLog.Purge(7, uint64(time.Now().UnixMilli()))
-	must(t, "purge heard")(r.WaitUntil("counted", within, func() (bool, string) {
-		no(t, deaf.Signal(syscall.SIGUSR1))
+	must(t, "purge heard")(r.WaitUntil("counted", waitTimeout, func() (bool, string) {
+		requireNoError(t, deaf.Signal(syscall.SIGUSR1))
 		return deaf.CountLogLines(`"fleet_purges_taken":1`) > 0, ""
 	}))
 	code, body, err := r.Routers[0].CallAdmin("POST", "/caches/disable/s-00000003")
 	if code != 200 {
 		t.Fatalf("%d %s %v", code, body, err)
 	}
-	must(t, "ban holds at all")(r.WaitForBan(within, "s-00000003", true, r.Routers...))
-	must(t, "and is followed")(r.WaitUntil("two boxes out of rotation", within, out("2")))
+	must(t, "ban holds at all")(r.WaitForBan(waitTimeout, "s-00000003", true, r.Routers...))
+	must(t, "and is followed")(r.WaitUntil("two boxes out of rotation", waitTimeout, out("2")))
 	r.Proxy.Heal()
 	draining.Phase = 0
 	r.ChangeLog.UpdateEndpoints(draining)
-	must(t, "its own log rules again")(r.WaitUntil("one box out of rotation", within, out("1")))
+	must(t, "its own log rules again")(r.WaitUntil("one box out of rotation", waitTimeout, out("1")))
 }
 
 // Across a cut one side bans and the other bans and enables the same box: when it heals
 // all hold the ban, since the enable did not know it. An enable that all know ends it,
 // also for one that was stopped meanwhile.
-func TestBanAndEnableAcrossACut(t *testing.T) {
-	r := fleetOf(t, Options{Routers: 6, Servers: 2, Seed: 10})
+func TestBanOutlivesEnableThatDidNotKnowIt(t *testing.T) {
+	r := startFleet(t, Options{Routers: 6, Servers: 2, Seed: 10})
 	a, b := r.Routers[:3], r.Routers[3:]
 	door := func(x *Router, what string) {
 		t.Helper()
@@ -384,16 +384,16 @@
 	door(a[0], "disable")
 	door(b[0], "disable")
 	door(b[0], "enable")
-	must(t, "one side bans")(r.WaitForBan(within, "s-00000001", true, a...))
-	must(t, "the other does not")(r.WaitForBan(within, "s-00000001", false, b...))
+	must(t, "one side bans")(r.WaitForBan(waitTimeout, "s-00000001", true, a...))
+	must(t, "the other does not")(r.WaitForBan(waitTimeout, "s-00000001", false, b...))
 	r.Proxy.Heal()
-	must(t, "healed, all ban")(r.WaitForBan(within, "s-00000001", true, r.Routers...))
-	must(t, "all together")(r.WaitForConnectivity(within, "together", r.Routers...))
+	must(t, "healed, all ban")(r.WaitForBan(waitTimeout, "s-00000001", true, r.Routers...))
+	must(t, "all together")(r.WaitForConnectivity(waitTimeout, "together", r.Routers...))
 	x := r.Routers[5]
-	no(t, x.Pause())
-	must(t, "stopped one failed")(r.WaitForState(within, x, "failed", r.Running(x)...))
+	requireNoError(t, x.Pause())
+	must(t, "stopped one failed")(r.WaitForState(waitTimeout, x, "failed", r.Running(x)...))
 	door(r.Routers[1], "enable")
-	must(t, "enabled")(r.WaitForBan(within, "s-00000001", false, r.Running(x)...))
-	no(t, x.Resume())
-	must(t, "and for the one that was stopped")(r.WaitForBan(within, "s-00000001", false, r.Routers...))
+	must(t, "enabled")(r.WaitForBan(waitTimeout, "s-00000001", false, r.Running(x)...))
+	requireNoError(t, x.Resume())
+	must(t, "and for the one that was stopped")(r.WaitForBan(waitTimeout, "s-00000001", false, r.Routers...))
 }
--- a/internal/testcluster/leases.go
+++ b/internal/testcluster/leases.go
@@ -11,7 +11,7 @@
 // LeaseStatus is what a router shows of leases, as the admin API writes it.
 type LeaseStatus struct {
 	Register struct {
-		Elector  bool     `json:"elector"`
+		Voter    bool     `json:"elector"`
 		Leading  bool     `json:"leading"`
 		Leader   string   `json:"leader"`
 		Fault    string   `json:"fault"`
@@ -19,15 +19,15 @@
 		Learners []string `json:"learners"`
 		Term     uint64   `json:"term"`
 		Applied  uint64   `json:"applied"`
-		Duties   []struct {
-			Duty   string `json:"duty"`
-			Holder string `json:"holder"`
-			Token  uint64 `json:"token"`
+		Leases   []struct {
+			Lease        string `json:"duty"`
+			Holder       string `json:"holder"`
+			FencingToken uint64 `json:"token"`
 		} `json:"duties"`
 	} `json:"register"`
 	Held []struct {
-		Duty  string `json:"Duty"`
-		Token uint64 `json:"Token"`
+		Lease        string `json:"Duty"`
+		FencingToken uint64 `json:"Token"`
 	} `json:"held"`
 }
 
@@ -52,12 +52,12 @@
 				continue
 			}
 			for _, h := range p.Held {
-				if h.Duty == name {
-					holder, token = x, h.Token
+				if h.Lease == name {
+					holder, token = x, h.FencingToken
 					return true, ""
 				}
 			}
-			seen += fmt.Sprintf("%s: leader %q, %v %s; ", x.Name, p.Register.Leader, p.Register.Duties, p.Register.Fault)
+			seen += fmt.Sprintf("%s: leader %q, %v %s; ", x.Name, p.Register.Leader, p.Register.Leases, p.Register.Fault)
 		}
 		return false, seen
 	})
--- a/internal/testcluster/load.go
+++ b/internal/testcluster/load.go
@@ -16,27 +16,27 @@
 
 // Load asks routers for objects at a steady pace until it is ended.
 type Load struct {
-	quit chan struct{}
-	wg   sync.WaitGroup
-	mu   sync.Mutex
-	took []time.Duration
-	by   map[int]int // answers by status
-	lost []string    // what had no whole answer though its router lived
-	n    atomic.Int64
-	rig  *Cluster
-	down map[*Router]bool // its process is to end or be stopped: what it owes may be lost
+	quit           chan struct{}
+	clients        sync.WaitGroup
+	mu             sync.Mutex
+	durations      []time.Duration
+	statuses       map[int]int // answers by status
+	lost           []string    // what had no whole answer though its router lived
+	requests       atomic.Int64
+	cluster        *Cluster
+	excusedRouters map[*Router]bool // its process is to end or be stopped: what it owes may be lost
 }
 
 // patience is what the clients wait, ms, as they tell.
-const patience = 4000
+const clientTimeout = 4000
 
 // Load starts clients at each of these routers, each asking every so often. Each request
 // has a connection of its own, so that a killed router loses no more than what it had.
 func (r *Cluster) StartLoad(every time.Duration, at ...*Router) *Load {
-	l := &Load{quit: make(chan struct{}), by: map[int]int{}, rig: r, down: map[*Router]bool{}}
+	l := &Load{quit: make(chan struct{}), statuses: map[int]int{}, cluster: r, excusedRouters: map[*Router]bool{}}
 	for i, x := range at {
-		l.wg.Go(func() {
-			rng := rand.New(rand.NewPCG(r.o.Seed, uint64(i)))
+		l.clients.Go(func() {
+			rng := rand.New(rand.NewPCG(r.options.Seed, uint64(i)))
 			tick := time.NewTicker(every)
 			defer tick.Stop()
 			var open sync.WaitGroup
@@ -51,7 +51,7 @@
 					continue
 				}
 				object := rng.IntN(50) + 1
-				open.Go(func() { l.ask(x, object) })
+				open.Go(func() { l.request(x, object) })
 			}
 		})
 	}
@@ -63,42 +63,42 @@
 func (l *Load) SetExcused(x *Router, on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.down[x] = on
+	l.excusedRouters[x] = on
 }
 
 func (l *Load) excused(x *Router) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.down[x]
+	return l.excusedRouters[x]
 }
 
 // ask makes one request and notes its answers.
-func (l *Load) ask(x *Router, object int) {
+func (l *Load) request(x *Router, object int) {
 	began := time.Now()
-	txn := fmt.Sprintf("%016x", uint64(l.n.Add(1))<<20|uint64(object))
-	status, answers, err := l.one(x, txn, object)
+	txn := fmt.Sprintf("%016x", uint64(l.requests.Add(1))<<20|uint64(object))
+	status, answers, err := l.send(x, txn, object)
 	took := time.Since(began)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case l.down[x]:
+	case l.excusedRouters[x]:
 	case err != nil || answers != 1:
 		l.lost = append(l.lost, fmt.Sprintf("%s at %s: %d answers after %v: %v", txn, x.Name, answers, took, err))
 	default:
-		l.by[status]++
-		l.took = append(l.took, took)
+		l.statuses[status]++
+		l.durations = append(l.durations, took)
 	}
 }
 
 // one asks and reads until the connection ends: more than one answer is seen.
-func (l *Load) one(x *Router, txn string, object int) (status, answers int, err error) {
+func (l *Load) send(x *Router, txn string, object int) (status, answers int, err error) {
 	conn, err := net.DialTimeout("tcp", x.ListenAddr, 2*time.Second)
 	if err != nil {
 		return 0, 0, err
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add((patience + 500) * time.Millisecond))
-	fmt.Fprintf(conn, "GET /v1/part/%016x HTTP/1.1\r\nHost: x\r\nConnection: close\r\nX-Txn: %s\r\nX-Ttl-Ms: %d\r\n\r\n", object, txn, patience)
+	conn.SetDeadline(time.Now().Add((clientTimeout + 500) * time.Millisecond))
+	fmt.Fprintf(conn, "GET /v1/part/%016x HTTP/1.1\r\nHost: x\r\nConnection: close\r\nX-Txn: %s\r\nX-Ttl-Ms: %d\r\n\r\n", object, txn, clientTimeout)
 	in := textproto.NewReader(bufio.NewReader(conn))
 	for {
 		first, err := in.ReadLine()
@@ -136,16 +136,16 @@
 // End ends the load, waits for what is open, and returns what was seen.
 func (l *Load) Stop() Result {
 	close(l.quit)
-	l.wg.Wait()
+	l.clients.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	slices.Sort(l.took)
-	r := Result{Requests: int(l.n.Load()), Statuses: l.by, Lost: l.lost}
-	if n := len(l.took); n > 0 {
-		r.P50, r.P99 = l.took[n/2], l.took[n*99/100]
+	slices.Sort(l.durations)
+	r := Result{Requests: int(l.requests.Load()), Statuses: l.statuses, Lost: l.lost}
+	if n := len(l.durations); n > 0 {
+		r.P50, r.P99 = l.durations[n/2], l.durations[n*99/100]
 	}
 	tries := map[string]int{}
-	for _, b := range l.rig.Servers {
+	for _, b := range l.cluster.Servers {
 		for id, n := range b.Attempts() {
 			tries[id] += n
 		}
