--- a/internal/testcluster/conditions.go
+++ b/internal/testcluster/conditions.go
@@ -5,121 +5,135 @@
 	"slices"
 	"strings"
 	"time"
+
+	"garnetline/internal/fleet"
 )
 
-// Live returns the routers whose processes run and are not among those given.
-func (r *Cluster) Running(but ...*Router) (l []*Router) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, x := range r.Routers {
-		if x.Running() && !slices.Contains(but, x) {
-			l = append(l, x)
-		}
-	}
-	return l
+const (
+	pollInterval = 20 * time.Millisecond // between two looks at a condition
+	logLines     = 12                    // of each router in the error of a condition
+)
+
+// States of members, as the admin API prints them.
+const (
+	stateAlive   = "alive"
+	stateSuspect = "suspect"
+	stateLeft    = "left"
+)
+
+// Condition tells whether something is so, and what was observed instead.
+type Condition = func() (met bool, observed string)
+
+// TimeoutError is a condition that was not met in time.
+type TimeoutError struct {
+	Condition string
+	Timeout   time.Duration
+	Observed  string // last
+	Logs      string // the ends of the routers' logs
 }
 
-// Seen is how a router sees the others, in a few words that are the same for equal views.
-func (x *Router) MembershipView() string {
-	s, err := x.Status()
-	if err != nil {
-		return err.Error()
-	}
-	var l []string
-	for _, m := range s.Members {
-		if m.State != "left" {
-			l = append(l, m.Name+" "+m.State)
+func (e *TimeoutError) Error() string {
+	return fmt.Sprintf("%s: not met within %v: %s\n%s", e.Condition, e.Timeout, e.Observed, e.Logs)
+}
+
+// WaitUntil waits until a condition is met and returns how long that took. If it is not met in
+// time, the error is a TimeoutError.
+func (c *Cluster) WaitUntil(description string, timeout time.Duration, condition Condition) (time.Duration, error) {
+	startedAt := time.Now()
+	for {
+		met, observed := condition()
+		elapsed := time.Since(startedAt)
+		if met {
+			return elapsed, nil
+		}
+		if elapsed > timeout {
+			return elapsed, &TimeoutError{Condition: description, Timeout: timeout, Observed: observed, Logs: c.Logs(logLines)}
 		}
+		time.Sleep(pollInterval)
 	}
-	return strings.Join(l, ", ")
 }
 
-// Alike waits until all of these routers see just these as alive.
-func (r *Cluster) WaitForConvergence(within time.Duration, of ...*Router) (time.Duration, error) {
-	return r.WaitUntil(fmt.Sprintf("%d routers see each other as alive and nobody else", len(of)), within, func() (bool, string) {
-		for _, x := range of {
-			s, err := x.Status()
+// statusCheck tells whether a router's status is as wanted, and what was observed instead.
+type statusCheck func(router *Router, status *fleet.Status) (met bool, observed string)
+
+// waitForStatus waits until all of these routers have a status that the check accepts.
+func (c *Cluster) waitForStatus(description string, timeout time.Duration, routers []*Router, check statusCheck) (time.Duration, error) {
+	return c.WaitUntil(description, timeout, func() (bool, string) {
+		for _, router := range routers {
+			status, err := router.Status()
 			if err != nil {
 				return false, err.Error()
 			}
-			alive := 0
-			for _, m := range s.Members {
-				if m.State == "alive" || m.State == "suspect" {
-					alive++
-				}
-			}
-			if alive != len(of) || strings.Contains(x.MembershipView(), "suspect") {
-				return false, x.Name + " sees " + x.MembershipView()
+			if met, observed := check(router, status); !met {
+				return false, router.Name + ": " + observed
 			}
 		}
 		return true, ""
 	})
 }
 
-// Sees waits until all of these routers see a router in a state.
-func (r *Cluster) WaitForState(within time.Duration, who *Router, state string, of ...*Router) (time.Duration, error) {
-	return r.WaitUntil(who.Name+" is "+state+" in each view", within, func() (bool, string) {
-		for _, x := range of {
-			s, err := x.Status()
-			if err != nil {
-				return false, err.Error()
-			}
-			as := "unknown"
-			for _, m := range s.Members {
-				if m.Name == who.Name && m.Addr == who.AdvertisedAddr {
-					as = m.State
-				}
-			}
-			if as != state {
-				return false, x.Name + " sees it as " + as
-			}
-		}
-		return true, ""
+// WaitForConvergence waits until all of these routers see each other as alive and nobody else.
+func (c *Cluster) WaitForConvergence(timeout time.Duration, routers ...*Router) (time.Duration, error) {
+	description := fmt.Sprintf("%d routers see each other as alive and nobody else", len(routers))
+	return c.waitForStatus(description, timeout, routers, func(_ *Router, status *fleet.Status) (bool, string) {
+		converged := countMembers(status, stateAlive) == len(routers) && countMembers(status, stateSuspect) == 0
+		return converged, "sees " + membershipView(status)
 	})
 }
 
-// Told counts the lines of a router's log that hold each of some texts.
-func (x *Router) CountLogLines(texts ...string) (n int) {
-	for line := range strings.Lines(x.Output.String()) {
-		all := true
-		for _, t := range texts {
-			all = all && strings.Contains(line, t)
-		}
-		if all {
-			n++
+// WaitForState waits until all of the observers see a router in a state.
+func (c *Cluster) WaitForState(timeout time.Duration, router *Router, state string, observers ...*Router) (time.Duration, error) {
+	description := router.Name + " is " + state + " in each view"
+	return c.waitForStatus(description, timeout, observers, func(_ *Router, status *fleet.Status) (bool, string) {
+		seen := memberState(status, router)
+		return seen == state, "sees it as " + seen
+	})
+}
+
+// WaitForConnectivity waits until all of these routers are in a state of connectivity.
+func (c *Cluster) WaitForConnectivity(timeout time.Duration, state string, routers ...*Router) (time.Duration, error) {
+	return c.waitForStatus("all are "+state, timeout, routers, func(_ *Router, status *fleet.Status) (bool, string) {
+		observed := fmt.Sprintf("is %s, %d of %d present", status.Connectivity, status.Present, status.Known)
+		return status.Connectivity == state, observed
+	})
+}
+
+// WaitForBan waits until a server is banned, or is not, at all of these routers.
+func (c *Cluster) WaitForBan(timeout time.Duration, server string, banned bool, routers ...*Router) (time.Duration, error) {
+	description := fmt.Sprintf("%s banned: %v", server, banned)
+	return c.waitForStatus(description, timeout, routers, func(_ *Router, status *fleet.Status) (bool, string) {
+		return slices.Contains(status.Bans, server) == banned, fmt.Sprintf("bans %v", status.Bans)
+	})
+}
+
+// membershipView is the members of a view and their states, without those that left.
+func membershipView(status *fleet.Status) string {
+	var members []string
+	for _, member := range status.Members {
+		if member.State != stateLeft {
+			members = append(members, member.Name+" "+member.State)
 		}
 	}
-	return n
+	return strings.Join(members, ", ")
 }
 
-// Stands waits until all of these routers are in a stance.
-func (r *Cluster) WaitForConnectivity(within time.Duration, stance string, of ...*Router) (time.Duration, error) {
-	return r.WaitUntil("all are "+stance, within, func() (bool, string) {
-		for _, x := range of {
-			s, err := x.Status()
-			if err != nil {
-				return false, err.Error()
-			}
-			if s.Connectivity != stance {
-				return false, fmt.Sprintf("%s is %s, %d of %d", x.Name, s.Connectivity, s.Present, s.Known)
-			}
+func countMembers(status *fleet.Status, state string) (count int) {
+	for _, member := range status.Members {
+		if member.State == state {
+			count++
 		}
-		return true, ""
-	})
+	}
+	return count
 }
 
-// Banned waits until a ban of a box holds, or does not, at all of these routers.
-func (r *Cluster) WaitForBan(within time.Duration, box string, on bool, at ...*Router) (time.Duration, error) {
-	return r.WaitUntil(fmt.Sprintf("%s banned %v", box, on), within, func() (bool, string) {
-		for _, x := range at {
-			s, err := x.Status()
-			if err != nil {
-				return false, err.Error()
-			}
-			if slices.Contains(s.Bans, box) != on {
-				return false, fmt.Sprintf("%s bans %v", x.Name, s.Bans)
-			}
+// memberState is a router's state in a view, or "unknown". Its address is compared too, since
+// two routers may have one name by mistake.
+func memberState(status *fleet.Status, router *Router) string {
+	state := "unknown"
+	for _, member := range status.Members {
+		if member.Name == router.Name && member.Addr == router.AdvertisedAddr {
+			state = member.State
 		}
-		return true, ""
-	})
+	}
+	return state
 }
--- a/internal/testcluster/leases.go
+++ b/internal/testcluster/leases.go
@@ -1,10 +1,8 @@
 package testcluster
 
 import (
-	"encoding/json"
 	"fmt"
-	"os"
-	"path/filepath"
+	"strings"
 	"time"
 )
 
@@ -31,78 +29,60 @@
 	} `json:"held"`
 }
 
-// Duties is what the router shows of duties.
-func (x *Router) Leases() (*LeaseStatus, error) {
-	code, b, err := x.CallAdmin("GET", "/fleet/duties")
-	if err != nil || code != 200 {
-		return nil, fmt.Errorf("%s: /fleet/duties: %d %v", x.Name, code, err)
+// tokenOf returns the fencing token of a lease that the router itself holds.
+func (s *LeaseStatus) tokenOf(lease string) (token uint64, held bool) {
+	for _, own := range s.Held {
+		if own.Lease == lease {
+			return own.FencingToken, true
+		}
+	}
+	return 0, false
+}
+
+// Leases returns the router's view of the lease registry, and the leases that it holds.
+func (r *Router) Leases() (*LeaseStatus, error) {
+	status := &LeaseStatus{}
+	if err := r.getPage("/fleet/duties", status); err != nil {
+		return nil, err
 	}
-	p := &LeaseStatus{}
-	return p, json.Unmarshal(b, p)
+	return status, nil
 }
 
-// Holder waits until one of these routers says that it holds a duty, and returns it.
-func (r *Cluster) WaitForHolder(within time.Duration, name string, of ...*Router) (holder *Router, token uint64, err error) {
-	_, err = r.WaitUntil("somebody holds "+name, within, func() (bool, string) {
-		seen := ""
-		for _, x := range of {
-			p, err := x.Leases()
+// WaitForHolder waits until one of these routers says that it holds a lease, and returns it with
+// the fencing token.
+func (c *Cluster) WaitForHolder(timeout time.Duration, lease string, routers ...*Router) (holder *Router, token uint64, err error) {
+	_, err = c.WaitUntil("a router holds "+lease, timeout, func() (bool, string) {
+		var observed strings.Builder
+		for _, router := range routers {
+			status, err := router.Leases()
 			if err != nil {
-				seen += err.Error() + "; "
+				fmt.Fprintf(&observed, "%v; ", err)
 				continue
 			}
-			for _, h := range p.Held {
-				if h.Lease == name {
-					holder, token = x, h.FencingToken
-					return true, ""
-				}
+			var held bool
+			if token, held = status.tokenOf(lease); held {
+				holder = router
+				return true, ""
 			}
-			seen += fmt.Sprintf("%s: leader %q, %v %s; ", x.Name, p.Register.Leader, p.Register.Leases, p.Register.Fault)
+			registry := status.Register
+			fmt.Fprintf(&observed, "%s: leader %q, %v %s; ", router.Name, registry.Leader, registry.Leases, registry.Fault)
 		}
-		return false, seen
+		return false, observed.String()
 	})
 	return holder, token, err
 }
 
-// Acting waits until every box has been acted on under a later token.
-func (r *Cluster) WaitForProbes(within time.Duration, after uint64) (time.Duration, error) {
-	return r.WaitUntil(fmt.Sprintf("acts after token %d", after), within, func() (bool, string) {
-		for _, b := range r.Servers {
-			if a := b.Probes(); len(a) == 0 || a[len(a)-1].Token <= after {
-				return false, b.Name
+// WaitForProbes waits until the latest health check of every server was under a fencing token
+// after this one.
+func (c *Cluster) WaitForProbes(timeout time.Duration, after uint64) (time.Duration, error) {
+	description := fmt.Sprintf("health checks under a fencing token after %d", after)
+	return c.WaitUntil(description, timeout, func() (bool, string) {
+		for _, server := range c.Servers {
+			probes := server.Probes()
+			if len(probes) == 0 || probes[len(probes)-1].Token <= after {
+				return false, "none at " + server.Name
 			}
 		}
 		return true, ""
 	})
 }
-
-// Fault writes what a program built with -tags faults reads: fault-wall, by how many ms its
-// wall clock is set, or fault-save, how long a save takes.
-func (x *Router) SetFailpoint(name string, ms int64) error {
-	file := filepath.Join(x.StateDir(), name)
-	if err := os.WriteFile(file+"~", fmt.Append(nil, ms), 0o600); err != nil {
-		return err
-	}
-	return os.Rename(file+"~", file)
-}
-
-// Handover is a change of who acts, as a box saw it.
-type Handover struct {
-	From, To uint64 // tokens
-	Gap      time.Duration
-}
-
-// Handovers returns the changes of who acted at a box, and what breaks the rule: an act
-// under a token that came after one under a later token.
-func (b *Server) Handovers() (l []Handover, broken error) {
-	acts := b.Probes()
-	for i := 1; i < len(acts); i++ {
-		switch a, z := acts[i-1], acts[i]; {
-		case z.Token < a.Token:
-			broken = fmt.Errorf("%s: an act of token %d came %v after one of %d", b.Name, z.Token, z.ReceivedAt.Sub(a.ReceivedAt), a.Token)
-		case z.Token > a.Token:
-			l = append(l, Handover{a.Token, z.Token, z.ReceivedAt.Sub(a.ReceivedAt)})
-		}
-	}
-	return l, broken
-}
--- a/internal/testcluster/load.go
+++ b/internal/testcluster/load.go
@@ -2,170 +2,213 @@
 
 import (
 	"bufio"
+	"context"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
 	"net"
 	"net/textproto"
 	"slices"
-	"strings"
+	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
 )
 
-// Load asks routers for objects at a steady pace until it is ended.
+// Parameters of the clients.
+const (
+	clientTimeout     = 4 * time.Second        // that a client announces
+	clientGracePeriod = 500 * time.Millisecond // that it waits on top
+	clientDialTimeout = 2 * time.Second
+	objectCount       = 50 // objects that the clients ask for
+	objectBits        = 20 // of a transaction ID; the rest is the number of the request
+)
+
+// Load is clients that send requests to routers at a steady pace until they are stopped.
 type Load struct {
-	quit           chan struct{}
-	clients        sync.WaitGroup
-	mu             sync.Mutex
-	durations      []time.Duration
-	statuses       map[int]int // answers by status
-	lost           []string    // what had no whole answer though its router lived
-	requests       atomic.Int64
-	cluster        *Cluster
-	excusedRouters map[*Router]bool // its process is to end or be stopped: what it owes may be lost
+	cluster  *Cluster
+	stop     chan struct{}
+	clients  sync.WaitGroup
+	requests atomic.Int64
+
+	mu        sync.Mutex
+	durations []time.Duration  // of requests with one whole answer
+	statuses  map[int]int      // number of answers by status
+	lost      []string         // requests without one whole answer whose router was not excused
+	excused   map[*Router]bool // routers whose process is about to exit or to be paused
 }
 
-// patience is what the clients wait, ms, as they tell.
-const clientTimeout = 4000
-
-// Load starts clients at each of these routers, each asking every so often. Each request
-// has a connection of its own, so that a killed router loses no more than what it had.
-func (r *Cluster) StartLoad(every time.Duration, at ...*Router) *Load {
-	l := &Load{quit: make(chan struct{}), statuses: map[int]int{}, cluster: r, excusedRouters: map[*Router]bool{}}
-	for i, x := range at {
-		l.clients.Go(func() {
-			rng := rand.New(rand.NewPCG(r.options.Seed, uint64(i)))
-			tick := time.NewTicker(every)
-			defer tick.Stop()
-			var open sync.WaitGroup
-			defer open.Wait()
-			for {
-				select {
-				case <-l.quit:
-					return
-				case <-tick.C:
-				}
-				if l.excused(x) {
-					continue
-				}
-				object := rng.IntN(50) + 1
-				open.Go(func() { l.request(x, object) })
-			}
-		})
-	}
-	return l
+// StartLoad starts a client for each of these routers, which sends a request in each interval.
+// Each request has a connection of its own, so that a killed router loses only its own.
+func (c *Cluster) StartLoad(interval time.Duration, routers ...*Router) *Load {
+	load := &Load{
+		cluster:  c,
+		stop:     make(chan struct{}),
+		statuses: map[int]int{},
+		excused:  map[*Router]bool{},
+	}
+	for i, router := range routers {
+		rng := rand.New(rand.NewPCG(c.options.Seed, uint64(i)))
+		load.clients.Go(func() { load.runClient(router, rng, interval) })
+	}
+	return load
 }
 
-// Excuse says that a router's process is about to end or be stopped, or is back: what
-// it owes in the meantime is not counted.
-func (l *Load) SetExcused(x *Router, on bool) {
+// runClient sends requests until the load is stopped, and waits for their answers.
+func (l *Load) runClient(router *Router, rng *rand.Rand, interval time.Duration) {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
+	var pending sync.WaitGroup
+	defer pending.Wait()
+	for {
+		select {
+		case <-l.stop:
+			return
+		case <-ticker.C:
+		}
+		if l.isExcused(router) {
+			continue
+		}
+		object := rng.IntN(objectCount) + 1
+		pending.Go(func() { l.request(router, object) })
+	}
+}
+
+// SetExcused says that a router's process is about to exit or to be paused, or that it is back.
+// Requests to an excused router are not counted.
+func (l *Load) SetExcused(router *Router, excused bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.excusedRouters[x] = on
+	l.excused[router] = excused
 }
 
-func (l *Load) excused(x *Router) bool {
+func (l *Load) isExcused(router *Router) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.excusedRouters[x]
+	return l.excused[router]
 }
 
-// ask makes one request and notes its answers.
-func (l *Load) request(x *Router, object int) {
-	began := time.Now()
-	txn := fmt.Sprintf("%016x", uint64(l.requests.Add(1))<<20|uint64(object))
-	status, answers, err := l.send(x, txn, object)
-	took := time.Since(began)
+// request makes one request for an object and records its answer.
+func (l *Load) request(router *Router, object int) {
+	startedAt := time.Now()
+	transactionID := fmt.Sprintf("%016x", uint64(l.requests.Add(1))<<objectBits|uint64(object))
+	received, err := sendClientRequest(router.ListenAddr, transactionID, object)
+	duration := time.Since(startedAt)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case l.excusedRouters[x]:
-	case err != nil || answers != 1:
-		l.lost = append(l.lost, fmt.Sprintf("%s at %s: %d answers after %v: %v", txn, x.Name, answers, took, err))
+	case l.excused[router]:
+	case err != nil || received.count != 1:
+		l.lost = append(l.lost, fmt.Sprintf("%s at %s: %d answers after %v: %v", transactionID, router.Name, received.count, duration, err))
 	default:
-		l.statuses[status]++
-		l.durations = append(l.durations, took)
+		l.statuses[received.status]++
+		l.durations = append(l.durations, duration)
 	}
 }
 
-// one asks and reads until the connection ends: more than one answer is seen.
-func (l *Load) send(x *Router, txn string, object int) (status, answers int, err error) {
-	conn, err := net.DialTimeout("tcp", x.ListenAddr, 2*time.Second)
+// answers is what a client received for one request.
+type answers struct {
+	count  int // whole answers
+	status int // of the last
+}
+
+// sendClientRequest sends a request and reads until the connection ends, so that more than one
+// answer is noticed.
+func sendClientRequest(addr, transactionID string, object int) (received answers, err error) {
+	dialer := net.Dialer{Timeout: clientDialTimeout}
+	conn, err := dialer.DialContext(context.Background(), "tcp", addr)
 	if err != nil {
-		return 0, 0, err
+		return received, err
+	}
+	defer func() { _ = conn.Close() }()
+	if err := conn.SetDeadline(time.Now().Add(clientTimeout + clientGracePeriod)); err != nil {
+		return received, err
+	}
+	if _, err := fmt.Fprintf(conn, "GET /v1/part/%016x HTTP/1.1\r\nHost: x\r\nConnection: close\r\nX-Txn: %s\r\nX-Ttl-Ms: %d\r\n\r\n",
+		object, transactionID, clientTimeout.Milliseconds()); err != nil {
+		return received, err
 	}
-	defer conn.Close()
-	conn.SetDeadline(time.Now().Add((clientTimeout + 500) * time.Millisecond))
-	fmt.Fprintf(conn, "GET /v1/part/%016x HTTP/1.1\r\nHost: x\r\nConnection: close\r\nX-Txn: %s\r\nX-Ttl-Ms: %d\r\n\r\n", object, txn, clientTimeout)
-	in := textproto.NewReader(bufio.NewReader(conn))
+	reader := textproto.NewReader(bufio.NewReader(conn))
 	for {
-		first, err := in.ReadLine()
-		if err == io.EOF && answers > 0 {
-			return status, answers, nil
+		status, err := readAnswer(reader)
+		if errors.Is(err, errNoAnswer) && received.count > 0 {
+			return received, nil
 		}
 		if err != nil {
-			return status, answers, err
-		}
-		if _, err := fmt.Sscanf(first, "HTTP/1.1 %d", &status); err != nil {
-			return status, answers, err
-		}
-		head, err := in.ReadMIMEHeader()
-		if err != nil {
-			return status, answers, err
-		}
-		n := 0
-		fmt.Sscan(head.Get("Content-Length"), &n)
-		if _, err := io.CopyN(io.Discard, in.R, int64(n)); err != nil {
-			return status, answers, err
+			return received, err
 		}
-		answers++
+		received.status = status
+		received.count++
 	}
 }
 
-// Result is what a load saw.
-type Result struct {
-	Requests    int
-	Statuses    map[int]int
-	P50, P99    time.Duration
-	Lost        []string // had not one whole answer
-	MaxAttempts int      // attempts of one request, as the boxes counted
+// errNoAnswer is the end of a connection before the first byte of an answer.
+var errNoAnswer = errors.New("connection ended without an answer")
+
+// readAnswer reads one answer with its body and returns its status.
+func readAnswer(reader *textproto.Reader) (status int, err error) {
+	statusLine, err := reader.ReadLine()
+	if errors.Is(err, io.EOF) {
+		return 0, errNoAnswer
+	}
+	if err != nil {
+		return 0, err
+	}
+	if _, err := fmt.Sscanf(statusLine, "HTTP/1.1 %d", &status); err != nil {
+		return 0, err
+	}
+	header, err := reader.ReadMIMEHeader()
+	if err != nil {
+		return 0, err
+	}
+	bodySize, err := contentLength(header)
+	if err != nil {
+		return 0, err
+	}
+	_, err = io.CopyN(io.Discard, reader.R, bodySize)
+	return status, err
 }
 
-// End ends the load, waits for what is open, and returns what was seen.
+// contentLength is the size of the body, bytes; 0 if the header does not say it.
+func contentLength(header textproto.MIMEHeader) (int64, error) {
+	value := header.Get("Content-Length")
+	if value == "" {
+		return 0, nil
+	}
+	return strconv.ParseInt(value, 10, 64)
+}
+
+// Stop ends the load, waits for the requests under way, and returns what the clients saw.
 func (l *Load) Stop() Result {
-	close(l.quit)
+	close(l.stop)
 	l.clients.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	slices.Sort(l.durations)
-	r := Result{Requests: int(l.requests.Load()), Statuses: l.statuses, Lost: l.lost}
-	if n := len(l.durations); n > 0 {
-		r.P50, r.P99 = l.durations[n/2], l.durations[n*99/100]
-	}
-	tries := map[string]int{}
-	for _, b := range l.cluster.Servers {
-		for id, n := range b.Attempts() {
-			tries[id] += n
-		}
+	result := Result{
+		Requests:    int(l.requests.Load()),
+		Statuses:    l.statuses,
+		Lost:        l.lost,
+		MaxAttempts: l.cluster.maxAttempts(),
 	}
-	for _, n := range tries {
-		r.MaxAttempts = max(r.MaxAttempts, n)
+	slices.Sort(l.durations)
+	if count := len(l.durations); count > 0 {
+		result.P50 = l.durations[count/2]
+		result.P99 = l.durations[count*99/100]
 	}
-	return r
+	return result
 }
 
-// Check returns what breaks a rule of requests: each one answer, in time, six attempts
-// at the most, and served unless the list had nothing to serve it with.
-func (r Result) Check(served float64) error {
-	switch ok := r.Statuses[200]; {
-	case len(r.Lost) > 0:
-		return fmt.Errorf("%d of %d requests without one whole answer: %s", len(r.Lost), r.Requests, strings.Join(r.Lost[:min(3, len(r.Lost))], "; "))
-	case r.MaxAttempts > 6:
-		return fmt.Errorf("%d attempts of one request", r.MaxAttempts)
-	case float64(ok) < served*float64(r.Requests):
-		return fmt.Errorf("%d of %d served: %v", ok, r.Requests, r.Statuses)
-	}
-	return nil
+// maxAttempts is the greatest number of attempts of one request, as the servers counted them.
+func (c *Cluster) maxAttempts() (greatest int) {
+	attempts := map[string]int{}
+	for _, server := range c.Servers {
+		for id, count := range server.Attempts() {
+			attempts[id] += count
+		}
+	}
+	for _, count := range attempts {
+		greatest = max(greatest, count)
+	}
+	return greatest
 }
--- /dev/null
+++ b/internal/testcluster/server.go
@@ -0,0 +1,151 @@
+package testcluster
+
+import (
+	"fmt"
+	"maps"
+	"net/netip"
+	"slices"
+	"sync"
+	"time"
+
+	"garnetline/internal/fakeserver"
+	"garnetline/routing"
+)
+
+// Server is a fake cache with its place in the routers' endpoint lists.
+type Server struct {
+	*fakeserver.Server
+	ID   routing.ServerID
+	Name string // at the fault proxy
+
+	mu           sync.Mutex
+	failing      bool
+	attempts     map[string]int // by the request's ID
+	requestTimes []time.Time
+	probes       []Probe
+}
+
+// Probe is a health check that a server received.
+type Probe struct {
+	Token      uint64    // fencing token of the sender's lease
+	ReceivedAt time.Time // by the clock of the machine, which all processes share
+}
+
+// startServer starts a server that serves all requests.
+func startServer(id routing.ServerID, name string) (*Server, error) {
+	server := &Server{ID: id, Name: name, attempts: map[string]int{}}
+	fake, err := fakeserver.NewServer(server.answerRequest)
+	if err != nil {
+		return nil, err
+	}
+	fake.SetLoadReport(server.answerHealthCheck)
+	server.Server = fake
+	return server, nil
+}
+
+// answerRequest is the fakeserver.Reply of the server.
+func (s *Server) answerRequest(id, _ string) string {
+	s.mu.Lock()
+	failing := s.failing
+	s.attempts[id]++
+	s.requestTimes = append(s.requestTimes, time.Now())
+	s.mu.Unlock()
+	if failing {
+		return fakeserver.Answer(id, "BROKE", "-", "")
+	}
+	return fakeserver.Answer(id, "DONE", "tag=t1,minted=1", "bytes of an object")
+}
+
+// answerHealthCheck records a health check and reports a load of one half. A tag without a
+// fencing token counts as token 0, which is below every other.
+func (s *Server) answerHealthCheck(tag string) string {
+	var probe Probe
+	_, _ = fmt.Sscanf(tag, "p%d.", &probe.Token)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	probe.ReceivedAt = time.Now()
+	s.probes = append(s.probes, probe)
+	return "l=util:0.5;link:0.5"
+}
+
+// Address is where the server itself listens. A router's configuration has an address of the
+// fault proxy instead; the change log, which is the same for all routers, can announce this one
+// alone.
+func (s *Server) Address() netip.AddrPort { return netip.MustParseAddrPort(s.Addr().String()) }
+
+// SetFailing has the server answer every request with an error, or serve again.
+func (s *Server) SetFailing(failing bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.failing = failing
+}
+
+// Probes returns the health checks that the server received, in their order.
+func (s *Server) Probes() []Probe {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Clone(s.probes)
+}
+
+// Attempts returns how often the server received each request, by its ID.
+func (s *Server) Attempts() map[string]int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return maps.Clone(s.attempts)
+}
+
+// RequestCount returns how many requests the server received.
+func (s *Server) RequestCount() (count int) {
+	for _, attempts := range s.Attempts() {
+		count += attempts
+	}
+	return count
+}
+
+// RequestsBetween returns how many requests the server received from one time until before
+// another.
+func (s *Server) RequestsBetween(from, to time.Time) (count int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, received := range s.requestTimes {
+		if !received.Before(from) && received.Before(to) {
+			count++
+		}
+	}
+	return count
+}
+
+// Handover is a change of the lease holder, as a server saw it.
+type Handover struct {
+	From, To uint64 // fencing tokens
+	Gap      time.Duration
+}
+
+// TokenOrderError is a health check under a fencing token that a server received after one
+// under a later token: two routers acted as the lease holder.
+type TokenOrderError struct {
+	Server         string
+	Later, Earlier Probe // in the order in which they came
+}
+
+func (e *TokenOrderError) Error() string {
+	return fmt.Sprintf("%s received a health check of fencing token %d %v after one of token %d",
+		e.Server, e.Earlier.Token, e.Earlier.ReceivedAt.Sub(e.Later.ReceivedAt), e.Later.Token)
+}
+
+// Handovers returns the changes of the lease holder at the server, and the last violation of the
+// order of fencing tokens as a TokenOrderError.
+func (s *Server) Handovers() (handovers []Handover, violation error) {
+	probes := s.Probes()
+	for i := 1; i < len(probes); i++ {
+		previous, probe := probes[i-1], probes[i]
+		switch {
+		case probe.Token < previous.Token:
+			violation = &TokenOrderError{Server: s.Name, Later: previous, Earlier: probe}
+		case probe.Token > previous.Token:
+			gap := probe.ReceivedAt.Sub(previous.ReceivedAt)
+			handovers = append(handovers, Handover{From: previous.Token, To: probe.Token, Gap: gap})
+		}
+	}
+	return handovers, violation
+}
