--- a/internal/testcluster/bans_test.go
+++ b/internal/testcluster/bans_test.go
@@ -1,8 +1,9 @@
 package testcluster
 
 import (
-	"encoding/json"
+	"errors"
 	"fmt"
+	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -11,146 +12,207 @@
 	"testing"
 	"time"
 
-	"garnetline/internal/faultproxy"
 	"garnetline/internal/fleet/bans"
 )
 
-// banStatus is what a router shows of the register's bans.
-func banStatus(t *testing.T, x *Router) *bans.Status {
-	t.Helper()
-	code, b, err := x.CallAdmin("GET", "/fleet/bans")
-	p := &bans.Status{}
-	if err != nil || code != 200 || json.Unmarshal(b, p) != nil {
-		t.Fatalf("%s: /fleet/bans: %d %s %v", x.Name, code, b, err)
-	}
-	return p
+// Operators' bans are kept by eight routers, five of them voters. They survive the kill of all
+// processes and the loss of all files but the voters' logs: a router that says that it is ready
+// has them. A minority of routers can ban a server and cannot enable one; healed, its ban is the
+// registry's. So it is while a majority of voters is down.
+func TestBansSurviveRestartsAndPartitions(t *testing.T) {
+	cluster := startFleet(t, Options{Routers: 8, Servers: 4, Voters: 5, LeaseSettings: " bans {\n  every_ms = 200\n }\n", Seed: 31})
+	test := &bansTest{clusterTest: cluster, load: cluster.StartLoad(50*time.Millisecond, cluster.Routers...)}
+	for _, server := range cluster.Servers {
+		test.servers = append(test.servers, server.ID.String())
+	}
+	test.banByAdminAPI()
+	test.banByCommand()
+	test.rejectEnableOfOlderVersion()
+	test.restartWithVoterLogsAlone()
+	test.banInMinority()
+	test.banWithoutVoterMajority()
+	test.enableAll()
+	test.load.Stop()
+}
+
+// bansTest is the state of a test of bans.
+type bansTest struct {
+	*clusterTest
+	load    *Load
+	servers []string // IDs
+}
+
+// registeredBan is a ban, or its end, as it is to be in the lease registry.
+type registeredBan struct {
+	server   string
+	disabled bool
+	setBy    string // part of the operator's or of the router's name; "": anybody
+}
+
+func (b registeredBan) matches(ban bans.Ban) bool {
+	return ban.Server == b.server && ban.Disabled == b.disabled && strings.Contains(ban.SetBy, b.setBy)
+}
+
+func (b registeredBan) String() string {
+	return fmt.Sprintf("%s registered as disabled %v by %q", b.server, b.disabled, b.setBy)
 }
 
-// filed waits until routers have read from the register that a box is out, or in.
-func waitForRegisteredBan(t *testing.T, r *Cluster, box string, out bool, by string, at ...*Router) {
-	t.Helper()
-	must(t, fmt.Sprintf("%s filed as out %v by %q", box, out, by))(r.WaitUntil("filed", waitTimeout, func() (bool, string) {
-		for _, x := range at {
-			if l := banStatus(t, x).Bans; !slices.ContainsFunc(l, func(b bans.Ban) bool { return b.Server == box && b.Disabled == out && strings.Contains(b.SetBy, by) }) {
-				return false, fmt.Sprintf("%s: %+v", x.Name, l)
+// bans is what a router shows of the registry's bans.
+func (b *bansTest) bans(router *Router) *bans.Status {
+	b.t.Helper()
+	status := &bans.Status{}
+	requireNoError(b.t, router.getPage("/fleet/bans", status))
+	return status
+}
+
+// waitForRegistered waits until routers have read a ban, or its end, from the registry.
+func (b *bansTest) waitForRegistered(want registeredBan, routers ...*Router) {
+	b.t.Helper()
+	b.waitUntil(want.String(), func() (bool, string) {
+		for _, router := range routers {
+			if registered := b.bans(router).Bans; !slices.ContainsFunc(registered, want.matches) {
+				return false, fmt.Sprintf("%s: %+v", router.Name, registered)
 			}
 		}
 		return true, ""
-	}))
+	})
 }
 
-func postAdmin(t *testing.T, x *Router, call string, want int) {
-	t.Helper()
-	if code, b, err := x.CallAdmin("POST", call); err != nil || code != want {
-		t.Fatalf("%s %s: %d %s %v", x.Name, call, code, b, err)
+// expectDisabledHere reports servers that a router has not disabled itself.
+func (b *bansTest) expectDisabledHere(router *Router, servers ...string) {
+	b.t.Helper()
+	got := b.bans(router).DisabledHere
+	for _, server := range servers {
+		if !slices.Contains(got, server) {
+			b.t.Errorf("%s has disabled %v, want %s among them", router.Name, got, server)
+		}
 	}
 }
 
-// Eight routers, five of them electors, keep staff's bans. One is set; all processes are
-// killed, and what they keep by themselves is lost: when one says that it is ready the box
-// is out there. Two routers that are cut off take a box out and cannot let one in; healed, their
-// ban is the register's. While a majority of electors is down a box can be taken out, and
-// not let in; when it is back all is filed, and the boxes come back by one call each.
-func TestBansSurviveRestartsAndPartitions(t *testing.T) {
-	r := startFleet(t, Options{Routers: 8, Servers: 4, Voters: 5, LeaseSettings: " bans {\n  every_ms = 200\n }\n", Seed: 31})
-	one, two, three := r.Servers[0].ID.String(), r.Servers[1].ID.String(), r.Servers[2].ID.String()
-	all := r.Routers
-	l := r.StartLoad(50*time.Millisecond, all...)
-	postAdmin(t, all[6], "/fleet/bans/disable/"+one+"/0/ada/a%20bad%20disk", 200)
-	waitForRegisteredBan(t, r, one, true, "ada", all...)
-	must(t, "out at all")(r.WaitForBan(waitTimeout, one, true, all...))
-	if p := banStatus(t, all[0]); p.Bans[0].Reason != "a bad disk" || p.Bans[0].SetAt == 0 {
-		t.Errorf("%+v", p)
-	}
-	cli := func(args ...string) string {
-		out, err := exec.Command(program, append([]string{"fleet", "bans"}, args...)...).CombinedOutput()
-		return fmt.Sprint(string(out), err)
+func (b *bansTest) banByAdminAPI() {
+	b.t.Helper()
+	banned := b.servers[0]
+	b.post(b.Routers[6], "/fleet/bans/disable/"+banned+"/0/ada/a%20bad%20disk", http.StatusOK)
+	b.waitForRegistered(registeredBan{server: banned, disabled: true, setBy: "ada"}, b.Routers...)
+	b.waitForBan("the ban holds at all routers", banned, true, b.Routers...)
+	registered := b.bans(b.Routers[0]).Bans[0]
+	if registered.Reason != "a bad disk" || registered.SetAt == 0 {
+		b.t.Errorf("got %+v, want the reason %q and a time", registered, "a bad disk")
 	}
-	if text := cli("--mgmt", all[3].AdminAddr); !strings.Contains(text, one) || !strings.Contains(text, "ada") || !strings.Contains(text, "a bad disk") {
-		t.Errorf("fleet bans: %s", text)
-	}
-	if text := cli("disable", "--mgmt", all[3].AdminAddr, "--who", "eve", "--why", "a/b c?", r.Servers[3].ID.String()); !strings.Contains(text, "done") {
-		t.Errorf("fleet bans disable: %s", text)
-	}
-	waitForRegisteredBan(t, r, r.Servers[3].ID.String(), true, "eve", all...)
-	if text := cli("enable", "--mgmt", all[2].AdminAddr, r.Servers[3].ID.String()); !strings.Contains(text, "done") {
-		t.Errorf("fleet bans enable: %s", text)
-	}
-	waitForRegisteredBan(t, r, r.Servers[3].ID.String(), false, "", all...)
-	postAdmin(t, all[0], "/fleet/bans/enable/"+one+"/1/bob/an%20older%20view", 503)
+}
 
-	for _, x := range all {
-		l.SetExcused(x, true)
-		x.Kill()
-	}
-	for _, x := range all { // all that routers keep by themselves is lost: the electors' logs alone know
-		left, err := filepath.Glob(filepath.Join(x.StateDir(), "*"))
-		requireNoError(t, err)
-		for _, f := range left {
-			if !strings.Contains(f, "elector") && !strings.HasSuffix(f, "seat") {
-				requireNoError(t, os.RemoveAll(f))
-			}
-		}
-		requireNoError(t, x.Start())
-	}
-	for _, x := range all {
-		must(t, x.Name+" is ready")(r.WaitUntil("ready", waitTimeout, func() (bool, string) {
-			code, _, err := x.CallAdmin("GET", "/ready")
-			return code == 200, fmt.Sprint(code, err)
-		}))
-		if p := banStatus(t, x); !slices.Contains(p.DisabledHere, one) {
-			t.Errorf("%s is ready, and has not taken out what the register has: %+v", x.Name, p)
+func (b *bansTest) banByCommand() {
+	b.t.Helper()
+	b.expectCommand([]string{"--mgmt", b.Routers[3].AdminAddr}, b.servers[0], "ada", "a bad disk")
+	server := b.servers[3]
+	b.expectCommand([]string{"disable", "--mgmt", b.Routers[3].AdminAddr, "--who", "eve", "--why", "a/b c?", server}, "done")
+	b.waitForRegistered(registeredBan{server: server, disabled: true, setBy: "eve"}, b.Routers...)
+	b.expectCommand([]string{"enable", "--mgmt", b.Routers[2].AdminAddr, server}, "done")
+	b.waitForRegistered(registeredBan{server: server, disabled: false}, b.Routers...)
+}
+
+// expectCommand runs a command below "fleet bans" and reports texts that it does not print.
+func (b *bansTest) expectCommand(args []string, wanted ...string) {
+	b.t.Helper()
+	command := exec.CommandContext(b.t.Context(), program, append([]string{"fleet", "bans"}, args...)...)
+	output, err := command.CombinedOutput()
+	for _, want := range wanted {
+		if !strings.Contains(string(output), want) {
+			b.t.Errorf("fleet bans %q: got %s, %v, want %q in it", args, output, err, want)
 		}
 	}
-	must(t, "all are back")(r.WaitForConvergence(waitTimeout, all...))
-	for _, x := range all {
-		l.SetExcused(x, false)
+}
+
+// rejectEnableOfOlderVersion enables a server by a version of its ban that is not the newest.
+func (b *bansTest) rejectEnableOfOlderVersion() {
+	b.t.Helper()
+	b.post(b.Routers[0], "/fleet/bans/enable/"+b.servers[0]+"/1/bob/an%20older%20view", http.StatusServiceUnavailable)
+}
+
+// restartWithVoterLogsAlone kills all routers and removes what each keeps by itself.
+func (b *bansTest) restartWithVoterLogsAlone() {
+	b.t.Helper()
+	for _, router := range b.Routers {
+		killAndExcuse(b.load, router)
+	}
+	for _, router := range b.Routers {
+		requireNoError(b.t, removeLocalState(router))
+		requireNoError(b.t, router.Start())
+	}
+	for _, router := range b.Routers {
+		b.waitUntil(router.Name+" is ready", func() (bool, string) {
+			code, _, err := router.CallAdmin(http.MethodGet, "/ready")
+			return code == http.StatusOK, fmt.Sprint(code, err)
+		})
+		b.expectDisabledHere(router, b.servers[0])
+	}
+	b.waitForConvergence("all have rejoined", b.Routers...)
+	for _, router := range b.Routers {
+		b.load.SetExcused(router, false)
 	}
+}
 
-	most, few := all[:6], all[6:]
-	for _, a := range few {
-		for _, b := range most {
-			r.Proxy.SetBoth(a.ProxyName(), b.ProxyName(), faultproxy.Fault{Partitioned: true})
+// removeLocalState removes a router's files except the voter's log and the router identity.
+func removeLocalState(router *Router) error {
+	files, err := filepath.Glob(filepath.Join(router.StateDir(), "*"))
+	for _, file := range files {
+		if !strings.Contains(file, "elector") && !strings.HasSuffix(file, "seat") {
+			err = errors.Join(err, os.RemoveAll(file))
 		}
 	}
-	postAdmin(t, few[0], "/caches/disable/"+two, 200)
-	postAdmin(t, few[0], "/caches/enable/"+one, 503)
-	if p := banStatus(t, few[0]); !slices.Contains(p.DisabledHere, one) || !slices.Contains(p.DisabledHere, two) {
-		t.Errorf("in the minority: %+v", p)
-	}
-	postAdmin(t, most[0], "/caches/disable/"+three, 200)
-	waitForRegisteredBan(t, r, three, true, "r00", most...)
-	r.Proxy.Heal()
-	waitForRegisteredBan(t, r, two, true, "r06", all...)
-	must(t, "the minority's ban is all's")(r.WaitForBan(waitTimeout, two, true, all...))
-
-	for _, x := range all[:3] {
-		l.SetExcused(x, true)
-		x.Kill()
-	}
-	postAdmin(t, all[5], "/caches/enable/"+two, 503)
-	four := r.Servers[3].ID.String()
-	postAdmin(t, all[5], "/caches/disable/"+four, 200)
-	for _, x := range all[:3] {
-		requireNoError(t, x.Start())
-	}
-	must(t, "electors are back")(r.WaitForConvergence(waitTimeout, all...))
-	waitForRegisteredBan(t, r, four, true, "r05", all...)
-	for i, box := range []string{one, two, three, four} {
-		must(t, box+" is let in")(r.WaitUntil("enabled", waitTimeout, func() (bool, string) {
-			code, b, err := all[i].CallAdmin("POST", "/caches/enable/"+box)
-			return code == 200, fmt.Sprintf("%d %s %v", code, b, err)
-		}))
-		must(t, box+" is in at all")(r.WaitForBan(waitTimeout, box, false, all...))
-		waitForRegisteredBan(t, r, box, false, all[i].Name, all...)
-	}
-	for _, x := range all {
-		if p := banStatus(t, x); len(p.DisabledHere) != 0 {
-			t.Errorf("%s: %+v", x.Name, p)
+	return err
+}
+
+// banInMinority bans a server on each side of a partition.
+func (b *bansTest) banInMinority() {
+	b.t.Helper()
+	majority, minority := b.Routers[:6], b.Routers[6:]
+	first, byMinority, byMajority := b.servers[0], b.servers[1], b.servers[2]
+	b.partition(minority, majority)
+	b.post(minority[0], "/caches/disable/"+byMinority, http.StatusOK)
+	b.post(minority[0], "/caches/enable/"+first, http.StatusServiceUnavailable)
+	b.expectDisabledHere(minority[0], first, byMinority)
+	b.post(majority[0], "/caches/disable/"+byMajority, http.StatusOK)
+	b.waitForRegistered(registeredBan{server: byMajority, disabled: true, setBy: majority[0].Name}, majority...)
+	b.Proxy.Heal()
+	b.waitForRegistered(registeredBan{server: byMinority, disabled: true, setBy: minority[0].Name}, b.Routers...)
+	b.waitForBan("the minority's ban holds at all routers", byMinority, true, b.Routers...)
+}
+
+// banWithoutVoterMajority bans a server while three of five voters are down.
+func (b *bansTest) banWithoutVoterMajority() {
+	b.t.Helper()
+	down, caller := b.Routers[:3], b.Routers[5]
+	for _, voter := range down {
+		killAndExcuse(b.load, voter)
+	}
+	b.post(caller, "/caches/enable/"+b.servers[1], http.StatusServiceUnavailable)
+	b.post(caller, "/caches/disable/"+b.servers[3], http.StatusOK)
+	for _, voter := range down {
+		requireNoError(b.t, voter.Start())
+	}
+	b.waitForConvergence("the voters have rejoined", b.Routers...)
+	b.waitForRegistered(registeredBan{server: b.servers[3], disabled: true, setBy: caller.Name}, b.Routers...)
+}
+
+// enableAll enables all servers, each by one call of another router.
+func (b *bansTest) enableAll() {
+	b.t.Helper()
+	for i, server := range b.servers {
+		router := b.Routers[i]
+		b.waitUntil(server+" is enabled", func() (bool, string) {
+			code, body, err := router.CallAdmin(http.MethodPost, "/caches/enable/"+server)
+			return code == http.StatusOK, fmt.Sprintf("%d %s %v", code, body, err)
+		})
+		b.waitForBan(server+" is enabled at all routers", server, false, b.Routers...)
+		b.waitForRegistered(registeredBan{server: server, disabled: false, setBy: router.Name}, b.Routers...)
+	}
+	for _, router := range b.Routers {
+		if got := b.bans(router).DisabledHere; len(got) != 0 {
+			b.t.Errorf("%s has disabled %v, want none", router.Name, got)
 		}
-		if _, err := os.Stat(filepath.Join(x.StateDir(), "garnetline-bans.json")); err != nil {
-			t.Error(err)
+		if _, err := os.Stat(filepath.Join(router.StateDir(), "garnetline-bans.json")); err != nil {
+			b.t.Error(err)
 		}
 	}
-	l.Stop()
 }
--- a/internal/testcluster/conditions.go
+++ b/internal/testcluster/conditions.go
@@ -22,7 +22,7 @@
 )
 
 // Condition tells whether something is so, and what was observed instead.
-type Condition = func() (met bool, observed string)
+type Condition func() (met bool, observed string)
 
 // TimeoutError is a condition that was not met in time.
 type TimeoutError struct {
--- /dev/null
+++ b/internal/testcluster/failpoint_test.go
@@ -0,0 +1,140 @@
+package testcluster
+
+import (
+	"fmt"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Failpoints of a program that was built with the tag faults.
+const (
+	failpointWallClock = "fault-wall" // ms
+	failpointSaveDelay = "fault-save" // ms
+)
+
+// The wall clock of all routers steps an hour back, then two hours forward, while they run and
+// hold a lease: the lease stays where it is, can be transferred, and is held again when its
+// holder restarts by the new clock. Purges, which carry wall clock times, hold as before.
+func TestWallClockStep(t *testing.T) {
+	cluster := startFleet(t, Options{Program: faultProgram, Routers: 5, Servers: 2, Voters: 3, LeaseSettings: shortLeases, Seed: 41})
+	firstHolder, firstToken := cluster.holder(loadReportLease, cluster.Routers...)
+	load := cluster.StartLoad(50*time.Millisecond, cluster.Routers...)
+	for _, step := range []struct {
+		name        string
+		offset      time.Duration
+		firstObject int // purged at the first router; each router has an object of its own
+	}{
+		{"an hour back", -time.Hour, 900},
+		{"an hour ahead", time.Hour, 910},
+	} {
+		t.Run(step.name, func(t *testing.T) {
+			cluster.in(t).expectPurgesHold(load, step.offset, step.firstObject)
+		})
+	}
+	if holder, token := cluster.holder(loadReportLease, cluster.Routers...); holder != firstHolder || token != firstToken {
+		t.Errorf("got holder %s under token %d, want %s under %d as before the steps", holder.Name, token, firstHolder.Name, firstToken)
+	}
+
+	cluster.post(firstHolder, transferPath, http.StatusOK)
+	cluster.waitForProbes("the lease is transferred", firstToken)
+	secondHolder, secondToken := cluster.holder(loadReportLease, cluster.Routers...)
+	cluster.stopAndExcuse(load, secondHolder)
+	cluster.waitForProbes("the lease is held again after its holder stopped", secondToken)
+	requireNoError(t, secondHolder.Start())
+	cluster.waitForConvergence("the stopped router has rejoined", cluster.Routers...)
+	load.SetExcused(secondHolder, false)
+	cluster.expectTokenOrder()
+	cluster.stopLoad(load)
+	cluster.expectNoFalseFailures()
+}
+
+// expectPurgesHold sets the wall clock of all routers and purges an object at each: the router
+// has to ask the servers for a copy that is not older than the purge.
+func (c *clusterTest) expectPurgesHold(load *Load, offset time.Duration, firstObject int) {
+	c.t.Helper()
+	const (
+		purgeAge     = 100 * time.Millisecond
+		purgeTimeout = 5 * time.Second
+	)
+	for _, router := range c.Routers {
+		requireNoError(c.t, router.SetFailpoint(failpointWallClock, offset.Milliseconds()))
+	}
+	for i, router := range c.Routers {
+		object := firstObject + i
+		c.ChangeLog.Purge(uint64(object), uint64(time.Now().Add(offset-purgeAge).UnixMilli()))
+		what := fmt.Sprintf("the purge holds at %s", router.Name)
+		elapsed, err := c.WaitUntil(what, purgeTimeout, func() (bool, string) {
+			load.request(router, object)
+			return freshCopyRequested(c.Servers, object), "no request for a fresh copy came"
+		})
+		c.require(what, elapsed, err)
+	}
+}
+
+// freshCopyRequested tells whether a server was asked for an object with a bound on its age.
+func freshCopyRequested(servers []*Server, object int) bool {
+	asset := fmt.Sprintf("asset=%016x", object)
+	for _, server := range servers {
+		for _, fields := range server.Requests() {
+			if strings.Contains(fields, asset) && strings.Contains(fields, ",fresh=") {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// Each write to disk of one voter takes two seconds while the lease is transferred: the lease is
+// held again, no health check comes after one of a later token, and requests go on.
+func TestSlowVoterDisk(t *testing.T) {
+	cluster := startFleet(t, Options{Program: faultProgram, Routers: 5, Servers: 2, Voters: 3, LeaseSettings: shortLeases, Seed: 42})
+	load := cluster.StartLoad(50*time.Millisecond, cluster.Routers...)
+	voters := cluster.Routers[:3]
+	for _, test := range []struct {
+		name   string
+		leader bool
+	}{
+		{"follower", false},
+		{"leader", true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			cluster := cluster.in(t)
+			slow := cluster.waitForVoters(voters, "r00", "r01", "r02")
+			if !test.leader {
+				slow = lastExcept(voters, slow)
+			}
+			cluster.expectTransfersWithSlowDisk(slow)
+		})
+	}
+	cluster.waitForVoters(voters, "r00", "r01", "r02")
+	cluster.expectTokenOrder()
+	cluster.stopLoad(load)
+}
+
+func lastExcept(routers []*Router, except *Router) (last *Router) {
+	for _, router := range routers {
+		if router != except {
+			last = router
+		}
+	}
+	return last
+}
+
+func (c *clusterTest) expectTransfersWithSlowDisk(slow *Router) {
+	c.t.Helper()
+	const (
+		saveDelay = 2 * time.Second
+		transfers = 2
+	)
+	requireNoError(c.t, slow.SetFailpoint(failpointSaveDelay, saveDelay.Milliseconds()))
+	for range transfers {
+		holder, token := c.holder(loadReportLease, c.Routers...)
+		if err := post(holder, transferPath, http.StatusOK); err != nil {
+			c.t.Logf("transfer not confirmed: %v", err) // it may not be answered in time
+		}
+		c.waitForProbes("transferred while writes at "+slow.Name+" are slow", token)
+	}
+	requireNoError(c.t, slow.SetFailpoint(failpointSaveDelay, 0))
+}
--- /dev/null
+++ b/internal/testcluster/gossip_test.go
@@ -0,0 +1,96 @@
+package testcluster
+
+import (
+	"fmt"
+	"net/http"
+	"syscall"
+	"testing"
+	"time"
+
+	"garnetline/internal/fakeserver"
+	"garnetline/internal/faultproxy"
+)
+
+// Phases of a server, as the change log announces them.
+const (
+	phaseReady    = 0
+	phaseDraining = 1
+)
+
+// A router whose change log is cut off learns drains and purges from its peers, and follows its
+// change log alone once that is back. A ban that is set at one router holds at all.
+func TestGossipReplacesUnreachableChangeLog(t *testing.T) {
+	const (
+		stalePeriod  = 2 * time.Second // until the router's watch counts as stale
+		loadDuration = 600 * time.Millisecond
+		bannedServer = "s-00000003"
+	)
+	cluster := startFleet(t, Options{Routers: 8, Servers: 3, Seed: 9})
+	cutOff := cluster.Routers[3]
+	outOfRotation := func(count int) Condition {
+		return metricsContain(cutOff, fmt.Sprintf("app_out_of_rotation %d", count))
+	}
+	cluster.Proxy.SetBoth(cutOff.ProxyName(), "log", faultproxy.Fault{Partitioned: true})
+	time.Sleep(stalePeriod)
+
+	server := cluster.Servers[1]
+	endpoint := fakeserver.Endpoint{ID: uint32(server.ID), Addr: server.Address(), Phase: phaseDraining, Weight: 100}
+	cluster.ChangeLog.UpdateEndpoints(endpoint)
+	cluster.waitUntil("the drain is followed without the change log", outOfRotation(1))
+	before := server.RequestCount()
+	load := cluster.StartLoad(20*time.Millisecond, cutOff)
+	time.Sleep(loadDuration)
+	cluster.stopLoad(load)
+	if got := server.RequestCount() - before; got != 0 {
+		t.Errorf("got %d requests at the draining server, want none", got)
+	}
+
+	cluster.ChangeLog.Purge(7, uint64(time.Now().UnixMilli()))
+	cluster.waitUntil("the purge is applied without the change log", func() (bool, string) {
+		requireNoError(t, cutOff.Signal(syscall.SIGUSR1)) // it logs its counters
+		return cutOff.CountLogLines(`"fleet_purges_taken":1`) > 0, "not counted"
+	})
+
+	cluster.post(cluster.Routers[0], "/caches/disable/"+bannedServer, http.StatusOK)
+	cluster.waitForBan("the ban holds at all routers", bannedServer, true, cluster.Routers...)
+	cluster.waitUntil("the ban is followed without the change log", outOfRotation(2))
+
+	cluster.Proxy.Heal()
+	endpoint.Phase = phaseReady
+	cluster.ChangeLog.UpdateEndpoints(endpoint)
+	cluster.waitUntil("the change log alone is followed again", outOfRotation(1))
+}
+
+// During a partition one side bans a server, and the other bans and enables it: healed, all
+// routers hold the ban, since the enable did not know it. An enable that knows the ban ends it at
+// all routers, also at one that was paused meanwhile.
+func TestBanOutlivesEnableThatDidNotKnowIt(t *testing.T) {
+	const server = "s-00000001"
+	cluster := startFleet(t, Options{Routers: 6, Servers: 2, Seed: 10})
+	one, other := cluster.Routers[:3], cluster.Routers[3:]
+	disable := func(router *Router) {
+		t.Helper()
+		cluster.post(router, "/caches/disable/"+server, http.StatusOK)
+	}
+	enable := func(router *Router) {
+		t.Helper()
+		cluster.post(router, "/caches/enable/"+server, http.StatusOK)
+	}
+	cluster.partition(one, other)
+	disable(one[0])
+	disable(other[0])
+	enable(other[0])
+	cluster.waitForBan("one side bans", server, true, one...)
+	cluster.waitForBan("the other side does not", server, false, other...)
+	cluster.Proxy.Heal()
+	cluster.waitForBan("healed, all ban", server, true, cluster.Routers...)
+	cluster.waitForConnectivity("healed, all are together", connectivityTogether, cluster.Routers...)
+
+	paused := cluster.Routers[5]
+	requireNoError(t, paused.Pause())
+	cluster.waitForState("the paused router has failed", paused, stateFailed, cluster.Running(paused)...)
+	enable(cluster.Routers[1])
+	cluster.waitForBan("all others have enabled it", server, false, cluster.Running(paused)...)
+	requireNoError(t, paused.Resume())
+	cluster.waitForBan("the resumed router has enabled it", server, false, cluster.Routers...)
+}
--- /dev/null
+++ b/internal/testcluster/harness_test.go
@@ -0,0 +1,266 @@
+package testcluster
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+const (
+	// waitTimeout bounds what a test waits for. It is wide, since the machine may be busy.
+	waitTimeout = 30 * time.Second
+
+	// servedShare is the least share of requests that clients must see served.
+	servedShare = 0.98
+
+	// minRequests is how many requests a load must have sent for its result to count.
+	minRequests = 20
+)
+
+// shortLeases are the lease settings of tests in which leases expire.
+const shortLeases = " lease_ms = 1500\n margin_ms = 150\n"
+
+// loadReportLease is the lease on health checks of the servers in the clusters' zone.
+const loadReportLease = "probe/edge"
+
+// transferPath is the admin path that has the holder of loadReportLease transfer it.
+const transferPath = "/fleet/duty/move/" + loadReportLease
+
+// States that the admin API prints.
+const (
+	stateFailed = "failed"
+
+	connectivityTogether = "together"
+	connectivityPartial  = "partial"
+	connectivityAlone    = "alone"
+)
+
+// Texts of log lines about members.
+const (
+	logFailed   = `"what":"failed"`
+	logResumed  = `"what":"woken"`
+	logConflict = `"what":"conflict"`
+	logError    = `"level":"error"`
+	logReloaded = `"event":"configuration reloaded"`
+)
+
+// logMember is the text of log lines about a member.
+func logMember(router *Router) string { return fmt.Sprintf(`"member":%q`, router.Name) }
+
+// program is the path of the daemon, faultProgram that of one with failpoints.
+var program, faultProgram string
+
+// TestMain builds both programs once.
+func TestMain(m *testing.M) { os.Exit(buildAndRun(m)) }
+
+func buildAndRun(m *testing.M) int {
+	dir, err := os.MkdirTemp("", "testcluster")
+	if err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		return 1
+	}
+	defer func() { _ = os.RemoveAll(dir) }()
+	program = filepath.Join(dir, "garnetline")
+	faultProgram = filepath.Join(dir, "garnetline-faults")
+	for path, tags := range map[string]string{program: "", faultProgram: "faults"} {
+		build := exec.CommandContext(context.Background(), "go", "build", "-tags", tags, "-o", path, "garnetline/cmd/garnetline")
+		if output, err := build.CombinedOutput(); err != nil {
+			fmt.Fprintf(os.Stderr, "%v: %v\n%s\n", build, err, output)
+			return 1
+		}
+	}
+	return m.Run()
+}
+
+func requireNoError(t *testing.T, err error) {
+	t.Helper()
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+// clusterTest is a cluster whose methods end the test where a condition is not met in time.
+type clusterTest struct {
+	*Cluster
+	t *testing.T
+}
+
+// startFleet starts routers that form a fleet, and waits until all see each other and are
+// together.
+func startFleet(t *testing.T, options Options) *clusterTest {
+	t.Helper()
+	options.Dir = t.TempDir()
+	options.Fleet = true
+	if options.Program == "" {
+		options.Program = program
+	}
+	// Slower to suspect than by default: the machine may be busy with other tests, and a process
+	// that gets no processor for a second is to be failed by none of them.
+	options.FleetSettings += " more_room_after_ms = 1000\n probe_ms = 250\n timeout_ms = 120\n suspect_ms = 1500\n"
+	cluster, err := Start(options)
+	requireNoError(t, err)
+	t.Cleanup(cluster.Close)
+	fleet := &clusterTest{Cluster: cluster, t: t}
+	fleet.waitForConvergence("all have joined", cluster.Routers...)
+	fleet.waitForConnectivity("all are together", connectivityTogether, cluster.Routers...)
+	return fleet
+}
+
+// in returns the same cluster for a subtest.
+func (c *clusterTest) in(t *testing.T) *clusterTest {
+	t.Helper()
+	return &clusterTest{Cluster: c.Cluster, t: t}
+}
+
+// require ends the test if a condition was not met, and logs how long it took otherwise.
+func (c *clusterTest) require(what string, elapsed time.Duration, err error) {
+	c.t.Helper()
+	if err != nil {
+		c.t.Fatalf("%s: %v", what, err)
+	}
+	c.t.Logf("%s after %v", what, elapsed.Round(time.Millisecond))
+}
+
+func (c *clusterTest) waitUntil(what string, condition Condition) {
+	c.t.Helper()
+	elapsed, err := c.WaitUntil(what, waitTimeout, condition)
+	c.require(what, elapsed, err)
+}
+
+func (c *clusterTest) waitForConvergence(what string, routers ...*Router) {
+	c.t.Helper()
+	elapsed, err := c.WaitForConvergence(waitTimeout, routers...)
+	c.require(what, elapsed, err)
+}
+
+func (c *clusterTest) waitForState(what string, router *Router, state string, observers ...*Router) {
+	c.t.Helper()
+	elapsed, err := c.WaitForState(waitTimeout, router, state, observers...)
+	c.require(what, elapsed, err)
+}
+
+func (c *clusterTest) waitForConnectivity(what, state string, routers ...*Router) {
+	c.t.Helper()
+	elapsed, err := c.WaitForConnectivity(waitTimeout, state, routers...)
+	c.require(what, elapsed, err)
+}
+
+func (c *clusterTest) waitForBan(what, server string, banned bool, routers ...*Router) {
+	c.t.Helper()
+	elapsed, err := c.WaitForBan(waitTimeout, server, banned, routers...)
+	c.require(what, elapsed, err)
+}
+
+func (c *clusterTest) waitForProbes(what string, after uint64) {
+	c.t.Helper()
+	elapsed, err := c.WaitForProbes(waitTimeout, after)
+	c.require(what, elapsed, err)
+}
+
+// holder waits until one of the routers holds a lease, and returns it and the fencing token.
+func (c *clusterTest) holder(lease string, routers ...*Router) (holder *Router, token uint64) {
+	c.t.Helper()
+	holder, token, err := c.WaitForHolder(waitTimeout, lease, routers...)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	c.t.Logf("%s holds %s under fencing token %d", holder.Name, lease, token)
+	return holder, token
+}
+
+// partition cuts all packets between two groups of routers until the proxy is healed.
+func (c *clusterTest) partition(one, other []*Router) {
+	c.Proxy.Partition(proxyNames(one), proxyNames(other))
+}
+
+func proxyNames(routers []*Router) []string {
+	var names []string
+	for _, router := range routers {
+		names = append(names, router.ProxyName())
+	}
+	return names
+}
+
+// post makes a call of a router's admin API, which has to be answered with a status.
+func post(router *Router, path string, wantStatus int) error {
+	code, body, err := router.CallAdmin(http.MethodPost, path)
+	if err != nil {
+		return fmt.Errorf("%s: POST %s: %w", router.Name, path, err)
+	}
+	if code != wantStatus {
+		return fmt.Errorf("%s: POST %s: got status %d, want %d: %s", router.Name, path, code, wantStatus, body)
+	}
+	return nil
+}
+
+func (c *clusterTest) post(router *Router, path string, wantStatus int) {
+	c.t.Helper()
+	requireNoError(c.t, post(router, path, wantStatus))
+}
+
+// metricsContain is the condition that a router's metrics have a line.
+func metricsContain(router *Router, line string) Condition {
+	return func() (bool, string) {
+		_, metrics, err := router.CallAdmin(http.MethodGet, "/metrics")
+		return strings.Contains(string(metrics), line+"\n"), fmt.Sprintf("%v, metrics:\n%s", err, metrics)
+	}
+}
+
+// expectNoFalseFailures reports routers that were said to have failed by any router, except
+// those that were killed, paused or throttled.
+func (c *clusterTest) expectNoFalseFailures(except ...*Router) {
+	c.t.Helper()
+	isExcepted := func(line string) bool {
+		return slices.ContainsFunc(except, func(router *Router) bool { return strings.Contains(line, logMember(router)) })
+	}
+	for _, router := range c.Routers {
+		for line := range strings.Lines(router.Output.String()) {
+			if strings.Contains(line, logFailed) && !isExcepted(line) {
+				c.t.Errorf("%s logs a failure of a running router: %s", router.Name, line)
+			}
+		}
+	}
+}
+
+// expectTokenOrder reports health checks that came after one under a later fencing token.
+func (c *clusterTest) expectTokenOrder() {
+	c.t.Helper()
+	for _, server := range c.Servers {
+		if _, err := server.Handovers(); err != nil {
+			c.t.Error(err)
+		}
+	}
+}
+
+// stopLoad stops a load and reports what its clients should not have seen.
+func (c *clusterTest) stopLoad(load *Load) {
+	c.t.Helper()
+	result := load.Stop()
+	if err := result.Check(servedShare); err != nil {
+		c.t.Error(err)
+	}
+	if result.Requests < minRequests {
+		c.t.Errorf("got %d requests, want at least %d", result.Requests, minRequests)
+	}
+	c.t.Logf("%d requests, p50 %v, p99 %v, by status %v", result.Requests, result.P50, result.P99, result.Statuses)
+}
+
+// killAndExcuse kills a router whose requests are then not counted.
+func killAndExcuse(load *Load, router *Router) {
+	load.SetExcused(router, true)
+	router.Kill()
+}
+
+// stopAndExcuse stops a router in order; its requests are then not counted.
+func (c *clusterTest) stopAndExcuse(load *Load, router *Router) {
+	c.t.Helper()
+	load.SetExcused(router, true)
+	requireNoError(c.t, router.Stop())
+}
