--- /dev/null
+++ b/internal/experiment/lease_search_moves.go
@@ -0,0 +1,212 @@
+package experiment
+
+import (
+	"fmt"
+	"math"
+	"slices"
+
+	"garnetline/internal/fleet/lease"
+	"garnetline/internal/fleet/leaseregistry"
+	"garnetline/internal/fleet/membership"
+)
+
+// The order of the moves decides which of two schedules of the same length is found.
+
+// expand visits each state that may follow one.
+func (r *searchRun) expand(state *searchState) {
+	r.move(state, "time passes", func(next *searchState) { next.now += searchTick })
+	for router := range state.holders {
+		r.expandRouter(state, router)
+	}
+	if state.crashes < r.options.MaxCrashes {
+		r.move(state, "another leader", (*searchState).changeLeader)
+	}
+	for index := range state.inFlight {
+		r.expandMessage(state, index)
+	}
+}
+
+// move visits the state that follows from one by a change.
+func (r *searchRun) move(state *searchState, description string, change func(next *searchState)) {
+	next := state.clone()
+	change(next)
+	next.dropUnawaited()
+	r.visit(next, searchMove{previous: state.moveIndex, description: description})
+}
+
+// expandRouter visits what may follow from what one router does.
+func (r *searchRun) expandRouter(state *searchState, router int) {
+	name := fmt.Sprint("router ", router+1)
+	if state.stepDue(router) {
+		r.move(state, name+" steps", func(next *searchState) { next.stepRouter(router) })
+	}
+	token, ok := state.valid(router)
+	// With the check at the write, a write decided before can be written only where one
+	// decided now could be: those states need not be told apart.
+	if ok && state.pendingWrites[router] == 0 && r.options.Without == CheckAtWrite {
+		r.move(state, name+" decides an act", func(next *searchState) { next.pendingWrites[router] = token })
+	}
+	if state.pendingWrites[router] != 0 {
+		r.move(state, name+" writes it, or not", func(next *searchState) { next.pendingWrites[router] = 0 })
+	}
+	if ok && state.transfers < r.options.MaxTransfers {
+		r.move(state, name+" hands on", func(next *searchState) { next.transferFrom(router) })
+	}
+	if state.crashes < r.options.MaxCrashes {
+		r.move(state, name+" is started again", func(next *searchState) { next.restartRouter(router) })
+	}
+}
+
+// expandMessage visits what may follow from what becomes of one message on its way.
+func (r *searchRun) expandMessage(state *searchState, index int) {
+	message := state.inFlight[index]
+	name := fmt.Sprintf("a question of router %d", message.router+1)
+	if message.response != nil {
+		name = fmt.Sprintf("an answer to router %d", message.router+1)
+	}
+	r.move(state, name+" arrives", func(next *searchState) {
+		next.removeMessage(index)
+		next.deliver(message)
+	})
+	if state.faults >= r.options.MaxFaults {
+		return
+	}
+	r.move(state, name+" is lost", func(next *searchState) {
+		next.faults++
+		next.removeMessage(index)
+	})
+	r.move(state, name+" arrives, and will again", func(next *searchState) {
+		next.faults++
+		next.deliver(message)
+	})
+}
+
+// stepDue tells whether a router has something to do now.
+func (s *searchState) stepDue(router int) bool {
+	_, _, wakeAt := s.holders[router].Clone().Step(math.Inf(-1))
+	return wakeAt <= s.localTime(router)
+}
+
+func (s *searchState) stepRouter(router int) {
+	requests, _, _ := s.holders[router].Step(s.localTime(router))
+	for _, request := range requests {
+		s.send(searchMessage{router: router, request: &request})
+	}
+}
+
+// transferFrom has a holder transfer the lease to the other router.
+func (s *searchState) transferFrom(router int) {
+	s.transfers++
+	other := routerID(searchRouters - 1 - router)
+	s.holders[router].Release(s.localTime(router), leaseName, other, nil)
+}
+
+func (s *searchState) restartRouter(router int) {
+	s.crashes++
+	s.pendingWrites[router] = 0
+	s.startRouter(router)
+}
+
+func (s *searchState) changeLeader() {
+	s.crashes++
+	known := s.registry
+	if s.options.Without == NewLeaderRestartsLeases {
+		known = leaseregistry.New() // as if no lease were held
+	}
+	s.expiry = lease.NewExpiryTracker(s.options.settings(), s.now, known)
+}
+
+// send puts a message on its way, unless there are too many.
+func (s *searchState) send(message searchMessage) {
+	if len(s.inFlight) < s.options.MaxInFlight {
+		s.inFlight = append(s.inFlight, message)
+	}
+}
+
+func (s *searchState) removeMessage(index int) {
+	s.inFlight = slices.Delete(s.inFlight, index, index+1)
+}
+
+// dropUnawaited drops responses that no router waits for any more: they change nothing.
+func (s *searchState) dropUnawaited() {
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(message searchMessage) bool {
+		response := message.response
+		return response != nil && response.RequestID != 0 && !s.holders[message.router].AwaitsResponse(leaseName, response.RequestID)
+	})
+}
+
+// deliver has the registry or a router handle a message.
+func (s *searchState) deliver(message searchMessage) {
+	if message.request != nil {
+		s.handleRequest(message.router, *message.request)
+		return
+	}
+	holder := s.holders[message.router]
+	now := s.localTime(message.router)
+	if s.options.Without == LeaseFromRequest { // as if the request had been sent when the response came
+		holder.Backdate(leaseName, message.response.RequestID, now)
+	}
+	holder.HandleResponse(now, *message.response)
+}
+
+// handleRequest is the registry: it handles a router's request and responds to it.
+func (s *searchState) handleRequest(router int, request lease.Request) {
+	incarnation := request.ID >> incarnationShift
+	granted := false
+	if request.Release {
+		s.applyRelease(routerID(router), request)
+	} else {
+		granted = s.grantOrRenew(routerID(router), incarnation, request)
+	}
+	response := lease.Response{RequestID: request.ID, Lease: leaseName, Granted: granted}
+	if current := s.registry.Leases[leaseName]; current != nil {
+		response.Granted = granted || current.Holder == routerID(router) && current.Incarnation == incarnation
+		response.FencingToken = current.FencingToken
+		response.Holder = current.Holder
+		response.Remaining = s.expiry.Remaining(s.now, leaseName)
+	}
+	if granted {
+		s.expiry.Extend(s.now, leaseName)
+	}
+	s.send(searchMessage{router: router, response: &response})
+}
+
+// apply applies a command to the registry, and tells whether it changed the lease.
+func (s *searchState) apply(command *leaseregistry.Command) bool {
+	if s.lastIndex >= s.options.MaxGrants {
+		return false
+	}
+	s.lastIndex++
+	return s.registry.Apply(s.lastIndex, command) == nil
+}
+
+// applyRelease releases the lease, and notifies the router that it is transferred to. A
+// release under a token that is no longer the lease's changes nothing.
+func (s *searchState) applyRelease(holder membership.ID, request lease.Request) {
+	current := s.registry.Leases[leaseName]
+	if current == nil || current.Holder != holder || current.FencingToken != request.FencingToken {
+		return
+	}
+	if s.apply(releaseCommand(holder, request)) && request.TransferTo != 0 {
+		notice := lease.Response{Lease: leaseName, Holder: request.TransferTo, FencingToken: s.lastIndex}
+		s.send(searchMessage{router: int(request.TransferTo) - 1, response: &notice})
+	}
+}
+
+// grantOrRenew tells whether a router's process was granted the lease, or renewed it.
+func (s *searchState) grantOrRenew(router membership.ID, incarnation uint64, request lease.Request) bool {
+	current := s.registry.Leases[leaseName]
+	isHolder := current != nil && current.Holder == router
+	if isHolder && current.Incarnation == incarnation && (request.FencingToken == current.FencingToken || request.FencingToken == 0) {
+		return true
+	}
+	transferred := isHolder && current.Incarnation == 0
+	if request.FencingToken != 0 || !transferred && !s.expiry.Available(s.now, current) {
+		return false
+	}
+	command := &leaseregistry.Command{Op: leaseregistry.OpGrant, Lease: leaseName, Holder: router, Incarnation: incarnation}
+	if current != nil {
+		command.ExpectedToken = current.FencingToken
+	}
+	return s.apply(command)
+}
