--- a/internal/experiment/lease_handovers_registry.go
+++ b/internal/experiment/lease_handovers_registry.go
@@ -41,8 +41,8 @@
 		return
 	}
 	r.lastIndex++
-	r.registry.Apply(r.lastIndex, releaseCommand(holder, request))
-	if request.TransferTo != 0 {
+	err := r.registry.Apply(r.lastIndex, releaseCommand(holder, request))
+	if err == nil && request.TransferTo != 0 {
 		notice := lease.Response{Lease: leaseName, Holder: request.TransferTo, FencingToken: r.lastIndex}
 		r.send(handoverMessage{router: int(request.TransferTo) - 1, response: &notice})
 	}
--- /dev/null
+++ b/internal/experiment/memory_fs.go
@@ -0,0 +1,88 @@
+package experiment
+
+import (
+	"io/fs"
+	"slices"
+
+	"garnetline/internal/fleet/consensus/wal"
+)
+
+// memoryFS is a voter's directory in memory, which counts what a disk would have to do. It
+// is not safe for concurrent use.
+type memoryFS struct {
+	files    map[string][]byte
+	syncs    int
+	maxBytes int // of all files at one time
+}
+
+func newMemoryFS() *memoryFS { return &memoryFS{files: map[string][]byte{}} }
+
+// ReadFile returns a copy of a file's content, or fs.ErrNotExist.
+func (m *memoryFS) ReadFile(name string) ([]byte, error) {
+	content, ok := m.files[name]
+	if !ok {
+		return nil, fs.ErrNotExist
+	}
+	return slices.Clone(content), nil
+}
+
+// Append opens a file to append to it, and creates it if there is none.
+func (m *memoryFS) Append(name string) (wal.File, error) {
+	m.files[name] = append(m.files[name], []byte{}...)
+	return &memoryFile{directory: m, name: name}, nil
+}
+
+// Rename renames a file, and replaces one that has the new name.
+func (m *memoryFS) Rename(from, to string) error {
+	m.files[to] = m.files[from]
+	delete(m.files, from)
+	return nil
+}
+
+// Remove removes a file.
+func (m *memoryFS) Remove(name string) error {
+	delete(m.files, name)
+	return nil
+}
+
+// Sync counts a sync of the directory.
+func (m *memoryFS) Sync() error {
+	m.syncs++
+	return nil
+}
+
+func (m *memoryFS) size() int {
+	total := 0
+	for _, content := range m.files {
+		total += len(content)
+	}
+	return total
+}
+
+// memoryFile is a file of a memoryFS that is open for appending.
+type memoryFile struct {
+	directory *memoryFS
+	name      string
+}
+
+// Write appends to the file.
+func (f *memoryFile) Write(b []byte) (int, error) {
+	f.directory.files[f.name] = append(f.directory.files[f.name], b...)
+	f.directory.maxBytes = max(f.directory.maxBytes, f.directory.size())
+	return len(b), nil
+}
+
+// Sync counts a sync of the file.
+func (f *memoryFile) Sync() error {
+	f.directory.syncs++
+	return nil
+}
+
+// Truncate cuts the file to a length.
+func (f *memoryFile) Truncate(length int64) error {
+	f.directory.files[f.name] = f.directory.files[f.name][:length]
+	return nil
+}
+
+// Close does nothing.
+func (f *memoryFile) Close() error { return nil }
