--- /dev/null
+++ b/internal/experiment/load_reporting_run.go
@@ -0,0 +1,276 @@
+package experiment
+
+import (
+	"math"
+	"math/rand/v2"
+
+	"garnetline/internal/fleet/lease"
+	"garnetline/internal/fleet/loadreport"
+	"garnetline/internal/fleet/membership"
+)
+
+// How the load of a server changes: it returns to the usual load, and now and then a burst
+// fills the server for seconds. Times are in ms.
+const (
+	usualLoad         = 0.4
+	burstLoad         = 1.0
+	meanBurstInterval = 30_000.0
+	maxBurstTime      = 5000.0
+	loadTimeConstant  = 800.0
+	loadNoise         = 0.01 // standard deviation of what is added in a tick
+)
+
+// Bytes on the wire: of a packet of reports the headers of IP and UDP, the header and the
+// encryption of the fleet's packets, and of each report in it.
+const (
+	reportPacketBytes = 28.0 + 41.0 + 20.0
+	reportBytes       = 20.0
+)
+
+// What routers know is sampled at intervals once the run has settled. Times are in ms.
+const (
+	firstSampleAt  = 10_000.0
+	sampleInterval = 370
+	staleAge       = 2000.0
+)
+
+// loadReport is a server's load as a router measured it.
+type loadReport struct {
+	load       float64
+	measuredAt float64
+}
+
+// loadedServer is a server whose load is probed.
+type loadedServer struct {
+	load      float64 // share of its capacity
+	burstLeft float64 // ms; not above 0: there is no burst
+	probes    float64 // that it received
+}
+
+// loadRouter is a router that probes servers or receives reports.
+type loadRouter struct {
+	id           membership.ID
+	registrySide bool // of the partition
+	holder       *lease.Holder
+	schedules    []probeSchedule    // by server
+	known        []loadReport       // by server
+	pending      map[int]loadReport // by server; measured and not reported yet
+	nextReportAt float64
+	probing      bool // in this tick
+	packetsSent  float64
+	bytesSent    float64
+}
+
+// loadReportingRun is the state of one run of LoadReporting.
+type loadReportingRun struct {
+	options  LoadReporting
+	rng      *rand.Rand
+	now      float64 // ms
+	servers  []loadedServer
+	routers  []*loadRouter
+	views    [viewCount]zoneView
+	registry *loadReportingRegistry
+	probers  int // routers that probe in this tick
+	samples  loadSamples
+	outcome  LoadReportingResult
+}
+
+// loadSamples are sums over the samples of what the routers know.
+type loadSamples struct {
+	count      float64
+	staleCount float64
+	ages       float64 // ms; of those that are not stale
+	errors     float64 // of those that are not stale
+}
+
+// Run runs 90 virtual seconds.
+func (o LoadReporting) Run() LoadReportingResult {
+	run := newLoadReportingRun(o)
+	for run.now = 0; run.now < loadRunTime; run.now += loadTick {
+		run.tick()
+	}
+	return run.result()
+}
+
+func newLoadReportingRun(options LoadReporting) *loadReportingRun {
+	run := &loadReportingRun{
+		options: options,
+		rng:     rand.New(rand.NewPCG(options.Seed, 21)),
+		servers: make([]loadedServer, options.Servers),
+	}
+	settings := lease.DefaultSettings()
+	run.registry = newLoadReportingRegistry(settings)
+	for index := range options.Routers {
+		id := membership.ID(run.rng.Uint64() | 1)
+		run.routers = append(run.routers, &loadRouter{
+			id:           id,
+			registrySide: onRegistrySide(index, options.Routers),
+			holder:       lease.NewHolder(settings, id, uint64(index)<<40),
+			pending:      map[int]loadReport{},
+		})
+	}
+	run.views = newZoneViews(run.routers)
+	for _, router := range run.routers {
+		run.initServers(router)
+	}
+	return run
+}
+
+// initServers sets up what a router knows of servers: nothing. The first probes are spread,
+// so that no two are in step.
+func (r *loadReportingRun) initServers(router *loadRouter) {
+	router.known = make([]loadReport, len(r.servers))
+	router.schedules = make([]probeSchedule, len(r.servers))
+	for server := range r.servers {
+		router.known[server].measuredAt = math.Inf(-1)
+		router.schedules[server] = probeSchedule{nextAt: firstProbeMaxOffset * r.rng.Float64(), lastLoad: -1}
+	}
+}
+
+// tick runs the servers and the routers for one tick.
+func (r *loadReportingRun) tick() {
+	for server := range r.servers {
+		r.changeLoad(&r.servers[server])
+	}
+	r.chooseProbers()
+	for _, router := range r.routers {
+		if router.probing {
+			r.probeDue(router)
+			r.reportDue(router)
+		}
+	}
+	if r.now > firstSampleAt && int(r.now)%sampleInterval == 0 {
+		r.sample()
+	}
+}
+
+// changeLoad changes a server's load by one tick.
+func (r *loadReportingRun) changeLoad(server *loadedServer) {
+	server.burstLeft -= loadTick
+	if server.burstLeft <= 0 && r.rng.Float64() < loadTick/meanBurstInterval {
+		server.burstLeft = maxBurstTime * r.rng.Float64()
+	}
+	target := usualLoad
+	if server.burstLeft > 0 {
+		target = burstLoad
+	}
+	server.load += (target-server.load)*loadTick/loadTimeConstant + loadNoise*r.rng.NormFloat64()
+}
+
+// chooseProbers sets which routers probe in this tick.
+func (r *loadReportingRun) chooseProbers() {
+	r.probers = 0
+	for index, router := range r.routers {
+		router.probing = r.probes(index, router)
+		if router.probing {
+			r.probers++
+		}
+	}
+	if r.probers == 0 {
+		r.outcome.Uncovered += loadTick / msPerSecond
+	}
+}
+
+// probes tells whether a router probes now.
+func (r *loadReportingRun) probes(index int, router *loadRouter) bool {
+	switch r.options.Strategy {
+	case ProbeByNobody:
+		return false
+	case ProbeByEverybody:
+		return true
+	case ProbeByHash:
+		return r.views[r.viewOf(router)].first == router.id
+	default: // ProbeByLease
+		return r.holdsLease(index, router)
+	}
+}
+
+// probeDue has a router probe the servers that are due.
+func (r *loadReportingRun) probeDue(router *loadRouter) {
+	for server := range r.servers {
+		if router.schedules[server].nextAt <= r.now {
+			r.probe(router, server)
+		}
+	}
+}
+
+func (r *loadReportingRun) probe(router *loadRouter, server int) {
+	r.outcome.ProbesPerSecond++
+	r.servers[server].probes++
+	if r.probers > 1 {
+		r.outcome.ConcurrentProbes++
+	}
+	report := loadReport{load: r.servers[server].load, measuredAt: r.now}
+	router.schedules[server].advance(r.now, r.options.IntervalPolicy, report.load)
+	router.known[server] = report
+	if r.options.Strategy != ProbeByEverybody {
+		router.pending[server] = report
+	}
+}
+
+// reportDue has a router send its pending reports to the others that it sees, if it is time.
+func (r *loadReportingRun) reportDue(router *loadRouter) {
+	if r.now < router.nextReportAt || len(router.pending) == 0 {
+		return
+	}
+	router.nextReportAt = r.now
+	reports := float64(len(router.pending))
+	packets := reports
+	if !r.options.Unbatched {
+		router.nextReportAt += loadreport.BatchInterval(len(r.routers) - 1)
+		packets = math.Ceil(reports / loadreport.MaxReportsPerPacket)
+	}
+	seesAll := r.viewOf(router) == wholeZone
+	for _, receiver := range r.routers {
+		sameSide := receiver.registrySide == router.registrySide
+		if receiver == router || !seesAll && !sameSide {
+			continue
+		}
+		router.packetsSent += packets
+		router.bytesSent += packets*reportPacketBytes + reports*reportBytes
+		if sameSide || !r.partitioned() {
+			receiver.receive(router.pending)
+		}
+	}
+	clear(router.pending)
+}
+
+func (r *loadRouter) receive(reports map[int]loadReport) {
+	for server, report := range reports {
+		r.known[server] = report
+	}
+}
+
+// sample adds what each router knows of each server now.
+func (r *loadReportingRun) sample() {
+	for _, router := range r.routers {
+		for server, known := range router.known {
+			r.samples.count++
+			age := r.now - known.measuredAt
+			if age > staleAge {
+				r.samples.staleCount++
+				continue
+			}
+			r.samples.ages += age
+			r.samples.errors += math.Abs(r.servers[server].load - known.load)
+		}
+	}
+}
+
+func (r *loadReportingRun) result() LoadReportingResult {
+	const seconds = loadRunTime / msPerSecond
+	outcome := r.outcome
+	outcome.ProbesPerSecond /= seconds
+	for _, server := range r.servers {
+		outcome.ProbesPerServer = max(outcome.ProbesPerServer, server.probes/seconds)
+	}
+	for _, router := range r.routers {
+		outcome.PacketsPerSecond = max(outcome.PacketsPerSecond, router.packetsSent/seconds)
+		outcome.BytesPerSecond = max(outcome.BytesPerSecond, router.bytesSent/seconds)
+	}
+	fresh := r.samples.count - r.samples.staleCount
+	outcome.MeanAge = r.samples.ages / fresh
+	outcome.MeanError = r.samples.errors / fresh
+	outcome.StaleShare = r.samples.staleCount / r.samples.count
+	return outcome
+}
--- a/internal/experiment/tables_golden_test.go
+++ b/internal/experiment/tables_golden_test.go
@@ -16,7 +16,7 @@
 func TestTables(t *testing.T) {
 	for name, table := range map[string]func(testing.TB, io.Writer){
 		"register.md": registerTable,
-		"worth.md":    func(_ testing.TB, w io.Writer) { LoadReportingTable(w) },
+		"worth.md":    loadReportingTable,
 		"worth.txt":   func(_ testing.TB, w io.Writer) { worthRows(w) },
 		"members.md":  membersTable,
 		"states.md":   statesTable,
@@ -44,6 +44,12 @@
 	}
 }
 
+func loadReportingTable(tb testing.TB, w io.Writer) {
+	if err := LoadReportingTable(w); err != nil {
+		tb.Fatal(err)
+	}
+}
+
 func worthRows(w io.Writer) {
 	for _, way := range Strategies {
 		for _, spacing := range IntervalPolicies {
