--- /dev/null
+++ b/internal/experiment/registry_test.go
@@ -0,0 +1,81 @@
+package experiment
+
+import (
+	"slices"
+	"testing"
+
+	"garnetline/internal/fleet/consensus"
+)
+
+// Guards against leases that nobody holds after many transfers, transfers that take long, and
+// a log that grows with the commands.
+func TestRegistryTransfersLeases(t *testing.T) {
+	const (
+		minHeld      = 3 // of 4: one may be on its way at the end
+		minTransfers = 500
+		maxMedian    = 20.0 // ms
+		maxDiskBytes = 3 << 20
+	)
+	settings := consensus.DefaultSettings()
+	settings.SnapshotEntries = 200
+	settings.RetainedEntries = 50
+	result, err := Registry{Seed: 1, Voters: 3, Routers: 6, Leases: 4, Settings: settings, TransferInterval: 20}.Run(20_000)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if result.LeasesHeld < minHeld {
+		t.Errorf("%d of 4 leases are held, want %d", result.LeasesHeld, minHeld)
+	}
+	if len(result.TransferTimes) < minTransfers {
+		t.Errorf("%d transfers, want %d", len(result.TransferTimes), minTransfers)
+	}
+	if median := Quantile(result.TransferTimes, 0.5); median > maxMedian {
+		t.Errorf("median of the transfers %.1f ms, want at most %.1f", median, maxMedian)
+	}
+	if result.DiskBytes > maxDiskBytes {
+		t.Errorf("%d bytes on the disk, want at most %d", result.DiskBytes, maxDiskBytes)
+	}
+}
+
+// Guards against messages between voters for each request: with thirty times the leases a
+// request causes less than a third of the messages.
+func TestRegistryMessagesPerRequest(t *testing.T) {
+	few := messagesPerRequest(t, 5)
+	many := messagesPerRequest(t, 150)
+	if many > few/3 {
+		t.Errorf("%.2f messages for each request with 150 leases, want at most a third of the %.2f with 5", many, few)
+	}
+}
+
+// messagesPerRequest returns how many messages between voters there are for each request of a
+// router. It fails the test unless all leases are held at the end.
+func messagesPerRequest(t *testing.T, leases int) float64 {
+	t.Helper()
+	result, err := Registry{Seed: 1, Voters: 3, Routers: 6, Leases: leases, Settings: consensus.DefaultSettings()}.Run(15_000)
+	if err != nil || result.LeasesHeld != leases {
+		t.Errorf("%d of %d leases are held, error %v; want all, and no error", result.LeasesHeld, leases, err)
+	}
+	return float64(result.Messages) / float64(result.Requests)
+}
+
+// Guards against events that run in another order than that of their times, or of their
+// scheduling: runs with one seed would differ.
+func TestEventQueueOrder(t *testing.T) {
+	var queue eventQueue
+	var got []string
+	record := func(name string) func() { return func() { got = append(got, name) } }
+	queue.after(5, record("third"))
+	queue.after(2, record("first"))
+	queue.after(5, record("fourth"))
+	queue.after(2, func() {
+		got = append(got, "second")
+		queue.after(-1, record("at once"))
+	})
+	for !queue.empty() {
+		queue.advance()()
+	}
+	want := []string{"first", "second", "at once", "third", "fourth"}
+	if !slices.Equal(got, want) || queue.now != 5 {
+		t.Errorf("got %v at %v ms, want %v at 5 ms", got, queue.now, want)
+	}
+}
