--- a/internal/experiment/false_positives.go
+++ b/internal/experiment/false_positives.go
@@ -53,8 +53,9 @@
 	return counts.perHour(lossName(loss))
 }
 
-// countFalsePositives runs a fleet for a period in virtual ms, in which no router fails and some
-// pause now and then. It counts what is reported of routers by those that detected it first.
+// countFalsePositives runs a fleet for a period in virtual ms, in which no router fails and
+// some pause now and then. It counts what is reported of routers by those that detected it
+// first.
 func countFalsePositives(network *netsim.Network, period float64, pausing map[*netsim.Host]bool) falsePositiveCounts {
 	counts := falsePositiveCounts{hours: period / msPerHour}
 	hosts := map[membership.ID]*netsim.Host{}
--- a/internal/experiment/lease_handovers.go
+++ b/internal/experiment/lease_handovers.go
@@ -7,7 +7,6 @@
 
 	"garnetline/internal/fleet/lease"
 	"garnetline/internal/fleet/leaseregistry"
-	"garnetline/internal/fleet/membership"
 )
 
 // LeaseHandovers is one run of routers that hold one lease in turn. Clocks drift, packets are
@@ -25,11 +24,11 @@
 // LeaseResult is what a run of LeaseHandovers saw.
 type LeaseResult struct {
 	Handovers        int
-	PlannedHandovers int // those in which the holder before had released the lease
-	Writes           int // under the lease, by any router
-	Rejected         int // writes that the receiver rejected by their fencing token
-	StoppedAtWrite   int // writes that the check just before them stopped
-	SimulatedTime    float64
+	PlannedHandovers int       // those in which the holder before had released the lease
+	Writes           int       // under the lease, by any router
+	Rejected         int       // writes that the receiver rejected by their fencing token
+	StoppedAtWrite   int       // writes that the check just before them stopped
+	SimulatedTime    float64   // ms
 	Violation        string    // the latest time that two routers acted at once; empty: never
 	FaultsAndMoves   int       // faults injected and transfers requested
 	Gaps             []float64 // ms between two holders in which no router held the lease
@@ -46,6 +45,10 @@
 	leaderChangeOneIn = 1500
 )
 
+// handoverSettings are shorter than those of a fleet, and allow clocks to drift more, so that
+// a run has many handovers in which the safeguards matter.
+var handoverSettings = lease.Settings{TTL: 1000, SafetyMargin: 60, RetryInterval: 60, MaxBackoff: 1200, MaxClockDrift: 0.05}
+
 // handoverRun is the state of one run of LeaseHandovers. Times are in ms of true time, which
 // no clock of a router or of the registry's leader shows.
 type handoverRun struct {
@@ -72,7 +75,7 @@
 }
 
 func newHandoverRun(options LeaseHandovers) *handoverRun {
-	settings := lease.Settings{TTL: 1000, SafetyMargin: 60, RetryInterval: 60, MaxBackoff: 1200, MaxClockDrift: 0.05}
+	settings := handoverSettings
 	maxRateDeviation := settings.MaxClockDrift / 2 * options.ClockDrift // two clocks differ by twice that
 	if options.Without == LeaseMargin {
 		settings.SafetyMargin = 0
@@ -81,7 +84,7 @@
 	run := &handoverRun{
 		options:          options,
 		settings:         settings,
-		rng:              rand.New(rand.NewPCG(options.Seed, 77)),
+		rng:              rand.New(rand.NewPCG(options.Seed, handoverStream)),
 		receiver:         lease.Fence{},
 		registry:         leaseregistry.New(),
 		maxRateDeviation: maxRateDeviation,
@@ -96,15 +99,6 @@
 	return run
 }
 
-// numberedRouters returns the IDs of n routers: 1 to n.
-func numberedRouters(n int) []membership.ID {
-	var ids []membership.ID
-	for index := range n {
-		ids = append(ids, membership.ID(index+1))
-	}
-	return ids
-}
-
 // clockRate returns the rate of a clock: at position 0 the slowest, at 1 the fastest.
 func (r *handoverRun) clockRate(position float64) float64 {
 	return 1 + r.maxRateDeviation*(2*position-1)
--- a/internal/experiment/lease_handovers_router.go
+++ b/internal/experiment/lease_handovers_router.go
@@ -38,7 +38,7 @@
 
 func newHandoverRouter(settings lease.Settings, index int, ids []membership.ID, clockRate float64) *handoverRouter {
 	return &handoverRouter{
-		Holder:    lease.NewHolder(settings, ids[index], uint64(index)<<40),
+		Holder:    lease.NewHolder(settings, ids[index], firstRequestID(index)),
 		index:     index,
 		id:        ids[index],
 		clockRate: clockRate,
--- a/internal/experiment/lease_search.go
+++ b/internal/experiment/lease_search.go
@@ -24,10 +24,10 @@
 
 // SearchResult is what a search saw.
 type SearchResult struct {
-	States    int // visited
-	Moves     int // from one state to another, known before or not
-	Depth     int // moves from the start to the state that is furthest from it
-	Complete  bool
+	States    int      // visited
+	Moves     int      // from one state to another, known before or not
+	Depth     int      // moves from the start to the state that is furthest from it
+	Complete  bool     // all states that can be reached were visited
 	Violation string   // two routers that could act at once; empty: none was found
 	Schedule  []string // the moves that lead to the violation
 }
--- a/internal/experiment/lease_search_moves.go
+++ b/internal/experiment/lease_search_moves.go
@@ -42,7 +42,7 @@
 	}
 	token, ok := state.valid(router)
 	// With the check at the write, a write decided before can be written only where one
-	// decided now could be: those states need not be told apart.
+	// decided now could be: those states need not be distinguished.
 	if ok && state.pendingWrites[router] == 0 && r.options.Without == CheckAtWrite {
 		r.move(state, name+" decides an act", func(next *searchState) { next.pendingWrites[router] = token })
 	}
--- a/internal/experiment/lease_search_state.go
+++ b/internal/experiment/lease_search_state.go
@@ -18,6 +18,9 @@
 	// searchTick is how much of the leader's time passes in one move, in ms.
 	searchTick = 200.0
 
+	// fingerprintCapacity is about the bytes that are hashed of a state.
+	fingerprintCapacity = 256
+
 	// The IDs of a router's requests have its incarnation above this bit.
 	incarnationShift = 32
 )
@@ -135,9 +138,10 @@
 	return fmt.Sprintf("after %.0f ms both can act", s.now)
 }
 
-// fingerprint returns what two states have in common exactly if the same may follow from both.
+// fingerprint returns a hash of all that decides what may follow from a state. Two states with
+// the same fingerprint are taken for one.
 func (s *searchState) fingerprint() uint64 {
-	b := make([]byte, 0, 256)
+	b := make([]byte, 0, fingerprintCapacity)
 	for router, holder := range s.holders {
 		answerable := func(requestID uint64) bool { return s.concerns(router, requestID) }
 		b = holder.AppendFingerprint(b, s.localTime(router), answerable)
@@ -148,7 +152,7 @@
 	}
 	b = appendNumbers(b, s.lastIndex)
 	b = s.expiry.AppendFingerprint(b, s.now)
-	b = appendNumbers(b, uint64(s.faults)<<8|uint64(s.crashes)<<4|uint64(s.transfers))
+	b = appendNumbers(b, uint64(s.faults), uint64(s.crashes), uint64(s.transfers))
 	return xxhash.Sum64(append(b, s.messagesFingerprint()...))
 }
 
--- a/internal/experiment/load_reporting_run.go
+++ b/internal/experiment/load_reporting_run.go
@@ -29,9 +29,9 @@
 
 // What routers know is sampled at intervals once the run has settled. Times are in ms.
 const (
-	firstSampleAt  = 10_000.0
-	sampleInterval = 370
-	staleAge       = 2000.0
+	loadSamplesFrom    = 10_000.0
+	loadSampleInterval = 370
+	staleLoadAge       = 2000.0
 )
 
 // loadReport is a server's load as a router measured it.
@@ -95,7 +95,7 @@
 func newLoadReportingRun(options LoadReporting) *loadReportingRun {
 	run := &loadReportingRun{
 		options: options,
-		rng:     rand.New(rand.NewPCG(options.Seed, 21)),
+		rng:     rand.New(rand.NewPCG(options.Seed, loadReportingStream)),
 		servers: make([]loadedServer, options.Servers),
 	}
 	settings := lease.DefaultSettings()
@@ -105,7 +105,7 @@
 		run.routers = append(run.routers, &loadRouter{
 			id:           id,
 			registrySide: onRegistrySide(index, options.Routers),
-			holder:       lease.NewHolder(settings, id, uint64(index)<<40),
+			holder:       lease.NewHolder(settings, id, firstRequestID(index)),
 			pending:      map[int]loadReport{},
 		})
 	}
@@ -139,7 +139,7 @@
 			r.reportDue(router)
 		}
 	}
-	if r.now > firstSampleAt && int(r.now)%sampleInterval == 0 {
+	if r.now > loadSamplesFrom && int(r.now)%loadSampleInterval == 0 {
 		r.sample()
 	}
 }
@@ -247,7 +247,7 @@
 		for server, known := range router.known {
 			r.samples.count++
 			age := r.now - known.measuredAt
-			if age > staleAge {
+			if age > staleLoadAge {
 				r.samples.staleCount++
 				continue
 			}
--- a/internal/experiment/registry_run.go
+++ b/internal/experiment/registry_run.go
@@ -77,7 +77,7 @@
 func newRegistryRun(options Registry) (*registryRun, error) {
 	run := &registryRun{
 		options:           options,
-		rng:               rand.New(rand.NewPCG(options.Seed, 11)),
+		rng:               rand.New(rand.NewPCG(options.Seed, registryStream)),
 		routerIDs:         numberedRouters(options.Routers),
 		transferStartedAt: map[string]float64{},
 	}
@@ -159,7 +159,7 @@
 		r.after(0, func() { r.stepVoter(index, consensus.Input{}) })
 	}
 	// Raft draws its election timeouts from a source that cannot be seeded. None runs out here,
-	// as one voter is told to stand for election at the start and its heartbeats are not lost.
+	// as one voter is made a candidate at the start and its heartbeats are not lost.
 	first := r.rng.IntN(r.options.Voters)
 	campaign := &raftpb.Message{Type: raftpb.MsgTimeoutNow.Enum(), To: proto.Uint64(raftID(first))}
 	r.after(0, func() { r.stepVoter(first, consensus.Input{Message: campaign}) })
@@ -185,7 +185,7 @@
 func (r *registryRun) startRouters() {
 	for index, id := range r.routerIDs {
 		router := &registryRouter{
-			Holder:         lease.NewHolder(r.options.Settings.Lease, id, uint64(index)<<40),
+			Holder:         lease.NewHolder(r.options.Settings.Lease, id, firstRequestID(index)),
 			id:             id,
 			firstRequestAt: map[string]float64{},
 		}
