--- a/cmd/fleetlab/handover_kinds.go
+++ b/cmd/fleetlab/handover_kinds.go
@@ -120,7 +120,7 @@
 // leadsRegistry reports whether a router responds that it is the leader.
 func leadsRegistry(router *testcluster.Router) bool {
 	status, err := router.Leases()
-	return err == nil && status.Register.Leading
+	return err == nil && status.Registry.Leading
 }
 
 // cut drops all packets of one router to another.
--- a/cmd/fleetlab/handovers.go
+++ b/cmd/fleetlab/handovers.go
@@ -169,7 +169,7 @@
 func (r *handoverRun) awaitNextHolder(kind handoverKind, probesBefore int, token uint64) error {
 	laterToken := func() (bool, string) {
 		probes := r.probes()
-		return len(probes) > probesBefore && probes[len(probes)-1].Token > token, kind.name
+		return len(probes) > probesBefore && probes[len(probes)-1].FencingToken > token, kind.name
 	}
 	_, err := r.cluster.WaitUntil("another router probes", kind.timeout, laterToken)
 	if kind.optional {
@@ -183,7 +183,7 @@
 	probes := r.probes()
 	for i := max(1, probesBefore); i < len(probes); i++ {
 		last, first := probes[i-1], probes[i]
-		if first.Token <= last.Token {
+		if first.FencingToken <= last.FencingToken {
 			continue
 		}
 		r.done++
@@ -198,7 +198,7 @@
 // printSlowHandover prints the routers' logs after a handover that took long.
 func (r *handoverRun) printSlowHandover(kind handoverKind, last, first testcluster.Probe) {
 	fmt.Fprintf(os.Stderr, "%s: from token %d at %v to %d at %v, %.0f ms\n%s\n", kind.name,
-		last.Token, last.ReceivedAt.UnixMilli(), first.Token, first.ReceivedAt.UnixMilli(),
+		last.FencingToken, last.ReceivedAt.UnixMilli(), first.FencingToken, first.ReceivedAt.UnixMilli(),
 		milliseconds(first.ReceivedAt.Sub(last.ReceivedAt)), r.cluster.Logs(loggedLines))
 }
 
--- a/cmd/fleetlab/load_reporting.go
+++ b/cmd/fleetlab/load_reporting.go
@@ -22,7 +22,6 @@
 func measureLoadReporting(_ context.Context, command *cli.Command) error {
 	return writeReport(command.String("out"), "worth.md", func(table *report) error {
 		table.printf("Made by `fleetlab load-reporting`: 90 virtual seconds, 20 boxes in one location, which is cut in two from 30 to 60 s; six in ten routers are on the register's side.\n\n")
-		experiment.LoadReportingTable(table)
-		return nil
+		return experiment.LoadReportingTable(table)
 	})
 }
--- a/cmd/fleetlab/membership.go
+++ b/cmd/fleetlab/membership.go
@@ -51,8 +51,7 @@
 	err := writeReport(folder, "members.md", func(table *report) error {
 		table.printf("Made by `fleetlab membership --sizes %v --seeds %d --kills %d --rough %v`, %v.\n\n",
 			measurement.Sizes, measurement.Seeds, measurement.Kills, faultPeriod, time.Since(startedAt).Round(time.Second))
-		experiment.MembershipTable(table, results)
-		return nil
+		return experiment.MembershipTable(table, results)
 	})
 	if err != nil {
 		return err
--- a/cmd/garnetline/daemon_parts.go
+++ b/cmd/garnetline/daemon_parts.go
@@ -81,7 +81,7 @@
 	if !d.startup.operators.DNS.Enabled {
 		return nil
 	}
-	if _, err := d.dns.Start(); err != nil {
+	if _, err := d.dns.Start(ctx); err != nil {
 		return err
 	}
 	d.onClose(func() {
--- a/internal/frontend/dnsfront/harness_test.go
+++ b/internal/frontend/dnsfront/harness_test.go
@@ -111,7 +111,7 @@
 	})
 	front.dispatcher.AddListeners(server, front)
 	front.runDispatcher()
-	addr, err := server.Start()
+	addr, err := server.Start(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/frontend/dnsfront/server.go
+++ b/internal/frontend/dnsfront/server.go
@@ -89,15 +89,16 @@
 	}
 }
 
-// Start listens on UDP and TCP and answers queries until Shutdown. It returns the address in
-// use, which has the port that was taken where the configured one is 0.
-func (s *Server) Start() (netip.AddrPort, error) {
-	listener, err := net.Listen("tcp", s.Listen)
+// Start listens on UDP and TCP and answers queries until Shutdown; ctx bounds the start alone.
+// It returns the address in use, which has the port that was taken where the configured one is 0.
+func (s *Server) Start(ctx context.Context) (netip.AddrPort, error) {
+	var listenConfig net.ListenConfig
+	listener, err := listenConfig.Listen(ctx, "tcp", s.Listen)
 	if err != nil {
 		return netip.AddrPort{}, fmt.Errorf("dns: listen: %w", err)
 	}
 	address := listener.Addr().(*net.TCPAddr).AddrPort()
-	packetConn, err := net.ListenPacket("udp", address.String())
+	packetConn, err := listenConfig.ListenPacket(ctx, "udp", address.String())
 	if err != nil {
 		_ = listener.Close()
 		return address, fmt.Errorf("dns: listen: %w", err)
--- a/internal/testcluster/leases.go
+++ b/internal/testcluster/leases.go
@@ -8,7 +8,7 @@
 
 // LeaseStatus is what a router shows of leases, as the admin API writes it.
 type LeaseStatus struct {
-	Register struct {
+	Registry struct {
 		Voter    bool     `json:"elector"`
 		Leading  bool     `json:"leading"`
 		Leader   string   `json:"leader"`
@@ -64,7 +64,7 @@
 				holder = router
 				return true, ""
 			}
-			registry := status.Register
+			registry := status.Registry
 			fmt.Fprintf(&observed, "%s: leader %q, %v %s; ", router.Name, registry.Leader, registry.Leases, registry.Fault)
 		}
 		return false, observed.String()
@@ -79,7 +79,7 @@
 	return c.WaitUntil(description, timeout, func() (bool, string) {
 		for _, server := range c.Servers {
 			probes := server.Probes()
-			if len(probes) == 0 || probes[len(probes)-1].Token <= after {
+			if len(probes) == 0 || probes[len(probes)-1].FencingToken <= after {
 				return false, "none at " + server.Name
 			}
 		}
--- a/internal/testcluster/server.go
+++ b/internal/testcluster/server.go
@@ -27,8 +27,8 @@
 
 // Probe is a health check that a server received.
 type Probe struct {
-	Token      uint64    // fencing token of the sender's lease
-	ReceivedAt time.Time // by the clock of the machine, which all processes share
+	FencingToken uint64    // fencing token of the sender's lease
+	ReceivedAt   time.Time // by the clock of the machine, which all processes share
 }
 
 // startServer starts a server that serves all requests.
@@ -60,7 +60,7 @@
 // fencing token counts as token 0, which is below every other.
 func (s *Server) answerHealthCheck(tag string) string {
 	var probe Probe
-	_, _ = fmt.Sscanf(tag, "p%d.", &probe.Token)
+	_, _ = fmt.Sscanf(tag, "p%d.", &probe.FencingToken)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	probe.ReceivedAt = time.Now()
@@ -130,7 +130,7 @@
 
 func (e *TokenOrderError) Error() string {
 	return fmt.Sprintf("%s received a health check of fencing token %d %v after one of token %d",
-		e.Server, e.Earlier.Token, e.Earlier.ReceivedAt.Sub(e.Later.ReceivedAt), e.Later.Token)
+		e.Server, e.Earlier.FencingToken, e.Earlier.ReceivedAt.Sub(e.Later.ReceivedAt), e.Later.FencingToken)
 }
 
 // Handovers returns the changes of the lease holder at the server, and the last violation of the
@@ -140,11 +140,11 @@
 	for i := 1; i < len(probes); i++ {
 		previous, probe := probes[i-1], probes[i]
 		switch {
-		case probe.Token < previous.Token:
+		case probe.FencingToken < previous.FencingToken:
 			violation = &TokenOrderError{Server: s.Name, Later: previous, Earlier: probe}
-		case probe.Token > previous.Token:
+		case probe.FencingToken > previous.FencingToken:
 			gap := probe.ReceivedAt.Sub(previous.ReceivedAt)
-			handovers = append(handovers, Handover{From: previous.Token, To: probe.Token, Gap: gap})
+			handovers = append(handovers, Handover{From: previous.FencingToken, To: probe.FencingToken, Gap: gap})
 		}
 	}
 	return handovers, violation
--- a/internal/testcluster/voters_test.go
+++ b/internal/testcluster/voters_test.go
@@ -67,7 +67,7 @@
 			if err != nil {
 				return false, err.Error()
 			}
-			registry := status.Register
+			registry := status.Registry
 			voters := slices.Sorted(slices.Values(registry.Voters))
 			if !slices.Equal(voters, names) || len(registry.Learners) > 0 {
 				return false, fmt.Sprintf("%s: voters %v, learners %v, leader %s %s", router.Name, voters, registry.Learners, registry.Leader, registry.Fault)
