--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -21,49 +21,49 @@
 }
 
 // run answers batch after batch until the input ends.
-func run(in io.Reader, w io.Writer) error {
-	r, out := simproto.NewReader(in), bufio.NewWriterSize(w, 1<<16)
+func run(input io.Reader, output io.Writer) error {
+	reader, writer := simproto.NewReader(input), bufio.NewWriterSize(output, 1<<16)
 	routers := map[int]*routing.Router{}
-	var line []byte
-	var acts []routing.Action
+	var reply []byte
+	var actions []routing.Action
 	for {
-		b, err := r.Next()
+		batch, err := reader.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		line = line[:0]
-		by := -1
-		for _, it := range b.Messages {
-			switch it.Kind {
-			case simproto.Start:
-				if routers[it.Instance], err = routing.New(it.Settings, it.Seed); err != nil {
-					return fmt.Errorf("instance %d: %w", it.Instance, err)
+		reply = reply[:0]
+		replyTo := -1
+		for _, message := range batch.Messages {
+			switch message.Kind {
+			case simproto.InstanceStart:
+				if routers[message.Instance], err = routing.New(message.Settings, message.Seed); err != nil {
+					return fmt.Errorf("instance %d: %w", message.Instance, err)
 				}
 				continue
-			case simproto.Stop:
-				delete(routers, it.Instance)
+			case simproto.InstanceStop:
+				delete(routers, message.Instance)
 				continue
 			}
-			router := routers[it.Instance]
+			router := routers[message.Instance]
 			if router == nil {
 				continue
 			}
-			acts = router.Handle(b.Now, it.Event, acts[:0])
-			if len(acts) > 0 && by != it.Instance {
-				by = it.Instance
-				line = simproto.AppendInstance(line, by)
+			actions = router.Handle(batch.Now, message.Event, actions[:0])
+			if len(actions) > 0 && replyTo != message.Instance {
+				replyTo = message.Instance
+				reply = simproto.AppendInstance(reply, replyTo)
 			}
-			for _, a := range acts {
-				line = simproto.AppendAction(line, a)
+			for _, action := range actions {
+				reply = simproto.AppendAction(reply, action)
 			}
 		}
-		if _, err := out.Write(simproto.AppendReplyEnd(line)); err != nil {
+		if _, err := writer.Write(simproto.AppendReplyEnd(reply)); err != nil {
 			return fmt.Errorf("write: %w", err)
 		}
-		if err := out.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return fmt.Errorf("write: %w", err)
 		}
 	}
--- a/internal/simproto/golden_test.go
+++ b/internal/simproto/golden_test.go
@@ -41,7 +41,7 @@
 	switch ev := it.Event.(type) {
 	case nil:
 		fmt.Fprintf(text, "seed=%d\n", it.Seed)
-		if it.Kind == Start {
+		if it.Kind == InstanceStart {
 			printSettings(text, &it.Settings)
 		}
 	case routing.EndpointUpdate:
--- a/internal/simproto/settings.go
+++ b/internal/simproto/settings.go
@@ -12,41 +12,41 @@
 )
 
 // pairs are the settings of a BEGIN line by path. The first error sticks in f.
-type settingValues struct {
+type settingReader struct {
 	values map[string]string
-	fields *fields
+	fields *fieldReader
 }
 
 // settings reads the path=value pairs that end a BEGIN line, and the names
 // of the values in a load report. Unknown paths are skipped; absent ones take
 // their default.
-func (f *fields) settings() (routing.Settings, []string) {
-	m := map[string]string{}
-	for f.more {
-		s := f.nextValue("info")
-		path, value, ok := strings.Cut(s, "=")
-		if !ok {
-			f.fail("info", fmt.Sprintf("%q is not path=value", s))
+func (f *fieldReader) settings() (routing.Settings, []string) {
+	values := map[string]string{}
+	for f.hasMore {
+		pair := f.next("info")
+		path, value, found := strings.Cut(pair, "=")
+		if !found {
+			f.fail("info", fmt.Sprintf("%q is not path=value", pair))
 		}
-		m[path] = value
+		values[path] = value
 	}
-	return settingValues{m, f}.settings()
+	return settingReader{values, f}.settings()
 }
 
 // ParseSettings reads settings given by path, and the names of the values in
 // a load report. An error names the path.
-func ParseSettings(m map[string]string) (routing.Settings, []string, error) {
-	var f fields
-	s, report := settingValues{m, &f}.settings()
-	if e, ok := f.err.(*ParseError); ok {
-		return s, nil, fmt.Errorf("%s: %s", e.Field, e.Reason)
+func ParseSettings(values map[string]string) (routing.Settings, []string, error) {
+	var fields fieldReader
+	settings, loadFields := settingReader{values, &fields}.settings()
+	if parseError, ok := fields.err.(*ParseError); ok {
+		return settings, nil, fmt.Errorf("%s: %s", parseError.Field, parseError.Reason)
 	}
-	return s, report, f.err
+	return settings, loadFields, fields.err
 }
 
 // settings turns the pairs into what the module takes.
-func (p settingValues) settings() (routing.Settings, []string) {
-	s := routing.Settings{
+func (p settingReader) settings() (routing.Settings, []string) {
+	settings := routing.Settings{
 		Zones:                 len(p.list("areas")),
 		Zone:                  p.integer("zone", 0),
 		Kinds:                 len(p.list("machine_types")),
@@ -72,14 +72,14 @@
 			OverloadFactor: p.float("family_info.parent_fall_multiple"), OverloadWindow: p.duration("rules.overload_for_us")},
 	}
 	if !p.boolean("limits.retry_after") {
-		s.MaxRetryAfter = 0
+		settings.MaxRetryAfter = 0
 	}
-	for _, v := range p.list("family_info.seats_by_zone") {
-		s.RoutersByZone = append(s.RoutersByZone, p.parseInteger("family_info.seats_by_zone", v))
+	for _, count := range p.list("family_info.seats_by_zone") {
+		settings.RoutersByZone = append(settings.RoutersByZone, p.parseInteger("family_info.seats_by_zone", count))
 	}
-	s.Classes = p.classes()
-	p.checkConsistency(s)
-	return s, p.list("telemetry.fields")
+	settings.Classes = p.classes()
+	p.checkConsistency(settings)
+	return settings, p.list("telemetry.fields")
 }
 
 // agree fails where settings contradict each other. What only makes a rule stricter than it
@@ -87,162 +87,162 @@
 //
 // Symptom guarded against: of two classes, zones or kinds of one name the first stood for
 // both, and a write without an origin went to a cache, which cannot run it.
-func (p settingValues) checkConsistency(s routing.Settings) {
+func (p settingReader) checkConsistency(settings routing.Settings) {
 	p.requireDistinct("areas", p.list("areas"))
 	p.requireDistinct("machine_types", p.list("machine_types"))
-	if s.ParentKind >= 0 && s.ParentKind == s.OriginKind {
-		p.fields.fail("family_info.second_tier_kind", fmt.Sprintf("kind %d is the origin's, as family_info.root_kind says", s.ParentKind))
+	if settings.ParentKind >= 0 && settings.ParentKind == settings.OriginKind {
+		p.fields.fail("family_info.second_tier_kind", fmt.Sprintf("kind %d is the origin's, as family_info.root_kind says", settings.ParentKind))
 	}
-	for path, from := range map[string]float64{"rules.cold_from": s.CacheSlowStart.InitialCapacity, "family_info.parent_starts_at": s.ParentSlowStart.InitialCapacity} {
-		if from > 1 {
-			p.fields.fail(path, fmt.Sprintf("%v is more than all of a server's capacity", from))
+	for path, initial := range map[string]float64{"rules.cold_from": settings.CacheSlowStart.InitialCapacity, "family_info.parent_starts_at": settings.ParentSlowStart.InitialCapacity} {
+		if initial > 1 {
+			p.fields.fail(path, fmt.Sprintf("%v is more than all of a server's capacity", initial))
 		}
 	}
-	names := make([]string, len(s.Classes))
-	for i, c := range s.Classes {
-		if names[i] = c.Name; c.Write && s.OriginKind < 0 {
-			p.fields.fail("family_info.class_write", fmt.Sprintf("class %q runs at the origin, and family_info.root_kind names none", c.Name))
+	names := make([]string, len(settings.Classes))
+	for i, class := range settings.Classes {
+		if names[i] = class.Name; class.Write && settings.OriginKind < 0 {
+			p.fields.fail("family_info.class_write", fmt.Sprintf("class %q runs at the origin, and family_info.root_kind names none", class.Name))
 		}
 	}
 	p.requireDistinct("classes", names)
 }
 
 // apart fails where a name stands twice. The simulator's wire need not name its classes.
-func (p settingValues) requireDistinct(path string, names []string) {
-	for i, n := range names {
-		if n != "" && slices.Contains(names[:i], n) {
-			p.fields.fail(path, fmt.Sprintf("%q stands twice", n))
+func (p settingReader) requireDistinct(path string, names []string) {
+	for i, name := range names {
+		if name != "" && slices.Contains(names[:i], name) {
+			p.fields.fail(path, fmt.Sprintf("%q stands twice", name))
 		}
 	}
 }
 
-func (p settingValues) classes() []routing.Class {
+func (p settingReader) classes() []routing.Class {
 	const info = "family_info."
-	writes, fresh, grace := p.list(info+"class_write"), p.list(info+"lifetime_by_class_us"), p.list(info+"older_by_us")
-	n := p.integer("classes.count", 0)
-	if n > 1000 {
+	writes, freshness, maxStale := p.list(info+"class_write"), p.list(info+"lifetime_by_class_us"), p.list(info+"older_by_us")
+	count := p.integer("classes.count", 0)
+	if count > 1000 {
 		p.fields.fail("classes.count", "too many classes")
 		return nil
 	}
 	for _, path := range []string{"class_write", "lifetime_by_class_us", "older_by_us"} {
-		if l := len(p.list(info + path)); l != 0 && l != n {
-			p.fields.fail(info+path, fmt.Sprintf("%d values for %d classes", l, n))
+		if l := len(p.list(info + path)); l != 0 && l != count {
+			p.fields.fail(info+path, fmt.Sprintf("%d values for %d classes", l, count))
 			return nil
 		}
 	}
-	var out []routing.Class
-	for i := range n {
-		at := fmt.Sprintf("classes.%d.", i)
-		c := routing.Class{
-			Name:                    p.values[at+"name"],
-			Idempotency:             routing.Idempotency(enumIndex(p, at+"effect", "read_like", "idempotency_key", "non_idempotent")),
-			KeyScope:                routing.KeyScope(enumIndex(p, at+"group", "all", "zone", "cell")),
-			KeyWindow:               p.duration(at + "window_us"),
-			LatencyObjective:        p.duration(at + "aim_us"),
-			ObjectiveTransferFactor: p.float(at + "aim_stretch"),
-			Deadline:                p.duration(at + "deadline_us"),
-			PriorityWeight:          p.float(at + "value"),
-			LateWeightFactor:        p.float(at + "late_worth"),
-			Write:                   len(writes) > 0 && p.parseBool(info+"class_write", writes[i]),
+	var classes []routing.Class
+	for i := range count {
+		prefix := fmt.Sprintf("classes.%d.", i)
+		class := routing.Class{
+			Name:                    p.values[prefix+"name"],
+			Idempotency:             routing.Idempotency(wordIndex(p, prefix+"effect", "read_like", "idempotency_key", "non_idempotent")),
+			KeyScope:                routing.KeyScope(wordIndex(p, prefix+"group", "all", "zone", "cell")),
+			KeyWindow:               p.duration(prefix + "window_us"),
+			LatencyObjective:        p.duration(prefix + "aim_us"),
+			ObjectiveTransferFactor: p.float(prefix + "aim_stretch"),
+			Deadline:                p.duration(prefix + "deadline_us"),
+			PriorityWeight:          p.float(prefix + "value"),
+			LateWeightFactor:        p.float(prefix + "late_worth"),
+			Write:                   len(writes) > 0 && p.parseBoolean(info+"class_write", writes[i]),
 		}
-		if len(fresh) > 0 {
-			c.FreshnessLifetime = p.parseDuration(info+"lifetime_by_class_us", fresh[i])
+		if len(freshness) > 0 {
+			class.FreshnessLifetime = p.parseDuration(info+"lifetime_by_class_us", freshness[i])
 		}
-		if len(grace) > 0 {
-			c.MaxStale = p.parseDuration(info+"older_by_us", grace[i])
+		if len(maxStale) > 0 {
+			class.MaxStale = p.parseDuration(info+"older_by_us", maxStale[i])
 		}
-		out = append(out, c)
+		classes = append(classes, class)
 	}
-	return out
+	return classes
 }
 
 // choose returns the place of a path's value among words; absent is the first.
-func enumIndex(p settingValues, path string, words ...string) int {
-	v, ok := p.value(path)
-	if !ok {
+func wordIndex(settings settingReader, path string, words ...string) int {
+	value, present := settings.value(path)
+	if !present {
 		return 0
 	}
-	for i, w := range words {
-		if v == w {
+	for i, word := range words {
+		if value == word {
 			return i
 		}
 	}
-	p.fields.fail(path, fmt.Sprintf("unknown word %q", v))
+	settings.fields.fail(path, fmt.Sprintf("unknown word %q", value))
 	return 0
 }
 
-func (p settingValues) value(path string) (string, bool) {
-	v := p.values[path]
-	return v, v != "" && v != "-"
+func (p settingReader) value(path string) (string, bool) {
+	value := p.values[path]
+	return value, value != "" && value != "-"
 }
 
-func (p settingValues) list(path string) []string {
-	v, ok := p.value(path)
-	if !ok {
+func (p settingReader) list(path string) []string {
+	value, present := p.value(path)
+	if !present {
 		return nil
 	}
-	return strings.Split(v, ",")
+	return strings.Split(value, ",")
 }
 
-func (p settingValues) integer(path string, absent int) int {
-	v, ok := p.value(path)
-	if !ok {
+func (p settingReader) integer(path string, absent int) int {
+	value, present := p.value(path)
+	if !present {
 		return absent
 	}
-	return p.parseInteger(path, v)
+	return p.parseInteger(path, value)
 }
 
-func (p settingValues) parseInteger(path, v string) int {
-	n, err := strconv.ParseInt(v, 10, 32)
-	if err != nil || n < -1 {
-		p.fields.fail(path, fmt.Sprintf("%q is not a whole number", v))
+func (p settingReader) parseInteger(path, value string) int {
+	number, err := strconv.ParseInt(value, 10, 32)
+	if err != nil || number < -1 {
+		p.fields.fail(path, fmt.Sprintf("%q is not a whole number", value))
 		return 0
 	}
-	return int(n)
+	return int(number)
 }
 
-func (p settingValues) float(path string) float64 {
-	v, ok := p.value(path)
-	if !ok {
+func (p settingReader) float(path string) float64 {
+	value, present := p.value(path)
+	if !present {
 		return 0
 	}
-	x, err := strconv.ParseFloat(v, 64)
-	if err != nil || !(x >= 0) || math.IsInf(x, 0) {
-		p.fields.fail(path, fmt.Sprintf("%q is not a number from 0", v))
+	number, err := strconv.ParseFloat(value, 64)
+	if err != nil || !(number >= 0) || math.IsInf(number, 0) {
+		p.fields.fail(path, fmt.Sprintf("%q is not a number from 0", value))
 		return 0
 	}
-	return x
+	return number
 }
 
-func (p settingValues) duration(path string) time.Duration {
-	v, ok := p.value(path)
-	if !ok {
+func (p settingReader) duration(path string) time.Duration {
+	value, present := p.value(path)
+	if !present {
 		return 0
 	}
-	return p.parseDuration(path, v)
+	return p.parseDuration(path, value)
 }
 
-func (p settingValues) parseDuration(path, v string) time.Duration {
-	n, err := strconv.ParseUint(v, 10, 64)
-	if err != nil || n > maxMicroseconds {
-		p.fields.fail(path, fmt.Sprintf("%q is not a time in microseconds", v))
+func (p settingReader) parseDuration(path, value string) time.Duration {
+	number, err := strconv.ParseUint(value, 10, 64)
+	if err != nil || number > maxMicroseconds {
+		p.fields.fail(path, fmt.Sprintf("%q is not a time in microseconds", value))
 		return 0
 	}
-	return time.Duration(n) * time.Microsecond
+	return time.Duration(number) * time.Microsecond
 }
 
-func (p settingValues) boolean(path string) bool {
-	v, ok := p.value(path)
-	return ok && p.parseBool(path, v)
+func (p settingReader) boolean(path string) bool {
+	value, present := p.value(path)
+	return present && p.parseBoolean(path, value)
 }
 
-func (p settingValues) parseBool(path, v string) bool {
-	switch v {
+func (p settingReader) parseBoolean(path, value string) bool {
+	switch value {
 	case "true", "1":
 		return true
 	case "false", "0":
 		return false
 	}
-	p.fields.fail(path, fmt.Sprintf("%q is not true or false", v))
+	p.fields.fail(path, fmt.Sprintf("%q is not true or false", value))
 	return false
 }
