--- /dev/null
+++ b/cmd/simadapter/adapter.go
@@ -0,0 +1,93 @@
+package main
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+
+	"garnetline/internal/simproto"
+	"garnetline/routing"
+)
+
+// outputBufferSize is in bytes.
+const outputBufferSize = 1 << 16
+
+// noInstance is the instance of a reply that has no actions yet.
+const noInstance = -1
+
+// adapter runs the routers of all instances in this process.
+type adapter struct {
+	routers map[int]*routing.Router // by instance
+	reply   []byte                  // to the current batch
+	replyTo int                     // instance of the latest action in reply, or noInstance
+	actions []routing.Action        // of the current event, kept for its capacity
+}
+
+// run answers one batch after the other until the input ends. The simulator waits for each reply,
+// so it is flushed at once.
+func run(input io.Reader, output io.Writer) error {
+	reader := simproto.NewReader(input)
+	writer := bufio.NewWriterSize(output, outputBufferSize)
+	adapter := adapter{routers: map[int]*routing.Router{}}
+	for {
+		batch, err := reader.Next()
+		if errors.Is(err, io.EOF) {
+			return nil
+		}
+		if err != nil {
+			return err
+		}
+		reply, err := adapter.answer(&batch)
+		if err != nil {
+			return err
+		}
+		if _, err := writer.Write(reply); err != nil {
+			return fmt.Errorf("write: %w", err)
+		}
+		if err := writer.Flush(); err != nil {
+			return fmt.Errorf("write: %w", err)
+		}
+	}
+}
+
+// answer handles the messages of a batch and returns the reply, which is valid until the next
+// call. An error means that the settings of an instance cannot be used.
+func (a *adapter) answer(batch *simproto.Batch) ([]byte, error) {
+	a.reply = a.reply[:0]
+	a.replyTo = noInstance
+	for i := range batch.Messages {
+		message := &batch.Messages[i]
+		switch message.Kind {
+		case simproto.InstanceStart:
+			router, err := routing.New(message.Settings, message.Seed)
+			if err != nil {
+				return nil, fmt.Errorf("instance %d: %w", message.Instance, err)
+			}
+			a.routers[message.Instance] = router
+		case simproto.InstanceStop:
+			delete(a.routers, message.Instance)
+		case simproto.InstanceEvent:
+			a.handleEvent(batch, message)
+		}
+	}
+	a.reply = simproto.AppendReplyEnd(a.reply)
+	return a.reply, nil
+}
+
+// handleEvent passes an event to the router of its instance and appends the actions to the reply.
+// An event for an instance that does not run is ignored.
+func (a *adapter) handleEvent(batch *simproto.Batch, message *simproto.Message) {
+	router := a.routers[message.Instance]
+	if router == nil {
+		return
+	}
+	a.actions = router.Handle(batch.Now, message.Event, a.actions[:0])
+	if len(a.actions) > 0 && a.replyTo != message.Instance {
+		a.replyTo = message.Instance
+		a.reply = simproto.AppendInstance(a.reply, message.Instance)
+	}
+	for _, action := range a.actions {
+		a.reply = simproto.AppendAction(a.reply, action)
+	}
+}
