--- a/cmd/simadapter/benchmark_test.go
+++ b/cmd/simadapter/benchmark_test.go
@@ -10,7 +10,7 @@
 // BenchmarkRun answers 1000 batches, in each of which a client sends a request and disconnects.
 func BenchmarkRun(b *testing.B) {
 	var input strings.Builder
-	input.WriteString(begin + "END\n")
+	input.WriteString(startedInstance + "END\n")
 	for i := range 1000 {
 		fmt.Fprintf(&input, "TURN %d\nSELECT 3\nINGRESS %d 1 6000000 0 0 0 91f03b7c55d20a64 100 0\nLEFT %d\nEND\n", 1_002_000+i, i, i)
 	}
--- a/internal/simproto/golden_test.go
+++ b/internal/simproto/golden_test.go
@@ -1,10 +1,12 @@
 package simproto
 
 import (
+	"bytes"
+	"errors"
 	"fmt"
+	"io"
 	"os"
 	"path/filepath"
-	"strings"
 	"testing"
 	"time"
 
@@ -12,90 +14,118 @@
 	"garnetline/routing"
 )
 
-// TestGoldenInput pins how each line of the simulator is read: testdata/session.txt has every
+// The files in testdata hold what the simulator sends and gets, see package golden. They were
+// written before the identifiers of this package were renamed and use the words of that time.
+
+// TestGoldenSession pins how each line of the simulator is read: testdata/session.txt has every
 // message, status, note and setting, session.read.txt what was understood of it, field by field.
-func TestGoldenInput(t *testing.T) {
-	in, err := os.Open(filepath.Join("testdata", "session.txt"))
+func TestGoldenSession(t *testing.T) {
+	session, err := os.ReadFile(filepath.Join("testdata", "session.txt"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer in.Close()
-	text := &strings.Builder{}
-	r := NewReader(in)
+	var text bytes.Buffer
+	reader := NewReader(bytes.NewReader(session))
 	for {
-		b, err := r.Next()
+		batch, err := reader.Next()
 		if err != nil {
-			fmt.Fprintln(text, err)
+			if errors.Is(err, io.EOF) {
+				t.Error("the session does not end with its invalid batch")
+			}
+			fmt.Fprintln(&text, err)
 			break
 		}
-		fmt.Fprintf(text, "now=%d\n", int64(b.Now))
-		for _, it := range b.Messages {
-			printItem(text, it)
+		fmt.Fprintf(&text, "now=%d\n", int64(batch.Now))
+		for _, message := range batch.Messages {
+			printMessage(&text, message)
 		}
 	}
-	golden.Compare(t, "session.read.txt", []byte(text.String()))
+	golden.Compare(t, "session.read.txt", text.Bytes())
 }
 
-func printItem(text *strings.Builder, it Message) {
-	fmt.Fprintf(text, "instance=%d kind=%d ", it.Instance, int(it.Kind))
-	switch ev := it.Event.(type) {
-	case nil:
-		fmt.Fprintf(text, "seed=%d\n", it.Seed)
-		if it.Kind == InstanceStart {
-			printSettings(text, &it.Settings)
-		}
+func printMessage(text *bytes.Buffer, message Message) {
+	fmt.Fprintf(text, "instance=%d kind=%d ", message.Instance, int(message.Kind))
+	if message.Event != nil {
+		printEvent(text, message.Event)
+		return
+	}
+	fmt.Fprintf(text, "seed=%d\n", message.Seed)
+	if message.Kind == InstanceStart {
+		printSettings(text, &message.Settings)
+	}
+}
+
+func printEvent(text *bytes.Buffer, event routing.Event) {
+	switch event := event.(type) {
 	case routing.EndpointUpdate:
-		fmt.Fprintf(text, "list full=%t failed=%t\n", ev.Snapshot, ev.Failed)
-		for _, s := range ev.Servers {
+		fmt.Fprintf(text, "list full=%t failed=%t\n", event.Snapshot, event.Failed)
+		for _, server := range event.Servers {
 			fmt.Fprintf(text, "  server=%d zone=%d kind=%d cell=%d phase=%d weight=%v started=%d\n",
-				uint64(s.ID), s.Zone, s.Kind, s.Cell, int(s.Phase), s.Weight, int64(s.StartedAt))
+				uint64(server.ID), server.Zone, server.Kind, server.Cell,
+				int(server.Phase), server.Weight, int64(server.StartedAt))
 		}
 	case routing.Request:
-		fmt.Fprintf(text, "request=%d class=%d object=%x part=%d group=%d left=%d size=%v repeat=%t\n", uint64(ev.ID), ev.Class,
-			uint64(ev.Object), ev.Chunk, ev.PurgeGroup, int64(ev.Timeout), ev.SizeKB, ev.ClientRetry)
+		fmt.Fprintf(text, "request=%d class=%d object=%x part=%d group=%d left=%d size=%v repeat=%t\n",
+			uint64(event.ID), event.Class, uint64(event.Object), event.Chunk,
+			event.PurgeGroup, int64(event.Timeout), event.SizeKB, event.ClientRetry)
 	case routing.Outcome:
 		fmt.Fprintf(text, "outcome request=%d attempt=%d server=%d result=%d note=%d waited=%d took=%d bytes=%d done=%t load=%v,%v,%v,%v\n",
-			uint64(ev.ID), ev.Attempt, uint64(ev.Server), int(ev.Result), int(ev.CacheStatus), int64(ev.SourceWait), int64(ev.Duration), ev.BodyBytes,
-			ev.RequestDone, ev.Load.Inflight, ev.Load.CPUUtilization, ev.Load.HitRatio, ev.Load.LinkUtilization)
+			uint64(event.ID), event.Attempt, uint64(event.Server), int(event.Result),
+			int(event.CacheStatus), int64(event.SourceWait), int64(event.Duration), event.BodyBytes, event.RequestDone,
+			event.Load.Inflight, event.Load.CPUUtilization, event.Load.HitRatio, event.Load.LinkUtilization)
 	case routing.TimerFired:
-		fmt.Fprintf(text, "timer token=%d\n", ev.Token)
+		fmt.Fprintf(text, "timer token=%d\n", event.Token)
 	case routing.Purge:
-		fmt.Fprintf(text, "purge object=%x group=%d age=%d\n", uint64(ev.Object), ev.Group, int64(ev.Age))
+		fmt.Fprintf(text, "purge object=%x group=%d age=%d\n", uint64(event.Object), event.Group, int64(event.Age))
 	case routing.ClientDisconnected:
-		fmt.Fprintf(text, "left request=%d\n", uint64(ev.ID))
+		fmt.Fprintf(text, "left request=%d\n", uint64(event.ID))
 	default:
 		fmt.Fprintln(text, "unknown event")
 	}
 }
 
-func printSettings(text *strings.Builder, s *routing.Settings) {
-	fmt.Fprintf(text, "  zones=%d zone=%d kinds=%d parent=%d origin=%d seats=%v routers=%d attempts=%d backoff=%d\n", s.Zones, s.Zone,
-		s.Kinds, s.ParentKind, s.OriginKind, s.RoutersByZone, s.Routers, s.MaxAttempts, int64(s.MaxRetryAfter))
-	fmt.Fprintf(text, "  cancel=%t join=%t direct=%t flow=%v bytes=%v sized=%t hits=%t falls=%t ask=%t\n", s.CanCancel, s.CanJoinFill,
-		s.AllowBypass, s.TransferKBPerSecond, s.BodyBytesPerSecond, s.WeightIsCapacity, s.HitStatusOnly, s.OriginStopsOnOverload, s.MustSubscribe)
-	fmt.Fprintf(text, "  drain=%d purge=%d purged=%d\n", int64(s.DrainGrace), int64(s.PurgeGrace), int64(s.PurgeRetention))
-	for _, r := range []routing.SlowStart{s.CacheSlowStart, s.ParentSlowStart} {
-		fmt.Fprintf(text, "  ramp from=%v warm=%d multiple=%v span=%d\n", r.InitialCapacity, int64(r.Duration), r.OverloadFactor, int64(r.OverloadWindow))
+func printSettings(text *bytes.Buffer, settings *routing.Settings) {
+	fmt.Fprintf(text, "  zones=%d zone=%d kinds=%d parent=%d origin=%d seats=%v routers=%d attempts=%d backoff=%d\n",
+		settings.Zones, settings.Zone, settings.Kinds, settings.ParentKind, settings.OriginKind,
+		settings.RoutersByZone, settings.Routers, settings.MaxAttempts, int64(settings.MaxRetryAfter))
+	fmt.Fprintf(text, "  cancel=%t join=%t direct=%t flow=%v bytes=%v sized=%t hits=%t falls=%t ask=%t\n",
+		settings.CanCancel, settings.CanJoinFill, settings.AllowBypass, settings.TransferKBPerSecond, settings.BodyBytesPerSecond,
+		settings.WeightIsCapacity, settings.HitStatusOnly, settings.OriginStopsOnOverload, settings.MustSubscribe)
+	fmt.Fprintf(text, "  drain=%d purge=%d purged=%d\n",
+		int64(settings.DrainGrace), int64(settings.PurgeGrace), int64(settings.PurgeRetention))
+	for _, slowStart := range []routing.SlowStart{settings.CacheSlowStart, settings.ParentSlowStart} {
+		fmt.Fprintf(text, "  ramp from=%v warm=%d multiple=%v span=%d\n",
+			slowStart.InitialCapacity, int64(slowStart.Duration), slowStart.OverloadFactor, int64(slowStart.OverloadWindow))
 	}
-	for _, c := range s.Classes {
+	for _, class := range settings.Classes {
 		fmt.Fprintf(text, "  class name=%q effect=%d group=%d window=%d aim=%d stretch=%v deadline=%d worth=%v late=%v write=%t fresh=%d grace=%d\n",
-			c.Name, int(c.Idempotency), int(c.KeyScope), int64(c.KeyWindow), int64(c.LatencyObjective), c.ObjectiveTransferFactor, int64(c.Deadline), c.PriorityWeight, c.LateWeightFactor,
-			c.Write, int64(c.FreshnessLifetime), int64(c.MaxStale))
+			class.Name, int(class.Idempotency), int(class.KeyScope), int64(class.KeyWindow),
+			int64(class.LatencyObjective), class.ObjectiveTransferFactor, int64(class.Deadline),
+			class.PriorityWeight, class.LateWeightFactor,
+			class.Write, int64(class.FreshnessLifetime), int64(class.MaxStale))
 	}
 }
 
-// TestGoldenOutput pins the line of each action.
-func TestGoldenOutput(t *testing.T) {
-	us := time.Microsecond
-	text := AppendInstance(nil, 12)
-	for _, a := range []routing.Action{
-		routing.SendAttempt{ID: 1<<52 - 1, Server: 1<<32 - 1, FillSource: 7, CopyRank: 3, MaxAge: 1_500_000*us + 999, Deadline: 9312250 * us},
-		routing.SendAttempt{ID: 5, Server: 6, FillSource: 7, CopyRank: 1, JoinFill: true}, routing.SendAttempt{ID: 5, Server: 6, FillSource: 7, Revalidate: true},
+// TestGoldenReply pins the line of each action.
+func TestGoldenReply(t *testing.T) {
+	const microsecond = time.Microsecond
+	reply := AppendInstance(nil, 12)
+	for _, action := range []routing.Action{
+		routing.SendAttempt{
+			ID: maxRequestID, Server: maxServerID, FillSource: 7, CopyRank: 3,
+			MaxAge: 1_500_000*microsecond + 999, Deadline: 9_312_250 * microsecond,
+		},
+		routing.SendAttempt{ID: 5, Server: 6, FillSource: 7, CopyRank: 1, JoinFill: true},
+		routing.SendAttempt{ID: 5, Server: 6, FillSource: 7, Revalidate: true},
 		routing.SendAttempt{ID: 5, Server: 6, FillSource: 7, OnlyIfCached: true},
-		routing.Reject{ID: 5}, routing.Reject{ID: 5, RetryAfter: 250_000 * us}, routing.Fail{ID: 6}, routing.CancelAttempt{ID: 7, Attempt: 2},
-		routing.SetTimer{Delay: 500 * us, Token: 1 << 63}, routing.Subscribe{},
+		routing.Reject{ID: 5},
+		routing.Reject{ID: 5, RetryAfter: 250_000 * microsecond},
+		routing.Fail{ID: 6},
+		routing.CancelAttempt{ID: 7, Attempt: 2},
+		routing.SetTimer{Delay: 500 * microsecond, Token: maxTimerToken},
+		routing.Subscribe{},
 	} {
-		text = AppendAction(text, a)
+		reply = AppendAction(reply, action)
 	}
-	golden.Compare(t, "reply.txt", AppendReplyEnd(text))
+	golden.Compare(t, "reply.txt", AppendReplyEnd(reply))
 }
