--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -29,235 +29,235 @@
 	HalfClosed     bool    // TCP: this direction is closed, the other goes on
 }
 
-// Count is what passed from one party to another.
-type Count struct {
+// Counters is what passed from one party to another.
+type Counters struct {
 	Packets, Bytes                           int64 // that came in
 	Partitioned, Lost, Duplicated, Corrupted int64
 }
 
-// Net is the relay.
+// Proxy is the relay.
 type Proxy struct {
-	mu     sync.Mutex
-	rng    *rand.Rand
-	lines  map[[2]string]*line
-	who    map[netip.AddrPort]string // real address of each UDP party
-	open   []interface{ Close() error }
-	log    []LogEntry
-	began  time.Time
-	closed bool
-	wg     sync.WaitGroup
+	mu        sync.Mutex
+	random    *rand.Rand
+	links     map[[2]string]*link
+	senders   map[netip.AddrPort]string // real address of each UDP party
+	sockets   []interface{ Close() error }
+	log       []LogEntry
+	startedAt time.Time
+	closed    bool
+	forwarder sync.WaitGroup
 }
 
-// Entry is a change of a line, for the log.
+// LogEntry is a change of a line, for the log.
 type LogEntry struct {
 	At       time.Duration // since the relay began
 	From, To string
 	Fault    Fault
 }
 
-// line is an ordered pair.
-type line struct {
-	fault Fault
-	count Count
-	free  time.Time // when what was throttled has passed
-	moved chan struct{}
+// link is an ordered pair.
+type link struct {
+	fault     Fault
+	counters  Counters
+	busyUntil time.Time // when what was throttled has passed
+	changed   chan struct{}
 }
 
 // New returns a relay whose chances are drawn from a seed.
 func New(seed uint64) *Proxy {
-	return &Proxy{rng: rand.New(rand.NewPCG(seed, 1)), lines: map[[2]string]*line{}, who: map[netip.AddrPort]string{}, began: time.Now()}
+	return &Proxy{random: rand.New(rand.NewPCG(seed, 1)), links: map[[2]string]*link{}, senders: map[netip.AddrPort]string{}, startedAt: time.Now()}
 }
 
-// line returns a pair's; the lock is held.
-func (n *Proxy) line(from, to string) *line {
-	k := [2]string{from, to}
-	l := n.lines[k]
-	if l == nil {
-		l = &line{moved: make(chan struct{})}
-		n.lines[k] = l
+// link returns a pair's; the lock is held.
+func (p *Proxy) link(from, to string) *link {
+	way := [2]string{from, to}
+	state := p.links[way]
+	if state == nil {
+		state = &link{changed: make(chan struct{})}
+		p.links[way] = state
 	}
-	return l
+	return state
 }
 
 // Set puts a fault on what goes from one party to another.
-func (n *Proxy) Set(from, to string, f Fault) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	l := n.line(from, to)
-	l.fault = f
-	close(l.moved)
-	l.moved = make(chan struct{})
-	n.log = append(n.log, LogEntry{time.Since(n.began), from, to, f})
+func (p *Proxy) Set(from, to string, fault Fault) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	state := p.link(from, to)
+	state.fault = fault
+	close(state.changed)
+	state.changed = make(chan struct{})
+	p.log = append(p.log, LogEntry{time.Since(p.startedAt), from, to, fault})
 }
 
-// Both puts a fault on both directions.
-func (n *Proxy) SetBoth(a, b string, f Fault) {
-	n.Set(a, b, f)
-	n.Set(b, a, f)
+// SetBoth puts a fault on both directions.
+func (p *Proxy) SetBoth(a, b string, fault Fault) {
+	p.Set(a, b, fault)
+	p.Set(b, a, fault)
 }
 
-// Split cuts each of one side from each of the other.
-func (n *Proxy) Partition(a, b []string) {
-	for _, x := range a {
-		for _, y := range b {
-			n.SetBoth(x, y, Fault{Partitioned: true})
+// Partition cuts each of one side from each of the other.
+func (p *Proxy) Partition(sideA, sideB []string) {
+	for _, partyA := range sideA {
+		for _, partyB := range sideB {
+			p.SetBoth(partyA, partyB, Fault{Partitioned: true})
 		}
 	}
 }
 
 // Heal makes all lines sound.
-func (n *Proxy) Heal() {
-	n.mu.Lock()
-	var sick [][2]string
-	for k, l := range n.lines {
-		if l.fault != (Fault{}) {
-			sick = append(sick, k)
+func (p *Proxy) Heal() {
+	p.mu.Lock()
+	var faulty [][2]string
+	for way, state := range p.links {
+		if state.fault != (Fault{}) {
+			faulty = append(faulty, way)
 		}
 	}
-	n.mu.Unlock()
-	for _, k := range sick {
-		n.Set(k[0], k[1], Fault{})
+	p.mu.Unlock()
+	for _, way := range faulty {
+		p.Set(way[0], way[1], Fault{})
 	}
 }
 
-// Count returns what passed from one party to another.
-func (n *Proxy) Count(from, to string) Count {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.line(from, to).count
+// Counters returns what passed from one party to another.
+func (p *Proxy) Counters(from, to string) Counters {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.link(from, to).counters
 }
 
 // Log returns the changes of lines so far.
-func (n *Proxy) Log() []LogEntry {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return slices.Clone(n.log)
+func (p *Proxy) Log() []LogEntry {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return slices.Clone(p.log)
 }
 
 // Close ends the relay and all that goes through it.
-func (n *Proxy) Close() {
-	n.mu.Lock()
-	n.closed = true
-	open := n.open
-	n.open = nil
-	for _, l := range n.lines {
-		close(l.moved)
-		l.moved = make(chan struct{})
+func (p *Proxy) Close() {
+	p.mu.Lock()
+	p.closed = true
+	sockets := p.sockets
+	p.sockets = nil
+	for _, state := range p.links {
+		close(state.changed)
+		state.changed = make(chan struct{})
 	}
-	n.mu.Unlock()
-	for _, c := range open {
-		c.Close()
+	p.mu.Unlock()
+	for _, socket := range sockets {
+		socket.Close()
 	}
-	n.wg.Wait()
+	p.forwarder.Wait()
 }
 
-// keep has a socket closed with the relay. It tells whether the relay is still open.
-func (n *Proxy) keep(c interface{ Close() error }) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.closed {
-		c.Close()
+// track has a socket closed with the relay. It tells whether the relay is still open.
+func (p *Proxy) track(socket interface{ Close() error }) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
+		socket.Close()
 		return false
 	}
-	n.open = append(n.open, c)
+	p.sockets = append(p.sockets, socket)
 	return true
 }
 
-// drop forgets a socket that is closed.
-func (n *Proxy) drop(c interface{ Close() error }) {
-	c.Close()
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.open = slices.DeleteFunc(n.open, func(x interface{ Close() error }) bool { return x == c })
+// closeTracked forgets a socket that is closed.
+func (p *Proxy) closeTracked(socket interface{ Close() error }) {
+	socket.Close()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.sockets = slices.DeleteFunc(p.sockets, func(tracked interface{ Close() error }) bool { return tracked == socket })
 }
 
 // UDP returns the address at which others reach a party whose socket is at real. Who
 // writes there is told by the address that it writes from, which is another party's real
 // one; all others are the party "".
-func (n *Proxy) UDP(name string, real netip.AddrPort) (netip.AddrPort, error) {
-	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+func (p *Proxy) UDP(name string, target netip.AddrPort) (netip.AddrPort, error) {
+	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
-	if !n.keep(c) {
+	if !p.track(socket) {
 		return netip.AddrPort{}, net.ErrClosed
 	}
-	n.mu.Lock()
-	n.who[real] = name
-	n.mu.Unlock()
-	n.wg.Go(func() { n.datagrams(c, name, real) })
-	return c.LocalAddr().(*net.UDPAddr).AddrPort(), nil
+	p.mu.Lock()
+	p.senders[target] = name
+	p.mu.Unlock()
+	p.forwarder.Go(func() { p.forwardDatagrams(socket, name, target) })
+	return socket.LocalAddr().(*net.UDPAddr).AddrPort(), nil
 }
 
-func (n *Proxy) datagrams(c *net.UDPConn, to string, real netip.AddrPort) {
-	b := make([]byte, 1<<16)
+func (p *Proxy) forwardDatagrams(socket *net.UDPConn, to string, target netip.AddrPort) {
+	buffer := make([]byte, 1<<16)
 	for {
-		k, src, err := c.ReadFromUDPAddrPort(b)
+		size, sender, err := socket.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
 			continue // what it wrote to is not there yet
 		}
-		src = netip.AddrPortFrom(src.Addr().Unmap(), src.Port())
-		p := slices.Clone(b[:k])
-		for _, late := range n.judge(src, to, p) {
-			if late <= 0 {
-				c.WriteToUDPAddrPort(p, real)
+		sender = netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())
+		packet := slices.Clone(buffer[:size])
+		for _, delay := range p.datagramDelays(sender, to, packet) {
+			if delay <= 0 {
+				socket.WriteToUDPAddrPort(packet, target)
 				continue
 			}
-			time.AfterFunc(late, func() { c.WriteToUDPAddrPort(p, real) })
+			time.AfterFunc(delay, func() { socket.WriteToUDPAddrPort(packet, target) })
 		}
 	}
 }
 
-// judge returns how late each copy of a datagram is to go on; none where it is lost. It
+// datagramDelays returns how late each copy of a datagram is to go on; none where it is lost. It
 // may change a byte of it.
-func (n *Proxy) judge(src netip.AddrPort, to string, p []byte) (late []time.Duration) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	l := n.line(n.who[src], to)
-	f := &l.fault
-	l.count.Packets++
-	l.count.Bytes += int64(len(p))
+func (p *Proxy) datagramDelays(sender netip.AddrPort, to string, packet []byte) (delays []time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	state := p.link(p.senders[sender], to)
+	fault := &state.fault
+	state.counters.Packets++
+	state.counters.Bytes += int64(len(packet))
 	switch {
-	case f.Partitioned:
-		l.count.Partitioned++
+	case fault.Partitioned:
+		state.counters.Partitioned++
 		return nil
-	case f.Loss > 0 && n.rng.Float64() < f.Loss:
-		l.count.Lost++
+	case fault.Loss > 0 && p.random.Float64() < fault.Loss:
+		state.counters.Lost++
 		return nil
 	}
-	if f.Corrupt > 0 && n.rng.Float64() < f.Corrupt && len(p) > 0 {
-		l.count.Corrupted++
-		p[n.rng.IntN(len(p))] ^= byte(1 + n.rng.IntN(255))
+	if fault.Corrupt > 0 && p.random.Float64() < fault.Corrupt && len(packet) > 0 {
+		state.counters.Corrupted++
+		packet[p.random.IntN(len(packet))] ^= byte(1 + p.random.IntN(255))
 	}
-	wait := ms(f.Delay + f.Jitter*n.rng.Float64())
-	if f.Reorder > 0 && n.rng.Float64() < f.Reorder {
-		wait += ms(30)
+	delay := milliseconds(fault.Delay + fault.Jitter*p.random.Float64())
+	if fault.Reorder > 0 && p.random.Float64() < fault.Reorder {
+		delay += milliseconds(30)
 	}
-	if f.BytesPerSecond > 0 {
+	if fault.BytesPerSecond > 0 {
 		now := time.Now()
-		if l.free.Before(now) {
-			l.free = now
+		if state.busyUntil.Before(now) {
+			state.busyUntil = now
 		}
-		l.free = l.free.Add(time.Duration(float64(len(p)) / f.BytesPerSecond * float64(time.Second)))
-		if q := l.free.Sub(now); q > time.Second { // what a queue holds
-			l.count.Lost++
+		state.busyUntil = state.busyUntil.Add(time.Duration(float64(len(packet)) / fault.BytesPerSecond * float64(time.Second)))
+		if queueing := state.busyUntil.Sub(now); queueing > time.Second { // what a queue holds
+			state.counters.Lost++
 			return nil
 		} else {
-			wait += q
+			delay += queueing
 		}
 	}
-	late = append(late, wait)
-	if f.Duplicate > 0 && n.rng.Float64() < f.Duplicate {
-		l.count.Duplicated++
-		late = append(late, wait+ms(5))
+	delays = append(delays, delay)
+	if fault.Duplicate > 0 && p.random.Float64() < fault.Duplicate {
+		state.counters.Duplicated++
+		delays = append(delays, delay+milliseconds(5))
 	}
-	return late
+	return delays
 }
 
-func ms(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
+func milliseconds(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
 
 // Step is one change of a schedule.
 type Step struct {
@@ -266,30 +266,30 @@
 	Fault    Fault
 }
 
-// Draw draws a schedule from a seed: so many faults of the kinds given among the parties
+// RandomSchedule draws a schedule from a seed: so many faults of the kinds given among the parties
 // within a span, each healed before the end.
-func RandomSchedule(seed uint64, parties []string, kinds []Fault, n int, span time.Duration) (s []Step) {
-	rng := rand.New(rand.NewPCG(seed, 2))
-	for range n {
-		a, b := rng.IntN(len(parties)), rng.IntN(len(parties)-1)
-		if b >= a {
-			b++
+func RandomSchedule(seed uint64, parties []string, kinds []Fault, faults int, span time.Duration) (steps []Step) {
+	random := rand.New(rand.NewPCG(seed, 2))
+	for range faults {
+		from, to := random.IntN(len(parties)), random.IntN(len(parties)-1)
+		if to >= from {
+			to++
 		}
-		at := time.Duration(rng.Float64() * 0.7 * float64(span))
-		long := time.Duration(rng.Float64() * float64(span-at))
-		s = append(s, Step{at, parties[a], parties[b], kinds[rng.IntN(len(kinds))]}, Step{at + long, parties[a], parties[b], Fault{}})
+		start := time.Duration(random.Float64() * 0.7 * float64(span))
+		length := time.Duration(random.Float64() * float64(span-start))
+		steps = append(steps, Step{start, parties[from], parties[to], kinds[random.IntN(len(kinds))]}, Step{start + length, parties[from], parties[to], Fault{}})
 	}
-	slices.SortStableFunc(s, func(a, b Step) int { return int(a.At - b.At) })
-	return s
+	slices.SortStableFunc(steps, func(from, to Step) int { return int(from.At - to.At) })
+	return steps
 }
 
-// Play carries a schedule out. It returns when it is through, or stop is closed.
-func (n *Proxy) RunSchedule(s []Step, stop <-chan struct{}) {
-	began := time.Now()
-	for _, x := range s {
+// RunSchedule carries a schedule out. It returns when it is through, or stop is closed.
+func (p *Proxy) RunSchedule(steps []Step, stop <-chan struct{}) {
+	startedAt := time.Now()
+	for _, step := range steps {
 		select {
-		case <-time.After(time.Until(began.Add(x.At))):
-			n.Set(x.From, x.To, x.Fault)
+		case <-time.After(time.Until(startedAt.Add(step.At))):
+			p.Set(step.From, step.To, step.Fault)
 		case <-stop:
 			return
 		}
@@ -301,10 +301,10 @@
 	if f == (Fault{}) {
 		return "sound"
 	}
-	s := ""
-	add := func(on bool, format string, v ...any) {
-		if on {
-			s += " " + fmt.Sprintf(format, v...)
+	text := ""
+	add := func(present bool, format string, values ...any) {
+		if present {
+			text += " " + fmt.Sprintf(format, values...)
 		}
 	}
 	add(f.Partitioned, "cut")
@@ -315,5 +315,5 @@
 	add(f.Corrupt > 0, "garble %.2f", f.Corrupt)
 	add(f.Delay+f.Jitter > 0, "delay %.0f+%.0f ms", f.Delay, f.Jitter)
 	add(f.BytesPerSecond > 0, "%.0f B/s", f.BytesPerSecond)
-	return s[1:]
+	return text[1:]
 }
--- a/internal/faultproxy/faultproxy_test.go
+++ b/internal/faultproxy/faultproxy_test.go
@@ -98,7 +98,7 @@
 	if all := b.got(1); len(all) != 1 || time.Since(began) < 150*time.Millisecond {
 		t.Errorf("delayed by 150 ms it came after %v", time.Since(began))
 	}
-	c := n.Count("a", "b")
+	c := n.Counters("a", "b")
 	if c.Packets != 7*200+1 || c.Partitioned != 200 || c.Lost == 0 || c.Duplicated == 0 || c.Corrupted != 200 || len(n.Log()) != 8 {
 		t.Errorf("%+v, %d changes", c, len(n.Log()))
 	}
--- a/internal/faultproxy/golden_test.go
+++ b/internal/faultproxy/golden_test.go
@@ -28,19 +28,19 @@
 func TestGoldenPackets(t *testing.T) {
 	sender := netip.MustParseAddrPort("127.0.0.1:7001")
 	proxy := New(5)
-	proxy.who[sender] = "a"
+	proxy.senders[sender] = "a"
 	var text bytes.Buffer
 	for _, fault := range goldenFaults {
 		proxy.Set("a", "b", fault)
 		fmt.Fprintf(&text, "%v\n", fault)
 		for i := range 20 {
 			packet := fmt.Appendf(nil, "%03d", i)
-			delays := proxy.judge(sender, "b", packet)
+			delays := proxy.datagramDelays(sender, "b", packet)
 			fmt.Fprintf(&text, "  %x %v\n", packet, delays)
 		}
 	}
-	empty := proxy.judge(sender, "b", nil)
-	fmt.Fprintf(&text, "empty %v\n%+v\n", empty, proxy.Count("a", "b"))
+	empty := proxy.datagramDelays(sender, "b", nil)
+	fmt.Fprintf(&text, "empty %v\n%+v\n", empty, proxy.Counters("a", "b"))
 	golden.Compare(t, "packets.txt", text.Bytes())
 }
 
@@ -53,14 +53,14 @@
 		fmt.Fprintf(&text, "%v\n", fault)
 		for i := range 20 {
 			piece := fmt.Appendf(nil, "%03d", i)
-			passed := proxy.pass("a", "b", len(piece))
+			passed := proxy.waitToForward("a", "b", len(piece))
 			if passed {
-				proxy.spoil("a", "b", piece)
+				proxy.corruptPiece("a", "b", piece)
 			}
-			fmt.Fprintf(&text, "  %x %t lost=%d\n", piece, passed, proxy.Count("a", "b").Lost)
+			fmt.Fprintf(&text, "  %x %t lost=%d\n", piece, passed, proxy.Counters("a", "b").Lost)
 		}
 	}
-	fmt.Fprintf(&text, "%+v\n", proxy.Count("a", "b"))
+	fmt.Fprintf(&text, "%+v\n", proxy.Counters("a", "b"))
 	golden.Compare(t, "pieces.txt", text.Bytes())
 }
 
--- a/internal/faultproxy/tcp.go
+++ b/internal/faultproxy/tcp.go
@@ -6,67 +6,67 @@
 	"time"
 )
 
-// retransmit is how late a piece of a stream is where a packet would be lost.
-const retransmit = 200.0
+// retransmitDelay is how late a piece of a stream is where a packet would be lost.
+const retransmitDelay = 200.0
 
 // TCP returns an address at which from reaches to, whose listener is at target.
-func (n *Proxy) TCP(from, to, target string) (string, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func (p *Proxy) TCP(from, to, target string) (string, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	if !n.keep(l) {
+	if !p.track(listener) {
 		return "", net.ErrClosed
 	}
-	n.wg.Go(func() {
+	p.forwarder.Go(func() {
 		for {
-			c, err := l.Accept()
+			client, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			n.wg.Go(func() { n.stream(c, from, to, target) })
+			p.forwarder.Go(func() { p.forwardConnection(client, from, to, target) })
 		}
 	})
-	return l.Addr().String(), nil
+	return listener.Addr().String(), nil
 }
 
-// stream carries one connection until both directions have ended.
-func (n *Proxy) stream(c net.Conn, from, to, target string) {
-	if !n.keep(c) {
+// forwardConnection carries one connection until both directions have ended.
+func (p *Proxy) forwardConnection(client net.Conn, from, to, target string) {
+	if !p.track(client) {
 		return
 	}
-	defer n.drop(c)
-	if !n.pass(from, to, 0) { // a connection is not made across a cut
+	defer p.closeTracked(client)
+	if !p.waitToForward(from, to, 0) { // a connection is not made across a cut
 		return
 	}
-	d, err := net.DialTimeout("tcp", target, time.Second)
+	server, err := net.DialTimeout("tcp", target, time.Second)
 	if err != nil {
 		return
 	}
-	if !n.keep(d) {
+	if !p.track(server) {
 		return
 	}
-	defer n.drop(d)
-	back := make(chan struct{})
-	n.wg.Go(func() {
-		defer close(back)
-		n.pump(c, d, to, from)
+	defer p.closeTracked(server)
+	backEnded := make(chan struct{})
+	p.forwarder.Go(func() {
+		defer close(backEnded)
+		p.forwardStream(client, server, to, from)
 	})
-	n.pump(d, c, from, to)
-	<-back
+	p.forwardStream(server, client, from, to)
+	<-backEnded
 }
 
-// pump carries one direction. Its end closes that direction alone.
-func (n *Proxy) pump(dst, src net.Conn, from, to string) {
-	b := make([]byte, 32<<10)
+// forwardStream carries one direction. Its end closes that direction alone.
+func (p *Proxy) forwardStream(dst, src net.Conn, from, to string) {
+	buffer := make([]byte, 32<<10)
 	for {
-		k, err := src.Read(b)
-		if k > 0 {
-			if !n.pass(from, to, k) {
+		size, err := src.Read(buffer)
+		if size > 0 {
+			if !p.waitToForward(from, to, size) {
 				break
 			}
-			n.spoil(from, to, b[:k])
-			if _, err := dst.Write(b[:k]); err != nil {
+			p.corruptPiece(from, to, buffer[:size])
+			if _, err := dst.Write(buffer[:size]); err != nil {
 				// The writer is to feel it, or it would write into the void for ever.
 				src.Close()
 				break
@@ -85,49 +85,49 @@
 	}
 }
 
-// pass waits until a piece may go on, and tells whether it may.
-func (n *Proxy) pass(from, to string, k int) bool {
+// waitToForward waits until a piece may go on, and tells whether it may.
+func (p *Proxy) waitToForward(from, to string, size int) bool {
 	counted := false
 	for {
-		n.mu.Lock()
-		l := n.line(from, to)
-		f, moved := l.fault, l.moved
+		p.mu.Lock()
+		state := p.link(from, to)
+		fault, changed := state.fault, state.changed
 		if !counted {
 			counted = true
-			l.count.Packets++
-			l.count.Bytes += int64(k)
-			if f.Partitioned {
-				l.count.Partitioned++
+			state.counters.Packets++
+			state.counters.Bytes += int64(size)
+			if fault.Partitioned {
+				state.counters.Partitioned++
 			}
 		}
-		closed := n.closed
-		wait := f.Delay + f.Jitter*n.rng.Float64()
-		if f.Loss > 0 && n.rng.Float64() < f.Loss {
-			l.count.Lost++
-			wait += retransmit
+		closed := p.closed
+		delay := fault.Delay + fault.Jitter*p.random.Float64()
+		if fault.Loss > 0 && p.random.Float64() < fault.Loss {
+			state.counters.Lost++
+			delay += retransmitDelay
 		}
-		if f.BytesPerSecond > 0 {
-			wait += float64(k) / f.BytesPerSecond * 1000
+		if fault.BytesPerSecond > 0 {
+			delay += float64(size) / fault.BytesPerSecond * 1000
 		}
-		n.mu.Unlock()
+		p.mu.Unlock()
 		switch {
-		case closed || f.HalfClosed:
+		case closed || fault.HalfClosed:
 			return false
-		case !f.Partitioned:
-			time.Sleep(ms(wait))
+		case !fault.Partitioned:
+			time.Sleep(milliseconds(delay))
 			return true
 		}
-		<-moved
+		<-changed
 	}
 }
 
-// spoil changes a byte of a piece, if chance wants it.
-func (n *Proxy) spoil(from, to string, b []byte) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	l := n.line(from, to)
-	if l.fault.Corrupt > 0 && n.rng.Float64() < l.fault.Corrupt {
-		l.count.Corrupted++
-		b[n.rng.IntN(len(b))] ^= byte(1 + n.rng.IntN(255))
+// corruptPiece changes a byte of a piece, if chance wants it.
+func (p *Proxy) corruptPiece(from, to string, piece []byte) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	state := p.link(from, to)
+	if state.fault.Corrupt > 0 && p.random.Float64() < state.fault.Corrupt {
+		state.counters.Corrupted++
+		piece[p.random.IntN(len(piece))] ^= byte(1 + p.random.IntN(255))
 	}
 }
