--- a/internal/faultproxy/golden_test.go
+++ b/internal/faultproxy/golden_test.go
@@ -47,15 +47,16 @@
 // TestGoldenStreamPieces pins what a seed makes of the pieces of a stream.
 func TestGoldenStreamPieces(t *testing.T) {
 	proxy := New(6)
+	way := direction{from: "a", to: "b"}
 	var text bytes.Buffer
 	for _, fault := range []Fault{{}, {Corrupt: 0.5}, {Loss: 0.1, Corrupt: 0.3, Jitter: 0.1}, {HalfClosed: true, Loss: 0.2}} {
 		proxy.Set("a", "b", fault)
 		fmt.Fprintf(&text, "%v\n", fault)
 		for i := range 20 {
 			piece := fmt.Appendf(nil, "%03d", i)
-			passed := proxy.waitToForward("a", "b", len(piece))
+			passed := proxy.waitToForward(way, len(piece))
 			if passed {
-				proxy.corruptPiece("a", "b", piece)
+				proxy.corruptPiece(way, piece)
 			}
 			fmt.Fprintf(&text, "  %x %t lost=%d\n", piece, passed, proxy.Counters("a", "b").Lost)
 		}
--- a/internal/faultproxy/tcp.go
+++ b/internal/faultproxy/tcp.go
@@ -1,45 +1,58 @@
 package faultproxy
 
 import (
+	"context"
+	"errors"
 	"io"
 	"net"
 	"time"
 )
 
-// retransmitDelay is how late a piece of a stream is where a packet would be lost.
-const retransmitDelay = 200.0
+const (
+	// connectTimeout is how long the proxy waits for the connection to a target.
+	connectTimeout = time.Second
+	// maxPieceSize is how many bytes of a stream are read and forwarded at once.
+	maxPieceSize = 32 << 10
+)
 
-// TCP returns an address at which from reaches to, whose listener is at target.
+// TCP returns the address at which one party reaches another, whose listener is at target. Each pair
+// of parties needs an address of its own. It returns net.ErrClosed if the proxy is closed.
 func (p *Proxy) TCP(from, to, target string) (string, error) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	var config net.ListenConfig
+	listener, err := config.Listen(context.Background(), "tcp", net.JoinHostPort(loopback.String(), "0"))
 	if err != nil {
 		return "", err
 	}
 	if !p.track(listener) {
 		return "", net.ErrClosed
 	}
-	p.forwarder.Go(func() {
-		for {
-			client, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			p.forwarder.Go(func() { p.forwardConnection(client, from, to, target) })
-		}
-	})
+	p.forwarder.Go(func() { p.acceptConnections(listener, direction{from, to}, target) })
 	return listener.Addr().String(), nil
 }
 
-// forwardConnection carries one connection until both directions have ended.
-func (p *Proxy) forwardConnection(client net.Conn, from, to, target string) {
+// acceptConnections forwards each connection that a listener accepts, until it is closed.
+func (p *Proxy) acceptConnections(listener net.Listener, way direction, target string) {
+	for {
+		client, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		p.forwarder.Go(func() { p.forwardConnection(client, way, target) })
+	}
+}
+
+// forwardConnection forwards one connection until both directions have ended. A connection to the
+// target is established only once the link is not partitioned.
+func (p *Proxy) forwardConnection(client net.Conn, way direction, target string) {
 	if !p.track(client) {
 		return
 	}
 	defer p.closeTracked(client)
-	if !p.waitToForward(from, to, 0) { // a connection is not made across a cut
+	if !p.waitToForward(way, 0) {
 		return
 	}
-	server, err := net.DialTimeout("tcp", target, time.Second)
+	dialer := net.Dialer{Timeout: connectTimeout}
+	server, err := dialer.DialContext(context.Background(), "tcp", target)
 	if err != nil {
 		return
 	}
@@ -50,84 +63,97 @@
 	backEnded := make(chan struct{})
 	p.forwarder.Go(func() {
 		defer close(backEnded)
-		p.forwardStream(client, server, to, from)
+		p.forwardStream(client, server, direction{way.to, way.from})
 	})
-	p.forwardStream(server, client, from, to)
+	p.forwardStream(server, client, way)
 	<-backEnded
 }
 
-// forwardStream carries one direction. Its end closes that direction alone.
-func (p *Proxy) forwardStream(dst, src net.Conn, from, to string) {
-	buffer := make([]byte, 32<<10)
+// forwardStream forwards one direction of a connection until it ends. A regular end closes this
+// direction alone; a connection that broke is closed on the other side too.
+func (p *Proxy) forwardStream(dst, src net.Conn, way direction) {
+	buffer := make([]byte, maxPieceSize)
 	for {
 		size, err := src.Read(buffer)
-		if size > 0 {
-			if !p.waitToForward(from, to, size) {
-				break
-			}
-			p.corruptPiece(from, to, buffer[:size])
-			if _, err := dst.Write(buffer[:size]); err != nil {
-				// The writer is to feel it, or it would write into the void for ever.
-				src.Close()
-				break
-			}
+		if size > 0 && !p.forwardPiece(dst, src, way, buffer[:size]) {
+			break
 		}
-		if err != nil {
-			if err != io.EOF {
-				dst.Close()
-				return
-			}
+		if errors.Is(err, io.EOF) {
 			break
 		}
+		if err != nil {
+			closeIgnoringError(dst)
+			return
+		}
+	}
+	if tcp, ok := dst.(*net.TCPConn); ok {
+		_ = tcp.CloseWrite() // it fails only if the connection is closed already
 	}
-	if t, ok := dst.(*net.TCPConn); ok {
-		t.CloseWrite()
+}
+
+// forwardPiece forwards a piece of a stream, and reports whether more may follow it.
+func (p *Proxy) forwardPiece(dst, src net.Conn, way direction, piece []byte) bool {
+	if !p.waitToForward(way, len(piece)) {
+		return false
 	}
+	p.corruptPiece(way, piece)
+	if _, err := dst.Write(piece); err != nil {
+		// Otherwise the sender would not learn that its peer is gone and would send for ever.
+		closeIgnoringError(src)
+		return false
+	}
+	return true
 }
 
-// waitToForward waits until a piece may go on, and tells whether it may.
-func (p *Proxy) waitToForward(from, to string, size int) bool {
-	counted := false
+// waitToForward waits until a piece of a stream, or with a size of 0 a new connection, may be
+// forwarded. It reports false if it never may: the direction is half-closed or the proxy closed.
+func (p *Proxy) waitToForward(way direction, size int) bool {
+	p.mu.Lock()
+	state := p.link(way)
+	state.countPiece(size)
 	for {
-		p.mu.Lock()
-		state := p.link(from, to)
-		fault, changed := state.fault, state.changed
-		if !counted {
-			counted = true
-			state.counters.Packets++
-			state.counters.Bytes += int64(size)
-			if fault.Partitioned {
-				state.counters.Partitioned++
-			}
-		}
+		fault := state.fault
+		changed := state.changed
 		closed := p.closed
-		delay := fault.Delay + fault.Jitter*p.random.Float64()
-		if fault.Loss > 0 && p.random.Float64() < fault.Loss {
-			state.counters.Lost++
-			delay += retransmitDelay
-		}
-		if fault.BytesPerSecond > 0 {
-			delay += float64(size) / fault.BytesPerSecond * 1000
-		}
+		delay := p.pieceDelay(state, size)
 		p.mu.Unlock()
 		switch {
 		case closed || fault.HalfClosed:
 			return false
 		case !fault.Partitioned:
-			time.Sleep(milliseconds(delay))
+			time.Sleep(delay)
 			return true
 		}
 		<-changed
+		p.mu.Lock()
 	}
 }
 
-// corruptPiece changes a byte of a piece, if chance wants it.
-func (p *Proxy) corruptPiece(from, to string, piece []byte) {
+// corruptPiece changes one byte of some pieces of a stream.
+func (p *Proxy) corruptPiece(way direction, piece []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	state := p.link(from, to)
-	if state.fault.Corrupt > 0 && p.random.Float64() < state.fault.Corrupt {
-		state.counters.Corrupted++
-		piece[p.random.IntN(len(piece))] ^= byte(1 + p.random.IntN(255))
+	p.corrupt(p.link(way), piece)
+}
+
+// countPiece counts a piece of a stream. The caller holds the lock.
+func (l *link) countPiece(size int) {
+	l.counters.Packets++
+	l.counters.Bytes += int64(size)
+	if l.fault.Partitioned {
+		l.counters.Partitioned++
+	}
+}
+
+// pieceDelay draws how late a piece of a stream is. The caller holds the lock.
+func (p *Proxy) pieceDelay(state *link, size int) time.Duration {
+	delay := p.delay(state) // ms
+	if p.chance(state.fault.Loss) {
+		state.counters.Lost++
+		delay += retransmitDelay
+	}
+	if state.fault.BytesPerSecond > 0 {
+		delay += float64(size) / state.fault.BytesPerSecond * 1000
 	}
+	return milliseconds(delay)
 }
--- /dev/null
+++ b/internal/faultproxy/udp.go
@@ -0,0 +1,122 @@
+package faultproxy
+
+import (
+	"errors"
+	"net"
+	"net/netip"
+	"slices"
+	"time"
+)
+
+// maxDatagramSize is in bytes, and more than any UDP packet has.
+const maxDatagramSize = 1 << 16
+
+// loopback is the address on which the proxy listens.
+var loopback = net.IPv4(127, 0, 0, 1)
+
+// UDP returns the address at which other parties reach the party with the given name, whose own
+// socket is at target. The proxy knows a sender by the address of its own socket, which must have
+// been given to UDP too; all other senders are the party "". It returns net.ErrClosed if the proxy
+// is closed.
+func (p *Proxy) UDP(name string, target netip.AddrPort) (netip.AddrPort, error) {
+	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: loopback})
+	if err != nil {
+		return netip.AddrPort{}, err
+	}
+	if !p.track(socket) {
+		return netip.AddrPort{}, net.ErrClosed
+	}
+	p.mu.Lock()
+	p.senders[target] = name
+	p.mu.Unlock()
+	p.forwarder.Go(func() { p.forwardDatagrams(socket, udpParty{name: name, address: target}) })
+	return socket.LocalAddr().(*net.UDPAddr).AddrPort(), nil
+}
+
+// udpParty is a party that receives datagrams.
+type udpParty struct {
+	name    string
+	address netip.AddrPort // of its own socket
+}
+
+// forwardDatagrams forwards what reaches a socket to its party until the socket is closed.
+func (p *Proxy) forwardDatagrams(socket *net.UDPConn, receiver udpParty) {
+	buffer := make([]byte, maxDatagramSize)
+	for {
+		size, sender, err := socket.ReadFromUDPAddrPort(buffer)
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			continue // an earlier datagram was refused, since the receiver does not listen yet
+		}
+		sender = netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())
+		packet := slices.Clone(buffer[:size])
+		for _, delay := range p.datagramDelays(sender, receiver.name, packet) {
+			forwardAfter(delay, socket, receiver, packet)
+		}
+	}
+}
+
+// forwardAfter forwards a datagram after a delay; without a delay, before it returns.
+func forwardAfter(delay time.Duration, socket *net.UDPConn, receiver udpParty, packet []byte) {
+	forward := func() {
+		// A write that fails is a datagram lost, of which its sender learns nothing.
+		_, _ = socket.WriteToUDPAddrPort(packet, receiver.address)
+	}
+	if delay <= 0 {
+		forward()
+		return
+	}
+	time.AfterFunc(delay, forward)
+}
+
+// datagramDelays returns the delay after which each copy of a datagram is to be forwarded, none if
+// it is lost. It may change a byte of the packet.
+func (p *Proxy) datagramDelays(sender netip.AddrPort, to string, packet []byte) []time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	state := p.link(direction{p.senders[sender], to})
+	state.counters.Packets++
+	state.counters.Bytes += int64(len(packet))
+	if state.fault.Partitioned {
+		state.counters.Partitioned++
+		return nil
+	}
+	if p.chance(state.fault.Loss) {
+		state.counters.Lost++
+		return nil
+	}
+	p.corrupt(state, packet)
+	delay := milliseconds(p.delay(state))
+	if p.chance(state.fault.Reorder) {
+		delay += reorderDelay
+	}
+	queueing := state.queueingDelay(len(packet))
+	if queueing > maxQueueingDelay {
+		state.counters.Lost++
+		return nil
+	}
+	delay += queueing
+	delays := []time.Duration{delay}
+	if p.chance(state.fault.Duplicate) {
+		state.counters.Duplicated++
+		delays = append(delays, delay+duplicateDelay)
+	}
+	return delays
+}
+
+// queueingDelay returns how long a datagram of size bytes waits until it and those before it have
+// passed at the throughput of the link. The caller holds the lock.
+func (l *link) queueingDelay(size int) time.Duration {
+	if l.fault.BytesPerSecond <= 0 {
+		return 0
+	}
+	now := time.Now()
+	if l.busyUntil.Before(now) {
+		l.busyUntil = now
+	}
+	seconds := float64(size) / l.fault.BytesPerSecond
+	l.busyUntil = l.busyUntil.Add(time.Duration(seconds * float64(time.Second)))
+	return l.busyUntil.Sub(now)
+}
