--- /dev/null
+++ b/internal/faultproxy/harness_test.go
@@ -0,0 +1,132 @@
+package faultproxy
+
+import (
+	"net"
+	"net/netip"
+	"testing"
+	"time"
+)
+
+const (
+	// arrivalTimeout is how long a test waits for what must come.
+	arrivalTimeout = 5 * time.Second
+	// quietPeriod is how long a test waits for what must not come.
+	quietPeriod = 400 * time.Millisecond
+)
+
+// newProxy returns a proxy that is closed with the test.
+func newProxy(t *testing.T, seed uint64) *Proxy {
+	t.Helper()
+	proxy := New(seed)
+	t.Cleanup(proxy.Close)
+	return proxy
+}
+
+// party is a UDP socket that reads all the time, so that its buffer does not overflow.
+type party struct {
+	socket    *net.UDPConn
+	address   netip.AddrPort
+	datagrams chan string
+}
+
+func newParty(t *testing.T) *party {
+	t.Helper()
+	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: loopback})
+	if err != nil {
+		t.Fatal(err)
+	}
+	created := &party{
+		socket:    socket,
+		address:   socket.LocalAddr().(*net.UDPAddr).AddrPort(),
+		datagrams: make(chan string, 1000),
+	}
+	readerEnded := make(chan struct{})
+	go func() {
+		defer close(readerEnded)
+		created.read()
+	}()
+	t.Cleanup(func() {
+		if err := socket.Close(); err != nil {
+			t.Error(err)
+		}
+		<-readerEnded
+	})
+	return created
+}
+
+// read passes on what the socket receives until it is closed.
+func (p *party) read() {
+	buffer := make([]byte, maxDatagramSize)
+	for {
+		size, _, err := p.socket.ReadFromUDPAddrPort(buffer)
+		if err != nil {
+			return
+		}
+		p.datagrams <- string(buffer[:size])
+	}
+}
+
+func (p *party) send(t *testing.T, to netip.AddrPort, text string) {
+	t.Helper()
+	if _, err := p.socket.WriteToUDPAddrPort([]byte(text), to); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// receive returns the next datagrams. It fails the test if fewer come.
+func (p *party) receive(t *testing.T, count int) []string {
+	t.Helper()
+	timeout := time.After(arrivalTimeout)
+	var received []string
+	for len(received) < count {
+		select {
+		case datagram := <-p.datagrams:
+			received = append(received, datagram)
+		case <-timeout:
+			t.Fatalf("%d datagrams within %v, want %d", len(received), arrivalTimeout, count)
+		}
+	}
+	return received
+}
+
+// receiveNothing fails the test if a datagram comes.
+func (p *party) receiveNothing(t *testing.T) {
+	t.Helper()
+	select {
+	case datagram := <-p.datagrams:
+		t.Errorf("received %q, want nothing", datagram)
+	case <-time.After(quietPeriod):
+	}
+}
+
+// udpPair is the parties a and b of a proxy, and the addresses at which each reaches the other.
+type udpPair struct {
+	proxy    *Proxy
+	a, b     *party
+	toA, toB netip.AddrPort
+}
+
+func newUDPPair(t *testing.T) *udpPair {
+	t.Helper()
+	pair := &udpPair{proxy: newProxy(t, 1), a: newParty(t), b: newParty(t)}
+	var err error
+	if pair.toA, err = pair.proxy.UDP("a", pair.a.address); err != nil {
+		t.Fatal(err)
+	}
+	if pair.toB, err = pair.proxy.UDP("b", pair.b.address); err != nil {
+		t.Fatal(err)
+	}
+	return pair
+}
+
+// waitForPackets waits until the proxy has received so many packets from a to b.
+func (p *udpPair) waitForPackets(t *testing.T, count int) {
+	t.Helper()
+	deadline := time.Now().Add(arrivalTimeout)
+	for p.proxy.Counters("a", "b").Packets < int64(count) {
+		if time.Now().After(deadline) {
+			t.Fatalf("the proxy received %d packets within %v, want %d", p.proxy.Counters("a", "b").Packets, arrivalTimeout, count)
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -139,7 +139,7 @@
 }
 
 // Close closes all sockets and connections of the proxy and waits until nothing more is forwarded,
-// but for datagrams that are delayed, which are lost. It must be called once.
+// but for datagrams that are delayed, which are lost. Further calls do nothing.
 func (p *Proxy) Close() {
 	for _, socket := range p.markClosed() {
 		closeIgnoringError(socket)
