--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -24,15 +24,15 @@
 
 // Proxy forwards traffic between named parties. Its methods may be called by any goroutine.
 type Proxy struct {
-	mu        sync.Mutex
-	random    *rand.Rand // of faults; the order of its draws is what a seed repeats
-	links     map[direction]*link
-	senders   map[netip.AddrPort]string // UDP parties by the address of their own socket
-	sockets   []io.Closer               // that are open
-	log       []LogEntry
-	startedAt time.Time
-	closed    bool
-	forwarder sync.WaitGroup // the goroutines that forward
+	mu         sync.Mutex
+	random     *rand.Rand // of faults; the order of its draws is what a seed repeats
+	links      map[direction]*link
+	senders    map[netip.AddrPort]string // UDP parties by the address of their own socket
+	sockets    []io.Closer               // that are open
+	log        []LogEntry
+	startedAt  time.Time
+	closed     bool
+	forwarders sync.WaitGroup // the goroutines that forward
 }
 
 // LogEntry is a change of the fault of one direction.
@@ -144,7 +144,7 @@
 	for _, socket := range p.markClosed() {
 		closeIgnoringError(socket)
 	}
-	p.forwarder.Wait()
+	p.forwarders.Wait()
 }
 
 // markClosed stops the proxy from opening sockets, wakes the streams that wait, and returns the
--- a/internal/faultproxy/tcp.go
+++ b/internal/faultproxy/tcp.go
@@ -26,7 +26,7 @@
 	if !p.track(listener) {
 		return "", net.ErrClosed
 	}
-	p.forwarder.Go(func() { p.acceptConnections(listener, direction{from, to}, target) })
+	p.forwarders.Go(func() { p.acceptConnections(listener, direction{from, to}, target) })
 	return listener.Addr().String(), nil
 }
 
@@ -37,7 +37,7 @@
 		if err != nil {
 			return
 		}
-		p.forwarder.Go(func() { p.forwardConnection(client, way, target) })
+		p.forwarders.Go(func() { p.forwardConnection(client, way, target) })
 	}
 }
 
@@ -61,7 +61,7 @@
 	}
 	defer p.closeTracked(server)
 	backEnded := make(chan struct{})
-	p.forwarder.Go(func() {
+	p.forwarders.Go(func() {
 		defer close(backEnded)
 		p.forwardStream(client, server, direction{way.to, way.from})
 	})
--- a/internal/faultproxy/udp.go
+++ b/internal/faultproxy/udp.go
@@ -29,7 +29,7 @@
 	p.mu.Lock()
 	p.senders[target] = name
 	p.mu.Unlock()
-	p.forwarder.Go(func() { p.forwardDatagrams(socket, udpParty{name: name, address: target}) })
+	p.forwarders.Go(func() { p.forwardDatagrams(socket, udpParty{name: name, address: target}) })
 	return socket.LocalAddr().(*net.UDPAddr).AddrPort(), nil
 }
 
--- a/internal/simproto/protocol.go
+++ b/internal/simproto/protocol.go
@@ -24,17 +24,19 @@
 
 // The names of lines in a reply.
 const (
-	replyInstance       = "BY"
-	replyEnd            = "NEXT"
-	replySendAttempt    = "SERVE_OR_FILL"
-	replyReject         = "REFUSE"
-	replyFail           = "ABORT"
-	replyCancelAttempt  = "REVOKE"
-	replySetTimer       = "SCHEDULE"
-	replySubscribe      = "FOLLOW"
-	replySubscribeStart = 1 // the value of replySubscribe that starts a subscription
+	replyInstance      = "BY"
+	replyEnd           = "NEXT"
+	replySendAttempt   = "SERVE_OR_FILL"
+	replyReject        = "REFUSE"
+	replyFail          = "ABORT"
+	replyCancelAttempt = "REVOKE"
+	replySetTimer      = "SCHEDULE"
+	replySubscribe     = "FOLLOW"
 )
 
+// subscriptionOn is the value of replySubscribe that starts a subscription, or renews it.
+const subscriptionOn = 1
+
 // absentValue is how the protocol writes a value that is absent.
 const absentValue = "-"
 
--- a/internal/simproto/settings.go
+++ b/internal/simproto/settings.go
@@ -25,6 +25,14 @@
 	pathParentInitial = "family_info.parent_starts_at"
 )
 
+// The words of settings that are one of several.
+const (
+	weightsNominal     = "nominal" // a server's weight is its registered size
+	weightsRough       = "rough"   // a server's weight is about its size
+	cacheStatusOfHits  = "hit"     // outcomes tell hits and fills, and nothing of failures
+	discoveryOnRequest = "on_request"
+)
+
 // ParseSettings reads settings by their paths in the simulator's protocol. It returns them with
 // the names of the values in a load report, in their order. Unknown paths are ignored, and an
 // absent or empty setting has its default. The text of an error begins with the path.
@@ -68,9 +76,9 @@
 		AllowBypass:           s.boolean("family_info.bypass_allowed"),
 		TransferKBPerSecond:   s.float("family_info.one_flow_kb_per_s"),
 		WeightIsCapacity:      s.weightIsCapacity(),
-		HitStatusOnly:         s.values["family_info.note_level"] == "hit",
+		HitStatusOnly:         s.values["family_info.note_level"] == cacheStatusOfHits,
 		OriginStopsOnOverload: s.float("family_info.origin_limit_factor") > 0,
-		MustSubscribe:         s.values["discovery"] == "on_request",
+		MustSubscribe:         s.values["discovery"] == discoveryOnRequest,
 		DrainGrace:            s.duration("rules.drain_grace_us"),
 		PurgeGrace:            s.duration("family_info.obey_after_us"),
 		PurgeRetention:        s.duration("family_info.cleared_within_us"),
@@ -91,7 +99,7 @@
 // weightIsCapacity reports whether the weight of a server is its capacity, exactly or about.
 func (s settingReader) weightIsCapacity() bool {
 	meaning := s.values["weights"]
-	return meaning == "nominal" || meaning == "rough"
+	return meaning == weightsNominal || meaning == weightsRough
 }
 
 // slowStart returns how a server that has just started gains capacity. The window of an overload
--- a/internal/simproto/writer.go
+++ b/internal/simproto/writer.go
@@ -33,7 +33,7 @@
 	case routing.SetTimer:
 		return appendSetTimer(dst, action)
 	case routing.Subscribe:
-		return appendLine(dst, replySubscribe, replySubscribeStart)
+		return appendLine(dst, replySubscribe, subscriptionOn)
 	default:
 		panic(fmt.Sprintf("simproto: unknown action %T", action))
 	}
