--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -87,22 +87,28 @@
 // message. It returns io.EOF if there is no further line.
 func (r *Reader) readLine() (string, error) {
 	text, err := r.input.ReadString('\n')
-	atEOF := errors.Is(err, io.EOF)
-	if atEOF && text == "" {
-		return "", io.EOF
-	}
-	if err != nil && !atEOF {
-		return "", fmt.Errorf("read: %w", err)
+	if err != nil {
+		return "", r.incompleteLine(text, err)
 	}
 	r.line++
-	if atEOF {
-		return "", r.errorf("line is cut short")
-	}
 	name, values, hasValues := strings.Cut(strings.TrimSuffix(text, "\n"), " ")
 	r.fields = fieldReader{line: r.line, rest: values, hasMore: hasValues}
 	return name, nil
 }
 
+// incompleteLine returns what it means that a read ended with an error after the given text and
+// before the end of the line: io.EOF if the input ends between two lines.
+func (r *Reader) incompleteLine(text string, err error) error {
+	if !errors.Is(err, io.EOF) {
+		return fmt.Errorf("read: %w", err)
+	}
+	if text == "" {
+		return io.EOF
+	}
+	r.line++
+	return r.errorf("line is cut short")
+}
+
 // readMessage reads the current line, of the given message, and appends to the batch what it means
 // for an instance, if anything.
 func (r *Reader) readMessage(name string, batch *Batch) error {
