--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,16 +1,14 @@
-// Command simadapter runs routers on standard input and output, in the line
-// protocol of internal/wire: one independent decide.Router per instance.
+// Command simadapter runs router instances in the simulator's line protocol, which package
+// simproto describes: it reads batches of events from standard input and writes one reply for
+// each to standard output. Instances share nothing; each has a routing.Router of its own.
+//
+// It exits with 0 when the input ends between two batches. Any other end is an error: it is
+// printed to standard error, and the exit code is 1.
 package main
 
 import (
-	"bufio"
-	"errors"
 	"fmt"
-	"io"
 	"os"
-
-	"garnetline/internal/simproto"
-	"garnetline/routing"
 )
 
 func main() {
@@ -19,52 +17,3 @@
 		os.Exit(1)
 	}
 }
-
-// run answers batch after batch until the input ends.
-func run(in io.Reader, w io.Writer) error {
-	r, out := simproto.NewReader(in), bufio.NewWriterSize(w, 1<<16)
-	routers := map[int]*routing.Router{}
-	var line []byte
-	var acts []routing.Action
-	for {
-		b, err := r.Next()
-		if errors.Is(err, io.EOF) {
-			return nil
-		}
-		if err != nil {
-			return err
-		}
-		line = line[:0]
-		by := -1
-		for _, it := range b.Messages {
-			switch it.Kind {
-			case simproto.Start:
-				if routers[it.Instance], err = routing.New(it.Settings, it.Seed); err != nil {
-					return fmt.Errorf("instance %d: %w", it.Instance, err)
-				}
-				continue
-			case simproto.Stop:
-				delete(routers, it.Instance)
-				continue
-			}
-			router := routers[it.Instance]
-			if router == nil {
-				continue
-			}
-			acts = router.Handle(b.Now, it.Event, acts[:0])
-			if len(acts) > 0 && by != it.Instance {
-				by = it.Instance
-				line = simproto.AppendInstance(line, by)
-			}
-			for _, a := range acts {
-				line = simproto.AppendAction(line, a)
-			}
-		}
-		if _, err := out.Write(simproto.AppendReplyEnd(line)); err != nil {
-			return fmt.Errorf("write: %w", err)
-		}
-		if err := out.Flush(); err != nil {
-			return fmt.Errorf("write: %w", err)
-		}
-	}
-}
--- a/internal/faultproxy/tcp.go
+++ b/internal/faultproxy/tcp.go
@@ -1,133 +1,159 @@
 package faultproxy
 
 import (
+	"context"
+	"errors"
 	"io"
 	"net"
 	"time"
 )
 
-// retransmit is how late a piece of a stream is where a packet would be lost.
-const retransmit = 200.0
+const (
+	// connectTimeout is how long the proxy waits for the connection to a target.
+	connectTimeout = time.Second
+	// maxPieceSize is how many bytes of a stream are read and forwarded at once.
+	maxPieceSize = 32 << 10
+)
 
-// TCP returns an address at which from reaches to, whose listener is at target.
-func (n *Proxy) TCP(from, to, target string) (string, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// TCP returns the address at which one party reaches another, whose listener is at target. Each pair
+// of parties needs an address of its own. It returns net.ErrClosed if the proxy is closed.
+func (p *Proxy) TCP(from, to, target string) (string, error) {
+	var config net.ListenConfig
+	listener, err := config.Listen(context.Background(), "tcp", net.JoinHostPort(loopback.String(), "0"))
 	if err != nil {
 		return "", err
 	}
-	if !n.keep(l) {
+	if !p.track(listener) {
 		return "", net.ErrClosed
 	}
-	n.wg.Go(func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			n.wg.Go(func() { n.stream(c, from, to, target) })
+	p.forwarders.Go(func() { p.acceptConnections(listener, direction{from, to}, target) })
+	return listener.Addr().String(), nil
+}
+
+// acceptConnections forwards each connection that a listener accepts, until it is closed.
+func (p *Proxy) acceptConnections(listener net.Listener, way direction, target string) {
+	for {
+		client, err := listener.Accept()
+		if err != nil {
+			return
 		}
-	})
-	return l.Addr().String(), nil
+		p.forwarders.Go(func() { p.forwardConnection(client, way, target) })
+	}
 }
 
-// stream carries one connection until both directions have ended.
-func (n *Proxy) stream(c net.Conn, from, to, target string) {
-	if !n.keep(c) {
+// forwardConnection forwards one connection until both directions have ended. A connection to the
+// target is established only once the link is not partitioned.
+func (p *Proxy) forwardConnection(client net.Conn, way direction, target string) {
+	if !p.track(client) {
 		return
 	}
-	defer n.drop(c)
-	if !n.pass(from, to, 0) { // a connection is not made across a cut
+	defer p.closeTracked(client)
+	if !p.waitToForward(way, 0) {
 		return
 	}
-	d, err := net.DialTimeout("tcp", target, time.Second)
+	dialer := net.Dialer{Timeout: connectTimeout}
+	server, err := dialer.DialContext(context.Background(), "tcp", target)
 	if err != nil {
 		return
 	}
-	if !n.keep(d) {
+	if !p.track(server) {
 		return
 	}
-	defer n.drop(d)
-	back := make(chan struct{})
-	n.wg.Go(func() {
-		defer close(back)
-		n.pump(c, d, to, from)
+	defer p.closeTracked(server)
+	backEnded := make(chan struct{})
+	p.forwarders.Go(func() {
+		defer close(backEnded)
+		p.forwardStream(client, server, direction{way.to, way.from})
 	})
-	n.pump(d, c, from, to)
-	<-back
+	p.forwardStream(server, client, way)
+	<-backEnded
 }
 
-// pump carries one direction. Its end closes that direction alone.
-func (n *Proxy) pump(dst, src net.Conn, from, to string) {
-	b := make([]byte, 32<<10)
+// forwardStream forwards one direction of a connection until it ends. A regular end closes this
+// direction alone; a connection that broke is closed on the other side too.
+func (p *Proxy) forwardStream(dst, src net.Conn, way direction) {
+	buffer := make([]byte, maxPieceSize)
 	for {
-		k, err := src.Read(b)
-		if k > 0 {
-			if !n.pass(from, to, k) {
-				break
-			}
-			n.spoil(from, to, b[:k])
-			if _, err := dst.Write(b[:k]); err != nil {
-				// The writer is to feel it, or it would write into the void for ever.
-				src.Close()
-				break
-			}
+		size, err := src.Read(buffer)
+		if size > 0 && !p.forwardPiece(dst, src, way, buffer[:size]) {
+			break
 		}
-		if err != nil {
-			if err != io.EOF {
-				dst.Close()
-				return
-			}
+		if errors.Is(err, io.EOF) {
 			break
 		}
+		if err != nil {
+			closeIgnoringError(dst)
+			return
+		}
+	}
+	if tcp, ok := dst.(*net.TCPConn); ok {
+		_ = tcp.CloseWrite() // it fails only if the connection is closed already
 	}
-	if t, ok := dst.(*net.TCPConn); ok {
-		t.CloseWrite()
+}
+
+// forwardPiece forwards a piece of a stream, and reports whether more may follow it.
+func (p *Proxy) forwardPiece(dst, src net.Conn, way direction, piece []byte) bool {
+	if !p.waitToForward(way, len(piece)) {
+		return false
+	}
+	p.corruptPiece(way, piece)
+	if _, err := dst.Write(piece); err != nil {
+		// Otherwise the sender would not learn that its peer is gone and would send for ever.
+		closeIgnoringError(src)
+		return false
 	}
+	return true
 }
 
-// pass waits until a piece may go on, and tells whether it may.
-func (n *Proxy) pass(from, to string, k int) bool {
-	counted := false
+// waitToForward waits until a piece of a stream, or with a size of 0 a new connection, may be
+// forwarded. It reports false if it never may: the direction is half-closed or the proxy closed.
+func (p *Proxy) waitToForward(way direction, size int) bool {
+	p.mu.Lock()
+	state := p.link(way)
+	state.countPiece(size)
 	for {
-		n.mu.Lock()
-		l := n.line(from, to)
-		f, moved := l.fault, l.moved
-		if !counted {
-			counted = true
-			l.count.Packets++
-			l.count.Bytes += int64(k)
-			if f.Partitioned {
-				l.count.Partitioned++
-			}
-		}
-		closed := n.closed
-		wait := f.Delay + f.Jitter*n.rng.Float64()
-		if f.Loss > 0 && n.rng.Float64() < f.Loss {
-			l.count.Lost++
-			wait += retransmit
-		}
-		if f.BytesPerSecond > 0 {
-			wait += float64(k) / f.BytesPerSecond * 1000
-		}
-		n.mu.Unlock()
+		fault := state.fault
+		changed := state.changed
+		closed := p.closed
+		delay := p.pieceDelay(state, size)
+		p.mu.Unlock()
 		switch {
-		case closed || f.HalfClosed:
+		case closed || fault.HalfClosed:
 			return false
-		case !f.Partitioned:
-			time.Sleep(ms(wait))
+		case !fault.Partitioned:
+			time.Sleep(delay)
 			return true
 		}
-		<-moved
+		<-changed
+		p.mu.Lock()
 	}
 }
 
-// spoil changes a byte of a piece, if chance wants it.
-func (n *Proxy) spoil(from, to string, b []byte) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	l := n.line(from, to)
-	if l.fault.Corrupt > 0 && n.rng.Float64() < l.fault.Corrupt {
-		l.count.Corrupted++
-		b[n.rng.IntN(len(b))] ^= byte(1 + n.rng.IntN(255))
+// corruptPiece changes one byte of some pieces of a stream.
+func (p *Proxy) corruptPiece(way direction, piece []byte) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.corrupt(p.link(way), piece)
+}
+
+// countPiece counts a piece of a stream. The caller holds the lock.
+func (l *link) countPiece(size int) {
+	l.counters.Packets++
+	l.counters.Bytes += int64(size)
+	if l.fault.Partitioned {
+		l.counters.Partitioned++
+	}
+}
+
+// pieceDelay draws how late a piece of a stream is. The caller holds the lock.
+func (p *Proxy) pieceDelay(state *link, size int) time.Duration {
+	delay := p.delay(state) // ms
+	if p.chance(state.fault.Loss) {
+		state.counters.Lost++
+		delay += retransmitDelay
+	}
+	if state.fault.BytesPerSecond > 0 {
+		delay += float64(size) / state.fault.BytesPerSecond * 1000
 	}
+	return milliseconds(delay)
 }
