--- a/routing/doc.go
+++ b/routing/doc.go
@@ -6,7 +6,9 @@
 // servers and objects. Only one goroutine may use a Router at a time; a Guard, which holds what
 // must be checked again when an attempt is written, may be used by any.
 //
-// The decisions and all tuned values are in router.go, selection.go, retry.go, admission.go,
-// outlier.go, slowstart.go, hotkeys.go, guard.go and constants.go, which deploy/balancer.toml
-// names as policy. The other files hold types, records and arithmetic, and decide nothing.
+// The decisions are in router.go (events to actions), selection.go (which server), retry.go (what
+// follows a failure), admission.go (queue and rejection), limiter.go (concurrency limits),
+// outlier.go (faults and ejection), slowstart.go, hotkeys.go, guard.go (purges), transfertime.go
+// (estimates of sizes) and endpoints.go (the list of servers); all tuned values are in
+// constants.go. The other files hold types, records and arithmetic, and decide nothing.
 package routing
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -73,14 +73,6 @@
 	}
 }
 
-// weight is a server's capacity relative to its peers.
-func (r *Router) weight(server *server) float64 {
-	if r.settings.WeightIsCapacity {
-		return max(server.Weight, minWeight)
-	}
-	return 1
-}
-
 // expired reports whether a server was removed so long ago that no late start event concerns it.
 func (r *Router) expired(server *server) bool {
 	if server.ready {
@@ -99,25 +91,3 @@
 	}
 	return nil
 }
-
-// AppendEjected appends the servers listed as ready that are ejected, or probed and have not
-// responded since.
-func (r *Router) AppendEjected(ids []ServerID) []ServerID {
-	for _, server := range r.servers {
-		if server.ready && server.ejections > 0 {
-			ids = append(ids, server.ID)
-		}
-	}
-	return ids
-}
-
-// UnavailableCount returns how many servers listed as ready are not chosen at present.
-func (r *Router) UnavailableCount() int64 {
-	count := int64(0)
-	for _, server := range r.servers {
-		if server.ready && !r.available(server) {
-			count++
-		}
-	}
-	return count
-}
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -8,6 +8,28 @@
 	return server.ready && r.now >= server.ejectedUntil && (server.ejections == 0 || server.inflight == 0)
 }
 
+// AppendEjected appends the servers listed as ready that are ejected, or probed and have not
+// responded since.
+func (r *Router) AppendEjected(ids []ServerID) []ServerID {
+	for _, server := range r.servers {
+		if server.ready && server.ejections > 0 {
+			ids = append(ids, server.ID)
+		}
+	}
+	return ids
+}
+
+// UnavailableCount returns how many servers listed as ready are not chosen at present.
+func (r *Router) UnavailableCount() int64 {
+	count := int64(0)
+	for _, server := range r.servers {
+		if server.ready && !r.available(server) {
+			count++
+		}
+	}
+	return count
+}
+
 // recordFailure records a failure of a server, which may eject it, each time for twice as long.
 func (r *Router) recordFailure(server *server) {
 	server.consecutiveFailures++
@@ -99,6 +121,36 @@
 	}
 }
 
+// recordServed records what a served attempt tells of its servers, the origin and the object's size.
+func (r *Router) recordServed(attempt *attempt, outcome *Outcome) {
+	transfer := r.measureTransfer(attempt.request, outcome)
+	if transfer.measured {
+		slowdown := outcome.Duration.Seconds() / (transfer.seconds + responseTimeAllowance)
+		r.recordSlowdown(attempt.target, slowdown)
+	}
+	r.recordSuccess(attempt.target)
+	r.recordThroughput(attempt.target, transfer.seconds)
+	if attempt.source != attempt.target && outcome.CacheStatus.sourceServed() {
+		r.recordSuccess(attempt.source)
+		r.recordThroughput(attempt.source, transfer.seconds)
+	}
+	if outcome.CacheStatus == FilledByOrigin {
+		r.recordOriginLoad(attempt, outcome.SourceWait.Seconds()/r.longestObjective.Seconds())
+	} else if attempt.request.class.Write {
+		r.recordOriginLoad(attempt, outcome.Duration.Seconds()/r.longestObjective.Seconds())
+	}
+	r.recordPace(attempt, outcome, transfer)
+	r.learnTransferTime(attempt.request, outcome, transfer)
+}
+
+// sourceServed reports whether a success may be the source's too.
+//
+// Symptom guarded against: without cache status a source never counted as responding and was at
+// fault for every slow attempt, until all parents were ejected.
+func (s CacheStatus) sourceServed() bool {
+	return s.filled() || s == JoinedFill || s == CacheStatusUnknown
+}
+
 // showsSlowOrigin reports whether a failed attempt tells of an origin that is too slow.
 func (a *attempt) showsSlowOrigin(outcome *Outcome) bool {
 	if outcome.Result == TimedOut && a.suggestsOriginOverload() {
@@ -150,6 +202,19 @@
 	}
 }
 
+// recordOverdue records what an attempt tells before it ends, by how long it takes already.
+func (r *Router) recordOverdue(attempt *attempt) {
+	elapsed := r.now - attempt.sentAt
+	if elapsed > r.longestObjective && attempt.suggestsOriginOverload() {
+		r.recordOriginLoad(attempt, elapsed.Seconds()/r.longestObjective.Seconds())
+	}
+	request, target := attempt.request, attempt.target
+	if r.settings.BodyBytesPerSecond > 0 && !request.class.Write {
+		slowdown := elapsed.Seconds() / (r.transferTime(request).Seconds() + responseTimeAllowance)
+		r.recordSlowdown(target, max(slowdown, r.slowdownOf(target)))
+	}
+}
+
 // checkInterval is how long an attempt may take until its next check.
 func (r *Router) checkInterval(request *request) time.Duration {
 	return max(minCheckInterval, request.class.LatencyObjective/2+r.transferTime(request))
@@ -220,11 +285,3 @@
 		server.ejectedUntil = r.now
 	}
 }
-
-// sourceServed reports whether a success may be the source's too.
-//
-// Symptom guarded against: without cache status a source never counted as responding and was at
-// fault for every slow attempt, until all parents were ejected.
-func (s CacheStatus) sourceServed() bool {
-	return s.filled() || s == JoinedFill || s == CacheStatusUnknown
-}
--- a/routing/rendezvous.go
+++ b/routing/rendezvous.go
@@ -25,3 +25,11 @@
 	const mantissaBits = 53
 	return (float64(mix64(key)>>(64-mantissaBits)) + 0.5) / (1 << mantissaBits)
 }
+
+// chunkKey is the key of a request's chunk: caches keep each chunk by itself.
+func (q *request) chunkKey() uint64 {
+	return mix64(uint64(q.Object) + uint64(q.Chunk)*chunkStride)
+}
+
+// chunkStride keeps the chunks of an object apart; all routers must agree on it.
+const chunkStride = 0x9e3779b97f4a7c15
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -43,6 +43,16 @@
 	}
 }
 
+// firstMaybeExecuted returns the first attempt that may have been executed, or nil.
+func (q *request) firstMaybeExecuted() *attempt {
+	for _, attempt := range q.attempts {
+		if !attempt.notExecuted {
+			return attempt
+		}
+	}
+	return nil
+}
+
 // inKeyScope reports whether a server discards repeats of what may have been executed already.
 func (q *request) inKeyScope(server *server) bool {
 	executed := q.firstMaybeExecuted()
--- a/routing/selection.go
+++ b/routing/selection.go
@@ -136,6 +136,14 @@
 	return ranked
 }
 
+// weight is a server's capacity relative to its peers.
+func (r *Router) weight(server *server) float64 {
+	if r.settings.WeightIsCapacity {
+		return max(server.Weight, minWeight)
+	}
+	return 1
+}
+
 // keyFraction is the part of its keys that a server keeps that is far slower than its best peer.
 //
 // Symptom guarded against: a cache that did a tenth of its work was queued for as a saturated
@@ -150,6 +158,16 @@
 	return max(fraction*fraction, minKeyFraction)
 }
 
+// recordSlowdown records how slow one response of a server was.
+func (r *Router) recordSlowdown(server *server, slowdown float64) {
+	server.slowdown.observe(r.now, slowdownTimeConstant, slowdownGain, min(slowdown, slowdownCap))
+}
+
+// slowdownOf is the smoothed slowdown of a server now.
+func (r *Router) slowdownOf(server *server) float64 {
+	return server.slowdown.value(r.now, slowdownTimeConstant)
+}
+
 // sendAttempt sends an attempt and sets the timer of its first check.
 func (r *Router) sendAttempt(request *request, route route) {
 	sent := r.startAttempt(request, route)
@@ -170,3 +188,21 @@
 	r.emit(action)
 	r.emit(SetTimer{r.checkInterval(request), timerToken(request, timerCheckAttempt)})
 }
+
+// startAttempt creates an attempt and counts it with all that limits it.
+func (r *Router) startAttempt(request *request, route route) *attempt {
+	started := &attempt{request: request, index: len(request.attempts), sentAt: r.now}
+	started.target = route.target
+	started.source = route.source
+	request.attempts = append(request.attempts, started)
+	toCache := route.target.role == cache
+	started.cacheOnly = toCache && route.source == route.target
+	started.fill = !request.class.Write && route.source.role != cache && (request.cacheMissed || !toCache)
+	started.fromOrigin = request.sourceMissed || started.fill && route.source.role == origin
+	r.track(started, 1)
+	r.recordSentWork(route.target, *request.meanTransferTime)
+	if route.source != route.target {
+		r.recordSentWork(route.source, *request.meanTransferTime)
+	}
+	return started
+}
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -30,7 +30,7 @@
 	Name                    string
 	Idempotency             Idempotency
 	KeyScope                KeyScope      // where IdempotentWithKey
-	KeyWindow               time.Duration // where IdempotentWithKey, from the first attempt that may have been executed
+	KeyWindow               time.Duration // where IdempotentWithKey, from the first possible execution
 	LatencyObjective        time.Duration // a response within it earns the full PriorityWeight
 	ObjectiveTransferFactor float64       // the objective grows by this multiple of the transfer time
 	Deadline                time.Duration
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -1,6 +1,9 @@
 package routing
 
-import "time"
+import (
+	"slices"
+	"time"
+)
 
 // startWarming notes when a listed server started. A new server is warming up from its start or,
 // where that is not told, from now; one of the first list that tells none is not.
@@ -67,3 +70,23 @@
 	}
 	return max(r.peakThroughput[role], promised)
 }
+
+// recordSentWork records work sent to a server: one that restarted unlisted counts it too.
+func (r *Router) recordSentWork(server *server, work float64) {
+	expired := r.now - r.slowStarts[server.role].OverloadWindow
+	server.recentWork = slices.DeleteFunc(server.recentWork, func(piece decayingSum) bool {
+		return piece.updatedAt <= expired
+	})
+	server.recentWork = append(server.recentWork, decayingSum{r.now, work})
+}
+
+// recordThroughput records work that a server completed; what one completes after its removal
+// tells nothing of the others.
+func (r *Router) recordThroughput(server *server, work float64) {
+	if !server.ready {
+		return
+	}
+	role := server.role
+	sum := r.throughput[role].add(r.now, throughputTimeConstant, work/throughputTimeConstant.Seconds())
+	r.peakThroughput[role] = max(r.peakThroughput[role], sum/r.totalWeight[role])
+}
--- /dev/null
+++ b/routing/source_files_test.go
@@ -0,0 +1,131 @@
+package routing
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// Limits of every source file of the package that is no test.
+const (
+	maxFileLines     = 499
+	maxFunctionLines = 59
+	maxLineColumns   = 110
+)
+
+// decisionFiles choose, wait, retry, reject or hold a tuned value.
+var decisionFiles = []string{
+	"admission.go", "constants.go", "endpoints.go", "guard.go", "hotkeys.go", "limiter.go", "outlier.go", "retry.go",
+	"router.go", "selection.go", "slowstart.go", "transfertime.go",
+}
+
+// mechanismFiles hold types, records and arithmetic, and decide nothing.
+var mechanismFiles = []string{
+	"actions.go", "bounded.go", "decay.go", "doc.go", "events.go", "inflight.go", "records.go", "rendezvous.go",
+	"settings.go",
+}
+
+// sourceFiles returns the names of the package's files that are no tests.
+func sourceFiles(t *testing.T) []string {
+	t.Helper()
+	all, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return slices.DeleteFunc(all, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
+}
+
+// policyFiles returns the paths that deploy/balancer.toml names as policy.
+func policyFiles(t *testing.T) []string {
+	t.Helper()
+	deploy, err := os.ReadFile("../deploy/balancer.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	list := regexp.MustCompile(`(?m)^policy = \[(.*)\]`).FindSubmatch(deploy)
+	if list == nil {
+		t.Fatal("deploy/balancer.toml names no policy files")
+	}
+	var paths []string
+	for quoted := range strings.SplitSeq(string(list[1]), ", ") {
+		path, err := strconv.Unquote(quoted)
+		if err != nil {
+			t.Fatalf("policy in deploy/balancer.toml: %s: %v", quoted, err)
+		}
+		paths = append(paths, path)
+	}
+	return paths
+}
+
+// Every file of the package is known to decide or not to, and deploy/balancer.toml names no file as
+// policy that does not exist or decides nothing.
+func TestPolicyFilesDecide(t *testing.T) {
+	files := sourceFiles(t)
+	listed := slices.Concat(decisionFiles, mechanismFiles)
+	slices.Sort(listed)
+	if !slices.Equal(files, listed) {
+		t.Errorf("files of the package %v, want %v", files, listed)
+	}
+	for _, path := range policyFiles(t) {
+		folder, name := filepath.Split(path)
+		if folder != "routing/" || !slices.Contains(decisionFiles, name) {
+			t.Errorf("deploy/balancer.toml names %s as policy, want files of %v", path, decisionFiles)
+		}
+	}
+}
+
+// No file, function or line of the package is longer than a reader can take in at once.
+func TestSourceFilesKeepTheirLimits(t *testing.T) {
+	for _, name := range sourceFiles(t) {
+		t.Run(name, func(t *testing.T) {
+			text, err := os.ReadFile(name)
+			if err != nil {
+				t.Fatal(err)
+			}
+			checkLines(t, string(text))
+			checkFunctions(t, name, text)
+		})
+	}
+}
+
+func checkLines(t *testing.T, text string) {
+	t.Helper()
+	count := 0
+	for line := range strings.Lines(text) {
+		count++
+		columns := len([]rune(strings.ReplaceAll(line, "\t", " ")))
+		if columns > maxLineColumns {
+			t.Errorf("line %d has %d columns, want at most %d", count, columns, maxLineColumns)
+		}
+	}
+	if count > maxFileLines {
+		t.Errorf("%d lines, want at most %d", count, maxFileLines)
+	}
+}
+
+func checkFunctions(t *testing.T, name string, text []byte) {
+	t.Helper()
+	fileSet := token.NewFileSet()
+	file, err := parser.ParseFile(fileSet, name, text, parser.SkipObjectResolution)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, declaration := range file.Decls {
+		function, ok := declaration.(*ast.FuncDecl)
+		if !ok {
+			continue
+		}
+		first := fileSet.Position(function.Pos()).Line
+		last := fileSet.Position(function.End()).Line
+		if lines := last - first + 1; lines > maxFunctionLines {
+			t.Errorf("%s has %d lines, want at most %d", function.Name.Name, lines, maxFunctionLines)
+		}
+	}
+}
--- a/routing/transfertime.go
+++ b/routing/transfertime.go
@@ -65,14 +65,6 @@
 	*mean += (seconds - *mean) * meanTransferTimeGain
 }
 
-// chunkKey is the key of a request's chunk: caches keep each chunk by itself.
-func (q *request) chunkKey() uint64 {
-	return mix64(uint64(q.Object) + uint64(q.Chunk)*chunkStride)
-}
-
-// chunkStride keeps the chunks of an object apart; all routers must agree on it.
-const chunkStride = 0x9e3779b97f4a7c15
-
 func secondsToDuration(seconds float64) time.Duration {
 	return time.Duration(seconds * float64(time.Second))
 }
