--- a/routing/actions.go
+++ b/routing/actions.go
@@ -18,6 +18,12 @@
 	OnlyIfCached bool          // the source gives only what it holds and fetches nothing
 }
 
+// Ranks of the copy that a cache keeps; see SendAttempt.CopyRank.
+const (
+	ordinaryCopyRank = 1
+	popularCopyRank  = 2
+)
+
 // Reject is a final answer: not executed, and a retry is harmless after RetryAfter.
 type Reject struct {
 	ID         RequestID
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -41,16 +41,19 @@
 // expectedLatency is how long a request that had to queue is likely to take.
 func (r *Router) expectedLatency(request *request) time.Duration {
 	if request.class.Write {
-		return request.class.LatencyObjective / 2
+		return request.class.LatencyObjective / expectedWriteDivisor
 	}
 	transferTime := r.transferTime(request)
 	if request.cacheMissed {
 		pace := max(queuedPace, r.fillPace)
 		return secondsToDuration(r.fillLatency + pace*transferTime.Seconds())
 	}
+	queuedLatency := secondsToDuration(queuedPace * transferTime.Seconds())
 	// The largest are never in time at the queued pace, and may queue a little too.
-	spared := request.objectiveAt - request.deadline + request.Timeout - request.class.LatencyObjective/2
-	return max(transferTime, min(secondsToDuration(queuedPace*transferTime.Seconds()), spared))
+	receivedAt := request.deadline - request.Timeout
+	minQueueTime := request.class.LatencyObjective / minQueueDivisor
+	longestLatency := request.objectiveAt - receivedAt - minQueueTime
+	return max(transferTime, min(queuedLatency, longestLatency))
 }
 
 // saturated reports whether a cache has as many attempts in flight from this router as its link
--- a/routing/bounded.go
+++ b/routing/bounded.go
@@ -1,8 +1,5 @@
 package routing
 
-// maxRecentEntries is the number of entries of a half of a boundedTable: some MB at the most.
-const maxRecentEntries = 1 << 15
-
 // boundedTable is a map of limited size in two halves: when the recent one is full it becomes the
 // previous one, and entries that were not put since are forgotten.
 type boundedTable[V any] struct {
--- a/routing/hotkeys.go
+++ b/routing/hotkeys.go
@@ -2,12 +2,6 @@
 
 import "time"
 
-// Ranks of the copy that a cache keeps; see SendAttempt.CopyRank.
-const (
-	ordinaryCopyRank = 1
-	popularCopyRank  = 2
-)
-
 // recordRequestFor counts one more request for an object and returns the decayed count. It decays
 // more slowly the fewer of the zone's requests this router receives, so that the count means the
 // same at any number of routers.
--- a/routing/limiter.go
+++ b/routing/limiter.go
@@ -49,8 +49,10 @@
 	}
 	l.updatedAt = now
 	used := min(float64(l.inflight)+1, l.limit)
+	idle := l.utilization < limiterActivation/limiterEndDivisor
+	mostlyUnused := used < max(l.limit, limiterEndDivisor)/limiterEndDivisor
 	switch {
-	case l.utilization < limiterActivation/2 && used < max(l.limit, 2)/2:
+	case idle && mostlyUnused:
 		l.active = false
 	case l.utilization > 1:
 		decrease := (used/l.utilization - l.limit) * limiterGain * min(steps, maxDecreaseSteps)
@@ -69,8 +71,9 @@
 		attempt.target.limiter.observe(r.now, unknownStatusUtilization, r.zoneFraction)
 	case !transfer.known || status.filled() && r.settings.HitStatusOnly: // the fill's wait is not told
 	case status.filled():
-		r.fillLatency += (outcome.SourceWait.Seconds() - r.fillLatency) * limiterGain / 2
-		r.fillPace += (min(pace, 2*fillPaceTarget) - r.fillPace) * limiterGain / 2
+		r.fillLatency += (outcome.SourceWait.Seconds() - r.fillLatency) * limiterGain / fillGainDivisor
+		fillPace := min(pace, fillPaceCapFactor*fillPaceTarget)
+		r.fillPace += (fillPace - r.fillPace) * limiterGain / fillGainDivisor
 		hitPace := max(attempt.target.limiter.utilization*hitPaceTarget, 1)
 		attempt.source.limiter.observe(r.now, pace/hitPace/fillPaceTarget, r.zoneFraction)
 	case status == Hit || status == StaleHit:
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -69,7 +69,7 @@
 	for _, peer := range r.readyByRole[server.role] {
 		least = min(least, peer.errorRate)
 	}
-	return server.errorRate > outlierErrorMargin+2*least
+	return server.errorRate > outlierErrorMargin+outlierErrorRatio*least
 }
 
 // recordErrorRates records with both servers of an attempt whether it failed.
@@ -217,7 +217,7 @@
 
 // checkInterval is how long an attempt may take until its next check.
 func (r *Router) checkInterval(request *request) time.Duration {
-	return max(minCheckInterval, request.class.LatencyObjective/2+r.transferTime(request))
+	return max(minCheckInterval, request.class.LatencyObjective/checkObjectiveDivisor+r.transferTime(request))
 }
 
 // findOverdueFault returns the server that an overdue attempt most likely waits for, and whether
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -81,7 +81,7 @@
 	if request.firstMaybeExecuted() != nil && request.class.Idempotency != Idempotent {
 		r.emit(Fail{request.ID})
 	} else {
-		r.emit(Reject{request.ID, r.settings.MaxRetryAfter / 2})
+		r.emit(Reject{request.ID, r.settings.MaxRetryAfter / retryAfterDivisor})
 	}
 	r.finish(request)
 }
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -22,7 +22,7 @@
 // capacityFraction is the least part of its capacity that a server has at a time.
 func (r *Router) capacityFraction(server *server, at time.Duration) float64 {
 	slowStart := &r.slowStarts[server.role]
-	warmed := max(0, (at-server.warmingSince).Seconds()/max(slowStart.Duration.Seconds(), 1e-3))
+	warmed := max(0, (at-server.warmingSince).Seconds()/max(slowStart.Duration.Seconds(), minSlowStartSeconds))
 	fraction := slowStart.InitialCapacity + (1-slowStart.InitialCapacity)*warmed
 	return min(1, max(minCapacityFraction, fraction))
 }
--- a/routing/source_files_test.go
+++ b/routing/source_files_test.go
@@ -129,3 +129,54 @@
 		}
 	}
 }
+
+// No tuned value hides in a decision: the numbers in the decision files are 0 and 1, all others are
+// constants of constants.go, each with a comment.
+func TestTunedValuesAreDocumentedConstants(t *testing.T) {
+	for _, name := range decisionFiles {
+		t.Run(name, func(t *testing.T) {
+			file, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.ParseComments|parser.SkipObjectResolution)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if name == "constants.go" {
+				checkConstantComments(t, file)
+				return
+			}
+			ast.Inspect(file, func(node ast.Node) bool {
+				literal, ok := node.(*ast.BasicLit)
+				isNumber := ok && (literal.Kind == token.INT || literal.Kind == token.FLOAT)
+				if isNumber && literal.Value != "0" && literal.Value != "1" && literal.Value != "0.0" {
+					t.Errorf("the number %s stands in a decision, want a constant of constants.go", literal.Value)
+				}
+				return true
+			})
+		})
+	}
+}
+
+// checkConstantComments wants a comment above the first constant of each paragraph.
+func checkConstantComments(t *testing.T, file *ast.File) {
+	t.Helper()
+	for _, declaration := range file.Decls {
+		group, ok := declaration.(*ast.GenDecl)
+		if !ok || group.Tok != token.CONST {
+			continue
+		}
+		endOfPrevious := token.NoPos
+		for _, spec := range group.Specs {
+			constant, ok := spec.(*ast.ValueSpec)
+			if !ok {
+				t.Fatalf("%T in a group of constants", spec)
+			}
+			sameParagraph := endOfPrevious != token.NoPos && constant.Doc == nil && constant.Pos()-endOfPrevious <= paragraphGap
+			if constant.Doc == nil && !sameParagraph {
+				t.Errorf("%s has no comment with its unit and origin", constant.Names[0].Name)
+			}
+			endOfPrevious = constant.End()
+		}
+	}
+}
+
+// paragraphGap is the most bytes between two constants of one paragraph: a line end and a tab.
+const paragraphGap = 2
