--- a/routing/decay.go
+++ b/routing/decay.go
@@ -24,7 +24,11 @@
 	excess    float64 // over 1
 }
 
+// value is the ratio at a time that is not before its latest observation.
 func (r *decayingRatio) value(now, timeConstant time.Duration) float64 {
+	if r.excess == 0 {
+		return 1 // as the sum below, without the exponential
+	}
 	return 1 + r.excess*decay(now-r.updatedAt, timeConstant)
 }
 
