--- a/routing/admission.go
+++ b/routing/admission.go
@@ -9,13 +9,14 @@
 // enqueue keeps a request back while it can still be in time, else ends it. Its first timer stands:
 // if the latency that is expected of it falls later on, it must not wait for a second one.
 func (r *Router) enqueue(request *request) {
+	latestStart := request.objectiveAt - r.expectedLatency(request)
 	if request.valuePerSecond == 0 {
-		request.queueUntil = request.objectiveAt - r.expectedLatency(request)
-		value := request.class.PriorityWeight * min(request.popularity, popularThreshold)
-		request.valuePerSecond = value / max(r.transferTime(request).Seconds(), minQueuedSeconds)
-		r.emit(SetTimer{max(0, request.queueUntil-r.now), timerToken(request, timerQueueExpired)})
+		request.queueUntil = latestStart
+		request.valuePerSecond = r.queueValue(request)
+		queueTime := max(0, request.queueUntil-r.now)
+		r.emit(SetTimer{Delay: queueTime, Token: timerToken(request, timerQueueExpired)})
 	}
-	if min(request.queueUntil, request.objectiveAt-r.expectedLatency(request)) <= r.now {
+	if min(request.queueUntil, latestStart) <= r.now {
 		r.rejectOrFail(request)
 		return
 	}
@@ -23,6 +24,13 @@
 	r.queue = append(r.queue, request)
 }
 
+// queueValue is the priority weight of a request for each second of its transfer time.
+func (r *Router) queueValue(request *request) float64 {
+	weight := request.class.PriorityWeight * min(request.popularity, popularThreshold)
+	transferSeconds := r.transferTime(request).Seconds()
+	return weight / max(transferSeconds, minQueuedSeconds)
+}
+
 // dispatchQueue dispatches the queued requests again, those of the highest value a second first.
 func (r *Router) dispatchQueue() {
 	queue := r.queue
@@ -31,10 +39,11 @@
 		return cmp.Compare(b.valuePerSecond, a.valuePerSecond)
 	})
 	for _, request := range queue {
-		if request.queued {
-			request.queued = false
-			r.dispatch(request)
+		if !request.queued {
+			continue // it has ended
 		}
+		request.queued = false
+		r.dispatch(request)
 	}
 }
 
@@ -64,7 +73,9 @@
 	if !r.countsInflight() {
 		return false
 	}
-	return float64(server.inflight) >= max(inflightFloor(server.limiter.active), r.inflightQuota(server))*part
+	floor := inflightFloor(server.limiter.active)
+	limit := max(floor, r.inflightQuota(server))
+	return float64(server.inflight) >= limit*part
 }
 
 // zoneSaturated reports whether all caches together have as many attempts in flight from this
@@ -90,7 +101,8 @@
 // canFailOver reports whether a cache has ample headroom to take a request from its saturated home.
 // Where the quota at one cache is under the least that is always allowed, no object moves.
 func (r *Router) canFailOver(home, candidate *server) bool {
-	if r.zoneFraction*overcommitFactor*home.Weight < minInflight {
+	homeQuota := r.zoneFraction * overcommitFactor * home.Weight
+	if homeQuota < minInflight {
 		return false
 	}
 	return !r.saturated(candidate, failoverHeadroom)
@@ -110,13 +122,17 @@
 
 // countsInflight reports whether attempts in flight can be compared with weights.
 func (r *Router) countsInflight() bool {
-	return r.settings.WeightIsCapacity && r.settings.TransferKBPerSecond > 0 && !r.cacheStatusKnown
+	if r.cacheStatusKnown {
+		return false
+	}
+	return r.settings.WeightIsCapacity && r.settings.TransferKBPerSecond > 0
 }
 
 // inflightQuota is what this router may have in flight at a cache, all routers of its zone alike.
 func (r *Router) inflightQuota(server *server) float64 {
 	quota := overcommitFactor * r.zoneFraction
-	if r.settings.BodyBytesPerSecond > 0 && r.slowdownOf(server) < saturatedSlowdown {
+	slowdownKnown := r.settings.BodyBytesPerSecond > 0
+	if slowdownKnown && r.slowdownOf(server) < saturatedSlowdown {
 		quota = max(quota, 1) // other routers have little in flight there
 	}
 	return quota * server.Weight * r.keyFraction(server)
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -6,7 +6,7 @@
 // are not chosen from now on.
 func (r *Router) handleEndpointUpdate(update EndpointUpdate) {
 	if update.Failed {
-		r.emit(SetTimer{subscribeRetryInterval, timerSubscribe})
+		r.emit(SetTimer{Delay: subscribeRetryInterval, Token: timerSubscribe})
 		return
 	}
 	first := !r.initialized
@@ -79,7 +79,11 @@
 		return false
 	}
 	pieces := len(server.recentWork)
-	return pieces == 0 || server.recentWork[pieces-1].updatedAt < r.now-serverRetention
+	if pieces == 0 {
+		return true
+	}
+	lastUsedAt := server.recentWork[pieces-1].updatedAt
+	return lastUsedAt < r.now-serverRetention
 }
 
 // readyServer returns a server that is listed as ready, or nil.
--- a/routing/guard.go
+++ b/routing/guard.go
@@ -28,7 +28,8 @@
 // Symptom guarded against: an attempt decided on just before a purge is written after it, and is
 // answered from the old copy.
 func (g *Guard) MaxAge(now, age time.Duration, object ObjectID, group int) time.Duration {
-	if g.watchStale(now) && (age == 0 || age > g.PurgeGrace) {
+	exceedsGrace := age == 0 || age > g.PurgeGrace
+	if exceedsGrace && g.watchStale(now) {
 		age = g.PurgeGrace
 	}
 	for _, purge := range g.Purges {
@@ -54,7 +55,8 @@
 	}
 	return slices.ContainsFunc(g.Purges, func(purge PurgeRecord) bool {
 		ofAnyGroup := purge.Object == 0 && group < 0
-		return g.binds(purge, now) && (purge.covers(object, group) || ofAnyGroup)
+		matches := ofAnyGroup || purge.covers(object, group)
+		return matches && g.binds(purge, now)
 	})
 }
 
@@ -68,7 +70,10 @@
 // Symptom guarded against: with the watch stream cut off a purge binds all the same. It might hurt
 // for as long as that lasts: copies must be nearly new.
 func (g *Guard) watchStale(now time.Duration) bool {
-	return g.PurgesSeen && g.LastEventAt != 0 && now > g.LastEventAt+watchStaleAfter
+	if !g.PurgesSeen || g.LastEventAt == 0 {
+		return false
+	}
+	return now > g.LastEventAt+watchStaleAfter
 }
 
 // maxCopyAge returns the age of the oldest copy that will do for a request: fresh, and younger than
@@ -98,5 +103,6 @@
 	r.purgeLog.Purges = slices.DeleteFunc(r.purgeLog.Purges, func(purge PurgeRecord) bool {
 		return purge.At+retention < r.now
 	})
-	r.purgeLog.Purges = append(r.purgeLog.Purges, PurgeRecord{event.Object, event.Group, r.now - event.Age})
+	purge := PurgeRecord{Object: event.Object, Group: event.Group, At: r.now - event.Age}
+	r.purgeLog.Purges = append(r.purgeLog.Purges, purge)
 }
--- a/routing/limiter.go
+++ b/routing/limiter.go
@@ -20,7 +20,11 @@
 
 // admits reports whether one more may start. A limit below one is kept by pauses.
 func (l *limiter) admits(now time.Duration) bool {
-	return !l.active || float64(l.inflight) < max(l.limit, 1) && now >= l.pausedUntil
+	if !l.active {
+		return true
+	}
+	belowLimit := float64(l.inflight) < max(l.limit, 1)
+	return belowLimit && now >= l.pausedUntil
 }
 
 // track adds delta to what is in flight.
@@ -28,8 +32,12 @@
 	l.inflight += delta
 	if delta > 0 {
 		l.lastStartedAt = now
-	} else if l.limit < 1 && l.active {
-		l.pausedUntil = now + time.Duration(float64(now-l.lastStartedAt)*(1/l.limit-1))
+		return
+	}
+	if l.active && l.limit < 1 {
+		busyTime := float64(now - l.lastStartedAt)
+		pauseRatio := 1/l.limit - 1
+		l.pausedUntil = now + time.Duration(busyTime*pauseRatio)
 	}
 }
 
@@ -44,10 +52,14 @@
 		l.active = true
 		l.limit = max(initialZoneLimit*zoneFraction, float64(l.inflight))
 	}
-	if steps < 1 {
-		return
+	if steps >= 1 {
+		l.updatedAt = now
+		l.updateLimit(steps, zoneFraction)
 	}
-	l.updatedAt = now
+}
+
+// updateLimit ends the limiter or lowers or raises its limit, by so many update intervals.
+func (l *limiter) updateLimit(steps, zoneFraction float64) {
 	used := min(float64(l.inflight)+1, l.limit)
 	idle := l.utilization < limiterActivation/limiterEndDivisor
 	mostlyUnused := used < max(l.limit, limiterEndDivisor)/limiterEndDivisor
@@ -64,23 +76,33 @@
 
 // recordPace records how busy a served attempt shows its bottleneck to be.
 func (r *Router) recordPace(attempt *attempt, outcome *Outcome, transfer transfer) {
-	pace := (outcome.Duration - outcome.SourceWait).Seconds() / max(transfer.seconds, minPaceSeconds)
-	switch status := outcome.CacheStatus; {
+	responseTime := outcome.Duration - outcome.SourceWait
+	pace := responseTime.Seconds() / max(transfer.seconds, minPaceSeconds)
+	status := outcome.CacheStatus
+	sourceWaitUnknown := status.filled() && r.settings.HitStatusOnly
+	switch {
 	case status == CacheStatusUnknown:
 		// Else rejections alone would be observed, and a limiter never be lifted.
 		attempt.target.limiter.observe(r.now, unknownStatusUtilization, r.zoneFraction)
-	case !transfer.known || status.filled() && r.settings.HitStatusOnly: // the fill's wait is not told
+	case !transfer.known || sourceWaitUnknown:
+		// The pace tells nothing.
 	case status.filled():
-		r.fillLatency += (outcome.SourceWait.Seconds() - r.fillLatency) * limiterGain / fillGainDivisor
-		fillPace := min(pace, fillPaceCapFactor*fillPaceTarget)
-		r.fillPace += (fillPace - r.fillPace) * limiterGain / fillGainDivisor
-		hitPace := max(attempt.target.limiter.utilization*hitPaceTarget, 1)
-		attempt.source.limiter.observe(r.now, pace/hitPace/fillPaceTarget, r.zoneFraction)
+		r.recordFillPace(attempt, outcome.SourceWait, pace)
 	case status == Hit || status == StaleHit:
 		attempt.target.limiter.observe(r.now, pace/hitPaceTarget, r.zoneFraction)
 	}
 }
 
+// recordFillPace records the pace of a fill and how busy it shows its source to be.
+func (r *Router) recordFillPace(attempt *attempt, sourceWait time.Duration, pace float64) {
+	r.fillLatency += (sourceWait.Seconds() - r.fillLatency) * limiterGain / fillGainDivisor
+	cappedPace := min(pace, fillPaceCapFactor*fillPaceTarget)
+	r.fillPace += (cappedPace - r.fillPace) * limiterGain / fillGainDivisor
+	hitPace := max(attempt.target.limiter.utilization*hitPaceTarget, 1)
+	utilization := pace / hitPace / fillPaceTarget
+	attempt.source.limiter.observe(r.now, utilization, r.zoneFraction)
+}
+
 // recordOriginLoad records how busy the origin is: for writes it counts less than for reads, so
 // that they still come through.
 func (r *Router) recordOriginLoad(attempt *attempt, utilization float64) {
@@ -90,15 +112,20 @@
 	}
 }
 
-// recordLinkLoad records the use of the zone's link as one of its caches measured it.
+// recordLinkLoad records the use of the zone's link as one of its caches measured it, if it did.
 func (r *Router) recordLinkLoad(load LoadReport) {
-	r.linkLimiter.observe(r.now, load.LinkUtilization/linkUtilizationTarget, r.zoneFraction)
+	measured := load.LinkUtilization >= 0 // not so for NaN
+	if measured {
+		r.linkLimiter.observe(r.now, load.LinkUtilization/linkUtilizationTarget, r.zoneFraction)
+	}
 }
 
 // handlePeerLoadReport uses the report of a cache of this zone if it is recent.
 func (r *Router) handlePeerLoadReport(report PeerLoadReport) {
-	recent := report.Age < peerReportMaxAge && report.Load.LinkUtilization >= 0
-	if recent && containsServer(r.readyByRole[cache], report.Server) {
+	if report.Age >= peerReportMaxAge {
+		return
+	}
+	if containsServer(r.readyByRole[cache], report.Server) {
 		r.recordLinkLoad(report.Load)
 	}
 }
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -5,7 +5,11 @@
 // available reports whether a server may be chosen: it is not ejected and, until it has responded
 // after an ejection, nothing else is in flight to it.
 func (r *Router) available(server *server) bool {
-	return server.ready && r.now >= server.ejectedUntil && (server.ejections == 0 || server.inflight == 0)
+	if !server.ready || r.now < server.ejectedUntil {
+		return false
+	}
+	probing := server.ejections > 0
+	return !probing || server.inflight == 0
 }
 
 // AppendEjected appends the servers listed as ready that are ejected, or probed and have not
@@ -36,7 +40,9 @@
 	if r.now < server.ejectedUntil {
 		return
 	}
-	if server.consecutiveFailures >= consecutiveFailureLimit || server.ejections > 0 || r.isOutlier(server) {
+	failing := server.consecutiveFailures >= consecutiveFailureLimit
+	probeFailed := server.ejections > 0
+	if failing || probeFailed || r.isOutlier(server) {
 		doublings := min(server.ejections, maxEjectionDoublings)
 		server.ejectedUntil = r.now + min(firstEjectionTime<<doublings, maxEjectionTime)
 		server.ejections++
@@ -108,11 +114,13 @@
 	if outcome.CacheStatus != CacheStatusUnknown && !r.settings.HitStatusOnly {
 		r.cacheStatusKnown = true
 	}
-	if outcome.Result == Served || outcome.Result == ServerError {
-		r.recordErrorRates(attempt, outcome.Result == ServerError)
+	served := outcome.Result == Served
+	failed := outcome.Result == ServerError
+	if served || failed {
+		r.recordErrorRates(attempt, failed)
 	}
 	switch {
-	case outcome.Result == Served:
+	case served:
 		r.recordServed(attempt, &outcome)
 	case originSlow || attempt.failedWithSharedFill(outcome.CacheStatus):
 		// It is the origin's fault, or of a source that is not known here.
@@ -162,15 +170,17 @@
 // attributeFailure records a failure with the server whose fault it is.
 func (r *Router) attributeFailure(attempt *attempt, outcome *Outcome) {
 	target, source := attempt.target, attempt.source
+	status := outcome.CacheStatus
+	rejected := outcome.Result == Rejected
 	switch {
-	case outcome.CacheStatus == SourceRejected || outcome.CacheStatus == SourceUnreachable:
+	case status == SourceRejected || status == SourceUnreachable:
 		source.limiter.observe(r.now, rejectionUtilization, r.zoneFraction)
 		r.recordFailure(source)
-	case outcome.CacheStatus == OriginFailed || target.role == origin:
+	case status == OriginFailed || target.role == origin:
 		r.recordOriginLoad(attempt, rejectionUtilization)
-	case outcome.Result == Rejected && attempt.moreErrorProne() != target && r.isOutlier(source):
+	case rejected && attempt.moreErrorProne() != target && r.isOutlier(source):
 		r.recordFailure(source)
-	case outcome.Result == Rejected || outcome.CacheStatus == FillRejected:
+	case rejected || status == FillRejected:
 		target.limiter.observe(r.now, rejectionUtilization, r.zoneFraction)
 	case outcome.Result == NotCached:
 		r.recordSuccess(target)
@@ -191,14 +201,16 @@
 	request := attempt.request
 	r.recordOverdue(attempt)
 	suspect, atFault := r.findOverdueFault(attempt)
+	interval := r.checkInterval(request)
+	movable := r.settings.CanCancel && request.class.Idempotency == Idempotent
 	switch {
-	case r.now+r.checkInterval(request) > request.deadline: // too late for anything else
+	case r.now+interval > request.deadline:
+		// It is too late for anything else.
 	case !atFault || r.available(suspect):
-		r.emit(SetTimer{r.checkInterval(request), timerToken(request, timerCheckAttempt)})
-	case !r.mayAttempt(request):
-	case r.settings.CanCancel && request.class.Idempotency == Idempotent:
+		r.emit(SetTimer{Delay: interval, Token: timerToken(request, timerCheckAttempt)})
+	case movable && r.mayAttempt(request):
 		request.excluded = append(request.excluded, suspect)
-		r.emit(CancelAttempt{request.ID, attempt.index})
+		r.emit(CancelAttempt{ID: request.ID, Attempt: attempt.index})
 	}
 }
 
@@ -209,10 +221,13 @@
 		r.recordOriginLoad(attempt, elapsed.Seconds()/r.longestObjective.Seconds())
 	}
 	request, target := attempt.request, attempt.target
-	if r.settings.BodyBytesPerSecond > 0 && !request.class.Write {
-		slowdown := elapsed.Seconds() / (r.transferTime(request).Seconds() + responseTimeAllowance)
-		r.recordSlowdown(target, max(slowdown, r.slowdownOf(target)))
+	bytesTell := r.settings.BodyBytesPerSecond > 0 && !request.class.Write
+	if !bytesTell {
+		return
 	}
+	fullPaceSeconds := r.transferTime(request).Seconds() + responseTimeAllowance
+	slowdown := elapsed.Seconds() / fullPaceSeconds
+	r.recordSlowdown(target, max(slowdown, r.slowdownOf(target)))
 }
 
 // checkInterval is how long an attempt may take until its next check.
@@ -269,7 +284,10 @@
 // extendEjection prolongs an ejection, within a bound; it never begins nor ends one.
 func (r *Router) extendEjection(event ExtendEjection) {
 	server := r.readyServer(event.Server)
-	if server != nil && server.ejections > 0 && event.Until > server.ejectedUntil {
+	if server == nil || server.ejections == 0 {
+		return
+	}
+	if event.Until > server.ejectedUntil {
 		server.ejectedUntil = min(event.Until, r.now+maxEjectionExtension)
 	}
 }
@@ -280,7 +298,8 @@
 	if server == nil || server.ejections > 0 {
 		return
 	}
-	if server.consecutiveFailures > 0 || r.now > server.lastResponseAt+recentSuccessWindow {
+	servedLately := r.now <= server.lastResponseAt+recentSuccessWindow
+	if server.consecutiveFailures > 0 || !servedLately {
 		server.ejections = 1
 		server.ejectedUntil = r.now
 	}
--- a/routing/records.go
+++ b/routing/records.go
@@ -86,6 +86,7 @@
 	timerCheckAttempt        // check the newest attempt
 	timerQueueExpired        // a queued request has waited long enough
 	timerKindBits     = 2
+	timerKindMask     = 1<<timerKindBits - 1
 )
 
 func timerToken(request *request, kind uint64) uint64 {
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -2,16 +2,18 @@
 
 // retry decides what follows a failed attempt: a fill after a miss, or another server.
 func (r *Router) retry(request *request, attempt *attempt, outcome Outcome) {
-	// Without cache status a rejection is by the cache, or by its source.
-	ambiguous := !r.cacheStatusKnown && outcome.Result == Rejected && !request.class.Write
 	notCached := outcome.Result == NotCached
+	cacheMiss := attempt.cacheOnly && notCached
 	sourceMiss := outcome.CacheStatus == SourceMiss || attempt.onlyIfCached && notCached
+	// Without cache status a rejection is by the cache, or by its source.
+	ambiguous := !r.cacheStatusKnown && outcome.Result == Rejected && !request.class.Write
+	suspectSource := ambiguous && attempt.index == 0
 	switch {
-	case attempt.cacheOnly && notCached || attempt.failedWithSharedFill(outcome.CacheStatus):
+	case cacheMiss || attempt.failedWithSharedFill(outcome.CacheStatus):
 		request.cacheMissed = true
 	case request.cacheMissed && sourceMiss && !request.sourceMissed:
 		request.sourceMissed = true
-	case outcome.CacheStatus.sourceFailed() || ambiguous && attempt.index == 0:
+	case suspectSource || outcome.CacheStatus.sourceFailed():
 		request.excluded = append(request.excluded, attempt.source)
 	default:
 		request.excluded = append(request.excluded, attempt.moreErrorProne())
@@ -78,10 +80,11 @@
 	if request.inflight > 0 {
 		return
 	}
-	if request.firstMaybeExecuted() != nil && request.class.Idempotency != Idempotent {
-		r.emit(Fail{request.ID})
+	maybeExecuted := request.firstMaybeExecuted() != nil
+	if maybeExecuted && request.class.Idempotency != Idempotent {
+		r.emit(Fail{ID: request.ID})
 	} else {
-		r.emit(Reject{request.ID, r.settings.MaxRetryAfter / retryAfterDivisor})
+		r.emit(Reject{ID: request.ID, RetryAfter: r.settings.MaxRetryAfter / retryAfterDivisor})
 	}
 	r.finish(request)
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -53,7 +53,7 @@
 	if len(settings.RoutersByZone) > 0 {
 		r.zoneFraction = 1 / float64(max(settings.RoutersByZone[settings.Zone], 1))
 	}
-	r.longestObjective = time.Millisecond
+	r.longestObjective = time.Millisecond // a divisor
 	for i, class := range settings.Classes {
 		r.longestObjective = max(r.longestObjective, class.LatencyObjective)
 		if i == len(r.meanTransferTimes) { // until more is known: not too short
@@ -107,7 +107,7 @@
 	if request == nil {
 		return
 	}
-	switch token & (1<<timerKindBits - 1) {
+	switch token & timerKindMask {
 	case timerCheckAttempt:
 		if request.inflight > 0 && !request.latestAttempt().ended {
 			r.checkOverdue(request.latestAttempt())
@@ -119,28 +119,39 @@
 	}
 }
 
-// handleRequest takes in a client's request: it is sent on, queued or answered at once.
+// handleRequest handles a client's request: it is forwarded, queued or answered at once.
 func (r *Router) handleRequest(event Request) {
 	if r.requests[event.ID] != nil {
 		return
 	}
 	if event.Class < 0 || event.Class >= len(r.settings.Classes) {
-		r.emit(Reject{ID: event.ID}) // never announced; nothing was sent, so a retry is harmless
+		// The class was never announced. Nothing was sent, so that a retry is harmless.
+		r.emit(Reject{ID: event.ID})
 		return
 	}
+	request := r.newRequest(&event)
+	if r.hasSize(request) { // rejected ones count too: the larger are rejected more often
+		r.learnMeanTransferTime(request, event.SizeKB/r.settings.TransferKBPerSecond)
+	}
+	if !request.class.Write {
+		request.popularity = r.recordRequestFor(event.Object)
+	}
+	r.requests[event.ID] = request
+	r.dispatch(request)
+}
+
+// newRequest returns the record of a request of an announced class.
+func (r *Router) newRequest(event *Request) *request {
 	class := &r.settings.Classes[event.Class]
-	req := &request{Request: event, class: class, deadline: r.now + event.Timeout}
-	req.meanTransferTime = &r.meanTransferTimes[event.Class]
-	stretch := time.Duration(class.ObjectiveTransferFactor * float64(r.transferTime(req)))
-	req.objectiveAt = r.now + min(event.Timeout, class.LatencyObjective+stretch)
-	if r.hasSize(req) { // rejected ones count too: the larger are rejected more often
-		r.learnMeanTransferTime(req, event.SizeKB/r.settings.TransferKBPerSecond)
-	}
-	if !class.Write {
-		req.popularity = r.recordRequestFor(event.Object)
-	}
-	r.requests[event.ID] = req
-	r.dispatch(req)
+	created := &request{
+		Request:          *event,
+		class:            class,
+		meanTransferTime: &r.meanTransferTimes[event.Class],
+		deadline:         r.now + event.Timeout,
+	}
+	transferAllowance := time.Duration(class.ObjectiveTransferFactor * float64(r.transferTime(created)))
+	created.objectiveAt = r.now + min(event.Timeout, class.LatencyObjective+transferAllowance)
+	return created
 }
 
 // dispatch sends the next attempt of a request, queues the request or ends it.
@@ -169,7 +180,7 @@
 	}
 	attempt.notExecuted = outcome.Result.NotExecuted()
 	r.track(attempt, -1)
-	if attempt.target.role == cache && outcome.Load.LinkUtilization >= 0 {
+	if attempt.target.role == cache {
 		r.recordLinkLoad(outcome.Load)
 	}
 	r.recordOutcome(attempt, outcome)
@@ -191,7 +202,7 @@
 		}
 		r.track(attempt, -1)
 		if r.settings.CanCancel {
-			r.emit(CancelAttempt{request.ID, attempt.index})
+			r.emit(CancelAttempt{ID: request.ID, Attempt: attempt.index})
 		}
 	}
 }
--- a/routing/selection.go
+++ b/routing/selection.go
@@ -16,50 +16,75 @@
 	admitted bool    // it need not wait
 }
 
-// selectRoute picks the target of a request's next attempt, and who fills a miss. A saturated
-// home cache has the next cache with ample headroom as its failover target.
+// selectRoute picks the target of a request's next attempt, and who fills a miss.
 func (r *Router) selectRoute(request *request) route {
 	source, sourceAdmits := r.selectSource(request)
-	if request.class.Write && (r.settings.AllowBypass || source == nil) {
-		return route{source, source, sourceAdmits}
+	bypassAllowed := r.settings.AllowBypass
+	if request.class.Write && (bypassAllowed || source == nil) {
+		return route{target: source, source: source, admitted: sourceAdmits}
 	}
 	caches := r.rankServers(cache, request.chunkKey(), request)
 	if len(caches) > 0 && r.mustQueue(request, sourceAdmits) {
-		return route{caches[0], source, false}
+		return route{target: caches[0], source: source}
 	}
-	var home *server
-	limited := false
+	cacheRoute, anyLimited := r.selectCache(request, caches, source)
+	switch {
+	case cacheRoute.target != nil:
+		return cacheRoute
+	case source == nil || anyLimited || !bypassAllowed:
+		return route{target: source, source: source}
+	default:
+		return r.bypassCaches(source, sourceAdmits)
+	}
+}
+
+// selectCache picks one of the caches that can take a request, best first. A saturated home cache
+// has the next cache with ample headroom as its failover target, and is queued for when there is
+// none. The route has no target where no cache is left; anyLimited reports whether a limiter is why.
+func (r *Router) selectCache(
+	request *request, caches []*server, source *server,
+) (selected route, anyLimited bool) {
+	var saturatedHome *server
 	for _, candidate := range caches {
-		switch {
-		case !request.class.Write && home == nil && r.saturated(candidate, 1):
-			home = candidate
-		case home != nil && !r.canFailOver(home, candidate):
-		case !candidate.limiter.admits(r.now):
-			limited = true
-			if request.popularity < popularThreshold {
-				return route{candidate, source, false}
-			}
-		case source == nil || r.looksFirst(request, source):
-			return route{candidate, candidate, true}
-		default:
-			return route{candidate, source, true}
+		if saturatedHome == nil && !request.class.Write && r.saturated(candidate, 1) {
+			saturatedHome = candidate
+			continue
+		}
+		if saturatedHome != nil && !r.canFailOver(saturatedHome, candidate) {
+			continue
+		}
+		if candidate.limiter.admits(r.now) {
+			filler := r.fillSource(request, candidate, source)
+			return route{target: candidate, source: filler, admitted: true}, anyLimited
+		}
+		anyLimited = true
+		if request.popularity < popularThreshold {
+			return route{target: candidate, source: source}, anyLimited
 		}
 	}
-	if home != nil {
-		return route{home, source, false}
+	if saturatedHome != nil {
+		return route{target: saturatedHome, source: source}, anyLimited
 	}
-	if source == nil || limited || !r.settings.AllowBypass {
-		return route{source, source, false}
+	return route{}, anyLimited
+}
+
+// fillSource returns who fills a miss at a cache: the source, or nobody, which is the cache itself.
+func (r *Router) fillSource(request *request, cache, source *server) *server {
+	if source == nil || r.looksFirst(request, source) {
+		return cache
 	}
-	return r.bypassCaches(source, sourceAdmits)
+	return source
 }
 
 // mustQueue reports whether a request must wait whichever cache it goes to.
 func (r *Router) mustQueue(request *request, sourceAdmits bool) bool {
-	switch {
-	case request.cacheMissed && (!sourceAdmits || !r.linkLimiter.admits(r.now)):
-		return true
-	case request.sourceMissed && !r.originLimiter.admits(r.now):
+	if request.cacheMissed {
+		fillAdmitted := sourceAdmits && r.linkLimiter.admits(r.now)
+		if !fillAdmitted {
+			return true
+		}
+	}
+	if request.sourceMissed && !r.originLimiter.admits(r.now) {
 		return true
 	}
 	return !request.class.Write && r.zoneSaturated()
@@ -68,8 +93,10 @@
 // looksFirst reports whether a request must look for a copy before it may cause a fill, since a
 // bottleneck of fills is busy.
 func (r *Router) looksFirst(request *request, source *server) bool {
-	busy := r.linkLimiter.active || r.originLimiter.active || source.limiter.active
-	return busy && !request.cacheMissed && !request.class.Write
+	if request.cacheMissed || request.class.Write {
+		return false
+	}
+	return r.linkLimiter.active || r.originLimiter.active || source.limiter.active
 }
 
 // bypassCaches routes straight to the source, which must be allowed to ask the origin.
@@ -78,7 +105,8 @@
 	if len(r.readyByRole[origin]) > 0 {
 		filler = r.readyByRole[origin][0]
 	}
-	return route{source, filler, sourceAdmits && r.linkLimiter.admits(r.now) && r.originLimiter.admits(r.now)}
+	pathAdmits := r.linkLimiter.admits(r.now) && r.originLimiter.admits(r.now)
+	return route{target: source, source: filler, admitted: sourceAdmits && pathAdmits}
 }
 
 // selectSource returns the home parent of an object, or its failover target where that is ejected
@@ -105,11 +133,13 @@
 	if r.settings.OriginStopsOnOverload || len(r.readyByRole[origin]) == 0 {
 		return false
 	}
-	if float64(len(ranked)) >= minAvailableParents*float64(len(parents)) {
+	enoughLeft := float64(len(ranked)) >= minAvailableParents*float64(len(parents))
+	if enoughLeft {
 		return false
 	}
-	return slices.ContainsFunc(parents, func(server *server) bool {
-		return server.unresponsive && !r.available(server) && server.score < ranked[0].score
+	return slices.ContainsFunc(parents, func(parent *server) bool {
+		lost := parent.unresponsive && !r.available(parent)
+		return lost && parent.score < ranked[0].score
 	})
 }
 
@@ -117,15 +147,16 @@
 // key, best first; the result is valid until the next call. A warming or slow server draws as
 // many keys as it can carry. If all parents are ejected, their ejections tell nothing.
 func (r *Router) rankServers(role role, key uint64, request *request) []*server {
-	allEjected := role == parent && !slices.ContainsFunc(r.readyByRole[role], r.available)
+	ignoreEjections := role == parent && !slices.ContainsFunc(r.readyByRole[role], r.available)
 	ranked := r.ranking[:0]
 	for _, server := range r.readyByRole[role] {
 		capacity := r.weight(server) * r.capacityFraction(server, r.now) * r.keyFraction(server)
 		server.score = rendezvousScore(key, server.ID, capacity)
-		if !allEjected && !r.available(server) || slices.Contains(request.excluded, server) {
+		usable := ignoreEjections || r.available(server)
+		if !usable || slices.Contains(request.excluded, server) || !request.inKeyScope(server) {
 			continue
 		}
-		if request.inKeyScope(server) && r.withinSlowStartBudget(server, *request.meanTransferTime) {
+		if r.withinSlowStartBudget(server, *request.meanTransferTime) {
 			ranked = append(ranked, server)
 		}
 	}
@@ -171,13 +202,17 @@
 // sendAttempt sends an attempt and sets the timer of its first check.
 func (r *Router) sendAttempt(request *request, route route) {
 	sent := r.startAttempt(request, route)
-	action := SendAttempt{ID: request.ID, Server: sent.target.ID, FillSource: sent.source.ID}
-	action.Deadline = request.deadline
-	action.MaxAge = r.maxCopyAge(request)
 	popular := request.popularity >= popularThreshold // a write never is
-	action.JoinFill = r.settings.CanJoinFill && popular
-	action.OnlyIfCached = sent.fill && !sent.fromOrigin && r.originLimiter.active
-	sent.onlyIfCached = action.OnlyIfCached
+	sent.onlyIfCached = sent.fill && !sent.fromOrigin && r.originLimiter.active
+	action := SendAttempt{
+		ID:           request.ID,
+		Server:       sent.target.ID,
+		FillSource:   sent.source.ID,
+		Deadline:     request.deadline,
+		MaxAge:       r.maxCopyAge(request),
+		JoinFill:     r.settings.CanJoinFill && popular,
+		OnlyIfCached: sent.onlyIfCached,
+	}
 	if !request.class.Write && sent.target.role == cache {
 		action.Revalidate = action.JoinFill && request.class.FreshnessLifetime > 0
 		action.CopyRank = ordinaryCopyRank
@@ -186,23 +221,29 @@
 		}
 	}
 	r.emit(action)
-	r.emit(SetTimer{r.checkInterval(request), timerToken(request, timerCheckAttempt)})
+	r.emit(SetTimer{Delay: r.checkInterval(request), Token: timerToken(request, timerCheckAttempt)})
 }
 
 // startAttempt creates an attempt and counts it with all that limits it.
 func (r *Router) startAttempt(request *request, route route) *attempt {
-	started := &attempt{request: request, index: len(request.attempts), sentAt: r.now}
-	started.target = route.target
-	started.source = route.source
+	target, source := route.target, route.source
+	toCache := target.role == cache
+	knownMiss := request.cacheMissed || !toCache
+	started := &attempt{
+		request:   request,
+		index:     len(request.attempts),
+		target:    target,
+		source:    source,
+		sentAt:    r.now,
+		cacheOnly: toCache && source == target,
+		fill:      !request.class.Write && source.role != cache && knownMiss,
+	}
+	started.fromOrigin = request.sourceMissed || started.fill && source.role == origin
 	request.attempts = append(request.attempts, started)
-	toCache := route.target.role == cache
-	started.cacheOnly = toCache && route.source == route.target
-	started.fill = !request.class.Write && route.source.role != cache && (request.cacheMissed || !toCache)
-	started.fromOrigin = request.sourceMissed || started.fill && route.source.role == origin
 	r.track(started, 1)
-	r.recordSentWork(route.target, *request.meanTransferTime)
-	if route.source != route.target {
-		r.recordSentWork(route.source, *request.meanTransferTime)
+	r.recordSentWork(target, *request.meanTransferTime)
+	if source != target {
+		r.recordSentWork(source, *request.meanTransferTime)
 	}
 	return started
 }
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -37,22 +37,41 @@
 	if r.capacityFraction(server, r.now) >= 1 {
 		return true
 	}
-	slowStart := &r.slowStarts[server.role]
-	window := slowStart.OverloadWindow
-	sent := 0.0
-	for _, piece := range server.recentWork {
-		if piece.updatedAt > r.now-window {
-			sent += piece.value
-		}
-	}
-	budget := slowStartMargin * slowStart.OverloadFactor * r.capacityFraction(server, r.now-window) *
-		r.expectedThroughput(server.role) * r.weight(server) * window.Seconds()
+	sent := r.sentInWindow(server)
+	budget := r.slowStartBudget(server)
 	if sent+work < budget {
 		return true
 	}
+	if sent != 0 {
+		return false
+	}
+	window := r.slowStarts[server.role].OverloadWindow
 	windowNumber := uint64(r.now / max(window, 1))
 	lot := r.seed ^ mix64(uint64(server.ID)^mix64(windowNumber))
-	return sent == 0 && uniform(lot) < budget/work
+	return uniform(lot) < budget/work
+}
+
+// sentInWindow is the work that this router sent to a server within its overload window, in seconds
+// of transfer time.
+func (r *Router) sentInWindow(server *server) float64 {
+	windowStart := r.now - r.slowStarts[server.role].OverloadWindow
+	sent := 0.0
+	for _, piece := range server.recentWork {
+		if piece.updatedAt > windowStart {
+			sent += piece.value
+		}
+	}
+	return sent
+}
+
+// slowStartBudget is the work, in seconds of transfer time, that this router may send a warming
+// server within its overload window.
+func (r *Router) slowStartBudget(server *server) float64 {
+	slowStart := &r.slowStarts[server.role]
+	window := slowStart.OverloadWindow
+	overload := slowStartMargin * slowStart.OverloadFactor
+	capacity := r.capacityFraction(server, r.now-window)
+	return overload * capacity * r.expectedThroughput(server.role) * r.weight(server) * window.Seconds()
 }
 
 // expectedThroughput is the work a second, per weight, that this router may count on: the highest
--- a/routing/transfertime.go
+++ b/routing/transfertime.go
@@ -35,7 +35,8 @@
 // measureTransfer is the transfer time of a served request: by the bytes of the response where they
 // tell it, else as known before.
 func (r *Router) measureTransfer(request *request, outcome *Outcome) transfer {
-	if outcome.BodyBytes > 0 && r.settings.BodyBytesPerSecond > 0 && !request.class.Write {
+	bytesTell := outcome.BodyBytes > 0 && r.settings.BodyBytesPerSecond > 0
+	if bytesTell && !request.class.Write {
 		measured := float64(outcome.BodyBytes) / r.settings.BodyBytesPerSecond
 		return transfer{seconds: measured, known: true, measured: true}
 	}
@@ -49,12 +50,14 @@
 		return
 	}
 	seconds := transfer.seconds
-	took := outcome.Duration.Seconds()
-	if !transfer.measured && (!transfer.known || took < seconds) {
-		seconds = took
+	responseSeconds := outcome.Duration.Seconds()
+	improved := !transfer.known || responseSeconds < seconds
+	if improved && !transfer.measured {
+		seconds = responseSeconds
 	}
 	r.transferTimes.put(request.chunkKey(), seconds)
-	if transfer.measured || !transfer.known || outcome.CacheStatus == Hit {
+	fullPace := transfer.measured || outcome.CacheStatus == Hit
+	if fullPace || !transfer.known {
 		r.learnMeanTransferTime(request, seconds)
 	}
 }
