--- a/routing/ejection_test.go
+++ b/routing/ejection_test.go
@@ -6,54 +6,100 @@
 	"time"
 )
 
-// An ejection is prolonged by another router's report, within a bound, and never begun nor ended by
-// it; a server that others ejected is probed with one request, unless it served lately.
-func TestPeersReportsOfEjections(t *testing.T) {
-	f := newHarness(t, settings(), fleet())
-	for _, s := range f.router.servers {
-		s.lastResponseAt = f.now
+// newEjectionHarness starts a router whose servers have all responded just now.
+func newEjectionHarness(t *testing.T) *harness {
+	t.Helper()
+	started := newHarness(t, settings(), fleet())
+	for _, server := range started.router.servers {
+		server.lastResponseAt = started.now
 	}
-	available := func(id ServerID) bool {
-		f.handle(ClientDisconnected{}) // of nobody: the router sees the time
-		return f.router.available(f.router.readyServer(id))
-	}
-	if f.handle(ExtendEjection{Server: 11, Until: f.now + sec}); !available(11) || len(f.router.AppendEjected(nil)) != 0 {
-		t.Error("a report ejected a server")
-	}
-	if f.handle(RequireProbe{Server: 11}); len(f.router.AppendEjected(nil)) != 0 {
-		t.Error("one that served just now must be probed")
-	}
-	f.router.readyServer(12).consecutiveFailures = 1
-	if f.handle(RequireProbe{Server: 12}); !slices.Equal(f.router.AppendEjected(nil), []ServerID{12}) {
-		t.Error("one that failed just now need not be probed")
-	}
-	f.router.recordSuccess(f.router.readyServer(12))
-	f.now += 600 * ms
-	f.handle(RequireProbe{Server: 11})
-	if !slices.Equal(f.router.AppendEjected(nil), []ServerID{11}) || !available(11) {
-		t.Fatalf("%v is ejected", f.router.AppendEjected(nil))
-	}
-	f.router.readyServer(11).inflight = 1
-	if available(11) {
-		t.Error("a probed server is sent a second request beside the first")
-	}
-	f.router.readyServer(11).inflight = 0
-	f.handle(ExtendEjection{Server: 11, Until: f.now + time.Hour})
-	if f.now += maxEjectionExtension - ms; available(11) {
-		t.Error("the ejection was not prolonged")
+	return started
+}
+
+// available reports whether a server may be chosen now.
+func (h *harness) available(id ServerID) bool {
+	h.handle(ClientDisconnected{}) // of nobody: the router sees the time
+	return h.router.available(h.router.readyServer(id))
+}
+
+// wantEjected fails the test unless just these servers count as ejected.
+func (h *harness) wantEjected(want ...ServerID) {
+	h.Helper()
+	if got := h.router.AppendEjected(nil); !slices.Equal(got, want) {
+		h.Errorf("ejected: %v, want %v", got, want)
 	}
-	if f.now += 2 * ms; !available(11) {
-		t.Error("ejected for longer than may be")
+}
+
+// wantAvailable fails the test unless a server is available, or not, as wanted.
+func (h *harness) wantAvailable(id ServerID, want bool) {
+	h.Helper()
+	if got := h.available(id); got != want {
+		h.Errorf("server %d available: %v, want %v", id, got, want)
 	}
-	f.handle(ExtendEjection{Server: 11, Until: f.now + sec})
-	f.handle(ExtendEjection{Server: 11, Until: f.now})
-	if available(11) {
-		t.Error("a report ended an ejection")
+}
+
+// A report of another router never begins an ejection.
+func TestExtendEjectionBeginsNone(t *testing.T) {
+	harness := newEjectionHarness(t)
+	harness.handle(ExtendEjection{Server: firstCache, Until: harness.now + second})
+	harness.wantAvailable(firstCache, true)
+	harness.wantEjected()
+	harness.handle(ExtendEjection{Server: 99, Until: harness.now + second}) // not listed
+	harness.wantEjected()
+}
+
+// A server that other routers ejected is probed with one request, unless it served lately.
+func TestRequireProbe(t *testing.T) {
+	tests := []struct {
+		name    string
+		prepare func(*harness)
+		probed  bool
+	}{
+		{name: "served just now", prepare: func(*harness) {}},
+		{name: "failed just now", probed: true, prepare: func(h *harness) {
+			h.router.readyServer(firstCache).consecutiveFailures = 1
+		}},
+		{name: "served a while ago", probed: true, prepare: func(h *harness) { h.now += 600 * millisecond }},
 	}
-	f.handle(ExtendEjection{Server: 99, Until: f.now + sec}) // not listed
-	f.handle(RequireProbe{Server: 99})
-	f.router.recordSuccess(f.router.readyServer(11))
-	if f.now += 2 * sec; len(f.router.AppendEjected(nil)) != 0 || !available(11) {
-		t.Error("ejected after it served")
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			harness := newEjectionHarness(t)
+			test.prepare(harness)
+			harness.handle(RequireProbe{Server: firstCache})
+			harness.handle(RequireProbe{Server: 99}) // not listed
+			if !test.probed {
+				harness.wantEjected()
+				return
+			}
+			harness.wantEjected(firstCache)
+			harness.wantAvailable(firstCache, true)
+			server := harness.router.readyServer(firstCache)
+			server.inflight = 1
+			harness.wantAvailable(firstCache, false) // a second request beside the probe
+			server.inflight = 0
+			harness.router.recordSuccess(server)
+			harness.wantEjected()
+		})
 	}
 }
+
+// An ejection is prolonged by another router's report, within a bound, and never ended by it.
+func TestExtendEjectionIsBounded(t *testing.T) {
+	harness := newEjectionHarness(t)
+	harness.now += 600 * millisecond
+	harness.handle(RequireProbe{Server: firstCache})
+	harness.handle(ExtendEjection{Server: firstCache, Until: harness.now + time.Hour})
+	harness.now += maxEjectionExtension - millisecond
+	harness.wantAvailable(firstCache, false)
+	harness.now += 2 * millisecond
+	harness.wantAvailable(firstCache, true)
+
+	harness.handle(ExtendEjection{Server: firstCache, Until: harness.now + second})
+	harness.handle(ExtendEjection{Server: firstCache, Until: harness.now})
+	harness.wantAvailable(firstCache, false)
+
+	harness.router.recordSuccess(harness.router.readyServer(firstCache))
+	harness.now += 2 * second
+	harness.wantEjected()
+	harness.wantAvailable(firstCache, true)
+}
--- a/routing/guard_test.go
+++ b/routing/guard_test.go
@@ -7,61 +7,83 @@
 
 // A watch stream that is cut off may keep a purge back that binds all the same: where purges happen,
 // copies must then be younger than the grace.
-func TestGuardWithStaleWatch(t *testing.T) {
-	guard := Guard{PurgeRetention: 6 * sec, PurgeGrace: 500 * ms, PurgesSeen: true, LastEventAt: 100 * sec}
-	for _, test := range []struct {
-		name     string
-		g        Guard
-		now, age time.Duration // in ms
-		want     time.Duration
-		purged   bool
+func TestStaleWatchBoundsCopyAge(t *testing.T) {
+	const grace = 500 * millisecond
+	followed := Guard{
+		PurgeRetention: 6 * second, PurgeGrace: grace, PurgesSeen: true, LastEventAt: 100 * second,
+	}
+	tests := []struct {
+		name      string
+		guard     Guard
+		now       time.Duration
+		bound     time.Duration
+		wantAge   time.Duration
+		wantStale bool
 	}{
-		{"event lately", guard, 101_400, 0, 0, false},
-		{"cut off", guard, 101_600, 0, 500, true},
-		{"cut off, with a bound", guard, 101_600, 12_000, 500, true},
-		{"cut off, with a tighter bound", guard, 101_600, 200, 200, true},
-		{"no purges here", Guard{PurgeGrace: guard.PurgeGrace, LastEventAt: guard.LastEventAt}, 200_000, 0, 0, false},
-		{"not followed", Guard{PurgeGrace: guard.PurgeGrace, PurgesSeen: true}, 200_000, 0, 0, false},
-	} {
-		if got := test.g.MaxAge(test.now*ms, test.age*ms, 7, 1); got != test.want*ms {
-			t.Errorf("%s: age %v, want %d ms", test.name, got, test.want)
-		}
-		if got := test.g.MayBeStale(test.now*ms, 7, 1); got != test.purged {
-			t.Errorf("%s: purged %v", test.name, got)
-		}
+		{name: "event lately", guard: followed, now: 101_400 * millisecond},
+		{name: "cut off", guard: followed, now: 101_600 * millisecond, wantAge: grace, wantStale: true},
+		{name: "cut off, with a bound", guard: followed, now: 101_600 * millisecond,
+			bound: 12 * second, wantAge: grace, wantStale: true},
+		{name: "cut off, with a tighter bound", guard: followed, now: 101_600 * millisecond,
+			bound: 200 * millisecond, wantAge: 200 * millisecond, wantStale: true},
+		{name: "no purges here", guard: Guard{PurgeGrace: grace, LastEventAt: followed.LastEventAt}, now: 200 * second},
+		{name: "not followed", guard: Guard{PurgeGrace: grace, PurgesSeen: true}, now: 200 * second},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			if got := test.guard.MaxAge(test.now, test.bound, 7, 1); got != test.wantAge {
+				t.Errorf("age %v, want %v", got, test.wantAge)
+			}
+			if got := test.guard.MayBeStale(test.now, 7, 1); got != test.wantStale {
+				t.Errorf("may be stale: %v, want %v", got, test.wantStale)
+			}
+		})
 	}
 }
 
 // A purge bounds the age of copies from its moment until all older copies are gone.
-func TestPurges(t *testing.T) {
-	for _, test := range []struct {
+func TestPurgeBoundsCopyAge(t *testing.T) {
+	const object, group = 7, 4
+	tests := []struct {
 		name  string
 		purge Purge
 		class int
-		wait  time.Duration
+		wait  time.Duration // from the purge to the request
 		want  time.Duration
 	}{
-		{"object", Purge{Object: 7, Age: 100 * ms}, 0, 200 * ms, 300 * ms},
-		{"other object", Purge{Object: 8, Group: 4, Age: 100 * ms}, 0, 0, 0},
-		{"group", Purge{Group: 4, Age: 100 * ms}, 0, 0, 100 * ms},
-		{"other group", Purge{Group: 5, Age: 100 * ms}, 0, 0, 0},
-		{"just purged", Purge{Object: 7}, 0, 0, time.Microsecond},
-		{"fresher than the class asks", Purge{Object: 7, Age: sec}, 1, 0, sec},
-		{"older than the class allows", Purge{Object: 7, Age: 5 * sec}, 1, 4 * sec, 8 * sec},
-		{"at the end", Purge{Object: 7, Age: sec}, 0, 5*sec - ms, 6*sec - ms},
-	} {
-		f := newHarness(t, settings(), fleet())
-		f.handle(test.purge)
-		f.now += test.wait
-		if g := f.singleAttempt(f.request(Request{Class: test.class, Object: 7, PurgeGroup: 4, SizeKB: 1})); g.MaxAge != test.want {
-			t.Errorf("%s: age %v, want %v", test.name, g.MaxAge, test.want)
-		}
+		{name: "object", purge: Purge{Object: object, Age: 100 * millisecond},
+			wait: 200 * millisecond, want: 300 * millisecond},
+		{name: "other object", purge: Purge{Object: 8, Group: group, Age: 100 * millisecond}},
+		{name: "group", purge: Purge{Group: group, Age: 100 * millisecond}, want: 100 * millisecond},
+		{name: "other group", purge: Purge{Group: 5, Age: 100 * millisecond}},
+		{name: "just purged", purge: Purge{Object: object}, want: time.Microsecond},
+		{name: "fresher than the class asks", purge: Purge{Object: object, Age: second},
+			class: smallClass, want: second},
+		{name: "older than the class allows", purge: Purge{Object: object, Age: 5 * second},
+			class: smallClass, wait: 4 * second, want: 8 * second},
+		{name: "at the end", purge: Purge{Object: object, Age: second},
+			wait: 5*second - millisecond, want: 6*second - millisecond},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			harness := newHarness(t, settings(), fleet())
+			harness.handle(test.purge)
+			harness.now += test.wait
+			sent := harness.requestOne(Request{Class: test.class, Object: object, PurgeGroup: group, SizeKB: 1})
+			if sent.MaxAge != test.want {
+				t.Errorf("age %v, want %v", sent.MaxAge, test.want)
+			}
+		})
 	}
-	f := newHarness(t, settings(), fleet())
-	f.handle(Purge{Object: 7})
-	f.now += 7 * sec
-	f.handle(Purge{Object: 9})
-	if len(f.router.purgeLog.Purges) != 1 {
-		t.Errorf("%d purges kept, want 1", len(f.router.purgeLog.Purges))
+}
+
+// A purge that has left no older copy is forgotten.
+func TestOldPurgesAreForgotten(t *testing.T) {
+	harness := newHarness(t, settings(), fleet())
+	harness.handle(Purge{Object: 7})
+	harness.now += 7 * second
+	harness.handle(Purge{Object: 9})
+	if got := len(harness.router.purgeLog.Purges); got != 1 {
+		t.Errorf("%d purges kept, want 1", got)
 	}
 }
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -8,145 +8,224 @@
 )
 
 const (
-	ms  = time.Millisecond
-	sec = time.Second
+	millisecond = time.Millisecond
+	second      = time.Second
 )
 
-// Kinds and zones of the test fleets.
+// Kinds of the test fleet.
 const (
 	cacheKind = iota
 	parentKind
 	originKind
 )
 
+// Servers of the test fleet.
+const (
+	firstCache   ServerID = 11
+	secondCache  ServerID = 12
+	thirdCache   ServerID = 13
+	remoteCache  ServerID = 21 // of another zone
+	firstParent  ServerID = 31
+	secondParent ServerID = 32
+	theOrigin    ServerID = 41
+)
+
+// Indices of the test classes.
+const (
+	bigClass = iota
+	smallClass
+	writeClass
+	onceClass
+)
+
+// settings are those of a router that serves its zone alone; the other zone has one too.
 func settings() Settings {
 	return Settings{
 		Zones: 3, Zone: 1, Kinds: 3, ParentKind: parentKind, OriginKind: originKind,
-		RoutersByZone: []int{0, 1, 1}, Routers: 2, MaxAttempts: 6, MaxRetryAfter: 500 * ms,
+		RoutersByZone: []int{0, 1, 1}, Routers: 2, MaxAttempts: 6, MaxRetryAfter: 500 * millisecond,
 		CanCancel: true, CanJoinFill: true, AllowBypass: true, TransferKBPerSecond: 1000,
-		DrainGrace: 250 * ms, PurgeGrace: 300 * ms, PurgeRetention: 6 * sec,
-		CacheSlowStart:  SlowStart{InitialCapacity: 0.2, Duration: 10 * sec, OverloadFactor: 2, OverloadWindow: 2 * sec},
-		ParentSlowStart: SlowStart{InitialCapacity: 0.1, Duration: 20 * sec, OverloadFactor: 2, OverloadWindow: 2 * sec},
+		DrainGrace: 250 * millisecond, PurgeGrace: 300 * millisecond, PurgeRetention: 6 * second,
+		CacheSlowStart: SlowStart{
+			InitialCapacity: 0.2, Duration: 10 * second, OverloadFactor: 2, OverloadWindow: 2 * second,
+		},
+		ParentSlowStart: SlowStart{
+			InitialCapacity: 0.1, Duration: 20 * second, OverloadFactor: 2, OverloadWindow: 2 * second,
+		},
 		Classes: []Class{
-			{Name: "big", Idempotency: Idempotent, LatencyObjective: 600 * ms, ObjectiveTransferFactor: 2, Deadline: 6 * sec, PriorityWeight: 2},
-			{Name: "small", Idempotency: Idempotent, LatencyObjective: 250 * ms, ObjectiveTransferFactor: 2, Deadline: 3 * sec, PriorityWeight: 1, FreshnessLifetime: 8 * sec},
-			{Name: "write", Idempotency: IdempotentWithKey, LatencyObjective: 700 * ms, Deadline: 3 * sec, KeyWindow: 2 * sec, PriorityWeight: 3, Write: true},
-			{Name: "once", Idempotency: NonIdempotent, LatencyObjective: 700 * ms, Deadline: 3 * sec, PriorityWeight: 3, Write: true},
+			bigClass: {
+				Name: "big", Idempotency: Idempotent, LatencyObjective: 600 * millisecond,
+				ObjectiveTransferFactor: 2, Deadline: 6 * second, PriorityWeight: 2,
+			},
+			smallClass: {
+				Name: "small", Idempotency: Idempotent, LatencyObjective: 250 * millisecond,
+				ObjectiveTransferFactor: 2, Deadline: 3 * second, PriorityWeight: 1, FreshnessLifetime: 8 * second,
+			},
+			writeClass: {
+				Name: "write", Idempotency: IdempotentWithKey, KeyWindow: 2 * second,
+				LatencyObjective: 700 * millisecond, Deadline: 3 * second, PriorityWeight: 3, Write: true,
+			},
+			onceClass: {
+				Name: "once", Idempotency: NonIdempotent,
+				LatencyObjective: 700 * millisecond, Deadline: 3 * second, PriorityWeight: 3, Write: true,
+			},
 		},
 	}
 }
 
-// fleet lists three caches in the router's zone, one elsewhere, two parents
-// and an origin.
+// fleet lists three caches in the router's zone, one elsewhere, two parents and an origin.
 func fleet() []Server {
 	return []Server{
-		{ID: 11, Zone: 1, Kind: cacheKind, Phase: Ready}, {ID: 12, Zone: 1, Kind: cacheKind, Phase: Ready},
-		{ID: 13, Zone: 1, Kind: cacheKind, Phase: Ready}, {ID: 21, Zone: 2, Kind: cacheKind, Phase: Ready},
-		{ID: 31, Kind: parentKind, Phase: Ready}, {ID: 32, Kind: parentKind, Phase: Ready},
-		{ID: 41, Kind: originKind, Phase: Ready},
+		{ID: firstCache, Zone: 1, Kind: cacheKind, Phase: Ready},
+		{ID: secondCache, Zone: 1, Kind: cacheKind, Phase: Ready},
+		{ID: thirdCache, Zone: 1, Kind: cacheKind, Phase: Ready},
+		{ID: remoteCache, Zone: 2, Kind: cacheKind, Phase: Ready},
+		{ID: firstParent, Kind: parentKind, Phase: Ready},
+		{ID: secondParent, Kind: parentKind, Phase: Ready},
+		{ID: theOrigin, Kind: originKind, Phase: Ready},
 	}
 }
 
+// fleetOfWeight is the test fleet with one weight for all servers.
+func fleetOfWeight(weight float64) []Server {
+	list := fleet()
+	for i := range list {
+		list[i].Weight = weight
+	}
+	return list
+}
+
 // harness drives a Router and keeps what a caller would.
 type harness struct {
 	*testing.T
-	router  *Router
-	now     time.Duration
-	actions []Action
-	nextID  RequestID
+	router *Router
+	now    time.Duration
+	nextID RequestID
 }
 
 // newHarness starts a router that knows a list of servers.
-func newHarness(t *testing.T, s Settings, list []Server) *harness {
+func newHarness(t *testing.T, config Settings, list []Server) *harness {
+	t.Helper()
+	return newSeededHarness(t, config, list, 1)
+}
+
+// newSeededHarness starts a router that draws its lots from a seed.
+func newSeededHarness(t *testing.T, config Settings, list []Server, seed uint64) *harness {
 	t.Helper()
-	r, err := New(s, 1)
+	router, err := New(config, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &harness{T: t, router: r, now: 1000 * sec, nextID: 1}
-	f.handle(EndpointUpdate{Snapshot: true, Servers: list})
-	return f
+	started := &harness{T: t, router: router, now: 1000 * second, nextID: 1}
+	started.handle(EndpointUpdate{Snapshot: true, Servers: list})
+	return started
+}
+
+// newSmallQuotaHarness starts one of eight routers of a zone, whose quota of each of the three caches
+// is under two of their six transfers.
+func newSmallQuotaHarness(t *testing.T) *harness {
+	t.Helper()
+	config := settings()
+	config.WeightIsCapacity = true
+	config.RoutersByZone = []int{0, 8, 1}
+	config.BodyBytesPerSecond = 100_000
+	started := newHarness(t, config, fleetOfWeight(6))
+	for _, server := range started.caches() { // others have much in flight there
+		server.slowdown.observe(started.now, slowdownTimeConstant, 1, 1.5*saturatedSlowdown)
+	}
+	return started
 }
 
 // handle feeds the router an event at the present time.
-func (f *harness) handle(ev Event) []Action {
-	f.actions = f.router.Handle(f.now, ev, nil)
-	return f.actions
+func (h *harness) handle(event Event) []Action {
+	return h.router.Handle(h.now, event, nil)
 }
 
-// request sends a request and returns the attempts and final answers that follow.
-func (f *harness) request(q Request) []Action {
-	if q.ID == 0 {
-		q.ID = f.nextID
-		f.nextID++
+// request sends a request, by default with the deadline of its class, and returns the actions that
+// follow.
+func (h *harness) request(request Request) []Action {
+	if request.ID == 0 {
+		request.ID = h.nextID
+		h.nextID++
 	}
-	if q.Timeout == 0 {
-		q.Timeout = f.router.settings.Classes[q.Class].Deadline
+	if request.Timeout == 0 {
+		request.Timeout = h.router.settings.Classes[request.Class].Deadline
 	}
-	return f.handle(q)
+	return h.handle(request)
 }
 
-// sendActions returns the attempts among actions.
-func sendActions(acts []Action) (out []SendAttempt) {
-	for _, a := range acts {
-		if g, ok := a.(SendAttempt); ok {
-			out = append(out, g)
-		}
-	}
-	return out
+// requestOne sends a request that must lead to one attempt, and returns that.
+func (h *harness) requestOne(request Request) SendAttempt {
+	h.Helper()
+	return h.singleAttempt(h.request(request))
 }
 
 // singleAttempt returns the attempt of actions that must hold one.
-func (f *harness) singleAttempt(acts []Action) SendAttempt {
-	f.Helper()
-	g := sendActions(acts)
-	if len(g) != 1 {
-		f.Fatalf("want one attempt, got %v", acts)
+func (h *harness) singleAttempt(actions []Action) SendAttempt {
+	h.Helper()
+	attempts := sendActions(actions)
+	if len(attempts) != 1 {
+		h.Fatalf("%d attempts, want one: %v", len(attempts), actions)
 	}
-	return g[0]
+	return attempts[0]
 }
 
-// finish reports the end of an attempt.
-func (f *harness) finish(g SendAttempt, n int, res Result, note CacheStatus) []Action {
+// finish reports the end of an attempt, the index-th of its request.
+func (h *harness) finish(sent SendAttempt, index int, result Result, status CacheStatus) []Action {
 	nan := math.NaN()
-	return f.handle(Outcome{ID: g.ID, Attempt: n, Server: g.Server, Result: res, CacheStatus: note, Duration: 100 * ms,
-		RequestDone: res == Served, Load: LoadReport{nan, nan, nan, nan}})
+	return h.handle(Outcome{
+		ID: sent.ID, Attempt: index, Server: sent.Server, Result: result, CacheStatus: status,
+		Duration: 100 * millisecond, RequestDone: result == Served,
+		Load: LoadReport{Inflight: nan, CPUUtilization: nan, HitRatio: nan, LinkUtilization: nan},
+	})
 }
 
-// isRejected reports whether a request was answered with a Reject.
-func isRejected(acts []Action) bool {
-	return slices.ContainsFunc(acts, func(a Action) bool { _, ok := a.(Reject); return ok })
+// finishWithoutStatus reports the end of an attempt by a cache that tells no cache status.
+func (h *harness) finishWithoutStatus(sent SendAttempt, index int, result Result, took time.Duration) []Action {
+	return h.handle(Outcome{
+		ID: sent.ID, Attempt: index, Server: sent.Server, Result: result,
+		Duration: took, RequestDone: result == Served,
+	})
 }
 
-// isFailed reports whether a request was answered with a Fail.
-func isFailed(acts []Action) bool {
-	return slices.ContainsFunc(acts, func(a Action) bool { _, ok := a.(Fail); return ok })
+// checkNewest fires the timer that checks the newest attempt of a request.
+func (h *harness) checkNewest(id RequestID) []Action {
+	return h.handle(TimerFired{Token: uint64(id)<<timerKindBits | timerCheckAttempt})
 }
 
-// finishWithoutStatus reports the end of an attempt by a cache that tells no cache status.
-func (f *harness) finishWithoutStatus(g SendAttempt, n int, res Result, took time.Duration) []Action {
-	return f.handle(Outcome{ID: g.ID, Attempt: n, Server: g.Server, Result: res, Duration: took, RequestDone: res == Served})
+// expireQueued fires the timer that ends the wait of a queued request.
+func (h *harness) expireQueued(id RequestID) []Action {
+	return h.handle(TimerFired{Token: uint64(id)<<timerKindBits | timerQueueExpired})
 }
 
-// newSmallShareHarness starts one of eight routers of a zone, whose quota of each of the three caches
-// is under two of their six transfers.
-func newSmallShareHarness(t *testing.T) *harness {
-	t.Helper()
-	s := settings()
-	s.WeightIsCapacity, s.RoutersByZone, s.BodyBytesPerSecond = true, []int{0, 8, 1}, 100_000
-	list := fleet()
-	for i := range list {
-		list[i].Weight = 6
-	}
-	f := newHarness(t, s, list)
-	for _, c := range f.router.readyByRole[cache] { // others have much in flight there
-		c.slowdown.observe(f.now, slowdownTimeConstant, 1, 1.5*saturatedSlowdown)
+func (h *harness) caches() []*server  { return h.router.readyByRole[cache] }
+func (h *harness) parents() []*server { return h.router.readyByRole[parent] }
+
+// sendActions returns the attempts among actions.
+func sendActions(actions []Action) []SendAttempt {
+	var attempts []SendAttempt
+	for _, action := range actions {
+		if sent, ok := action.(SendAttempt); ok {
+			attempts = append(attempts, sent)
+		}
 	}
-	return f
+	return attempts
+}
+
+// isRejected reports whether a request was answered with a Reject.
+func isRejected(actions []Action) bool { return containsAction[Reject](actions) }
+
+// isFailed reports whether a request was answered with a Fail.
+func isFailed(actions []Action) bool { return containsAction[Fail](actions) }
+
+func containsAction[A Action](actions []Action) bool {
+	return slices.ContainsFunc(actions, func(action Action) bool {
+		_, ok := action.(A)
+		return ok
+	})
 }
 
 // transferSecondsOf is the transfer time of a request in seconds.
-func (f *harness) transferSecondsOf(q *request) float64 {
-	seconds, _ := f.router.transferSeconds(q)
+func (h *harness) transferSecondsOf(request *request) float64 {
+	seconds, _ := h.router.transferSeconds(request)
 	return seconds
 }
--- a/routing/random_stream_test.go
+++ b/routing/random_stream_test.go
@@ -1,6 +1,7 @@
 package routing
 
 import (
+	"fmt"
 	"math/rand/v2"
 	"reflect"
 	"slices"
@@ -14,7 +15,7 @@
 	*harness
 	seed     uint64
 	random   *rand.Rand
-	step     func(*Router, time.Duration, Event) []Action
+	step     stepFunc
 	all      []Action
 	inflight []streamAttempt
 	timers   []streamTimer
@@ -24,6 +25,9 @@
 	excluded map[ServerID]bool           // not listed as ready
 }
 
+// stepFunc feeds a router one event and returns its actions.
+type stepFunc func(router *Router, now time.Duration, event Event) []Action
+
 type streamAttempt struct {
 	SendAttempt
 	index int
@@ -35,26 +39,39 @@
 }
 
 // playRandomStream plays a stream of 3,000 steps and returns the actions.
-func playRandomStream(t *testing.T, seed uint64, step func(*Router, time.Duration, Event) []Action) []Action {
+func playRandomStream(t *testing.T, seed uint64, step stepFunc) []Action {
 	t.Helper()
-	stream := &randomStream{harness: newHarness(t, settings(), fleet()), seed: seed, step: step,
+	stream := &randomStream{
+		harness:  newHarness(t, settings(), fleet()),
+		seed:     seed,
+		step:     step,
 		random:   rand.New(rand.NewPCG(seed, 7)),
-		attempts: map[RequestID]int{}, live: map[RequestID]int{},
-		deadline: map[RequestID]time.Duration{}, excluded: map[ServerID]bool{}}
+		attempts: map[RequestID]int{},
+		live:     map[RequestID]int{},
+		deadline: map[RequestID]time.Duration{},
+		excluded: map[ServerID]bool{},
+	}
 	for i := range 3000 {
-		stream.now += time.Duration(stream.random.IntN(20)) * ms
+		stream.now += time.Duration(stream.random.IntN(20)) * millisecond
 		stream.fireTimers()
 		stream.endOverdueAttempts()
-		for id := RequestID(1); id < RequestID(i+1); id++ {
-			if by, ok := stream.deadline[id]; ok && by+8*ms+20*ms < stream.now {
-				t.Fatalf("seed %d: request %d is overdue", seed, id)
-			}
-		}
+		stream.checkDeadlines(RequestID(i))
 		stream.randomEvent(i)
 	}
 	return stream.all
 }
 
+// checkDeadlines wants no request up to the newest to be owed an answer for long.
+func (s *randomStream) checkDeadlines(newest RequestID) {
+	const allowance = 28 * millisecond // a timer fires up to a step of 20 ms late
+	for id := RequestID(1); id <= newest; id++ {
+		deadline, owed := s.deadline[id]
+		if owed && deadline+allowance < s.now {
+			s.Fatalf("seed %d: request %d is overdue since %v, now %v", s.seed, id, deadline, s.now)
+		}
+	}
+}
+
 // notify feeds the router one event, and checks and books the actions.
 func (s *randomStream) notify(event Event) {
 	actions := s.step(s.router, s.now, event)
@@ -71,29 +88,31 @@
 	}
 	for _, action := range actions {
 		if timer, ok := action.(SetTimer); ok {
-			s.timers = append(s.timers, streamTimer{s.now + timer.Delay, timer.Token})
+			s.timers = append(s.timers, streamTimer{at: s.now + timer.Delay, token: timer.Token})
 		}
 	}
 }
 
 func (s *randomStream) checkAttempt(sent SendAttempt) {
-	if _, ok := s.deadline[sent.ID]; !ok {
+	if _, owed := s.deadline[sent.ID]; !owed {
 		s.Fatalf("seed %d: sent for a finished request: %v", s.seed, sent)
 	}
 	if s.excluded[sent.Server] || s.excluded[sent.FillSource] {
 		s.Fatalf("seed %d: sent to a server that is not ready: %v", s.seed, sent)
 	}
-	if s.live[sent.ID]++; s.live[sent.ID] > 1 {
-		s.Fatalf("seed %d: two attempts at once: %v", s.seed, sent)
+	s.live[sent.ID]++
+	if s.live[sent.ID] > 1 {
+		s.Fatalf("seed %d: %d attempts at once: %v", s.seed, s.live[sent.ID], sent)
 	}
-	s.inflight = append(s.inflight, streamAttempt{sent, s.attempts[sent.ID]})
-	if s.attempts[sent.ID]++; s.attempts[sent.ID] > s.router.settings.MaxAttempts {
-		s.Fatalf("seed %d: too many attempts: %v", s.seed, sent)
+	s.inflight = append(s.inflight, streamAttempt{SendAttempt: sent, index: s.attempts[sent.ID]})
+	s.attempts[sent.ID]++
+	if most := s.router.settings.MaxAttempts; s.attempts[sent.ID] > most {
+		s.Fatalf("seed %d: %d attempts, want at most %d: %v", s.seed, s.attempts[sent.ID], most, sent)
 	}
 }
 
 func (s *randomStream) checkAnswer(id RequestID, answer Action) {
-	if _, ok := s.deadline[id]; !ok {
+	if _, owed := s.deadline[id]; !owed {
 		s.Fatalf("seed %d: second answer: %v", s.seed, answer)
 	}
 	delete(s.deadline, id)
@@ -107,7 +126,7 @@
 		}
 		token := s.timers[i].token
 		s.timers = slices.Delete(s.timers, i, i+1)
-		s.notify(TimerFired{token})
+		s.notify(TimerFired{Token: token})
 	}
 }
 
@@ -121,17 +140,21 @@
 	}
 }
 
-func (s *randomStream) endAttempt(i int, result Result) {
-	attempt := s.inflight[i]
-	s.inflight = slices.Delete(s.inflight, i, i+1)
+func (s *randomStream) endAttempt(index int, result Result) {
+	attempt := s.inflight[index]
+	s.inflight = slices.Delete(s.inflight, index, index+1)
 	s.live[attempt.ID]--
-	_, open := s.deadline[attempt.ID]
+	_, owed := s.deadline[attempt.ID]
 	if result == Served {
 		delete(s.deadline, attempt.ID)
 	}
-	s.notify(Outcome{ID: attempt.ID, Attempt: attempt.index, Server: attempt.Server, Result: result,
-		CacheStatus: CacheStatus(s.random.IntN(11)), Duration: time.Duration(s.random.IntN(900)) * ms,
-		RequestDone: result == Served || !open, Load: LoadReport{LinkUtilization: s.random.Float64() * 4}})
+	s.notify(Outcome{
+		ID: attempt.ID, Attempt: attempt.index, Server: attempt.Server, Result: result,
+		CacheStatus: CacheStatus(s.random.IntN(11)),
+		Duration:    time.Duration(s.random.IntN(900)) * millisecond,
+		RequestDone: result == Served || !owed,
+		Load:        LoadReport{LinkUtilization: s.random.Float64() * 4},
+	})
 }
 
 // randomEvent feeds the event of a step, drawn by lot.
@@ -140,51 +163,80 @@
 	case lot < 45:
 		s.randomRequest(RequestID(step + 1))
 	case lot < 92:
-		if len(s.inflight) > 0 {
-			s.endAttempt(s.random.IntN(len(s.inflight)), Result(min(s.random.IntN(16), int(NotCached))*s.random.IntN(2)))
-		}
+		s.randomOutcome()
 	case lot < 95:
-		listed := fleet()[s.random.IntN(7)]
-		listed.Phase = Phase(s.random.IntN(3))
-		listed.StartedAt = s.now - time.Duration(s.random.IntN(5000))*ms
-		s.excluded[listed.ID] = listed.Phase != Ready
-		s.notify(EndpointUpdate{Servers: []Server{listed}})
+		s.randomUpdate()
 	case lot < 98:
-		s.notify(Purge{Object: ObjectID(s.random.IntN(50)), Group: s.random.IntN(4), Age: time.Duration(s.random.IntN(400)) * ms})
+		s.notify(Purge{
+			Object: ObjectID(s.random.IntN(50)),
+			Group:  s.random.IntN(4),
+			Age:    time.Duration(s.random.IntN(400)) * millisecond,
+		})
 	default:
-		id := RequestID(1 + s.random.IntN(step+1))
-		if _, ok := s.deadline[id]; ok {
-			delete(s.deadline, id)
-			s.notify(ClientDisconnected{id})
-		}
+		s.randomDisconnect(step)
 	}
 }
 
 func (s *randomStream) randomRequest(id RequestID) {
 	class := s.random.IntN(4)
-	timeout := time.Duration(1+s.random.Int64N(int64(s.router.settings.Classes[class].Deadline/ms))) * ms
+	mostMilliseconds := int64(s.router.settings.Classes[class].Deadline / millisecond)
+	timeout := time.Duration(1+s.random.Int64N(mostMilliseconds)) * millisecond
 	s.deadline[id] = s.now + timeout
-	s.notify(Request{ID: id, Class: class, Object: ObjectID(1 + s.random.IntN(50)), PurgeGroup: s.random.IntN(4),
-		Timeout: timeout, SizeKB: float64(s.random.IntN(800))})
+	s.notify(Request{
+		ID: id, Class: class,
+		Object:     ObjectID(1 + s.random.IntN(50)),
+		PurgeGroup: s.random.IntN(4),
+		Timeout:    timeout,
+		SizeKB:     float64(s.random.IntN(800)),
+	})
+}
+
+func (s *randomStream) randomOutcome() {
+	if len(s.inflight) == 0 {
+		return
+	}
+	index := s.random.IntN(len(s.inflight))
+	result := min(s.random.IntN(16), int(NotCached)) * s.random.IntN(2) // a half is served
+	s.endAttempt(index, Result(result))
+}
+
+func (s *randomStream) randomUpdate() {
+	listed := fleet()[s.random.IntN(7)]
+	listed.Phase = Phase(s.random.IntN(3))
+	listed.StartedAt = s.now - time.Duration(s.random.IntN(5000))*millisecond
+	s.excluded[listed.ID] = listed.Phase != Ready
+	s.notify(EndpointUpdate{Servers: []Server{listed}})
 }
 
-func handleEvent(r *Router, now time.Duration, ev Event) []Action { return r.Handle(now, ev, nil) }
+func (s *randomStream) randomDisconnect(step int) {
+	id := RequestID(1 + s.random.IntN(step+1))
+	if _, owed := s.deadline[id]; owed {
+		delete(s.deadline, id)
+		s.notify(ClientDisconnected{ID: id})
+	}
+}
+
+func handleEvent(router *Router, now time.Duration, event Event) []Action {
+	return router.Handle(now, event, nil)
+}
 
 func TestRandomStreamsKeepTheRules(t *testing.T) {
 	for seed := range uint64(30) {
-		playRandomStream(t, seed, handleEvent)
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
+			playRandomStream(t, seed, handleEvent)
+		})
 	}
 }
 
 // The same events give the same actions, also beside another busy instance.
-func TestReplay(t *testing.T) {
+func TestSameEventsGiveTheSameActions(t *testing.T) {
 	want := playRandomStream(t, 3, handleEvent)
 	other := newHarness(t, settings(), fleet())
-	got := playRandomStream(t, 3, func(r *Router, now time.Duration, ev Event) []Action {
+	got := playRandomStream(t, 3, func(router *Router, now time.Duration, event Event) []Action {
 		other.request(Request{Object: ObjectID(now), SizeKB: 5})
-		return r.Handle(now, ev, nil)
+		return router.Handle(now, event, nil)
 	})
-	if !reflect.DeepEqual(want, got) {
-		t.Error("a replay gave other actions")
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("a replay gave %d actions, want the same %d", len(got), len(want))
 	}
 }
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -7,78 +7,90 @@
 
 // What may have been executed is repeated only as its class allows.
 func TestRetriesFollowIdempotency(t *testing.T) {
-	for _, test := range []struct {
-		name  string
-		class int
-		res   Result
-		after time.Duration
-		again bool
-		fail  bool
+	tests := []struct {
+		name    string
+		class   int
+		result  Result
+		after   time.Duration
+		retried bool
+		failed  bool // else rejected, where it is not retried
 	}{
-		{"safe, error", 0, ServerError, 0, true, false},
-		{"keyed, error, in window", 2, ServerError, 0, true, false},
-		{"keyed, error, just in window", 2, ServerError, 2*sec - ms, true, false},
-		{"keyed, error, window over", 2, ServerError, 2 * sec, false, true},
-		{"keyed, never executed, window over", 2, ConnectFailed, 2 * sec, true, false},
-		{"unsafe, error", 3, ServerError, 0, false, true},
-		{"unsafe, never executed", 3, Rejected, 0, true, false},
-	} {
-		f := newHarness(t, settings(), fleet())
-		g := f.singleAttempt(f.request(Request{Class: test.class, Object: 1, SizeKB: 10}))
-		f.now += test.after
-		acts := f.finish(g, 0, test.res, CacheStatusUnknown)
-		if again := len(sendActions(acts)) == 1; again != test.again || !again && isFailed(acts) != test.fail {
-			t.Errorf("%s: %v", test.name, acts)
-		}
+		{name: "idempotent, error", class: bigClass, result: ServerError, retried: true},
+		{name: "with key, error, in window", class: writeClass, result: ServerError, retried: true},
+		{name: "with key, error, just in window", class: writeClass, result: ServerError,
+			after: 2*second - millisecond, retried: true},
+		{name: "with key, error, window over", class: writeClass, result: ServerError,
+			after: 2 * second, failed: true},
+		{name: "with key, never executed, window over", class: writeClass, result: ConnectFailed,
+			after: 2 * second, retried: true},
+		{name: "not idempotent, error", class: onceClass, result: ServerError, failed: true},
+		{name: "not idempotent, never executed", class: onceClass, result: Rejected, retried: true},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			harness := newHarness(t, settings(), fleet())
+			sent := harness.requestOne(Request{Class: test.class, Object: 1, SizeKB: 10})
+			harness.now += test.after
+			actions := harness.finish(sent, 0, test.result, CacheStatusUnknown)
+			retried := len(sendActions(actions)) == 1
+			if retried != test.retried {
+				t.Errorf("retried: %v, want %v: %v", retried, test.retried, actions)
+			}
+			if failed := isFailed(actions); !retried && failed != test.failed {
+				t.Errorf("failed: %v, want %v: %v", failed, test.failed, actions)
+			}
+		})
 	}
 }
 
 // A request never has two attempts in flight.
 func TestNeverTwoAttemptsAtOnce(t *testing.T) {
-	f := newHarness(t, settings(), fleet())
-	g := f.singleAttempt(f.request(Request{Object: 1, SizeKB: 10}))
+	harness := newHarness(t, settings(), fleet())
+	sent := harness.requestOne(Request{Object: 1, SizeKB: 10})
 	for range 4 {
-		f.now += sec
-		if acts := f.handle(TimerFired{uint64(g.ID)<<timerKindBits | timerCheckAttempt}); len(sendActions(acts)) != 0 {
-			t.Fatalf("hedged: %v", acts)
+		harness.now += second
+		if actions := harness.checkNewest(sent.ID); len(sendActions(actions)) != 0 {
+			t.Fatalf("actions %v, want no second attempt", actions)
 		}
 	}
 }
 
 // A write that may have been executed, and may not be again, is answered at once.
 func TestFinalAnswerIsNotDelayed(t *testing.T) {
-	f := newHarness(t, settings(), fleet())
-	g := f.singleAttempt(f.request(Request{Class: 3, Object: 1, SizeKB: 10}))
-	if acts := f.finish(g, 0, ConnectionLost, CacheStatusUnknown); !isFailed(acts) {
-		t.Errorf("%v, want a failure at once", acts)
+	harness := newHarness(t, settings(), fleet())
+	sent := harness.requestOne(Request{Class: onceClass, Object: 1, SizeKB: 10})
+	if actions := harness.finish(sent, 0, ConnectionLost, CacheStatusUnknown); !isFailed(actions) {
+		t.Errorf("actions %v, want a failure at once", actions)
 	}
 }
 
 // What a parent does not hold is known by the miss of a fill that may only use its copies; without
 // cache status nothing else tells it.
 func TestParentMissWithoutStatus(t *testing.T) {
-	f := newHarness(t, settings(), fleet())
-	f.router.originLimiter.active, f.router.originLimiter.limit = true, 10
-	look := f.singleAttempt(f.request(Request{Object: 7, Timeout: 6 * sec}))
-	held := f.singleAttempt(f.finishWithoutStatus(look, 0, NotCached, ms))
-	if !held.OnlyIfCached {
-		t.Fatalf("%+v: want a fill of what the parent holds", held)
+	harness := newHarness(t, settings(), fleet())
+	harness.router.originLimiter.active = true
+	harness.router.originLimiter.limit = 10
+	look := harness.requestOne(Request{Object: 7})
+	fromParent := harness.singleAttempt(harness.finishWithoutStatus(look, 0, NotCached, millisecond))
+	if !fromParent.OnlyIfCached {
+		t.Fatalf("attempt %+v, want a fill of what the parent holds", fromParent)
 	}
-	deep := f.singleAttempt(f.finishWithoutStatus(held, 1, NotCached, ms))
-	if deep.Server != held.Server || deep.OnlyIfCached {
-		t.Errorf("%+v: want a fetch from the origin through the same cache", deep)
+	fromOrigin := harness.singleAttempt(harness.finishWithoutStatus(fromParent, 1, NotCached, millisecond))
+	if fromOrigin.Server != fromParent.Server || fromOrigin.OnlyIfCached {
+		t.Errorf("attempt %+v, want a fetch from the origin through the same cache", fromOrigin)
 	}
 }
 
 // Three rejections without cache status end a read: further ones feed the jam.
 func TestReadsWithoutStatusStopEarly(t *testing.T) {
-	f := newHarness(t, settings(), fleet())
-	g := f.singleAttempt(f.request(Request{Object: 7, Timeout: 6 * sec}))
-	for n := range maxReadAttemptsUnknownStatus - 1 {
-		g = f.singleAttempt(f.finishWithoutStatus(g, n, Rejected, ms))
+	harness := newHarness(t, settings(), fleet())
+	sent := harness.requestOne(Request{Object: 7})
+	const last = maxReadAttemptsUnknownStatus - 1
+	for index := range last {
+		sent = harness.singleAttempt(harness.finishWithoutStatus(sent, index, Rejected, millisecond))
 	}
-	if acts := f.finishWithoutStatus(g, maxReadAttemptsUnknownStatus-1, Rejected, ms); !isRejected(acts) {
-		t.Errorf("%v: want a rejection", acts)
+	if actions := harness.finishWithoutStatus(sent, last, Rejected, millisecond); !isRejected(actions) {
+		t.Errorf("actions %v, want a rejection", actions)
 	}
 }
 
@@ -86,13 +98,14 @@
 // another source. Symptom guarded against: while a parent was lost, every miss of its objects went
 // round the caches and was rejected.
 func TestRejectionWithoutStatusChangesTheSource(t *testing.T) {
-	f := newHarness(t, settings(), fleet())
-	a := f.singleAttempt(f.request(Request{Object: 7, Timeout: 6 * sec}))
-	b := f.singleAttempt(f.finishWithoutStatus(a, 0, Rejected, ms))
-	if b.Server != a.Server || b.FillSource == a.FillSource {
-		t.Errorf("%+v follows %+v: want the same cache and another source", b, a)
+	harness := newHarness(t, settings(), fleet())
+	first := harness.requestOne(Request{Object: 7})
+	second := harness.singleAttempt(harness.finishWithoutStatus(first, 0, Rejected, millisecond))
+	if second.Server != first.Server || second.FillSource == first.FillSource {
+		t.Errorf("%+v follows %+v, want the same cache and another source", second, first)
 	}
-	if c := f.singleAttempt(f.finishWithoutStatus(b, 1, Rejected, ms)); c.Server == a.Server {
-		t.Errorf("%+v: want another cache after two rejections", c)
+	third := harness.singleAttempt(harness.finishWithoutStatus(second, 1, Rejected, millisecond))
+	if third.Server == first.Server {
+		t.Errorf("%+v follows two rejections, want another cache", third)
 	}
 }
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -10,32 +10,38 @@
 // router's own start, when no class's transfer time is known. Symptom guarded against: a burst of
 // looks, each counted as no work.
 func TestSlowStartBudget(t *testing.T) {
-	for _, warmed := range []bool{true, false} {
-		list := fleet()
-		list[1].StartedAt = 1000 * sec
-		f := newHarness(t, settings(), append(list[:2:2], list[4:]...))
-		if !warmed {
-			f = newHarness(t, settings(), append(list[1:2:2], list[4:]...))
-		}
-		sent := 0.0
-		for i := range 400 {
-			f.now += 5 * ms
-			acts := f.request(Request{Object: ObjectID(i + 1), SizeKB: 100})
-			for _, g := range sendActions(acts) {
-				if g.Server == 12 {
-					sent += 0.1
+	list := fleet()
+	list[1].StartedAt = 1000 * second
+	upstreams := list[4:]
+	tests := []struct {
+		name    string
+		servers []Server
+		most    float64 // seconds of transfer time
+	}{
+		// A peer carries at most 20 a second of 0.1 s each here; the slow start begins at a fifth, and
+		// twice that may be sent for 2 s.
+		{name: "beside a warm peer", servers: slices.Concat(list[:2], upstreams), most: 2 * 0.4 * 20 * 2.0},
+		// The router knows nothing of the cache's capacity.
+		{name: "alone", servers: slices.Concat(list[1:2], upstreams), most: 1.5},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			harness := newHarness(t, settings(), test.servers)
+			sent := 0.0
+			for i := range 400 {
+				harness.now += 5 * millisecond
+				actions := harness.request(Request{Object: ObjectID(i + 1), SizeKB: 100})
+				for _, attempt := range sendActions(actions) {
+					if attempt.Server == secondCache {
+						sent += 0.1
+					}
+					harness.finish(attempt, 0, Served, Hit)
 				}
-				f.finish(g, 0, Served, Hit)
 			}
-		}
-		// A peer carries at most 20 a second of 0.1 s each here; the slow start
-		// begins at a fifth, and twice that may be sent for 2 s.
-		if limit := 2 * 0.4 * 20 * 2.0; sent > limit {
-			t.Errorf("warmed %v: warming cache was sent %.1f s of work, want at most %.1f", warmed, sent, limit)
-		}
-		if !warmed && sent > 1.5 {
-			t.Errorf("restarted router sent a warming cache %.1f s of work though it knows nothing of its capacity", sent)
-		}
+			if sent > test.most {
+				t.Errorf("the warming cache was sent %.1f s of work, want at most %.1f", sent, test.most)
+			}
+		})
 	}
 }
 
@@ -45,163 +51,200 @@
 func TestSlowStartBudgetHoldsForTheSum(t *testing.T) {
 	const routers = 60
 	list := fleet()
-	list[1].StartedAt, list[5].StartedAt = 1000*sec, 1000*sec // cache 12, parent 32
+	list[1].StartedAt = 1000 * second // secondCache
+	list[5].StartedAt = 1000 * second // secondParent
 	sent := map[ServerID]float64{}
 	for seed := range uint64(routers) {
-		f := newHarness(t, settings(), list)
-		f.router.seed = seed
+		harness := newHarness(t, settings(), list)
+		harness.router.seed = seed
 		for i := range 8 { // one request each quarter of a second
-			f.now += 250 * ms
-			acts := f.request(Request{Object: ObjectID(seed*100 + uint64(i) + 1), SizeKB: 100})
-			for _, g := range sendActions(acts) {
-				sent[g.Server] += *f.router.requests[g.ID].meanTransferTime
-				if g.FillSource != g.Server {
-					sent[g.FillSource] += *f.router.requests[g.ID].meanTransferTime
+			harness.now += 250 * millisecond
+			actions := harness.request(Request{Object: ObjectID(seed*100 + uint64(i) + 1), SizeKB: 100})
+			for _, attempt := range sendActions(actions) {
+				work := *harness.router.requests[attempt.ID].meanTransferTime
+				sent[attempt.Server] += work
+				if attempt.FillSource != attempt.Server {
+					sent[attempt.FillSource] += work
 				}
-				f.finish(g, 0, Served, Filled)
+				harness.finish(attempt, 0, Served, Filled)
 			}
 		}
 	}
 	// All carried 480 requests of at most 0.6 s in 2 s; two caches and one parent are not
 	// warming, so a cache does 72 s of work a second at the most, a parent 144.
-	if limit := 2 * 0.36 * 72 * 2.0; sent[12] > limit {
-		t.Errorf("the warming cache was sent %.0f s of work, want at most %.0f", sent[12], limit)
+	if most := 2 * 0.36 * 72 * 2.0; sent[secondCache] > most {
+		t.Errorf("the warming cache was sent %.0f s of work, want at most %.0f", sent[secondCache], most)
 	}
-	if limit := 2 * 0.19 * 144 * 2.0; sent[32] > limit {
-		t.Errorf("the warming parent was sent %.0f s of work, want at most %.0f", sent[32], limit)
+	if most := 2 * 0.19 * 144 * 2.0; sent[secondParent] > most {
+		t.Errorf("the warming parent was sent %.0f s of work, want at most %.0f", sent[secondParent], most)
 	}
-	one := newHarness(t, settings(), list)
-	one.router.peakThroughput[cache] = 0.01 // it has seen its caches carry next to nothing
+}
+
+// Where the budget is less than one piece of work, as many routers send one as it pays for.
+func TestSmallSlowStartBudgetIsDrawnByLot(t *testing.T) {
+	const routers, work = 1000, 0.4
+	list := fleet()
+	list[1].StartedAt = 1000 * second
+	harness := newHarness(t, settings(), list)
+	router := harness.router
+	router.peakThroughput[cache] = 0.01 // it has seen its caches carry next to nothing
+	warming := router.servers[1]
 	senders := 0
-	for one.router.seed = range uint64(1000) {
-		s := one.router.servers[1]
-		if s.recentWork = nil; one.router.withinSlowStartBudget(s, 0.4) {
+	for router.seed = range uint64(routers) {
+		warming.recentWork = nil
+		if router.withinSlowStartBudget(warming, work) {
 			senders++
 		}
 	}
-	if want := 1000 * slowStartMargin * 2 * 0.2 * 0.01 * 2 / 0.4; float64(senders) > 2*want || senders == 0 {
-		t.Errorf("%d of 1000 routers send a first request, want about %.0f", senders, want)
+	expected := routers * slowStartMargin * 2 * 0.2 * 0.01 * 2 / work
+	if float64(senders) > 2*expected || senders == 0 {
+		t.Errorf("%d of %d routers send a first request, want 1 to %.0f", senders, routers, 2*expected)
 	}
 }
 
 // A zone that lost all its caches tells nothing of what one carries. Symptom guarded against:
 // endless budgets for the first that came back.
 func TestRemovedServersTeachNoThroughput(t *testing.T) {
-	f := newHarness(t, settings(), fleet())
-	g := f.singleAttempt(f.request(Request{Object: 1, SizeKB: 500}))
-	f.handle(EndpointUpdate{Snapshot: true, Servers: fleet()[3:]})
-	before := f.router.peakThroughput[cache]
-	f.finish(g, 0, Served, Hit)
-	if after := f.router.peakThroughput[cache]; after > before {
-		t.Errorf("the caches are taken to carry %v, was %v", after, before)
+	harness := newHarness(t, settings(), fleet())
+	sent := harness.requestOne(Request{Object: 1, SizeKB: 500})
+	harness.handle(EndpointUpdate{Snapshot: true, Servers: fleet()[3:]})
+	before := harness.router.peakThroughput[cache]
+	harness.finish(sent, 0, Served, Hit)
+	if after := harness.router.peakThroughput[cache]; after > before {
+		t.Errorf("the caches are taken to carry %v, want at most %v", after, before)
 	}
 }
 
 // A router that restarted has seen no throughput. Where all caches are warming up and their weights
 // count transfers, it sends its quota and no more.
 func TestSlowStartBudgetFromWeights(t *testing.T) {
-	s := settings()
-	s.WeightIsCapacity = true
-	list := slices.Concat(fleet()[:1], fleet()[4:])
-	list[0].Weight, list[0].StartedAt = 10, 1000*sec
-	list[1].Weight, list[2].Weight = 100, 100
-	f := newHarness(t, s, list)
+	config := settings()
+	config.WeightIsCapacity = true
+	list := without(secondCache, thirdCache, remoteCache)
+	warming := &list[0]
+	warming.Weight = 10
+	warming.StartedAt = 1000 * second
+	list[1].Weight = 100
+	list[2].Weight = 100
+	harness := newHarness(t, config, list)
 	work := 0.0
 	for i := range 400 {
-		f.now += 5 * ms
-		for _, g := range sendActions(f.request(Request{Object: ObjectID(i + 1), SizeKB: 100})) {
-			if g.Server == list[0].ID {
+		harness.now += 5 * millisecond
+		actions := harness.request(Request{Object: ObjectID(i + 1), SizeKB: 100})
+		for _, sent := range sendActions(actions) {
+			if sent.Server == warming.ID {
 				work += 0.1
 			}
-			f.finishWithoutStatus(g, 0, Served, 100*ms)
+			harness.finishWithoutStatus(sent, 0, Served, 100*millisecond)
 		}
 	}
 	// The slow start is at 0.2 to 0.36 of 10 transfers, and twice that for 2 s is too much.
-	if limit := 2 * 0.2 * 10 * 2.0; work == 0 || work > limit {
-		t.Errorf("a warming cache was sent %.1f s of work, want some and at most %.1f", work, limit)
+	if most := 2 * 0.2 * 10 * 2.0; work == 0 || work > most {
+		t.Errorf("a warming cache was sent %.1f s of work, want some and at most %.1f", work, most)
 	}
 }
 
-// All routers of a zone together spare caches that restart at the same time, though each keeps to its
-// own quota, has seen its caches carry much while others were ejected, and its traffic is several
-// times that of others.
-func TestManyRoutersSpareWarmingCaches(t *testing.T) {
-	const routers, weight = 8, 6.0
-	set := settings()
-	set.WeightIsCapacity, set.BodyBytesPerSecond, set.AllowBypass = true, 100_000, false
-	set.RoutersByZone, set.Routers = []int{0, routers, 1}, routers+1
-	set.CacheSlowStart = SlowStart{InitialCapacity: 0.15, Duration: 16 * sec, OverloadFactor: 3, OverloadWindow: 1500 * ms}
-	list := fleet()
-	for i := range list {
-		list[i].Weight = weight
-	}
-	harnesses := newZone(t, set, list, routers)
-	restartedAt := 1010 * sec
-	sent := map[ServerID][]sentWork{}
-	for now := 1000 * sec; now < 1030*sec; now += 5 * ms {
-		if now == restartedAt {
-			for i := range 3 {
-				list[i].StartedAt = restartedAt
-			}
-			for _, f := range harnesses {
-				f.now = now
-				f.handle(EndpointUpdate{Servers: slices.Clone(list[:3])})
-			}
-		}
-		for i, f := range harnesses {
-			f.now = now
-			every := 200 * ms
-			if int(now/(2*sec))%routers == i { // one after another has ten times the traffic
-				every /= 10
-			}
-			if now%every != 0 {
-				continue
-			}
-			for _, g := range sendActions(f.request(Request{Object: ObjectID(int(now/ms)*routers + i), Timeout: 6 * sec})) {
-				if now >= restartedAt {
-					sent[g.Server] = append(sent[g.Server], sentWork{now, 0.3})
-				}
-				f.handle(Outcome{ID: g.ID, Server: g.Server, Result: Served, Duration: 300 * ms, BodyBytes: 30_000, RequestDone: true})
-			}
-		}
-	}
-	checkLoads(t, sent, list[:3], set.CacheSlowStart)
+// warmingZone is a zone whose caches restart at the same time, with several routers.
+type warmingZone struct {
+	routers     []*harness
+	caches      []Server
+	restartedAt time.Duration
+	sent        map[ServerID][]sentWork // after the restart
+}
+
+// sentWork is work sent to a server, in seconds of transfer time.
+type sentWork struct {
+	at      time.Duration
+	seconds float64
 }
 
-// newZone starts several routers that differ in their seeds.
-func newZone(t *testing.T, settings Settings, list []Server, routers int) (harnesses []*harness) {
+// newWarmingZone starts several routers that differ in their seeds.
+func newWarmingZone(t *testing.T, config Settings, list []Server, routers int) *warmingZone {
 	t.Helper()
+	zone := &warmingZone{caches: list[:3], restartedAt: 1010 * second, sent: map[ServerID][]sentWork{}}
 	for i := range routers {
-		r, err := New(settings, uint64(i))
-		if err != nil {
-			t.Fatal(err)
+		zone.routers = append(zone.routers, newSeededHarness(t, config, list, uint64(i)))
+	}
+	return zone
+}
+
+// restart tells all routers that all caches have just started.
+func (z *warmingZone) restart() {
+	for i := range z.caches {
+		z.caches[i].StartedAt = z.restartedAt
+	}
+	for _, router := range z.routers {
+		router.now = z.restartedAt
+		router.handle(EndpointUpdate{Servers: slices.Clone(z.caches)})
+	}
+}
+
+// requestInterval is the time between two requests to a router: one after another has ten times the
+// traffic of the others.
+func (z *warmingZone) requestInterval(index int, now time.Duration) time.Duration {
+	const interval = 200 * millisecond
+	busyRouter := int(now/(2*second)) % len(z.routers)
+	if index == busyRouter {
+		return interval / 10
+	}
+	return interval
+}
+
+// request sends a request to a router and has it served at once.
+func (z *warmingZone) request(index int, now time.Duration) {
+	router := z.routers[index]
+	router.now = now
+	object := ObjectID(int(now/millisecond)*len(z.routers) + index)
+	for _, sent := range sendActions(router.request(Request{Object: object})) {
+		if now >= z.restartedAt {
+			z.sent[sent.Server] = append(z.sent[sent.Server], sentWork{at: now, seconds: 0.3})
 		}
-		f := &harness{T: t, router: r, now: 1000 * sec, nextID: 1}
-		f.handle(EndpointUpdate{Snapshot: true, Servers: list})
-		harnesses = append(harnesses, f)
+		router.handle(Outcome{
+			ID: sent.ID, Server: sent.Server, Result: Served,
+			Duration: 300 * millisecond, BodyBytes: 30_000, RequestDone: true,
+		})
 	}
-	return harnesses
 }
 
-// checkLoads fails the test where a server was sent more than it can bear, or next to nothing.
-func checkLoads(t *testing.T, sent map[ServerID][]sentWork, list []Server, slowStart SlowStart) {
-	t.Helper()
-	for _, c := range list {
-		most := highestLoad(sent[c.ID], slowStart, c.Weight, c.StartedAt)
-		t.Logf("cache %d: %.2f of what it can bear", c.ID, most)
-		if most > 1 {
-			t.Errorf("cache %d was sent %.2f times of what it can bear within %v", c.ID, most, slowStart.OverloadWindow)
+// All routers of a zone together spare caches that restart at the same time, though each keeps to its
+// own quota, has seen its caches carry much while others were ejected, and its traffic is several
+// times that of others.
+func TestManyRoutersSpareWarmingCaches(t *testing.T) {
+	const routers = 8
+	config := settings()
+	config.WeightIsCapacity = true
+	config.BodyBytesPerSecond = 100_000
+	config.AllowBypass = false
+	config.RoutersByZone = []int{0, routers, 1}
+	config.Routers = routers + 1
+	config.CacheSlowStart = SlowStart{
+		InitialCapacity: 0.15, Duration: 16 * second, OverloadFactor: 3, OverloadWindow: 1500 * millisecond,
+	}
+	zone := newWarmingZone(t, config, fleetOfWeight(6), routers)
+	for now := 1000 * second; now < 1030*second; now += 5 * millisecond {
+		if now == zone.restartedAt {
+			zone.restart()
 		}
-		if most < 0.2 {
-			t.Errorf("cache %d was sent next to nothing, %.2f of what it can bear", c.ID, most)
+		for index := range zone.routers {
+			if now%zone.requestInterval(index, now) == 0 {
+				zone.request(index, now)
+			}
 		}
 	}
+	for _, listed := range zone.caches {
+		checkLoad(t, zone.sent[listed.ID], listed, config.CacheSlowStart)
+	}
 }
 
-// sentWork is work sent to a server, in seconds of transfer time.
-type sentWork struct {
-	at      time.Duration
-	seconds float64
+// checkLoad fails the test where a server was sent more than it can bear, or next to nothing.
+func checkLoad(t *testing.T, sent []sentWork, listed Server, slowStart SlowStart) {
+	t.Helper()
+	most := highestLoad(sent, slowStart, listed.Weight, listed.StartedAt)
+	t.Logf("cache %d: %.2f of what it can bear", listed.ID, most)
+	if most < 0.2 || most > 1 {
+		t.Errorf("cache %d was sent %.2f of what it can bear within %v, want 0.2 to 1",
+			listed.ID, most, slowStart.OverloadWindow)
+	}
 }
 
 // highestLoad is the most work that a server was sent within any window, as a part of what overloads
@@ -209,16 +252,18 @@
 func highestLoad(sent []sentWork, slowStart SlowStart, weight float64, startedAt time.Duration) float64 {
 	most := 0.0
 	for i, last := range sent {
+		windowStart := last.at - slowStart.OverloadWindow
 		sum := 0.0
 		for _, piece := range sent[:i+1] {
-			if piece.at > last.at-slowStart.OverloadWindow {
+			if piece.at > windowStart {
 				sum += piece.seconds
 			}
 		}
-		warmed := float64(last.at-slowStart.OverloadWindow-startedAt) / float64(slowStart.Duration)
+		warmed := float64(windowStart-startedAt) / float64(slowStart.Duration)
 		part := min(1, slowStart.InitialCapacity+(1-slowStart.InitialCapacity)*warmed)
 		capacity := max(slowStart.InitialCapacity, part) * weight
-		most = max(most, sum/(slowStart.OverloadFactor*capacity*slowStart.OverloadWindow.Seconds()))
+		overload := slowStart.OverloadFactor * capacity * slowStart.OverloadWindow.Seconds()
+		most = max(most, sum/overload)
 	}
 	return most
 }
