--- /dev/null
+++ b/routing/simulated_events_test.go
@@ -0,0 +1,217 @@
+package routing_test
+
+import (
+	"slices"
+	"time"
+
+	"garnetline/routing"
+)
+
+// milliseconds draws a time from least to less than least+span milliseconds.
+func (s *simulation) milliseconds(least, span int) time.Duration {
+	return time.Duration(least+s.random.IntN(span)) * time.Millisecond
+}
+
+// sendRequest sends the next request, and sets when the one after it comes.
+func (s *simulation) sendRequest() {
+	request := s.drawRequest()
+	s.nextID++
+	s.handle(request)
+	if s.random.IntN(60) == 0 {
+		delay := time.Duration(s.random.Int64N(int64(time.Second)))
+		s.after(delay, func() { s.disconnect(request.ID) })
+	}
+	if s.random.IntN(400) == 0 {
+		s.handle(request) // an id that is open already, or is used again
+	}
+	interval := s.random.ExpFloat64() / (s.rate * s.load)
+	s.after(time.Duration(interval*float64(time.Second)), s.sendRequest)
+}
+
+// drawRequest draws a request and books it, unless its class was never announced.
+func (s *simulation) drawRequest() routing.Request {
+	class := []int{0, 0, 0, 1, 1, 1, 1, 2, 3, 4, 5}[s.random.IntN(11)]
+	deadline := s.routerSettings.Classes[class].Deadline
+	request := routing.Request{
+		ID:          s.nextID,
+		Class:       class,
+		Chunk:       s.random.IntN(3),
+		PurgeGroup:  s.random.IntN(4),
+		Timeout:     deadline,
+		ClientRetry: s.random.IntN(9) == 0,
+	}
+	request.Object = routing.ObjectID(1 + s.random.IntN(400)/(1+s.random.IntN(40)))
+	if s.random.IntN(12) == 0 {
+		request.Timeout = time.Duration(1 + s.random.Int64N(int64(deadline)))
+	}
+	if s.sizes && s.random.IntN(15) != 0 {
+		request.SizeKB = s.sizeKB(request)
+	}
+	if s.random.IntN(300) == 0 {
+		request.Class = len(s.routerSettings.Classes) + 1 // never announced
+		return request
+	}
+	s.open[request.ID] = request
+	return request
+}
+
+func (s *simulation) disconnect(id routing.RequestID) {
+	delete(s.open, id)
+	s.handle(routing.ClientDisconnected{ID: id})
+}
+
+// changeRegime ends the faults of the last few seconds and begins others.
+func (s *simulation) changeRegime() {
+	s.conditions = conditions{load: 1, linkUtilization: 0.4, hitRatio: 0.7}
+	for _, server := range s.servers {
+		server.unresponsive = false
+		server.down = false
+		server.errorRate = 0.004
+		server.rejectionRate = 0.002
+		server.slowdown = 1
+	}
+	one := s.servers[s.random.IntN(len(s.servers))]
+	s.beginFault(s.random.IntN(14), one)
+	s.after(s.milliseconds(1500, 3500), s.changeRegime)
+}
+
+// beginFault begins a fault of one server, of the origin or of a kind.
+func (s *simulation) beginFault(regime int, one *simulatedServer) {
+	switch regime {
+	case 0:
+		s.load = 6
+	case 1:
+		one.unresponsive = true
+	case 2:
+		one.down = true
+	case 3:
+		one.errorRate = 0.7
+	case 4:
+		one.rejectionRate = 0.6
+	case 5:
+		one.slowdown = 12
+	case 6:
+		s.origin().slowdown = 80
+		s.hitRatio = 0.2
+	case 7:
+		s.origin().rejectionRate = 0.4
+		s.origin().errorRate = 0.3
+		s.hitRatio = 0.3
+	case 8:
+		s.conditions = conditions{load: 2, linkUtilization: 4, hitRatio: 0.3}
+	case 13:
+		s.origin().unresponsive = true
+		s.hitRatio = 0.3
+	default:
+		s.beginKindFault(regime)
+	}
+}
+
+// beginKindFault begins a fault that all servers of a kind have.
+func (s *simulation) beginKindFault(regime int) {
+	const cacheKind = 0
+	parentKind := s.routerSettings.ParentKind
+	switch regime {
+	case 9:
+		for _, server := range s.serversOfKind(parentKind) {
+			server.unresponsive = true
+		}
+	case 10:
+		for _, server := range s.serversOfKind(cacheKind) {
+			server.slowdown = 4
+			server.rejectionRate = 0.3
+		}
+	case 11:
+		for _, server := range s.serversOfKind(cacheKind) {
+			if server.listed.Zone == s.routerSettings.Zone {
+				s.restart(server)
+			}
+		}
+	case 12:
+		for _, server := range s.serversOfKind(parentKind) {
+			server.slowdown = 6
+			server.rejectionRate = 0.2
+		}
+		s.hitRatio = 0.3
+	}
+}
+
+// restart lists a server as removed and, after a moment, as freshly started.
+func (s *simulation) restart(server *simulatedServer) {
+	server.down = true
+	server.listed.Phase = routing.Removed
+	s.update(server.listed)
+	s.after(s.milliseconds(0, 1500), func() {
+		server.down = false
+		server.listed.Phase = routing.Ready
+		server.listed.StartedAt = s.now
+		s.update(server.listed)
+	})
+}
+
+func (s *simulation) update(listed routing.Server) {
+	s.handle(routing.EndpointUpdate{Servers: []routing.Server{listed}})
+}
+
+func (s *simulation) sendSnapshot() {
+	s.handle(routing.EndpointUpdate{Snapshot: true, Servers: s.list()})
+}
+
+// sendUpdates sends what comes from elsewhere: endpoint updates, purges, reports of other routers.
+func (s *simulation) sendUpdates() {
+	one := s.servers[s.random.IntN(len(s.servers))]
+	switch s.random.IntN(12) {
+	case 0:
+		one.listed.Phase = routing.Draining
+		s.update(one.listed)
+		s.after(s.milliseconds(0, 3000), func() { s.restart(one) })
+	case 1:
+		s.handle(routing.EndpointUpdate{Failed: true})
+	case 2:
+		s.sendSnapshot()
+	case 3:
+		object := routing.ObjectID(1 + s.random.IntN(400))
+		s.handle(routing.Purge{Object: object, Age: s.milliseconds(0, 900)})
+	case 4:
+		s.handle(routing.Purge{Group: s.random.IntN(4), Age: s.milliseconds(0, 900)})
+	case 5:
+		load := noLoad()
+		load.LinkUtilization = 3 * s.random.Float64()
+		s.handle(routing.PeerLoadReport{Server: one.listed.ID, Load: load, Age: s.milliseconds(0, 1200)})
+	case 6, 7:
+		s.handle(routing.ExtendEjection{Server: one.listed.ID, Until: s.now + s.milliseconds(0, 8000)})
+	case 8, 9:
+		s.handle(routing.RequireProbe{Server: one.listed.ID})
+	case 10:
+		s.handle(routing.Outcome{ID: s.nextID + 5, Load: noLoad()}) // of nobody
+		s.handle(routing.TimerFired{Token: s.random.Uint64()})
+	case 11:
+		s.listGuest()
+	}
+	s.after(s.milliseconds(100, 900), s.sendUpdates)
+}
+
+// listGuest lists a cache that comes for a second.
+func (s *simulation) listGuest() {
+	guest := routing.Server{
+		ID: 50 + routing.ServerID(s.random.IntN(3)), Zone: 1, Phase: routing.Ready, Weight: 6, StartedAt: s.now,
+	}
+	s.update(guest)
+	s.after(time.Second, func() {
+		guest.Phase = routing.Removed
+		s.update(guest)
+	})
+}
+
+// updateSettings gives the router other settings: one class more, other quotas.
+func (s *simulation) updateSettings() {
+	added := routing.Class{
+		Name: "new", LatencyObjective: 300 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1,
+	}
+	s.routerSettings.Classes = append(slices.Clone(s.routerSettings.Classes), added)
+	s.routerSettings.RoutersByZone = []int{0, 3, 1}
+	s.routerSettings.CacheSlowStart.InitialCapacity = 0.4
+	if err := s.router.UpdateSettings(s.routerSettings); err != nil {
+		s.trace.printf("settings not adopted")
+	}
+}
--- /dev/null
+++ b/routing/simulated_servers_test.go
@@ -0,0 +1,241 @@
+package routing_test
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"garnetline/routing"
+)
+
+// simulatedServer is one server: what is listed of it, and how it behaves at present.
+type simulatedServer struct {
+	listed        routing.Server
+	unresponsive  bool    // answers nothing
+	down          bool    // takes no connection
+	errorRate     float64 // part of its attempts that it fails
+	rejectionRate float64 // part of its attempts that it rejects
+	slowdown      float64 // by which all it does takes longer
+}
+
+// simulatedAttempt is an attempt that a server has in hand.
+type simulatedAttempt struct {
+	send    routing.SendAttempt
+	request routing.Request
+	index   int
+	started time.Duration
+	ended   bool
+}
+
+// list is the present endpoint list.
+func (s *simulation) list() []routing.Server {
+	var list []routing.Server
+	for _, server := range s.servers {
+		list = append(list, server.listed)
+	}
+	return list
+}
+
+// server returns a server; one that is not of the fleet takes no connection.
+func (s *simulation) server(id routing.ServerID) *simulatedServer {
+	for _, server := range s.servers {
+		if server.listed.ID == id {
+			return server
+		}
+	}
+	return &simulatedServer{down: true, slowdown: 1}
+}
+
+// origin is the last server of the fleet.
+func (s *simulation) origin() *simulatedServer { return s.servers[len(s.servers)-1] }
+
+func (s *simulation) serversOfKind(kind int) []*simulatedServer {
+	var list []*simulatedServer
+	for _, server := range s.servers {
+		if server.listed.Kind == kind {
+			list = append(list, server)
+		}
+	}
+	return list
+}
+
+// beginAttempt decides when and how an attempt will end.
+func (s *simulation) beginAttempt(send routing.SendAttempt) {
+	attempt := &simulatedAttempt{
+		send: send, request: s.open[send.ID], index: s.attemptCounts[send.ID], started: s.now,
+	}
+	s.attemptCounts[send.ID]++
+	s.inflight = append(s.inflight, attempt)
+	outcome, delay := s.drawOutcome(attempt)
+	if s.now+delay >= send.Deadline {
+		outcome.Result = routing.TimedOut
+		outcome.CacheStatus = routing.CacheStatusUnknown
+		outcome.RequestDone = false
+		outcome.BodyBytes = 0
+		delay = send.Deadline - s.now
+	}
+	if s.random.IntN(150) == 0 {
+		outcome.Result = routing.ConnectionLost
+		outcome.CacheStatus = routing.CacheStatusUnknown
+		outcome.RequestDone = false
+		s.after(delay, func() { s.breakConnections(send.Server) })
+	}
+	s.schedule(s.now+delay, &simulatedEvent{outcome: &outcome, attempt: attempt})
+}
+
+// breakConnections ends all that a server has in hand.
+func (s *simulation) breakConnections(id routing.ServerID) {
+	for _, attempt := range slices.Clone(s.inflight) {
+		if attempt.send.Server == id && !attempt.ended {
+			s.finish(attempt, routing.Outcome{Result: routing.ConnectionLost, Load: noLoad()})
+		}
+	}
+}
+
+func (s *simulation) cancelAttempt(canceled routing.CancelAttempt) {
+	for _, attempt := range s.inflight {
+		if attempt.send.ID != canceled.ID || attempt.index != canceled.Attempt || attempt.ended {
+			continue
+		}
+		outcome := &routing.Outcome{Result: routing.Canceled, Load: noLoad()}
+		s.schedule(s.now+2*time.Millisecond, &simulatedEvent{outcome: outcome, attempt: attempt})
+	}
+}
+
+// finish reports the end of an attempt, once.
+func (s *simulation) finish(attempt *simulatedAttempt, outcome routing.Outcome) {
+	if attempt.ended {
+		return
+	}
+	attempt.ended = true
+	s.inflight = slices.DeleteFunc(s.inflight, func(other *simulatedAttempt) bool { return other == attempt })
+	outcome.ID = attempt.send.ID
+	outcome.Attempt = attempt.index
+	outcome.Server = attempt.send.Server
+	outcome.Duration = s.now - attempt.started
+	if _, open := s.open[attempt.send.ID]; !open {
+		outcome.RequestDone = true
+	}
+	if outcome.Result == routing.Served {
+		delete(s.open, attempt.send.ID)
+	}
+	s.handle(outcome)
+}
+
+// drawOutcome draws the end of an attempt and the time until then.
+func (s *simulation) drawOutcome(attempt *simulatedAttempt) (routing.Outcome, time.Duration) {
+	target := s.server(attempt.send.Server)
+	outcome := routing.Outcome{Load: noLoad()}
+	if s.loads && s.random.IntN(3) > 0 {
+		outcome.Load.LinkUtilization = s.linkUtilization * (0.8 + 0.4*s.random.Float64())
+	}
+	quick := time.Duration(1+s.random.IntN(8)) * time.Millisecond
+	fills := attempt.send.FillSource != attempt.send.Server
+	isOrigin := target.listed.Kind == s.routerSettings.OriginKind
+	hit := !s.routerSettings.Classes[attempt.request.Class].Write && s.random.Float64() < s.hitRatio
+	switch {
+	case target.down:
+		outcome.Result = routing.ConnectFailed
+	case target.unresponsive:
+		return outcome, time.Hour
+	case s.random.IntN(400) == 0:
+		outcome.Result = routing.NotSent
+	case s.random.Float64() < target.rejectionRate:
+		outcome.Result = routing.Rejected
+		if fills && s.random.IntN(3) == 0 {
+			outcome.CacheStatus = s.status(routing.FillRejected)
+		}
+	case s.random.Float64() < target.errorRate:
+		outcome.Result = routing.ServerError
+	case hit && !isOrigin:
+		outcome.CacheStatus = s.status(routing.Hit, routing.Hit, routing.Hit, routing.StaleHit)
+		return s.served(attempt, outcome, s.transferSeconds(attempt)*target.slowdown, 0)
+	case !fills && !isOrigin:
+		outcome.Result = routing.NotCached
+		if s.random.IntN(20) == 0 { // it joined another request's fill, which failed
+			outcome.Result = routing.ServerError
+			outcome.CacheStatus = s.status(routing.SourceUnreachable)
+		}
+	default:
+		return s.drawFillOutcome(attempt, outcome, quick)
+	}
+	return outcome, quick
+}
+
+// drawFillOutcome draws the end of an attempt that its source fills.
+func (s *simulation) drawFillOutcome(
+	attempt *simulatedAttempt, outcome routing.Outcome, quick time.Duration,
+) (routing.Outcome, time.Duration) {
+	target, source := s.server(attempt.send.Server), s.server(attempt.send.FillSource)
+	seconds := s.transferSeconds(attempt) * max(target.slowdown, source.slowdown)
+	switch {
+	case source.unresponsive:
+		return outcome, time.Hour
+	case source.down:
+		outcome.Result = routing.ServerError
+		outcome.CacheStatus = s.status(routing.SourceUnreachable)
+		return outcome, quick
+	case s.random.Float64() < source.rejectionRate:
+		outcome.Result = routing.Rejected
+		outcome.CacheStatus = s.status(routing.SourceRejected)
+		return outcome, quick
+	case s.random.Float64() < source.errorRate:
+		outcome.Result = routing.ServerError
+		outcome.CacheStatus = s.status(routing.SourceUnreachable, routing.OriginFailed)
+		return outcome, 3 * quick
+	case attempt.send.OnlyIfCached && s.random.IntN(2) == 0:
+		outcome.Result = routing.NotCached
+		outcome.CacheStatus = s.status(routing.SourceMiss)
+		return outcome, quick
+	case s.random.IntN(3) == 0:
+		outcome.CacheStatus = s.status(routing.FilledByOrigin)
+		return s.served(attempt, outcome, seconds, 0.04*s.origin().slowdown)
+	}
+	outcome.CacheStatus = s.status(routing.Filled, routing.Filled, routing.JoinedFill)
+	return s.served(attempt, outcome, seconds, 0.01*source.slowdown)
+}
+
+// served is a success that waits for its source and then takes some seconds to send.
+func (s *simulation) served(
+	attempt *simulatedAttempt, outcome routing.Outcome, sending, wait float64,
+) (routing.Outcome, time.Duration) {
+	outcome.Result = routing.Served
+	outcome.RequestDone = true
+	if s.routerSettings.BodyBytesPerSecond > 0 {
+		outcome.BodyBytes = int(s.sizeKB(attempt.request) / 1000 * s.routerSettings.BodyBytesPerSecond)
+	}
+	if s.statuses && !s.routerSettings.HitStatusOnly {
+		outcome.SourceWait = time.Duration(wait * float64(time.Second))
+	}
+	took := (wait + sending) * (0.7 + 0.8*s.random.Float64())
+	return outcome, outcome.SourceWait + time.Duration(took*float64(time.Second))
+}
+
+// status draws one of several cache statuses; where a deployment does not tell it, it is unknown.
+func (s *simulation) status(statuses ...routing.CacheStatus) routing.CacheStatus {
+	status := statuses[0]
+	if len(statuses) > 1 {
+		status = statuses[s.random.IntN(len(statuses))]
+	}
+	failureUntold := s.routerSettings.HitStatusOnly && status >= routing.SourceRejected
+	if !s.statuses || failureUntold {
+		return routing.CacheStatusUnknown
+	}
+	return status
+}
+
+// sizeKB is the size of an object's chunk in KB.
+func (s *simulation) sizeKB(request routing.Request) float64 {
+	return float64(5 + (uint64(request.Object)*7919+uint64(request.Chunk)*104729)%400)
+}
+
+// transferSeconds is the time that sending an attempt's response takes at full pace.
+func (s *simulation) transferSeconds(attempt *simulatedAttempt) float64 {
+	return s.sizeKB(attempt.request) / 1000
+}
+
+// noLoad is the report of a server that reports nothing.
+func noLoad() routing.LoadReport {
+	nan := math.NaN()
+	return routing.LoadReport{Inflight: nan, CPUUtilization: nan, HitRatio: nan, LinkUtilization: nan}
+}
