--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -45,6 +45,7 @@
 	server.ready = listed.Phase == Ready
 }
 
+// roleOf is what a listed server does for this router.
 func (r *Router) roleOf(listed Server) role {
 	switch listed.Kind {
 	case r.settings.OriginKind:
--- a/routing/guard.go
+++ b/routing/guard.go
@@ -9,11 +9,11 @@
 // have been queued after it was decided on. A Guard is immutable: any goroutine may use it.
 type Guard struct {
 	Ready          map[ServerID]bool // listed, and neither draining nor removed
-	Purges         []PurgeRecord
-	PurgeRetention time.Duration // after it a purge has left no older copy
-	PurgeGrace     time.Duration // after it a purge binds
-	PurgesSeen     bool          // purges happen here
-	LastEventAt    time.Duration // latest event of the watch stream; 0: there is none
+	Purges         []PurgeRecord     // from which older copies may be left
+	PurgeRetention time.Duration     // after it a purge has left no older copy
+	PurgeGrace     time.Duration     // after it a purge binds
+	PurgesSeen     bool              // purges happen here
+	LastEventAt    time.Duration     // latest event of the watch stream; 0: there is none
 }
 
 // Excludes reports whether nothing new may go to a server, as target or as source.
@@ -84,11 +84,12 @@
 
 // PurgeRecord is a purge and when it was made.
 type PurgeRecord struct {
-	Object ObjectID // 0: the whole group
-	Group  int
-	At     time.Duration
+	Object ObjectID      // 0: the whole group
+	Group  int           // where Object is 0
+	At     time.Duration // when it was made, by the clock of Handle
 }
 
+// covers reports whether a purge concerns an object of a group.
 func (p PurgeRecord) covers(object ObjectID, group int) bool {
 	if p.Object != 0 {
 		return p.Object == object
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -12,8 +12,8 @@
 	return !probing || server.inflight == 0
 }
 
-// AppendEjected appends the servers listed as ready that are ejected, or probed and have not
-// responded since.
+// AppendEjected appends to ids the servers listed as ready that are ejected, or probed and have not
+// responded since, and returns the result.
 func (r *Router) AppendEjected(ids []ServerID) []ServerID {
 	for _, server := range r.servers {
 		if server.ready && server.ejections > 0 {
@@ -23,7 +23,8 @@
 	return ids
 }
 
-// UnavailableCount returns how many servers listed as ready are not chosen at present.
+// UnavailableCount returns how many servers listed as ready are not chosen at the time of the latest
+// event.
 func (r *Router) UnavailableCount() int64 {
 	count := int64(0)
 	for _, server := range r.servers {
--- a/routing/records.go
+++ b/routing/records.go
@@ -89,6 +89,7 @@
 	timerKindMask     = 1<<timerKindBits - 1
 )
 
+// timerToken is the token of a timer of a kind for a request.
 func timerToken(request *request, kind uint64) uint64 {
 	return uint64(request.ID)<<timerKindBits | kind
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Router makes the routing decisions of one edge router. It is not safe for concurrent use.
+// Router makes the routing decisions of one edge router. Only one goroutine may use it at a time, all
+// its methods included.
 type Router struct {
 	settings          Settings
 	seed              uint64
@@ -42,7 +43,8 @@
 }
 
 // UpdateSettings replaces the settings and keeps what is known of servers, objects and requests.
-// Settings that cannot be used change nothing; the error wraps a *SettingError.
+// Classes are told apart by their index. Settings that cannot be used change nothing; the error wraps
+// a *SettingError.
 func (r *Router) UpdateSettings(settings Settings) error {
 	if err := settings.validate(); err != nil {
 		return fmt.Errorf("routing: %w", err)
@@ -63,8 +65,8 @@
 	return nil
 }
 
-// Handle handles one event at the time now and appends the actions that it calls for to actions.
-// Times count from any one moment and never decrease.
+// Handle handles one event at the time now and returns actions with those appended that the event
+// calls for. Times count from any one moment and never decrease.
 func (r *Router) Handle(now time.Duration, event Event, actions []Action) []Action {
 	r.now = now
 	r.actions = actions
@@ -95,6 +97,7 @@
 	return actions
 }
 
+// emit adds an action to those that the event being handled calls for.
 func (r *Router) emit(action Action) { r.actions = append(r.actions, action) }
 
 // handleTimer handles the firing of a timer; its request may have ended since.
--- a/routing/transfertime.go
+++ b/routing/transfertime.go
@@ -68,6 +68,7 @@
 	*mean += (seconds - *mean) * meanTransferTimeGain
 }
 
+// secondsToDuration converts seconds, rounding towards zero.
 func secondsToDuration(seconds float64) time.Duration {
 	return time.Duration(seconds * float64(time.Second))
 }
