--- a/routing/constants.go
+++ b/routing/constants.go
@@ -6,8 +6,8 @@
 // it. A value without a unit is a ratio. "Inherited" values came with the first version of the
 // package (commit 4492091); no measurement of them is recorded and none was made since, unless
 // their comment names one. A measurement names the commit whose message records it. Scores are
-// those of the load test: 1 is the best, "G" is the part of the day's priority that was served in
-// time, and the simulator's quick run is called "simulator quick".
+// those of the load test, 1 is the best; G is the figure of one of its days that the day's score is
+// computed from, and "simulator quick" is the quick run of the simulator.
 
 // Popularity of objects.
 const (
