--- a/routing/selection.go
+++ b/routing/selection.go
@@ -69,9 +69,9 @@
 }
 
 // fillSource returns who fills a miss at a cache: the source, or nobody, which is the cache itself.
-func (r *Router) fillSource(request *request, cache, source *server) *server {
+func (r *Router) fillSource(request *request, target, source *server) *server {
 	if source == nil || r.looksFirst(request, source) {
-		return cache
+		return target
 	}
 	return source
 }
