--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -265,8 +265,9 @@
 
 // respondedLately reports whether a server has responded since a time or, for a cache, lately.
 //
-// Symptom guarded against: a router with few requests hears little of each cache and took the
-// slowness after a purge of everything for silence; eighty of them canceled and filled elsewhere.
+// Symptom guarded against: a router with few requests receives few responses of each cache, and took
+// caches that were slow after a purge of everything for unresponsive; eighty routers canceled their
+// attempts and had other caches fill the objects again.
 func (r *Router) respondedLately(server *server, since time.Duration) bool {
 	if server.lastResponseAt > since {
 		return true
--- a/routing/records.go
+++ b/routing/records.go
@@ -26,12 +26,12 @@
 	ready               bool          // listed as ready
 	warmingSince        time.Duration // start of its slow start
 	unresponsive        bool          // did not respond at all, and has not since
-	consecutiveFailures int
+	consecutiveFailures int           // since its latest success
 	ejections           int           // in a row
 	ejectedUntil        time.Duration // 0: not ejected
 	errorRate           float64       // smoothed, of the attempts it takes part in
-	errorRateUpdatedAt  time.Duration
-	connectionLostAt    time.Duration
+	errorRateUpdatedAt  time.Duration // when errorRate changed last
+	connectionLostAt    time.Duration // when a failed connection counted last
 	lastResponseAt      time.Duration // for a source: latest fill
 	slowdown            decayingRatio // of responses, over what their bytes need
 	inflight            int           // attempts that name it
@@ -63,16 +63,16 @@
 type request struct {
 	Request
 	class            *Class
-	meanTransferTime *float64 // of its class, seconds
-	deadline         time.Duration
+	meanTransferTime *float64      // of its class, seconds
+	deadline         time.Duration // its client gives up then
 	objectiveAt      time.Duration // a response until then meets the latency objective
 	popularity       float64       // of its object
-	attempts         []*attempt
-	inflight         int       // attempts that have not ended
-	excluded         []*server // that failed it
-	cacheMissed      bool      // a look found no copy
-	sourceMissed     bool      // its parent has none either
-	queued           bool
+	attempts         []*attempt    // oldest first
+	inflight         int           // attempts that have not ended
+	excluded         []*server     // that failed it
+	cacheMissed      bool          // a look found no copy
+	sourceMissed     bool          // its parent has none either
+	queued           bool          // it is in the queue
 	queueUntil       time.Duration // once it was queued
 	valuePerSecond   float64       // of transfer time, once it was queued
 }
