--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -6,7 +6,7 @@
 // are not chosen from now on.
 func (r *Router) handleEndpointUpdate(update EndpointUpdate) {
 	if update.Failed {
-		r.emit(SetTimer{subscribeRetryInterval, timerSubscribe})
+		r.emit(SetTimer{Delay: subscribeRetryInterval, Token: timerSubscribe})
 		return
 	}
 	first := !r.initialized
@@ -45,6 +45,7 @@
 	server.ready = listed.Phase == Ready
 }
 
+// roleOf is what a listed server does for this router.
 func (r *Router) roleOf(listed Server) role {
 	switch listed.Kind {
 	case r.settings.OriginKind:
@@ -73,21 +74,17 @@
 	}
 }
 
-// weight is a server's capacity relative to its peers.
-func (r *Router) weight(server *server) float64 {
-	if r.settings.WeightIsCapacity {
-		return max(server.Weight, minWeight)
-	}
-	return 1
-}
-
 // expired reports whether a server was removed so long ago that no late start event concerns it.
 func (r *Router) expired(server *server) bool {
 	if server.ready {
 		return false
 	}
 	pieces := len(server.recentWork)
-	return pieces == 0 || server.recentWork[pieces-1].updatedAt < r.now-serverRetention
+	if pieces == 0 {
+		return true
+	}
+	lastUsedAt := server.recentWork[pieces-1].updatedAt
+	return lastUsedAt < r.now-serverRetention
 }
 
 // readyServer returns a server that is listed as ready, or nil.
@@ -99,25 +96,3 @@
 	}
 	return nil
 }
-
-// AppendEjected appends the servers listed as ready that are ejected, or probed and have not
-// responded since.
-func (r *Router) AppendEjected(ids []ServerID) []ServerID {
-	for _, server := range r.servers {
-		if server.ready && server.ejections > 0 {
-			ids = append(ids, server.ID)
-		}
-	}
-	return ids
-}
-
-// UnavailableCount returns how many servers listed as ready are not chosen at present.
-func (r *Router) UnavailableCount() int64 {
-	count := int64(0)
-	for _, server := range r.servers {
-		if server.ready && !r.available(server) {
-			count++
-		}
-	}
-	return count
-}
--- a/routing/guard.go
+++ b/routing/guard.go
@@ -9,11 +9,11 @@
 // have been queued after it was decided on. A Guard is immutable: any goroutine may use it.
 type Guard struct {
 	Ready          map[ServerID]bool // listed, and neither draining nor removed
-	Purges         []PurgeRecord
-	PurgeRetention time.Duration // after it a purge has left no older copy
-	PurgeGrace     time.Duration // after it a purge binds
-	PurgesSeen     bool          // purges happen here
-	LastEventAt    time.Duration // latest event of the watch stream; 0: there is none
+	Purges         []PurgeRecord     // from which older copies may be left
+	PurgeRetention time.Duration     // after it a purge has left no older copy
+	PurgeGrace     time.Duration     // after it a purge binds
+	PurgesSeen     bool              // purges happen here
+	LastEventAt    time.Duration     // latest event of the watch stream; 0: there is none
 }
 
 // Excludes reports whether nothing new may go to a server, as target or as source.
@@ -28,7 +28,8 @@
 // Symptom guarded against: an attempt decided on just before a purge is written after it, and is
 // answered from the old copy.
 func (g *Guard) MaxAge(now, age time.Duration, object ObjectID, group int) time.Duration {
-	if g.watchStale(now) && (age == 0 || age > g.PurgeGrace) {
+	exceedsGrace := age == 0 || age > g.PurgeGrace
+	if exceedsGrace && g.watchStale(now) {
 		age = g.PurgeGrace
 	}
 	for _, purge := range g.Purges {
@@ -54,7 +55,8 @@
 	}
 	return slices.ContainsFunc(g.Purges, func(purge PurgeRecord) bool {
 		ofAnyGroup := purge.Object == 0 && group < 0
-		return g.binds(purge, now) && (purge.covers(object, group) || ofAnyGroup)
+		matches := ofAnyGroup || purge.covers(object, group)
+		return matches && g.binds(purge, now)
 	})
 }
 
@@ -68,7 +70,10 @@
 // Symptom guarded against: with the watch stream cut off a purge binds all the same. It might hurt
 // for as long as that lasts: copies must be nearly new.
 func (g *Guard) watchStale(now time.Duration) bool {
-	return g.PurgesSeen && g.LastEventAt != 0 && now > g.LastEventAt+watchStaleAfter
+	if !g.PurgesSeen || g.LastEventAt == 0 {
+		return false
+	}
+	return now > g.LastEventAt+watchStaleAfter
 }
 
 // maxCopyAge returns the age of the oldest copy that will do for a request: fresh, and younger than
@@ -76,3 +81,29 @@
 func (r *Router) maxCopyAge(request *request) time.Duration {
 	return r.purgeLog.MaxAge(r.now, request.class.FreshnessLifetime, request.Object, request.PurgeGroup)
 }
+
+// PurgeRecord is a purge and when it was made.
+type PurgeRecord struct {
+	Object ObjectID      // 0: the whole group
+	Group  int           // where Object is 0
+	At     time.Duration // when it was made, by the clock of Handle
+}
+
+// covers reports whether a purge concerns an object of a group.
+func (p PurgeRecord) covers(object ObjectID, group int) bool {
+	if p.Object != 0 {
+		return p.Object == object
+	}
+	return p.Group == group
+}
+
+// handlePurge records a purge and forgets those that have left no older copy.
+func (r *Router) handlePurge(event Purge) {
+	retention := r.settings.PurgeRetention
+	r.purgeLog.PurgeRetention = retention
+	r.purgeLog.Purges = slices.DeleteFunc(r.purgeLog.Purges, func(purge PurgeRecord) bool {
+		return purge.At+retention < r.now
+	})
+	purge := PurgeRecord{Object: event.Object, Group: event.Group, At: r.now - event.Age}
+	r.purgeLog.Purges = append(r.purgeLog.Purges, purge)
+}
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -5,7 +5,34 @@
 // available reports whether a server may be chosen: it is not ejected and, until it has responded
 // after an ejection, nothing else is in flight to it.
 func (r *Router) available(server *server) bool {
-	return server.ready && r.now >= server.ejectedUntil && (server.ejections == 0 || server.inflight == 0)
+	if !server.ready || r.now < server.ejectedUntil {
+		return false
+	}
+	probing := server.ejections > 0
+	return !probing || server.inflight == 0
+}
+
+// AppendEjected appends to ids the servers listed as ready that are ejected, or probed and have not
+// responded since, and returns the result.
+func (r *Router) AppendEjected(ids []ServerID) []ServerID {
+	for _, server := range r.servers {
+		if server.ready && server.ejections > 0 {
+			ids = append(ids, server.ID)
+		}
+	}
+	return ids
+}
+
+// UnavailableCount returns how many servers listed as ready are not chosen at the time of the latest
+// event.
+func (r *Router) UnavailableCount() int64 {
+	count := int64(0)
+	for _, server := range r.servers {
+		if server.ready && !r.available(server) {
+			count++
+		}
+	}
+	return count
 }
 
 // recordFailure records a failure of a server, which may eject it, each time for twice as long.
@@ -14,7 +41,9 @@
 	if r.now < server.ejectedUntil {
 		return
 	}
-	if server.consecutiveFailures >= consecutiveFailureLimit || server.ejections > 0 || r.isOutlier(server) {
+	failing := server.consecutiveFailures >= consecutiveFailureLimit
+	probeFailed := server.ejections > 0
+	if failing || probeFailed || r.isOutlier(server) {
 		doublings := min(server.ejections, maxEjectionDoublings)
 		server.ejectedUntil = r.now + min(firstEjectionTime<<doublings, maxEjectionTime)
 		server.ejections++
@@ -47,7 +76,7 @@
 	for _, peer := range r.readyByRole[server.role] {
 		least = min(least, peer.errorRate)
 	}
-	return server.errorRate > outlierErrorMargin+2*least
+	return server.errorRate > outlierErrorMargin+outlierErrorRatio*least
 }
 
 // recordErrorRates records with both servers of an attempt whether it failed.
@@ -86,11 +115,13 @@
 	if outcome.CacheStatus != CacheStatusUnknown && !r.settings.HitStatusOnly {
 		r.cacheStatusKnown = true
 	}
-	if outcome.Result == Served || outcome.Result == ServerError {
-		r.recordErrorRates(attempt, outcome.Result == ServerError)
+	served := outcome.Result == Served
+	failed := outcome.Result == ServerError
+	if served || failed {
+		r.recordErrorRates(attempt, failed)
 	}
 	switch {
-	case outcome.Result == Served:
+	case served:
 		r.recordServed(attempt, &outcome)
 	case originSlow || attempt.failedWithSharedFill(outcome.CacheStatus):
 		// It is the origin's fault, or of a source that is not known here.
@@ -99,6 +130,36 @@
 	}
 }
 
+// recordServed records what a served attempt tells of its servers, the origin and the object's size.
+func (r *Router) recordServed(attempt *attempt, outcome *Outcome) {
+	transfer := r.measureTransfer(attempt.request, outcome)
+	if transfer.measured {
+		slowdown := outcome.Duration.Seconds() / (transfer.seconds + responseTimeAllowance)
+		r.recordSlowdown(attempt.target, slowdown)
+	}
+	r.recordSuccess(attempt.target)
+	r.recordThroughput(attempt.target, transfer.seconds)
+	if attempt.source != attempt.target && outcome.CacheStatus.sourceServed() {
+		r.recordSuccess(attempt.source)
+		r.recordThroughput(attempt.source, transfer.seconds)
+	}
+	if outcome.CacheStatus == FilledByOrigin {
+		r.recordOriginLoad(attempt, outcome.SourceWait.Seconds()/r.longestObjective.Seconds())
+	} else if attempt.request.class.Write {
+		r.recordOriginLoad(attempt, outcome.Duration.Seconds()/r.longestObjective.Seconds())
+	}
+	r.recordPace(attempt, outcome, transfer)
+	r.learnTransferTime(attempt.request, outcome, transfer)
+}
+
+// sourceServed reports whether a success may be the source's too.
+//
+// Symptom guarded against: without cache status a source never counted as responding and was at
+// fault for every slow attempt, until all parents were ejected.
+func (s CacheStatus) sourceServed() bool {
+	return s.filled() || s == JoinedFill || s == CacheStatusUnknown
+}
+
 // showsSlowOrigin reports whether a failed attempt tells of an origin that is too slow.
 func (a *attempt) showsSlowOrigin(outcome *Outcome) bool {
 	if outcome.Result == TimedOut && a.suggestsOriginOverload() {
@@ -110,15 +171,17 @@
 // attributeFailure records a failure with the server whose fault it is.
 func (r *Router) attributeFailure(attempt *attempt, outcome *Outcome) {
 	target, source := attempt.target, attempt.source
+	status := outcome.CacheStatus
+	rejected := outcome.Result == Rejected
 	switch {
-	case outcome.CacheStatus == SourceRejected || outcome.CacheStatus == SourceUnreachable:
+	case status == SourceRejected || status == SourceUnreachable:
 		source.limiter.observe(r.now, rejectionUtilization, r.zoneFraction)
 		r.recordFailure(source)
-	case outcome.CacheStatus == OriginFailed || target.role == origin:
+	case status == OriginFailed || target.role == origin:
 		r.recordOriginLoad(attempt, rejectionUtilization)
-	case outcome.Result == Rejected && attempt.moreErrorProne() != target && r.isOutlier(source):
+	case rejected && attempt.moreErrorProne() != target && r.isOutlier(source):
 		r.recordFailure(source)
-	case outcome.Result == Rejected || outcome.CacheStatus == FillRejected:
+	case rejected || status == FillRejected:
 		target.limiter.observe(r.now, rejectionUtilization, r.zoneFraction)
 	case outcome.Result == NotCached:
 		r.recordSuccess(target)
@@ -139,20 +202,38 @@
 	request := attempt.request
 	r.recordOverdue(attempt)
 	suspect, atFault := r.findOverdueFault(attempt)
+	interval := r.checkInterval(request)
+	movable := r.settings.CanCancel && request.class.Idempotency == Idempotent
 	switch {
-	case r.now+r.checkInterval(request) > request.deadline: // too late for anything else
+	case r.now+interval > request.deadline:
+		// It is too late for anything else.
 	case !atFault || r.available(suspect):
-		r.emit(SetTimer{r.checkInterval(request), timerToken(request, timerCheckAttempt)})
-	case !r.mayAttempt(request):
-	case r.settings.CanCancel && request.class.Idempotency == Idempotent:
+		r.emit(SetTimer{Delay: interval, Token: timerToken(request, timerCheckAttempt)})
+	case movable && r.mayAttempt(request):
 		request.excluded = append(request.excluded, suspect)
-		r.emit(CancelAttempt{request.ID, attempt.index})
+		r.emit(CancelAttempt{ID: request.ID, Attempt: attempt.index})
 	}
 }
 
+// recordOverdue records what an attempt tells before it ends, by how long it takes already.
+func (r *Router) recordOverdue(attempt *attempt) {
+	elapsed := r.now - attempt.sentAt
+	if elapsed > r.longestObjective && attempt.suggestsOriginOverload() {
+		r.recordOriginLoad(attempt, elapsed.Seconds()/r.longestObjective.Seconds())
+	}
+	request, target := attempt.request, attempt.target
+	bytesTell := r.settings.BodyBytesPerSecond > 0 && !request.class.Write
+	if !bytesTell {
+		return
+	}
+	fullPaceSeconds := r.transferTime(request).Seconds() + responseTimeAllowance
+	slowdown := elapsed.Seconds() / fullPaceSeconds
+	r.recordSlowdown(target, max(slowdown, r.slowdownOf(target)))
+}
+
 // checkInterval is how long an attempt may take until its next check.
 func (r *Router) checkInterval(request *request) time.Duration {
-	return max(minCheckInterval, request.class.LatencyObjective/2+r.transferTime(request))
+	return max(minCheckInterval, request.class.LatencyObjective/checkObjectiveDivisor+r.transferTime(request))
 }
 
 // findOverdueFault returns the server that an overdue attempt most likely waits for, and whether
@@ -184,8 +265,9 @@
 
 // respondedLately reports whether a server has responded since a time or, for a cache, lately.
 //
-// Symptom guarded against: a router with few requests hears little of each cache and took the
-// slowness after a purge of everything for silence; eighty of them canceled and filled elsewhere.
+// Symptom guarded against: a router with few requests receives few responses of each cache, and took
+// caches that were slow after a purge of everything for unresponsive; eighty routers canceled their
+// attempts and had other caches fill the objects again.
 func (r *Router) respondedLately(server *server, since time.Duration) bool {
 	if server.lastResponseAt > since {
 		return true
@@ -204,7 +286,10 @@
 // extendEjection prolongs an ejection, within a bound; it never begins nor ends one.
 func (r *Router) extendEjection(event ExtendEjection) {
 	server := r.readyServer(event.Server)
-	if server != nil && server.ejections > 0 && event.Until > server.ejectedUntil {
+	if server == nil || server.ejections == 0 {
+		return
+	}
+	if event.Until > server.ejectedUntil {
 		server.ejectedUntil = min(event.Until, r.now+maxEjectionExtension)
 	}
 }
@@ -215,16 +300,9 @@
 	if server == nil || server.ejections > 0 {
 		return
 	}
-	if server.consecutiveFailures > 0 || r.now > server.lastResponseAt+recentSuccessWindow {
+	servedLately := r.now <= server.lastResponseAt+recentSuccessWindow
+	if server.consecutiveFailures > 0 || !servedLately {
 		server.ejections = 1
 		server.ejectedUntil = r.now
 	}
 }
-
-// sourceServed reports whether a success may be the source's too.
-//
-// Symptom guarded against: without cache status a source never counted as responding and was at
-// fault for every slow attempt, until all parents were ejected.
-func (s CacheStatus) sourceServed() bool {
-	return s.filled() || s == JoinedFill || s == CacheStatusUnknown
-}
--- a/routing/transfertime.go
+++ b/routing/transfertime.go
@@ -35,7 +35,8 @@
 // measureTransfer is the transfer time of a served request: by the bytes of the response where they
 // tell it, else as known before.
 func (r *Router) measureTransfer(request *request, outcome *Outcome) transfer {
-	if outcome.BodyBytes > 0 && r.settings.BodyBytesPerSecond > 0 && !request.class.Write {
+	bytesTell := outcome.BodyBytes > 0 && r.settings.BodyBytesPerSecond > 0
+	if bytesTell && !request.class.Write {
 		measured := float64(outcome.BodyBytes) / r.settings.BodyBytesPerSecond
 		return transfer{seconds: measured, known: true, measured: true}
 	}
@@ -49,12 +50,14 @@
 		return
 	}
 	seconds := transfer.seconds
-	took := outcome.Duration.Seconds()
-	if !transfer.measured && (!transfer.known || took < seconds) {
-		seconds = took
+	responseSeconds := outcome.Duration.Seconds()
+	improved := !transfer.known || responseSeconds < seconds
+	if improved && !transfer.measured {
+		seconds = responseSeconds
 	}
 	r.transferTimes.put(request.chunkKey(), seconds)
-	if transfer.measured || !transfer.known || outcome.CacheStatus == Hit {
+	fullPace := transfer.measured || outcome.CacheStatus == Hit
+	if fullPace || !transfer.known {
 		r.learnMeanTransferTime(request, seconds)
 	}
 }
@@ -65,14 +68,7 @@
 	*mean += (seconds - *mean) * meanTransferTimeGain
 }
 
-// chunkKey is the key of a request's chunk: caches keep each chunk by itself.
-func (q *request) chunkKey() uint64 {
-	return mix64(uint64(q.Object) + uint64(q.Chunk)*chunkStride)
-}
-
-// chunkStride keeps the chunks of an object apart; all routers must agree on it.
-const chunkStride = 0x9e3779b97f4a7c15
-
+// secondsToDuration converts seconds, rounding towards zero.
 func secondsToDuration(seconds float64) time.Duration {
 	return time.Duration(seconds * float64(time.Second))
 }
