--- a/internal/experiment/all_pairs_detector.go
+++ b/internal/experiment/all_pairs_detector.go
@@ -34,7 +34,7 @@
 
 // startAllPairs adds routers that all know each other.
 func startAllPairs(network *netsim.Network, size int) {
-	network.StartFleet(size, fleet.DefaultSettings(), true) // for names, identities and addresses
+	network.StartFleet(size, fleet.DefaultSettings(), netsim.MembershipAlone) // for names, identities and addresses
 	rng := rand.New(rand.NewPCG(network.Rng.Uint64(), allPairsStream))
 	var peers []membership.Update
 	for _, host := range network.Hosts {
--- a/internal/experiment/membership_run.go
+++ b/internal/experiment/membership_run.go
@@ -71,7 +71,7 @@
 		network.Run(allPairsSettleTime)
 		return network
 	}
-	network.StartFleet(size, variant.Settings(), true)
+	network.StartFleet(size, variant.Settings(), netsim.MembershipAlone)
 	network.RunUntil(convergenceTimeout, convergencePoll, network.Converged)
 	network.Run(network.Now + settleTime)
 	return network
--- a/internal/fleet/simulation_test.go
+++ b/internal/fleet/simulation_test.go
@@ -33,7 +33,7 @@
 		s.record("%v %v ", s.net.Now, sent.To)
 		s.record("%s", sent.Packet.Append(nil))
 	}
-	s.net.StartFleet(routers, fleet.DefaultSettings(), false)
+	s.net.StartFleet(routers, fleet.DefaultSettings(), netsim.AllProtocols)
 	for _, host := range s.net.Hosts {
 		host.OnStep = s.recordOutput
 	}
@@ -89,7 +89,7 @@
 	sim.net.Link.Loss = 0.02
 	sim.net.Link.Duplicate = 0
 	predecessor := sim.net.Hosts[4]
-	sim.net.StartHost(4, predecessor.Name, predecessor.Self.ID, 2, fleet.DefaultSettings(), false)
+	sim.net.StartHost(4, predecessor.Name, predecessor.Self.ID, 2, fleet.DefaultSettings(), netsim.AllProtocols)
 	sim.run("upgrade", 10_000)
 	sim.net.Kill(sim.net.Hosts[5])
 	sim.run("crash", 20_000)
--- a/internal/netsim/failure_detection_test.go
+++ b/internal/netsim/failure_detection_test.go
@@ -88,7 +88,7 @@
 // stays, though all packets that were ever sent arrive once more.
 func TestReplayedPacketsChangeNothing(t *testing.T) {
 	network := New(7)
-	network.StartFleet(5, fleet.DefaultSettings(), false)
+	network.StartFleet(5, fleet.DefaultSettings(), AllProtocols)
 	var recorded []Datagram
 	network.Tap = func(sent Datagram) { recorded = append(recorded, sent) }
 	requireConvergence(t, network, 10_000)
--- a/internal/netsim/helpers_test.go
+++ b/internal/netsim/helpers_test.go
@@ -12,7 +12,7 @@
 func convergedFleet(tb testing.TB, seed uint64, routers int) *Network {
 	tb.Helper()
 	network := New(seed)
-	network.StartFleet(routers, fleet.DefaultSettings(), false)
+	network.StartFleet(routers, fleet.DefaultSettings(), AllProtocols)
 	requireConvergence(tb, network, 10_000)
 	network.Run(network.Now + 8000)
 	return network
--- a/internal/netsim/host.go
+++ b/internal/netsim/host.go
@@ -28,6 +28,16 @@
 	State(id membership.ID) (state membership.State, known bool)
 }
 
+// Protocols says which state machines a host runs.
+type Protocols int
+
+const (
+	// AllProtocols are those of a daemon: membership, gossip about servers, and connectivity.
+	AllProtocols Protocols = iota
+	// MembershipAlone is the membership protocol without the others.
+	MembershipAlone
+)
+
 // MembershipOnly is a Machine that runs the membership protocol alone, without gossip about
 // servers and without connectivity.
 type MembershipOnly struct{ *membership.Machine }
--- a/internal/netsim/incarnation_test.go
+++ b/internal/netsim/incarnation_test.go
@@ -16,7 +16,7 @@
 	for _, host := range firstProcesses {
 		network.Kill(host)
 		network.Run(network.Now + 150)
-		network.StartHost(slotOf(host), host.Name, host.Self.ID, 2, fleet.DefaultSettings(), false)
+		network.StartHost(slotOf(host), host.Name, host.Self.ID, 2, fleet.DefaultSettings(), AllProtocols)
 		network.Run(network.Now + 150)
 	}
 	requireConvergence(t, network, 5000)
@@ -35,7 +35,7 @@
 func TestTwoProcessesOfOneRouterAreOneMember(t *testing.T) {
 	network := convergedFleet(t, 10, 6)
 	predecessor := network.Hosts[2]
-	successor := network.StartHost(40, predecessor.Name, predecessor.Self.ID, 2, fleet.DefaultSettings(), false)
+	successor := network.StartHost(40, predecessor.Name, predecessor.Self.ID, 2, fleet.DefaultSettings(), AllProtocols)
 	network.Run(network.Now + 5000)
 	for _, host := range network.Hosts {
 		if host == predecessor {
@@ -57,7 +57,7 @@
 		t.Errorf("the predecessor is back as incarnation %d, want 3", got)
 	}
 
-	last := network.StartHost(41, predecessor.Name, predecessor.Self.ID, 4, fleet.DefaultSettings(), false)
+	last := network.StartHost(41, predecessor.Name, predecessor.Self.ID, 4, fleet.DefaultSettings(), AllProtocols)
 	network.Run(network.Now + 5000)
 	network.Leave(predecessor) // must not say that the router left: that is its successor's to say
 	network.Run(network.Now + 5000)
@@ -88,7 +88,7 @@
 		return event.Kind == membership.EventConflict
 	})
 	first := network.Hosts[3]
-	second := network.StartHost(41, first.Name, membership.ID(network.Rng.Uint64()|1), 1, fleet.DefaultSettings(), false)
+	second := network.StartHost(41, first.Name, membership.ID(network.Rng.Uint64()|1), 1, fleet.DefaultSettings(), AllProtocols)
 	network.Run(network.Now + 20_000)
 	for _, host := range []*Host{first, second} {
 		if got := network.StateCounts(host)[membership.Alive]; got != 5 {
--- a/internal/netsim/netsim.go
+++ b/internal/netsim/netsim.go
@@ -67,19 +67,18 @@
 }
 
 // StartFleet starts routers in the slots from 0 on, each in its first incarnation. They find
-// each other by the addresses of the first two. With membershipOnly, hosts run the membership
-// protocol alone, without gossip about servers and without connectivity.
-func (n *Network) StartFleet(routers int, settings fleet.Settings, membershipOnly bool) {
+// each other by the addresses of the first two.
+func (n *Network) StartFleet(routers int, settings fleet.Settings, protocols Protocols) {
 	for slot := range routers {
 		name := fmt.Sprintf("r%03d", slot)
 		id := membership.ID(n.Rng.Uint64() | 1) // never 0, which stands for no router
-		n.StartHost(slot, name, id, 1, settings, membershipOnly)
+		n.StartHost(slot, name, id, 1, settings, protocols)
 	}
 }
 
 // StartHost starts a process of a router in a slot and returns it. A process that ran there
 // receives nothing any more.
-func (n *Network) StartHost(slot int, name string, id membership.ID, incarnation uint64, settings fleet.Settings, membershipOnly bool) *Host {
+func (n *Network) StartHost(slot int, name string, id membership.ID, incarnation uint64, settings fleet.Settings, protocols Protocols) *Host {
 	self := membership.Update{
 		ID:       id,
 		Revision: membership.FirstRevision(incarnation),
@@ -91,7 +90,7 @@
 	rng := rand.New(rand.NewPCG(n.Rng.Uint64(), n.Rng.Uint64()))
 	seeds := []netip.AddrPort{Addr(0), Addr(1)}
 	host := newHost(self)
-	if membershipOnly {
+	if protocols == MembershipAlone {
 		host.Machine = MembershipOnly{membership.New(settings.Membership, self, seeds, rng, nil, n.Now)}
 	} else {
 		host.Machine = fleet.New(settings, self, seeds, rng, n.Now)
--- a/internal/netsim/netsim_test.go
+++ b/internal/netsim/netsim_test.go
@@ -13,7 +13,7 @@
 	run := func(seed uint64) string {
 		network := New(seed)
 		network.Link = Link{Loss: 0.1, Duplicate: 0.1, Delay: 1, Jitter: 5}
-		network.StartFleet(12, fleet.DefaultSettings(), false)
+		network.StartFleet(12, fleet.DefaultSettings(), AllProtocols)
 		network.Run(20_000)
 		var report bytes.Buffer
 		for _, host := range network.Hosts {
--- a/internal/trace/active.go
+++ b/internal/trace/active.go
@@ -159,18 +159,20 @@
 	})
 }
 
-// RecordUntraced counts the start (1) or the end (-1) of an attempt without recording a span,
-// for a request whose spans have no memory.
-func (a *ActiveTrace) RecordUntraced(inFlightChange int) {
+// UntracedAttemptStarted counts the start of an attempt without recording a span, for a request
+// whose spans have no memory.
+func (a *ActiveTrace) UntracedAttemptStarted() {
 	a.untraced = true
-	if inFlightChange <= 0 {
-		a.attemptIndex = noAttempt
-		return
-	}
 	a.Attempts++
 	a.attemptIndex = untracedAttempt
 }
 
+// UntracedAttemptEnded says that the attempt counted by UntracedAttemptStarted has ended.
+func (a *ActiveTrace) UntracedAttemptEnded() {
+	a.untraced = true
+	a.attemptIndex = noAttempt
+}
+
 // Responded records the final answer, or that the client disconnected, at a time in Unix ms.
 // Only the first call counts.
 func (a *ActiveTrace) Responded(now float64, outcome Outcome) {
--- a/internal/trace/active_test.go
+++ b/internal/trace/active_test.go
@@ -42,8 +42,8 @@
 		{"before a failure", func(active *ActiveTrace) { active.Responded(activeStart+2, Rejected) }, 1, activeStart + 2},
 		{"before a response without an attempt", func(active *ActiveTrace) { active.Responded(activeStart+2, NotModified) }, 0, 0},
 		{"of an untraced request", func(active *ActiveTrace) {
-			active.RecordUntraced(1)
-			active.RecordUntraced(-1)
+			active.UntracedAttemptStarted()
+			active.UntracedAttemptEnded()
 			active.Responded(activeStart+2, Failed)
 		}, 0, 0},
 	} {
@@ -110,14 +110,14 @@
 }
 
 // Guards against spans that are recorded for a request whose memory was not granted.
-func TestRecordUntracedCountsAttempts(t *testing.T) {
+func TestUntracedAttemptsAreCounted(t *testing.T) {
 	active := beginTrace()
-	active.RecordUntraced(1)
+	active.UntracedAttemptStarted()
 	active.Responded(activeStart+2, Served)
 	if active.Done() {
 		t.Error("done while an attempt is in flight")
 	}
-	active.RecordUntraced(-1)
+	active.UntracedAttemptEnded()
 	if !active.Done() {
 		t.Error("not done after the end of the attempt")
 	}
--- a/internal/trace/recorder/request.go
+++ b/internal/trace/recorder/request.go
@@ -50,7 +50,7 @@
 	if t.spansReserved {
 		return t.ActiveTrace.AttemptStarted(now, decision)
 	}
-	t.RecordUntraced(1)
+	t.UntracedAttemptStarted()
 	return trace.SpanContext{}
 }
 
@@ -62,7 +62,7 @@
 		t.ActiveTrace.AttemptEnded(now, result, bytes, load, timing)
 		return
 	}
-	t.RecordUntraced(-1)
+	t.UntracedAttemptEnded()
 }
 
 // Responded records the response at now, in Unix ms, or that the client disconnected. From here
