--- a/cmd/garnetline/endings_test.go
+++ b/cmd/garnetline/endings_test.go
@@ -211,6 +211,7 @@
 func TestWatchEventsHoldForWhatIsSentNext(t *testing.T) {
 	test := newWatchEventTest(t)
 	test.changeLog.Purge(0xaa, uint64(time.Now().UnixMilli()-30))
+	test.read()
 	test.readUntil("a request has a bound on the age of a copy", func() bool {
 		return strings.Contains(test.received(), ",fresh=")
 	})
--- a/cmd/garnetline/fleet_test.go
+++ b/cmd/garnetline/fleet_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"context"
 	"fmt"
+	"io"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -89,6 +90,13 @@
 		})
 	}
 
+	for page, want := range map[string]string{"duties": "takes part in no duties", "bans": "keeps no bans in a lease registry"} {
+		err := newFleetCommand(io.Discard).Run(t.Context(), []string{"fleet", page, "--mgmt", router.AdminAddr})
+		if err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("fleet %s without that block: got %v, want an error with %q", page, err, want)
+		}
+	}
+
 	ctx, stop := context.WithCancel(t.Context())
 	lines, watched := make(lineWriter, 100), make(chan error, 1)
 	go func() {
--- a/cmd/garnetline/serve_test.go
+++ b/cmd/garnetline/serve_test.go
@@ -62,7 +62,8 @@
 		t.Errorf("the change log was asked from %d, want %d", seq, daemontest.KnownSeq)
 	}
 	daemontest.WaitHealthy(t, addr)
-	checkServedRequests(t, addr)
+	client := daemontest.Dial(t, addr)
+	checkServedRequests(t, client)
 	sent := strings.Join(append(first.Requests(), second.Requests()...), "\n")
 	for _, want := range []string{"sort=part,asset=00000000000000aa,slice=2,patience=", ",via=s-00000008", ",op=k1,via=s-00000009"} {
 		if !strings.Contains(sent, want) {
@@ -72,22 +73,21 @@
 
 	signalSelf(t, syscall.SIGTERM)
 	daemontest.WaitDraining(t, addr)
-	got := daemontest.Exchange(t, addr, readRequest("/v1/part/00000000000000aa", 5))
+	got := client.Exchange(t, readRequest("/v1/part/00000000000000aa", 5))
 	if got.Status != http.StatusOK || got.Body != binaryBody {
 		t.Errorf("a read during shutdown: got %d %q, want 200 %q", got.Status, got.Body, binaryBody)
 	}
+	daemontest.Close(t, client)
 	daemon.wait(t)
-	if client, err := daemontest.DialContext(t.Context(), addr); err == nil {
-		daemontest.Close(t, client)
+	if late, err := daemontest.DialContext(t.Context(), addr); err == nil {
+		daemontest.Close(t, late)
 		t.Error("still listening after the shutdown")
 	}
 }
 
 // checkServedRequests sends one request of each kind that the servers of failOnceServer serve.
-func checkServedRequests(t *testing.T, addr string) {
+func checkServedRequests(t *testing.T, client *daemontest.Client) {
 	t.Helper()
-	client := daemontest.Dial(t, addr)
-	defer daemontest.Close(t, client)
 	for _, exchange := range []struct {
 		name, request string
 		wantStatus    int
@@ -192,8 +192,10 @@
 	}
 	daemon := startServe(initial.platform, test.load)
 	daemon.waitSubscribed(t, first.RequestedSeqs)
-	daemontest.WaitHealthy(t, addr)
 	open := daemontest.Dial(t, addr)
+	daemontest.WaitUntil(t, "the router is healthy", func() bool {
+		return open.Exchange(t, daemontest.Request("GET", "/healthz")).Status == http.StatusOK
+	})
 	open.Send(t, daemontest.Request("PUT", "/v1/form/00000000000000aa", daemontest.Transaction(0xa1),
 		"X-Txn-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211", daemontest.ClientTimeout(30*time.Second)))
 	<-test.received
--- a/cmd/garnetline/trace_test.go
+++ b/cmd/garnetline/trace_test.go
@@ -187,6 +187,16 @@
 	lost          uint32
 }
 
+// withAttempts returns a trace with so many attempts or more, or nil.
+func (r retainedTraces) withAttempts(count uint8) *trace.Trace {
+	for _, found := range r.byTransaction {
+		if found.Attempts >= count {
+			return found
+		}
+	}
+	return nil
+}
+
 // stopRouters shuts the routers down and returns what they retained.
 func (f *failureTest) stopRouters() retainedTraces {
 	f.t.Helper()
@@ -351,13 +361,12 @@
 	if len(lines) < 2 || !strings.Contains(lines[1], "s-00000001") {
 		f.t.Errorf("blame does not begin with s-00000001: %q", lines)
 	}
-	for transaction, found := range retained.byTransaction {
-		if found.Attempts > 1 {
-			if out := f.command("list", "--txn", transaction); !strings.Contains(out, found.ID.String()) {
-				f.t.Errorf("list --txn %s has no %v: %q", transaction, found.ID, out)
-			}
-			break
-		}
+	retried := retained.withAttempts(2)
+	if retried == nil {
+		f.t.Fatal("no trace has two attempts")
+	}
+	if out := f.command("list", "--txn", retried.TransactionID); !strings.Contains(out, retried.ID.String()) {
+		f.t.Errorf("list --txn %s has no %v: %q", retried.TransactionID, retried.ID, out)
 	}
 	for _, args := range [][]string{{"list", "--most", "1000"}, {"export", "--most", "1000"}, {"export", "--as", "html"}} {
 		if out := f.command(args...); strings.Contains(out, "secretkey") || len(out) < 500 {
@@ -420,8 +429,12 @@
 	if _, err := store.Open(router.traceDir, 1<<20, 1<<30); err != nil {
 		t.Errorf("the folder of a killed router: %v", err)
 	}
-	if got := len(router.retained(t)); got != 21 {
-		t.Errorf("%d traces are left, want 21", got)
+	index, err := store.Read(router.traceDir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, traces, _ := index.Stat(); traces != 21 {
+		t.Errorf("%d traces are left, want 21", traces)
 	}
 }
 
--- a/internal/bodies/spool/spool_test.go
+++ b/internal/bodies/spool/spool_test.go
@@ -229,6 +229,7 @@
 	}
 	writers.Wait()
 	checkUsage(t, spool, Usage{})
+	checkTooLarge(t, spool)
 }
 
 // writeAndReadBack writes a body of up to five parts and reads all of it back after each. It runs
@@ -256,9 +257,16 @@
 
 // A body that is larger than the spool is not retained.
 func TestBodyLargerThanSpool(t *testing.T) {
-	const blocks = 8 * 4
 	spool := openSpool(t, Options{FileSystem: OSFileSystem{}, Directory: t.TempDir(), Name: "n", BlocksPerSegment: 8, MaxSegments: 4})
 	defer closeSpool(t, spool)
+	checkTooLarge(t, spool)
+}
+
+// checkTooLarge checks that an empty spool of four segments of eight blocks takes as much of a
+// larger body as it has room for.
+func checkTooLarge(t *testing.T, spool *Spool) {
+	t.Helper()
+	const blocks = 8 * 4
 	body := spool.NewBody()
 	if _, err := body.Write(make([]byte, (blocks+8)*BlockSize)); !errors.Is(err, ErrFull) {
 		t.Errorf("write: %v, want %v", err, ErrFull)
--- a/internal/daemontest/client.go
+++ b/internal/daemontest/client.go
@@ -143,32 +143,27 @@
 	return client.Exchange(tb, request)
 }
 
-// Healthy reports whether a router answers its health check with 200. One that accepts no
-// connection is not healthy.
-func Healthy(ctx context.Context, addr string) bool {
-	client, err := DialContext(ctx, addr)
-	if err != nil {
-		return false
-	}
-	defer client.Close() //nolint:errcheck // the response has been read
-	response, err := client.Do(Request(http.MethodGet, "/healthz", CloseConnection))
-	return err == nil && response.Status == http.StatusOK
-}
+func healthCheck() string { return Request(http.MethodGet, "/healthz", CloseConnection) }
 
 // WaitDraining waits until a router that is shutting down answers its health check with another
-// status than 200. It has to accept connections until then.
+// status than 200. It has to accept and answer connections until then.
 func WaitDraining(tb testing.TB, addr string) {
 	tb.Helper()
 	WaitUntil(tb, "the health check fails", func() bool {
-		client := Dial(tb, addr)
-		defer Close(tb, client)
-		response, err := client.Do(Request(http.MethodGet, "/healthz", CloseConnection))
-		return err == nil && response.Status != http.StatusOK
+		return Exchange(tb, addr, healthCheck()).Status != http.StatusOK
 	})
 }
 
-// WaitHealthy waits until a router is healthy.
+// WaitHealthy waits until a router answers its health check with 200. Until it accepts
+// connections it is not healthy; one that it accepts it has to answer.
 func WaitHealthy(tb testing.TB, addr string) {
 	tb.Helper()
-	WaitUntil(tb, "the router is healthy", func() bool { return Healthy(tb.Context(), addr) })
+	WaitUntil(tb, "the router is healthy", func() bool {
+		client, err := DialContext(tb.Context(), addr)
+		if err != nil {
+			return false
+		}
+		defer Close(tb, client)
+		return client.Exchange(tb, healthCheck()).Status == http.StatusOK
+	})
 }
--- a/internal/faultproxy/tcp_test.go
+++ b/internal/faultproxy/tcp_test.go
@@ -156,6 +156,11 @@
 	}
 	write(t, connB, "open")
 	expect(t, connA, "open")
+
+	pair.proxy.Heal()
+	healedA, healedB := pair.connect(t)
+	write(t, healedA, "healed")
+	expect(t, healedB, "healed")
 }
 
 func TestStreamThroughputIsLimited(t *testing.T) {
--- a/internal/faultproxy/udp_test.go
+++ b/internal/faultproxy/udp_test.go
@@ -165,6 +165,10 @@
 		t.Errorf("%d datagrams at %d a second took %v", forwarded, perSecond, elapsed)
 	}
 	pair.b.receiveNothing(t)
+	pair.b.send(t, pair.toA, "back")
+	if got := pair.a.receive(t, 1)[0]; got != "back" {
+		t.Errorf("from b to a came %q, want back", got)
+	}
 }
 
 func TestUDPDelay(t *testing.T) {
@@ -174,8 +178,9 @@
 	sentAt := time.Now()
 	pair.a.send(t, pair.toB, "late")
 	pair.b.receive(t, 1)
-	if elapsed := time.Since(sentAt); elapsed < delay*time.Millisecond {
-		t.Errorf("received after %v, want %d ms or more", elapsed, delay)
+	elapsed := time.Since(sentAt)
+	if elapsed < delay*time.Millisecond || elapsed > quietPeriod {
+		t.Errorf("received after %v, want %d ms or more, and %v at the most", elapsed, delay, quietPeriod)
 	}
 }
 
--- a/internal/frontend/httpfront/helpers_test.go
+++ b/internal/frontend/httpfront/helpers_test.go
@@ -231,14 +231,13 @@
 	}, err
 }
 
-// parseFinalResponse reads responses up to the first that is not 100 Continue.
+// parseFinalResponse reads a response, and the next one if it is 100 Continue.
 func parseFinalResponse(reader *bufio.Reader, method string) (clientResponse, error) {
-	for {
-		response, err := parseResponse(reader, method)
-		if err != nil || response.status != http.StatusContinue {
-			return response, err
-		}
+	response, err := parseResponse(reader, method)
+	if err == nil && response.status == http.StatusContinue {
+		return parseResponse(reader, method)
 	}
+	return response, err
 }
 
 // mustReadResponse reads a response to a GET request, which must be complete.
--- a/internal/trace/export/backoff_test.go
+++ b/internal/trace/export/backoff_test.go
@@ -31,8 +31,13 @@
 }
 
 func TestBackoffHonorsRetryAfter(t *testing.T) {
-	failing := backoff{random: rand.New(rand.NewPCG(1, backoffStream))}
-	if got := failing.next(maxBackoff); got != maxBackoff {
-		t.Errorf("the wait is %v ms, want the %v that the collector asked for", got, maxBackoff)
+	for _, failuresBefore := range []int{0, 20} {
+		failing := backoff{random: rand.New(rand.NewPCG(1, backoffStream))}
+		for range failuresBefore {
+			failing.next(0)
+		}
+		if got := failing.next(maxBackoff); got != maxBackoff {
+			t.Errorf("after %d failures the wait is %v ms, want the %v that the collector asked for", failuresBefore, got, maxBackoff)
+		}
 	}
 }
--- a/internal/trace/merge_test.go
+++ b/internal/trace/merge_test.go
@@ -130,12 +130,18 @@
 // Guards against a lost server trace where the partial trace of its router is lost.
 func TestMergePlacesServerSpansBelowRoot(t *testing.T) {
 	id := ID{3}
-	spans := Merge(id, []*Trace{cacheTrace(id, 12, 1010)})
-	if len(spans) != 3 {
-		t.Fatalf("%d spans, want 3: %+v", len(spans), spans)
-	}
-	root, work := spans[0], spans[1]
-	if root.Kind != Client || work.Parent != root.ID {
-		t.Errorf("the first span is a %v, the parent of the second %x, want the client's request and %x", root.Kind, work.Parent, root.ID)
+	active := Begin(Trace{ID: id, Router: "n1", Start: 1000}, 1)
+	context := active.AttemptStarted(1002, routing.SendAttempt{Server: 5})
+	for _, clockOffset := range []float64{-5000, 0, 3, 1e6} {
+		t.Run(fmt.Sprintf("offset of %v ms", clockOffset), func(t *testing.T) {
+			spans := Merge(id, []*Trace{cacheTrace(id, context.Span, 1010+clockOffset)})
+			if len(spans) != 3 {
+				t.Fatalf("%d spans, want 3: %+v", len(spans), spans)
+			}
+			root, work := spans[0], spans[1]
+			if root.Kind != Client || work.Parent != root.ID {
+				t.Errorf("the first span is a %v, the parent of the second %x, want the client's request and %x", root.Kind, work.Parent, root.ID)
+			}
+		})
 	}
 }
--- a/internal/trace/recorder/recorder_test.go
+++ b/internal/trace/recorder/recorder_test.go
@@ -77,7 +77,9 @@
 			t.Errorf("%d spans without memory, want at most that of the request", got)
 		}
 	}
+	inFlight.AttemptStarted(recorder.clock.Now(), routing.SendAttempt{Server: 1})
 	inFlight.Responded(recorder.clock.Now(), trace.ClientDisconnected)
+	inFlight.AttemptEnded(recorder.clock.Now(), routing.Canceled, 0, routing.LoadReport{}, trace.WireTimes{})
 	recorder.Close(recorder.clock.Now(), inFlight)
 	recorder.Shutdown()
 	if got := recorder.counter(metricUntraced); got != 3 {
@@ -92,13 +94,17 @@
 // the client is recognized at once, with memory for its spans or without.
 func TestDisconnectedRequestWaitsForItsAttempt(t *testing.T) {
 	const client = "1.1.1.1"
-	tests := map[string]int{
-		"traced":   2*reservedBytes + 10,
-		"untraced": reservedBytes - 1,
-	}
-	for name, memory := range tests {
+	tests := map[string]struct {
+		memory       int
+		wantRetained int
+		wantUntraced int64
+	}{
+		"traced":   {memory: 2*reservedBytes + 10, wantRetained: 1},
+		"untraced": {memory: reservedBytes - 1, wantUntraced: 1},
+	}
+	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			recorder := newHarness(t, &fakeSink{}, Settings{UndecidedBytes: memory, RetryWindow: 1000})
+			recorder := newHarness(t, &fakeSink{}, Settings{UndecidedBytes: test.memory, RetryWindow: 1000})
 			opened := recorder.Open(recorder.clock.Now(), Request{ClientAddress: client}, &partClass)
 			opened.AttemptStarted(recorder.clock.Now(), routing.SendAttempt{Server: 1})
 			opened.Responded(recorder.clock.Now(), trace.ClientDisconnected)
@@ -115,6 +121,12 @@
 			}
 			recorder.Close(recorder.clock.Now(), opened)
 			recorder.Shutdown()
+			if got := len(recorder.sink.traces); got != test.wantRetained {
+				t.Errorf("%d traces are retained, want %d", got, test.wantRetained)
+			}
+			if got := recorder.counter(metricUntraced); got != test.wantUntraced {
+				t.Errorf("%d requests without memory are counted, want %d", got, test.wantUntraced)
+			}
 		})
 	}
 }
@@ -148,7 +160,8 @@
 // A trace that its client samples is retained, until the settings say otherwise.
 func TestNewSettingsApplyToNextRequest(t *testing.T) {
 	sampled := Request{Object: 6, ReceivedAt: startTime, TraceParent: "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"}
-	recorder := newHarness(t, &fakeSink{}, Settings{RetainClientSampled: true})
+	classes := map[string]sampling.Class{formClass.Name: {RetainAll: true}} // which the new settings do not name
+	recorder := newHarness(t, &fakeSink{}, Settings{RetainClientSampled: true, Classes: classes})
 	recorder.play(playback{request: sampled, outcome: trace.Served, attempts: 1, duration: 1})
 	recorder.UpdateSettings(Settings{UndecidedBytes: 1 << 20})
 	recorder.play(playback{request: sampled, outcome: trace.Served, attempts: 1, duration: 1})
--- a/internal/trace/serverspans/buffer_test.go
+++ b/internal/trace/serverspans/buffer_test.go
@@ -67,6 +67,11 @@
 // At the timeout what failed is retained without a decision, and all else is discarded.
 func TestTimeoutRetainsFailedTraces(t *testing.T) {
 	buffer := New(decisionTimeout, 1<<20)
+	filling := serverTrace(1, 10, 11)
+	joining := serverTrace(2, 20, noFill, trace.Link{From: 20, Trace: trace.ID{1}, To: 11})
+	add(t, buffer, 0, filling, false)
+	add(t, buffer, 1, joining, false)
+	checkTraces(t, "a decision before the timeout", buffer.Retain(trace.ID{2}), filling, joining)
 	failed := serverTrace(4, 40, noFill)
 	add(t, buffer, 2, serverTrace(3, 30, noFill), false)
 	add(t, buffer, 3, failed, true)
--- a/internal/trace/store/segment_test.go
+++ b/internal/trace/store/segment_test.go
@@ -104,24 +104,27 @@
 // Guards against a second process that truncates the segment that the first is writing.
 func TestOpenLeavesSegmentOfRunningWriter(t *testing.T) {
 	const incompleteBlock = "half a block"
+	const flushTime = testClose + 1e12 // Unix ms, after the finished segment
 	folder := t.TempDir()
+	writeTraces(t, folder, 1, 1<<20)
 	writer := openWriter(t, folder, 1<<20, 1<<30)
 	addTrace(t, writer, newTrace(rand.New(rand.NewPCG(2, 2)), 1))
-	if err := writer.Flush(testClose); err != nil {
+	if err := writer.Flush(flushTime); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := writer.segment.WriteString(incompleteBlock); err != nil {
 		t.Fatal(err)
 	}
 	openWriter(t, folder, 1<<20, 1<<30)
-	content, err := os.ReadFile(listSegments(t, folder)[0])
+	segments := listSegments(t, folder)
+	content, err := os.ReadFile(segments[len(segments)-1])
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !strings.HasSuffix(string(content), incompleteBlock) {
 		t.Errorf("the segment of a running writer was truncated to %d bytes", len(content))
 	}
-	closeWriter(t, writer, testClose)
+	closeWriter(t, writer, flushTime)
 }
 
 // FuzzSegment checks that no bytes of a segment make reading or repairing it panic.
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -30,10 +30,14 @@
 func TestFailingCacheIsEjectedAndProbed(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	request := Request{Object: 5, SizeKB: 1}
-	var home ServerID
-	for range consecutiveFailureLimit {
+	first := harness.requestOne(request)
+	home := first.Server
+	harness.finish(first, 0, ServerError, CacheStatusUnknown)
+	for range consecutiveFailureLimit - 1 {
 		sent := harness.requestOne(request)
-		home = sent.Server
+		if sent.Server != home {
+			t.Errorf("cache %d before the ejection, want the home %d", sent.Server, home)
+		}
 		harness.finish(sent, 0, ServerError, CacheStatusUnknown)
 	}
 	if sent := harness.requestOne(request); sent.Server == home {
