--- a/internal/trace/sampling/sampler.go
+++ b/internal/trace/sampling/sampler.go
@@ -82,11 +82,15 @@
 
 // window returns the window of a class, which is made when the class is first met.
 func (s *Sampler) window(className string) *classWindow {
-	window := s.windows[className]
-	if window == nil {
-		window = newClassWindow(s.defaultClass)
-		s.windows[className] = window
+	if window := s.windows[className]; window != nil {
+		return window
 	}
+	return s.addWindow(className)
+}
+
+func (s *Sampler) addWindow(className string) *classWindow {
+	window := newClassWindow(s.defaultClass)
+	s.windows[className] = window
 	return window
 }
 
@@ -159,7 +163,10 @@
 // time or a later one of the same window.
 func (s *Sampler) Finish(t *trace.Trace, size int) *trace.Trace {
 	s.openBytes -= size
-	window := s.window(t.Class)
+	window := s.windows[t.Class] // not by window, a call that each trace would pay for
+	if window == nil {
+		window = s.addWindow(t.Class)
+	}
 	t.Reasons = retentionReasons(&window.Class, t)
 	if t.ClientSampled {
 		t.Reasons |= trace.ReasonClientSampled
@@ -170,20 +177,18 @@
 		return s.attachLost(t)
 	}
 	s.Counts.Ordinary++
-	s.addCandidate(window, t)
+	if order := t.ID.Order(); order < window.threshold {
+		s.addCandidate(window, t, order)
+	}
 	return nil
 }
 
-// addCandidate adds an ordinary trace to the candidates of its window, unless its order is too
-// high, and drops what exceeds the number of candidates or the memory budget.
+// addCandidate adds an ordinary trace of an order below the threshold to the candidates of its
+// window, and drops what exceeds the number of candidates or the memory budget.
 //
 // Known fault: where settings take a class's rate to 0 within a window that has candidates, the
 // threshold becomes 0 and they are sampled with an infinite weight.
-func (s *Sampler) addCandidate(window *classWindow, t *trace.Trace) {
-	order := t.ID.Order()
-	if order >= window.threshold {
-		return
-	}
+func (s *Sampler) addCandidate(window *classWindow, t *trace.Trace, order float64) {
 	if window.maxCandidates == 0 {
 		window.threshold = 0
 		return
