--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -7,52 +7,53 @@
 	"garnetline/routing"
 )
 
-// Attempt is one sending of a request to a server. Its exported fields are set before the
-// transport gets it and do not change, but for MayRetry and TransportState.
+// Attempt is one sending of a request to a server. The dispatcher sets the exported fields before
+// it passes the attempt to the transport. Only MayRetry and TransportState change after that.
 type Attempt struct {
 	Request         *Request
-	Index           int // place among the attempts of its request
+	Index           int // position among the attempts of its request, from 0
 	Decision        routing.SendAttempt
-	ExpiresAt       float64 // it is canceled then
-	SendDeadline    float64 // it must not be written later; 0: until it expires
+	ExpiresAt       float64 // the dispatcher cancels the attempt at this time
+	SendDeadline    float64 // the transport must not write the attempt later than this; 0: ExpiresAt is the only limit
 	Class           *routing.Class
-	RequestDeadline float64 // Request.Deadline, which the dispatcher alone may read
+	RequestDeadline float64 // copy of Request.Deadline, which only the dispatcher may read
 
-	// MayRetry is set before TransportState.Cancel: the request is still open, and another attempt
-	// may follow this one.
+	// MayRetry is set before TransportState.Cancel is called. It is true if the request is still
+	// open, so that another attempt may follow this one.
 	MayRetry bool
-	// TransportState is set by the transport that accepted the attempt; nil until then.
+	// TransportState is set by the transport when it accepts the attempt; nil before that.
 	TransportState TransportState
-	Trace          *AttemptTrace // nil: its request is not traced
+	Trace          *AttemptTrace // nil: the request is not traced
 
 	sentAt            float64
-	accepted          bool // by its transport
+	accepted          bool // the transport accepted it
 	ended             bool
-	completionDelayed bool           // for cancelTransit
-	notExecuted       bool           // it ended, and provably was not executed
+	completionDelayed bool           // its completion waits, or has waited, for cancelTransit
+	notExecuted       bool           // it ended, and the server provably did not execute it
 	cancelRequested   bool           // TransportState.Cancel was called
-	cancelResult      routing.Result // what replaces Canceled as the result then
+	cancelResult      routing.Result // replaces the result Canceled if cancelRequested is set
 }
 
 // Completion is a transport's report that an attempt has ended.
 type Completion struct {
 	Attempt  *Attempt
-	Result   routing.Result // Canceled: it ended since TransportState.Cancel was called
-	Response Response       // of Served, or where Final is set
+	Result   routing.Result // Canceled: the attempt ended because TransportState.Cancel was called
+	Response Response       // set if Result is Served or Final is true
 	Load     routing.LoadReport
-	Note     routing.CacheStatus // how the server found the object, where it says so
-	FillWait float64             // ms until the fill source's first byte or failure; 0: unknown
-	Final    bool                // Response ends the request whatever Result is
+	Note     routing.CacheStatus // how the server found the object, if the server reports that
+	FillWait float64             // ms until the fill source sent its first byte or failed; 0: unknown
+	Final    bool                // Response ends the request, whatever Result is
 }
 
-// Unsent returns the completion of an attempt that was not sent.
+// Unsent returns the completion, with the given result, of an attempt that was not sent.
 func Unsent(attempt *Attempt, result routing.Result) *Completion {
 	return &Completion{Attempt: attempt, Result: result, Load: UnknownLoad()}
 }
 
-// Resolved returns the completion of an attempt that ends when its server is named: the server
-// is the response, as in a DNS lookup. The module counts the work that the client will cause
-// there but learns nothing from it, since nobody reports how the client fares.
+// Resolved returns the completion of an attempt that ends as soon as its server is chosen: the
+// response names the server, as in a DNS lookup, and the client connects to it by itself. The
+// decision module counts the load that the client will cause on the server, but learns nothing
+// about the server, because nobody reports whether the client was served.
 func Resolved(attempt *Attempt) *Completion {
 	return &Completion{
 		Attempt:  attempt,
@@ -63,39 +64,41 @@
 	}
 }
 
-// UnknownLoad returns a load report without values.
+// UnknownLoad returns a load report in which all values are unknown (NaN).
 func UnknownLoad() routing.LoadReport {
 	nan := math.NaN()
 	return routing.LoadReport{Inflight: nan, CPUUtilization: nan, HitRatio: nan, LinkUtilization: nan}
 }
 
-// Transport carries out attempts. Send is called on the dispatcher's goroutine; it must
+// Transport sends attempts to servers. Send is called on the dispatcher's goroutine; it must
 // neither block nor call the dispatcher.
 type Transport interface {
-	// Send accepts an attempt, sets its TransportState and returns nil, or returns how it ended
-	// at once. How an accepted attempt ended is reported by Dispatcher.Complete.
+	// Send accepts an attempt, sets its TransportState and returns nil; the transport reports the
+	// end of the attempt later, by Dispatcher.Complete. If the attempt ends at once, Send does not
+	// accept it and returns its completion instead.
 	Send(*Attempt) *Completion
 }
 
-// TransportState is what a transport keeps with an attempt that it has accepted, such as the
-// connections to the server that it chose. Its methods are called on the dispatcher's
-// goroutine; they must neither block nor call the dispatcher.
+// TransportState is the state that a transport keeps for an attempt that it has accepted, such as
+// the connections to the chosen server. Its methods are called on the dispatcher's goroutine; they
+// must neither block nor call the dispatcher.
 type TransportState interface {
-	// Cancel has the attempt canceled. Its completion follows when the cancel has been written,
-	// with the result Canceled or another one.
+	// Cancel starts to cancel the attempt. The transport reports the completion when it has
+	// written the cancel. The result is Canceled, or another one if the attempt ended otherwise.
 	Cancel(*Attempt)
-	// Release says that the dispatcher has handled the attempt's completion.
+	// Release tells the transport that the dispatcher has received the attempt's completion and
+	// will not use the TransportState again.
 	Release(*Attempt)
 }
 
-// cancelTransit is how many ms a cancel, or the end of a connection, has to arrive at a server
-// before the request is sent again: the way to a cache takes a few ms at the most.
-//
-// Symptom guarded against: a retry that was sent at once, on another connection, overtook the
-// cancel of the attempt before, and the request was executed twice at a time.
+// cancelTransit is the time, in milliseconds, that a cancel or the end of a connection gets to
+// arrive at a server before the request is sent again. The way to a cache takes a few milliseconds
+// at most. A retry that is sent at once on another connection can overtake the cancel of the
+// previous attempt; the request is then executed twice at the same time.
 const cancelTransit = 5.0
 
-// startAttempt makes an attempt of a decision and hands it to the request's transport.
+// startAttempt creates an attempt from a decision of the module and passes it to the request's
+// transport.
 func (d *Dispatcher) startAttempt(decision routing.SendAttempt) {
 	request := d.openRequests[decision.ID]
 	if request == nil {
@@ -136,8 +139,9 @@
 	return attempt
 }
 
-// mayStart reports whether an attempt may be sent that is not yet among those of its request.
-// What must not happen is checked here once more, whatever the module decided.
+// mayStart reports whether an attempt may be sent. The attempt must not be in the list of its
+// request yet. Whatever the module decided, mayStart checks again the rules that must never be
+// broken.
 func (d *Dispatcher) mayStart(attempt *Attempt) bool {
 	request := attempt.Request
 	switch {
@@ -151,12 +155,10 @@
 	return attempt.Index < d.settings.MaxAttempts && attempt.sentAt < attempt.ExpiresAt
 }
 
-// retryForbidden reports whether the request's class forbids the attempt since an earlier one
-// may have been executed. It sets SendDeadline where the class permits retries only within the
-// window of an idempotency key: the attempt may wait for a connection.
-//
-// Symptom guarded against: a retry that waited for a connection was written after the window
-// in which the server knows its key.
+// retryForbidden reports whether the request's class forbids the attempt because an earlier one
+// may have been executed. If the class permits retries only within the window of an idempotency
+// key, retryForbidden sets SendDeadline to the end of the window: the attempt may wait for a
+// connection, and it must not be written when the server no longer knows its key.
 func (a *Attempt) retryForbidden() bool {
 	earlier := a.Request.firstPossiblyExecuted()
 	if earlier == nil {
@@ -173,8 +175,9 @@
 	}
 }
 
-// cancelAttempt has an attempt canceled. It ends when its transport reports the completion,
-// whose result, if that is Canceled, becomes the given one.
+// cancelAttempt asks the transport to cancel an attempt. The attempt ends when the transport
+// reports its completion; if the result of the completion is Canceled, the given result replaces
+// it.
 func (d *Dispatcher) cancelAttempt(attempt *Attempt, result routing.Result) {
 	if attempt.ended || attempt.cancelRequested {
 		return
@@ -187,8 +190,9 @@
 	}
 }
 
-// handleCompletion ends an attempt: its request is answered, or the module decides what
-// follows.
+// handleCompletion ends an attempt. It responds to the request if the attempt was served or its
+// completion is final, and reports the outcome to the decision module, which otherwise decides
+// what follows.
 func (d *Dispatcher) handleCompletion(completion *Completion) {
 	attempt := completion.Attempt
 	request := attempt.Request
@@ -215,9 +219,9 @@
 	}
 }
 
-// delayCompletion reports whether a completion has to wait for cancelTransit, and has it
-// handled then. Once the attempt's own time is over nothing is sent again, and the response
-// need not wait.
+// delayCompletion reports whether a completion must wait for cancelTransit, and schedules its
+// handling if so. If the attempt expires within that time, the completion does not wait: no retry
+// can follow, and the response need not be delayed.
 func (d *Dispatcher) delayCompletion(completion *Completion) bool {
 	attempt := completion.Attempt
 	resumeAt := d.clock.Now() + cancelTransit
@@ -234,7 +238,7 @@
 	return true
 }
 
-// outcome is a completion as the decision module takes it.
+// outcome converts a completion to the form that the decision module expects.
 func (d *Dispatcher) outcome(completion *Completion) routing.Outcome {
 	attempt := completion.Attempt
 	return routing.Outcome{
@@ -251,10 +255,11 @@
 	}
 }
 
-// resolvedCounter counts attempts that ended when their server was named.
+// resolvedCounter is the name of the counter of attempts that ended when their server was chosen;
+// see Resolved.
 const resolvedCounter = "attempts_named"
 
-// resultCounters are the names of the counters of other attempts, by their results.
+// resultCounters are the names of the counters of all other attempts, by result.
 var resultCounters = [...]string{
 	routing.Served:         "attempts_served",
 	routing.ServerError:    "attempts_errored",
@@ -267,7 +272,7 @@
 	routing.NotCached:      "attempts_miss",
 }
 
-// completionCounter returns the name of the counter of completions like this one.
+// completionCounter returns the name of the counter that a completion increments.
 func completionCounter(completion *Completion) string {
 	if completion.Final {
 		return resolvedCounter
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -7,15 +7,15 @@
 	"garnetline/routing"
 )
 
-// BenchmarkRequest is one request through the dispatcher and the decision module, served at its
-// first attempt, without frontends and connections.
+// BenchmarkRequest measures one request that passes through the dispatcher and the decision module
+// and is served at its first attempt. Frontends and connections are not included.
 func BenchmarkRequest(b *testing.B) {
 	clk := clock.NewManual(startTime)
 	dispatcher := newDispatcher(b, clk, settings())
 	var transport hangingTransport
 	respond := func(response Response) {
 		if response.Kind != Served {
-			b.Fatalf("response %+v", response)
+			b.Fatalf("got response %+v, want kind Served", response)
 		}
 	}
 	b.ReportAllocs()
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,15 +1,15 @@
 // Package dispatch runs the decision module (package routing) on the requests of one router.
-// Frontends submit requests, transports carry out their attempts, and the Dispatcher between
-// them turns what happens into events for the module and the module's actions into attempts,
-// cancellations, timers and responses. The package knows no wire format.
+// Frontends submit requests, and transports carry out their attempts. The Dispatcher between them
+// converts requests, completions and timers into events for the module, and the module's actions
+// into attempts, cancellations, timers and responses. The package does not depend on a wire
+// format.
 //
-// The Dispatcher owns the module, the open requests and all timers. They belong to the
-// goroutine that runs Run; nothing else touches them. Other goroutines talk to it through its
-// mailbox: Submit, Disconnect, Complete and the other methods that say so may be called from
-// anywhere. The dispatcher itself waits for nobody, so that a transport or a frontend may wait
-// for room in its mailbox.
+// The Dispatcher owns the module, the open requests and all timers; only the goroutine of Run
+// accesses them. Other goroutines send messages to the dispatcher's mailbox: Submit, Disconnect,
+// Complete and the other methods that say so may be called from any goroutine. The dispatcher
+// never waits for a transport or a frontend, so that they may wait for room in its mailbox.
 //
-// Times are Unix milliseconds by the clock that New is given.
+// Times are in Unix milliseconds of the clock that is passed to New.
 package dispatch
 
 import (
@@ -23,7 +23,7 @@
 	"garnetline/routing"
 )
 
-// mailboxSize bounds the messages that wait for the dispatcher.
+// mailboxSize is the capacity of the dispatcher's mailbox, in messages.
 const mailboxSize = 4096
 
 // idleWait is how long the dispatcher sleeps when there is neither a message nor a timer.
@@ -43,12 +43,12 @@
 
 	nextID          routing.RequestID
 	openRequests    map[routing.RequestID]*Request
-	byTransactionID map[string]*Request // those open requests whose client named an id
+	byTransactionID map[string]*Request // the open requests that have a transaction id
 	timers          timerHeap
-	drainBy         float64 // all requests are answered by then; 0: not draining
+	drainBy         float64 // time by which all requests must be answered; 0: not draining
 
-	pendingEvents []routing.Event  // for the module, in order; see notifyRouter
-	actions       []routing.Action // reused between events
+	pendingEvents []routing.Event  // not yet handled by the module, in order; see notifyRouter
+	actions       []routing.Action // the module's actions; the slice is reused between events
 
 	ejectedCount     atomic.Int64
 	publishesEjected bool
@@ -56,8 +56,8 @@
 	ejectedBuffer    []routing.ServerID // reused by publishEjections
 }
 
-// New returns a dispatcher that has not been started. The seed varies the choices between
-// routers. It returns an error that names the setting if the settings cannot be used.
+// New returns a dispatcher that is not running. The seed makes the random choices of routers
+// differ. If the settings are not valid, New returns an error that names the setting.
 func New(clk clock.Clock, settings routing.Settings, seed uint64, registry *metrics.Registry) (*Dispatcher, error) {
 	router, err := routing.New(settings, seed)
 	if err != nil {
@@ -75,19 +75,18 @@
 	}, nil
 }
 
-// AddListeners adds listeners for changes of the endpoint list. It must not be called after
-// Run.
+// AddListeners adds listeners for changes of the endpoint list. It must be called before Run.
 func (d *Dispatcher) AddListeners(listeners ...EndpointListener) {
 	d.listeners = append(d.listeners, listeners...)
 }
 
-// SetTracer has all requests traced. It must not be called after Run.
+// SetTracer sets a tracer that traces all requests. It must be called before Run.
 func (d *Dispatcher) SetTracer(tracer Tracer) { d.tracer = tracer }
 
 // Stopped returns a channel that is closed when Run has returned.
 func (d *Dispatcher) Stopped() <-chan struct{} { return d.stopped }
 
-// Run handles messages and timers until ctx ends. It is called once.
+// Run handles messages and timers until ctx is done. It must be called only once.
 func (d *Dispatcher) Run(ctx context.Context) {
 	defer close(d.stopped)
 	wakeUp := time.NewTimer(idleWait)
@@ -106,41 +105,43 @@
 	}
 }
 
-// Submit hands a request to the dispatcher, which calls Respond exactly once unless the client
-// disconnects first. It reports false if the dispatcher has stopped; Respond is not called
-// then. Any goroutine may call it, and it waits for room in the mailbox.
+// Submit passes a request to the dispatcher, which calls Respond exactly once unless the client
+// disconnects first. Submit returns false if the dispatcher has stopped; Respond is not called in
+// this case. Any goroutine may call it, and it waits for room in the mailbox.
 func (d *Dispatcher) Submit(request *Request) bool { return d.enqueue(submitMessage{request}) }
 
-// Disconnect says that the client of a submitted request has disconnected. Any goroutine may
+// Disconnect reports that the client of a submitted request has disconnected. Any goroutine may
 // call it.
 func (d *Dispatcher) Disconnect(request *Request) {
 	request.disconnected.Store(true)
 	d.enqueue(disconnectMessage{request})
 }
 
-// DrainBy has every request that is open, or is still submitted, answered by a time: the
-// process is killed soon after. Any goroutine may call it.
+// DrainBy makes the dispatcher answer every request, open now or submitted later, by the deadline,
+// in Unix milliseconds. The process is killed soon after the deadline. Any goroutine may call it.
 func (d *Dispatcher) DrainBy(deadline float64) { d.enqueue(drainMessage{deadline}) }
 
-// Complete reports the end of an attempt that its transport had accepted. Any goroutine may
-// call it.
+// Complete reports the end of an attempt that its transport had accepted. Any goroutine may call
+// it.
 func (d *Dispatcher) Complete(completion Completion) { d.enqueue(completionMessage{&completion}) }
 
-// HandleWatchEvent hands over an event of the endpoint list's watch. Any goroutine may call it.
+// HandleWatchEvent passes a watch event, which is a change of the endpoint list or a purge, to the
+// dispatcher. Any goroutine may call it.
 func (d *Dispatcher) HandleWatchEvent(event platformconfig.WatchEvent) {
 	d.enqueue(watchMessage{event})
 }
 
-// Reload replaces the settings. The caller has checked that they differ from those in use only
-// in what may change while the program runs. Any goroutine may call it.
+// Reload replaces the settings. The caller must have checked that the new settings differ from the
+// current ones only where a change is allowed at run time. Any goroutine may call it.
 func (d *Dispatcher) Reload(settings routing.Settings) { d.enqueue(reloadMessage{settings}) }
 
-// notifyRouter gives the decision module an event and executes the actions that it returns.
-// Events that arise from them are handled in order by the outermost call.
+// notifyRouter passes an event to the decision module and executes the actions that the module
+// returns. These actions may cause further events: nested calls only append them to pendingEvents,
+// and the outermost call handles them in order.
 func (d *Dispatcher) notifyRouter(event routing.Event) {
 	d.pendingEvents = append(d.pendingEvents, event)
 	if len(d.pendingEvents) > 1 {
-		return // the outermost call goes on with it
+		return // the outermost call handles it
 	}
 	for i := 0; i < len(d.pendingEvents); i++ {
 		now := clock.Duration(d.clock.Now())
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -13,7 +13,7 @@
 
 const startTime = 1.7e12
 
-// The classes of settings, by their place.
+// Indexes of the classes that settings returns.
 const (
 	idempotentClass = iota
 	keyedClass
@@ -39,7 +39,7 @@
 	return platformconfig.Endpoint{Server: routing.Server{ID: routing.ServerID(id), Kind: kind, Phase: phase, Weight: 1}}
 }
 
-// endpointList is three caches, a parent and the origin.
+// endpointList returns a snapshot with three caches, a parent and the origin.
 func endpointList() platformconfig.WatchEvent {
 	return platformconfig.WatchEvent{ListUpdate: true, Snapshot: true, Endpoints: []platformconfig.Endpoint{
 		endpoint(1, 0, routing.Ready),
@@ -50,8 +50,8 @@
 	}}
 }
 
-// newDispatcher returns a dispatcher that knows the endpoint list and is not started: tests
-// apply its messages and fire its timers.
+// newDispatcher returns a dispatcher that knows the endpoint list and is not running: tests apply
+// its messages and fire its timers.
 func newDispatcher(tb testing.TB, clk clock.Clock, settings routing.Settings) *Dispatcher {
 	tb.Helper()
 	dispatcher, err := New(clk, settings, 1, metrics.New())
@@ -68,8 +68,8 @@
 	completionMessage{completion}.apply(dispatcher)
 }
 
-// dispatcherModel is what must hold of a dispatcher, known from its calls alone. It is the transport of
-// all requests, and a script of random bytes says what happens.
+// dispatcherModel checks what must hold for a dispatcher, using only the calls to it and from it.
+// It is the transport of all requests, and a script of random bytes selects the steps.
 type dispatcherModel struct {
 	t           *testing.T
 	dispatcher  *Dispatcher
@@ -78,7 +78,7 @@
 	requests    []*requestState
 	states      map[*Request]*requestState
 	inFlight    []*Attempt
-	canceled    []*Attempt // asked to be canceled
+	canceled    []*Attempt // attempts that the dispatcher asked to cancel
 	unavailable map[routing.ServerID]bool
 }
 
@@ -88,7 +88,7 @@
 	attempts, inFlight       int
 	responses                int
 	disconnected             bool
-	possiblyExecuted         int // attempts that may have been executed
+	possiblyExecuted         int // number of attempts that may have been executed
 	firstSentAt, respondedAt float64
 }
 
@@ -108,7 +108,7 @@
 	return int(next)
 }
 
-// Send implements Transport: it checks that the attempt is allowed, and accepts it or not.
+// Send implements Transport. It checks that the attempt is allowed, and accepts or refuses it.
 func (m *dispatcherModel) Send(attempt *Attempt) *Completion {
 	state := m.states[attempt.Request]
 	state.attempts++
@@ -132,17 +132,17 @@
 	retry := state.possiblyExecuted > 0
 	switch {
 	case state.attempts > 6 || attempt.Index != state.attempts-1:
-		m.t.Fatalf("attempt %d of a request has index %d", state.attempts, attempt.Index)
+		m.t.Fatalf("attempt number %d of a request has index %d, want at most 6 attempts with consecutive indexes", state.attempts, attempt.Index)
 	case state.inFlight > 0:
-		m.t.Fatal("two attempts in flight")
+		m.t.Fatal("attempt started while another one of its request is in flight")
 	case state.responses > 0 || state.disconnected || now >= state.request.Deadline:
-		m.t.Fatal("an attempt for a request that has ended")
+		m.t.Fatal("attempt started for a request that has ended")
 	case m.unavailable[attempt.Decision.Server] || m.unavailable[attempt.Decision.FillSource]:
-		m.t.Fatal("an attempt to a draining server")
+		m.t.Fatal("attempt started with a draining server or fill source")
 	case retry && class.Idempotency == routing.NonIdempotent:
-		m.t.Fatal("a retry of what may have been executed")
+		m.t.Fatal("non-idempotent request retried although it may have been executed")
 	case retry && class.Idempotency == routing.IdempotentWithKey && now >= state.firstSentAt+1000:
-		m.t.Fatal("a retry after the window of its key")
+		m.t.Fatal("request retried after the window of its idempotency key")
 	}
 }
 
@@ -157,16 +157,17 @@
 		state.responses++
 		state.respondedAt = m.clock.Now()
 		if state.responses > 1 || state.disconnected {
-			m.t.Fatalf("response %d to a request, client disconnected: %v", state.responses, state.disconnected)
+			m.t.Fatalf("got response number %d to a request, client disconnected: %v; want one response to a connected client", state.responses, state.disconnected)
 		}
 		class := m.dispatcher.settings.Classes[state.request.Class]
 		if response.Kind == Rejected && state.possiblyExecuted > 0 && class.Idempotency == routing.NonIdempotent {
-			m.t.Fatal("rejected what may have been executed")
+			m.t.Fatal("non-idempotent request rejected although it may have been executed")
 		}
 	}
 }
 
-// endAttempt ends one of the attempts in flight, provably not executed or not.
+// endAttempt ends one of the attempts in flight. notExecuted tells whether the attempt provably
+// was not executed.
 func (m *dispatcherModel) endAttempt(index int, result routing.Result, notExecuted bool) {
 	attempt := m.inFlight[index]
 	m.inFlight = append(m.inFlight[:index:index], m.inFlight[index+1:]...)
@@ -178,12 +179,12 @@
 	complete(m.dispatcher, attempt, result)
 }
 
-// advance moves the clock forward, from timer to timer.
+// advance moves the clock forward by ms milliseconds and stops at each timer on the way.
 func (m *dispatcherModel) advance(ms float64) {
 	rounds := 0
 	for end := m.clock.Now() + ms; m.clock.Now() < end; m.dispatcher.fireTimers() {
 		if rounds++; rounds > 100_000 {
-			m.t.Fatal("the timers never end")
+			m.t.Fatal("timers still fire after 100000 rounds")
 		}
 		next := end
 		if len(m.dispatcher.timers) > 0 {
@@ -208,7 +209,7 @@
 	submitMessage{request}.apply(m.dispatcher)
 }
 
-// runStep does what the next two bytes of the script say.
+// runStep carries out the step that the next two bytes of the script select.
 func (m *dispatcherModel) runStep() {
 	step := m.nextByte() % 8
 	argument := m.nextByte()
@@ -235,7 +236,7 @@
 	}
 }
 
-// endCanceled ends the attempts that were asked to be canceled.
+// endCanceled ends the attempts that the dispatcher asked to cancel.
 func (m *dispatcherModel) endCanceled() {
 	for len(m.canceled) > 0 {
 		attempt := m.canceled[0]
@@ -266,8 +267,9 @@
 	watchMessage{platformconfig.WatchEvent{ListUpdate: true, Endpoints: []platformconfig.Endpoint{endpoint(id, 0, phase)}}}.apply(m.dispatcher)
 }
 
-// Whatever transports and clients do, each request gets one response by its deadline, attempts
-// never overlap, and what may have been executed is not executed again.
+// FuzzDispatcher checks that each request gets one response by its deadline, that its attempts
+// never overlap, and that a request that may have been executed is not executed again unless its
+// class permits it, whatever transports and clients do.
 func FuzzDispatcher(f *testing.F) {
 	fuzzutil.AddRandomSeeds(f, 48, 600)
 	f.Fuzz(func(t *testing.T, script []byte) {
@@ -275,7 +277,7 @@
 		for len(model.script) > 0 {
 			model.runStep()
 		}
-		model.advance(20_000) // no attempt ends any more: the deadline answers
+		model.advance(20_000) // no attempt ends from now on: the dispatcher responds at the deadline
 		for i, state := range model.requests {
 			if state.responses == 0 && !state.disconnected {
 				t.Errorf("request %d has no response", i)
@@ -290,21 +292,22 @@
 	})
 }
 
-// The client's 64-bit id must not become the module's: shifted into a timer token it would lose
-// bits.
+// TestRequestsGetSmallIDs checks that the module does not get a client's 64-bit id, which would
+// lose bits when the module shifts it into a timer token.
 func TestRequestsGetSmallIDs(t *testing.T) {
 	model := newModel(t, []byte{1, 1})
 	for i, transactionID := range []string{"ffffffffffffffff", "fffffffffffffffe"} {
 		request := &Request{TransactionID: transactionID, Object: 1, Deadline: startTime + 1000, Respond: func(Response) {}}
 		model.submit(request)
 		if want := routing.RequestID(i + 1); request.id != want {
-			t.Errorf("request %d has id %d", want, request.id)
+			t.Errorf("want request id %d, got %d", want, request.id)
 		}
 	}
 }
 
-// A request under the id of one that is open is refused without an attempt and leaves the first
-// alone, also when its client disconnects; later the id is free.
+// TestDuplicateTransactionID checks that a request with the transaction id of an open one is
+// refused without an attempt, that neither it nor the disconnect of its client affects the open
+// request, and that the id can be used again later.
 func TestDuplicateTransactionID(t *testing.T) {
 	model := newModel(t, []byte{1, 1, 1})
 	var got [3][]ResponseKind
@@ -318,11 +321,11 @@
 	second := submit(1)
 	disconnectMessage{second}.apply(model.dispatcher)
 	if len(model.inFlight) != 1 || len(got[0]) != 0 || len(got[1]) != 1 || got[1][0] != DuplicateID {
-		t.Fatalf("%d attempts, responses %v", len(model.inFlight), got)
+		t.Fatalf("got %d attempts in flight and responses %v, want one attempt and DuplicateID for the second request", len(model.inFlight), got)
 	}
 	model.endAttempt(0, routing.Served, false)
 	submit(2)
 	if len(got[0]) != 1 || got[0][0] != Served || len(model.inFlight) != 1 || len(got[2]) != 0 {
-		t.Errorf("%d attempts, responses %v", len(model.inFlight), got)
+		t.Errorf("got %d attempts in flight and responses %v, want one attempt, the first request served and the third open", len(model.inFlight), got)
 	}
 }
--- a/internal/dispatch/ejection.go
+++ b/internal/dispatch/ejection.go
@@ -7,13 +7,13 @@
 	"garnetline/routing"
 )
 
-// PublishEjected has the list of ejected servers published, for Ejected. It must not be called
-// after Run.
+// PublishEjected makes the dispatcher publish the list of ejected servers, which Ejected returns.
+// It must be called before Run.
 func (d *Dispatcher) PublishEjected() { d.publishesEjected = true }
 
 // Ejected returns the servers that the module's outlier detection has ejected, as of the last
-// message or timer; nil unless PublishEjected was called. The slice is never changed. Any
-// goroutine may call it.
+// message or timer. It returns nil unless PublishEjected was called. The returned slice is never
+// modified. Any goroutine may call it.
 func (d *Dispatcher) Ejected() []routing.ServerID {
 	if ejected := d.ejected.Load(); ejected != nil {
 		return *ejected
@@ -25,7 +25,8 @@
 // timer. Any goroutine may call it.
 func (d *Dispatcher) EjectedCount() int64 { return d.ejectedCount.Load() }
 
-// publishEjections publishes how many servers are ejected and, where that is wanted, which.
+// publishEjections publishes the number of ejected servers and, if PublishEjected was called,
+// their list.
 func (d *Dispatcher) publishEjections() {
 	d.ejectedCount.Store(d.router.UnavailableCount())
 	if !d.publishesEjected {
@@ -39,22 +40,23 @@
 	d.ejected.Store(&ejected)
 }
 
-// ReportLoad hands over a server's load as another router measured it, ageMs ago. Any goroutine
-// may call it. It does not wait: a report that finds no room in the mailbox is dropped, since
-// it is worth nothing later.
+// ReportLoad passes on the load of a server that another router measured ageMs milliseconds ago.
+// Any goroutine may call it. It does not wait: a report is dropped if the mailbox is full, because
+// an old report is useless.
 func (d *Dispatcher) ReportLoad(id routing.ServerID, load routing.LoadReport, ageMs float64) {
 	d.offer(peerMessage{routing.PeerLoadReport{Server: id, Load: load, Age: clock.Duration(ageMs)}})
 }
 
-// ExtendEjection keeps an ejected server ejected for ms from now at least. Like ReportLoad it
-// does not wait.
+// ExtendEjection keeps an ejected server ejected for at least ms milliseconds from now. Like
+// ReportLoad, it does not wait and may be dropped.
 func (d *Dispatcher) ExtendEjection(id routing.ServerID, ms float64) {
 	until := clock.Duration(d.clock.Now() + ms)
 	d.offer(peerMessage{routing.ExtendEjection{Server: id, Until: until}})
 }
 
-// RequireProbe has a server that other routers ejected probed by a single request before it
-// gets more. Like ReportLoad it does not wait.
+// RequireProbe tells the decision module that other routers ejected a server: the module must
+// probe the server by a single request before it sends more. Like ReportLoad, it does not wait and
+// may be dropped.
 func (d *Dispatcher) RequireProbe(id routing.ServerID) {
 	d.offer(peerMessage{routing.RequireProbe{Server: id}})
 }
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -6,8 +6,8 @@
 	"garnetline/routing"
 )
 
-// EndpointListener is told of each change of the endpoint list, on the dispatcher's goroutine
-// and before the decision module is. It must not block.
+// EndpointListener is notified of each change of the endpoint list, on the dispatcher's goroutine
+// and before the decision module is notified. UpdateEndpoints must not block.
 type EndpointListener interface {
 	UpdateEndpoints(event platformconfig.WatchEvent)
 }
@@ -32,14 +32,14 @@
 	}
 }
 
-// endpointUpdate is a change of the endpoint list as the decision module takes it. Starts of
-// servers are converted from the wall clock, by which the list tells them, to the dispatcher's
-// clock.
+// endpointUpdate converts a change of the endpoint list to the form that the decision module
+// expects. The list gives the start times of servers in wall clock time; endpointUpdate converts
+// them to the dispatcher's clock.
 func (d *Dispatcher) endpointUpdate(event platformconfig.WatchEvent) routing.EndpointUpdate {
 	update := routing.EndpointUpdate{Snapshot: event.Snapshot}
 	step := clock.Duration(clock.WallClockStep(d.clock))
 	for _, endpoint := range event.Endpoints {
-		if endpoint.StartedAt != 0 { // 0 says that the start is not known
+		if endpoint.StartedAt != 0 { // 0: the start time is unknown
 			endpoint.StartedAt = max(endpoint.StartedAt-step, 1)
 		}
 		update.Servers = append(update.Servers, endpoint.Server)
--- a/internal/dispatch/lifecycle_test.go
+++ b/internal/dispatch/lifecycle_test.go
@@ -23,8 +23,8 @@
 func (h *hangingTransport) Cancel(attempt *Attempt) { h.canceled = append(h.canceled, attempt) }
 func (h *hangingTransport) Release(*Attempt)        {}
 
-// testHarness is a dispatcher whose messages and timers a test runs by hand, on a manual clock,
-// with servers that hang.
+// testHarness is a dispatcher with a manual clock and servers that never answer. Tests apply its
+// messages and fire its timers.
 type testHarness struct {
 	*Dispatcher
 	clock     *clock.Manual
@@ -42,7 +42,7 @@
 	return &testHarness{Dispatcher: newDispatcher(t, clk, changed), clock: clk, responses: map[*Request][]Response{}}
 }
 
-// submit submits a request whose client waits for ms.
+// submit submits a request whose client waits for ms milliseconds.
 func (h *testHarness) submit(class int, ms float64) *Request {
 	request := &Request{Class: class, Object: 7, Deadline: h.clock.Now() + ms, Transport: &h.transport}
 	request.Respond = func(response Response) { h.responses[request] = append(h.responses[request], response) }
@@ -57,21 +57,23 @@
 	}
 }
 
-// Guards against a response after the client of a very short request has given up: the time
-// that the dispatcher waits for the module is bounded by the time that the request had.
+// TestShortDeadline checks that the client of a very short request gets its response before it
+// gives up: the dispatcher's wait for the module's decision is limited to a share of the time that
+// the request had.
 func TestShortDeadline(t *testing.T) {
 	for _, ms := range []float64{20, 45, 180, 1480} {
 		harness := newHarness(t, nil)
 		request := harness.submit(idempotentClass, ms)
 		harness.advance(ms + 1 + ms*responseGraceShare)
 		if len(harness.responses[request]) != 1 {
-			t.Errorf("%v ms: no answer %v ms after", ms, 1+ms*responseGraceShare)
+			t.Errorf("deadline of %v ms: want exactly one response by %v ms after it", ms, 1+ms*responseGraceShare)
 		}
 	}
 }
 
-// Guards against requests that wait for a hanging cache until the process is killed: what is
-// open, and what is submitted later, is answered by the time that is set.
+// TestDrainBy checks that requests that wait for a hanging cache are answered by the drain
+// deadline, before the process is killed, whether they were open at the drain or were submitted
+// later.
 func TestDrainBy(t *testing.T) {
 	harness := newHarness(t, nil)
 	open := harness.submit(idempotentClass, 6000)
@@ -80,18 +82,18 @@
 	late := harness.submit(nonIdempotentClass, 6000)
 	harness.advance(499)
 	if len(harness.responses) > 0 {
-		t.Fatal("answered before the end")
+		t.Fatal("got a response before the drain deadline")
 	}
 	harness.advance(10)
 	for _, request := range []*Request{open, late} {
 		if responses := harness.responses[request]; len(responses) != 1 || responses[0].Kind != Failed {
-			t.Errorf("at the end: %+v", responses)
+			t.Errorf("at the drain deadline: got responses %+v, want one of kind Failed", responses)
 		}
 	}
 	if len(harness.transport.canceled) != 2 {
-		t.Errorf("%d attempts were canceled", len(harness.transport.canceled))
+		t.Errorf("got %d canceled attempts, want 2", len(harness.transport.canceled))
 	}
-	// What was never sent is harmless to retry, and its response says so.
+	// A request that was never sent is harmless to retry, and its response says so.
 	harness = newHarness(t, nil)
 	request := harness.submit(idempotentClass, 6000)
 	for len(harness.transport.sent) > 0 {
@@ -100,12 +102,13 @@
 		completionMessage{Unsent(attempt, routing.ConnectFailed)}.apply(harness.Dispatcher)
 	}
 	if responses := harness.responses[request]; len(responses) != 1 || responses[0].Kind != Rejected {
-		t.Errorf("never sent: %+v", responses)
+		t.Errorf("request never sent: got responses %+v, want one of kind Rejected", responses)
 	}
 }
 
-// Guards against a retry that is written after the window of its key, since it waited for a
-// connection, and against any retry of what must not be executed twice.
+// TestRetryForbidden checks that a retry that had to wait for a connection is not written after
+// the window of its idempotency key, and that a request that must not be executed twice is not
+// retried.
 func TestRetryForbidden(t *testing.T) {
 	harness := newHarness(t, nil)
 	request := harness.submit(keyedClass, 3000)
@@ -114,44 +117,44 @@
 	complete(harness.Dispatcher, first, routing.ConnectionLost)
 	harness.advance(cancelTransit)
 	if len(harness.transport.sent) != 2 {
-		t.Fatalf("%d attempts", len(harness.transport.sent))
+		t.Fatalf("got %d attempts, want 2", len(harness.transport.sent))
 	}
 	if attempt := harness.transport.sent[1]; first.SendDeadline != 0 || attempt.SendDeadline != startTime+1000 {
-		t.Errorf("the retry may be written until %v, want 1000", attempt.SendDeadline-startTime)
+		t.Errorf("got send deadline %v for the retry, want 1000 and none for the first attempt", attempt.SendDeadline-startTime)
 	}
-	// The check holds whatever the module decides.
+	// The dispatcher forbids the retry whatever the module decides.
 	for class, want := range map[int]bool{idempotentClass: false, keyedClass: true, nonIdempotentClass: true} {
 		request := &Request{Class: class, attempts: []*Attempt{{sentAt: startTime, ended: true}}}
 		attempt := &Attempt{Request: request, Class: &harness.settings.Classes[class], sentAt: startTime + 1000}
 		if got := attempt.retryForbidden(); got != want {
-			t.Errorf("class %d: forbidden: %v", class, got)
+			t.Errorf("class %d: got retry forbidden %v, want the opposite", class, got)
 		}
 		if request.attempts[0].notExecuted = true; attempt.retryForbidden() {
-			t.Errorf("class %d: forbidden though nothing was executed", class)
+			t.Errorf("class %d: retry forbidden although nothing was executed", class)
 		}
 	}
 	if len(harness.responses[request]) > 0 {
-		t.Error("answered while a retry is in flight")
+		t.Error("got a response while a retry is in flight")
 	}
 }
 
-// Guards against work for nobody: a request whose client disconnected between attempts, or
-// while the module had it queued, is not sent, though the dispatcher has not handled the
-// message about it yet.
+// TestDisconnectedClientIsNotForwarded checks that no attempt is sent for a client that
+// disconnected between attempts or while the module had its request queued, even before the
+// dispatcher has handled the disconnect message.
 func TestDisconnectedClientIsNotForwarded(t *testing.T) {
 	harness := newHarness(t, nil)
 	request := harness.submit(idempotentClass, 6000)
-	harness.Disconnect(request) // it is in the mailbox, behind the end of the attempt
+	harness.Disconnect(request) // the message stays in the mailbox until after the attempt ends
 	complete(harness.Dispatcher, harness.transport.sent[0], routing.ServerError)
 	if len(harness.transport.sent) != 1 {
-		t.Errorf("%d attempts for a client that has disconnected", len(harness.transport.sent))
+		t.Errorf("got %d attempts for a client that disconnected, want 1", len(harness.transport.sent))
 	}
 	(<-harness.mailbox).apply(harness.Dispatcher)
 	if n := harness.metrics.Counter("clients_gone_waiting").Load(); n > 1 || len(harness.openRequests) != 0 {
-		t.Errorf("%d disconnected without an attempt in flight, %d are open", n, len(harness.openRequests))
+		t.Errorf("got %d disconnects without an attempt in flight and %d open requests, want at most 1 and 0", n, len(harness.openRequests))
 	}
 
-	// Queued in the module: caches without capacity make requests wait.
+	// The module queues requests while the caches have no capacity.
 	harness = newHarness(t, func(settings *routing.Settings) {
 		settings.TransferKBPerSecond = 1000
 		settings.WeightIsCapacity = true
@@ -167,7 +170,7 @@
 		}
 	}
 	if len(queued) == 0 {
-		t.Fatal("none is queued in the module")
+		t.Fatal("got no request queued in the module, want at least one")
 	}
 	for _, request := range queued {
 		harness.Disconnect(request)
@@ -183,36 +186,37 @@
 	for _, attempt := range harness.transport.sent {
 		for _, request := range queued {
 			if attempt.Request == request {
-				t.Error("sent for a client that disconnected while its request was queued")
+				t.Error("attempt sent for a client that disconnected while its request was queued")
 			}
 		}
 	}
 	if got := harness.metrics.Counter("clients_gone_waiting").Load(); got != int64(len(queued)) {
-		t.Errorf("%d are counted, want %d", got, len(queued))
+		t.Errorf("got %d disconnects without an attempt in flight, want %d", got, len(queued))
 	}
 }
 
-// Guards against a wall clock that is set while the router runs: the age of a purge and of a
-// server, whose times are the wall clock's, stays what it was.
+// TestWallClockStep checks that a step of the wall clock while the router runs does not change the
+// age of a purge or of a server, whose times are given in wall clock time.
 func TestWallClockStep(t *testing.T) {
-	for _, by := range []float64{-3_600_000, 0, 3_600_000} {
+	for _, step := range []float64{-3_600_000, 0, 3_600_000} {
 		harness := newHarness(t, nil)
-		harness.clock.StepWallClock(by)
-		watchMessage{platformconfig.WatchEvent{Purge: &platformconfig.Purge{Object: 7, At: startTime + by - 50}}}.apply(harness.Dispatcher)
+		harness.clock.StepWallClock(step)
+		watchMessage{platformconfig.WatchEvent{Purge: &platformconfig.Purge{Object: 7, At: startTime + step - 50}}}.apply(harness.Dispatcher)
 		harness.submit(idempotentClass, 1480)
 		if sent := harness.transport.sent; len(sent) != 1 || sent[0].Decision.MaxAge != 50*time.Millisecond {
-			t.Errorf("set by %v ms: %d sent, copies of %v will do", by, len(sent), sent[0].Decision.MaxAge)
+			t.Errorf("wall clock step of %v ms: got %d attempts with maximum age %v, want one with 50ms", step, len(sent), sent[0].Decision.MaxAge)
 		}
-		started := platformconfig.Endpoint{Server: routing.Server{StartedAt: clock.Duration(startTime + by - 50)}}
+		started := platformconfig.Endpoint{Server: routing.Server{StartedAt: clock.Duration(startTime + step - 50)}}
 		servers := harness.endpointUpdate(platformconfig.WatchEvent{Endpoints: []platformconfig.Endpoint{started, {}}}).Servers
 		if servers[0].StartedAt != clock.Duration(startTime-50) || servers[1].StartedAt != 0 {
-			t.Errorf("set by %v ms: %v", by, servers)
+			t.Errorf("wall clock step of %v ms: got unexpected start times in servers %v", step, servers)
 		}
 	}
 }
 
-// Guards against a request that is executed twice at a time: a retry that is sent at once
-// overtakes the cancel, or the end of the connection, that ended the attempt before.
+// TestRetryWaitsForCancelTransit checks that a retry waits for cancelTransit after a cancel or a
+// lost connection. A retry that is sent at once can overtake the cancel or the end of the
+// connection, and the request is then executed twice at the same time.
 func TestRetryWaitsForCancelTransit(t *testing.T) {
 	for _, result := range []routing.Result{routing.Canceled, routing.ConnectionLost} {
 		harness := newHarness(t, nil)
@@ -223,41 +227,42 @@
 		complete(harness.Dispatcher, request.attempts[0], result)
 		harness.advance(cancelTransit - 1)
 		if len(harness.transport.sent) != 1 {
-			t.Fatalf("%v: sent again within %v ms", result, cancelTransit-1)
+			t.Fatalf("%v: request sent again within %v ms", result, cancelTransit-1)
 		}
 		harness.advance(1)
 		if len(harness.transport.sent) != 2 {
-			t.Errorf("%v: %d sent after %v ms, want the next one", result, len(harness.transport.sent), cancelTransit)
+			t.Errorf("%v: got %d attempts after %v ms, want 2", result, len(harness.transport.sent), cancelTransit)
 		}
 	}
-	harness := newHarness(t, nil) // its client disconnects meanwhile: nothing is sent
+	harness := newHarness(t, nil) // the client disconnects during the wait: no retry is sent
 	request := harness.submit(idempotentClass, 1480)
 	complete(harness.Dispatcher, request.attempts[0], routing.ConnectionLost)
 	harness.Disconnect(request)
 	disconnectMessage{request}.apply(harness.Dispatcher)
 	harness.advance(2 * cancelTransit)
 	if len(harness.transport.sent) != 1 || !request.attempts[0].ended || len(harness.openRequests) != 0 {
-		t.Errorf("%d sent for a client that disconnected, ended %v, %d open", len(harness.transport.sent), request.attempts[0].ended, len(harness.openRequests))
+		t.Errorf("client disconnected: got %d attempts, first ended %v, %d open requests; want 1, true, 0", len(harness.transport.sent), request.attempts[0].ended, len(harness.openRequests))
 	}
 }
 
-// Guards against a response that is delayed for a cancel's transit though nothing can be sent
-// any more: when the attempt expires the client is told at once that a retry is harmless.
+// TestExpiredAttemptCompletesAtOnce checks that a response does not wait for cancelTransit when no
+// retry can follow: when the attempt expires, the client is told at once that a retry is harmless.
 func TestExpiredAttemptCompletesAtOnce(t *testing.T) {
 	harness := newHarness(t, nil)
 	request := harness.submit(idempotentClass, 1480)
 	harness.advance(1480)
 	if len(harness.transport.canceled) != 1 {
-		t.Fatalf("%d attempts were canceled at the end", len(harness.transport.canceled))
+		t.Fatalf("got %d canceled attempts at the deadline, want 1", len(harness.transport.canceled))
 	}
 	complete(harness.Dispatcher, request.attempts[0], routing.Canceled)
 	if responses := harness.responses[request]; len(responses) != 1 || responses[0].Kind != Rejected {
-		t.Errorf("answered %+v, want a rejection at once", responses)
+		t.Errorf("got responses %+v, want one of kind Rejected at once", responses)
 	}
 }
 
-// Guards against a retry after the window of its key, or more attempts than allowed, by the
-// settings in use: what is reloaded while a request is open holds for its next attempt.
+// TestReloadShortensKeyWindow checks that settings that are reloaded while a request is open apply
+// to its next attempt: no retry is sent after the new window of its idempotency key, nor beyond
+// the new limit of attempts.
 func TestReloadShortensKeyWindow(t *testing.T) {
 	for _, test := range []struct {
 		name         string
@@ -280,16 +285,17 @@
 		complete(harness.Dispatcher, harness.transport.sent[0], routing.ServerError)
 		harness.advance(100)
 		if last := harness.transport.sent[len(harness.transport.sent)-1]; len(harness.transport.sent) != test.sent || last.SendDeadline != test.sendDeadline {
-			t.Errorf("%s: %d sent, the last to be written by %v", test.name, len(harness.transport.sent), last.SendDeadline-startTime)
+			t.Errorf("%s: got %d attempts, the last with send deadline %v", test.name, len(harness.transport.sent), last.SendDeadline-startTime)
 		}
 		if responses := harness.responses[request]; test.sent == 1 && (len(responses) != 1 || responses[0].Kind != Failed) {
-			t.Errorf("%s: answered %+v", test.name, responses)
+			t.Errorf("%s: got responses %+v, want one of kind Failed", test.name, responses)
 		}
 	}
 }
 
-// Guards against work for a client that gave up early: its attempt is canceled, once, the late
-// completion is no response, and the client may use the same id again at once.
+// TestDisconnectCancelsAttempt checks that the attempt for a client that disconnects is canceled
+// once, that its late completion causes no response, and that the client may reuse its transaction
+// id at once.
 func TestDisconnectCancelsAttempt(t *testing.T) {
 	harness := newHarness(t, nil)
 	submit := func() *Request {
@@ -302,16 +308,16 @@
 	disconnectMessage{first}.apply(harness.Dispatcher)
 	disconnectMessage{first}.apply(harness.Dispatcher)
 	if len(harness.transport.canceled) != 1 || harness.transport.canceled[0] != first.attempts[0] {
-		t.Fatalf("%d attempts were canceled", len(harness.transport.canceled))
+		t.Fatalf("got %d canceled attempts, want only that of the first request", len(harness.transport.canceled))
 	}
 	second := submit()
 	if len(harness.transport.sent) != 2 || len(harness.responses[second]) != 0 {
-		t.Fatalf("the id again: %d sent, answered %+v", len(harness.transport.sent), harness.responses[second])
+		t.Fatalf("transaction id used again: got %d attempts and responses %+v, want 2 attempts and no response", len(harness.transport.sent), harness.responses[second])
 	}
 	for _, request := range []*Request{first, second} {
 		complete(harness.Dispatcher, request.attempts[0], routing.Served)
 	}
 	if responses := harness.responses[second]; len(harness.responses[first]) != 0 || len(responses) != 1 || responses[0].Kind != Served || len(harness.openRequests) != 0 || len(harness.byTransactionID) != 0 {
-		t.Errorf("answered %v, %d open", harness.responses, len(harness.openRequests))
+		t.Errorf("got responses %v and %d open requests, want one response of kind Served to the second request and none open", harness.responses, len(harness.openRequests))
 	}
 }
--- a/internal/dispatch/messages.go
+++ b/internal/dispatch/messages.go
@@ -5,7 +5,7 @@
 	"garnetline/routing"
 )
 
-// message is what other goroutines put into the dispatcher's mailbox.
+// message is a message that another goroutine puts into the dispatcher's mailbox.
 type message interface {
 	// apply handles the message on the dispatcher's goroutine.
 	apply(d *Dispatcher)
@@ -18,7 +18,7 @@
 	completionMessage struct{ completion *Completion }
 	watchMessage      struct{ event platformconfig.WatchEvent }
 	reloadMessage     struct{ settings routing.Settings }
-	// peerMessage is an event for the decision module that another router caused.
+	// peerMessage carries an event for the decision module that another router caused.
 	peerMessage struct{ event routing.Event }
 )
 
@@ -30,7 +30,7 @@
 func (m reloadMessage) apply(d *Dispatcher)     { d.applySettings(m.settings) }
 func (m peerMessage) apply(d *Dispatcher)       { d.notifyRouter(m.event) }
 
-// enqueue puts a message into the mailbox and waits for room there. It reports false if the
+// enqueue puts a message into the mailbox and waits for room in it. It returns false if the
 // dispatcher has stopped.
 func (d *Dispatcher) enqueue(m message) bool {
 	select {
@@ -49,15 +49,16 @@
 	}
 }
 
-// applySettings goes over to other settings, or keeps those in use if the module cannot use
-// the others.
+// applySettings replaces the settings. It keeps the current ones if the module rejects the new
+// ones.
 func (d *Dispatcher) applySettings(settings routing.Settings) {
 	if err := d.router.UpdateSettings(settings); err == nil {
 		d.settings = settings
 	}
 }
 
-// handleDrain has all open requests answered by a time, and those that come later, too.
+// handleDrain makes the dispatcher answer all requests, open now or submitted later, by the
+// deadline.
 func (d *Dispatcher) handleDrain(deadline float64) {
 	d.drainBy = deadline
 	for _, request := range d.openRequests {
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -20,10 +20,10 @@
 	Rejected
 	// Served carries the body of a server's response.
 	Served
-	// NotModified says that the copy that the client has is current.
+	// NotModified says that the client's copy is current.
 	NotModified
 	// DuplicateID says that another request with the same transaction id is open. The request
-	// was not looked at.
+	// was not processed.
 	DuplicateID
 )
 
@@ -32,44 +32,43 @@
 	Kind       ResponseKind
 	Body       []byte
 	ETag       string
-	RetryAfter float64 // ms, of Rejected
+	RetryAfter float64 // ms; set if Kind is Rejected
 	Server     routing.ServerID
 }
 
-// Request is a client's request as a frontend submits it. From Submit on the dispatcher owns
-// it; the frontend keeps the bytes of Body unchanged until the attempt that carries them has
-// ended.
+// Request is a client's request that a frontend submits. The dispatcher owns it from Submit on.
+// The frontend must not change the bytes of Body until the attempt that carries them has ended.
 type Request struct {
-	TransactionID  string // the client's id, passed on unchanged; empty: it named none
-	IdempotencyKey string // empty: it named none
-	IfNoneMatch    string // entity tag of the copy that the client has; empty: none
+	TransactionID  string // the client's id, passed on unchanged; empty: the client sent none
+	IdempotencyKey string // empty: the client sent none
+	IfNoneMatch    string // entity tag of the client's copy; empty: none
 	Class          int    // index into routing.Settings.Classes
 	Object         routing.ObjectID
 	Chunk          int
 	Group          int
-	SizeKB         float64 // of the chunk, in the unit of the settings' links; 0: unknown
+	SizeKB         float64 // size of the chunk, in the unit of the link settings; 0: unknown
 	Body           []byte
-	Deadline       float64        // when the client gives up
+	Deadline       float64        // time at which the client gives up
 	Transport      Transport      // carries out the attempts
 	Respond        func(Response) // called on the dispatcher's goroutine; must not block
 	Client         *ClientInfo    // nil: unknown
 
 	id           routing.RequestID
-	trace        RequestTrace // nil: it is not traced
+	trace        RequestTrace // nil: the request is not traced
 	attempts     []*Attempt
-	responded    bool // or its client disconnected: Respond is not called any more
+	responded    bool // Respond was called, or must not be called because the client disconnected
 	disconnected atomic.Bool
 }
 
-// ClientInfo tells when and where a request comes from. Traces show it.
+// ClientInfo tells when and from where a request arrived. Traces show it.
 type ClientInfo struct {
-	ReceivedAt  float64 // when the request's last byte came; 0: when the dispatcher took it
-	TraceParent string  // the traceparent header as it came, not checked
+	ReceivedAt  float64 // when the request's last byte arrived; 0: the time at which the dispatcher received it is used
+	TraceParent string  // value of the traceparent header, not validated
 	Address     string
 }
 
-// ClientDisconnected reports whether the client has disconnected; nothing is sent for the
-// request from then on. Any goroutine may call it, and it does not wait for the dispatcher.
+// ClientDisconnected reports whether the client has disconnected. No attempt is sent for the
+// request after that. Any goroutine may call it, and it does not wait for the dispatcher.
 func (r *Request) ClientDisconnected() bool { return r.disconnected.Load() }
 
 // lastAttemptEnded reports whether no attempt is in flight.
@@ -78,8 +77,8 @@
 	return count == 0 || r.attempts[count-1].ended
 }
 
-// firstPossiblyExecuted returns the first attempt that is not known to have been left
-// unexecuted, or nil.
+// firstPossiblyExecuted returns the first attempt that a server may have executed, or nil if there
+// is none. An attempt in flight counts too.
 func (r *Request) firstPossiblyExecuted() *Attempt {
 	for _, attempt := range r.attempts {
 		if !attempt.notExecuted {
@@ -89,23 +88,23 @@
 	return nil
 }
 
-// releaseBody gives back the body of a request that has been answered, once no attempt is in
-// flight. The request itself stays in memory until its timer has fired.
+// releaseBody drops the reference to the body of an answered request when no attempt is in flight.
+// The request itself stays in memory until its deadline timer has fired.
 func (r *Request) releaseBody() {
 	if r.lastAttemptEnded() {
 		r.Body = nil
 	}
 }
 
-// What ValidFieldValue accepts.
+// Limits of ValidFieldValue.
 const (
-	maxFieldValue = 128 // bytes
-	fieldBytes    = "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ-_.:+/"
+	maxFieldValueLength = 128 // bytes
+	allowedFieldBytes   = "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ-_.:+/"
 )
 
-var validFieldByte = byteSet(fieldBytes)
+var validFieldByte = byteSet(allowedFieldBytes)
 
-// byteSet returns a set of the bytes of members.
+// byteSet returns the set of the bytes in members, indexed by byte.
 func byteSet(members string) (set [256]bool) {
 	for i := range len(members) {
 		set[members[i]] = true
@@ -113,10 +112,11 @@
 	return set
 }
 
-// ValidFieldValue reports whether an entity tag or idempotency key can stand in a transport's
-// fields as it is: short, and of letters, digits and marks that cannot end a field.
+// ValidFieldValue reports whether an entity tag or idempotency key can be written into a
+// transport's fields without escaping: it has 1 to maxFieldValueLength bytes, all of them letters,
+// digits and punctuation marks that cannot end a field.
 func ValidFieldValue(value string) bool {
-	if value == "" || len(value) > maxFieldValue {
+	if value == "" || len(value) > maxFieldValueLength {
 		return false
 	}
 	for i := range len(value) {
@@ -128,18 +128,17 @@
 }
 
 // The dispatcher waits for the module's decision until responseGrace ms after the deadline of a
-// request, and then responds by itself. responseGraceShare bounds that by the time which the
-// request had: a client that waits for 50 ms would not wait for 5 more.
+// request, and then responds by itself. responseGraceShare limits this wait to a share of the
+// time that the request had: a client that waits for 50 ms would not wait for 5 ms more.
 const (
 	responseGrace      = 5.0
 	responseGraceShare = 0.05
 )
 
-// handleRequest opens a request under a small id of its own: the module shifts ids into timer
-// tokens, where a client's 64-bit id would lose bits.
-//
-// Symptom guarded against: a second request went out under the transaction id of an open one,
-// and the caches took the two for one.
+// handleRequest opens a request and passes it to the decision module. The request gets a small
+// sequential id: the module shifts ids into timer tokens, where a client's 64-bit id would lose
+// bits. A request with the transaction id of an open one is refused, because the caches would take
+// the two for the same request.
 func (d *Dispatcher) handleRequest(request *Request) {
 	if d.byTransactionID[request.TransactionID] != nil {
 		d.respond(request, Response{Kind: DuplicateID})
@@ -172,7 +171,7 @@
 	})
 }
 
-// handleDisconnect closes a request whose client has disconnected, without a response.
+// handleDisconnect closes a request whose client has disconnected and sends no response.
 func (d *Dispatcher) handleDisconnect(request *Request) {
 	if d.openRequests[request.id] != request {
 		return
@@ -186,10 +185,9 @@
 	d.closeRequest(request)
 }
 
-// handleDeadline responds to a request whose time is over and that has no response yet.
-//
-// Symptom guarded against: an attempt that its transport could not cancel in time kept the
-// client waiting past its deadline.
+// handleDeadline responds to a request that has no response when its time is over. Without it, an
+// attempt that its transport cannot cancel in time would keep the client waiting past the
+// deadline.
 func (d *Dispatcher) handleDeadline(request *Request) {
 	if d.openRequests[request.id] != request {
 		return
@@ -197,14 +195,14 @@
 	response := Response{Kind: Failed}
 	draining := d.clock.Now() < request.Deadline
 	if draining && request.firstPossiblyExecuted() == nil {
-		// Another router has the time to serve it.
+		// Another router still has time to serve the request.
 		response = Response{Kind: Rejected, RetryAfter: clock.Millis(d.settings.MaxRetryAfter) / 2}
 	}
 	d.respond(request, response)
 	d.closeRequest(request)
 }
 
-// finishRequest gives an open request the response that the module decided on.
+// finishRequest ends an open request with the response that the module decided on.
 func (d *Dispatcher) finishRequest(id routing.RequestID, response Response) {
 	request := d.openRequests[id]
 	if request == nil {
@@ -214,16 +212,17 @@
 	d.respond(request, response)
 }
 
-// closeRequest removes a request and cancels its attempts.
+// closeRequest removes a request, reports to the module that its client has disconnected, and
+// cancels its attempts.
 func (d *Dispatcher) closeRequest(request *Request) {
 	d.removeRequest(request)
 	d.notifyRouter(routing.ClientDisconnected{ID: request.id})
-	for _, attempt := range request.attempts { // the module knows the request no longer
+	for _, attempt := range request.attempts { // the module forgot the request and cancels none
 		d.cancelAttempt(attempt, routing.Canceled)
 	}
 }
 
-// removeRequest ends a request's being open, and frees its transaction id.
+// removeRequest removes a request from the open ones and frees its transaction id.
 func (d *Dispatcher) removeRequest(request *Request) {
 	delete(d.openRequests, request.id)
 	if d.byTransactionID[request.TransactionID] == request {
@@ -231,7 +230,7 @@
 	}
 }
 
-// responseCounters are the names of the counters of responses.
+// responseCounters are the names of the counters of responses, by kind.
 var responseCounters = [...]string{
 	Failed:      "answers_failed",
 	Rejected:    "answers_refused",
@@ -240,8 +239,8 @@
 	DuplicateID: "answers_clash",
 }
 
-// respond gives a request its one response, unless it has it or its client disconnected. It is
-// the only caller of Respond.
+// respond sends the one response to a request, unless the request already has it or its client has
+// disconnected. No other function calls Request.Respond.
 func (d *Dispatcher) respond(request *Request, response Response) {
 	if request.responded {
 		return
@@ -255,7 +254,8 @@
 	request.releaseBody()
 }
 
-// ClassCounterName returns the name of the counter of a class's requests that ended in a way.
+// ClassCounterName returns the name of the counter of the requests of a class that ended with a
+// response of the given kind.
 func ClassCounterName(class string, kind ResponseKind) string {
 	switch kind {
 	case Served, NotModified:
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -8,14 +8,14 @@
 	"garnetline/routing"
 )
 
-// timer is something to do at a time. At most one of the pointers is set; if none is, the
-// timer is the decision module's.
+// timer is an action that is due at a time. At most one of the pointers is set; if none is, the
+// timer belongs to the decision module.
 type timer struct {
 	at         float64
-	request    *Request    // its deadline is over
-	attempt    *Attempt    // it expires
-	completion *Completion // it has been delayed for long enough
-	token      uint64      // of the module's timer
+	request    *Request    // its deadline has passed
+	attempt    *Attempt    // the attempt expires
+	completion *Completion // the delay of the completion is over
+	token      uint64      // identifies the module's timer
 }
 
 func (d *Dispatcher) scheduleDeadline(at float64, request *Request) {
@@ -34,7 +34,7 @@
 	heap.Push(&d.timers, timer{at: at, token: token})
 }
 
-// untilNextTimer returns how long the dispatcher may sleep.
+// untilNextTimer returns how long the dispatcher may sleep before a timer is due.
 func (d *Dispatcher) untilNextTimer() time.Duration {
 	if len(d.timers) == 0 {
 		return idleWait
@@ -42,7 +42,7 @@
 	return max(0, clock.Duration(d.timers[0].at-d.clock.Now()))
 }
 
-// fireTimers does what is due.
+// fireTimers handles all timers that are due.
 func (d *Dispatcher) fireTimers() {
 	for len(d.timers) > 0 && d.timers[0].at <= d.clock.Now() {
 		due := heap.Pop(&d.timers).(timer)
@@ -69,8 +69,8 @@
 // Push implements heap.Interface.
 func (h *timerHeap) Push(x any) { *h = append(*h, x.(timer)) }
 
-// Pop implements heap.Interface. The slot is cleared, so that what the timer pointed to can be
-// freed.
+// Pop implements heap.Interface. It clears the slot, so that what the timer pointed to can be
+// garbage collected.
 func (h *timerHeap) Pop() any {
 	old := *h
 	last := len(old) - 1
--- a/internal/dispatch/tracing.go
+++ b/internal/dispatch/tracing.go
@@ -5,19 +5,19 @@
 	"garnetline/routing"
 )
 
-// Tracer follows the requests of a dispatcher. Its methods are called on the dispatcher's
-// goroutine and must not block.
+// Tracer creates and collects the traces of a dispatcher's requests. Its methods are called on the
+// dispatcher's goroutine and must not block.
 type Tracer interface {
 	// Open begins the trace of a request.
 	Open(now float64, request *Request, class *routing.Class) RequestTrace
-	// Close takes the trace of a request when it is done.
+	// Close receives the trace of a request that is done.
 	Close(now float64, requestTrace RequestTrace)
 }
 
-// RequestTrace is what a Tracer keeps of one request. Its methods are called on the
-// dispatcher's goroutine and must not block.
+// RequestTrace records the trace of one request. Its methods are called on the dispatcher's
+// goroutine and must not block.
 type RequestTrace interface {
-	// AttemptStarted returns the context that is passed on with the attempt.
+	// AttemptStarted returns the span context that is sent along with the attempt.
 	AttemptStarted(now float64, decision routing.SendAttempt) trace.SpanContext
 	AttemptEnded(now float64, result routing.Result, bytes int, load routing.LoadReport, timing trace.WireTimes)
 	Responded(now float64, outcome trace.Outcome)
@@ -25,13 +25,13 @@
 	Done() bool
 }
 
-// AttemptTrace is the part that an attempt's transport has in a trace.
+// AttemptTrace is the part of a trace that the transport of an attempt uses.
 type AttemptTrace struct {
-	Context trace.SpanContext // passed on where the transport's wire has a place for it
+	Context trace.SpanContext // sent with the attempt if the transport's wire format has a field for it
 	Timing  trace.WireTimes   // written by the transport before it reports the completion
 }
 
-// traceOutcomes are the kinds of responses as traces name them.
+// traceOutcomes are the outcomes in traces, by kind of response.
 var traceOutcomes = [...]trace.Outcome{
 	Failed:      trace.Failed,
 	Rejected:    trace.Rejected,
@@ -63,7 +63,7 @@
 	}
 }
 
-// closeTrace gives the trace of a request back to the tracer if it is done.
+// closeTrace passes the trace of a request to the tracer if the trace is done.
 func (d *Dispatcher) closeTrace(request *Request) {
 	if request.trace.Done() {
 		d.tracer.Close(d.clock.Now(), request.trace)
