--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -11,15 +11,16 @@
 	"garnetline/routing"
 )
 
-// ErrMissingEvents reports that events before the received frame are missing.
-var ErrMissingEvents = errors.New("discovery: events missing")
+// ErrMissingEvents is returned when events before the received frame are missing.
+var ErrMissingEvents = errors.New("discovery: change log events before the received frame are missing")
 
-// handleFrame applies one frame. A frame that follows on missing events is not applied: the
-// change log is asked again from the last applied event, once for each missing number, so
-// that a log whose numbers have gaps is followed as it is.
+// handleFrame applies one frame. If events before the frame are missing, handleFrame does not
+// apply it and returns ErrMissingEvents, so that the watcher connects again and requests the
+// events after the last applied one. It does so once for each missing event number, and then
+// follows a change log whose numbers have gaps as it is.
 //
-// Symptom guarded against: a change log that had lost events on the way went on with
-// heartbeats, and the router sent to draining caches until something new came.
+// Heartbeats reveal missing events too. Otherwise a change log that loses events and then sends
+// only heartbeats would leave the router sending to draining caches until the next event.
 func (w *Watcher) handleFrame(received frame) error {
 	expected := w.lastSeq
 	if received.kind != kindHeartbeat {
@@ -44,8 +45,8 @@
 	return nil
 }
 
-// applyConfig switches to another configuration and applies the events that it holds beyond
-// the last applied one.
+// applyConfig switches to another configuration and applies its known events that follow the last
+// applied one.
 func (w *Watcher) applyConfig(config *platformconfig.Config) {
 	w.config = config
 	guard := *w.guard.Load()
@@ -60,7 +61,7 @@
 	}
 }
 
-// applyEvent records an event in the endpoint list and publishes it.
+// applyEvent applies an event to the endpoint list and publishes it.
 func (w *Watcher) applyEvent(event platformconfig.WatchEvent) {
 	if event.ListUpdate && event.Snapshot {
 		clear(w.servers)
@@ -78,15 +79,16 @@
 	w.publish(event)
 }
 
-// effectiveState returns an endpoint as the rest of the program sees it: a ready server
-// counts as draining while it is disabled, or while its drain is known from the fleet alone.
+// effectiveState returns an endpoint in the state that the rest of the program sees. A ready
+// server counts as draining while it is disabled, or while the watcher follows a drain of it that
+// only peers reported.
 func (w *Watcher) effectiveState(endpoint platformconfig.Endpoint) platformconfig.Endpoint {
 	if endpoint.Phase != routing.Ready {
 		return endpoint
 	}
 	_, isDisabled := w.disabled[endpoint.ID]
-	drainedStart, drains := w.gossip.activeDrains[endpoint.ID]
-	if isDisabled || drains && endpoint.StartedAt <= drainedStart {
+	drainedStart, isDraining := w.gossip.activeDrains[endpoint.ID]
+	if isDisabled || isDraining && endpoint.StartedAt <= drainedStart {
 		endpoint.Phase = routing.Draining
 	}
 	return endpoint
@@ -101,8 +103,8 @@
 	})
 }
 
-// publish publishes the guard that an event leads to and then notifies of the event, in this
-// order: attempts chosen before the event and after it are both checked against the new guard.
+// publish stores the guard that results from an event and then calls notify, in this order: an
+// attempt is checked against the new guard whether it was chosen before or after the event.
 func (w *Watcher) publish(event platformconfig.WatchEvent) {
 	guard := nextGuard(w.guard.Load(), event, clock.Duration(w.clock.Now()), clock.WallClockStep(w.clock))
 	w.guard.Store(guard)
@@ -112,9 +114,9 @@
 	w.notify(event)
 }
 
-// nextGuard returns the guard after one more event. now is the router's clock; the times of
-// an event are those of the wall clock, which was set by wallClockStep milliseconds since the
-// router's start.
+// nextGuard returns the guard that results from an event. now is a time of the router's clock. The
+// times in an event are wall clock times; wallClockStep is the number of milliseconds by which the
+// wall clock has been set since the router started.
 func nextGuard(previous *routing.Guard, event platformconfig.WatchEvent, now time.Duration, wallClockStep float64) *routing.Guard {
 	guard := *previous
 	guard.LastEventAt = now
@@ -135,7 +137,7 @@
 	return &guard
 }
 
-// nextReady returns the ready servers after a list update.
+// nextReady returns the set of ready servers after an update of the endpoint list.
 func nextReady(previous map[routing.ServerID]bool, event platformconfig.WatchEvent) map[routing.ServerID]bool {
 	ready := map[routing.ServerID]bool{}
 	if !event.Snapshot {
--- a/internal/discovery/apply_test.go
+++ b/internal/discovery/apply_test.go
@@ -12,26 +12,28 @@
 	"garnetline/routing"
 )
 
-// Guards against events that are lost on the way: a heartbeat with a later number, or an
-// event that does not follow the last one, has the change log asked again from the last
-// number. A change log that goes on like that is followed as it is.
+// TestMissedEvents checks that the watcher requests lost events again: if a heartbeat has a later
+// number, or an event does not follow the last one, it connects again and asks for the events
+// after the last applied one. If the change log still does not send them, the watcher follows it
+// as it is.
 func TestMissedEvents(t *testing.T) {
 	event := func(seq uint64) []byte { return encodeChange(seq, 7, stateReady) }
 	heartbeat := func(seq uint64) []byte { return encodeFrame(seq, 0) }
 	server := newFakeChangeLog(t)
 	watcher, events := newTestWatcher(server.addr())
 	startWatcher(t, watcher)
-	server.accept(1, event(2), heartbeat(3))     // 3 never came
-	server.accept(2, event(3), event(5))         // nor did 4
-	server.acceptAndClose(3, event(4), event(5)) // here they are
-	server.accept(5, event(7))                   // 6 is not there
+	server.accept(1, event(2), heartbeat(3))     // event 3 is missing
+	server.accept(2, event(3), event(5))         // event 4 is missing
+	server.acceptAndClose(3, event(4), event(5)) // both are sent again
+	server.accept(5, event(7))                   // the change log has no event 6
 	server.accept(5, event(7), heartbeat(7), event(8))
 	expectEvents(t, events, 1, 2, 3, 4, 5, 7, 8)
 }
 
-// Guards against an attempt that is chosen after the notification of a drain and written by
-// the guard of before: whoever is notified of an event finds the guard that has it.
-func TestGuardIsPublishedBeforeItIsTold(t *testing.T) {
+// TestGuardIsPublishedBeforeNotification checks that whoever is notified of an event finds a guard
+// that includes the event. Otherwise an attempt that is chosen after the notification of a drain
+// could be checked against the previous guard and written.
+func TestGuardIsPublishedBeforeNotification(t *testing.T) {
 	server := newFakeChangeLog(t)
 	watcher, events := newTestWatcher(server.addr())
 	notify, excluded := watcher.notify, make(chan bool, 16)
@@ -44,16 +46,17 @@
 	expectEvents(t, events, 1, 2, 3, 4)
 	for i, want := range []bool{true, false, true, false} {
 		if got := <-excluded; got != want {
-			t.Errorf("event %d: excluded %v at its notification, want %v", i+1, got, want)
+			t.Errorf("event %d: got excluded %v at its notification, want %v", i+1, got, want)
 		}
 	}
 	if err := watcher.SetDisabled(t.Context(), 7, true); err != nil || !<-excluded {
-		t.Errorf("disabled: %v, or not excluded at its notification", err)
+		t.Errorf("disable server 7: got error %v, or the server is not excluded at the notification", err)
 	}
 }
 
-// Guards against a wall clock that is set while the router runs: a purge's time is the wall
-// clock's, and set back by more than a purge binds it looked long past when it was received.
+// TestWallClockStep checks that a purge applies even if the wall clock is set while the router
+// runs. A purge's time is given in wall clock time: after the clock was set back by more than the
+// purge retention, a purge would seem to be long past when it is received.
 func TestWallClockStep(t *testing.T) {
 	for _, step := range []float64{-3_600_000, -7_000, 0, 7_000, 3_600_000} {
 		changeLog, err := fakeserver.NewChangeLog(1)
@@ -72,19 +75,19 @@
 		at := clock.Duration(now)
 		guard := watcher.Guard()
 		if !guard.MayBeStale(at, 9, 0) || guard.MaxAge(at, 0, 9, 0).Round(time.Millisecond) != 50*time.Millisecond {
-			t.Errorf("set by %v ms: stale copies %v, copies of up to %v may be served", step, guard.MayBeStale(at, 9, 0), guard.MaxAge(at, 0, 9, 0))
+			t.Errorf("wall clock step of %v ms: got stale copies possible %v and maximum age %v, want true and 50ms", step, guard.MayBeStale(at, 9, 0), guard.MaxAge(at, 0, 9, 0))
 		}
 		stop()
 	}
 }
 
-// guardModel is a plain replay of the events that a guard was made of.
+// guardModel is the expected state of a guard, computed by a simple replay of its events.
 type guardModel struct {
 	ready    map[routing.ServerID]bool
 	purgedAt map[int]float64 // ms, by group
 }
 
-// FuzzGuard checks the published guard against a plain replay of the events.
+// FuzzGuard checks the published guard against a simple replay of the events.
 func FuzzGuard(f *testing.F) {
 	fuzzutil.AddRandomSeeds(f, 16, 90)
 	f.Fuzz(func(t *testing.T, steps []byte) {
@@ -101,7 +104,7 @@
 	})
 }
 
-// step makes an event, and applies it to the model.
+// step creates an event and applies it to the model.
 func (m guardModel) step(operation byte, id routing.ServerID, argument int, at float64) platformconfig.WatchEvent {
 	if operation > 1 {
 		group := argument % 4
@@ -126,19 +129,19 @@
 	t.Helper()
 	for id := range routing.ServerID(5) {
 		if guard.Excludes(id) == m.ready[id] {
-			t.Fatalf("server %d: excluded %v, ready %v", id, guard.Excludes(id), m.ready[id])
+			t.Fatalf("server %d: got excluded %v from the guard, but ready %v from the model", id, guard.Excludes(id), m.ready[id])
 		}
 	}
 	for group := range 4 {
 		purgedAt, purged := m.purgedAt[group]
 		want := purged && purgedAt+6000 > now
 		if guard.MayBeStale(clock.Duration(now), 99, group) != want {
-			t.Fatalf("group %d purged at %.0f: now %.0f, want %v", group, purgedAt, now, want)
+			t.Fatalf("group %d purged at %.0f: want stale copies possible at %.0f to be %v", group, purgedAt, now, want)
 		}
 		age := guard.MaxAge(clock.Duration(now), 8*time.Second, 99, group)
 		bound := max(clock.Duration(now-purgedAt), time.Microsecond) + time.Millisecond
 		if want && age > bound || !want && age != 8*time.Second {
-			t.Fatalf("group %d: age %v", group, age)
+			t.Fatalf("group %d: got unexpected maximum age %v", group, age)
 		}
 	}
 }
--- a/internal/discovery/disabled.go
+++ b/internal/discovery/disabled.go
@@ -10,32 +10,33 @@
 	"garnetline/routing"
 )
 
-// ErrUnknownServer reports a server that is neither listed nor disabled.
+// ErrUnknownServer is returned for a server that is neither listed nor disabled.
 var ErrUnknownServer = errors.New("unknown cache")
 
 // disableRequest asks the goroutine of Run to disable or enable a server.
 type disableRequest struct {
 	server        routing.ServerID
 	disabled      bool
-	skipBroadcast bool // the other routers learn it from the lease registry
+	skipBroadcast bool // the other routers read the change from the lease registry
 	result        chan error
 }
 
-// SetDisabled disables or enables a server on behalf of an operator, whatever the endpoint
-// list says. Once it has returned nil, nothing that is written goes to a disabled server. It
-// returns ErrUnknownServer, the error of the store, or that of ctx.
+// SetDisabled disables or enables a server on behalf of an operator. A disabled server is not
+// used, whatever the endpoint list says. Once SetDisabled has returned nil for a disabled server,
+// no attempt is written to the server. SetDisabled returns ErrUnknownServer, the error of the
+// store, or the error of ctx.
 func (w *Watcher) SetDisabled(ctx context.Context, id routing.ServerID, disabled bool) error {
 	return w.submit(ctx, disableRequest{server: id, disabled: disabled, result: make(chan error, 1)})
 }
 
-// SetDisabledByRegistry disables or enables a server as the lease registry has it. It is
-// SetDisabled, except that a disabled server is not broadcast: the other routers read the
-// registry too.
+// SetDisabledByRegistry disables or enables a server to match the lease registry. It works like
+// SetDisabled, but does not broadcast that a server was disabled, because the other routers read
+// the registry too.
 func (w *Watcher) SetDisabledByRegistry(ctx context.Context, id routing.ServerID, disabled bool) error {
 	return w.submit(ctx, disableRequest{server: id, disabled: disabled, skipBroadcast: disabled, result: make(chan error, 1)})
 }
 
-// submit hands a request to the goroutine of Run and waits for its result.
+// submit passes a request to the goroutine of Run and waits for its result.
 func (w *Watcher) submit(ctx context.Context, request disableRequest) error {
 	select {
 	case w.disableRequests <- request:
@@ -45,7 +46,8 @@
 	}
 }
 
-// handleDisableRequest carries out a request. The store has it before the caller is told.
+// handleDisableRequest carries out a request. It stores the change before it applies it, so that
+// the change is stored when the caller gets the result.
 func (w *Watcher) handleDisableRequest(request disableRequest) error {
 	_, listed := w.servers[request.server]
 	_, isDisabled := w.disabled[request.server]
@@ -65,7 +67,8 @@
 	return nil
 }
 
-// loadDisabled takes over what the store holds, before any event is applied.
+// loadDisabled loads the disabled servers from the store. It is called before any event is
+// applied.
 func (w *Watcher) loadDisabled() {
 	stored, err := w.disabledStore.List()
 	if err != nil {
@@ -77,7 +80,8 @@
 	w.publishDisabled()
 }
 
-// syncDisabledStore takes over what another process of this router has stored meanwhile.
+// syncDisabledStore applies and broadcasts the changes that another process of this router has
+// made in the store.
 func (w *Watcher) syncDisabledStore() {
 	stored, err := w.disabledStore.List()
 	if err != nil || w.disabledStore == "" {
@@ -97,9 +101,9 @@
 	}
 }
 
-// applyDisabled disables or enables a server and publishes that as a change of the list. A
-// server that is enabled was restarted meanwhile, as operators do before they enable it:
-// where the list does not name a later start, the server counts as started now.
+// applyDisabled disables or enables a server and publishes the change as an update of the endpoint
+// list. Operators restart a disabled server before they enable it. If the list does not name a
+// start after the server was disabled, an enabled server therefore counts as started now.
 func (w *Watcher) applyDisabled(id routing.ServerID, disabled bool) {
 	endpoint, listed := w.servers[id]
 	if disabled {
@@ -116,8 +120,8 @@
 	}
 }
 
-// Disabled returns the servers that operators disabled, in order. Without a fleet it returns
-// nil.
+// Disabled returns the servers that operators have disabled, in ascending order. It returns nil if
+// the router belongs to no fleet.
 func (w *Watcher) Disabled() []routing.ServerID {
 	if servers := w.disabledServers.Load(); servers != nil {
 		return *servers
@@ -125,7 +129,7 @@
 	return nil
 }
 
-// publishDisabled publishes what Disabled returns.
+// publishDisabled publishes the list that Disabled returns.
 func (w *Watcher) publishDisabled() {
 	if w.gossip.Gossip == nil {
 		return
--- a/internal/discovery/disabled_test.go
+++ b/internal/discovery/disabled_test.go
@@ -14,7 +14,7 @@
 	"garnetline/routing"
 )
 
-// disabledServer is the one that tests of disabled servers are about.
+// disabledServer is the server that the tests disable.
 const disabledServer = routing.ServerID(7)
 
 // routerProcess is one process of a router whose list has one ready server.
@@ -24,7 +24,7 @@
 	events chan platformconfig.WatchEvent
 }
 
-// startProcess starts a process that shares a state folder with others.
+// startProcess starts a process that shares a state directory with others.
 func startProcess(t *testing.T, stateDir string) routerProcess {
 	t.Helper()
 	events := make(chan platformconfig.WatchEvent, 64)
@@ -38,15 +38,16 @@
 	}
 	notify := func(event platformconfig.WatchEvent) { events <- event }
 	watcher := NewWatcher(clock.NewManual(now), config, notify, metrics.New())
-	here, there := net.Pipe()
-	watcher.dial = func(context.Context, netip.AddrPort) (net.Conn, error) { return here, nil }
-	t.Cleanup(func() { _ = there.Close() }) // after the watcher's end
-	go func() { _, _ = io.ReadFull(there, make([]byte, 8)) }()
+	clientConn, serverConn := net.Pipe()
+	watcher.dial = func(context.Context, netip.AddrPort) (net.Conn, error) { return clientConn, nil }
+	t.Cleanup(func() { _ = serverConn.Close() }) // runs after the watcher has stopped
+	go func() { _, _ = io.ReadFull(serverConn, make([]byte, 8)) }()
 	startWatcher(t, watcher)
 	return routerProcess{watcher, t, events}
 }
 
-// expectPhase awaits the notification of the server's phase, and finds the guard in accord.
+// expectPhase waits for a notification that the server has a phase, and checks that the guard
+// agrees. It returns the notified server.
 func (p routerProcess) expectPhase(want routing.Phase) routing.Server {
 	p.t.Helper()
 	event := nextEvent(p.t, p.events)
@@ -57,17 +58,18 @@
 	return event.Endpoints[0].Server
 }
 
-// call disables or enables a server.
+// call disables or enables a server and checks the returned error.
 func (p routerProcess) call(id routing.ServerID, disabled bool, want error) {
 	p.t.Helper()
 	if err := p.SetDisabled(p.t.Context(), id, disabled); !errors.Is(err, want) {
-		p.t.Fatalf("%v disabled %v: %v, want %v", id, disabled, err, want)
+		p.t.Fatalf("set server %v disabled to %v: got error %v, want %v", id, disabled, err, want)
 	}
 }
 
-// Guards against work for a disabled server: the list, however often it says that the server
-// is ready, a second process of the same router, and one that starts later, do not enable it.
-// One call undoes two. What is enabled counts as just started.
+// TestSetDisabled checks that a disabled server gets no work: it is enabled neither by the
+// endpoint list, however often that says that the server is ready, nor by a second process of the
+// same router, nor by one that starts later. One call enables a server that was disabled twice. An
+// enabled server counts as just started.
 func TestSetDisabled(t *testing.T) {
 	stateDir := t.TempDir()
 	first := startProcess(t, stateDir)
@@ -77,22 +79,22 @@
 	first.expectPhase(routing.Draining)
 	first.call(disabledServer, true, nil)
 	if listed, unavailable := first.ServerCounts(); listed != 1 || unavailable != 1 {
-		t.Errorf("%d listed, %d unavailable", listed, unavailable)
+		t.Errorf("got %d listed and %d unavailable servers, want 1 and 1", listed, unavailable)
 	}
 	second := startProcess(t, stateDir)
 	second.expectPhase(routing.Draining)
 	first.call(disabledServer, false, nil)
 	if server := first.expectPhase(routing.Ready); server.StartedAt != clock.Duration(now) {
-		t.Errorf("enabled with start %v", server.StartedAt)
+		t.Errorf("got start %v of the enabled server, want the current time", server.StartedAt)
 	}
-	second.expectPhase(routing.Ready) // it sees that the file has gone
+	second.expectPhase(routing.Ready) // the second process sees that the file was removed
 	second.call(disabledServer, true, nil)
 	first.expectPhase(routing.Draining)
-	for _, snapshot := range []bool{true, false} { // whatever the list says
+	for _, snapshot := range []bool{true, false} { // the list cannot enable the server
 		endpoint := platformconfig.Endpoint{Server: routing.Server{ID: disabledServer, Phase: routing.Ready}}
 		event := platformconfig.WatchEvent{ListUpdate: true, Snapshot: snapshot, Endpoints: []platformconfig.Endpoint{endpoint}}
 		if got := first.effectiveState(event.Endpoints[0]); got.Phase != routing.Draining {
-			t.Errorf("seen as %v", got.Phase)
+			t.Errorf("got phase %v of the disabled server, want Draining", got.Phase)
 		}
 	}
 }
--- a/internal/discovery/frame.go
+++ b/internal/discovery/frame.go
@@ -12,26 +12,26 @@
 	"garnetline/routing"
 )
 
-// ErrMalformedFrame reports a frame that cannot be decoded.
+// ErrMalformedFrame is returned for a frame that cannot be decoded.
 var ErrMalformedFrame = errors.New("discovery: malformed frame")
 
-// A frame is its length (4 bytes, which count all that follows), the number of the event
-// (8), its kind (1) and a payload. All numbers are big-endian.
+// A frame consists of a length (4 bytes: the number of bytes that follow it), the number of the
+// event (8), the kind of the frame (1) and a payload. All integers are big-endian.
 const (
 	lengthSize     = 4
 	headerSize     = 8 + 1
-	maxFrameLength = headerSize + recordSize*(8<<10) // a list longer than that of any fleet
+	maxFrameLength = headerSize + recordSize*(8<<10) // room for 8192 records, more than any fleet has
 )
 
-// frameKind tells what a frame carries. The values are the protocol's.
+// frameKind is the type of a frame. The values are defined by the protocol.
 type frameKind byte
 
 const (
-	kindHeartbeat   frameKind = iota // nothing new; the number is that of the last event
+	kindHeartbeat   frameKind = iota // no new event; the frame has the number of the last event
 	kindSnapshot                     // records of all servers
 	kindChanges                      // records of the servers that changed
-	kindObjectPurge                  // object 8, time 8
-	kindGroupPurge                   // group 2, time 8
+	kindObjectPurge                  // object id (8 bytes) and time of the purge (8)
+	kindGroupPurge                   // group id (2 bytes) and time of the purge (8)
 )
 
 const (
@@ -39,8 +39,9 @@
 	groupPurgeSize  = 2 + 8
 )
 
-// A record is a server's id (4), IPv4 address (4), port (2), state (1), zone (1), kind (1),
-// cell (2), weight in thousandths (4) and start in Unix milliseconds (8).
+// A record consists of a server's id (4 bytes), IPv4 address (4), port (2), state (1), zone (1),
+// kind (1), cell (2), weight in thousandths (4) and start time in Unix milliseconds (8). The
+// constants are the offsets of these fields and the size of a record.
 const (
 	recordAddress = 4
 	recordPort    = 8
@@ -53,10 +54,10 @@
 	recordSize    = 27
 )
 
-// recordPhases are the phases by a record's state.
+// recordPhases are the phases of servers, by the state in a record.
 var recordPhases = [...]routing.Phase{routing.Ready, routing.Draining, routing.Removed}
 
-// maxStart is the latest start, in Unix milliseconds, that a time.Duration holds.
+// maxStart is the latest start time, in Unix milliseconds, that fits into a time.Duration.
 const maxStart = math.MaxInt64 / 1_000_000
 
 // frame is one decoded frame.
@@ -65,13 +66,14 @@
 	event platformconfig.WatchEvent
 }
 
-// frameResult is a frame, or the error that ended its connection.
+// frameResult is a received frame, or the error that ended the connection.
 type frameResult struct {
 	frame
 	err error
 }
 
-// readFrame reads one frame. Records must name one of so many zones and kinds.
+// readFrame reads and decodes one frame. zones and kinds are the numbers of zones and kinds in the
+// configuration; a record that names another one is malformed.
 func readFrame(conn *textconn.Conn, zones, kinds int) (frame, error) {
 	conn.LimitRead(lengthSize + maxFrameLength)
 	prefix, err := conn.ReadBody(lengthSize)
@@ -80,7 +82,7 @@
 	}
 	length := binary.BigEndian.Uint32(prefix)
 	if length < headerSize || length > maxFrameLength {
-		return frame{}, fmt.Errorf("%w: length %d", ErrMalformedFrame, length)
+		return frame{}, fmt.Errorf("%w: frame length %d is out of range", ErrMalformedFrame, length)
 	}
 	content, err := conn.ReadBody(int(length))
 	if err != nil {
@@ -91,7 +93,7 @@
 	return result, err
 }
 
-// parseFrame decodes what follows the length of a frame.
+// parseFrame decodes the content of a frame, which is the part after the length.
 func parseFrame(content []byte, zones, kinds int) (frame, error) {
 	result := frame{kind: frameKind(content[headerSize-1])}
 	event := &result.event
@@ -109,15 +111,15 @@
 	case kindGroupPurge:
 		event.Purge, err = parseGroupPurge(payload)
 	default:
-		err = fmt.Errorf("%w: kind %d", ErrMalformedFrame, result.kind)
+		err = fmt.Errorf("%w: unknown frame kind %d", ErrMalformedFrame, result.kind)
 	}
 	return result, err
 }
 
-// parseRecords decodes the records of a list.
+// parseRecords decodes the records of an endpoint list.
 func parseRecords(payload []byte, zones, kinds int) ([]platformconfig.Endpoint, error) {
 	if len(payload)%recordSize != 0 {
-		return nil, fmt.Errorf("%w: %d bytes of records", ErrMalformedFrame, len(payload))
+		return nil, fmt.Errorf("%w: expected records of 27 bytes each, got %d bytes", ErrMalformedFrame, len(payload))
 	}
 	var endpoints []platformconfig.Endpoint
 	for ; len(payload) > 0; payload = payload[recordSize:] {
@@ -133,11 +135,11 @@
 func parseRecord(record []byte, zones, kinds int) (platformconfig.Endpoint, error) {
 	state, zone, kind := int(record[recordState]), int(record[recordZone]), int(record[recordKind])
 	if state >= len(recordPhases) || zone >= zones || kind >= kinds {
-		return platformconfig.Endpoint{}, fmt.Errorf("%w: state %d, zone %d, kind %d", ErrMalformedFrame, state, zone, kind)
+		return platformconfig.Endpoint{}, fmt.Errorf("%w: server record has an unknown state %d, zone %d or kind %d", ErrMalformedFrame, state, zone, kind)
 	}
 	start := binary.BigEndian.Uint64(record[recordStart:])
 	if start > maxStart {
-		return platformconfig.Endpoint{}, fmt.Errorf("%w: started %d", ErrMalformedFrame, start)
+		return platformconfig.Endpoint{}, fmt.Errorf("%w: start time %d in a server record is out of range", ErrMalformedFrame, start)
 	}
 	address := netip.AddrFrom4([4]byte(record[recordAddress:recordPort]))
 	return platformconfig.Endpoint{
@@ -154,11 +156,11 @@
 	}, nil
 }
 
-// parseObjectPurge decodes the purge of one object. It returns nil for object 0, which the
-// routing module takes for none and no front accepts.
+// parseObjectPurge decodes the purge of one object. It returns nil for object 0: the routing
+// module takes 0 for no object, and no frontend accepts it.
 func parseObjectPurge(payload []byte) (*platformconfig.Purge, error) {
 	if len(payload) != objectPurgeSize {
-		return nil, fmt.Errorf("%w: %d bytes for an object", ErrMalformedFrame, len(payload))
+		return nil, fmt.Errorf("%w: expected 16 bytes for an object purge, got %d", ErrMalformedFrame, len(payload))
 	}
 	object := binary.BigEndian.Uint64(payload)
 	if object == 0 {
@@ -171,7 +173,7 @@
 // parseGroupPurge decodes the purge of a group of objects.
 func parseGroupPurge(payload []byte) (*platformconfig.Purge, error) {
 	if len(payload) != groupPurgeSize {
-		return nil, fmt.Errorf("%w: %d bytes for a group", ErrMalformedFrame, len(payload))
+		return nil, fmt.Errorf("%w: expected 10 bytes for a group purge, got %d", ErrMalformedFrame, len(payload))
 	}
 	group := binary.BigEndian.Uint16(payload)
 	purgedAt := binary.BigEndian.Uint64(payload[2:])
--- a/internal/discovery/frame_test.go
+++ b/internal/discovery/frame_test.go
@@ -11,7 +11,7 @@
 	"garnetline/routing"
 )
 
-// stubConn is a connection that only reads.
+// stubConn is a connection that reads from a reader and supports no other method.
 type stubConn struct {
 	net.Conn
 	reader io.Reader
@@ -19,8 +19,8 @@
 
 func (c stubConn) Read(p []byte) (int, error) { return c.reader.Read(p) }
 
-// FuzzFrame: any bytes are events or an error, never a panic nor a buffer larger than a frame
-// may be, and zones and kinds are those of the settings.
+// FuzzFrame checks that any bytes decode to frames or an error, without a panic or a buffer larger
+// than the longest frame, and that the zones and kinds of decoded servers are configured ones.
 func FuzzFrame(f *testing.F) {
 	f.Add(encodeFrame(2, 1, append(encodeRecord(1, stateReady), encodeRecord(2, stateDraining)...)...))
 	f.Add(encodeFrame(3, 3, encodePurge(0, 5)...))
@@ -38,7 +38,7 @@
 			}
 			for _, endpoint := range decoded.event.Endpoints {
 				if endpoint.Zone >= 2 || endpoint.Kind >= 1 || endpoint.Phase > routing.Draining || endpoint.StartedAt < 0 {
-					t.Fatalf("%+v", endpoint)
+					t.Fatalf("got invalid endpoint %+v", endpoint)
 				}
 			}
 		}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -15,7 +15,7 @@
 	"garnetline/internal/textconn"
 )
 
-// formatFrame writes what a frame says, by values and not by the names of fields.
+// formatFrame writes the content of a frame, with texts that do not depend on the names of fields.
 func formatFrame(text *strings.Builder, decoded frame) {
 	event := decoded.event
 	fmt.Fprintf(text, "  kind %d, event %d, list %v, whole %v\n", decoded.kind, event.Seq, event.ListUpdate, event.Snapshot)
@@ -28,14 +28,14 @@
 	}
 }
 
-// Pins the bytes between a router and its change log: what it asks, and what it reads from
-// one frame of each kind.
+// TestGoldenFrames checks the bytes that a router and its change log exchange: the request, and
+// the content of frames of each kind.
 func TestGoldenFrames(t *testing.T) {
 	var text strings.Builder
-	here, there := net.Pipe()
-	t.Cleanup(func() { _ = there.Close() })
+	clientConn, serverConn := net.Pipe()
+	t.Cleanup(func() { _ = serverConn.Close() })
 	watcher, _ := newTestWatcher(netip.AddrPort{})
-	watcher.dial = func(context.Context, netip.AddrPort) (net.Conn, error) { return here, nil }
+	watcher.dial = func(context.Context, netip.AddrPort) (net.Conn, error) { return clientConn, nil }
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
@@ -43,7 +43,7 @@
 		close(done)
 	}()
 	var request [8]byte
-	if _, err := io.ReadFull(there, request[:]); err != nil {
+	if _, err := io.ReadFull(serverConn, request[:]); err != nil {
 		t.Fatal(err)
 	}
 	stop()
--- a/internal/discovery/gossip.go
+++ b/internal/discovery/gossip.go
@@ -13,47 +13,53 @@
 const (
 	// staleAfter is the time without a frame after which the watch counts as stale.
 	staleAfter = 1500.0
-	// gossipSlack is how much older than the latest frame a drain of a peer may be and still
-	// count as one that this router's own watch missed: frames and gossip may cross.
+	// gossipSlack is how much older than the latest frame a drain that a peer reported may be and
+	// still count as one that this router's own watch missed: a frame and a gossip message about
+	// the same drain may arrive in either order.
 	gossipSlack = 2000.0
-	// catchUpPeriod is the time that a watch which is back has for what it missed. Then the
-	// drains that peers reported meanwhile are dropped, and its own list holds alone.
+	// catchUpPeriod is the time that the watch gets, once it receives frames again, to receive the
+	// events that it missed. After that, the drains that peers reported are dropped, and only this
+	// router's own endpoint list applies.
 	catchUpPeriod = 500.0
-	// maxPurgeLead is how far in the future a purge may be dated; later ones are ignored.
-	maxPurgeLead = 60_000.0
+	// maxFuturePurge is how far in the future the time of a purge that a peer reported may be.
+	// Purges with later times are ignored.
+	maxFuturePurge = 60_000.0
 )
 
-// Gossip is what the watcher needs of the other routers of the fleet. Only this router's own
-// watch makes a server usable; what peers report can only exclude one.
+// Gossip exchanges reports with the other routers of the fleet. Only this router's own watch makes
+// a server usable; what peers report can only exclude one.
 type Gossip interface {
-	// SetDisabled reports to the fleet that an operator disabled or enabled a server here.
+	// SetDisabled reports to the fleet that an operator disabled or enabled a server on this
+	// router.
 	SetDisabled(server routing.ServerID, disabled bool)
-	// Broadcast reports to the fleet what this router's own watch received.
+	// Broadcast reports to the fleet an event that this router's own watch received.
 	Broadcast(item gossip.Item)
-	// ChangesReady receives when TakeChanges has something to return.
+	// ChangesReady returns a channel that receives a value when TakeChanges has something to
+	// return.
 	ChangesReady() <-chan struct{}
 	// TakeChanges returns what peers reported since the last call.
 	TakeChanges() []gossip.Change
 }
 
-// gossipedDrain is the drain of a server that a peer reported.
+// gossipedDrain is a drain of a server that a peer reported.
 type gossipedDrain struct {
-	started    time.Duration // start of the server that drains
+	started    time.Duration // start time of the draining server
 	receivedAt float64       // ms
 }
 
-// gossipState is what the watcher knows from its peers. It is zero without a fleet.
+// gossipState is what the watcher knows from its peers. It is the zero value if the router belongs
+// to no fleet.
 type gossipState struct {
 	Gossip
 	changesReady <-chan struct{}
 	drains       map[routing.ServerID]gossipedDrain
-	activeDrains map[routing.ServerID]time.Duration // those of drains that are followed; the start
-	lastFrameAt  float64                            // ms; of this router's own watch
-	steadySince  float64                            // ms; no gap between frames from then on
+	activeDrains map[routing.ServerID]time.Duration // the followed drains; the start time of the server
+	lastFrameAt  float64                            // ms; the latest frame of this router's own watch
+	steadySince  float64                            // ms; frames have arrived without a gap since then
 }
 
-// SetGossip has the watcher report to its peers what it receives, and follow what they report while
-// its own watch is stale. It must be called before Run.
+// SetGossip makes the watcher report the events that it receives to its peers, and follow the
+// reports of its peers while its own watch is stale. It must be called before Run.
 func (w *Watcher) SetGossip(peers Gossip) {
 	now := w.clock.Now()
 	w.gossip = gossipState{
@@ -66,8 +72,8 @@
 	}
 }
 
-// broadcastEvent reports drains and purges to the peers. A snapshot is not reported: every router
-// receives one at its start.
+// broadcastEvent reports the drains, removals and purges of an event to the peers. It does not
+// report a snapshot, because every router receives one at its start.
 func (w *Watcher) broadcastEvent(event platformconfig.WatchEvent) {
 	if w.gossip.Gossip == nil {
 		return
@@ -92,7 +98,7 @@
 	}
 }
 
-// recordFrame notes the time of a frame of this router's own watch.
+// recordFrame records that this router's own watch received a frame now.
 func (w *Watcher) recordFrame() {
 	if w.gossip.Gossip == nil {
 		return
@@ -104,7 +110,7 @@
 	w.gossip.lastFrameAt = now
 }
 
-// applyGossip applies what the peers reported since the last call.
+// applyGossip applies the changes that the peers reported since the last call.
 func (w *Watcher) applyGossip() {
 	now := w.clock.Now()
 	for _, change := range w.gossip.TakeChanges() {
@@ -120,7 +126,7 @@
 	w.updateGossipedDrains()
 }
 
-// applyGossipedBan disables or enables a server as a peer's operator did.
+// applyGossipedBan disables or enables a server as an operator did on a peer.
 func (w *Watcher) applyGossipedBan(change gossip.Change) {
 	if _, isDisabled := w.disabled[change.Server]; isDisabled == change.Disabled {
 		return
@@ -132,7 +138,7 @@
 	w.applyDisabled(change.Server, change.Disabled)
 }
 
-// recordGossipedDrain keeps the drain of the latest start of a server.
+// recordGossipedDrain records a drain, unless a drain of a later start of the server is known.
 func (w *Watcher) recordGossipedDrain(now float64, change gossip.Change) {
 	started := clock.Duration(change.StartedAt)
 	if known, ok := w.gossip.drains[change.Server]; ok && started < known.started {
@@ -141,11 +147,12 @@
 	w.gossip.drains[change.Server] = gossipedDrain{started: started, receivedAt: now}
 }
 
-// applyGossipedPurge publishes a purge that still binds.
+// applyGossipedPurge publishes a purge that is still within its retention and not too far in the
+// future.
 func (w *Watcher) applyGossipedPurge(now float64, change gossip.Change) {
 	retention := clock.Millis(w.config.Settings.PurgeRetention)
-	binds := change.PurgedAt > now-retention && change.PurgedAt < now+maxPurgeLead
-	if !binds {
+	inEffect := change.PurgedAt > now-retention && change.PurgedAt < now+maxFuturePurge
+	if !inEffect {
 		return
 	}
 	w.counters.Add("fleet_purges_taken", 1)
@@ -153,8 +160,8 @@
 	w.publish(platformconfig.WatchEvent{Seq: w.lastSeq, Purge: purge})
 }
 
-// updateGossipedDrains follows the peers' drains while this router's own watch is stale, and
-// drops them once the watch is back and has caught up.
+// updateGossipedDrains follows the drains that peers reported while this router's own watch is
+// stale, and drops them once the watch has received frames for catchUpPeriod without a gap.
 func (w *Watcher) updateGossipedDrains() {
 	if w.gossip.Gossip == nil {
 		return
@@ -183,8 +190,8 @@
 	}
 }
 
-// dropGossipedDrains ends all followed drains and forgets those that are older than the
-// latest frame.
+// dropGossipedDrains ends all followed drains and forgets the reported drains that are older than
+// the latest frame by more than gossipSlack.
 func (w *Watcher) dropGossipedDrains() {
 	state := &w.gossip
 	for id, drain := range state.drains {
@@ -200,7 +207,8 @@
 	}
 }
 
-// ReadyServers returns the ready servers of a zone and kind. Without a fleet it returns nil.
+// ReadyServers returns the ready servers of a zone and kind. It returns nil if the router belongs
+// to no fleet.
 func (w *Watcher) ReadyServers(zone, kind int) []platformconfig.Endpoint {
 	all := w.readyServers.Load()
 	if all == nil {
@@ -215,7 +223,7 @@
 	return servers
 }
 
-// publishReadyServers publishes what ReadyServers returns.
+// publishReadyServers publishes the list that ReadyServers reads.
 func (w *Watcher) publishReadyServers(guard *routing.Guard) {
 	if w.gossip.Gossip == nil {
 		return
@@ -229,7 +237,8 @@
 	w.readyServers.Store(&ready)
 }
 
-// Stale reports whether no frame was received for staleAfter, at a time in Unix milliseconds.
+// Stale reports whether the last frame was received more than staleAfter before now, a time in
+// Unix milliseconds.
 func (w *Watcher) Stale(now float64) bool {
 	return clock.Duration(now) > w.guard.Load().LastEventAt+clock.Duration(staleAfter)
 }
--- a/internal/discovery/gossip_test.go
+++ b/internal/discovery/gossip_test.go
@@ -11,8 +11,8 @@
 	"garnetline/routing"
 )
 
-// fakeGossip keeps what the watcher reports to its peers, and returns the changes that a test
-// gives it.
+// fakeGossip records what the watcher reports to its peers, and returns the changes that a test
+// sets.
 type fakeGossip struct {
 	disabled  []routing.ServerID
 	broadcast []gossip.Item
@@ -33,8 +33,8 @@
 	return changes
 }
 
-// gossipFixture is a watcher that is stepped by the test, without Run: it has applied event 2,
-// by which servers 7 and 8 are ready.
+// gossipFixture is a watcher that a test steps without Run. It has applied event 2, in which
+// servers 7 and 8 are ready.
 type gossipFixture struct {
 	*Watcher
 	t     *testing.T
@@ -53,7 +53,7 @@
 	return fixture
 }
 
-// receive has a frame of the router's own watch come.
+// receive handles a frame as one that the router's own watch received.
 func (f gossipFixture) receive(kind frameKind, event platformconfig.WatchEvent) {
 	f.t.Helper()
 	if err := f.handleFrame(frame{kind: kind, event: event}); err != nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-// receiveChanges has changes of the peers come.
+// receiveChanges applies changes as reports of the peers.
 func (f gossipFixture) receiveChanges(changes ...gossip.Change) {
 	f.peers.changes = changes
 	f.applyGossip()
@@ -76,13 +76,13 @@
 	}
 	slices.Sort(ready)
 	if !slices.Equal(ready, want) {
-		f.t.Errorf("%s: %v are ready, want %v", when, ready, want)
+		f.t.Errorf("%s: got ready servers %v, want %v", when, ready, want)
 	}
 }
 
-// Guards against a drain that is missed while discovery is down, and against peers who
-// overrule a router's own watch: a peer's drain holds while that watch is stale, and is
-// dropped once the watch is back and has had time to catch up.
+// TestGossipedDrain checks that a drain that a peer reported applies while the router's own watch
+// is stale, so that a drain is not missed while discovery is down. Peers must not override a watch
+// that works: the drain is dropped once the watch has recovered and has had time to catch up.
 func TestGossipedDrain(t *testing.T) {
 	fixture := newGossipFixture(t)
 	drain := gossip.Change{Item: gossip.Item{Kind: gossip.Drain, Server: 7}}
@@ -90,10 +90,10 @@
 	fixture.expectReady("with a watch that is not stale", 7, 8)
 	fixture.clock.Advance(staleAfter)
 	fixture.updateGossipedDrains()
-	fixture.expectReady("just not stale yet", 7, 8)
+	fixture.expectReady("at the limit, not stale yet", 7, 8)
 	fixture.clock.Advance(1)
 	if !fixture.Stale(fixture.clock.Now()) {
-		t.Error("the watch does not count as stale")
+		t.Error("the watch is not stale, want stale")
 	}
 	fixture.updateGossipedDrains()
 	fixture.expectReady("stale", 8)
@@ -106,7 +106,8 @@
 	fixture.expectReady("caught up", 7, 8)
 }
 
-// A drain of an earlier start of a server does not exclude the present one.
+// TestGossipedDrainOfEarlierStart checks that the drain of an earlier start of a server does not
+// exclude the server after its restart.
 func TestGossipedDrainOfEarlierStart(t *testing.T) {
 	fixture := newGossipFixture(t)
 	restarted := platformconfig.Endpoint{Server: routing.Server{ID: 8, Phase: routing.Ready, StartedAt: clock.Duration(now)}}
@@ -116,13 +117,14 @@
 	fixture.updateGossipedDrains()
 	fixture.expectReady("stale", 7, 8)
 	if n := fixture.counters.Counter("fleet_drains_taken").Load(); n != 0 {
-		t.Errorf("%d drains were followed", n)
+		t.Errorf("got %d followed drains, want 0", n)
 	}
 }
 
-// A drain that is much older than the latest frame was received, and undone, by the router's
-// own watch: it is not followed when that watch is stale again.
-func TestGossipedDrainOfBefore(t *testing.T) {
+// TestGossipedDrainBeforeLatestFrame checks that a drain that is much older than the latest frame
+// is not followed when the router's own watch becomes stale: that watch has received the drain and
+// its end itself.
+func TestGossipedDrainBeforeLatestFrame(t *testing.T) {
 	fixture := newGossipFixture(t)
 	fixture.receiveChanges(gossip.Change{Item: gossip.Item{Kind: gossip.Drain, Server: 7}})
 	for range 3 {
@@ -134,30 +136,31 @@
 	fixture.expectReady("stale", 7, 8)
 }
 
-// A peer's ban holds at once; a purge does if it still binds and is not of the far future.
+// TestGossipedBanAndPurge checks that a peer's ban applies at once, and that a peer's purge
+// applies unless it is older than the retention or too far in the future.
 func TestGossipedBanAndPurge(t *testing.T) {
 	fixture := newGossipFixture(t)
 	fixture.receiveChanges(gossip.Change{Item: gossip.Item{Kind: gossip.Ban, Server: 7}, Disabled: true})
 	fixture.expectReady("disabled by a peer", 8)
 	if got := fixture.Disabled(); !slices.Equal(got, []routing.ServerID{7}) {
-		t.Errorf("disabled: %v", got)
+		t.Errorf("got disabled servers %v, want 7", got)
 	}
 	fixture.receiveChanges(gossip.Change{Item: gossip.Item{Kind: gossip.Ban, Server: 7}})
 	fixture.expectReady("enabled by a peer", 7, 8)
-	for object, purgedAt := range map[routing.ObjectID]float64{1: now - 50, 2: now - 6000, 3: now + maxPurgeLead} {
+	for object, purgedAt := range map[routing.ObjectID]float64{1: now - 50, 2: now - 6000, 3: now + maxFuturePurge} {
 		fixture.receiveChanges(gossip.Change{Item: gossip.Item{Kind: gossip.Purge, Object: object, PurgedAt: purgedAt}})
 		published := slices.ContainsFunc(fixture.Guard().Purges, func(purge routing.PurgeRecord) bool { return purge.Object == object })
 		if published != (object == 1) {
-			t.Errorf("purged at %+.0f ms: published %v", purgedAt-now, published)
+			t.Errorf("purge at %+.0f ms: got published %v, want the opposite", purgedAt-now, published)
 		}
 	}
 	if len(fixture.peers.disabled) != 0 || len(fixture.peers.broadcast) != 0 {
-		t.Errorf("what peers reported was reported again: %v, %v", fixture.peers.disabled, fixture.peers.broadcast)
+		t.Errorf("got peer reports broadcast again: disabled servers %v, items %v", fixture.peers.disabled, fixture.peers.broadcast)
 	}
 }
 
-// Drains, removals and purges are reported to the peers, but not what a snapshot holds or what
-// is ready.
+// TestBroadcast checks that drains, removals and purges are reported to the peers, and that
+// snapshots and ready servers are not.
 func TestBroadcast(t *testing.T) {
 	fixture := newGossipFixture(t)
 	endpoints := func(phases ...routing.Phase) (list []platformconfig.Endpoint) {
@@ -176,6 +179,6 @@
 		{Kind: gossip.Purge, Object: 3, Group: 4, PurgedAt: now},
 	}
 	if !slices.Equal(fixture.peers.broadcast, want) {
-		t.Errorf("reported %+v, want %+v", fixture.peers.broadcast, want)
+		t.Errorf("got broadcast items %+v, want %+v", fixture.peers.broadcast, want)
 	}
 }
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -16,10 +16,11 @@
 	"garnetline/routing"
 )
 
-// now is where the clocks of tests stand, in Unix milliseconds.
+// now is the time of the test clocks, in Unix milliseconds.
 const now = 1.7e12
 
-// testTimeout ends a test whose watcher does not do what is awaited. It decides no order.
+// testTimeout ends a test whose watcher does not do what the test waits for. The order of events
+// does not depend on it.
 const testTimeout = 10 * time.Second
 
 // States of a record.
@@ -29,7 +30,7 @@
 	stateRemoved
 )
 
-// encodeFrame writes a frame as the protocol describes it, not by the code under test.
+// encodeFrame encodes a frame from the description of the protocol, without the code under test.
 func encodeFrame(seq uint64, kind byte, payload ...byte) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(9+len(payload)))
 	return append(append(binary.BigEndian.AppendUint64(b, seq), kind), payload...)
@@ -42,7 +43,7 @@
 	return binary.BigEndian.AppendUint64(b, 1_700_000_000_123)
 }
 
-// encodeChange writes a frame of kind 2 with one record.
+// encodeChange encodes a frame of kind 2 with one record.
 func encodeChange(seq uint64, id uint32, state byte) []byte {
 	return encodeFrame(seq, 2, encodeRecord(id, state)...)
 }
@@ -51,13 +52,13 @@
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, object), at)
 }
 
-// encodeGroupPurge writes a frame of kind 4, of group 17.
+// encodeGroupPurge encodes a frame of kind 4 that purges group 17.
 func encodeGroupPurge(seq, at uint64) []byte {
 	return encodeFrame(seq, 4, append([]byte{0, 17}, encodePurge(at, 0)[:8]...)...)
 }
 
-// newTestWatcher returns a watcher that knows event 1, an empty list, and a channel that
-// receives the events that it notifies of.
+// newTestWatcher returns a watcher whose configuration holds event 1, an empty endpoint list. The
+// returned channel receives the events of which the watcher notifies.
 func newTestWatcher(addr netip.AddrPort) (*Watcher, chan platformconfig.WatchEvent) {
 	events := make(chan platformconfig.WatchEvent, 16)
 	config := &platformconfig.Config{
@@ -72,7 +73,7 @@
 	return NewWatcher(clock.NewManual(now), config, notify, metrics.New()), events
 }
 
-// startWatcher runs a watcher until stop is called, which the test's end does too.
+// startWatcher runs a watcher until stop is called or the test ends.
 func startWatcher(t *testing.T, watcher *Watcher) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -89,29 +90,29 @@
 	return stop
 }
 
-// nextEvent awaits an event.
+// nextEvent waits for an event and returns it.
 func nextEvent(t *testing.T, events <-chan platformconfig.WatchEvent) platformconfig.WatchEvent {
 	t.Helper()
 	select {
 	case event := <-events:
 		return event
 	case <-time.After(testTimeout):
-		t.Fatal("no event came")
+		t.Fatal("got no event before the test timeout")
 		return platformconfig.WatchEvent{}
 	}
 }
 
-// expectEvents awaits events with these numbers, in order.
+// expectEvents waits for events with the given numbers, in order.
 func expectEvents(t *testing.T, events <-chan platformconfig.WatchEvent, seqs ...uint64) {
 	t.Helper()
 	for _, seq := range seqs {
 		if event := nextEvent(t, events); event.Seq != seq {
-			t.Fatalf("event %d came, want %d", event.Seq, seq)
+			t.Fatalf("got event %d, want %d", event.Seq, seq)
 		}
 	}
 }
 
-// fakeChangeLog accepts the connections of one watcher and sends what a test gives it.
+// fakeChangeLog accepts the connections of one watcher and sends the frames that a test gives it.
 type fakeChangeLog struct {
 	*net.TCPListener
 	t *testing.T
@@ -129,9 +130,9 @@
 
 func (s fakeChangeLog) addr() netip.AddrPort { return s.Addr().(*net.TCPAddr).AddrPort() }
 
-// accept takes the next connection, checks the number that it asks from and sends frames. The
-// connection stays open until the test's end.
-func (s fakeChangeLog) accept(from uint64, frames ...[]byte) net.Conn {
+// accept accepts the next connection, checks that the watcher requests the events after number
+// afterSeq, and sends frames. The connection stays open until the test ends.
+func (s fakeChangeLog) accept(afterSeq uint64, frames ...[]byte) net.Conn {
 	s.t.Helper()
 	if err := s.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		s.t.Fatal(err)
@@ -142,8 +143,8 @@
 	}
 	s.t.Cleanup(func() { _ = conn.Close() })
 	var request [8]byte
-	if _, err := io.ReadFull(conn, request[:]); err != nil || binary.BigEndian.Uint64(request[:]) != from {
-		s.t.Fatalf("asked from %v, %v; want %d", request, err, from)
+	if _, err := io.ReadFull(conn, request[:]); err != nil || binary.BigEndian.Uint64(request[:]) != afterSeq {
+		s.t.Fatalf("got request %v, error %v; want the events after %d", request, err, afterSeq)
 	}
 	if _, err := conn.Write(slices.Concat(frames...)); err != nil {
 		s.t.Fatal(err)
@@ -151,10 +152,10 @@
 	return conn
 }
 
-// acceptAndClose is accept of a connection that ends then.
-func (s fakeChangeLog) acceptAndClose(from uint64, frames ...[]byte) {
+// acceptAndClose is like accept, but closes the connection after the frames.
+func (s fakeChangeLog) acceptAndClose(afterSeq uint64, frames ...[]byte) {
 	s.t.Helper()
-	if err := s.accept(from, frames...).Close(); err != nil {
+	if err := s.accept(afterSeq, frames...).Close(); err != nil {
 		s.t.Error(err)
 	}
 }
--- a/internal/discovery/session.go
+++ b/internal/discovery/session.go
@@ -12,16 +12,16 @@
 	"garnetline/internal/textconn"
 )
 
-// Times of a session, in milliseconds.
+// Timeouts and delays of a session, in milliseconds.
 const (
-	frameTimeout   = 1600.0 // without a frame; the change log sends one each second
-	dialTimeout    = 500.0  // also for writing the request
-	initialBackoff = 50.0   // before the next connection; doubles
+	frameTimeout   = 1600.0 // time without a frame that ends a session; the change log sends one each second
+	dialTimeout    = 500.0  // also limits the writing of the request
+	initialBackoff = 50.0   // delay before the next connection; it doubles each time
 	maxBackoff     = 800.0
 )
 
-// runSession follows one connection until it breaks, or until another configuration or the
-// end of ctx cuts it. Its reader has ended when runSession returns.
+// runSession follows one connection until it breaks, another configuration arrives or ctx is done.
+// Its reader goroutine has ended when runSession returns.
 func (w *Watcher) runSession(ctx context.Context) sessionEnd {
 	ctx, cancel := context.WithCancel(ctx)
 	frames := make(chan frameResult)
@@ -37,8 +37,9 @@
 	return w.processEvents(ctx, frames, nil)
 }
 
-// readFrames connects to the change log, asks for the events after a number, and sends each
-// frame to results, until the connection breaks, which is the last result, or ctx ends.
+// readFrames connects to the change log, requests the events after afterSeq, and sends each frame
+// to results. It ends when the connection breaks, after it has sent the error to results, or when
+// ctx is done.
 func (w *Watcher) readFrames(ctx context.Context, config *platformconfig.Config, afterSeq uint64, results chan<- frameResult) {
 	send := func(result frameResult) bool {
 		select {
@@ -80,18 +81,17 @@
 	return w.dial(ctx, config.Discovery)
 }
 
-// reconnectBackoff computes the delays between connections: they double up to maxBackoff
-// while no frame is received, and each is drawn from the upper half of its range.
-//
-// Symptom guarded against: all routers of a fleet, hundreds of them, lost the change log at
-// one moment and connected to it again at one moment.
+// reconnectBackoff computes the delays between connections. The upper bound of the delay doubles
+// up to maxBackoff while no frame is received, and each delay is a random value between half the
+// bound and the bound. The randomness prevents the hundreds of routers of a fleet, which may lose
+// the change log at the same moment, from connecting to it again at the same moment.
 type reconnectBackoff struct {
 	random  *rand.Rand
-	ceiling float64 // ms; of the latest delay, 0 before the first
+	ceiling float64 // ms; upper bound of the latest delay, 0 before the first
 }
 
-// nextDelay returns the delay, in milliseconds, after a session in which a frame was
-// received or not.
+// nextDelay returns the delay, in milliseconds, after a session. receivedFrame tells whether the
+// session received a frame; if so, the delay starts at initialBackoff again.
 func (b *reconnectBackoff) nextDelay(receivedFrame bool) float64 {
 	b.ceiling = min(2*b.ceiling, maxBackoff)
 	if receivedFrame || b.ceiling == 0 {
@@ -100,5 +100,5 @@
 	return b.ceiling * (1 + b.random.Float64()) / 2
 }
 
-// reset has the next delay begin at initialBackoff.
+// reset makes the next delay start at initialBackoff again.
 func (b *reconnectBackoff) reset() { b.ceiling = 0 }
--- a/internal/discovery/session_test.go
+++ b/internal/discovery/session_test.go
@@ -13,8 +13,9 @@
 	"garnetline/routing"
 )
 
-// A connection that ends, or brings a malformed frame, is made anew from the number of the
-// last event; what comes twice is applied once.
+// TestReconnectResumesFromLastSeq checks that the watcher connects again, and asks for the events
+// after the last applied one, when a connection ends or sends a malformed frame. An event that is
+// received twice is applied once.
 func TestReconnectResumesFromLastSeq(t *testing.T) {
 	server := newFakeChangeLog(t)
 	watcher, events := newTestWatcher(server.addr())
@@ -27,32 +28,33 @@
 	expectEvents(t, events, 1)
 	event := nextEvent(t, events)
 	if event.Seq != 2 {
-		t.Fatalf("event %d came, want 2", event.Seq)
+		t.Fatalf("got event %d, want 2", event.Seq)
 	}
 	endpoint := event.Endpoints[0]
 	if endpoint.ID != 7 || endpoint.Addr.String() != "127.0.0.9:5050" || endpoint.Zone != 1 || endpoint.Cell != 5 || endpoint.Weight != 2.5 ||
 		endpoint.StartedAt != platformconfig.StartTime(1_700_000_000_123) || endpoint.Phase != routing.Ready {
-		t.Errorf("%+v", endpoint)
+		t.Errorf("got unexpected endpoint %+v", endpoint)
 	}
 	expectEvents(t, events, 3, 4, 5)
 	stop()
 	guard, at, stale := watcher.Guard(), clock.Duration(now), clock.Duration(now+7000)
 	if !guard.PurgesSeen || guard.LastEventAt != at || !guard.Excludes(7) {
-		t.Errorf("%+v", guard)
+		t.Errorf("got unexpected guard %+v", guard)
 	}
 	if !guard.MayBeStale(at, 9, 0) || !guard.MayBeStale(at, 1, 17) || guard.MayBeStale(at, 1, 16) {
-		t.Errorf("purges: %+v", guard)
+		t.Errorf("got unexpected purges in guard %+v", guard)
 	}
 	if !guard.MayBeStale(stale, 1, 1) {
-		t.Error("seven seconds without a frame no purge is missed")
+		t.Error("got no copy possibly stale after seven seconds without a frame, want every copy possibly stale")
 	}
 }
 
-// Routers that lose the change log at one moment come back to it one after another, at ever
-// longer intervals, and soon again once it has sent a frame.
+// TestReconnectDelaysAreSpread checks that routers that lose the change log at the same moment
+// reconnect at different moments and after increasing delays, and that the delay is short again
+// once the change log has sent a frame.
 func TestReconnectDelaysAreSpread(t *testing.T) {
 	const routers = 300
-	perSlot := map[int]int{} // of 20 ms
+	perSlot := map[int]int{} // number of routers, by slot of 20 ms
 	for seed := range uint64(routers) {
 		backoff := reconnectBackoff{random: rand.New(rand.NewPCG(seed, 0))}
 		at, last := 0.0, 0.0
@@ -61,22 +63,23 @@
 			at += last
 		}
 		if at < 50 || last < maxBackoff/2 || last > maxBackoff {
-			t.Fatalf("seed %d: back %.0f ms later, the last delay was %.0f ms", seed, at, last)
+			t.Fatalf("seed %d: got reconnect after %.0f ms with a last delay of %.0f ms, want at least 50 ms and a last delay from the upper half of maxBackoff", seed, at, last)
 		}
 		if delay := backoff.nextDelay(true); delay > initialBackoff {
-			t.Fatalf("seed %d: %.0f ms after a frame", seed, delay)
+			t.Fatalf("seed %d: got a delay of %.0f ms after a frame, want at most initialBackoff", seed, delay)
 		}
 		perSlot[int(at)/20]++
 	}
 	for slot, n := range perSlot {
 		if n > routers/8 {
-			t.Errorf("%d of %d routers come back within 20 ms, at %d ms", n, routers, 20*slot)
+			t.Errorf("got %d of %d routers that reconnect within the 20 ms from %d ms on, want at most an eighth", n, routers, 20*slot)
 		}
 	}
 }
 
-// The change log of another configuration is asked at once, from the last number, though the
-// old one is still open; what the configuration knows beyond that is applied first.
+// TestReloadMovesToNewAddress checks that a new configuration's change log is asked at once for
+// the events after the last applied one, although the old connection is still open, and that the
+// known events of the new configuration are applied first.
 func TestReloadMovesToNewAddress(t *testing.T) {
 	first, second := newFakeChangeLog(t), newFakeChangeLog(t)
 	watcher, events := newTestWatcher(first.addr())
@@ -87,17 +90,18 @@
 	next.Discovery = second.addr()
 	next.Settings.PurgeRetention = 7 * time.Second
 	next.KnownEvents = []platformconfig.WatchEvent{{Seq: 2}, {Seq: 3, ListUpdate: true}}
-	watcher.Reload(&platformconfig.Config{}) // replaced by the next, or superseded by it
+	watcher.Reload(&platformconfig.Config{}) // the next configuration replaces this one, before or after Run receives it
 	watcher.Reload(&next)
 	second.accept(3, encodeGroupPurge(2, now))
 	expectEvents(t, events, 3)
 	if retention := watcher.Guard().PurgeRetention; retention != 7*time.Second {
-		t.Errorf("purges are retained for %v", retention)
+		t.Errorf("got purge retention %v, want 7s", retention)
 	}
 }
 
-// Guards against a change log that connects and then sends nothing, and one that ends right
-// after it is back: a drain that begins in between is received on the next connection.
+// TestSilentConnectionIsReplaced checks that a drain is received on the next connection after the
+// change log accepted a connection and sent nothing, or closed a connection soon after it was
+// back.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	server := newFakeChangeLog(t)
 	watcher, events := newTestWatcher(server.addr())
@@ -107,13 +111,13 @@
 	server.accept(2, encodeChange(3, 7, stateDraining))
 	expectEvents(t, events, 1, 2, 3)
 	if !watcher.Guard().Excludes(7) {
-		t.Error("the draining server is not excluded")
+		t.Error("the guard does not exclude draining server 7")
 	}
 }
 
-// Guards against a drain that is missed because it began while discovery was down or soon
-// after its return: connections are refused three times, then the change log is asked from
-// the last number, and the draining server is excluded.
+// TestDrainAfterDiscoveryWasDown checks that a drain is not missed when it begins while discovery
+// is down or soon after its return: after three refused connections the watcher asks for the
+// events after the last applied one, and the draining server is excluded.
 func TestDrainAfterDiscoveryWasDown(t *testing.T) {
 	server, closed := newFakeChangeLog(t), newFakeChangeLog(t)
 	if err := closed.Close(); err != nil {
@@ -138,35 +142,36 @@
 		select {
 		case err := <-refused:
 			if err == nil {
-				t.Fatal("connected to nothing")
+				t.Fatal("got a connection to a closed listener, want an error")
 			}
 		case <-time.After(testTimeout):
-			t.Fatal("it does not connect again")
+			t.Fatal("the watcher did not connect again before the test timeout")
 		}
 	}
 	server.accept(2, encodeChange(3, 8, stateReady), encodeChange(4, 7, stateDraining))
 	expectEvents(t, events, 3, 4)
 	if guard := watcher.Guard(); !guard.Excludes(7) || guard.Excludes(8) {
-		t.Errorf("excluded: the draining server %v, the new one %v", guard.Excludes(7), guard.Excludes(8))
+		t.Errorf("got excluded %v for draining server 7 and %v for ready server 8, want true and false", guard.Excludes(7), guard.Excludes(8))
 	}
 }
 
-// endlessConn is a connection that a read deadline does not end, but SetDeadline does.
-type endlessConn struct{ net.Conn }
+// noReadDeadlineConn is a connection that ignores SetReadDeadline. SetDeadline still interrupts
+// its reads.
+type noReadDeadlineConn struct{ net.Conn }
 
-func (endlessConn) SetReadDeadline(time.Time) error { return nil }
+func (noReadDeadlineConn) SetReadDeadline(time.Time) error { return nil }
 
-// Guards against a watcher that waits for its old connection to end before it follows the
-// change log that a new configuration names: the old connection is open, silent, and never
-// ends by itself.
-func TestReloadCutsASilentConnection(t *testing.T) {
+// TestReloadClosesSilentConnection checks that the watcher does not wait for its old connection to
+// end before it follows the change log that a new configuration names. The old connection is open
+// and silent, and never ends by itself.
+func TestReloadClosesSilentConnection(t *testing.T) {
 	first, second := newFakeChangeLog(t), newFakeChangeLog(t)
 	watcher, events := newTestWatcher(first.addr())
 	dial := watcher.dial
 	watcher.dial = func(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
 		conn, err := dial(ctx, to)
 		if err == nil && to == first.addr() {
-			conn = endlessConn{conn}
+			conn = noReadDeadlineConn{conn}
 		}
 		return conn, err
 	}
@@ -179,18 +184,19 @@
 	second.accept(2, encodeChange(3, 7, stateDraining))
 	expectEvents(t, events, 3)
 	if !watcher.Guard().Excludes(7) {
-		t.Error("the draining server is not excluded")
+		t.Error("the guard does not exclude draining server 7")
 	}
 }
 
-// slowConn brings one byte with each read.
+// slowConn is a connection that returns one byte per read.
 type slowConn struct{ net.Conn }
 
 func (c slowConn) Read(p []byte) (int, error) { return c.Conn.Read(p[:min(1, len(p))]) }
 
-// Guards against a list that comes in pieces being read as a malformed or shorter one, and
-// against waiting for the rest of one that stops half way: it is asked for anew.
-func TestListInPieces(t *testing.T) {
+// TestFragmentedList checks that an endpoint list that arrives in fragments is not read as a
+// malformed or shorter one, and that the watcher requests the list again when its transfer stops
+// half way.
+func TestFragmentedList(t *testing.T) {
 	server := newFakeChangeLog(t)
 	watcher, events := newTestWatcher(server.addr())
 	dial := watcher.dial
@@ -205,12 +211,13 @@
 	server.accept(2, list, encodeChange(4, 8, stateDraining))
 	expectEvents(t, events, 3, 4)
 	if listed, unavailable := watcher.ServerCounts(); listed != 2 || unavailable != 2 {
-		t.Errorf("%d listed, %d unavailable", listed, unavailable)
+		t.Errorf("got %d listed and %d unavailable servers, want 2 and 2", listed, unavailable)
 	}
 }
 
-// Guards against a router that is never ready because discovery does not answer: what the
-// configuration knows is applied before any connection, and Synced ends without a frame.
+// TestReadyWithoutDiscovery checks that a router becomes ready although discovery does not answer:
+// the known events of the configuration are applied before any connection, and the channel of
+// Synced is closed without a frame.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	watcher, events := newTestWatcher(netip.AddrPort{})
 	eventsAtDial := make(chan int, 1)
@@ -224,12 +231,12 @@
 	}
 	startWatcher(t, watcher)
 	if n := <-eventsAtDial; n != 1 {
-		t.Errorf("%d events before the first connection, want the one that is known", n)
+		t.Errorf("got %d events before the first connection, want the known one", n)
 	}
 	select {
 	case <-watcher.Synced():
 	case <-time.After(testTimeout):
-		t.Fatal("it waits for a change log that sends nothing")
+		t.Fatal("Synced channel not closed before the test timeout although the change log sends nothing")
 	}
 	expectEvents(t, events, 1)
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,11 +1,11 @@
-// Package discovery watches the platform's change log: the endpoint list of caches, parents
-// and origins, and purges.
+// Package discovery watches the platform's change log, which reports changes of the endpoint list
+// (caches, parents and origins) and purges.
 //
 // A Watcher owns the connection to the change log, the number of the last applied event, the
-// endpoint list, and the set of servers that operators disabled. Only the goroutine of
-// Watcher.Run changes them. What others need is published whole: a routing.Guard, which is
-// replaced and never changed, the counts of servers, and the lists that the fleet reads. All
-// exported methods but Run and SetGossip may be called from any goroutine.
+// endpoint list, and the set of servers that operators disabled. Only the goroutine of Watcher.Run
+// changes them. For other goroutines the Watcher publishes a routing.Guard, which is replaced and
+// never modified, the counts of servers, and the lists that the fleet reads. All exported methods
+// except Run and SetGossip may be called from any goroutine.
 package discovery
 
 import (
@@ -25,12 +25,12 @@
 )
 
 const (
-	// disabledPollInterval is the time between reads of the store of disabled servers, which
+	// disabledPollInterval is the time between two reads of the store of disabled servers, which
 	// another process of this router may have changed.
 	disabledPollInterval = 200 * time.Millisecond
-	// initialSyncTimeout bounds, in milliseconds, how long Synced waits for the first frame.
-	// New events arrive at once; where there are none, a successor process must not be late
-	// because of that.
+	// initialSyncTimeout limits, in milliseconds, how long Synced waits for the first frame. The
+	// change log sends new events at once. If there are none, the wait for a frame must not delay
+	// the start of a successor process.
 	initialSyncTimeout = 300.0
 )
 
@@ -41,19 +41,19 @@
 	notify   func(platformconfig.WatchEvent)
 	dial     func(ctx context.Context, to netip.AddrPort) (net.Conn, error)
 
-	// State of the goroutine of Run.
+	// State that only the goroutine of Run uses.
 	config       *platformconfig.Config
 	lastSeq      uint64 // number of the last applied event
-	refetchedSeq uint64 // missing number for which the change log was last asked again
+	refetchedSeq uint64 // expected number when the change log was last asked again for missing events
 	servers      map[routing.ServerID]platformconfig.Endpoint
-	disabled     map[routing.ServerID]time.Duration // by operators; the start that was listed then
+	disabled     map[routing.ServerID]time.Duration // by operators; value: the start time that was listed at that moment
 	gossip       gossipState
 
-	// Requests to that goroutine.
-	pendingConfig   chan *platformconfig.Config // holds the latest only
+	// Requests to the goroutine of Run.
+	pendingConfig   chan *platformconfig.Config // holds only the latest one
 	disableRequests chan disableRequest
 
-	// What other goroutines read.
+	// State that is published to other goroutines.
 	guard            atomic.Pointer[routing.Guard]
 	listedCount      atomic.Int64
 	unavailableCount atomic.Int64 // listed servers that are not ready
@@ -66,8 +66,8 @@
 	disabledStore disabled.Store
 }
 
-// NewWatcher returns a watcher that has applied no event yet. Run calls notify with each
-// event, in order; notify may block.
+// NewWatcher returns a watcher that has not applied any event. Run calls notify with each event,
+// in order; notify may block.
 func NewWatcher(clk clock.Clock, config *platformconfig.Config, notify func(platformconfig.WatchEvent), counters *metrics.Registry) *Watcher {
 	w := &Watcher{
 		clock:           clk,
@@ -94,7 +94,7 @@
 	return (&net.Dialer{}).DialContext(ctx, "tcp", to.String())
 }
 
-// Guard returns what attempts are checked against now. The caller must not change it.
+// Guard returns the guard against which attempts are checked now. The caller must not modify it.
 func (w *Watcher) Guard() *routing.Guard { return w.guard.Load() }
 
 // ServerCounts returns how many servers the endpoint list holds, and how many of them are
@@ -103,22 +103,23 @@
 	return w.listedCount.Load(), w.unavailableCount.Load()
 }
 
-// Synced returns a channel that is closed once the change log has sent a frame, or has not
-// done so within initialSyncTimeout.
+// Synced returns a channel that is closed once the change log has sent a frame, or has sent none
+// within initialSyncTimeout.
 func (w *Watcher) Synced() <-chan struct{} { return w.syncedSignal }
 
-// Reload replaces the configuration. The change log that it names is followed at once, from
-// the last applied event. Reload never blocks; calls must not overlap.
+// Reload replaces the configuration. The watcher at once follows the change log that the new
+// configuration names, from the last applied event on. Reload never blocks; calls must not
+// overlap.
 func (w *Watcher) Reload(config *platformconfig.Config) {
 	select {
-	case <-w.pendingConfig: // an earlier one that Run has not received
+	case <-w.pendingConfig: // discard an earlier configuration that Run has not received
 	default:
 	}
 	w.pendingConfig <- config
 }
 
-// Run applies the events that the configuration holds and then follows the change log until
-// ctx ends. It is called once.
+// Run applies the events that the configuration holds and then follows the change log until ctx is
+// done. It must be called only once.
 func (w *Watcher) Run(ctx context.Context) {
 	w.loadDisabled()
 	for _, event := range w.config.KnownEvents {
@@ -141,7 +142,7 @@
 	}
 }
 
-// countReconnect counts a session that ended with err.
+// countReconnect counts a reconnect after a session that ended with err.
 func (w *Watcher) countReconnect(err error) {
 	w.counters.Add("changelog_reconnects", 1)
 	if errors.Is(err, ErrMalformedFrame) {
@@ -149,7 +150,7 @@
 	}
 }
 
-// markSynced closes the channel of Synced; further calls do nothing.
+// markSynced closes the channel that Synced returns; further calls do nothing.
 func (w *Watcher) markSynced() {
 	if !w.synced.Swap(true) {
 		close(w.syncedSignal)
@@ -158,14 +159,14 @@
 
 // sessionEnd tells why processEvents returned.
 type sessionEnd struct {
-	receivedFrame bool                   // before its end
-	nextConfig    *platformconfig.Config // the one that replaces the current one, if that is why
+	receivedFrame bool                   // a frame was received before the end
+	nextConfig    *platformconfig.Config // the new configuration, if one has arrived
 	err           error                  // of the connection or of ctx
 }
 
-// processEvents handles frames, requests, gossip and the ticker until frames brings the end
-// of the connection, pause fires, another configuration arrives or ctx ends. frames or pause
-// may be nil.
+// processEvents handles frames, requests, gossip and ticks until frames delivers the error that
+// ended the connection, a frame cannot be applied, pause fires, another configuration arrives or
+// ctx is done. frames and pause may be nil.
 func (w *Watcher) processEvents(ctx context.Context, frames <-chan frameResult, pause <-chan time.Time) sessionEnd {
 	var end sessionEnd
 	ticker := time.NewTicker(disabledPollInterval)
