--- a/internal/textconn/message.go
+++ b/internal/textconn/message.go
@@ -10,12 +10,13 @@
 )
 
 const (
-	bodyStep      = 4 << 10  // bytes, by which the buffer of a body grows at first
-	maxIdleBuffer = 16 << 10 // bytes that an idle connection keeps of a grown buffer
+	minBodyGrowth = 4 << 10  // bytes by which the buffer of a body grows at least
+	maxIdleBuffer = 16 << 10 // bytes; an idle connection releases a larger buffer
 )
 
-// ReadLineSlice reads a line and returns it without its end, in place: it is valid until the
-// next read. A line longer than textproto's buffer is an error. It is the reader's.
+// ReadLineSlice reads a line and returns it without the spaces, tabs and line end around it. The
+// returned slice points into textproto's buffer and is valid until the next read. A line longer
+// than that buffer is an error. Only the reader may call ReadLineSlice.
 func (c *Conn) ReadLineSlice() ([]byte, error) {
 	line, err := c.R.ReadSlice('\n')
 	if err != nil {
@@ -24,14 +25,14 @@
 	return textproto.TrimBytes(line), nil
 }
 
-// ReadBody reads n bytes into the connection's buffer, where they stay valid until the next
-// call. The buffer grows with the bytes that have come and not with n, which the other side
-// has only announced. It is the reader's.
+// ReadBody reads n bytes into the connection's buffer. The returned slice is valid until the next
+// call of ReadBody. The buffer grows with the bytes received, not with n, so that a peer cannot
+// make it grow by announcing a length. Only the reader may call ReadBody.
 func (c *Conn) ReadBody(n int) ([]byte, error) {
 	c.readBuffer = c.readBuffer[:0]
 	for len(c.readBuffer) < n {
 		have := len(c.readBuffer)
-		step := min(n-have, max(bodyStep, have))
+		step := min(n-have, max(minBodyGrowth, have))
 		if cap(c.readBuffer) < have+step {
 			c.readBuffer = append(make([]byte, 0, have+step), c.readBuffer...)
 		}
@@ -43,7 +44,7 @@
 	return c.readBuffer, nil
 }
 
-// ShrinkReadBuffer releases a read buffer that has grown beyond 16 KB. The reader calls it
+// ShrinkReadBuffer releases the read buffer if it has grown beyond 16 KiB. The reader calls it
 // between messages.
 func (c *Conn) ShrinkReadBuffer() {
 	if cap(c.readBuffer) > maxIdleBuffer {
@@ -51,15 +52,16 @@
 	}
 }
 
-// WriteBuffer returns an empty buffer to which a message for Flush is appended. It is the
-// writer's.
+// WriteBuffer returns the empty write buffer, to which the writer appends a message for Flush.
+// Only the writer may call WriteBuffer.
 func (c *Conn) WriteBuffer() []byte { return c.writeBuffer[:0] }
 
-// Flush writes a message that was appended to WriteBuffer, and then body, within so many
-// milliseconds. After an error it is not known how much was written. It is the writer's.
-func (c *Conn) Flush(message, body []byte, within float64) error {
+// Flush writes a message that was appended to WriteBuffer, and then body. The write may take
+// timeoutMillis milliseconds. After an error it is not known how much the peer received. Only the
+// writer may call Flush.
+func (c *Conn) Flush(message, body []byte, timeoutMillis float64) error {
 	c.writeBuffer = message
-	if err := c.NetConn.SetWriteDeadline(time.Now().Add(clock.Duration(within))); err != nil {
+	if err := c.NetConn.SetWriteDeadline(time.Now().Add(clock.Duration(timeoutMillis))); err != nil {
 		return err
 	}
 	buffers := net.Buffers{message}
@@ -70,7 +72,7 @@
 	return err
 }
 
-// ShrinkWriteBuffer releases a write buffer that has grown beyond 16 KB. The writer calls it
+// ShrinkWriteBuffer releases the write buffer if it has grown beyond 16 KiB. The writer calls it
 // between messages.
 func (c *Conn) ShrinkWriteBuffer() {
 	if cap(c.writeBuffer) > maxIdleBuffer {
--- a/internal/textconn/readahead.go
+++ b/internal/textconn/readahead.go
@@ -7,28 +7,29 @@
 )
 
 const (
-	readAheadStep = 4 << 10   // bytes, by which the buffer read ahead grows at first
-	maxDiscarded  = 128 << 20 // bytes dropped by one ReadAhead before it returns
+	readAheadStep = 4 << 10   // bytes of a read; the read-ahead buffer grows by at least as many
+	maxDiscarded  = 128 << 20 // bytes that one call of ReadAhead discards before it returns
 )
 
-// ReadAhead reads until the connection ends or its read deadline passes, and returns that
-// error. It keeps up to limit bytes for the next reads and drops the rest; after 128 MB of
-// those it returns ErrMessageTooLong. It calls received for each piece. It is the reader's:
-// nobody else may read meanwhile.
+// ReadAhead reads until a read fails, usually because the connection ends or its read deadline
+// passes, and returns that error. It keeps up to limit bytes for later reads and discards the
+// rest; after 128 MiB of discarded bytes it returns ErrMessageTooLong. It calls onReceived after
+// each read that returns bytes. Only the reader may call ReadAhead.
 //
-// Symptom guarded against: a client that had sent one byte beyond its request could
-// disconnect unnoticed, and its request was forwarded though nobody waited for it.
-func (c *Conn) ReadAhead(limit int, received func()) error {
-	var firstByte [1]byte // an idle connection needs no larger buffer
-	var scratch []byte    // for bytes that are dropped
-	for dropped := 0; dropped < maxDiscarded; {
+// ReadAhead keeps reading after the first byte so that it notices the end of the connection.
+// Otherwise a client that had sent one byte beyond its request could disconnect unnoticed, and
+// its request was forwarded although no client waited for the response.
+func (c *Conn) ReadAhead(limit int, onReceived func()) error {
+	var firstByte [1]byte // keeps the buffer of an idle connection small
+	var scratch []byte    // for bytes that are discarded
+	for discarded := 0; discarded < maxDiscarded; {
 		dst := firstByte[:]
-		held := len(c.readAhead)
+		buffered := len(c.readAhead)
 		switch {
-		case held > 0 && held < limit:
-			c.readAhead = slices.Grow(c.readAhead, min(max(held, readAheadStep), limit-held))
-			dst = c.readAhead[held:min(cap(c.readAhead), limit)]
-		case held > 0:
+		case buffered > 0 && buffered < limit:
+			c.readAhead = slices.Grow(c.readAhead, min(max(buffered, readAheadStep), limit-buffered))
+			dst = c.readAhead[buffered:min(cap(c.readAhead), limit)]
+		case buffered > 0:
 			if scratch == nil {
 				scratch = make([]byte, readAheadStep)
 			}
@@ -36,13 +37,13 @@
 		}
 		n, err := c.NetConn.Read(dst)
 		if n > 0 {
-			if held >= limit {
-				dropped += n
+			if buffered >= limit {
+				discarded += n
 				c.discarded.Store(true)
 			} else {
 				c.readAhead = append(c.readAhead, dst[:n]...)
 			}
-			received()
+			onReceived()
 		}
 		if err != nil {
 			return err
@@ -51,15 +52,15 @@
 	return ErrMessageTooLong
 }
 
-// Discarded reports whether ReadAhead dropped bytes: nothing that follows on the connection
-// can be understood. Any goroutine may call it.
+// Discarded reports whether ReadAhead discarded bytes. If it did, later bytes on the connection
+// cannot be interpreted. Any goroutine may call Discarded.
 func (c *Conn) Discarded() bool { return c.discarded.Load() }
 
-// Readable reports whether something can be read, without waiting for it. It takes away the
-// read deadline. It is the reader's.
+// Readable reports, without blocking, whether bytes can be read. It may clear the read deadline.
+// Only the reader may call Readable.
 //
-// Symptom guarded against: a read whose deadline has passed does not look at the socket at
-// all, and a connection was closed though a complete request lay there.
+// Readable is needed because a read after its deadline fails without looking at the socket. A
+// connection was closed that way although a complete request was waiting in the socket.
 func (c *Conn) Readable() bool {
 	if c.R.Buffered() > 0 || len(c.readAhead) > 0 {
 		return true
--- a/internal/textconn/textconn.go
+++ b/internal/textconn/textconn.go
@@ -1,12 +1,12 @@
-// Package textconn is the program's buffered connection for protocols of text lines and
-// counted bodies: HTTP, RESP, and the change log's frames.
+// Package textconn provides a buffered connection for protocols of text lines and bodies of a
+// known length: HTTP, RESP, and the frames of the change log.
 //
-// A Conn bounds how many bytes one message may bring and how long it may take, which
-// textproto alone does not, and reuses one buffer for each direction.
+// A Conn limits the size of each message and the time to read it, which textproto alone does
+// not, and reuses one buffer for each direction.
 //
-// A Conn has one owner, who closes it. At most one goroutine may read and one may write at
-// the same time, so that a multiplexed connection can do both; each method says which of the
-// two it belongs to.
+// A Conn has one owner, which closes it. At most one goroutine, called the reader, may read, and
+// at the same time at most one, called the writer, may write. The comment of each method says
+// which of them may call it.
 package textconn
 
 import (
@@ -19,74 +19,76 @@
 	"garnetline/internal/clock"
 )
 
-// ErrMessageTooLong reports a message with more bytes than LimitRead allows.
+// ErrMessageTooLong reports that the peer sent more bytes than LimitRead allows, or that
+// ReadAhead discarded too many.
 var ErrMessageTooLong = errors.New("message too long")
 
-// Conn is a network connection with a textproto.Conn over it.
+// Conn is a network connection that is read and written through a textproto.Conn.
 type Conn struct {
 	*textproto.Conn
-	NetConn net.Conn // below textproto, for deadlines and addresses
+	NetConn net.Conn // the underlying connection, for deadlines and addresses
 
-	// The reader's.
+	// Only the reader uses the following fields.
 	remaining       int  // bytes that may still be read, see LimitRead
-	limitExceeded   bool // a read was refused since the last LimitRead
+	limitExceeded   bool // a read failed because of the limit since the last LimitRead
 	readBuffer      []byte
-	receivedBytes   bool      // bytes came from the socket since BeginMessage
-	stallTimeout    float64   // ms a read may take; zero: reads set no deadline
-	messageStart    time.Time // when SetReadPace was first called for the message
-	messageDeadline time.Time // when the whole message has to be there
+	receivedBytes   bool      // bytes were read from the socket since BeginMessage
+	stallTimeout    float64   // ms that a read may take; if zero, reads set no deadline
+	messageStart    time.Time // first call of SetReadPace for the message
+	messageDeadline time.Time // the whole message must have been read by then
 
-	// readAhead holds bytes that ReadAhead and Readable took from the socket. The reader
-	// consumes them first. They are written only while nobody reads.
+	// readAhead holds bytes that ReadAhead and Readable read from the socket. Later reads
+	// consume them first. Only the reader uses readAhead.
 	readAhead []byte
-	discarded atomic.Bool // ReadAhead dropped bytes
+	discarded atomic.Bool // ReadAhead discarded bytes
 
-	writeBuffer []byte // the writer's
+	writeBuffer []byte // only the writer uses it
 }
 
-// New returns a Conn over a connection. Nothing can be read before LimitRead is called.
+// New returns a Conn over netConn. Reads fail until LimitRead is called.
 func New(netConn net.Conn) *Conn {
 	c := &Conn{NetConn: netConn}
 	c.Conn = textproto.NewConn(limitedConn{c})
 	return c
 }
 
-// LimitRead allows n more bytes to be read from the socket, in place of what was allowed
-// before. It is the reader's.
+// LimitRead sets the number of bytes that may be read from now on to n, replacing the earlier
+// limit. Only the reader may call LimitRead.
 func (c *Conn) LimitRead(n int) {
 	c.remaining = n
 	c.limitExceeded = false
 }
 
-// LimitExceeded reports whether a read was refused with ErrMessageTooLong since the last
-// call of LimitRead. textproto may hide that error behind one of its own.
+// LimitExceeded reports whether a read failed with ErrMessageTooLong since the last call of
+// LimitRead. It is needed because textproto may replace that error by one of its own. Only the
+// reader may call LimitExceeded.
 func (c *Conn) LimitExceeded() bool { return c.limitExceeded }
 
-// SetReadPace bounds the time for the message being read, in milliseconds: stall for each
-// read from the socket, and whole for all of them, counted from the first call for the
-// message. A message may be given more time when its length is known, by another call.
-// A stall of zero ends the message and leaves reads without a deadline of their own. It is
-// the reader's.
-func (c *Conn) SetReadPace(stall, whole float64) {
+// SetReadPace limits the time to read the current message, in milliseconds: stallTimeout limits
+// each read from the socket, and messageTimeout limits the whole message, counted from the first
+// call for it. A later call can give the message more time, when its length is known. A
+// stallTimeout of zero ends the message; reads set no deadline after it. Only the reader may call
+// SetReadPace.
+func (c *Conn) SetReadPace(stallTimeout, messageTimeout float64) {
 	if c.stallTimeout == 0 {
 		c.messageStart = time.Now()
 	}
-	c.stallTimeout = stall
-	c.messageDeadline = c.messageStart.Add(clock.Duration(whole))
+	c.stallTimeout = stallTimeout
+	c.messageDeadline = c.messageStart.Add(clock.Duration(messageTimeout))
 }
 
-// BeginMessage starts a message for ReceivedBytes. It is the reader's.
+// BeginMessage marks the start of a message for ReceivedBytes. Only the reader may call it.
 func (c *Conn) BeginMessage() { c.receivedBytes = false }
 
-// ReceivedBytes reports whether any byte came from the socket since BeginMessage. If none
-// did, all of the message had been buffered before. It is the reader's.
+// ReceivedBytes reports whether any byte was read from the socket since BeginMessage. If none
+// was, the whole message had been buffered before. Only the reader may call ReceivedBytes.
 func (c *Conn) ReceivedBytes() bool { return c.receivedBytes }
 
-// limitedConn is the connection as textproto sees it. textproto reads lines of any length;
-// limitedConn bounds what one message can make it hold.
+// limitedConn is the connection that textproto reads and writes. Because textproto reads lines of
+// any length, limitedConn enforces the limit of LimitRead.
 type limitedConn struct{ conn *Conn }
 
-// Read returns what was read ahead, or else what the socket brings.
+// Read returns bytes that were read ahead, or reads from the socket if there are none.
 func (l limitedConn) Read(dst []byte) (int, error) {
 	conn := l.conn
 	if conn.remaining <= 0 {
@@ -124,7 +126,7 @@
 	return n
 }
 
-// setPacedDeadline sets the read deadline for one read, if the message has a pace.
+// setPacedDeadline sets the deadline for the next read if SetReadPace limits the message.
 func (c *Conn) setPacedDeadline() error {
 	if c.stallTimeout <= 0 {
 		return nil
--- a/internal/textconn/textconn_test.go
+++ b/internal/textconn/textconn_test.go
@@ -12,7 +12,7 @@
 	"garnetline/internal/fuzzutil"
 )
 
-// byteSource is a connection that brings fixed bytes, a few at a time.
+// byteSource is a connection whose reads return at most step bytes from reader.
 type byteSource struct {
 	net.Conn
 	reader io.Reader
@@ -21,15 +21,15 @@
 
 func (s *byteSource) Read(p []byte) (int, error) { return s.reader.Read(p[:min(len(p), s.step)]) }
 
-// FuzzConn reads lines and bodies in a random order and checks them against the bytes
-// themselves: nothing is lost between the two kinds of reading, no message takes more from
-// the socket than it may, and no body more memory than has come.
+// FuzzConn reads lines and bodies in a random order and compares them with the source bytes. It
+// checks that no byte is lost between lines and bodies, that no message reads more from the
+// socket than its limit, and that the buffer of a body grows only with the bytes received.
 func FuzzConn(f *testing.F) {
 	fuzzutil.AddRandomSeeds(f, 24, 400)
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		model := newReadModel(steps)
 		for i := 0; i+1 < len(steps); i += 2 {
-			taken := model.taken()
+			consumed := model.consumed()
 			limit := int(steps[i+1]) * 40
 			model.conn.LimitRead(limit)
 			var err error
@@ -38,12 +38,12 @@
 			} else {
 				err = model.readBody(t, int(steps[i+1])*30, limit)
 			}
-			if got := model.taken() - taken; got > limit {
-				t.Fatalf("%d bytes were taken, %d allowed", got, limit)
+			if got := model.consumed() - consumed; got > limit {
+				t.Fatalf("read %d bytes from the socket, want at most %d", got, limit)
 			}
 			if err != nil {
 				if exceeded := model.conn.LimitExceeded(); exceeded != errors.Is(err, ErrMessageTooLong) && !errors.Is(err, io.ErrUnexpectedEOF) {
-					t.Fatalf("limit exceeded %v, but %v", exceeded, err)
+					t.Fatalf("LimitExceeded() = %v after the error: %v", exceeded, err)
 				}
 				return
 			}
@@ -51,12 +51,12 @@
 	})
 }
 
-// readModel knows the bytes that a connection brings.
+// readModel reads from a Conn and compares the results with the known source bytes.
 type readModel struct {
 	data   []byte
 	source *bytes.Reader
 	conn   *Conn
-	offset int // of the next byte to be read
+	offset int // in data, of the next byte to be read
 }
 
 func newReadModel(steps []byte) *readModel {
@@ -69,8 +69,8 @@
 	return &readModel{data: data, source: source, conn: New(&byteSource{reader: source, step: step})}
 }
 
-// taken is how many bytes have left the socket.
-func (m *readModel) taken() int { return len(m.data) - m.source.Len() }
+// consumed returns how many bytes the Conn has read from the socket.
+func (m *readModel) consumed() int { return len(m.data) - m.source.Len() }
 
 func (m *readModel) readLine(t *testing.T) error {
 	t.Helper()
@@ -80,7 +80,7 @@
 	}
 	end := m.offset + bytes.IndexByte(m.data[m.offset:], '\n') + 1
 	if want := bytes.Trim(m.data[m.offset:end], " \t\r\n"); !bytes.Equal(line, want) {
-		t.Fatalf("line %q at %d, want %q", line, m.offset, want)
+		t.Fatalf("got line %q at offset %d, want %q", line, m.offset, want)
 	}
 	m.offset = end
 	return nil
@@ -91,20 +91,20 @@
 	body, err := m.conn.ReadBody(size)
 	if err == nil {
 		if !bytes.Equal(body, m.data[m.offset:m.offset+size]) {
-			t.Fatalf("another body of %d at %d", size, m.offset)
+			t.Fatalf("body of %d bytes at offset %d differs from the source bytes", size, m.offset)
 		}
 		m.offset += size
-	} else if held := cap(m.conn.readBuffer); held > 2*max(limit+4096, 4096) {
-		t.Fatalf("%d bytes are held for a body cut at %d", held, limit)
+	} else if capacity := cap(m.conn.readBuffer); capacity > 2*max(limit+4096, 4096) {
+		t.Fatalf("read buffer has %d bytes after a body that was limited to %d", capacity, limit)
 	}
 	m.conn.ShrinkReadBuffer()
-	if held := cap(m.conn.readBuffer); held > maxIdleBuffer {
-		t.Fatalf("an idle buffer of %d bytes", held)
+	if capacity := cap(m.conn.readBuffer); capacity > maxIdleBuffer {
+		t.Fatalf("read buffer has %d bytes after ShrinkReadBuffer", capacity)
 	}
 	return err
 }
 
-// deadlineConn keeps the read deadline that was set last, and brings nothing.
+// deadlineConn records the last read deadline that was set. Its reads return io.EOF.
 type deadlineConn struct {
 	net.Conn
 	deadline time.Time
@@ -117,31 +117,31 @@
 
 func (c *deadlineConn) Read([]byte) (int, error) { return 0, io.EOF }
 
-// Guards against a fixed time for a whole message: one whose bytes came at the pace of the
-// settings was cut, though it never stalled.
+// A fixed time limit for a whole message aborted long messages that arrived at the configured
+// rate, although they never stalled. The limit must be adjustable while a message is read.
 func TestReadPace(t *testing.T) {
 	netConn := &deadlineConn{}
 	conn := New(netConn)
 	deadlineOfRead := func() float64 {
 		conn.LimitRead(10)
 		if _, err := conn.R.Peek(1); !errors.Is(err, io.EOF) {
-			t.Fatalf("read ended with %v", err)
+			t.Fatalf("got read error %v, want EOF", err)
 		}
 		return clock.Millis(time.Until(netConn.deadline))
 	}
 	conn.SetReadPace(800, 800)
-	conn.messageStart = conn.messageStart.Add(-700 * time.Millisecond) // so long under way
+	conn.messageStart = conn.messageStart.Add(-700 * time.Millisecond) // as if the message had started 700 ms ago
 	conn.SetReadPace(800, 800)
 	if left := deadlineOfRead(); left > 100 {
-		t.Errorf("%v ms are left of 100", left)
+		t.Errorf("got %v ms until the deadline of the message, want at most 100", left)
 	}
-	conn.SetReadPace(800, 10_400) // its length is known now
+	conn.SetReadPace(800, 10_400) // the length of the message is now known
 	if left := deadlineOfRead(); left < 400 || left > 800 {
-		t.Errorf("%v ms are left until it counts as stalled, want 800", left)
+		t.Errorf("got %v ms until the read deadline, want between 400 and 800", left)
 	}
 	conn.SetReadPace(0, 0)
 	netConn.deadline = time.Time{}
 	if deadlineOfRead(); !netConn.deadline.IsZero() {
-		t.Error("a read between messages has a deadline")
+		t.Error("a read between messages set a deadline")
 	}
 }
