--- a/internal/upstream/benchmark_test.go
+++ b/internal/upstream/benchmark_test.go
@@ -26,29 +26,29 @@
 	}
 }
 
-// repeated brings the same bytes for ever.
-type repeated struct {
-	text []byte
-	at   int
+// repeatingReader returns the same bytes again and again.
+type repeatingReader struct {
+	text   []byte
+	offset int
 }
 
-func (r *repeated) Read(p []byte) (int, error) {
-	n := copy(p, r.text[r.at:])
-	r.at = (r.at + n) % len(r.text)
+func (r *repeatingReader) Read(p []byte) (int, error) {
+	n := copy(p, r.text[r.offset:])
+	r.offset = (r.offset + n) % len(r.text)
 	return n, nil
 }
 
 func BenchmarkReply(b *testing.B) {
 	for name, size := range map[string]int{"small": 100, "large": 100_000} {
 		b.Run(name, func(b *testing.B) {
-			text := frame("9b1f03aa5c7e2d41", "DONE", "tag=4be0c1927d55a6f3,minted=1764576000123,n=cached,lag=1.5,l=inflight:7;util:0.61", strings.Repeat("x", size))
-			k := textconn.New(byteSource{reader: &repeated{text: []byte(text)}})
-			a := &dispatch.Attempt{Request: &dispatch.Request{}, Decision: routing.SendAttempt{Server: 7}}
+			text := encodeReply("9b1f03aa5c7e2d41", "DONE", "tag=4be0c1927d55a6f3,minted=1764576000123,n=cached,lag=1.5,l=inflight:7;util:0.61", strings.Repeat("x", size))
+			conn := textconn.New(byteSource{reader: &repeatingReader{text: []byte(text)}})
+			attempt := &dispatch.Attempt{Request: &dispatch.Request{}, Decision: routing.SendAttempt{Server: 7}}
 			b.ReportAllocs()
 			for b.Loop() {
-				r, err := readReply(k, nil)
+				r, err := readReply(conn, nil)
 				if err == nil {
-					_, err = r.completion(a)
+					_, err = r.completion(attempt)
 				}
 				if err != nil {
 					b.Fatal(err)
@@ -58,7 +58,7 @@
 	}
 }
 
-// discardConn takes what is written and never brings anything.
+// discardConn discards written bytes. Its reads block for ever.
 type discardConn struct{ net.Conn }
 
 func (discardConn) Read([]byte) (int, error)         { select {} }
@@ -67,8 +67,8 @@
 func (discardConn) SetWriteDeadline(time.Time) error { return nil }
 func (discardConn) SetReadDeadline(time.Time) error  { return nil }
 
-// BenchmarkAttempt sends an attempt and handles its reply, without the socket and the
-// goroutines.
+// BenchmarkAttempt measures the actor's work to send an attempt and handle its reply, without a
+// socket and without other goroutines.
 func BenchmarkAttempt(b *testing.B) {
 	const now = 1.7e12
 	guard := &routing.Guard{Ready: map[routing.ServerID]bool{1: true, 8: true}}
--- a/internal/upstream/cacheserver_test.go
+++ b/internal/upstream/cacheserver_test.go
@@ -17,11 +17,11 @@
 	"garnetline/routing"
 )
 
-// testTimeout fails a test that waits for something in vain; no order depends on it.
+// testTimeout is how long a test waits before it fails. No test depends on its length otherwise.
 const testTimeout = 10 * time.Second
 
-// cacheServer is a cache on a loopback listener, whose every byte the test writes, and a pool
-// that has it as server 1.
+// cacheServer is a cache on a loopback listener, whose replies the test writes byte by byte, and
+// a pool in which the cache is server 1.
 type cacheServer struct {
 	t           *testing.T
 	addr        netip.AddrPort
@@ -38,8 +38,9 @@
 	in *bufio.Reader
 }
 
-// newCacheServer starts a cache and a pool with options that change may change.
-func newCacheServer(t *testing.T, change func(*Options)) *cacheServer {
+// newCacheServer starts a cache and a pool. If configure is not nil, it may change the options of
+// the pool.
+func newCacheServer(t *testing.T, configure func(*Options)) *cacheServer {
 	t.Helper()
 	listener := listenTCP(t)
 	server := &cacheServer{
@@ -60,8 +61,8 @@
 		Metrics:        metrics.New(),
 		MaxConnections: func() int64 { return 0 },
 	}
-	if change != nil {
-		change(&options)
+	if configure != nil {
+		configure(&options)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	server.pool = NewPool(ctx, options)
@@ -89,20 +90,21 @@
 	return listener
 }
 
-// closeAtEnd closes something when the test ends, if that is not done by then.
+// closeAtEnd closes closer when the test ends. It ignores the error of a second close.
 func closeAtEnd(t *testing.T, closer io.Closer) {
 	t.Helper()
 	t.Cleanup(func() { _ = closer.Close() })
 }
 
-// send hands an attempt with an id to the pool; ifNoneMatch is the tag of the client's copy.
+// send passes an attempt with the given id to the pool. ifNoneMatch is the entity tag of the
+// client's copy.
 func (s *cacheServer) send(id, ifNoneMatch string) *dispatch.Attempt {
 	s.t.Helper()
-	return s.sendBy(id, ifNoneMatch, 0)
+	return s.sendWithDeadline(id, ifNoneMatch, 0)
 }
 
-// sendBy is send for an attempt that must not be written after a time.
-func (s *cacheServer) sendBy(id, ifNoneMatch string, deadline float64) *dispatch.Attempt {
+// sendWithDeadline is like send, for an attempt that must not be written at or after deadline.
+func (s *cacheServer) sendWithDeadline(id, ifNoneMatch string, deadline float64) *dispatch.Attempt {
 	s.t.Helper()
 	attempt := &dispatch.Attempt{
 		Request:      &dispatch.Request{TransactionID: id, Object: 7, IfNoneMatch: ifNoneMatch},
@@ -112,7 +114,7 @@
 		SendDeadline: deadline,
 	}
 	if completion := s.pool.Send(attempt); completion != nil {
-		s.t.Fatalf("%s was not taken: %v", id, completion.Result)
+		s.t.Fatalf("attempt %s was not accepted: %v", id, completion.Result)
 	}
 	return attempt
 }
@@ -131,56 +133,57 @@
 	return &cacheConn{TCPConn: conn, t: s.t, in: bufio.NewReader(conn)}
 }
 
-// completion waits for the completion of an attempt, which has to be the next one.
-func (s *cacheServer) completion(attempt *dispatch.Attempt) dispatch.Completion {
+// waitForCompletion waits for the next completion, which must be that of attempt, and returns it.
+func (s *cacheServer) waitForCompletion(attempt *dispatch.Attempt) dispatch.Completion {
 	s.t.Helper()
 	want := attempt.Request.TransactionID
 	select {
 	case completion := <-s.completions:
 		if completion.Attempt != attempt {
-			s.t.Fatalf("%s completed, not %s", completion.Attempt.Request.TransactionID, want)
+			s.t.Fatalf("got the completion of attempt %s, want that of %s", completion.Attempt.Request.TransactionID, want)
 		}
 		attempt.TransportState.Release(attempt)
 		return completion
 	case <-time.After(testTimeout):
-		s.t.Fatalf("%s did not complete", want)
+		s.t.Fatalf("attempt %s did not complete", want)
 	}
 	return dispatch.Completion{}
 }
 
-// noCompletion checks that no further attempt has completed.
-func (s *cacheServer) noCompletion() {
+// checkNoCompletion checks that no further attempt has completed.
+func (s *cacheServer) checkNoCompletion() {
 	s.t.Helper()
 	select {
 	case completion := <-s.completions:
-		s.t.Fatalf("%s completed as %v", completion.Attempt.Request.TransactionID, completion.Result)
+		s.t.Fatalf("attempt %s completed unexpectedly as %v", completion.Attempt.Request.TransactionID, completion.Result)
 	default:
 	}
 }
 
-// waitForCounter waits until a counter of the pool has come to a value.
+// waitForCounter waits until a counter of the pool has reached a value.
 func (s *cacheServer) waitForCounter(name string, want int64) {
 	s.t.Helper()
 	s.waitFor(name, func() bool { return s.pool.Metrics.Counter(name).Load() >= want })
 }
 
-// waitForNoConnections waits until none is open or being dialed.
+// waitForNoConnections waits until no connection is open or being dialed.
 func (s *cacheServer) waitForNoConnections() {
 	s.t.Helper()
 	s.waitFor("no connections", func() bool { return s.pool.openConnections.Load() == 0 })
 }
 
+// waitFor waits until reached returns true; what names the awaited state in the failure message.
 func (s *cacheServer) waitFor(what string, reached func() bool) {
 	s.t.Helper()
 	for deadline := time.Now().Add(testTimeout); !reached(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			s.t.Fatalf("waited in vain for %s", what)
+			s.t.Fatalf("timeout while waiting for %s", what)
 		}
 	}
 }
 
-// command reads one command.
-func (c *cacheConn) command() []string {
+// readCommand reads one command.
+func (c *cacheConn) readCommand() []string {
 	c.t.Helper()
 	var n int
 	if _, err := fmt.Fscanf(c.in, "*%d\r\n", &n); err != nil {
@@ -201,7 +204,7 @@
 	return command
 }
 
-// write writes bytes as they are.
+// write writes text unchanged.
 func (c *cacheConn) write(text string) {
 	c.t.Helper()
 	if _, err := c.Write([]byte(text)); err != nil {
@@ -209,8 +212,8 @@
 	}
 }
 
-// closeWith ends the connection, with a reset if that is asked for.
-func (c *cacheConn) closeWith(reset bool) {
+// closeOrReset closes the connection, with a TCP reset if reset is true.
+func (c *cacheConn) closeOrReset(reset bool) {
 	c.t.Helper()
 	if reset {
 		if err := c.SetLinger(0); err != nil {
@@ -222,27 +225,27 @@
 	}
 }
 
-// frame is a reply as a cache writes it.
-func frame(id, status, fields, body string) string {
-	text := appendArray(nil, replyStrings)
+// encodeReply returns a reply as a cache writes it.
+func encodeReply(id, status, fields, body string) string {
+	text := appendArray(nil, replyElements)
 	for _, content := range []string{id, status, fields, body} {
 		text = appendBulk(text, content)
 	}
 	return string(text)
 }
 
-// tcpPair returns both ends of a loopback connection.
-func tcpPair(t *testing.T) (near, far net.Conn) {
+// tcpPair returns the two ends of a loopback connection.
+func tcpPair(t *testing.T) (client, server net.Conn) {
 	t.Helper()
 	listener := listenTCP(t)
-	near, err := dialTCP(t.Context(), netip.MustParseAddrPort(listener.Addr().String()))
+	client, err := dialTCP(t.Context(), netip.MustParseAddrPort(listener.Addr().String()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, near)
-	if far, err = listener.Accept(); err != nil {
+	closeAtEnd(t, client)
+	if server, err = listener.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, far)
-	return near, far
+	closeAtEnd(t, server)
+	return client, server
 }
--- a/internal/upstream/command.go
+++ b/internal/upstream/command.go
@@ -7,12 +7,12 @@
 	"garnetline/routing"
 )
 
-// typicalFieldsBytes has room for the fields of most commands.
+// typicalFieldsBytes is the initial capacity for the fields of a command; most commands fit.
 const typicalFieldsBytes = 256
 
-// appendServeCommand appends the command that carries an attempt: serve ID FIELDS BODY. It is
-// written at now, takes a copy of at most maxAge milliseconds if that is not zero, and has
-// moreFields behind its own.
+// appendServeCommand appends the command that carries an attempt: serve ID FIELDS BODY. The
+// remaining time of the attempt is computed from now. A maxAge above zero limits the age of an
+// acceptable copy, in milliseconds. moreFields follow the command's own fields.
 func appendServeCommand(dst []byte, attempt *dispatch.Attempt, maxAge, now float64, moreFields string) []byte {
 	fields := make([]byte, 0, typicalFieldsBytes)
 	fields = appendServeFields(fields, attempt, maxAge, now)
@@ -28,8 +28,8 @@
 func appendServeFields(dst []byte, attempt *dispatch.Attempt, maxAge, now float64) []byte {
 	request := attempt.Request
 	decision := &attempt.Decision
-	patience := max(1, int64(attempt.ExpiresAt-now))
-	dst = fmt.Appendf(dst, "sort=%s,asset=%016x,slice=%d,patience=%d", attempt.Class.Name, uint64(request.Object), request.Chunk, patience)
+	remainingMillis := max(1, int64(attempt.ExpiresAt-now))
+	dst = fmt.Appendf(dst, "sort=%s,asset=%016x,slice=%d,patience=%d", attempt.Class.Name, uint64(request.Object), request.Chunk, remainingMillis)
 	if request.IdempotencyKey != "" {
 		dst = fmt.Appendf(dst, ",op=%s", request.IdempotencyKey)
 	}
@@ -49,7 +49,7 @@
 	return dst
 }
 
-// appendServeOptions appends the field opts, if any option is set.
+// appendServeOptions appends the field opts if at least one option is set.
 func appendServeOptions(dst []byte, decision *routing.SendAttempt) []byte {
 	separator := ",opts="
 	for _, option := range [...]struct {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -14,39 +14,39 @@
 )
 
 const (
-	maxConnections       = 8      // to one server, retired ones aside
-	growThreshold        = 2      // requests in flight on a connection from which on one more is made
-	growBackoff          = 2000.0 // ms without a further connection after a failed dial
-	maxCanceledIDs       = 256    // on a connection, before it is retired
-	writeTimeout         = 100.0  // ms; a write blocks the actor
-	idleTimeoutShare     = 0.8    // of the settings' idle timeout, after which this side closes first
-	unresponsiveAfter    = 250.0  // ms without a reply, after which a cancel retires the connection
-	replyStallTimeout    = 800.0  // ms between reads of a reply, and for all of it besides its bytes' time
-	replyTimeFactor      = 4.0    // times what a reply's bytes take at the settings' pace
-	duplicateReplyWindow = 1000.0 // ms within which a second reply to an id is expected
+	maxConnections       = 8      // to one server, not counting retired connections
+	growThreshold        = 2      // requests in flight on a connection that make another connection desirable
+	growBackoff          = 2000.0 // ms after a failed dial in which no additional connection is dialed
+	maxCanceledIDs       = 256    // canceled ids on a connection; one more retires it
+	writeTimeout         = 100.0  // ms; short, because a write blocks the actor
+	idleTimeoutShare     = 0.8    // fraction of the idle timeout after which this side closes, before the server does
+	unresponsiveAfter    = 250.0  // ms since the write without any reply, after which a cancel retires the connection
+	replyStallTimeout    = 800.0  // ms for each read of a reply, and for the whole reply on top of the time for its body
+	replyTimeFactor      = 4.0    // multiple of the body's transfer time at the configured BytesPerSecond
+	duplicateReplyWindow = 1000.0 // ms within which a second reply to an id is taken for a duplicate
 )
 
-// connection is one connection to the server. It belongs to the actor but for text's reading
-// half, which is the reader goroutine's.
+// connection is one connection to the server. The actor owns it, except that the reader
+// goroutine calls the methods of text that read.
 type connection struct {
 	text        *textconn.Conn
 	inFlight    map[string]*sentAttempt // by transaction id
-	canceledIDs map[string]bool         // canceled here: a reply may still come
-	unservedAt  map[string]float64      // when a reply other than a served one came: a second may follow
-	lastReplyAt float64                 // zero: none has come
-	lastUsedAt  float64                 // when something was written or read
-	retired     bool                    // takes no new attempt, and is closed when none is in flight
+	canceledIDs map[string]bool         // ids canceled on this connection; a reply may still come
+	unservedAt  map[string]float64      // by id: time of a reply that was not served, which may be duplicated
+	lastReplyAt float64                 // clock time in ms; zero if no reply has come
+	lastUsedAt  float64                 // clock time in ms of the last write or reply
+	retired     bool                    // accepts no new attempt and is closed once none is in flight
 	closed      bool
 }
 
-// sentAttempt is an attempt in flight.
+// sentAttempt is an attempt that was written to a connection and not yet completed.
 type sentAttempt struct {
 	attempt   *dispatch.Attempt
-	writtenAt float64
+	writtenAt float64 // clock time in ms
 }
 
-// connectionEvent reports to the actor: the result of a dial (dialed or err), a reply, or the
-// end of a connection (err).
+// connectionEvent reports to the actor the result of a dial (dialed or err), a reply, or the end
+// of a connection (err).
 type connectionEvent struct {
 	connection *connection // nil for the result of a dial
 	dialed     net.Conn
@@ -64,21 +64,22 @@
 	}
 }
 
-// accepts reports whether a request with an id can be sent on the connection. An id that is
-// in flight there, or was canceled there, cannot: a reply that crosses the cancel would be
-// taken for the new attempt's.
+// accepts reports whether an attempt with the given id can be sent on the connection. An id that
+// is in flight or was canceled on the connection is not accepted: a reply that crosses the
+// cancel command would be taken for the reply to the new attempt.
 func (c *connection) accepts(id string, maxStreams int) bool {
 	return !c.retired && len(c.inFlight) < maxStreams && c.inFlight[id] == nil && !c.canceledIDs[id]
 }
 
-// repliedSince reports whether a reply has come on the connection since a time.
-func (c *connection) repliedSince(at float64) bool { return c.lastReplyAt >= at }
+// repliedSince reports whether any reply has come on the connection at or after the given time.
+func (c *connection) repliedSince(since float64) bool { return c.lastReplyAt >= since }
 
-// nextReply waits for a reply and reads it. The time for that counts from its first byte.
+// nextReply waits for a reply without a deadline and reads it. The time limits for reading count
+// from the first byte of the reply.
 //
-// Symptoms guarded against: a reply that stopped short left the connection open and silent,
-// and whatever else was in flight there ran into its deadline. A fixed time for the whole of
-// it cut replies whose bytes came at the pace of the settings.
+// Without a limit, a truncated reply left the connection open and silent, and all other attempts
+// in flight on it ran into their deadlines. A fixed limit, regardless of the length, aborted
+// large replies that arrived at the configured BytesPerSecond.
 func (c *connection) nextReply(bytesPerSecond float64) (reply, error) {
 	if err := c.text.NetConn.SetReadDeadline(time.Time{}); err != nil {
 		return reply{}, err
@@ -93,16 +94,16 @@
 		if bytesPerSecond <= 0 {
 			return
 		}
-		transfer := 1000 * float64(bodyBytes) / bytesPerSecond
-		c.text.SetReadPace(replyStallTimeout, replyStallTimeout+replyTimeFactor*transfer)
+		transferMillis := 1000 * float64(bodyBytes) / bytesPerSecond
+		c.text.SetReadPace(replyStallTimeout, replyStallTimeout+replyTimeFactor*transferMillis)
 	})
 }
 
-// pickConnection returns the connection with the fewest requests in flight that accepts one
-// with an id, or nil.
+// pickConnection returns, among the connections that accept an attempt with the given id, the
+// one with the fewest requests in flight, or nil if none accepts it.
 //
-// Symptom guarded against: one malformed reply ended all that was in flight at the server,
-// since all of it was on one connection.
+// Requests are spread over several connections because a malformed reply closes its connection:
+// with a single one, it ended all requests in flight at the server.
 func (u *Upstream) pickConnection(id string) *connection {
 	var best *connection
 	for _, conn := range u.connections {
@@ -113,8 +114,8 @@
 	return best
 }
 
-// atConnectionLimit reports whether this server, or all together, have as many connections as
-// they may.
+// atConnectionLimit reports whether the limit of connections to this server, or to all servers
+// together, is reached.
 func (u *Upstream) atConnectionLimit() bool {
 	limit := u.MaxConnections()
 	usable := 0
@@ -126,12 +127,12 @@
 	return usable >= maxConnections || limit > 0 && u.openConnections.Load() >= limit
 }
 
-// mayGrow reports whether a connection may be added to those there are.
+// mayGrow reports whether a connection may be added to the existing ones.
 func (u *Upstream) mayGrow() bool {
 	return !u.atConnectionLimit() && u.Clock.Now() >= u.growAfter
 }
 
-// startDial begins to make a connection. There is one dial at a time.
+// startDial starts to dial a connection in the background. At most one dial runs at a time.
 func (u *Upstream) startDial(ctx context.Context) {
 	u.dialing = true
 	u.dialStartedAt = u.Clock.Now()
@@ -140,7 +141,7 @@
 	go u.dial(ctx)
 }
 
-// dial makes a connection and reports it to the actor. It runs on a goroutine of its own.
+// dial connects to the server and reports the result to the actor. It runs in its own goroutine.
 func (u *Upstream) dial(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, clock.Duration(u.Settings().ConnectTimeout))
 	defer cancel()
@@ -154,8 +155,8 @@
 	}
 }
 
-// readReplies reports the replies of a connection, and at last its end, to the actor. It runs
-// on a goroutine of its own.
+// readReplies reports each reply on a connection, and finally the read error that ends it, to
+// the actor. It runs in its own goroutine.
 func (u *Upstream) readReplies(conn *connection) {
 	for {
 		r, err := conn.nextReply(u.Settings().BytesPerSecond)
@@ -165,7 +166,7 @@
 	}
 }
 
-// post hands an event to the actor. It reports whether the actor took it or has stopped.
+// post sends an event to the actor. It returns false if the actor has stopped.
 func (u *Upstream) post(event connectionEvent) bool {
 	select {
 	case u.connectionEvents <- event:
@@ -186,7 +187,8 @@
 	}
 }
 
-// handleDialResult uses a new connection for what is queued, or fails that.
+// handleDialResult sends the queued attempts on the new connection, or completes them as
+// ConnectFailed if the dial failed.
 func (u *Upstream) handleDialResult(ctx context.Context, event connectionEvent) {
 	u.dialing = false
 	for _, attempt := range u.queued {
@@ -202,11 +204,12 @@
 	u.sendQueued(ctx)
 }
 
-// handleDialFailure completes what waited for a connection. One that did not come up proves
-// that nothing ran.
+// handleDialFailure completes the attempts that waited for a connection as ConnectFailed: since
+// no connection was made, the server has executed none of them.
 //
-// Symptom guarded against: at a cache that holds few connections each request of each of many
-// routers tried for one more, and each try cost it a handshake.
+// If another connection is open, mayGrow returns false for the next growBackoff milliseconds.
+// Without this pause, at a cache that accepts few connections, each request of each of many
+// routers dialed once more and cost the cache a handshake.
 func (u *Upstream) handleDialFailure() {
 	u.openConnections.Add(-1)
 	u.Metrics.Add("peer_dials_failed", 1)
@@ -220,7 +223,8 @@
 	}
 }
 
-// recordDial enters the dial that has just ended in the trace of an attempt that waited for it.
+// recordDial records the times of the dial that has just ended in the trace of an attempt that
+// waited for it.
 func (u *Upstream) recordDial(attempt *dispatch.Attempt) {
 	if attempt.Trace == nil {
 		return
@@ -229,9 +233,9 @@
 	attempt.Trace.Timing.ConnectedAt = u.Clock.Now()
 }
 
-// flush writes a command that was appended to the connection's write buffer, and reports
-// whether that worked. After an error nobody knows what came through, and the connection is
-// closed.
+// flush writes a command that was appended to the connection's write buffer, and reports whether
+// the write succeeded. It closes the connection after an error, because it is not known how much
+// of the command the server received.
 func (u *Upstream) flush(conn *connection, command []byte) bool {
 	conn.lastUsedAt = u.Clock.Now()
 	if err := conn.text.Flush(command, nil, writeTimeout); err != nil {
@@ -248,23 +252,23 @@
 	}
 }
 
-// cancelSent cancels an attempt that was written to a connection.
+// cancelSent cancels an attempt that was written to a connection, and completes it as Canceled.
 func (u *Upstream) cancelSent(conn *connection, sent *sentAttempt) {
 	attempt := sent.attempt
 	id := attempt.Request.TransactionID
 	delete(conn.inFlight, id)
-	// Symptom guarded against: on a connection that had brought no reply since the attempt
-	// was written the cancel did not arrive, and the retry was a second copy of the request.
+	// If no reply has come on the connection since the attempt was written, the cancel command
+	// may not arrive, and the retry would run beside the first attempt. Close the connection.
 	if attempt.MayRetry && !conn.repliedSince(sent.writtenAt) {
 		u.closeConnection(conn)
 		u.completeCanceled(attempt)
 		return
 	}
 	conn.canceledIDs[id] = true
-	// Symptom guarded against: a machine that vanished leaves its connections open and
-	// silent. Commands written to them after its return were lost too, and it looked silent
-	// for ever. The delay keeps connections whose clients merely disconnect soon: all of them
-	// were retired for that once, and no more could be made.
+	// A machine that vanishes leaves its connections open and silent. Commands that were written
+	// to them after the machine's return were lost too, so that it seemed unresponsive for ever.
+	// The delay of unresponsiveAfter keeps connections whose clients merely disconnect early:
+	// without it all connections were retired, and no more could be made.
 	unresponsive := !conn.repliedSince(sent.writtenAt) && u.Clock.Now()-sent.writtenAt >= unresponsiveAfter
 	if unresponsive || len(conn.canceledIDs) > maxCanceledIDs {
 		conn.retired = true
@@ -275,13 +279,13 @@
 }
 
 // closeConnection closes a connection, which cancels everything in flight on it, and completes
-// that as lost. No connection is closed anywhere else once it is up.
+// those attempts as ConnectionLost. Once the actor has a connection, only this method closes it.
 func (u *Upstream) closeConnection(conn *connection) {
 	if conn.closed {
 		return
 	}
 	conn.closed = true
-	_ = conn.text.Close() // the connection is given up in any case
+	_ = conn.text.Close() // the connection is abandoned even if this fails
 	u.openConnections.Add(-1)
 	u.connections = slices.DeleteFunc(u.connections, func(other *connection) bool { return other == conn })
 	for _, sent := range conn.inFlight {
@@ -296,8 +300,9 @@
 	}
 }
 
-// closeIdle closes connections that have been idle for most of the settings' idle timeout,
-// before the server does, and forgets ids that no second reply is expected for.
+// closeIdle closes the connections that have been idle for idleTimeoutShare of the configured
+// idle timeout, before the server does. It also drops the records of replies whose
+// duplicateReplyWindow is over.
 func (u *Upstream) closeIdle() {
 	now := u.Clock.Now()
 	for _, conn := range slices.Clone(u.connections) {
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -12,99 +12,99 @@
 	"garnetline/routing"
 )
 
-// Guards against a machine that vanished and looks silent when it is back: its connection
-// stays open and silent, and what follows was written there.
+// The connection to a machine that vanished stays open and silent. Later requests were written
+// to it even after the machine had returned, which then seemed unresponsive.
 func TestUnresponsiveConnectionIsRetired(t *testing.T) {
-	actor := newHarness(t)
-	a := actor.send("a")
-	actor.finishDial()
-	actor.clock.Advance(800)
-	actor.cancel(a)
-	if !actor.conns[0].isClosed() {
+	harness := newHarness(t)
+	a := harness.send("a")
+	harness.finishDial()
+	harness.clock.Advance(800)
+	harness.cancel(a)
+	if !harness.conns[0].isClosed() {
 		t.Error("the unresponsive connection is still open")
 	}
-	actor.send("b")
-	actor.finishDial()
-	if len(actor.conns) != 2 || !actor.conns[1].wrote("b") {
-		t.Errorf("%d connections", len(actor.conns))
+	harness.send("b")
+	harness.finishDial()
+	if len(harness.conns) != 2 || !harness.conns[1].wrote("b") {
+		t.Errorf("got %d connections, want 2 with the second attempt on the new one", len(harness.conns))
 	}
 }
 
-// A refused connection proves that nothing ran; a reset does not.
+// A refused connection proves that the server executed nothing; a reset does not.
 func TestConnectionRefusedAndReset(t *testing.T) {
-	actor := newHarness(t)
-	actor.refuseDials = true
-	a := actor.send("a")
-	actor.finishDial()
-	actor.refuseDials = false
-	b := actor.send("b")
-	actor.finishDial()
-	actor.endConnection(actor.upstream.connections[0], io.EOF)
-	if actor.completions[a][0] != routing.ConnectFailed || actor.completions[b][0] != routing.ConnectionLost {
-		t.Errorf("refused: %v, reset: %v", actor.completions[a], actor.completions[b])
+	harness := newHarness(t)
+	harness.refuseDials = true
+	a := harness.send("a")
+	harness.finishDial()
+	harness.refuseDials = false
+	b := harness.send("b")
+	harness.finishDial()
+	harness.endConnection(harness.upstream.connections[0], io.EOF)
+	if harness.completions[a][0] != routing.ConnectFailed || harness.completions[b][0] != routing.ConnectionLost {
+		t.Errorf("refused connection: completed as %v; reset connection: completed as %v", harness.completions[a], harness.completions[b])
 	}
 }
 
-// A server that takes no more connections is not dialed for a while: what follows is sent
-// over the one there is, and no request fails for it.
+// After a server has refused an additional connection, it is not dialed for a while. Requests
+// are sent over the existing connection meanwhile, and none of them fails.
 func TestNoDialPerRequestAtConnectionLimit(t *testing.T) {
-	actor := newHarness(t)
+	harness := newHarness(t)
 	dials := 0
 	request := func(i int) {
-		actor.send(fmt.Sprint(i))
-		if actor.upstream.dialing {
+		harness.send(fmt.Sprint(i))
+		if harness.upstream.dialing {
 			dials++
 		}
-		actor.refuseDials = len(actor.conns) > 0
-		actor.finishDial()
-		actor.reply(actor.upstream.connections[0], fmt.Sprint(i), statusDone)
+		harness.refuseDials = len(harness.conns) > 0
+		harness.finishDial()
+		harness.reply(harness.upstream.connections[0], fmt.Sprint(i), statusDone)
 	}
-	actor.send("first")
-	actor.finishDial()
+	harness.send("first")
+	harness.finishDial()
 	for i := range 50 {
 		request(i)
-		actor.clock.Advance(10)
+		harness.clock.Advance(10)
 	}
-	if dials != 1 || len(actor.conns) != 1 {
-		t.Errorf("%d dials for a further connection within 500 ms, %d connections; want 1 and 1", dials, len(actor.conns))
+	if dials != 1 || len(harness.conns) != 1 {
+		t.Errorf("got %d dials for an additional connection within 500 ms and %d connections, want 1 and 1", dials, len(harness.conns))
 	}
-	actor.clock.Advance(growBackoff)
+	harness.clock.Advance(growBackoff)
 	if request(50); dials != 2 {
-		t.Errorf("%d dials after the backoff, want one more", dials)
+		t.Errorf("got %d dials after the backoff, want 2", dials)
 	}
-	for i, attempt := range actor.attempts[1:] {
-		if got := actor.completions[attempt]; len(got) != 1 || got[0] != routing.Served {
+	for i, attempt := range harness.attempts[1:] {
+		if got := harness.completions[attempt]; len(got) != 1 || got[0] != routing.Served {
 			t.Errorf("request %d completed as %v", i, got)
 		}
 	}
 }
 
-// Guards against one connection for all requests to a server: a malformed reply on it
-// completed them all as lost.
+// When one connection carried all requests to a server, a malformed reply on it completed all of
+// them as lost.
 func TestMalformedReplyClosesOneConnection(t *testing.T) {
-	actor := newHarness(t)
+	harness := newHarness(t)
 	for i := range 6 {
-		actor.send(fmt.Sprint(i))
-		actor.finishDial()
+		harness.send(fmt.Sprint(i))
+		harness.finishDial()
 	}
-	if len(actor.upstream.connections) < 2 {
-		t.Fatal("all is on one connection")
+	if len(harness.upstream.connections) < 2 {
+		t.Fatal("all attempts are on one connection, want at least two connections")
 	}
-	actor.endConnection(actor.upstream.connections[0], errMalformedReply)
-	if n := len(actor.completions); n == 0 || n > 2 {
-		t.Errorf("%d of 6 attempts completed with one connection", n)
+	harness.endConnection(harness.upstream.connections[0], errMalformedReply)
+	if n := len(harness.completions); n == 0 || n > 2 {
+		t.Errorf("%d of 6 attempts completed when one connection was closed, want 1 or 2", n)
 	}
-	for _, got := range actor.completions {
+	for _, got := range harness.completions {
 		if got[0] != routing.ConnectionLost {
-			t.Errorf("completed as %v", got)
+			t.Errorf("attempt completed as %v, want ConnectionLost", got)
 		}
 	}
 }
 
-// errNoDeadline is what a stallingConn returns where a read would wait for ever.
-var errNoDeadline = errors.New("waits for ever")
+// errNoDeadline is returned by a stallingConn for a read that would block for ever.
+var errNoDeadline = errors.New("read without a deadline would block for ever")
 
-// stallingConn is a connection that brings some bytes and then nothing more.
+// stallingConn is a connection that returns the bytes of its reader and then stalls.
 type stallingConn struct {
 	byteSource
 	deadline time.Time
@@ -125,9 +125,9 @@
 	return 0, os.ErrDeadlineExceeded
 }
 
-// A reply that has begun has a time to end; the wait for one that has not begun has none.
+// Reading a reply has a time limit once its first byte has come; waiting for that byte has none.
 func TestTruncatedReplyTimesOut(t *testing.T) {
-	complete := frame("a", statusLack, noFields, "")
+	complete := encodeReply("a", statusLack, noFields, "")
 	for _, test := range []struct {
 		text string
 		want error
@@ -137,105 +137,105 @@
 	} {
 		conn := newConnection(&stallingConn{byteSource: byteSource{reader: strings.NewReader(test.text)}}, 0)
 		if r, err := conn.nextReply(0); err != nil || r.status != statusLack {
-			t.Fatalf("%+v, %v", r, err)
+			t.Fatalf("got reply %+v and error %v", r, err)
 		}
 		if _, err := conn.nextReply(0); err == nil || err.Error() != test.want.Error() {
-			t.Errorf("after %q: %v, want %v", test.text, err, test.want)
+			t.Errorf("after %q: got error %v, want %v", test.text, err, test.want)
 		}
 	}
 }
 
-// Guards against connections retired for clients that disconnect soon, which says nothing of
-// the server: all eight were, and what came next was rejected as if the server were full.
+// A client that disconnects early says nothing about the server. When such cancels retired their
+// connections, all eight were retired and later requests were rejected as if the server were full.
 func TestEarlyCancelsKeepConnections(t *testing.T) {
-	actor := newHarness(t)
+	harness := newHarness(t)
 	for i := range 40 {
-		stays := actor.send(fmt.Sprintf("stay%d", i))
-		leaves := actor.send(fmt.Sprintf("leave%d", i))
-		actor.finishDial()
-		actor.clock.Advance(20)
-		actor.cancel(leaves)
+		stays := harness.send(fmt.Sprintf("stay%d", i))
+		leaves := harness.send(fmt.Sprintf("leave%d", i))
+		harness.finishDial()
+		harness.clock.Advance(20)
+		harness.cancel(leaves)
 		if i > 4 {
-			actor.cancel(actor.attempts[2*(i-5)])
+			harness.cancel(harness.attempts[2*(i-5)])
 		}
-		for _, conn := range actor.upstream.connections {
+		for _, conn := range harness.upstream.connections {
 			if conn.retired {
-				t.Fatalf("a connection was retired after %d", i)
+				t.Fatalf("a connection was retired after early cancel %d", i)
 			}
 		}
-		if got := actor.completions[stays]; len(got) > 0 {
+		if got := harness.completions[stays]; len(got) > 0 {
 			t.Fatalf("attempt %d completed as %v", i, got)
 		}
 	}
 }
 
-// An attempt that is canceled for a retry, on a connection that has brought no reply since it
-// was written, is canceled by closing that: only then can no second copy be in flight. On one
-// that has brought others a cancel will do.
+// An attempt is canceled for a retry. If no reply has come on its connection since it was written,
+// the connection is closed, so that the attempt and its retry cannot be in flight together. If
+// other replies have come, a cancel command is enough.
 func TestRetryClosesUnresponsiveConnection(t *testing.T) {
 	for _, replied := range []bool{false, true} {
-		actor := newHarness(t)
-		a, b := actor.send("a"), actor.send("b")
-		actor.finishDial()
-		actor.clock.Advance(100)
+		harness := newHarness(t)
+		a, b := harness.send("a"), harness.send("b")
+		harness.finishDial()
+		harness.clock.Advance(100)
 		if replied {
-			actor.reply(actor.upstream.connections[0], "b", statusLack)
+			harness.reply(harness.upstream.connections[0], "b", statusLack)
 		}
 		a.MayRetry = true
-		actor.cancel(a)
-		closed := actor.conns[0].isClosed()
-		gotA, gotB := actor.completions[a], actor.completions[b]
+		harness.cancel(a)
+		closed := harness.conns[0].isClosed()
+		gotA, gotB := harness.completions[a], harness.completions[b]
 		if closed == replied || len(gotA) != 1 || gotA[0] != routing.Canceled || len(gotB) != 1 {
-			t.Errorf("replied %v: closed %v, completed as %v and %v", replied, closed, gotA, gotB)
+			t.Errorf("replied %v: closed %v, attempts a and b completed as %v and %v", replied, closed, gotA, gotB)
 		}
 	}
 }
 
-// Guards against a rejection that comes twice: the second must not be taken for the end of
-// the attempt that followed, while that runs on and another one is sent.
+// A server may send a rejection twice. The second one must not complete the next attempt of the
+// request while that attempt keeps running at the server and another one is sent.
 func TestDuplicateReply(t *testing.T) {
 	for idempotency, want := range map[routing.Idempotency]routing.Result{
 		routing.Idempotent:        routing.Rejected,
 		routing.IdempotentWithKey: routing.ServerError,
 		routing.NonIdempotent:     routing.ServerError,
 	} {
-		actor := newHarness(t)
-		actor.send("a")
-		actor.finishDial()
-		actor.reply(actor.upstream.connections[0], "a", statusWait)
-		actor.clock.Advance(5)
-		retry := actor.send("a")
+		harness := newHarness(t)
+		harness.send("a")
+		harness.finishDial()
+		harness.reply(harness.upstream.connections[0], "a", statusWait)
+		harness.clock.Advance(5)
+		retry := harness.send("a")
 		retry.Class = &routing.Class{Idempotency: idempotency}
-		actor.reply(actor.upstream.connections[0], "a", statusWait)
-		if got := actor.completions[retry]; len(got) != 1 || got[0] != want {
+		harness.reply(harness.upstream.connections[0], "a", statusWait)
+		if got := harness.completions[retry]; len(got) != 1 || got[0] != want {
 			t.Errorf("%v: completed as %v, want %v", idempotency, got, want)
 		}
-		if got := actor.conns[0].written.String(); !strings.HasSuffix(got, string(appendCancelCommand(nil, "a"))) {
-			t.Errorf("%v: it was not canceled: %q", idempotency, got)
+		if got := harness.conns[0].written.String(); !strings.HasSuffix(got, string(appendCancelCommand(nil, "a"))) {
+			t.Errorf("%v: wrote %q, want a cancel command for the retry at the end", idempotency, got)
 		}
-		actor.send("a")
-		actor.finishDial()
-		if len(actor.conns) != 2 || !actor.conns[1].wrote("a") {
-			t.Errorf("%v: the third attempt was sent where a crossing reply may come", idempotency)
+		harness.send("a")
+		harness.finishDial()
+		if len(harness.conns) != 2 || !harness.conns[1].wrote("a") {
+			t.Errorf("%v: the third attempt was not sent on a new connection", idempotency)
 		}
 	}
 }
 
-// Long after the first, a second rejection is a reply like any other, and the first is
-// forgotten.
+// After duplicateReplyWindow, a second rejection is an ordinary reply, and the record of the first
+// is dropped.
 func TestDuplicateReplyWindow(t *testing.T) {
-	actor := newHarness(t)
+	harness := newHarness(t)
 	for range 2 {
-		actor.send("a")
-		actor.finishDial()
-		actor.reply(actor.upstream.connections[0], "a", statusWait)
-		actor.clock.Advance(duplicateReplyWindow)
+		harness.send("a")
+		harness.finishDial()
+		harness.reply(harness.upstream.connections[0], "a", statusWait)
+		harness.clock.Advance(duplicateReplyWindow)
 	}
-	if strings.Contains(actor.conns[0].written.String(), "cancel") {
-		t.Error("a rejection was taken for a duplicate for no reason")
+	if strings.Contains(harness.conns[0].written.String(), "cancel") {
+		t.Error("a rejection after the window was taken for a duplicate")
 	}
-	actor.upstream.closeIdle()
-	if remembered := len(actor.upstream.connections[0].unservedAt); remembered > 0 {
-		t.Errorf("%d replies are remembered for ever", remembered)
+	harness.upstream.closeIdle()
+	if remembered := len(harness.upstream.connections[0].unservedAt); remembered > 0 {
+		t.Errorf("%d replies are still recorded after the window, want 0", remembered)
 	}
 }
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -15,13 +15,15 @@
 	"garnetline/routing"
 )
 
-// The files in testdata hold what goes over the wire to caches and back, see package golden.
+// The files in testdata hold the commands and replies on the wire between the router and the
+// caches; see package golden.
 
-// goldenAttempts are one of each form of a command: each field, each word of opts and each bound.
+// goldenAttempts returns attempts whose commands cover each field, each option of opts and each
+// boundary value.
 func goldenAttempts() []*dispatch.Attempt {
 	const now = 1.7e12
-	part := &routing.Class{Name: "video-part"}
-	write := &routing.Class{Name: "submit", Write: true, Idempotency: routing.NonIdempotent}
+	readClass := &routing.Class{Name: "video-part"}
+	writeClass := &routing.Class{Name: "submit", Write: true, Idempotency: routing.NonIdempotent}
 	attempt := func(id string, class *routing.Class, decision routing.SendAttempt) *dispatch.Attempt {
 		return &dispatch.Attempt{
 			Request:   &dispatch.Request{TransactionID: id, Object: 0x7f3a9c21e0b4d655, Chunk: 3, Group: 17},
@@ -30,18 +32,18 @@
 			ExpiresAt: now + 1480.6,
 		}
 	}
-	plain := attempt("9b1f03aa5c7e2d41", part, routing.SendAttempt{Server: 0xc41f7a, FillSource: 0xc41f7a})
-	filled := attempt("9b1f03aa5c7e2d42", part, routing.SendAttempt{Server: 0xc41f7a, FillSource: 8, CopyRank: 3, JoinFill: true})
-	held := attempt("9b1f03aa5c7e2d43", part, routing.SendAttempt{Server: 0xc41f7a, FillSource: 0xffffffff, OnlyIfCached: true, Revalidate: true})
-	all := attempt("9b1f03aa5c7e2d44", part, routing.SendAttempt{Server: 1, FillSource: 2, CopyRank: 1, JoinFill: true, OnlyIfCached: true, Revalidate: true})
-	all.Request.IfNoneMatch = "4be0c1927d55a6f3"
-	all.Request.IdempotencyKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
-	written := attempt("9b1f03aa5c7e2d45", write, routing.SendAttempt{Server: 9, FillSource: 9})
+	plain := attempt("9b1f03aa5c7e2d41", readClass, routing.SendAttempt{Server: 0xc41f7a, FillSource: 0xc41f7a})
+	filled := attempt("9b1f03aa5c7e2d42", readClass, routing.SendAttempt{Server: 0xc41f7a, FillSource: 8, CopyRank: 3, JoinFill: true})
+	onlyCached := attempt("9b1f03aa5c7e2d43", readClass, routing.SendAttempt{Server: 0xc41f7a, FillSource: 0xffffffff, OnlyIfCached: true, Revalidate: true})
+	allFields := attempt("9b1f03aa5c7e2d44", readClass, routing.SendAttempt{Server: 1, FillSource: 2, CopyRank: 1, JoinFill: true, OnlyIfCached: true, Revalidate: true})
+	allFields.Request.IfNoneMatch = "4be0c1927d55a6f3"
+	allFields.Request.IdempotencyKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
+	written := attempt("9b1f03aa5c7e2d45", writeClass, routing.SendAttempt{Server: 9, FillSource: 9})
 	written.Request.Body = []byte("$4\r\nbody\x00\xff")
 	written.Request.Object, written.Request.Chunk = 1, 0
-	late := attempt("9b1f03aa5c7e2d46", part, routing.SendAttempt{Server: 9, FillSource: 9})
-	late.ExpiresAt = now - 5
-	return []*dispatch.Attempt{plain, filled, held, all, written, late}
+	expired := attempt("9b1f03aa5c7e2d46", readClass, routing.SendAttempt{Server: 9, FillSource: 9})
+	expired.ExpiresAt = now - 5
+	return []*dispatch.Attempt{plain, filled, onlyCached, allFields, written, expired}
 }
 
 func TestGoldenCommands(t *testing.T) {
@@ -50,21 +52,21 @@
 		maxAge := []float64{0, 0.4, 7999.9}[i%3]
 		out = appendServeCommand(out, attempt, maxAge, 1.7e12, "")
 	}
-	actor := newHarness(t)
-	actor.upstream.PropagateTraces = true
-	actor.upstream.retainedTraces <- trace.ID{1}
-	actor.upstream.retainedTraces <- trace.ID{2}
+	harness := newHarness(t)
+	harness.upstream.PropagateTraces = true
+	harness.upstream.retainedTraces <- trace.ID{1}
+	harness.upstream.retainedTraces <- trace.ID{2}
 	traced := goldenAttempts()[1]
 	traced.Trace = &dispatch.AttemptTrace{Context: trace.SpanContext{Trace: trace.ID{5}, Span: 6, Sampled: true}}
-	out = appendServeCommand(out, traced, 20, 1.7e12, actor.upstream.traceFields(traced))
+	out = appendServeCommand(out, traced, 20, 1.7e12, harness.upstream.traceFields(traced))
 	out = appendCancelCommand(out, "9b1f03aa5c7e2d41")
 	golden.Compare(t, "commands.resp", out)
-	if got := commands(t, out); len(got) != 8 || got[4][3] != "$4\r\nbody\x00\xff" || got[7][0] != "cancel" {
-		t.Errorf("read back as %q", got)
+	if got := parseCommands(t, out); len(got) != 8 || got[4][3] != "$4\r\nbody\x00\xff" || got[7][0] != "cancel" {
+		t.Errorf("got commands %q after decoding", got)
 	}
 }
 
-// goldenReplies are one of each form of an answer.
+// goldenReplies returns the encoded replies of each status, valid and malformed.
 func goldenReplies() []byte {
 	var out []byte
 	for _, r := range [][4]string{
@@ -91,41 +93,41 @@
 	return out
 }
 
-// TestGoldenReplies reads each form of an answer, whole and a byte at a time.
+// TestGoldenReplies reads each form of a reply, first in large reads and then a byte at a time.
 func TestGoldenReplies(t *testing.T) {
 	stored := golden.Compare(t, "replies.resp", goldenReplies())
 	for _, in := range []io.Reader{bytes.NewReader(stored), iotest.OneByteReader(bytes.NewReader(stored))} {
-		k := textconn.New(byteSource{reader: in})
+		conn := textconn.New(byteSource{reader: in})
 		var out strings.Builder
 		for {
-			r, err := readReply(k, nil)
+			r, err := readReply(conn, nil)
 			if err != nil {
 				fmt.Fprintf(&out, "%v\n", err)
 				break
 			}
-			a := &dispatch.Attempt{Request: &dispatch.Request{IfNoneMatch: "offered"}, Decision: routing.SendAttempt{Server: 7}}
-			e, err := r.completion(a)
+			attempt := &dispatch.Attempt{Request: &dispatch.Request{IfNoneMatch: "offered"}, Decision: routing.SendAttempt{Server: 7}}
+			completion, err := r.completion(attempt)
 			if err != nil {
 				fmt.Fprintf(&out, "%s %v\n", r.id, err)
 				continue
 			}
-			fmt.Fprintf(&out, "%s result=%d kind=%d server=%d tag=%q body=%q note=%d waited=%g load=%g,%g,%g,%g\n", r.id, int(e.Result), int(e.Response.Kind),
-				uint32(e.Response.Server), e.Response.ETag, e.Response.Body, int(e.Note), e.FillWait, e.Load.Inflight, e.Load.CPUUtilization, e.Load.HitRatio, e.Load.LinkUtilization)
+			fmt.Fprintf(&out, "%s result=%d kind=%d server=%d tag=%q body=%q note=%d waited=%g load=%g,%g,%g,%g\n", r.id, int(completion.Result), int(completion.Response.Kind),
+				uint32(completion.Response.Server), completion.Response.ETag, completion.Response.Body, int(completion.Note), completion.FillWait, completion.Load.Inflight, completion.Load.CPUUtilization, completion.Load.HitRatio, completion.Load.LinkUtilization)
 		}
 		golden.Compare(t, "replies.golden", []byte(out.String()))
 	}
 }
 
-// TestGoldenLoadReport reads the answer to a probe.
+// TestGoldenLoadReport reads replies to a probe.
 func TestGoldenLoadReport(t *testing.T) {
 	var out strings.Builder
 	for _, r := range [][3]string{{"p", "FIT", "l=util:0.5;inflight:2;x0:1;x1:0"}, {"p", "UNFIT", "-"}, {"q", "FIT", "-"}, {"p", "DONE", "-"}} {
-		near, far := tcpPair(t)
-		if _, err := far.Write([]byte(frame(r[0], r[1], r[2], ""))); err != nil {
+		client, server := tcpPair(t)
+		if _, err := server.Write([]byte(encodeReply(r[0], r[1], r[2], ""))); err != nil {
 			t.Fatal(err)
 		}
-		l, err := ReadLoadReport(textconn.New(near), "p", 100, 5000)
-		fmt.Fprintf(&out, "%s %s %s: load=%g,%g,%g,%g %v\n", r[0], r[1], r[2], l.Inflight, l.CPUUtilization, l.HitRatio, l.LinkUtilization, err)
+		load, err := ReadLoadReport(textconn.New(client), "p", 100, 5000)
+		fmt.Fprintf(&out, "%s %s %s: load=%g,%g,%g,%g %v\n", r[0], r[1], r[2], load.Inflight, load.CPUUtilization, load.HitRatio, load.LinkUtilization, err)
 	}
 	golden.Compare(t, "gauges.golden", []byte(out.String()))
 }
--- a/internal/upstream/harness_test.go
+++ b/internal/upstream/harness_test.go
@@ -19,14 +19,14 @@
 	"garnetline/routing"
 )
 
-// fakeConn is a connection that records what is written and never brings anything: replies
-// are handed to the actor directly.
+// fakeConn is a connection that records what is written to it. Its reads block until it is
+// closed; the tests pass replies to the actor directly.
 type fakeConn struct {
 	net.Conn
 	written    bytes.Buffer
 	failWrites bool
 	closed     chan struct{}
-	replies    map[string]int // handed to the actor, by id
+	replies    map[string]int // number of replies passed to the actor, by id
 }
 
 func newFakeConn() *fakeConn {
@@ -67,18 +67,18 @@
 const (
 	harnessMaxStreams     = 3
 	harnessMaxConnections = 5
-	harnessTimeout        = 2000 // ms that an attempt has
+	harnessTimeout        = 2000 // ms until an attempt expires
 )
 
-// harness drives one Upstream's actor by hand, without its goroutine, and records what it
-// writes and completes.
+// harness calls the methods of one Upstream directly, without the goroutine of run, and records
+// what the Upstream writes and completes.
 type harness struct {
 	t           *testing.T
 	upstream    *Upstream
 	clock       *clock.Manual
 	guard       *routing.Guard
 	conns       []*fakeConn
-	dials       chan *fakeConn // the result of a dial; nil: refused
+	dials       chan *fakeConn // result of each dial; nil means refused
 	refuseDials bool
 	attempts    []*dispatch.Attempt
 	completions map[*dispatch.Attempt][]routing.Result
@@ -87,7 +87,7 @@
 
 func newHarness(t *testing.T) *harness {
 	t.Helper()
-	actor := &harness{
+	harness := &harness{
 		t:           t,
 		clock:       clock.NewManual(1.7e12),
 		guard:       &routing.Guard{Ready: map[routing.ServerID]bool{1: true, 8: true}, PurgeRetention: 6 * time.Second},
@@ -95,24 +95,24 @@
 		completions: map[*dispatch.Attempt][]routing.Result{},
 		canceled:    map[*dispatch.Attempt]bool{},
 	}
-	actor.upstream = newUpstream(Options{
-		Clock: actor.clock,
+	harness.upstream = newUpstream(Options{
+		Clock: harness.clock,
 		Settings: func() platformconfig.Upstream {
 			return platformconfig.Upstream{IdleTimeout: 15000, ConnectTimeout: 400, MaxStreams: harnessMaxStreams}
 		},
-		Guard:           func() *routing.Guard { return actor.guard },
+		Guard:           func() *routing.Guard { return harness.guard },
 		Metrics:         metrics.New(),
 		MaxConnections:  func() int64 { return harnessMaxConnections },
-		Complete:        actor.recordCompletion,
-		Dial:            actor.dial,
+		Complete:        harness.recordCompletion,
+		Dial:            harness.dial,
 		openConnections: new(atomic.Int64),
 	}, netip.MustParseAddrPort("127.0.0.1:1"))
 	t.Cleanup(func() {
-		close(actor.upstream.stopped)
-		close(actor.dials)
-		actor.upstream.closeAllConnections()
+		close(harness.upstream.stopped)
+		close(harness.dials)
+		harness.upstream.closeAllConnections()
 	})
-	return actor
+	return harness
 }
 
 func (h *harness) recordCompletion(completion dispatch.Completion) {
@@ -126,8 +126,8 @@
 	return nil, errors.New("refused")
 }
 
-// attempt is a new one, not yet sent.
-func (h *harness) attempt(id string) *dispatch.Attempt {
+// newAttempt returns an attempt that has not been sent.
+func (h *harness) newAttempt(id string) *dispatch.Attempt {
 	return &dispatch.Attempt{
 		Request:   &dispatch.Request{TransactionID: id, Object: 7, Group: 3},
 		Class:     &routing.Class{Name: "part"},
@@ -138,7 +138,7 @@
 
 func (h *harness) send(id string) *dispatch.Attempt {
 	h.t.Helper()
-	attempt := h.attempt(id)
+	attempt := h.newAttempt(id)
 	h.sendAttempt(attempt)
 	return attempt
 }
@@ -158,7 +158,7 @@
 	h.upstream.handleMessage(h.t.Context(), message{cancel: attempt})
 }
 
-// finishDial lets dials that are under way end.
+// finishDial lets all started dials end, including those that are started meanwhile.
 func (h *harness) finishDial() {
 	h.t.Helper()
 	for h.upstream.dialing {
@@ -168,47 +168,47 @@
 			h.conns = append(h.conns, conn)
 		}
 		h.dials <- conn
-		for up := false; !up; { // ends of readers may come before it
+		for dialEnded := false; !dialEnded; { // readers may report ended connections first
 			event := <-h.upstream.connectionEvents
-			up = event.connection == nil
+			dialEnded = event.connection == nil
 			h.upstream.handleConnectionEvent(h.t.Context(), event)
 		}
 	}
 }
 
-// reply hands the actor a reply on a connection.
+// reply passes a reply on a connection to the actor.
 func (h *harness) reply(conn *connection, id, status string) {
 	h.t.Helper()
 	h.upstream.handleConnectionEvent(h.t.Context(), connectionEvent{connection: conn, reply: reply{id: id, status: status, fields: noFields}})
 }
 
-// endConnection hands the actor the end of a connection.
+// endConnection passes the end of a connection to the actor.
 func (h *harness) endConnection(conn *connection, err error) {
 	h.t.Helper()
 	h.upstream.handleConnectionEvent(h.t.Context(), connectionEvent{connection: conn, err: err})
 }
 
-// wrote reports whether a command with an id was written to a connection.
+// wrote reports whether a command with the given id was written to the connection.
 func (c *fakeConn) wrote(id string) bool {
 	return bytes.Contains(c.written.Bytes(), appendBulk(nil, id))
 }
 
-// commands splits what was written into commands, and those into their strings.
-func commands(t *testing.T, written []byte) (out [][]string) {
+// parseCommands splits the written bytes into commands, and each command into its strings.
+func parseCommands(t *testing.T, written []byte) (out [][]string) {
 	t.Helper()
 	for len(written) > 0 {
 		var n int
 		if _, err := fmt.Sscanf(string(written), "*%d\r\n", &n); err != nil {
 			t.Fatalf("%q: %v", written, err)
 		}
-		written = afterLine(written)
+		written = skipLine(written)
 		var command []string
 		for range n {
 			var length int
 			if _, err := fmt.Sscanf(string(written), "$%d\r\n", &length); err != nil {
 				t.Fatalf("%q: %v", written, err)
 			}
-			written = afterLine(written)
+			written = skipLine(written)
 			command = append(command, string(written[:length]))
 			written = written[length+len("\r\n"):]
 		}
@@ -217,9 +217,10 @@
 	return out
 }
 
-func afterLine(text []byte) []byte { return text[bytes.IndexByte(text, '\n')+1:] }
+// skipLine returns the text after its first line.
+func skipLine(text []byte) []byte { return text[bytes.IndexByte(text, '\n')+1:] }
 
-// byteSource is a connection that brings the bytes of a reader.
+// byteSource is a connection whose reads return the bytes of a reader.
 type byteSource struct {
 	net.Conn
 	reader io.Reader
@@ -227,8 +228,8 @@
 
 func (s byteSource) Read(p []byte) (int, error) { return s.reader.Read(p) }
 
-// disconnectClient tells a dispatcher that the client of an attempt's request has
-// disconnected, as its frontend does.
+// disconnectClient marks the client of an attempt's request as disconnected, through a dispatcher
+// as the frontend does.
 func disconnectClient(t *testing.T, attempt *dispatch.Attempt) {
 	t.Helper()
 	settings := routing.Settings{Zones: 1, Kinds: 1, ParentKind: -1, OriginKind: -1, MaxAttempts: 1, Classes: []routing.Class{{Deadline: 1}}}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,13 +1,13 @@
-// Package upstream is the client side of the caches, parents and the origin: it carries
-// dispatch's attempts to them over RESP.
+// Package upstream is the client of the caches, parents and the origin: it sends the
+// dispatcher's attempts to them over RESP and reads their replies.
 //
-// A Pool has one Upstream for each listed server. An Upstream is an actor: its goroutine owns
-// the server's connections, the attempts in flight on them and those that are queued, and
-// takes messages from a mailbox. Each connection has a reader goroutine besides, and each
-// dial one of its own; both report to the actor. The Pool itself belongs to the goroutine of
-// the dispatcher, which is the only one that may call it.
+// A Pool has one Upstream for each server of the endpoint list. An Upstream is an actor: its
+// goroutine owns the server's connections, the attempts in flight on them and the queued
+// attempts, and receives messages from a mailbox. Each connection also has a reader goroutine,
+// and each dial runs in its own goroutine; both report to the actor. Only the dispatcher's
+// goroutine may use the Pool itself.
 //
-// Every attempt that Send accepted is completed exactly once.
+// Every attempt that Send accepts is completed exactly once.
 package upstream
 
 import (
@@ -24,25 +24,26 @@
 	"garnetline/routing"
 )
 
-// Options are what a Pool shares with its Upstreams.
+// Options configure a Pool and the Upstreams that it starts.
 type Options struct {
 	Clock    clock.Clock
-	Settings func() platformconfig.Upstream // as of now
-	Guard    func() *routing.Guard          // as of now
-	Complete func(dispatch.Completion)      // receives each attempt's completion; it may block
+	Settings func() platformconfig.Upstream // returns the current settings
+	Guard    func() *routing.Guard          // returns the current guard
+	Complete func(dispatch.Completion)      // called with each attempt's completion; it may block
 	Metrics  *metrics.Registry
 
-	// Dial makes a connection; nil stands for TCP with TCP_NODELAY set.
+	// Dial connects to a server; nil means TCP with TCP_NODELAY set.
 	Dial func(ctx context.Context, to netip.AddrPort) (net.Conn, error)
 
-	// MaxConnections bounds the connections to all servers together; zero is no bound.
+	// MaxConnections returns the limit of connections to all servers together; zero means no
+	// limit.
 	MaxConnections func() int64
 
-	// PropagateTraces tells whether servers take the fields trace and kept. Those of the
-	// platform do not.
+	// PropagateTraces says whether the servers accept the command fields trace and kept. The
+	// platform's own servers do not.
 	PropagateTraces bool
 
-	openConnections *atomic.Int64 // of all Upstreams, those being dialed among them
+	openConnections *atomic.Int64 // connections of all Upstreams, including those being dialed
 }
 
 // Pool holds an Upstream for each server of the endpoint list. Only the dispatcher's
@@ -62,14 +63,14 @@
 	return &Pool{Options: options, ctx: ctx, upstreams: map[routing.ServerID]*Upstream{}}
 }
 
-// dialTCP makes a TCP connection. The net package sets TCP_NODELAY on it: a command held back
-// by the system would be lost when the connection is reset.
+// dialTCP makes a TCP connection. The net package sets TCP_NODELAY on it, which is required: a
+// command that the kernel delays would be lost if the connection is reset.
 func dialTCP(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
 	return (&net.Dialer{}).DialContext(ctx, "tcp", to.String())
 }
 
-// UpdateEndpoints applies a change of the endpoint list. A new server gets an Upstream; that
-// of a removed one ends when no attempt is in flight there any more.
+// UpdateEndpoints applies a change of the endpoint list. It starts an Upstream for each new
+// server. The Upstream of a removed server ends when no attempt is in flight on it any more.
 func (p *Pool) UpdateEndpoints(event platformconfig.WatchEvent) {
 	listed := map[routing.ServerID]bool{}
 	for _, endpoint := range event.Endpoints {
@@ -79,7 +80,7 @@
 		}
 	}
 	for id, upstream := range p.upstreams {
-		if stays, named := listed[id]; !stays && (named || event.Snapshot) {
+		if stillListed, inEvent := listed[id]; !stillListed && (inEvent || event.Snapshot) {
 			upstream.drain()
 		}
 		if upstream.removed && upstream.inFlight.Load() == 0 {
@@ -88,8 +89,9 @@
 	}
 }
 
-// ensureUpstream starts an Upstream for a listed server, unless there is one. A server that
-// has come back, or is listed at another address, is another process and gets a new one.
+// ensureUpstream starts an Upstream for a listed server if there is none. A server that returns
+// after its removal, or is listed with another address, is a different process and gets a new
+// Upstream.
 func (p *Pool) ensureUpstream(endpoint platformconfig.Endpoint) {
 	upstream := p.upstreams[endpoint.ID]
 	if upstream != nil && upstream.addr == endpoint.Addr && !upstream.removed {
@@ -103,8 +105,8 @@
 	go upstream.run(p.ctx)
 }
 
-// Send hands an attempt to its server's Upstream. It returns the completion of one that
-// cannot be taken, or nil.
+// Send passes an attempt to its server's Upstream and returns nil. If the attempt cannot be
+// accepted, Send returns its completion instead.
 func (p *Pool) Send(attempt *dispatch.Attempt) *dispatch.Completion {
 	upstream := p.upstreams[attempt.Decision.Server]
 	if upstream == nil || upstream.removed {
@@ -119,9 +121,9 @@
 	return nil
 }
 
-// TraceRetained notifies a server, with the next command written to it, that a trace in which
-// it took part is retained. A server to which nothing is sent is not notified; its own limit
-// then drops what it holds of the trace.
+// TraceRetained tells a server, with one of the next commands written to it, that a trace in
+// which it took part is retained. A server that is sent no further command is not told; its own
+// limit then removes the part of the trace that it keeps.
 func (p *Pool) TraceRetained(server routing.ServerID, id trace.ID) {
 	upstream := p.upstreams[server]
 	if upstream == nil || !p.PropagateTraces {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -15,8 +15,8 @@
 	"garnetline/routing"
 )
 
-// A new cache may have the address of a removed one: it is another server with connections of
-// its own, and the old id gets nothing more.
+// A new cache may have the address of a removed one. It is a different server with its own
+// connections, and no attempt for the old id is accepted any more.
 func TestAddressReused(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -54,16 +54,16 @@
 	old := pool.upstreams[1]
 	pool.UpdateEndpoints(platformconfig.WatchEvent{ListUpdate: true, Endpoints: []platformconfig.Endpoint{endpoint(1, routing.Removed), endpoint(2, routing.Ready)}})
 	if pool.upstreams[1] != nil || pool.upstreams[2] == nil || pool.upstreams[2] == old {
-		t.Fatalf("upstreams %v", pool.upstreams)
+		t.Fatalf("got upstreams %v, want only a new one for server 2", pool.upstreams)
 	}
 	if completion := pool.Send(attempt(1)); completion == nil || completion.Result != routing.NotSent {
-		t.Errorf("an attempt to the removed one: %v", completion)
+		t.Errorf("attempt to the removed server: got completion %v, want NotSent", completion)
 	}
 	if completion := pool.Send(attempt(2)); completion != nil {
-		t.Errorf("an attempt to the new one: %v", completion.Result)
+		t.Errorf("attempt to the new server: completed by Send as %v, want it accepted", completion.Result)
 	}
 	if to, completion := <-dials, <-completions; to != addr || completion.Result != routing.ConnectFailed {
-		t.Errorf("dialed %v, completed as %v", to, completion.Result)
+		t.Errorf("dialed %v and completed as %v, want the address of the new server and ConnectFailed", to, completion.Result)
 	}
-	<-old.stopped // it ends by itself: nothing is in flight
+	<-old.stopped // the removed server's Upstream stops because nothing is in flight
 }
--- a/internal/upstream/reply.go
+++ b/internal/upstream/reply.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	replyStrings  = 4       // the id, the status, the fields and the body
-	noFields      = "-"     // stands for an empty list of fields
-	maxFillWait   = 600_000 // ms; a longer wait for the fill source is ignored
-	maxLoadFigure = 1e9     // a larger figure of a load report is ignored
+	replyElements = 4       // bulk strings of a reply: id, status, fields and body
+	noFields      = "-"     // represents an empty list of fields
+	maxFillWait   = 600_000 // ms; a reported wait of this length or more is ignored
+	maxLoadValue  = 1e9     // a value of a load report that is not below this is ignored
 )
 
-// The statuses of replies to serve.
+// Statuses of the replies to a serve command.
 const (
 	statusDone  = "DONE"  // the body follows
 	statusKeep  = "KEEP"  // the client's copy is current
 	statusLack  = "LACK"  // not cached, not executed
 	statusWait  = "WAIT"  // rejected, not executed
 	statusBroke = "BROKE" // an error, possibly executed
-	statusPast  = "PAST"  // the request had ended, not executed
+	statusPast  = "PAST"  // the request had already ended, not executed
 )
 
-// The statuses of replies to probes.
+// Statuses of the replies to a probe.
 const (
 	statusFit   = "FIT"
 	statusUnfit = "UNFIT"
 )
 
-// The fields of replies.
+// Names of the fields of a reply.
 const (
 	tagField         = "tag"
 	loadField        = "l"
@@ -44,7 +44,7 @@
 	fillWaitField    = "lag"
 )
 
-// resultsByStatus has the results of replies to serve.
+// resultsByStatus maps the status of a reply to a serve command to the attempt's result.
 var resultsByStatus = map[string]routing.Result{
 	statusDone:  routing.Served,
 	statusKeep:  routing.Served,
@@ -54,7 +54,7 @@
 	statusPast:  routing.NotSent,
 }
 
-// reply is a reply as it came.
+// reply is a reply as received, with its fields not yet parsed.
 type reply struct {
 	id     string
 	status string
@@ -62,17 +62,17 @@
 	body   []byte
 }
 
-// readReply reads one reply, whose body belongs to the caller. onBodyLength, if it is not nil,
-// is called with the length of the body before that is read.
+// readReply reads one reply. The caller owns the returned body. If onBodyLength is not nil,
+// readReply calls it with the length of the body before it reads the body.
 func readReply(conn *textconn.Conn, onBodyLength func(n int)) (reply, error) {
 	conn.LimitRead(maxReplyBytes)
 	var r reply
-	n, err := readLength(conn, arrayType, replyStrings)
+	n, err := readLength(conn, arrayType, replyElements)
 	if err != nil {
 		return r, err
 	}
-	if n != replyStrings {
-		return r, fmt.Errorf("%w: array of %d", errMalformedReply, n)
+	if n != replyElements {
+		return r, fmt.Errorf("%w: expected an array of four bulk strings, got an array of %d", errMalformedReply, n)
 	}
 	for _, field := range [...]*string{&r.id, &r.status, &r.fields} {
 		content, err := readBulk(conn, maxFieldBytes, nil)
@@ -89,14 +89,15 @@
 	return r, err
 }
 
-// completion returns the completion of the attempt that the reply is to.
+// completion returns the completion of the attempt that the reply answers. Its error wraps
+// errMalformedReply if the status is unknown or the fields are malformed.
 func (r reply) completion(attempt *dispatch.Attempt) (dispatch.Completion, error) {
 	completion := dispatch.Completion{Attempt: attempt, Load: dispatch.UnknownLoad()}
 	completion.Response.Server = attempt.Decision.Server
 	var known bool
 	completion.Result, known = resultsByStatus[r.status]
 	if !known {
-		return completion, fmt.Errorf("%w: status %.20q", errMalformedReply, r.status)
+		return completion, fmt.Errorf("%w: unknown status %.20q", errMalformedReply, r.status)
 	}
 	tags, err := parseReplyFields(&completion, r.fields)
 	if err != nil {
@@ -109,22 +110,23 @@
 	case r.status == statusKeep && tags == 1 && namesClientCopy(&completion):
 		completion.Response.Kind = dispatch.NotModified
 	case r.status == statusKeep:
-		// Symptom guarded against: a cache that named another copy than the client's, or
-		// none, had the client told by a 304 that its own is current.
+		// The cache did not name exactly the copy that the client has. A 304 would wrongly
+		// tell the client that its copy is current.
 		completion.Result = routing.ServerError
 	}
 	return completion, nil
 }
 
-// namesClientCopy reports whether the reply's tag is that of the copy that the client has.
+// namesClientCopy reports whether the entity tag of the reply is that of the client's copy.
 func namesClientCopy(completion *dispatch.Completion) bool {
 	clientTag := completion.Attempt.Request.IfNoneMatch
 	return clientTag != "" && completion.Response.ETag == clientTag
 }
 
-// parseReplyFields enters the fields of a reply in its completion, and returns how many tags
-// there are. Other fields that are unknown, cannot be read or stand there twice are left out,
-// since all but the tag is advice.
+// parseReplyFields stores the fields of a reply in its completion and returns the number of tag
+// fields. A field without a value and an invalid tag are errors. All fields other than the tag
+// are only advisory, so that unknown fields, values that cannot be parsed, and a cache status or
+// fill wait that occurs twice are ignored.
 func parseReplyFields(completion *dispatch.Completion, list string) (tags int, err error) {
 	if list == noFields || list == "" {
 		return 0, nil
@@ -133,12 +135,12 @@
 	for field := range strings.SplitSeq(list, ",") {
 		name, value, ok := strings.Cut(field, "=")
 		if !ok {
-			return tags, fmt.Errorf("%w: field %.20q", errMalformedReply, field)
+			return tags, fmt.Errorf("%w: expected a field of the form name=value, got %.20q", errMalformedReply, field)
 		}
 		switch name {
 		case tagField:
 			if !dispatch.ValidFieldValue(value) {
-				return tags, fmt.Errorf("%w: tag", errMalformedReply)
+				return tags, fmt.Errorf("%w: tag is not a valid field value", errMalformedReply)
 			}
 			completion.Response.ETag = value
 			tags++
@@ -161,7 +163,7 @@
 	return tags, nil
 }
 
-// cacheStatusNames are the values of the field n, in the order of routing's constants.
+// cacheStatusNames are the values of the field n, indexed by routing.CacheStatus.
 var cacheStatusNames = []string{
 	"",
 	"cached",
@@ -176,57 +178,60 @@
 	"root_failed",
 }
 
-// parseCacheStatus reads a cache status. One that is not known counts as not told.
+// parseCacheStatus returns the cache status with a name, or CacheStatusUnknown if the name is
+// not known.
 func parseCacheStatus(name string) routing.CacheStatus {
 	return routing.CacheStatus(max(slices.Index(cacheStatusNames, name), 0))
 }
 
-// parseFillWait reads the time for the fill source in milliseconds. What is no such time
-// counts as not told.
+// parseFillWait parses the time in milliseconds that the cache waited for the fill source. It
+// returns zero, which means unknown, if the value is not a number or out of range.
 func parseFillWait(text string) float64 {
 	wait, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(wait >= 0 && wait < maxFillWait) { // NaN is no time
+	if err != nil || !(wait >= 0 && wait < maxFillWait) { // the negated form also rejects NaN
 		return 0
 	}
 	return wait
 }
 
-// parseLoad enters the figures of a load report in load. What cannot be read is left as it is.
+// parseLoad stores the values of a load report in load. Values that cannot be parsed or are out
+// of range leave load as it is.
 func parseLoad(load *routing.LoadReport, text string) {
 	for item := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(item, ":")
-		figure, err := strconv.ParseFloat(value, 64)
-		if err != nil || !(figure >= 0 && figure < maxLoadFigure) { // NaN is no figure
+		number, err := strconv.ParseFloat(value, 64)
+		if err != nil || !(number >= 0 && number < maxLoadValue) { // the negated form also rejects NaN
 			continue
 		}
 		switch name {
 		case "inflight", "active":
-			load.Inflight = figure
+			load.Inflight = number
 		case "util", "cpu":
-			load.CPUUtilization = figure
+			load.CPUUtilization = number
 		case "x0":
-			load.HitRatio = figure
+			load.HitRatio = number
 		case "x1":
-			load.LinkUtilization = figure
+			load.LinkUtilization = number
 		}
 	}
 }
 
-// ReadLoadReport reads the reply to a probe that was sent under a tag, with a body of at most
-// maxBody bytes, within so many milliseconds. Figures that the report leaves out are NaN. The
-// caller owns the connection and closes it after an error.
-func ReadLoadReport(conn *textconn.Conn, tag string, maxBody int, within float64) (routing.LoadReport, error) {
+// ReadLoadReport reads the reply to the probe with the given tag and returns its load report.
+// The body may have at most maxBody bytes, and the read may take timeoutMillis milliseconds.
+// Values that the report leaves out are NaN. The caller owns the connection and must close it
+// after an error.
+func ReadLoadReport(conn *textconn.Conn, tag string, maxBody int, timeoutMillis float64) (routing.LoadReport, error) {
 	load := dispatch.UnknownLoad()
-	if err := conn.NetConn.SetReadDeadline(time.Now().Add(clock.Duration(within))); err != nil {
+	if err := conn.NetConn.SetReadDeadline(time.Now().Add(clock.Duration(timeoutMillis))); err != nil {
 		return load, err
 	}
 	r, err := readReply(conn, nil)
 	if err != nil {
 		return load, err
 	}
-	toProbe := r.status == statusFit || r.status == statusUnfit
-	if r.id != tag || !toProbe || len(r.body) > maxBody {
-		return load, fmt.Errorf("%w to a probe", errMalformedReply)
+	isProbeReply := r.status == statusFit || r.status == statusUnfit
+	if r.id != tag || !isProbeReply || len(r.body) > maxBody {
+		return load, fmt.Errorf("%w to a probe: expected the tag of the probe, status FIT or UNFIT and a body within the limit", errMalformedReply)
 	}
 	for field := range strings.SplitSeq(r.fields, ",") {
 		if value, ok := strings.CutPrefix(field, loadField+"="); ok {
--- a/internal/upstream/reply_test.go
+++ b/internal/upstream/reply_test.go
@@ -12,13 +12,13 @@
 	"garnetline/routing"
 )
 
-// readFrame reads a reply from bytes.
-func readFrame(text string, onBodyLength func(n int)) (reply, error) {
+// decodeReply reads a reply from text.
+func decodeReply(text string, onBodyLength func(n int)) (reply, error) {
 	return readReply(textconn.New(byteSource{reader: strings.NewReader(text)}), onBodyLength)
 }
 
-// FuzzReply checks that whatever a server sends is a reply or an error, and that what is
-// taken for a reply reads the same when it is written again.
+// FuzzReply checks that any bytes from a server yield a reply or an error, and that a reply that
+// was accepted is the same after it is encoded and read again.
 func FuzzReply(f *testing.F) {
 	for _, seed := range []string{
 		"*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$5\r\ntag=x\r\n$3\r\nabc\r\n",
@@ -36,47 +36,47 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		r, err := readFrame(string(text), nil)
+		r, err := decodeReply(string(text), nil)
 		if err != nil {
 			return
 		}
-		again, err := readFrame(frame(r.id, r.status, r.fields, string(r.body)), nil)
+		again, err := decodeReply(encodeReply(r.id, r.status, r.fields, string(r.body)), nil)
 		if err != nil || again.id != r.id || again.status != r.status || again.fields != r.fields || !bytes.Equal(r.body, again.body) {
-			t.Errorf("%+v became %+v, %v", r, again, err)
+			t.Errorf("reply %+v was read again as %+v, error %v", r, again, err)
 		}
 		completion, err := r.completion(&dispatch.Attempt{Request: &dispatch.Request{IfNoneMatch: "x"}})
 		if err != nil {
 			return
 		}
-		named := strings.Count(","+r.fields, ",tag=") == 1 && strings.Contains(","+r.fields+",", ",tag=x,")
-		if (completion.Result == routing.Served) != (r.status == "DONE" || r.status == "KEEP" && named) {
-			t.Errorf("%s with %q became %v", r.status, r.fields, completion.Result)
+		namesClientTag := strings.Count(","+r.fields, ",tag=") == 1 && strings.Contains(","+r.fields+",", ",tag=x,")
+		if (completion.Result == routing.Served) != (r.status == "DONE" || r.status == "KEEP" && namesClientTag) {
+			t.Errorf("status %s with fields %q has result %v", r.status, r.fields, completion.Result)
 		}
-		if (completion.Response.Kind == dispatch.NotModified) != (r.status == "KEEP" && named) {
-			t.Errorf("%s with %q is answered as %v", r.status, r.fields, completion.Response.Kind)
+		if (completion.Response.Kind == dispatch.NotModified) != (r.status == "KEEP" && namesClientTag) {
+			t.Errorf("status %s with fields %q has response kind %v", r.status, r.fields, completion.Response.Kind)
 		}
 	})
 }
 
-// A body is passed on unchanged, and one that is longer than any object or cut short is none.
+// A body is returned unchanged. A truncated body and one above maxBodyBytes are errors.
 func TestReplyBodies(t *testing.T) {
 	body := strings.Repeat("\r\n$x\x00", 40_000)
 	text := fmt.Sprintf("*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$15\r\ntag=t1,minted=5\r\n$%d\r\n%s\r\n", len(body), body)
-	r, err := readFrame(text, nil)
+	r, err := decodeReply(text, nil)
 	if err != nil || string(r.body) != body {
-		t.Errorf("%d bytes, %v", len(r.body), err)
+		t.Errorf("got a body of %d bytes and error %v, want the body as sent", len(r.body), err)
 	}
-	if _, err := readFrame(text[:len(text)-9], nil); err == nil {
-		t.Error("a cut body was taken")
+	if _, err := decodeReply(text[:len(text)-9], nil); err == nil {
+		t.Error("got no error for a truncated body")
 	}
 	long := fmt.Sprintf("*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$1\r\n-\r\n$%d\r\n", maxBodyBytes+1)
-	if _, err := readFrame(long, nil); !errors.Is(err, errMalformedReply) {
-		t.Errorf("a body too long: %v", err)
+	if _, err := decodeReply(long, nil); !errors.Is(err, errMalformedReply) {
+		t.Errorf("got error %v for a body above the limit, want errMalformedReply", err)
 	}
 }
 
-// The cache status and the fill wait of a reply reach routing; what cannot be read, or stands
-// there twice, counts as not told, and the reply stands.
+// The completion contains the cache status and the fill wait of a reply. Invalid values and
+// repeated fields count as unknown and do not invalidate the reply.
 func TestCacheStatus(t *testing.T) {
 	for fields, want := range map[string]dispatch.Completion{
 		"n=cached":              {Note: routing.Hit},
@@ -104,17 +104,18 @@
 		attempt := &dispatch.Attempt{Request: &dispatch.Request{}}
 		got, err := reply{status: "DONE", fields: fields}.completion(attempt)
 		if err != nil || got.Note != want.Note || got.FillWait != want.FillWait || got.Result != routing.Served {
-			t.Errorf("%s: cache status %v, fill wait %v, %v", fields, got.Note, got.FillWait, err)
+			t.Errorf("fields %s: got cache status %v, fill wait %v, error %v", fields, got.Note, got.FillWait, err)
 		}
 	}
 }
 
-// The length of a body is reported before it is read: its time counts by that.
+// The length of a body is reported before the body is read, because the time limit of the reply
+// depends on it.
 func TestBodyLengthIsReported(t *testing.T) {
 	var reported []int
 	text := "*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$1\r\n-\r\n$5\r\nbytes\r\n"
-	_, err := readFrame(text, func(n int) { reported = append(reported, n) })
+	_, err := decodeReply(text, func(n int) { reported = append(reported, n) })
 	if err != nil || len(reported) != 1 || reported[0] != 5 {
-		t.Errorf("reported %v, %v", reported, err)
+		t.Errorf("got body lengths %v and error %v, want [5]", reported, err)
 	}
 }
--- a/internal/upstream/resp.go
+++ b/internal/upstream/resp.go
@@ -8,42 +8,44 @@
 	"garnetline/internal/textconn"
 )
 
-// Bounds of a RESP array of four bulk strings, in bytes.
+// Limits in bytes for a reply, which is a RESP array of four bulk strings.
 const (
-	maxFieldBytes = 4 << 10  // of the id, the status or the fields
+	maxFieldBytes = 4 << 10  // of the id, the status or the fields, each
 	maxBodyBytes  = 240_000  // of the largest object
-	maxLengthLine = 32       // of a line with a length
-	maxReadAhead  = 4 * 1024 // that textproto's reader may hold beyond the reply
+	maxLengthLine = 32       // of the line that gives the type and length of a value
+	maxReadAhead  = 4 * 1024 // buffered by textproto's reader beyond the reply
 	maxReplyBytes = maxBodyBytes + 3*maxFieldBytes + 5*maxLengthLine + maxReadAhead
 )
 
-// The types of RESP values that are read.
+// Type bytes of the RESP values that a reply contains.
 const (
 	arrayType      = '*'
 	bulkStringType = '$'
 )
 
-// errMalformedReply reports bytes that are no reply. The connection cannot be used further.
+// errMalformedReply reports bytes that are not a valid reply. The connection cannot be used any
+// more.
 var errMalformedReply = errors.New("malformed reply")
 
-// readLength reads the first line of a RESP value: its type and its length, at most limit.
+// readLength reads the first line of a RESP value and returns the length that it gives. Another
+// type than valueType and a length above limit are errors.
 func readLength(conn *textconn.Conn, valueType byte, limit int) (int, error) {
 	line, err := conn.ReadLineSlice()
 	if err != nil {
 		return 0, err
 	}
 	if len(line) < 2 || len(line) > maxLengthLine || line[0] != valueType {
-		return 0, fmt.Errorf("%w: no line that begins with %q", errMalformedReply, valueType)
+		return 0, fmt.Errorf("%w: expected a length line that begins with %q", errMalformedReply, valueType)
 	}
 	n, err := strconv.ParseUint(string(line[1:]), 10, 32)
 	if err != nil || n > uint64(limit) {
-		return 0, fmt.Errorf("%w: length out of range", errMalformedReply)
+		return 0, fmt.Errorf("%w: length is not a number or exceeds the limit", errMalformedReply)
 	}
 	return int(n), nil
 }
 
-// readBulk reads a bulk string of at most limit bytes. It is valid until the next read.
-// onLength, if it is not nil, is called with the length before the string itself is read.
+// readBulk reads a bulk string of at most limit bytes. The returned slice is valid until the next
+// read. If onLength is not nil, readBulk calls it with the length before it reads the content.
 func readBulk(conn *textconn.Conn, limit int, onLength func(n int)) ([]byte, error) {
 	n, err := readLength(conn, bulkStringType, limit)
 	if err != nil {
@@ -57,7 +59,7 @@
 		return nil, err
 	}
 	if content[n] != '\r' || content[n+1] != '\n' {
-		return nil, fmt.Errorf("%w: bulk string of another length", errMalformedReply)
+		return nil, fmt.Errorf("%w: expected CRLF after the announced length of a bulk string", errMalformedReply)
 	}
 	return content[:n], nil
 }
--- a/internal/upstream/tcp_test.go
+++ b/internal/upstream/tcp_test.go
@@ -14,15 +14,15 @@
 	"garnetline/routing"
 )
 
-// Guards against a 304 for a copy that no cache has named: the reply to an offered tag keeps
-// another one, none, or two.
-func TestKeepMustNameOfferedTag(t *testing.T) {
+// A client must get a 304 only if the cache names exactly the client's copy. A KEEP reply that
+// names another tag, no tag or two tags is a server error.
+func TestKeepMustNameClientTag(t *testing.T) {
 	server := newCacheServer(t, nil)
 	var conn *cacheConn
 	for i, test := range []struct {
-		offered, fields string
-		result          routing.Result
-		kind            dispatch.ResponseKind
+		clientTag, fields string
+		result            routing.Result
+		kind              dispatch.ResponseKind
 	}{
 		{"t1", "tag=t1,minted=5", routing.Served, dispatch.NotModified},
 		{"t1", "tag=t2,minted=5", routing.ServerError, dispatch.Failed},
@@ -34,24 +34,24 @@
 		{"", "tag=t1", routing.ServerError, dispatch.Failed},
 	} {
 		id := fmt.Sprint("r", i)
-		attempt := server.send(id, test.offered)
+		attempt := server.send(id, test.clientTag)
 		if conn == nil {
 			conn = server.accept()
 		}
-		command := conn.command()
-		if offered := strings.HasSuffix(command[2], ",known="+test.offered); offered != (test.offered != "") {
-			t.Fatalf("%q was offered as %q", test.offered, command[2])
+		command := conn.readCommand()
+		if offered := strings.HasSuffix(command[2], ",known="+test.clientTag); offered != (test.clientTag != "") {
+			t.Fatalf("client tag %q: got command fields %q", test.clientTag, command[2])
 		}
-		conn.write(frame(id, "KEEP", test.fields, ""))
-		got := server.completion(attempt)
+		conn.write(encodeReply(id, "KEEP", test.fields, ""))
+		got := server.waitForCompletion(attempt)
 		if got.Result != test.result || got.Response.Kind != test.kind {
-			t.Errorf("offered %q, KEEP with %q: completed as %v, answered as %v", test.offered, test.fields, got.Result, got.Response.Kind)
+			t.Errorf("client tag %q, KEEP with fields %q: got result %v and response kind %v", test.clientTag, test.fields, got.Result, got.Response.Kind)
 		}
 	}
 }
 
-// A command is small and is written at once: held back by the system it would be lost with a
-// connection that is reset.
+// A command is small and must be sent at once. If the kernel delayed it, it would be lost when the
+// connection is reset.
 func TestNoDelayIsSet(t *testing.T) {
 	dialed := make(chan net.Conn, 1)
 	server := newCacheServer(t, func(options *Options) {
@@ -63,7 +63,7 @@
 		}
 	})
 	server.send("a", "")
-	server.accept().command()
+	server.accept().readCommand()
 	raw, err := (<-dialed).(*net.TCPConn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
@@ -73,123 +73,123 @@
 		noDelay, err = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
 	})
 	if controlErr != nil || err != nil || noDelay == 0 {
-		t.Errorf("TCP_NODELAY is %d, %v, %v", noDelay, controlErr, err)
+		t.Errorf("got TCP_NODELAY %d, errors %v and %v; want it set", noDelay, controlErr, err)
 	}
 }
 
-// Half a line of a reply, and then the connection's end: what is in flight on it completes
-// once, as lost, and what follows takes a new connection.
+// A connection ends in the middle of a line of a reply. The attempt in flight on it completes
+// once, as ConnectionLost, and the next attempt uses a new connection.
 func TestConnectionEndsInsideReply(t *testing.T) {
 	for name, reset := range map[string]bool{"closed": false, "reset": true} {
 		t.Run(name, func(t *testing.T) {
 			server := newCacheServer(t, nil)
 			first := server.send("a", "")
 			conn := server.accept()
-			conn.command()
+			conn.readCommand()
 			conn.write("*4\r\n$1\r\na\r\n$4\r\nDO")
-			conn.closeWith(reset)
-			if got := server.completion(first); got.Result != routing.ConnectionLost {
+			conn.closeOrReset(reset)
+			if got := server.waitForCompletion(first); got.Result != routing.ConnectionLost {
 				t.Errorf("completed as %v", got.Result)
 			}
 			second := server.send("b", "")
 			conn = server.accept()
-			conn.command()
-			conn.write(frame("b", "DONE", "tag=t", "body"))
-			if got := server.completion(second); got.Result != routing.Served || string(got.Response.Body) != "body" {
-				t.Errorf("what followed completed as %v", got.Result)
+			conn.readCommand()
+			conn.write(encodeReply("b", "DONE", "tag=t", "body"))
+			if got := server.waitForCompletion(second); got.Result != routing.Served || string(got.Response.Body) != "body" {
+				t.Errorf("next attempt completed as %v, want Served with its body", got.Result)
 			}
-			server.noCompletion()
+			server.checkNoCompletion()
 		})
 	}
 }
 
-// A cache that closes over a command it has not read resets the connection under the request:
-// that may have been executed.
-func TestResetOverUnreadCommand(t *testing.T) {
+// A cache that closes a connection without reading the command resets it. The request may have
+// been executed, so the attempt completes as ConnectionLost.
+func TestResetWithUnreadCommand(t *testing.T) {
 	server := newCacheServer(t, nil)
 	attempt := server.send("a", "")
 	conn := server.accept()
-	if _, err := conn.in.Peek(1); err != nil { // the command has come
+	if _, err := conn.in.Peek(1); err != nil { // wait until the command has arrived
 		t.Fatal(err)
 	}
-	conn.closeWith(true)
-	if got := server.completion(attempt); got.Result != routing.ConnectionLost {
+	conn.closeOrReset(true)
+	if got := server.waitForCompletion(attempt); got.Result != routing.ConnectionLost {
 		t.Errorf("completed as %v", got.Result)
 	}
 	server.waitForNoConnections()
 }
 
-// This side closes a connection on which half a reply has come, as it does where an attempt
-// is canceled for a retry: that completes once, whatever the reader reports after.
-func TestCloseOverUnreadBytes(t *testing.T) {
+// This side closes a connection after part of a reply has come, because the attempt is canceled
+// for a retry. The attempt completes once, whatever the reader goroutine reports afterwards.
+func TestCloseWithPartialReply(t *testing.T) {
 	server := newCacheServer(t, nil)
 	attempt := server.send("a", "")
 	conn := server.accept()
-	conn.command()
+	conn.readCommand()
 	conn.write("*4\r\n$1\r\na\r\n$4\r\nDO")
 	attempt.MayRetry = true
 	attempt.TransportState.Cancel(attempt)
-	if got := server.completion(attempt); got.Result != routing.Canceled {
+	if got := server.waitForCompletion(attempt); got.Result != routing.Canceled {
 		t.Errorf("completed as %v", got.Result)
 	}
 	if _, err := conn.in.ReadByte(); err == nil {
 		t.Error("the connection is still open")
 	}
 	server.waitForNoConnections()
-	server.noCompletion()
+	server.checkNoCompletion()
 }
 
-// A second reply some ms after the first belongs to no request, whatever is in flight, and
-// the connection stays in use.
+// A second reply to an id that is already completed must not complete another attempt in flight,
+// and the connection stays in use.
 func TestDuplicateReplyAfterCompletion(t *testing.T) {
 	server := newCacheServer(t, nil)
 	first := server.send("a", "")
 	conn := server.accept()
-	conn.command()
-	conn.write(frame("a", "DONE", "tag=t", "first"))
-	if got := server.completion(first); string(got.Response.Body) != "first" {
-		t.Errorf("answered with %q", got.Response.Body)
+	conn.readCommand()
+	conn.write(encodeReply("a", "DONE", "tag=t", "first"))
+	if got := server.waitForCompletion(first); string(got.Response.Body) != "first" {
+		t.Errorf("first attempt: got body %q, want \"first\"", got.Response.Body)
 	}
 	second := server.send("b", "")
-	conn.command()
-	conn.write(frame("a", "DONE", "tag=t", "second"))
+	conn.readCommand()
+	conn.write(encodeReply("a", "DONE", "tag=t", "second"))
 	server.waitForCounter("peer_answers_late", 1)
-	server.noCompletion()
-	conn.write(frame("b", "DONE", "tag=t", "own"))
-	if got := server.completion(second); string(got.Response.Body) != "own" {
-		t.Errorf("the next was answered with %q", got.Response.Body)
+	server.checkNoCompletion()
+	conn.write(encodeReply("b", "DONE", "tag=t", "own"))
+	if got := server.waitForCompletion(second); string(got.Response.Body) != "own" {
+		t.Errorf("next attempt: got body %q, want \"own\"", got.Response.Body)
 	}
 }
 
-// A connection that comes up late is used for what still may be written.
-func TestLateConnection(t *testing.T) {
-	up := make(chan struct{})
+// After a slow dial, the queued attempts that may still be written use the new connection.
+func TestSlowDial(t *testing.T) {
+	allowDial := make(chan struct{})
 	server := newCacheServer(t, func(options *Options) {
 		options.Dial = func(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
-			<-up
+			<-allowDial
 			return dialTCP(ctx, to)
 		}
 	})
 	waiting := server.send("a", "")
-	expired := server.sendBy("b", "", server.clock.Now()+1500)
+	expired := server.sendWithDeadline("b", "", server.clock.Now()+1500)
 	server.clock.Advance(1500)
-	close(up)
-	if got := server.completion(expired); got.Result != routing.NotSent {
-		t.Errorf("what must not be written any more completed as %v", got.Result)
+	close(allowDial)
+	if got := server.waitForCompletion(expired); got.Result != routing.NotSent {
+		t.Errorf("attempt past its send deadline completed as %v, want NotSent", got.Result)
 	}
 	conn := server.accept()
-	if command := conn.command(); command[1] != "a" {
-		t.Errorf("%s was written", command[1])
+	if command := conn.readCommand(); command[1] != "a" {
+		t.Errorf("got a command for attempt %s, want a", command[1])
 	}
-	conn.write(frame("a", "DONE", "-", ""))
-	if got := server.completion(waiting); got.Result != routing.Served {
-		t.Errorf("what waited completed as %v", got.Result)
+	conn.write(encodeReply("a", "DONE", "-", ""))
+	if got := server.waitForCompletion(waiting); got.Result != routing.Served {
+		t.Errorf("waiting attempt completed as %v, want Served", got.Result)
 	}
 }
 
-// A connection that never comes up proves, when the settings' time for it is over, that
-// nothing was executed.
-func TestConnectionNeverComesUp(t *testing.T) {
+// A dial that does not succeed within the connect timeout proves that the server executed
+// nothing, so the attempt completes as ConnectFailed.
+func TestConnectTimeout(t *testing.T) {
 	server := newCacheServer(t, func(options *Options) {
 		options.Settings = func() platformconfig.Upstream {
 			return platformconfig.Upstream{IdleTimeout: 15_000, ConnectTimeout: 20, MaxStreams: 4}
@@ -199,29 +199,29 @@
 			return nil, ctx.Err()
 		}
 	})
-	if got := server.completion(server.send("a", "")); got.Result != routing.ConnectFailed {
+	if got := server.waitForCompletion(server.send("a", "")); got.Result != routing.ConnectFailed {
 		t.Errorf("completed as %v", got.Result)
 	}
 	server.waitForNoConnections()
 }
 
-// An idle connection that the cache closes early completes nothing, and is not written to any
-// more.
+// When the cache closes an idle connection early, no attempt completes, and the next attempt uses
+// a new connection.
 func TestServerClosesIdleConnection(t *testing.T) {
 	server := newCacheServer(t, nil)
 	first := server.send("a", "")
 	conn := server.accept()
-	conn.command()
-	conn.write(frame("a", "LACK", "-", ""))
-	server.completion(first)
-	conn.closeWith(false)
+	conn.readCommand()
+	conn.write(encodeReply("a", "LACK", "-", ""))
+	server.waitForCompletion(first)
+	conn.closeOrReset(false)
 	server.waitForNoConnections()
-	server.noCompletion()
+	server.checkNoCompletion()
 	second := server.send("b", "")
 	conn = server.accept()
-	conn.command()
-	conn.write(frame("b", "DONE", "-", ""))
-	if got := server.completion(second); got.Result != routing.Served {
-		t.Errorf("what followed completed as %v", got.Result)
+	conn.readCommand()
+	conn.write(encodeReply("b", "DONE", "-", ""))
+	if got := server.waitForCompletion(second); got.Result != routing.Served {
+		t.Errorf("next attempt completed as %v, want Served", got.Result)
 	}
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -14,38 +14,39 @@
 )
 
 const (
-	maxInFlight              = 512 // attempts that one server has been handed and not completed
-	maxRetainedTraces        = 256 // ids that wait for a command to the server
+	maxInFlight              = 512 // attempts that one server holds from Send until Release
+	maxRetainedTraces        = 256 // retained trace ids that wait for the next command to the server
 	retainedTracesPerCommand = 4
 	closeIdleInterval        = time.Second
 
-	// mailboxSize has room for two messages for each attempt, to send and to cancel it, and
-	// for the one to drain, so that putting one in never blocks.
+	// mailboxSize holds two messages for each attempt (send and cancel) and the drain message,
+	// so that adding a message never blocks the pool.
 	mailboxSize = 2*maxInFlight + 8
 )
 
-// Upstream is the actor of one server. The fields below addr that are not marked as shared
-// belong to the goroutine of run.
+// Upstream is the actor that manages the connections to one server. Only the pool uses removed.
+// The channels and inFlight may be used by several goroutines. The goroutine of run owns the
+// fields from connections on.
 type Upstream struct {
 	Options
 	addr    netip.AddrPort
-	removed bool // the pool's: it has left the endpoint list
+	removed bool // used only by the pool: the server has left the endpoint list
 
-	mailbox          chan message  // shared, written by the pool
-	retainedTraces   chan trace.ID // shared, written by the pool
+	mailbox          chan message  // written by the pool
+	retainedTraces   chan trace.ID // written by the pool
 	connectionEvents chan connectionEvent
 	stopped          chan struct{} // closed when run returns
-	inFlight         atomic.Int64  // shared: attempts taken and not yet released
+	inFlight         atomic.Int64  // attempts accepted by Send and not yet released
 
 	connections   []*connection
 	queued        []*dispatch.Attempt // waiting for a connection
 	draining      bool
 	dialing       bool
-	dialStartedAt float64
-	growAfter     float64 // until then no connection is added to those there are
+	dialStartedAt float64 // clock time, in ms
+	growAfter     float64 // clock time in ms before which no additional connection is dialed
 }
 
-// message is what the pool asks of an Upstream: one of the fields is set.
+// message is a request from the pool to an Upstream. Exactly one field is set.
 type message struct {
 	send   *dispatch.Attempt
 	cancel *dispatch.Attempt
@@ -63,7 +64,8 @@
 	}
 }
 
-// drain asks the actor, once, to end when no attempt is in flight. It is called by the pool.
+// drain tells the actor to stop once no attempt is in flight. Further calls have no effect.
+// Only the pool calls it.
 func (u *Upstream) drain() {
 	if u.removed {
 		return
@@ -72,16 +74,16 @@
 	u.mailbox <- message{drain: true}
 }
 
-// Cancel implements dispatch.TransportState: the actor cancels the attempt. It is called by the
-// pool.
+// Cancel implements dispatch.TransportState: it tells the actor to cancel the attempt. Only the
+// dispatcher's goroutine calls it.
 func (u *Upstream) Cancel(attempt *dispatch.Attempt) { u.mailbox <- message{cancel: attempt} }
 
-// Release implements dispatch.TransportState: the attempt's completion has been handled. It is
-// called by the pool.
+// Release implements dispatch.TransportState: the dispatcher has handled the attempt's
+// completion. Only the dispatcher's goroutine calls it.
 func (u *Upstream) Release(*dispatch.Attempt) { u.inFlight.Add(-1) }
 
-// run is the actor. It returns when the server is drained or ctx ends, and completes what is
-// in flight on its connections then.
+// run is the actor's event loop. It returns when the server is drained or ctx ends, closes all
+// connections and completes the attempts that are in flight on them.
 func (u *Upstream) run(ctx context.Context) {
 	defer close(u.stopped)
 	defer u.closeAllConnections()
@@ -101,7 +103,7 @@
 	}
 }
 
-// drained reports whether nothing is left to do for a removed server.
+// drained reports whether the server is being drained and no attempt or message is left.
 func (u *Upstream) drained() bool {
 	return u.draining && u.inFlight.Load() == 0 && len(u.mailbox) == 0
 }
@@ -118,17 +120,17 @@
 	}
 }
 
-// sendQueued writes the queued attempts for which there is a connection, and dials where one
-// more is wanted.
+// sendQueued writes the queued attempts for which a connection is available. It starts a dial
+// if attempts are left waiting, or if the connections in use are busy and one may be added.
 func (u *Upstream) sendQueued(ctx context.Context) {
 	waiting := u.queued[:0]
 	busy := false
 	for _, attempt := range u.queued {
 		conn := u.pickConnection(attempt.Request.TransactionID)
-		rejection := u.rejectBeforeWrite(attempt)
+		cause := u.rejectBeforeWrite(attempt)
 		switch {
-		case rejection != nil:
-			u.reject(attempt, rejection)
+		case cause != nil:
+			u.reject(attempt, cause)
 		case conn != nil:
 			u.writeAttempt(conn, attempt)
 			busy = busy || len(conn.inFlight) >= growThreshold
@@ -148,13 +150,13 @@
 	}
 }
 
-// rejection is why an attempt is not written, and the result with which it is completed.
+// rejection says why an attempt is not written and with which result it is completed.
 type rejection struct {
 	result routing.Result
 	reason string
 }
 
-// The rejections are shared values, so that none costs an allocation.
+// These rejections are shared values, so that a rejection needs no allocation.
 var (
 	rejectedExcluded           = &rejection{routing.NotSent, "server or fill source excluded"}
 	rejectedClientDisconnected = &rejection{routing.NotSent, "client disconnected"}
@@ -162,15 +164,15 @@
 	rejectedExpired            = &rejection{routing.TimedOut, "expired"}
 )
 
-// rejectBeforeWrite returns why an attempt must not be written any more, or nil. It repeats
-// what was checked when the attempt was decided, since that may have waited for a connection
-// while the endpoint list changed, its client disconnected or its time ran out.
+// rejectBeforeWrite returns why an attempt must no longer be written, or nil if it may be.
+// It repeats the checks of the routing decision: while the attempt waited for a connection, the
+// endpoint list may have changed, the client may have disconnected or the deadline passed.
 func (u *Upstream) rejectBeforeWrite(attempt *dispatch.Attempt) *rejection {
 	guard := u.Guard()
 	switch {
 	case guard.Excludes(attempt.Decision.Server), guard.Excludes(attempt.Decision.FillSource):
 		return rejectedExcluded
-	case attempt.Request.ClientDisconnected(): // the attempt's cancellation is on its way
+	case attempt.Request.ClientDisconnected(): // the message that cancels the attempt will follow
 		return rejectedClientDisconnected
 	case attempt.SendDeadline > 0 && u.Clock.Now() >= attempt.SendDeadline:
 		return rejectedSendWindowClosed
@@ -180,16 +182,16 @@
 	return nil
 }
 
-// reject completes an attempt that is not written.
-func (u *Upstream) reject(attempt *dispatch.Attempt, why *rejection) {
-	if why == rejectedClientDisconnected {
+// reject completes, without writing it, an attempt that rejectBeforeWrite rejected.
+func (u *Upstream) reject(attempt *dispatch.Attempt, cause *rejection) {
+	if cause == rejectedClientDisconnected {
 		u.Metrics.Add("attempts_unwanted", 1)
 	}
-	u.Complete(*dispatch.Unsent(attempt, why.result))
+	u.Complete(*dispatch.Unsent(attempt, cause.result))
 }
 
-// writeAttempt writes an attempt's command. The age that a copy may have is bounded by the
-// purges that are known now.
+// writeAttempt writes an attempt's serve command. It limits the age of an acceptable copy by
+// the purges that are known at the time of the write.
 func (u *Upstream) writeAttempt(conn *connection, attempt *dispatch.Attempt) {
 	now := u.Clock.Now()
 	decision := &attempt.Decision
@@ -208,9 +210,9 @@
 	}
 }
 
-// traceFields returns the fields of a command that continue the attempt's trace and notify
-// the server of retained ones, each with a comma before it. It is empty for servers that take
-// no such fields.
+// traceFields returns the command fields that propagate the attempt's trace context and name
+// the traces that are retained, each field with a leading comma. It returns an empty string if
+// traces are not propagated to the servers.
 func (u *Upstream) traceFields(attempt *dispatch.Attempt) string {
 	if !u.PropagateTraces {
 		return ""
@@ -232,8 +234,9 @@
 	return fields
 }
 
-// cancelAttempt cancels an attempt. It is completed only when its cancellation has been
-// written or its connection closed, so that a retry cannot be in flight beside it.
+// cancelAttempt cancels a queued or written attempt. A written attempt is completed only after
+// its cancel command has been written or its connection has been closed, so that it is not in
+// flight together with its retry.
 func (u *Upstream) cancelAttempt(attempt *dispatch.Attempt) {
 	if i := slices.Index(u.queued, attempt); i >= 0 {
 		u.queued = slices.Delete(u.queued, i, i+1)
@@ -253,8 +256,8 @@
 	u.Complete(dispatch.Completion{Attempt: attempt, Result: routing.Canceled, Load: dispatch.UnknownLoad()})
 }
 
-// handleReply completes the attempt that a reply belongs to. A reply to none has crossed the
-// attempt's cancel, or is the second to one that is completed.
+// handleReply completes the attempt that a reply belongs to. A reply without an attempt in
+// flight crossed the cancel command of its attempt, or is a duplicate; it is counted as late.
 func (u *Upstream) handleReply(ctx context.Context, conn *connection, r reply) {
 	now := u.Clock.Now()
 	conn.lastReplyAt = now
@@ -280,19 +283,20 @@
 	u.sendQueued(ctx)
 }
 
-// checkDuplicateReply handles a reply other than a served one that may be the second to an
-// earlier attempt of the same request: that one was completed on this connection a moment ago
-// and the request was sent here again. The attempt is then canceled on the wire, and counts
-// as possibly executed unless its class is idempotent.
+// checkDuplicateReply handles a reply whose result is not Served and that may duplicate the
+// reply to an earlier attempt of the same request. It is taken for a duplicate if a reply to the
+// same id came on this connection within duplicateReplyWindow. checkDuplicateReply then sends a
+// cancel command for the attempt and, unless its class is idempotent, changes the result to
+// ServerError, because the cache may have executed the request.
 //
-// Symptom guarded against: a rejection that came twice completed the attempt that followed
-// it, which ran on at the cache while the next one was sent elsewhere.
+// Without this check, a rejection that a cache sent twice completed the next attempt too: that
+// attempt kept running at the cache while another one was sent to a different server.
 func (u *Upstream) checkDuplicateReply(conn *connection, completion *dispatch.Completion) {
 	now := u.Clock.Now()
 	id := completion.Attempt.Request.TransactionID
 	if at, ok := conn.unservedAt[id]; ok && now-at < duplicateReplyWindow {
 		u.Metrics.Add("peer_answers_doubted", 1)
-		conn.canceledIDs[id] = true // no third attempt on this connection
+		conn.canceledIDs[id] = true // a third attempt must use another connection
 		if completion.Attempt.Class.Idempotency != routing.Idempotent {
 			completion.Result = routing.ServerError
 		}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -14,32 +14,32 @@
 	"garnetline/routing"
 )
 
-// FuzzUpstream checks the states of a server's connections: each attempt completes once, none
-// is written to a closed connection, nothing canceled is left without a completion, and no id
-// is in flight on a connection twice.
+// FuzzUpstream runs random operations and checks that each attempt completes exactly once, also
+// after a cancel, that none is written to a closed connection, and that no id is in flight twice
+// on one connection.
 func FuzzUpstream(f *testing.F) {
 	fuzzutil.AddRandomSeeds(f, 32, 300)
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		actor := newHarness(t)
+		harness := newHarness(t)
 		for i := 0; i+1 < len(steps) && i < 2000; i += 2 {
-			actor.runStep(steps[i]%9, int(steps[i+1]))
-			actor.check()
+			harness.runStep(steps[i]%9, int(steps[i+1]))
+			harness.check()
 		}
-		actor.refuseDials = false
-		actor.finishDial()
-		for _, attempt := range actor.attempts {
-			actor.cancel(attempt)
+		harness.refuseDials = false
+		harness.finishDial()
+		for _, attempt := range harness.attempts {
+			harness.cancel(attempt)
 		}
-		actor.check()
-		for i, attempt := range actor.attempts {
-			if got := actor.completions[attempt]; len(got) != 1 {
-				t.Errorf("attempt %d completed as %v", i, got)
+		harness.check()
+		for i, attempt := range harness.attempts {
+			if got := harness.completions[attempt]; len(got) != 1 {
+				t.Errorf("attempt %d has completions %v, want exactly one", i, got)
 			}
 		}
 	})
 }
 
-// runStep does one random step; choice picks among its variants.
+// runStep performs one operation; choice selects its variant.
 func (h *harness) runStep(operation byte, choice int) {
 	h.t.Helper()
 	switch operation {
@@ -68,7 +68,7 @@
 	}
 }
 
-// anyConnection is an open connection, or nil if there is none.
+// anyConnection returns the open connection that choice selects, or nil if none is open.
 func (h *harness) anyConnection(choice int) *connection {
 	if len(h.upstream.connections) == 0 {
 		return nil
@@ -95,49 +95,49 @@
 	}
 }
 
-// check compares what was written, what is open and what is completed.
+// check checks the written commands, the open connections and the completions.
 func (h *harness) check() {
 	h.t.Helper()
 	h.checkCommands()
 	h.checkConnections()
 	for attempt, results := range h.completions {
 		if len(results) > 1 {
-			h.t.Fatalf("%s completed as %v", attempt.Request.TransactionID, results)
+			h.t.Fatalf("attempt %s completed more than once: %v", attempt.Request.TransactionID, results)
 		}
 	}
 }
 
-// checkCommands checks that commands are complete, and that an id is only used again on a
-// connection when its reply has come.
+// checkCommands checks that the written commands are complete, and that an id is only reused on a
+// connection after its reply has come.
 func (h *harness) checkCommands() {
 	h.t.Helper()
 	for _, conn := range h.conns {
 		served := map[string]int{}
-		for _, command := range commands(h.t, conn.written.Bytes()) {
+		for _, command := range parseCommands(h.t, conn.written.Bytes()) {
 			id := command[1]
 			if command[0] == "serve" {
 				served[id]++
 			}
 			if served[id] > 1+conn.replies[id] {
-				h.t.Fatalf("%s was written again where a late reply may be taken for its own", id)
+				h.t.Fatalf("attempt %s was written again on a connection where a late reply to its id may come", id)
 			}
 		}
 	}
 }
 
-// checkConnections checks what is in flight on each connection, and that each is counted and
-// closed as it should be.
+// checkConnections checks the attempts in flight on each connection, the count of open
+// connections, and that connections that are no longer used are closed.
 func (h *harness) checkConnections() {
 	h.t.Helper()
 	open := map[*fakeConn]bool{}
 	for _, conn := range h.upstream.connections {
 		open[conn.text.NetConn.(*fakeConn)] = true
 		if len(conn.inFlight) > harnessMaxStreams {
-			h.t.Fatalf("%d requests on a connection for %d", len(conn.inFlight), harnessMaxStreams)
+			h.t.Fatalf("%d requests in flight on a connection, want at most %d", len(conn.inFlight), harnessMaxStreams)
 		}
 		for id, sent := range conn.inFlight {
 			if len(h.completions[sent.attempt]) > 0 {
-				h.t.Fatalf("%s is in flight but completed", id)
+				h.t.Fatalf("attempt %s is in flight but already completed", id)
 			}
 		}
 	}
@@ -146,7 +146,7 @@
 		want++
 	}
 	if got := h.upstream.openConnections.Load(); got != want || got > harnessMaxConnections {
-		h.t.Fatalf("%d connections are counted, want %d and at most %d", got, want, harnessMaxConnections)
+		h.t.Fatalf("got a count of %d open connections, want %d and at most %d", got, want, harnessMaxConnections)
 	}
 	for i, conn := range h.conns {
 		if !open[conn] && !conn.isClosed() {
@@ -155,44 +155,44 @@
 	}
 }
 
-// An attempt that was queued when its cache, or its fill source, was listed as draining must
-// not be written late.
+// An attempt must not be written if its cache or its fill source left the ready servers while the
+// attempt was queued.
 func TestQueuedAttemptChecksEndpointList(t *testing.T) {
 	for _, excluded := range []routing.ServerID{1, 8} {
-		actor := newHarness(t)
-		attempt := actor.send("a")
-		actor.guard = &routing.Guard{Ready: map[routing.ServerID]bool{9 - excluded: true}}
-		actor.finishDial()
-		written := actor.conns[0].written.String()
-		if got := actor.completions[attempt]; len(got) != 1 || got[0] != routing.NotSent || written != "" {
-			t.Errorf("%d drains: completed as %v after %q", excluded, got, written)
+		harness := newHarness(t)
+		attempt := harness.send("a")
+		harness.guard = &routing.Guard{Ready: map[routing.ServerID]bool{9 - excluded: true}}
+		harness.finishDial()
+		written := harness.conns[0].written.String()
+		if got := harness.completions[attempt]; len(got) != 1 || got[0] != routing.NotSent || written != "" {
+			t.Errorf("server %d excluded: completed as %v after writing %q, want NotSent and nothing written", excluded, got, written)
 		}
 	}
 }
 
-// A purge that is received while an attempt is queued bounds the age of the copy.
+// A purge that is received while an attempt is queued limits the age of an acceptable copy.
 func TestQueuedAttemptChecksPurges(t *testing.T) {
-	actor := newHarness(t)
-	actor.send("a")
-	actor.clock.Advance(40)
-	guard := *actor.guard
-	guard.Purges = []routing.PurgeRecord{{Group: 3, At: clock.Duration(actor.clock.Now() - 25.5)}}
-	actor.guard = &guard
-	actor.finishDial()
-	if got := actor.conns[0].written.String(); !strings.Contains(got, ",fresh=25\r\n") {
+	harness := newHarness(t)
+	harness.send("a")
+	harness.clock.Advance(40)
+	guard := *harness.guard
+	guard.Purges = []routing.PurgeRecord{{Group: 3, At: clock.Duration(harness.clock.Now() - 25.5)}}
+	harness.guard = &guard
+	harness.finishDial()
+	if got := harness.conns[0].written.String(); !strings.Contains(got, ",fresh=25\r\n") {
 		t.Errorf("wrote %q, want fresh=25", got)
 	}
 }
 
-// Where servers take no part in traces a command is the same to the byte, traced or not,
-// whatever traces are retained; where they do it has the attempt's context, and each retained
-// trace once, so many at a time.
+// If traces are not propagated, the command fields are byte for byte the same for traced and
+// untraced attempts, whatever traces are retained. If they are, the fields contain the trace
+// context, and each retained trace is named once, at most retainedTracesPerCommand per command.
 func TestTraceFieldsOnlyWhenPropagated(t *testing.T) {
 	plain := "sort=part,asset=0000000000000007,slice=0,patience=2000,op=k,via=s-00000008,tier=2,opts=join"
 	for _, traced := range []bool{false, true} {
 		for _, fields := range tracedFields(t, traced, false) {
 			if fields != plain {
-				t.Errorf("%q, want %q", fields, plain)
+				t.Errorf("got fields %q, want %q", fields, plain)
 			}
 		}
 	}
@@ -201,69 +201,69 @@
 	slices.SortFunc(got, func(a, b string) int { return len(b) - len(a) })
 	if len(got) != 3 || !strings.HasPrefix(got[0], context+",kept=0100") || strings.Count(got[0], "+") != retainedTracesPerCommand-1 ||
 		!strings.HasPrefix(got[1], context+",kept=0500") || strings.Contains(got[1], "+") || got[2] != context {
-		t.Errorf("%q", got)
+		t.Errorf("got fields %q, want the trace context in each and each retained trace once", got)
 	}
 }
 
-// tracedFields are the fields of three commands that are written, traced or not, while there
-// are more retained traces than one command takes.
+// tracedFields returns the fields of three commands that are written, traced or not, while one
+// more trace is retained than fits into one command.
 func tracedFields(t *testing.T, traced, propagate bool) []string {
 	t.Helper()
-	actor := newHarness(t)
-	actor.upstream.PropagateTraces = propagate
-	pool := &Pool{Options: actor.upstream.Options, upstreams: map[routing.ServerID]*Upstream{1: actor.upstream}}
+	harness := newHarness(t)
+	harness.upstream.PropagateTraces = propagate
+	pool := &Pool{Options: harness.upstream.Options, upstreams: map[routing.ServerID]*Upstream{1: harness.upstream}}
 	for i := range retainedTracesPerCommand + 1 {
 		pool.TraceRetained(1, trace.ID{byte(i + 1)})
 	}
 	pool.TraceRetained(2, trace.ID{9}) // not a server of the pool
 	for _, id := range []string{"a", "b", "c"} {
-		attempt := actor.attempt(id)
+		attempt := harness.newAttempt(id)
 		attempt.Request.IdempotencyKey = "k"
 		attempt.Decision.CopyRank = 2
 		attempt.Decision.JoinFill = true
 		if traced {
 			attempt.Trace = &dispatch.AttemptTrace{Context: trace.SpanContext{Trace: trace.ID{5}, Span: 6, Sampled: true}}
 		}
-		actor.sendAttempt(attempt)
-		actor.finishDial()
+		harness.sendAttempt(attempt)
+		harness.finishDial()
 	}
 	var out []string
-	for _, conn := range actor.conns {
-		for _, command := range commands(t, conn.written.Bytes()) {
+	for _, conn := range harness.conns {
+		for _, command := range parseCommands(t, conn.written.Bytes()) {
 			out = append(out, command[2])
 		}
 	}
 	return out
 }
 
-// Guards against an attempt that is written though it must not be any more: it waited in the
-// mailbox, or for a connection, when its client disconnected or the window of its key closed.
+// While an attempt waits in the mailbox or for a connection, its server may become excluded, its
+// client may disconnect, or its send deadline or expiry may pass. It must then not be written.
 func TestAttemptRejectedBeforeWrite(t *testing.T) {
 	for _, test := range []struct {
 		want   *rejection
-		change func(actor *harness, attempt *dispatch.Attempt)
+		change func(harness *harness, attempt *dispatch.Attempt)
 	}{
-		{rejectedExcluded, func(actor *harness, _ *dispatch.Attempt) { actor.guard = &routing.Guard{} }},
+		{rejectedExcluded, func(harness *harness, _ *dispatch.Attempt) { harness.guard = &routing.Guard{} }},
 		{rejectedClientDisconnected, func(_ *harness, attempt *dispatch.Attempt) { disconnectClient(t, attempt) }},
-		{rejectedSendWindowClosed, func(actor *harness, attempt *dispatch.Attempt) {
-			attempt.SendDeadline = actor.clock.Now() + 30
-			actor.clock.Advance(30)
+		{rejectedSendWindowClosed, func(harness *harness, attempt *dispatch.Attempt) {
+			attempt.SendDeadline = harness.clock.Now() + 30
+			harness.clock.Advance(30)
 		}},
-		{rejectedExpired, func(actor *harness, _ *dispatch.Attempt) { actor.clock.Advance(harnessTimeout) }},
+		{rejectedExpired, func(harness *harness, _ *dispatch.Attempt) { harness.clock.Advance(harnessTimeout) }},
 	} {
 		t.Run(test.want.reason, func(t *testing.T) {
-			actor := newHarness(t)
-			first := actor.send("a") // it waits for a dial
-			test.change(actor, first)
-			if got := actor.upstream.rejectBeforeWrite(first); got != test.want {
-				t.Errorf("rejected as %+v", got)
+			harness := newHarness(t)
+			first := harness.send("a") // waits for a dial
+			test.change(harness, first)
+			if got := harness.upstream.rejectBeforeWrite(first); got != test.want {
+				t.Errorf("got rejection %+v, want the case's rejection", got)
 			}
-			actor.finishDial()
-			second := actor.send("b") // its message is handled when a connection is there
-			test.change(actor, second)
-			actor.upstream.sendQueued(t.Context())
-			if got := actor.completions[first]; len(got) != 1 || got[0] != test.want.result || actor.conns[0].wrote("a") {
-				t.Errorf("completed as %v after %q", got, actor.conns[0].written.String())
+			harness.finishDial()
+			second := harness.send("b") // its message is handled when a connection exists
+			test.change(harness, second)
+			harness.upstream.sendQueued(t.Context())
+			if got := harness.completions[first]; len(got) != 1 || got[0] != test.want.result || harness.conns[0].wrote("a") {
+				t.Errorf("completed as %v after writing %q, want the rejection's result and nothing written", got, harness.conns[0].written.String())
 			}
 		})
 	}
