--- a/internal/frontend/dnsfront/answer.go
+++ b/internal/frontend/dnsfront/answer.go
@@ -12,16 +12,18 @@
 )
 
 const (
-	// targetPrefix begins the target names of SRV answers; the server's id follows.
+	// targetPrefix is the prefix of the target names in SRV answers. The server id follows
+	// it, as eight hexadecimal digits.
 	targetPrefix = "s-"
 
-	maxUDPSize = 1232 // bytes of a message, offered where the client uses EDNS0
+	maxUDPSize = 1232 // bytes; the UDP message size that replies to EDNS0 queries advertise
 
-	// soaInterval stands in every field of the zone's SOA record that is a time, in seconds.
-	soaInterval = 60
+	// soaIntervalSeconds is the value of the refresh, retry and expire fields of the zone's
+	// SOA record.
+	soaIntervalSeconds = 60
 )
 
-// ServeDNS answers one message. The DNS library calls it.
+// ServeDNS answers one DNS message. It implements dns.Handler.
 func (s *Server) ServeDNS(w dns.ResponseWriter, request *dns.Msg) {
 	reply := new(dns.Msg)
 	reply.SetReply(request)
@@ -46,12 +48,13 @@
 	}
 }
 
-// supportedClass reports whether questions of a DNS class are answered.
+// supportedClass reports whether the server answers questions of a DNS class.
 func supportedClass(class uint16) bool {
 	return class == dns.ClassINET || class == dns.ClassANY
 }
 
-// answerWithinLimit answers a question, unless as many as may be are being answered.
+// answerWithinLimit answers a question, or replies SERVFAIL if MaxInflight questions are being
+// answered already.
 func (s *Server) answerWithinLimit(reply *dns.Msg, question dns.Question) {
 	select {
 	case s.slots <- struct{}{}:
@@ -62,7 +65,7 @@
 	}
 }
 
-// answerQuestion fills in the reply to a question.
+// answerQuestion adds records and a response code to the reply to a question.
 func (s *Server) answerQuestion(reply *dns.Msg, question dns.Question) {
 	name := dns.CanonicalName(question.Name)
 	if !dns.IsSubDomain(s.Zone, name) {
@@ -70,38 +73,38 @@
 		reply.Authoritative = false
 		return
 	}
-	rest := strings.TrimSuffix(strings.TrimSuffix(name, s.Zone), ".")
+	relativeName := strings.TrimSuffix(strings.TrimSuffix(name, s.Zone), ".")
 	switch {
-	case rest == "":
-		s.answerZone(reply, question)
-	case strings.HasPrefix(rest, targetPrefix) && !strings.Contains(rest, "."):
-		s.answerTarget(reply, question, strings.TrimPrefix(rest, targetPrefix))
+	case relativeName == "":
+		s.answerZoneApex(reply, question)
+	case strings.HasPrefix(relativeName, targetPrefix) && !strings.Contains(relativeName, "."):
+		s.answerTarget(reply, question, strings.TrimPrefix(relativeName, targetPrefix))
 	default:
-		s.answerObject(reply, question, rest)
+		s.answerObject(reply, question, relativeName)
 	}
 }
 
-// answerZone answers for the zone itself.
-func (s *Server) answerZone(reply *dns.Msg, question dns.Question) {
+// answerZoneApex answers a question whose name is the zone itself.
+func (s *Server) answerZoneApex(reply *dns.Msg, question dns.Question) {
 	if question.Qtype == dns.TypeSOA {
 		reply.Answer = append(reply.Answer, s.startOfAuthority())
 		return
 	}
-	s.answerNoData(reply)
+	s.addNegativeSOA(reply)
 }
 
-// answerObject answers for a name that carries an object.
+// answerObject answers a question about an object. The name is given relative to the zone.
 func (s *Server) answerObject(reply *dns.Msg, question dns.Question, name string) {
 	parsed, rcode := s.parseName(name)
 	if rcode != dns.RcodeSuccess {
 		reply.Rcode = rcode
 		if rcode == dns.RcodeNameError {
-			s.answerNoData(reply)
+			s.addNegativeSOA(reply)
 		}
 		return
 	}
 	if question.Qtype != dns.TypeA && question.Qtype != dns.TypeSRV {
-		s.answerNoData(reply)
+		s.addNegativeSOA(reply)
 		return
 	}
 	selected, ok := s.selectServer(parsed)
@@ -123,24 +126,26 @@
 	reply.Extra = append(reply.Extra, addressRecord(target, selected.address))
 }
 
-// answerTarget answers for the target of a recent SRV answer: the server whose id is given.
-func (s *Server) answerTarget(reply *dns.Msg, question dns.Question, id string) {
-	address, ok := s.targetAddress(id)
+// answerTarget answers a question about the target name of an SRV answer. hexID is the server
+// id in that name.
+func (s *Server) answerTarget(reply *dns.Msg, question dns.Question, hexID string) {
+	address, ok := s.targetAddress(hexID)
 	switch {
 	case !ok:
 		reply.Rcode = dns.RcodeNameError
-		s.answerNoData(reply)
+		s.addNegativeSOA(reply)
 	case question.Qtype == dns.TypeA:
 		reply.Answer = append(reply.Answer, addressRecord(question.Name, address))
 	default:
-		s.answerNoData(reply)
+		s.addNegativeSOA(reply)
 	}
 }
 
-// targetAddress returns the address of a server that an SRV answer named less than
-// targetLifetimeMs ago and that may still be used.
-func (s *Server) targetAddress(text string) (netip.AddrPort, bool) {
-	number, err := strconv.ParseUint(text, 16, 32)
+// targetAddress returns the address of the server with a hexadecimal id. It returns false unless
+// an SRV answer has named the server within the last targetLifetimeMs and the guard still allows
+// its use.
+func (s *Server) targetAddress(hexID string) (netip.AddrPort, bool) {
+	number, err := strconv.ParseUint(hexID, 16, 32)
 	id := routing.ServerID(number)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,7 +156,7 @@
 	return address, usable
 }
 
-// expireTargets forgets targets that resolve no longer. s.mu is held.
+// expireTargets removes the SRV targets whose lifetime has ended. The caller holds s.mu.
 func (s *Server) expireTargets(now float64) {
 	for id, expiry := range s.targetExpiry {
 		if expiry < now {
@@ -160,9 +165,9 @@
 	}
 }
 
-// answerNoData adds the zone's SOA record, which tells how long the absence of an answer may
-// be cached.
-func (s *Server) answerNoData(reply *dns.Msg) {
+// addNegativeSOA adds the zone's SOA record to the authority section of a negative answer.
+// Resolvers read from it for how long they may cache that answer (RFC 2308).
+func (s *Server) addNegativeSOA(reply *dns.Msg) {
 	reply.Ns = append(reply.Ns, s.startOfAuthority())
 }
 
@@ -173,13 +178,13 @@
 		Ns:      "ns." + s.Zone,
 		Mbox:    "hostmaster." + s.Zone,
 		Serial:  1,
-		Refresh: soaInterval,
-		Retry:   soaInterval,
-		Expire:  soaInterval,
+		Refresh: soaIntervalSeconds,
+		Retry:   soaIntervalSeconds,
+		Expire:  soaIntervalSeconds,
 	}
 }
 
-// addressRecord returns the A record of a server.
+// addressRecord returns an A record that maps a name to the address of a server.
 func addressRecord(name string, address netip.AddrPort) *dns.A {
 	return &dns.A{Hdr: recordHeader(name, dns.TypeA), A: address.Addr().AsSlice()}
 }
--- a/internal/frontend/dnsfront/config.go
+++ b/internal/frontend/dnsfront/config.go
@@ -11,8 +11,9 @@
 	"garnetline/internal/fielderror"
 )
 
-// Config is the dns block of the operators' configuration, and the content of the older file
-// for DNS alone. deploy/garnetline.hcl documents the keys.
+// Config holds the settings of the DNS server. They are read from the dns block of the
+// operators' configuration, or from the deprecated separate DNS file. deploy/garnetline.hcl
+// documents the keys.
 type Config struct {
 	Enabled        bool    `toml:"enabled" hcl:"enabled,optional"`
 	Listen         string  `toml:"listen" hcl:"listen,optional"`
@@ -22,14 +23,15 @@
 	MaxConnections int     `toml:"max_connections" hcl:"max_connections,optional"`
 }
 
-// Upper bounds of the configured values.
+// Upper bounds of the values in Config.
 const (
 	timeoutLimitMs   = 60_000
 	inflightLimit    = 4096
 	connectionsLimit = 256
 )
 
-// DefaultConfig returns the values of keys that are not given. DNS is off.
+// DefaultConfig returns the values of keys that the configuration leaves out. The DNS server is
+// disabled in it.
 func DefaultConfig() Config {
 	return Config{
 		Listen:         "127.0.0.1:5353",
@@ -40,7 +42,8 @@
 	}
 }
 
-// LoadConfig reads the older file for DNS alone. Without a path it returns the defaults.
+// LoadConfig reads the deprecated separate DNS file, which is in TOML. It returns the defaults
+// if path is empty, and an error if the file holds an unknown key or an invalid value.
 func LoadConfig(path string) (Config, error) {
 	config := DefaultConfig()
 	if path == "" {
@@ -63,24 +66,24 @@
 	return config, nil
 }
 
-// Validate checks the values and brings the zone into its canonical form. Errors are
-// fielderror.Error with the key at fault.
+// Validate checks the values and converts the zone to its canonical form. An error is a
+// *fielderror.Error that names the invalid key.
 func (c *Config) Validate() error {
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
 		return fielderror.Errorf("listen", "%w", err)
 	}
 	if _, ok := dns.IsDomainName(c.Zone); !ok || c.Zone == "" || c.Zone == "." {
-		return fielderror.Errorf("zone", "%q is not a zone of its own", c.Zone)
+		return fielderror.Errorf("zone", "%q is not a domain name below the root", c.Zone)
 	}
 	c.Zone = dns.CanonicalName(c.Zone)
 	timeoutInRange := c.TimeoutMs >= 1 && c.TimeoutMs <= timeoutLimitMs // false for NaN
 	switch {
 	case !timeoutInRange:
-		return fielderror.Errorf("patience_ms", "%v, want 1 to %d", c.TimeoutMs, timeoutLimitMs)
+		return fielderror.Errorf("patience_ms", "got %v ms, expected 1 to %d ms", c.TimeoutMs, timeoutLimitMs)
 	case c.MaxInflight < 1 || c.MaxInflight > inflightLimit:
-		return fielderror.Errorf("max_inflight", "want 1 to %d", inflightLimit)
+		return fielderror.Errorf("max_inflight", "expected an integer from 1 to %d", inflightLimit)
 	case c.MaxConnections < 1 || c.MaxConnections > connectionsLimit:
-		return fielderror.Errorf("max_connections", "want 1 to %d", connectionsLimit)
+		return fielderror.Errorf("max_connections", "expected an integer from 1 to %d", connectionsLimit)
 	}
 	return nil
 }
--- a/internal/frontend/dnsfront/config_test.go
+++ b/internal/frontend/dnsfront/config_test.go
@@ -18,7 +18,7 @@
 				t.Fatal(err)
 			}
 			if config.Enabled || config.Zone != "garnetline.local." {
-				t.Errorf("%+v, want it disabled, with zone garnetline.local.", config)
+				t.Errorf("got %+v, want Enabled false and zone garnetline.local.", config)
 			}
 		})
 	}
@@ -36,13 +36,13 @@
 		t.Run(text, func(t *testing.T) {
 			_, err := LoadConfig(writeConfig(t, text))
 			if err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("error %v, want %s in it", err, want)
+				t.Errorf("got error %v, want one that contains %q", err, want)
 			}
 		})
 	}
 }
 
-// writeConfig writes a configuration file and returns its path.
+// writeConfig writes a temporary configuration file and returns its path.
 func writeConfig(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "dns.toml")
@@ -52,7 +52,7 @@
 	return path
 }
 
-// Every key of the older file for DNS alone.
+// TestConfigKeys reads every key of the deprecated separate DNS file.
 func TestConfigKeys(t *testing.T) {
 	text := "enabled = true\nlisten = \"127.0.0.1:53\"\nzone = \"A.test\"\npatience_ms = 2.5\nmax_inflight = 3\nmax_connections = 4\n"
 	got, err := LoadConfig(writeConfig(t, text))
@@ -61,13 +61,13 @@
 	}
 	want := Config{Enabled: true, Listen: "127.0.0.1:53", Zone: "a.test.", TimeoutMs: 2.5, MaxInflight: 3, MaxConnections: 4}
 	if got != want {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
 
 func TestDefaultConfig(t *testing.T) {
 	want := Config{Enabled: false, Listen: "127.0.0.1:5353", Zone: "garnetline.local.", TimeoutMs: 1000, MaxInflight: 256, MaxConnections: 32}
 	if got := DefaultConfig(); got != want {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
--- a/internal/frontend/dnsfront/harness_test.go
+++ b/internal/frontend/dnsfront/harness_test.go
@@ -21,16 +21,16 @@
 // testZone is the zone of the server under test.
 const testZone = "garnet.test."
 
-// purgeRetention is how long the server respects a purge.
+// purgeRetention is how long after a purge the server names no cache for what was purged.
 const purgeRetention = 6 * time.Second
 
 // exchangeTimeout bounds how long a test waits for a reply.
 const exchangeTimeout = 5 * time.Second
 
-// startTime is what the clock of newHarness shows first.
+// startTime is the initial time of the clock of newHarness, in ms.
 const startTime = 1.7e12
 
-// harness is a Server on loopback sockets with a dispatcher, on a manual clock. The test
+// harness runs a Server on loopback sockets and its dispatcher on a manual clock. The test
 // publishes the endpoint list.
 type harness struct {
 	t          *testing.T
@@ -38,13 +38,13 @@
 	dispatcher *dispatch.Dispatcher
 	addr       string
 	guard      atomic.Pointer[routing.Guard]
-	listed     chan platformconfig.WatchEvent
+	updates    chan platformconfig.WatchEvent // each change that the dispatcher has applied
 }
 
-// UpdateEndpoints is called by the dispatcher with each change of the endpoint list.
-func (h *harness) UpdateEndpoints(event platformconfig.WatchEvent) { h.listed <- event }
+// UpdateEndpoints records a change of the endpoint list. The dispatcher calls it for each one.
+func (h *harness) UpdateEndpoints(event platformconfig.WatchEvent) { h.updates <- event }
 
-// The kinds of servers in testSettings.
+// Kinds of servers in testSettings.
 const (
 	cacheKind = iota
 	parentKind
@@ -52,7 +52,7 @@
 	kindCount
 )
 
-// testSettings returns settings with one zone and two classes: part is read, form is written.
+// testSettings returns settings with one zone and two classes: part for reads, form for writes.
 func testSettings() routing.Settings {
 	slowStart := routing.SlowStart{
 		InitialCapacity: 0.15,
@@ -89,43 +89,44 @@
 	}
 }
 
-// newHarness starts a server and a dispatcher, whose settings change may alter.
-func newHarness(t *testing.T, change ...func(*routing.Settings)) *harness {
+// newHarness starts a server and a dispatcher with testSettings, which the functions in modify
+// may change first.
+func newHarness(t *testing.T, modify ...func(*routing.Settings)) *harness {
 	t.Helper()
-	front := &harness{t: t, clock: clock.NewManual(startTime), listed: make(chan platformconfig.WatchEvent, 1)}
+	harness := &harness{t: t, clock: clock.NewManual(startTime), updates: make(chan platformconfig.WatchEvent, 1)}
 	settings := testSettings()
-	for _, apply := range change {
+	for _, apply := range modify {
 		apply(&settings)
 	}
 	var err error
-	if front.dispatcher, err = dispatch.New(front.clock, settings, 1, metrics.New()); err != nil {
+	if harness.dispatcher, err = dispatch.New(harness.clock, settings, 1, metrics.New()); err != nil {
 		t.Fatal(err)
 	}
 	server := New(Options{
 		Config:     Config{Listen: "127.0.0.1:0", Zone: testZone, TimeoutMs: 1000, MaxInflight: 64, MaxConnections: 4},
-		Clock:      front.clock,
-		Dispatcher: front.dispatcher,
+		Clock:      harness.clock,
+		Dispatcher: harness.dispatcher,
 		Classes:    func() []routing.Class { return settings.Classes },
-		Guard:      front.guard.Load,
+		Guard:      harness.guard.Load,
 		Metrics:    metrics.New(),
 	})
-	front.dispatcher.AddListeners(server, front)
-	front.runDispatcher()
+	harness.dispatcher.AddListeners(server, harness)
+	harness.runDispatcher()
 	addr, err := server.Start(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	front.addr = addr.String()
+	harness.addr = addr.String()
 	t.Cleanup(func() {
 		if err := server.Shutdown(context.Background()); err != nil {
 			t.Error(err)
 		}
 	})
-	return front
+	return harness
 }
 
-// runDispatcher starts the dispatcher, which is stopped at the end of the test, after what
-// uses it.
+// runDispatcher starts the dispatcher and stops it at the end of the test. It must be called before
+// the cleanup of the server is registered, so that the server stops first.
 func (h *harness) runDispatcher() {
 	ctx, cancel := context.WithCancel(context.Background())
 	stopped := make(chan struct{})
@@ -139,7 +140,8 @@
 	})
 }
 
-// publish changes the endpoint list as the watcher does: the guard first, then the dispatcher.
+// publish changes the endpoint list in the order that the watcher uses: the guard is replaced
+// first, then the dispatcher gets the watch event.
 func (h *harness) publish(snapshot bool, endpoints ...platformconfig.Endpoint) {
 	guard := routing.Guard{Ready: map[routing.ServerID]bool{}, PurgeRetention: purgeRetention}
 	if old := h.guard.Load(); old != nil && !snapshot {
@@ -153,10 +155,10 @@
 	}
 	h.guard.Store(&guard)
 	h.dispatcher.HandleWatchEvent(platformconfig.WatchEvent{ListUpdate: true, Snapshot: snapshot, Endpoints: endpoints})
-	<-h.listed
+	<-h.updates
 }
 
-// purge publishes the purge of an object, or of a group if the object is 0.
+// purge publishes a purge of an object, or of a group if the object is 0.
 func (h *harness) purge(object routing.ObjectID, group int) {
 	guard := *h.guard.Load()
 	guard.Purges = append(guard.Purges, routing.PurgeRecord{Object: object, Group: group, At: clock.Duration(h.clock.Now())})
@@ -165,7 +167,7 @@
 	h.dispatcher.HandleWatchEvent(platformconfig.WatchEvent{Purge: purge})
 }
 
-// endpoint returns a server whose address is 127.0.9.ID.
+// endpoint returns the entry of a server in the endpoint list. Its address is 127.0.9.ID.
 func endpoint(id, kind int, phase routing.Phase) platformconfig.Endpoint {
 	return platformconfig.Endpoint{
 		Server: routing.Server{ID: routing.ServerID(id), Kind: kind, Phase: phase, Weight: 1},
@@ -173,7 +175,7 @@
 	}
 }
 
-// listServers publishes three caches, a parent and an origin.
+// listServers publishes an endpoint list of three caches, a parent and an origin.
 func (h *harness) listServers() {
 	h.publish(true,
 		endpoint(1, cacheKind, routing.Ready),
@@ -184,7 +186,7 @@
 	)
 }
 
-// listOneCache publishes a cache, a parent and an origin.
+// listOneCache publishes an endpoint list of one cache, a parent and an origin.
 func (h *harness) listOneCache() {
 	h.publish(true,
 		endpoint(1, cacheKind, routing.Ready),
@@ -193,21 +195,21 @@
 	)
 }
 
-// queryName returns a name for each number.
+// queryName returns a valid name that is different for each number.
 func queryName(i int) string { return fmt.Sprintf("%d.%016x.g%d.part.%s", i%3, 1+i, i%7, testZone) }
 
 // query sends a question over UDP or TCP and returns the reply.
-func (h *harness) query(t *testing.T, network, name string, kind uint16) *dns.Msg {
+func (h *harness) query(t *testing.T, network, name string, recordType uint16) *dns.Msg {
 	t.Helper()
 	client := &dns.Client{Net: network, Timeout: exchangeTimeout}
-	reply, _, err := client.ExchangeContext(t.Context(), new(dns.Msg).SetQuestion(name, kind), h.addr)
+	reply, _, err := client.ExchangeContext(t.Context(), new(dns.Msg).SetQuestion(name, recordType), h.addr)
 	if err != nil {
 		t.Fatalf("%s %s: %v", network, name, err)
 	}
 	return reply
 }
 
-// answeredAddress returns the first address in a reply, or nothing.
+// answeredAddress returns the first address in the answer section of a reply, or "".
 func answeredAddress(reply *dns.Msg) string {
 	for _, record := range reply.Answer {
 		if address, ok := record.(*dns.A); ok {
@@ -217,7 +219,7 @@
 	return ""
 }
 
-// exchangeRaw sends the bytes of a query and returns those of the reply.
+// exchangeRaw sends the bytes of a query and returns the bytes of the reply.
 func (h *harness) exchangeRaw(t *testing.T, network string, query []byte) []byte {
 	t.Helper()
 	netConn, err := new(net.Dialer).DialContext(t.Context(), network, h.addr)
--- a/internal/frontend/dnsfront/name.go
+++ b/internal/frontend/dnsfront/name.go
@@ -17,16 +17,17 @@
 	unknownGroup = -1
 )
 
-// query is what a name asks for.
+// query holds what the name in a question encodes: one chunk of an object and its class.
 type query struct {
 	class  int
 	object routing.ObjectID
 	chunk  int
-	group  int // unknownGroup if the name does not carry it
+	group  int // unknownGroup if the name has no group label
 }
 
-// parseName reads a name without its zone. The result code is that of the answer if the name
-// cannot be used, and dns.RcodeSuccess otherwise.
+// parseName parses a name that is given relative to the zone. It returns dns.RcodeSuccess, or
+// the response code that rejects the name: dns.RcodeFormatError if it is malformed and
+// dns.RcodeNameError if its class is unknown.
 func (s *Server) parseName(name string) (query, int) {
 	parsed := query{class: unknownClass, group: unknownGroup}
 	labels := strings.Split(name, ".")
@@ -57,7 +58,7 @@
 	return parsed, dns.RcodeSuccess
 }
 
-// findClass returns the index of a class by its name, in which case does not matter.
+// findClass returns the index of the class with a name, ignoring case, or unknownClass.
 func (s *Server) findClass(name string) int {
 	index := unknownClass
 	for i, class := range s.Classes() {
--- a/internal/frontend/dnsfront/name_test.go
+++ b/internal/frontend/dnsfront/name_test.go
@@ -10,7 +10,8 @@
 	"garnetline/routing"
 )
 
-// FuzzName: any name is parsed or rejected, and a name made of what was parsed is parsed alike.
+// FuzzName checks that parseName accepts or rejects any name without a panic, and that a name
+// rebuilt from the fields of an accepted one yields the same fields.
 func FuzzName(f *testing.F) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 16 {
@@ -18,17 +19,17 @@
 	}
 	f.Add("..part")
 	server := New(Options{Classes: func() []routing.Class { return []routing.Class{{Name: "part"}} }})
-	f.Fuzz(func(t *testing.T, rest string) {
-		parsed, rcode := server.parseName(rest)
+	f.Fuzz(func(t *testing.T, name string) {
+		parsed, rcode := server.parseName(name)
 		if rcode != dns.RcodeSuccess {
 			return
 		}
-		again := fmt.Sprintf("%d.%016x.part", parsed.chunk, uint64(parsed.object))
+		rebuilt := fmt.Sprintf("%d.%016x.part", parsed.chunk, uint64(parsed.object))
 		if parsed.group >= 0 {
-			again = fmt.Sprintf("%d.%016x.g%d.part", parsed.chunk, uint64(parsed.object), parsed.group)
+			rebuilt = fmt.Sprintf("%d.%016x.g%d.part", parsed.chunk, uint64(parsed.object), parsed.group)
 		}
-		if parsedAgain, _ := server.parseName(again); parsedAgain != parsed {
-			t.Errorf("%q: %+v, then %+v", rest, parsed, parsedAgain)
+		if reparsed, _ := server.parseName(rebuilt); reparsed != parsed {
+			t.Errorf("%q parses to %+v, the name rebuilt from it to %+v", name, parsed, reparsed)
 		}
 	})
 }
--- a/internal/frontend/dnsfront/select.go
+++ b/internal/frontend/dnsfront/select.go
@@ -9,14 +9,14 @@
 	"garnetline/routing"
 )
 
-// selection is the server that a query is answered with.
+// selection is the server that the answer to a query names.
 type selection struct {
 	server  routing.ServerID
 	address netip.AddrPort
 }
 
-// selectServer has the dispatcher select a server. It returns false if there is none that may
-// be used now.
+// selectServer asks the dispatcher to select a server for a query. It returns false if no server
+// may be used now, or if the selected one has no IPv4 address.
 func (s *Server) selectServer(q query) (selection, bool) {
 	if s.mayBeStale(q) {
 		return selection{}, false
@@ -25,7 +25,8 @@
 	if !ok || response.Kind != dispatch.Served {
 		return selection{}, false
 	}
-	// Checked again, since the endpoint list may have changed meanwhile.
+	// The guard is checked again: the endpoint list may have changed, or a purge may have
+	// arrived, while the dispatcher selected the server.
 	if s.Guard().Excludes(response.Server) || s.mayBeStale(q) {
 		return selection{}, false
 	}
@@ -39,8 +40,9 @@
 	return selection{server: response.Server, address: address}, true
 }
 
-// dispatch submits a query as a request and waits for the response. The dispatcher responds
-// by the deadline; the wait is bounded in case it stops meanwhile.
+// dispatch submits a query to the dispatcher as a request and waits for the response. The
+// dispatcher responds by the request's deadline. The wait has its own limit, in case the
+// dispatcher stops before it responds. It returns false if there is no response.
 func (s *Server) dispatch(q query) (dispatch.Response, bool) {
 	responses := make(chan dispatch.Response, 1)
 	request := &dispatch.Request{
@@ -66,8 +68,9 @@
 	}
 }
 
-// mayBeStale reports whether caches may hold copies of the object from before a purge. A DNS
-// answer cannot limit the age of a copy, so no server may be named meanwhile.
+// mayBeStale reports whether caches may hold copies of the object that are older than its latest
+// purge. A DNS answer cannot tell a cache which copies are too old, so no server may be named
+// until such copies are gone.
 func (s *Server) mayBeStale(q query) bool {
 	if s.Classes()[q.class].Write {
 		return false
--- a/internal/frontend/dnsfront/server.go
+++ b/internal/frontend/dnsfront/server.go
@@ -1,16 +1,17 @@
-// Package dnsfront answers DNS queries with the server that the dispatcher selects: a name
-// carries class, object and chunk. It is off unless the operators' configuration enables it.
+// Package dnsfront is a DNS server for the selection of caches: the name in a query encodes a
+// class, an object and a chunk, and the answer names the server that the dispatcher selects for
+// them. The server runs only if the operators' configuration enables it.
 //
 // Names have the form
 //
 //	CHUNK.OBJECT[.gGROUP].CLASS.ZONE
 //
-// as in 3.7f3a9c21e0b4d655.g17.video-part.garnetline.local. The answer to an A query is the
-// address of the server. An SRV query is answered with the port too, and with a target name
-// that resolves for a second.
+// for example 3.7f3a9c21e0b4d655.g17.video-part.garnetline.local. The answer to an A query holds
+// the address of the server. The answer to an SRV query holds its port and a target name, which
+// resolves to the address for one second.
 //
-// A Server owns its sockets and the addresses of the listed servers. Queries are handled on
-// goroutines of the DNS library; all methods may be called from any goroutine.
+// A Server owns its sockets and a copy of the addresses in the endpoint list. The DNS library
+// handles each query on a goroutine of its own. All methods may be called from any goroutine.
 package dnsfront
 
 import (
@@ -33,21 +34,21 @@
 )
 
 const (
-	recordTTL        = 0      // seconds; with 1 an answer could outlive a drain
-	targetLifetimeMs = 1000.0 // for which the target of an SRV answer resolves
+	recordTTL        = 0      // seconds; if it were 1, a cached answer could outlive a drain
+	targetLifetimeMs = 1000.0 // how long the target name of an SRV answer resolves
 	ioTimeout        = 2 * time.Second
 	idleTimeout      = 4 * time.Second
 )
 
-// Dispatcher takes the requests that queries stand for.
+// Dispatcher selects a server for each request. The DNS server submits one request for each query.
 type Dispatcher interface {
-	// Submit hands a request over. It returns false if the dispatcher has stopped.
+	// Submit passes a request to the dispatcher. It returns false if the dispatcher has stopped.
 	Submit(*dispatch.Request) bool
-	// Disconnect reports that nobody waits for the response to a request any more.
+	// Disconnect reports that the response to a request is no longer awaited.
 	Disconnect(*dispatch.Request)
 }
 
-// Options are what a Server needs.
+// Options holds the settings and the dependencies of a Server.
 type Options struct {
 	Config
 	Clock      clock.Clock
@@ -56,22 +57,22 @@
 	// Classes returns the classes of the current configuration. Their names and order do
 	// not change while the server runs.
 	Classes func() []routing.Class
-	Guard   func() *routing.Guard // the latest one
+	Guard   func() *routing.Guard // returns the guard of the latest endpoint list
 	Metrics *metrics.Registry
 }
 
-// Server answers queries over UDP and TCP. It is also the dispatch.Transport of their
-// requests: an attempt is complete once its server is selected, as the client connects to
-// the server by itself.
+// Server answers DNS queries over UDP and TCP. It is also the dispatch.Transport of the requests
+// that it submits. It forwards nothing: an attempt is complete once its server is selected,
+// because the client of the DNS query connects to that server itself.
 type Server struct {
 	Options
-	slots chan struct{} // one for each query that may wait for the dispatcher
+	slots chan struct{} // holds one value for each query being answered
 	udp   *dns.Server
 	tcp   *dns.Server
 
 	mu           sync.Mutex
 	addresses    map[routing.ServerID]netip.AddrPort
-	targetExpiry map[routing.ServerID]float64 // until when a server's SRV target resolves
+	targetExpiry map[routing.ServerID]float64 // time in ms at which a server's SRV target stops resolving
 }
 
 var (
@@ -79,7 +80,7 @@
 	_ dispatch.EndpointListener = (*Server)(nil)
 )
 
-// New returns a server that does not listen yet.
+// New returns a Server that does not listen until Start is called.
 func New(o Options) *Server {
 	return &Server{
 		Options:      o,
@@ -89,19 +90,20 @@
 	}
 }
 
-// Start listens on UDP and TCP and answers queries until Shutdown; ctx bounds the start alone.
-// It returns the address in use, which has the port that was taken where the configured one is 0.
+// Start listens on UDP and TCP and answers queries until Shutdown is called. ctx applies only to
+// opening the sockets. Start returns the address in use; if the configured port is 0, the address
+// has the port that the system assigned.
 func (s *Server) Start(ctx context.Context) (netip.AddrPort, error) {
 	var listenConfig net.ListenConfig
 	listener, err := listenConfig.Listen(ctx, "tcp", s.Listen)
 	if err != nil {
-		return netip.AddrPort{}, fmt.Errorf("dns: listen: %w", err)
+		return netip.AddrPort{}, fmt.Errorf("dns: listen over TCP: %w", err)
 	}
 	address := listener.Addr().(*net.TCPAddr).AddrPort()
 	packetConn, err := listenConfig.ListenPacket(ctx, "udp", address.String())
 	if err != nil {
 		_ = listener.Close()
-		return address, fmt.Errorf("dns: listen: %w", err)
+		return address, fmt.Errorf("dns: listen over UDP: %w", err)
 	}
 	s.udp = &dns.Server{
 		PacketConn:   packetConn,
@@ -126,19 +128,19 @@
 	return address, nil
 }
 
-// Shutdown closes the sockets once the open queries are answered, or ctx is done.
+// Shutdown stops the server. It returns once the open queries are answered or ctx is done.
 func (s *Server) Shutdown(ctx context.Context) error {
 	return errors.Join(s.udp.ShutdownContext(ctx), s.tcp.ShutdownContext(ctx))
 }
 
-// UpdateEndpoints keeps the addresses of the listed servers.
-func (s *Server) UpdateEndpoints(ev platformconfig.WatchEvent) {
+// UpdateEndpoints applies a change of the endpoint list to the addresses of the servers.
+func (s *Server) UpdateEndpoints(event platformconfig.WatchEvent) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if ev.Snapshot {
+	if event.Snapshot {
 		clear(s.addresses)
 	}
-	for _, endpoint := range ev.Endpoints {
+	for _, endpoint := range event.Endpoints {
 		if endpoint.Phase == routing.Removed {
 			delete(s.addresses, endpoint.ID)
 		} else {
@@ -147,8 +149,8 @@
 	}
 }
 
-// Send completes an attempt with the server that was selected for it, unless that server may
-// not be used any more.
+// Send completes an attempt with the server that was selected for it. It returns the completion
+// of an unsent attempt if the guard now excludes that server or its fill source.
 func (s *Server) Send(attempt *dispatch.Attempt) *dispatch.Completion {
 	guard := s.Guard()
 	if guard.Excludes(attempt.Decision.Server) || guard.Excludes(attempt.Decision.FillSource) {
