--- a/internal/frontend/httpfront/bench_test.go
+++ b/internal/frontend/httpfront/bench_test.go
@@ -7,8 +7,8 @@
 	"garnetline/internal/dispatch"
 )
 
-// BenchmarkRequest measures a request and its response on a kept-alive loopback connection.
-// The client allocates nothing, so that all allocations are the server's.
+// BenchmarkRequest measures a request and its response on a loopback connection that is kept alive.
+// The client does not allocate, so that all reported allocations are the server's.
 func BenchmarkRequest(b *testing.B) {
 	for name, text := range map[string]string{
 		"read":  getRequest(objectTarget, "X-Family: 17", `If-None-Match: "4be0c1927d55a6f3"`),
@@ -40,7 +40,7 @@
 	}
 }
 
-// BenchmarkParse measures the validation of a request that was read.
+// BenchmarkParse measures the validation of a request that has been read already.
 func BenchmarkParse(b *testing.B) {
 	server := newServer(&fakeDispatcher{})
 	text := getRequest(objectTarget, "X-Family: 17", `If-None-Match: "4be0c1927d55a6f3"`)
--- a/internal/frontend/httpfront/clients_test.go
+++ b/internal/frontend/httpfront/clients_test.go
@@ -21,12 +21,13 @@
 	send(t, conn, getRequest(objectTarget))
 	closeConn(t, conn)
 	if request := <-dispatcher.disconnected; request != dispatcher.request(0) {
-		t.Error("the client of another request was reported")
+		t.Error("another request was reported as disconnected")
 	}
 }
 
-// Guards against reading ahead only up to the first byte: a client that sent more and then
-// disconnected was not noticed, and its request was forwarded.
+// A client that sends more bytes while its request is open and then disconnects is reported too. If
+// the server stopped reading ahead at the first byte, it would miss the disconnect and forward the
+// request.
 func TestDisconnectAfterReadAhead(t *testing.T) {
 	for name, more := range map[string]string{
 		"a byte":            "G",
@@ -45,21 +46,21 @@
 			select {
 			case request := <-dispatcher.disconnected:
 				if request != dispatcher.request(0) {
-					t.Error("the client of another request was reported")
+					t.Error("another request was reported as disconnected")
 				}
 			case <-time.After(readTimeout):
 				t.Error("the disconnect was not reported")
 			}
 			waitFor(t, "the connection is closed", func() bool { return server.connCount() == 0 })
 			if count := dispatcher.count(); count != 1 {
-				t.Errorf("%d requests were submitted, want 1", count)
+				t.Errorf("got %d submitted requests, want 1", count)
 			}
 		})
 	}
 }
 
-// Pipelined requests are served in turn, and the time of each counts from its arrival. A
-// client that sends without end gets its response, as the last on its connection.
+// Pipelined requests are served in order, and the timeout of each counts from its arrival. A client
+// that sends more than is read ahead gets its response, which is the last on its connection.
 func TestPipelinedRequests(t *testing.T) {
 	dispatcher := &fakeDispatcher{hold: true}
 	server := newServer(dispatcher)
@@ -67,25 +68,25 @@
 	conn := dial(t, server)
 	reader := bufio.NewReader(conn)
 	second := strings.Replace(getRequest(objectTarget), "2d41", "2d42", 1)
-	send(t, conn, getRequest(objectTarget)+second) // in one piece: the second is read with the first
+	send(t, conn, getRequest(objectTarget)+second) // sent in one write, so that the second is read with the first
 	waitFor(t, "the request is submitted", func() bool { return dispatcher.count() == 1 })
 	manual.Advance(700)
 	dispatcher.request(0).Respond(dispatch.Response{Kind: dispatch.Served, Body: []byte("1")})
 	readResponse(t, reader, "1")
 	waitFor(t, "the second is submitted", func() bool { return dispatcher.count() == 2 })
 	if got, want := dispatcher.request(1).Deadline, startTime+1500-responseMarginMs; got != want {
-		t.Errorf("the second has %v ms from the start, want %v, as it arrived then", got-startTime, want-startTime)
+		t.Errorf("deadline of the second request is %v ms from the start, want %v, counted from its arrival", got-startTime, want-startTime)
 	}
 	send(t, conn, strings.Repeat("x", 2*maxReadAheadBytes))
 	waitReadAheadOverflow(t, server)
 	dispatcher.request(1).Respond(dispatch.Response{Kind: dispatch.Served, Body: []byte("2")})
 	if response := readResponse(t, reader, "2"); !response.closes {
-		t.Error("a connection whose bytes were discarded is kept alive")
+		t.Error("connection is kept alive after its bytes were discarded, want it closed")
 	}
 }
 
-// A client that gives up and reconnects at once is served, even where its first connection
-// has to be closed before, and the disconnect is reported.
+// A client that gives up and reconnects at once is served, even if the server must close its first
+// connection before it can admit the second. The disconnect is reported.
 func TestClientReconnectsAtOnce(t *testing.T) {
 	dispatcher := &fakeDispatcher{hold: true}
 	server := newServer(dispatcher)
@@ -99,7 +100,7 @@
 		conn = dialAt(t, addr)
 		waitFor(t, "the disconnect is reported", func() bool { return len(dispatcher.disconnected) > 0 })
 		if <-dispatcher.disconnected != dispatcher.request(i) {
-			t.Fatal("the client of another request was reported")
+			t.Fatal("another request was reported as disconnected")
 		}
 	}
 	dispatcher.setResponse(servedX, false)
@@ -117,18 +118,18 @@
 	closeConn(t, conn)
 }
 
-// Connections of clients that are silent, send slowly or flood are closed within 3 s of their
-// start, or 6 s where too long a body was announced, however the bytes are spread. A request
-// that was begun gets a response. (The symptom: each had 5 s or more, anew for each request.)
+// The connection of a client that sends nothing, too slowly or too much is closed within 3 s of its
+// start, or within 6 s if the body is too long. A request that has begun gets a response. If the
+// timeouts started again with each request, such a client could hold its connection for longer.
 func TestMisbehavingClientsAreClosedInTime(t *testing.T) {
 	chunked := strings.Replace(putRequest(0), "Content-Length: 0", "Transfer-Encoding: chunked", 1)
 	for _, test := range []struct {
 		name         string
 		text         string  // what the client sends first
-		repeat       string  // what it sends then, again and again
-		byteInterval float64 // ms between two bytes; 0: none
-		within       float64 // ms
-		status       int     // of the response; 0: none
+		repeat       string  // what it sends after that, repeatedly
+		byteInterval float64 // ms between two bytes; 0: full speed
+		maxElapsed   float64 // ms until the connection is closed
+		status       int     // of the response; 0: no response
 	}{
 		{"silence", "", "", 0, 3000, 0},
 		{"half a line", "GET " + objectTarget, "", 0, 3000, 400},
@@ -148,8 +149,8 @@
 			server.Clock = manual
 			client := &slowClient{clock: manual, text: test.text, repeat: test.repeat, byteInterval: test.byteInterval}
 			server.newConn(client).serve()
-			if took := manual.Now() - startTime; took > test.within {
-				t.Errorf("closed after %.0f ms, want %.0f at most", took, test.within)
+			if elapsed := manual.Now() - startTime; elapsed > test.maxElapsed {
+				t.Errorf("closed after %.0f ms, want at most %.0f ms", elapsed, test.maxElapsed)
 			}
 			if test.status == 0 {
 				if client.out.Len() > 0 {
@@ -165,8 +166,8 @@
 	}
 }
 
-// Connections that are silent, or idle after a request, are evicted for a new one. One whose
-// request is open is not.
+// Connections that have sent nothing, or are idle after a request, are evicted to admit new ones. A
+// connection with an open request is not evicted.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	dispatcher := &fakeDispatcher{response: servedX}
 	server := newServer(dispatcher)
@@ -180,13 +181,13 @@
 	send(t, active, getRequest(objectTarget))
 	waitFor(t, "the request is submitted", func() bool { return dispatcher.count() == 1 })
 	dispatcher.setResponse(servedX, false)
-	for i := range 40 { // half of them are idle after a request, half are silent
+	for i := range 40 { // half of them are idle after a request, half send nothing
 		conn := dialAt(t, addr)
 		if i%2 == 0 {
 			send(t, conn, getRequest(objectTarget))
 			response, err := parseResponse(bufio.NewReader(conn), http.MethodGet)
 			if err != nil || response.status != http.StatusOK {
-				t.Fatalf("connection %d: response %+v, %v; want status %d", i, response, err, http.StatusOK)
+				t.Fatalf("connection %d: response %+v, error %v; want status %d", i, response, err, http.StatusOK)
 			}
 		}
 		manual.Advance(newConnGraceMs)
@@ -194,12 +195,12 @@
 	dispatcher.request(0).Respond(servedX)
 	response, err := parseResponse(bufio.NewReader(active), http.MethodGet)
 	if err != nil || response.status != http.StatusOK {
-		t.Errorf("the one whose request was open: response %+v, %v; want status %d", response, err, http.StatusOK)
+		t.Errorf("connection with an open request: response %+v, error %v; want status %d", response, err, http.StatusOK)
 	}
 }
 
-// Guards against a Serve that returns when descriptors run out: clients that connect later are
-// served.
+// Serve retries if an accept fails because no file descriptors are left, so that clients that
+// connect later are served.
 func TestOutOfDescriptors(t *testing.T) {
 	server := newServer(&fakeDispatcher{response: servedX})
 	accepted := 0
@@ -220,7 +221,7 @@
 	send(t, conn, getRequest(objectTarget))
 	readResponse(t, bufio.NewReader(conn), "x")
 	if got := server.Metrics.Counter("accept_errors").Load(); got != failures {
-		t.Errorf("%d accept errors, want %d", got, failures)
+		t.Errorf("got %d accept errors, want %d", got, failures)
 	}
 	closeConn(t, conn)
 }
--- a/internal/frontend/httpfront/conn.go
+++ b/internal/frontend/httpfront/conn.go
@@ -13,32 +13,32 @@
 	"garnetline/internal/textconn"
 )
 
-// healthCheckPath is the path of the platform's health check.
+// healthCheckPath is the path that the platform requests to check this router's health.
 const healthCheckPath = "/healthz"
 
-// connState is the state of a connection. Connections of a lower state are evicted first.
+// connState is the state of a connection. Connections with a lower value are evicted first.
 type connState int
 
 const (
-	stateRejected connState = iota // has its response and is read from until it ends
-	stateNew                       // waits for its first request
+	stateRejected connState = iota // its request was rejected; the client's remaining bytes are discarded
+	stateNew                       // waits for the first request
 	stateIdle                      // waits for another request
 	stateActive                    // its request is being served
 )
 
-// conn is a client's connection. It belongs to the goroutine that runs serve, but for the
-// fields that Server.mu guards.
+// conn is a client's connection. The goroutine that runs serve owns it, except for the fields
+// that Server.mu guards.
 type conn struct {
 	server     *Server
 	text       *textconn.Conn
-	acceptedAt float64
-	lastReadAt float64 // when the newest of the bytes that were read arrived
+	acceptedAt float64 // time on Server.Clock in ms
+	lastReadAt float64 // time on Server.Clock in ms when the last bytes were read; 0: not yet
 
 	// Guarded by Server.mu.
 	state      connState
-	stateSince float64
-	receiving  bool // the first byte of a request was read
-	evicted    bool // it is closed as soon as no request is open
+	stateSince float64 // time on Server.Clock in ms
+	receiving  bool    // the first byte of a request has arrived
+	evicted    bool    // the server closes it as soon as no request is open on it
 }
 
 func (s *Server) newConn(netConn net.Conn) *conn {
@@ -52,18 +52,20 @@
 	}
 }
 
-// serve serves the requests of the connection and closes it.
+// serve serves the requests of the connection one after another and closes it at the end.
 func (c *conn) serve() {
 	defer c.server.remove(c)
 	defer func() { _ = c.text.Close() }()
 	for first := true; c.awaitRequest(first); first = false {
 		r, err := c.readRequest()
 		if err != nil {
-			c.rejectUnread(err)
+			c.handleReadError(err)
 			return
 		}
-		// Symptom guarded against: a connection whose response had not announced the
-		// close was closed on the client's next request when shutdown began just then.
+		// Whether the connection is kept alive is decided once, when the response is written,
+		// and stored in r.closeAfter. Checking the server's state again here could close a
+		// connection whose response did not announce it, if shutdown began in between, and
+		// the client's next request would be lost.
 		if !c.handleRequest(r) {
 			return
 		}
@@ -74,8 +76,8 @@
 	}
 }
 
-// awaitRequest waits for the first byte of a request. It returns false if the connection
-// ended or was idle for too long.
+// awaitRequest waits for the first byte of a request. It returns false if the client closed the
+// connection or the wait timed out.
 func (c *conn) awaitRequest(first bool) bool {
 	state := stateIdle
 	idleMs, requestMs := idleTimeoutMs, requestTimeoutMs
@@ -87,23 +89,22 @@
 	c.setState(state, false, idleMs)
 	c.text.LimitRead(maxHeaderBytes)
 	c.text.BeginMessage()
-	if _, err := c.text.R.Peek(1); err != nil && !c.receivedAtTimeout(err) {
+	if _, err := c.text.R.Peek(1); err != nil && !c.readableAfterTimeout(err) {
 		return false
 	}
 	c.setState(state, true, requestMs)
 	return true
 }
 
-// receivedAtTimeout reports whether a read timed out although bytes wait to be read.
-//
-// Symptom guarded against: a read whose deadline has passed does not look at the socket, and
-// a request that had arrived in that moment was closed unread.
-func (c *conn) receivedAtTimeout(err error) bool {
+// readableAfterTimeout reports whether a read timed out although the socket holds unread bytes.
+// A read whose deadline has passed fails without looking at the socket. Without this check, a
+// request that arrived just before the timeout would be lost when the connection is closed.
+func (c *conn) readableAfterTimeout(err error) bool {
 	return isTimeout(err) && c.text.Readable()
 }
 
-// handleRequest serves one request. It returns false if the connection cannot be used any
-// more and must be closed at once.
+// handleRequest serves one request. It returns false if the connection must be closed at once,
+// because the response could not be written or the client has disconnected.
 func (c *conn) handleRequest(r *request) bool {
 	if c.server.Handler != nil {
 		return c.callHandler(r)
@@ -114,7 +115,8 @@
 	return c.dispatchRequest(r)
 }
 
-// callHandler serves a request by the Handler of the options.
+// callHandler answers a request with the result of Options.Handler and closes the connection
+// after it.
 func (c *conn) callHandler(r *request) bool {
 	c.setState(stateActive, true, 0)
 	status, body := c.server.Handler(context.Background(), r.method, r.path)
@@ -122,7 +124,8 @@
 	return c.writeMessage(r, status, contentTypeText, body)
 }
 
-// handleHealthCheck reports to the platform whether this router can serve requests.
+// handleHealthCheck answers the platform's health check, which asks whether this router can serve
+// requests.
 func (c *conn) handleHealthCheck(r *request) bool {
 	if r.method != http.MethodGet && r.method != http.MethodHead {
 		return c.writeError(r, methodNotAllowed(http.MethodGet))
@@ -141,25 +144,25 @@
 		return c.writeError(r, err)
 	}
 	c.setState(stateActive, true, 0)
-	open := c.server.Metrics.Counter("requests_open")
-	open.Add(1)
-	defer open.Add(-1)
+	openRequests := c.server.Metrics.Counter("requests_open")
+	openRequests.Add(1)
+	defer openRequests.Add(-1)
 
 	responses := make(chan dispatch.Response, 1)
 	dispatched.Respond = func(response dispatch.Response) { responses <- response }
 	if c.server.RecordClient {
 		setClientInfo(dispatched, r, c.text.NetConn)
 	}
-	r.clientDeadline = dispatched.Deadline + responseMarginMs // read before Submit hands the request over
+	r.clientDeadline = dispatched.Deadline + responseMarginMs // computed here, since the dispatcher owns the request after Submit
 	if !c.server.Dispatcher.Submit(dispatched) {
 		return c.writeError(r, &requestError{status: http.StatusServiceUnavailable, message: "stopping"})
 	}
 	return c.awaitResponse(r, dispatched, responses)
 }
 
-// awaitResponse waits for the response of a submitted request and writes it. Meanwhile the
-// connection is read from, to notice a client that disconnects, also one that sent more
-// before.
+// awaitResponse waits for the response to a submitted request and writes it. While it waits, it
+// reads ahead on the connection to detect that the client disconnects, even if the client has
+// pipelined more bytes before that.
 func (c *conn) awaitResponse(r *request, dispatched *dispatch.Request, responses <-chan dispatch.Response) bool {
 	readAheadEnded := make(chan error, 1)
 	go func() {
@@ -168,7 +171,7 @@
 	select {
 	case response := <-responses:
 		written := c.writeResponse(r, response)
-		c.setReadTimeout(0) // ends the read-ahead: a connection has one reader at a time
+		c.setReadTimeout(0) // stops the read-ahead, so that the connection has one reader at a time
 		err := <-readAheadEnded
 		return written && (isTimeout(err) || errors.Is(err, textconn.ErrMessageTooLong))
 	case err := <-readAheadEnded:
@@ -176,27 +179,28 @@
 			c.server.Dispatcher.Disconnect(dispatched)
 			return false
 		}
-		// The client sends without end. The response is the last on this connection.
+		// The client has sent more than ReadAhead discards before it returns. The response is
+		// the last on this connection.
 		return c.writeResponse(r, <-responses)
 	}
 }
 
-// linger shuts the sending side of the connection and discards what the client still sends,
-// until the client closes its side or the timeout passes.
-//
-// Symptom guarded against: a connection that is closed with unread bytes is reset, and the
-// reset overtakes the response.
+// linger closes the sending side of the connection and discards what the client still sends,
+// until the client closes its side, the timeout passes or maxLingerBytes have been read. The
+// system resets a connection that is closed while it holds unread bytes, and the client may
+// then see the reset before it has read the response.
 func (c *conn) linger(timeoutMs float64) {
-	half, ok := c.text.NetConn.(interface{ CloseWrite() error })
-	if !ok || half.CloseWrite() != nil {
+	halfCloser, ok := c.text.NetConn.(interface{ CloseWrite() error })
+	if !ok || halfCloser.CloseWrite() != nil {
 		return
 	}
 	c.setState(stateRejected, true, max(timeoutMs, 0))
 	_, _ = io.Copy(io.Discard, io.LimitReader(c.text.NetConn, maxLingerBytes))
 }
 
-// setState sets the state of the connection and the time that reads may take in it. Less is
-// left to a connection that is evicted, or that has no request at shutdown.
+// setState sets the state of the connection and the timeout of its reads in that state. The
+// timeout is shortened if the connection is evicted, or if the server shuts down and no byte of a
+// request has arrived. Reads have no timeout in stateActive.
 func (c *conn) setState(state connState, receiving bool, timeoutMs float64) {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -219,14 +223,14 @@
 	c.setReadTimeout(timeoutMs)
 }
 
-// setReadTimeout lets reads of the connection end after a time, counted from now. A deadline
-// that cannot be set means that the connection is closed, which the next read reports.
+// setReadTimeout sets the read deadline of the connection to a time from now. It ignores the error
+// of a closed connection, because the next read reports it.
 func (c *conn) setReadTimeout(timeoutMs float64) {
 	_ = c.text.NetConn.SetReadDeadline(time.Now().Add(clock.Duration(timeoutMs)))
 }
 
-// shutdownReadTimeoutMs is how long a connection waits for a request at shutdown. Server.mu
-// is held.
+// shutdownReadTimeoutMs returns how long a connection still waits for a request once the server
+// shuts down. The caller holds Server.mu.
 func (c *conn) shutdownReadTimeoutMs() float64 {
 	if c.state == stateNew {
 		return shutdownFirstRequestTimeoutMs
@@ -234,7 +238,8 @@
 	return 0
 }
 
-// evictable reports whether the connection may be closed for another one. Server.mu is held.
+// evictable reports whether the connection may be closed to make room for another one. The caller
+// holds Server.mu.
 func (c *conn) evictable() bool {
 	switch {
 	case c.evicted, c.state == stateActive:
@@ -245,7 +250,8 @@
 	return true
 }
 
-// remainingMs is what is left of a time that began when the connection was accepted.
+// remainingMs returns how much is left of a timeout that started when the connection was accepted.
+// The result is negative once the timeout has passed.
 func (c *conn) remainingMs(timeoutMs float64) float64 {
 	return c.acceptedAt + timeoutMs - c.server.Clock.Now()
 }
--- a/internal/frontend/httpfront/fakeconn_test.go
+++ b/internal/frontend/httpfront/fakeconn_test.go
@@ -11,15 +11,15 @@
 	"garnetline/internal/clock"
 )
 
-// slowClient is a connection to a client that sends a text at a pace, on a manual clock, and
-// then sends nothing more or another text without end.
+// slowClient is a connection whose client sends text at a limited speed on a manual clock. After
+// that the client sends nothing, or the text in repeat without end.
 type slowClient struct {
 	memoryConn
 	clock        *clock.Manual
 	text         string
-	repeat       string  // sent again and again after text
+	repeat       string  // sent repeatedly after text; "": nothing
 	byteInterval float64 // ms between two bytes; 0: 10 MB/s
-	readDeadline float64
+	readDeadline float64 // time on clock in ms
 }
 
 func (s *slowClient) SetReadDeadline(t time.Time) error {
@@ -52,7 +52,7 @@
 
 func (s *slowClient) CloseWrite() error { return nil }
 
-// memoryConn is a connection that reads from in and keeps what is written.
+// memoryConn is a connection that reads from in and stores in out what is written.
 type memoryConn struct {
 	net.Conn
 	in  io.Reader
@@ -65,20 +65,20 @@
 func (m *memoryConn) SetReadDeadline(time.Time) error  { return nil }
 func (m *memoryConn) SetWriteDeadline(time.Time) error { return nil }
 
-// gatedConn is a connection whose reads each wait for a value on gate, and which signals
-// that a read deadline was set.
+// gatedConn is a connection on which each read waits for a value on gate, or for gate to be closed.
+// It sends a value on deadlineSet when a read deadline is set.
 type gatedConn struct {
 	*net.TCPConn
 	gate        chan bool
 	deadlineSet chan bool
-	deadline    atomic.Pointer[time.Time] // of reads, as it was set last
+	deadline    atomic.Pointer[time.Time] // the read deadline that was set last
 }
 
 func newGatedConn() *gatedConn {
 	return &gatedConn{gate: make(chan bool), deadlineSet: make(chan bool, 1)}
 }
 
-// accept is for serveHooked.
+// accept makes g wrap an accepted connection. It is an argument for serveHooked.
 func (g *gatedConn) accept(conn net.Conn) (net.Conn, error) {
 	g.TCPConn = conn.(*net.TCPConn)
 	return g, nil
@@ -105,7 +105,7 @@
 	return deadline != nil && !deadline.IsZero() && deadline.Before(time.Now())
 }
 
-// hookedListener passes accepted connections through a function of the test.
+// hookedListener passes each accepted connection to a function of the test and returns its result.
 type hookedListener struct {
 	net.Listener
 	accept func(net.Conn) (net.Conn, error)
@@ -119,13 +119,13 @@
 	return l.accept(c)
 }
 
-// singleByteConn returns one byte from each read.
+// singleByteConn is a connection whose reads return one byte each.
 type singleByteConn struct{ *net.TCPConn }
 
 func (c singleByteConn) Read(p []byte) (int, error) { return c.TCPConn.Read(p[:1]) }
 
-// evictionOnlyConn is a connection whose reads do not time out, but for those that are ended
-// at once.
+// evictionOnlyConn is a connection that ignores read deadlines in the future. Only a deadline that
+// ends reads at once, as eviction sets it, has an effect.
 type evictionOnlyConn struct{ *net.TCPConn }
 
 func (c evictionOnlyConn) SetReadDeadline(t time.Time) error {
@@ -135,14 +135,14 @@
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// repeatingReader reads one text again and again.
+// repeatingReader is an endless reader that repeats a text.
 type repeatingReader struct {
-	text string
-	at   int
+	text   string
+	offset int
 }
 
 func (r *repeatingReader) Read(p []byte) (int, error) {
-	n := copy(p, r.text[r.at:])
-	r.at = (r.at + n) % len(r.text)
+	n := copy(p, r.text[r.offset:])
+	r.offset = (r.offset + n) % len(r.text)
 	return n, nil
 }
--- a/internal/frontend/httpfront/helpers_test.go
+++ b/internal/frontend/httpfront/helpers_test.go
@@ -19,7 +19,7 @@
 	"garnetline/routing"
 )
 
-// fakeDispatcher responds to each request at once, or keeps it open if hold is set.
+// fakeDispatcher responds to each request at once, or leaves it open if hold is set.
 type fakeDispatcher struct {
 	mu           sync.Mutex
 	requests     []*dispatch.Request
@@ -59,13 +59,13 @@
 	return len(f.requests)
 }
 
-// startTime is what the clock of newServer shows.
+// startTime is the time on the clock of newServer, in ms.
 const startTime = 1.7e12
 
 // servedX is a response whose body is "x".
 var servedX = dispatch.Response{Kind: dispatch.Served, Body: []byte("x")}
 
-// newServer returns a server with two classes: part is read, form is written.
+// newServer returns a server with two classes: part for reads, form for writes.
 func newServer(dispatcher *fakeDispatcher) *Server {
 	dispatcher.disconnected = make(chan *dispatch.Request, 8)
 	classes := []routing.Class{
@@ -101,8 +101,8 @@
 	return listener
 }
 
-// startServer has the server accept connections of a listener. It is shut down at the end of
-// the test, after the connections that connect returned later have been closed.
+// startServer makes the server accept connections on a listener, and shuts it down at the end of the
+// test. Connections that connect returns after this call are closed before the shutdown.
 func startServer(tb testing.TB, server *Server, listener net.Listener) {
 	tb.Helper()
 	served := make(chan error, 1)
@@ -115,8 +115,8 @@
 	})
 }
 
-// connect returns a connection to addr. It is closed at the end of the test, unless the test
-// has closed it.
+// connect returns a connection to addr. It is closed at the end of the test if the test has not
+// closed it.
 func connect(tb testing.TB, addr string) net.Conn {
 	tb.Helper()
 	conn, err := new(net.Dialer).DialContext(tb.Context(), "tcp", addr)
@@ -131,7 +131,7 @@
 	return conn
 }
 
-// closeConn closes a connection.
+// closeConn closes a connection and fails the test on an error.
 func closeConn(t *testing.T, conn net.Conn) {
 	t.Helper()
 	if err := conn.Close(); err != nil {
@@ -139,7 +139,7 @@
 	}
 }
 
-// send writes a text that must be written whole.
+// send writes a text and fails the test on an error.
 func send(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
@@ -147,8 +147,8 @@
 	}
 }
 
-// sendInBackground writes a text while the test reads the response. The server may close the
-// connection before it has read all of it, so that errors do not matter.
+// sendInBackground writes a text on a goroutine, so that the test can read the response meanwhile.
+// It ignores errors, because the server may close the connection before it has read the whole text.
 func sendInBackground(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
 	written := make(chan struct{})
@@ -157,12 +157,12 @@
 		_, _ = io.WriteString(conn, text)
 	}()
 	t.Cleanup(func() {
-		_ = conn.SetWriteDeadline(time.Now()) // fails if the connection is closed, and ends the write
+		_ = conn.SetWriteDeadline(time.Now()) // ends the write; it fails if the connection is closed already
 		<-written
 	})
 }
 
-// setReadDeadline ends reads of a connection after readTimeout.
+// setReadDeadline sets the read deadline of a connection to readTimeout from now.
 func setReadDeadline(t *testing.T, conn net.Conn) {
 	t.Helper()
 	if err := conn.SetReadDeadline(time.Now().Add(readTimeout)); err != nil {
@@ -177,16 +177,16 @@
 	return len(s.conns)
 }
 
-// objectTarget is the target of a read.
+// objectTarget is the request target of a read.
 const objectTarget = "/v1/part/7f3a9c21e0b4d655?block=3"
 
-// getRequest returns a request with the mandatory headers and those given.
+// getRequest returns a GET request with the mandatory headers and the given ones.
 func getRequest(target string, headers ...string) string {
 	return "GET " + target + " HTTP/1.1\r\nHost: x\r\nX-Txn: 9b1f03aa5c7e2d41\r\nX-Ttl-Ms: 1500\r\n" +
 		strings.Join(append(headers, ""), "\r\n") + "\r\n"
 }
 
-// putRequest returns the head of a write whose body has a length.
+// putRequest returns the head of a PUT request whose body has the given length.
 func putRequest(length int, headers ...string) string {
 	headers = append(headers, "X-Txn-Key: k1", "Content-Length: "+strconv.Itoa(length))
 	return strings.Replace(getRequest("/v1/form/7f3a9c21e0b4d655", headers...), "GET", "PUT", 1)
@@ -195,12 +195,12 @@
 // readTimeout bounds how long a test waits for a response or a condition.
 const readTimeout = 20 * time.Second
 
-// waitFor waits until a condition holds, for readTimeout at most.
-func waitFor(t *testing.T, what string, ok func() bool) {
+// waitFor waits until a condition holds, and fails the test after readTimeout.
+func waitFor(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(readTimeout); !ok(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("timed out waiting until " + what)
+	for deadline := time.Now().Add(readTimeout); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("timed out waiting until " + description)
 		}
 	}
 }
@@ -210,10 +210,10 @@
 	status int
 	header http.Header
 	body   string
-	closes bool // the connection is closed after it
+	closes bool // the server closes the connection after it
 }
 
-// parseResponse reads a response to a request with a method.
+// parseResponse reads the response to a request with the given method.
 func parseResponse(reader *bufio.Reader, method string) (clientResponse, error) {
 	response, err := http.ReadResponse(reader, &http.Request{Method: method})
 	if err != nil {
@@ -231,7 +231,8 @@
 	}, err
 }
 
-// parseFinalResponse reads a response, and the next one if it is 100 Continue.
+// parseFinalResponse reads a response. If it is 100 Continue, it reads the next one too and returns
+// that one.
 func parseFinalResponse(reader *bufio.Reader, method string) (clientResponse, error) {
 	response, err := parseResponse(reader, method)
 	if err == nil && response.status == http.StatusContinue {
@@ -240,7 +241,7 @@
 	return response, err
 }
 
-// mustReadResponse reads a response to a GET request, which must be complete.
+// mustReadResponse reads the response to a GET request and fails the test unless it is complete.
 func mustReadResponse(t *testing.T, reader *bufio.Reader) clientResponse {
 	t.Helper()
 	response, err := parseResponse(reader, http.MethodGet)
@@ -250,18 +251,19 @@
 	return response
 }
 
-// readResponse reads a response, which must be complete and have this body.
+// readResponse reads the response to a GET request and fails the test unless it is complete and has
+// the given body.
 func readResponse(t *testing.T, reader *bufio.Reader, body string) clientResponse {
 	t.Helper()
 	response := mustReadResponse(t, reader)
 	if response.body != body {
-		t.Fatalf("body %.100q of %d bytes, want %.100q of %d", response.body, len(response.body), body, len(body))
+		t.Fatalf("got body %.100q of %d bytes, want %.100q of %d bytes", response.body, len(response.body), body, len(body))
 	}
 	return response
 }
 
-// serveHooked starts the server on a loopback address, passes accepted connections through
-// accept, and returns the address.
+// serveHooked starts the server on a loopback address and returns the address. The server gets the
+// connections that accept returns for the accepted ones.
 func serveHooked(t *testing.T, server *Server, accept func(net.Conn) (net.Conn, error)) string {
 	t.Helper()
 	listener := listen(t)
@@ -269,8 +271,8 @@
 	return listener.Addr().String()
 }
 
-// dialAt returns a connection to addr whose reads end after readTimeout. It is closed at the
-// end of the test.
+// dialAt returns a connection to addr with a read deadline of readTimeout from now. It is closed at
+// the end of the test.
 func dialAt(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	conn := connect(t, addr)
@@ -278,7 +280,7 @@
 	return conn
 }
 
-// evictAll marks all connections as evicted.
+// evictAll marks all connections as evicted, without changing their read deadlines.
 func evictAll(_ *testing.T, s *Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -287,7 +289,7 @@
 	}
 }
 
-// waitReadAheadOverflow waits until more was read ahead than is kept.
+// waitReadAheadOverflow waits until the server has read ahead more than it keeps.
 func waitReadAheadOverflow(t *testing.T, server *Server) {
 	t.Helper()
 	waitFor(t, "bytes are discarded", func() bool {
@@ -300,7 +302,8 @@
 	})
 }
 
-// unreadBytes returns how many bytes wait to be read from a socket; -1 stands for none.
+// unreadBytes returns how many bytes can be read from a socket, up to 4096. It returns -1 if there
+// are none.
 func unreadBytes(t *testing.T, socket syscall.Conn) int {
 	t.Helper()
 	unread := 0
@@ -310,7 +313,7 @@
 	return unread
 }
 
-// control calls a function with the descriptor of a socket.
+// control calls a function with the file descriptor of a socket.
 func control(t *testing.T, socket syscall.Conn, call func(fd int)) {
 	t.Helper()
 	raw, err := socket.SyscallConn()
@@ -327,7 +330,7 @@
 
 func (stoppedDispatcher) Submit(*dispatch.Request) bool { return false }
 
-// immediateDispatcher responds in Submit and keeps nothing.
+// immediateDispatcher responds in Submit and does not store the request.
 type immediateDispatcher struct{ response dispatch.Response }
 
 func (d *immediateDispatcher) Submit(r *dispatch.Request) bool {
--- a/internal/frontend/httpfront/lifecycle_test.go
+++ b/internal/frontend/httpfront/lifecycle_test.go
@@ -13,8 +13,8 @@
 	"garnetline/internal/dispatch"
 )
 
-// Guards against a handover that cuts connections: the next request on each is served, as the
-// last one, and new connections are left to the other holders of the socket.
+// After StopAccepting the next request on each connection is still served, as the last one. New
+// connections are left to the other processes that hold the listening socket.
 func TestStopAccepting(t *testing.T) {
 	server := newServer(&fakeDispatcher{response: servedX})
 	conn := dial(t, server)
@@ -27,12 +27,12 @@
 		send(t, conn, getRequest(objectTarget))
 		response := mustReadResponse(t, reader)
 		if response.status != http.StatusOK || response.closes != last {
-			t.Errorf("status %d, closes %v; want status %d, closes %v", response.status, response.closes, http.StatusOK, last)
+			t.Errorf("got status %d, closes %v; want status %d, closes %v", response.status, response.closes, http.StatusOK, last)
 		}
 	}
 }
 
-// After FailHealthChecks the health check fails and requests are still served. Shutdown waits
+// After FailHealthChecks the health check fails, but other requests are still served. Shutdown waits
 // for open requests and closes their connections.
 func TestHealthCheckAndShutdown(t *testing.T) {
 	dispatcher := &fakeDispatcher{response: servedX}
@@ -63,13 +63,13 @@
 	dispatcher.request(1).Respond(servedX)
 	response, err := parseResponse(reader, http.MethodGet)
 	if err != nil || response.status != http.StatusOK || !response.closes {
-		t.Errorf("open at the shutdown: response %+v, %v; want status %d, closed", response, err, http.StatusOK)
+		t.Errorf("request open at shutdown: response %+v, error %v; want status %d, closed", response, err, http.StatusOK)
 	}
 	<-done
 }
 
-// startShutdown begins the server's shutdown and returns a channel that is closed when the
-// server is shut down.
+// startShutdown begins the server's shutdown and returns a channel that is closed when Shutdown
+// returns.
 func startShutdown(server *Server) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
@@ -79,8 +79,8 @@
 	return done
 }
 
-// Guards against a listener that is closed while connections wait to be accepted and there is
-// no capacity for one more: each has brought a request.
+// Connections in the backlog are served at shutdown, even if MaxConnections was reached before. If
+// the listener were closed at once, the requests that they have sent would be lost.
 func TestBacklogServedAtShutdown(t *testing.T) {
 	dispatcher := &fakeDispatcher{hold: true}
 	server := newServer(dispatcher)
@@ -88,7 +88,7 @@
 	conns := []net.Conn{dial(t, server)}
 	send(t, conns[0], getRequest(objectTarget))
 	waitFor(t, "the request is submitted", func() bool { return dispatcher.count() == 1 })
-	for range 5 { // one is accepted and waits for capacity, the others are not
+	for range 5 { // one is accepted and waits in admit, the others are in the backlog
 		conn := connect(t, conns[0].RemoteAddr().String())
 		send(t, conn, getRequest(objectTarget))
 		conns = append(conns, conn)
@@ -99,20 +99,20 @@
 	dispatcher.request(0).Respond(servedX)
 	for _, conn := range conns {
 		if response := readResponse(t, bufio.NewReader(conn), "x"); !response.closes {
-			t.Error("a connection is kept alive at shutdown")
+			t.Error("connection is kept alive at shutdown, want it closed")
 		}
 		closeConn(t, conn)
 	}
 	<-done
 }
 
-// Guards against a request that is read after the last response on its connection: it would be
-// forwarded, and its response could not be written.
+// No request is read after the last response on a connection: it would be forwarded although its
+// response could not be written.
 func TestNoRequestReadAfterFinalResponse(t *testing.T) {
 	for name, test := range map[string]struct {
 		text      string
-		end       func(*testing.T, *Server) // ends the connection; nil: the text does
-		submitted int                       // requests
+		end       func(*testing.T, *Server) // makes the next response the last one; nil if text does
+		submitted int                       // number of requests
 	}{
 		"the client asks for the close": {getRequest(objectTarget, "Connection: close"), nil, 1},
 		"the request is malformed":      {"hello\r\n\r\n", nil, 0},
@@ -126,7 +126,7 @@
 			server := newServer(dispatcher)
 			conn := dial(t, server)
 			setReadDeadline(t, conn)
-			send(t, conn, test.text+getRequest(objectTarget)) // the second request is there already
+			send(t, conn, test.text+getRequest(objectTarget)) // the second request is sent before the first response
 			waitFor(t, "the first is submitted", func() bool { return dispatcher.count() == test.submitted })
 			if test.end != nil {
 				test.end(t, server)
@@ -136,29 +136,29 @@
 			}
 			reader := bufio.NewReader(conn)
 			if response := mustReadResponse(t, reader); !response.closes {
-				t.Fatalf("response %+v keeps the connection alive", response)
+				t.Fatalf("response %+v keeps the connection alive, want it closed", response)
 			}
-			_, _ = io.WriteString(conn, getRequest(objectTarget)) // nobody reads it, or the connection is closed
+			_, _ = io.WriteString(conn, getRequest(objectTarget)) // the server discards it or has closed the connection
 			if b, err := reader.ReadByte(); err == nil {
-				t.Errorf("%q after the last response", b)
+				t.Errorf("got byte %q after the last response, want none", b)
 			}
 			closeConn(t, conn)
 			waitFor(t, "the connection is closed", func() bool { return server.connCount() == 0 })
 			if count := dispatcher.count(); count != test.submitted {
-				t.Errorf("%d requests were submitted, want %d", count, test.submitted)
+				t.Errorf("got %d submitted requests, want %d", count, test.submitted)
 			}
 		})
 	}
 }
 
-// Guards against a request that arrived whole in the moment in which its idle connection is
-// closed, at an eviction, at shutdown or at its timeout: a read whose deadline has passed does
-// not look at the socket.
-func TestRequestCrossesIdleClose(t *testing.T) {
+// A request is served if it has arrived completely when its idle connection is about to be closed
+// by an eviction, a shutdown or the idle timeout. A read whose deadline has passed fails without
+// looking at the socket, so the server must check the socket for unread bytes itself.
+func TestRequestArrivesAtIdleClose(t *testing.T) {
 	for name, end := range map[string]func(t *testing.T, server *Server, idle *conn){
-		"evicted":  evictIdle,
-		"finished": func(_ *testing.T, server *Server, _ *conn) { startShutdown(server) },
-		"idle":     timeOutIdle,
+		"evicted":       evictIdle,
+		"shutting down": func(_ *testing.T, server *Server, _ *conn) { startShutdown(server) },
+		"idle":          timeOutIdle,
 	} {
 		t.Run(name, func(t *testing.T) {
 			dispatcher := &fakeDispatcher{response: servedX}
@@ -175,7 +175,7 @@
 			case <-gated.deadlineSet:
 			default:
 			}
-			send(t, client, getRequest(objectTarget)) // it is in the socket, and the read is at the gate
+			send(t, client, getRequest(objectTarget)) // the request is in the socket, and the server's read waits at the gate
 			end(t, server, idle)
 			<-gated.deadlineSet
 			waitFor(t, "the deadline is in the past", gated.deadlinePassed)
@@ -201,25 +201,25 @@
 	return idle
 }
 
-// evictIdle evicts a connection, which must be the one that the server would evict.
+// evictIdle evicts a connection and checks that the server would choose the same one.
 func evictIdle(t *testing.T, server *Server, idle *conn) {
 	t.Helper()
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	if server.evictionCandidate() != idle {
-		t.Error("the idle connection is not the candidate for eviction")
+		t.Error("evictionCandidate did not return the idle connection")
 	}
 	idle.evicted = true
 	endRead(t, idle.text.NetConn)
 }
 
-// timeOutIdle ends the wait of an idle connection for its next request.
+// timeOutIdle makes the wait of an idle connection for its next request time out.
 func timeOutIdle(t *testing.T, _ *Server, idle *conn) {
 	t.Helper()
 	endRead(t, idle.text.NetConn)
 }
 
-// endRead ends a read of a connection at once.
+// endRead sets the read deadline of a connection to now, which ends its pending read.
 func endRead(t *testing.T, conn net.Conn) {
 	t.Helper()
 	if err := conn.SetReadDeadline(time.Now()); err != nil {
@@ -227,31 +227,31 @@
 	}
 }
 
-// beginShutdown begins the server's shutdown and waits until it is seen to have begun.
+// beginShutdown starts the server's shutdown and waits until shuttingDown is set.
 func beginShutdown(t *testing.T, server *Server) {
 	t.Helper()
 	startShutdown(server)
 	waitFor(t, "the shutdown begins", server.shuttingDown.Load)
 }
 
-// Guards against a new connection that is closed without a response while its first request
-// is in the socket: at an eviction, at shutdown and at its timeout.
-func TestFirstRequestCrossesClose(t *testing.T) {
+// A new connection is not closed without a response if its first request is already in the socket
+// when an eviction, a shutdown or the timeout ends its wait.
+func TestFirstRequestArrivesAtClose(t *testing.T) {
 	for name, end := range map[string]func(*testing.T, *Server){
-		"evicted":  evictAll,
-		"finished": beginShutdown,
-		"too late": func(*testing.T, *Server) {},
+		"evicted":       evictAll,
+		"shutting down": beginShutdown,
+		"timed out":     func(*testing.T, *Server) {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := newServer(&fakeDispatcher{response: servedX})
 			gated := newGatedConn()
 			client := dialAt(t, serveHooked(t, server, gated.accept))
-			<-gated.deadlineSet // the server waits for the first request: its read is at the gate
+			<-gated.deadlineSet // the server waits for the first request, and its read waits at the gate
 			send(t, client, getRequest(objectTarget))
 			waitFor(t, "the request is in the socket", func() bool { return unreadBytes(t, gated.TCPConn) == len(getRequest(objectTarget)) })
 			end(t, server)
 			server.mu.Lock()
-			err := gated.SetReadDeadline(time.Now().Add(-time.Second)) // whatever time it had
+			err := gated.SetReadDeadline(time.Now().Add(-time.Second)) // replaces any deadline that the server has set
 			server.mu.Unlock()
 			if err != nil {
 				t.Fatal(err)
@@ -263,26 +263,27 @@
 	}
 }
 
-// Guards against a response that a reset overtakes: the client has sent more than was read
-// when its connection is closed after the last response.
+// The client receives the complete last response even if the server has not read all that the
+// client sent. Without lingering, closing the connection would reset it and cut the response off.
 func TestUnreadBytesAtClose(t *testing.T) {
 	body := strings.Repeat("b", 240_000)
 	dispatcher := &fakeDispatcher{hold: true}
 	server := newServer(dispatcher)
 	conn := dial(t, server).(*net.TCPConn)
-	if err := conn.SetReadBuffer(16 << 10); err != nil { // most of the response waits at the server
+	if err := conn.SetReadBuffer(16 << 10); err != nil { // most of the response has to wait at the server
 		t.Fatal(err)
 	}
 	send(t, conn, getRequest(objectTarget, "Connection: close"))
 	waitFor(t, "the request is submitted", func() bool { return dispatcher.count() == 1 })
-	send(t, conn, strings.Repeat("x", 32<<10)) // more than a reader's buffer takes
+	send(t, conn, strings.Repeat("x", 32<<10)) // more than the server's read buffer holds
 	dispatcher.request(0).Respond(dispatch.Response{Kind: dispatch.Served, Body: []byte(body)})
 	waitFor(t, "the response is written", func() bool { return server.Metrics.Counter("http_200").Load() == 1 })
-	_, _ = io.WriteString(conn, strings.Repeat("y", 4<<10)) // nobody reads requests any more
+	_, _ = io.WriteString(conn, strings.Repeat("y", 4<<10)) // the server reads no more requests
 	readResponse(t, bufio.NewReader(conn), body)
 }
 
-// Guards against small writes that the system holds back: a reset would discard them.
+// Accepted connections have TCP_NODELAY set. Otherwise the system could delay a small write, and a
+// reset would discard it.
 func TestNoDelay(t *testing.T) {
 	server := newServer(&fakeDispatcher{hold: true})
 	dial(t, server)
@@ -293,7 +294,7 @@
 		control(t, accepted.text.NetConn.(syscall.Conn), func(fd int) {
 			noDelay, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
 			if err != nil || noDelay == 0 {
-				t.Errorf("TCP_NODELAY is %d, %v; want it set", noDelay, err)
+				t.Errorf("TCP_NODELAY is %d, error %v; want it set", noDelay, err)
 			}
 		})
 	}
--- a/internal/frontend/httpfront/limits.go
+++ b/internal/frontend/httpfront/limits.go
@@ -2,81 +2,84 @@
 
 import "time"
 
-// Bounds on what one request may bring.
+// Limits on the size of a request.
 const (
 	maxHeaderBytes = 16 << 10
 	maxBodyBytes   = 48_000
 
-	// maxChunkedBytes bounds a chunked body as it is on the wire: chunks may be small, and
-	// each has a line of its own.
+	// maxChunkedBytes limits the encoded size of a chunked body. It is much larger than
+	// maxBodyBytes because chunks may be small and each one has a size line.
 	maxChunkedBytes = 8*maxBodyBytes + maxHeaderBytes
 
-	// maxReadAheadBytes bounds what is kept of a client that sends on while its request is
-	// open. More is read and discarded.
+	// maxReadAheadBytes limits how many bytes are kept that a client sends while its request
+	// is open. Further bytes are read and discarded.
 	maxReadAheadBytes = maxHeaderBytes + maxBodyBytes
 
-	// maxLingerBytes bounds what is read and discarded after the last response.
+	// maxLingerBytes limits how many bytes are read and discarded after the last response on
+	// a connection.
 	maxLingerBytes = 128 << 20
 
-	maxObjectSizeKB = 1e9 // a larger X-Working-Set-Kb is rejected
+	maxObjectSizeKB = 1e9 // requests with a larger X-Working-Set-Kb are rejected
 )
 
-// The time that a client waits for its response, in milliseconds.
+// Limits on the time that a client waits for its response, in milliseconds.
 const (
-	maxClientTimeoutMs = 600_000  // a longer X-Ttl-Ms is rejected
-	clientTimeoutCapMs = 60_000.0 // a longer X-Ttl-Ms counts as this
+	maxClientTimeoutMs = 600_000  // requests with a larger X-Ttl-Ms are rejected
+	clientTimeoutCapMs = 60_000.0 // a larger X-Ttl-Ms is reduced to this
 
-	// A response is due this long before the client gives up, or a tenth of the client's
-	// time before if that is less.
+	// The deadline of a request is responseMarginMs before the client gives up, so that the
+	// response can reach the client in time. If the client waits for a short time only, the
+	// margin is that time divided by responseMarginDivisor.
 	responseMarginMs      = 20.0
 	responseMarginDivisor = 10
 )
 
 // Timeouts of a client's connection, in milliseconds.
 const (
-	// idleTimeoutMs is how long a connection may be idle. Clients close theirs after 4 s.
+	// idleTimeoutMs is how long a connection may be idle. Clients close idle connections after
+	// 4 s, so the client normally closes first.
 	idleTimeoutMs = 6_000.0
 
-	// firstRequestTimeoutMs counts from the acceptance of a connection to the first byte of
-	// its first request. What was left of it when that request was first waited for bounds
-	// the rest of the request, from its first byte on.
+	// firstRequestTimeoutMs is the time from accepting a connection to the first byte of its
+	// first request. The rest of that request may take, from its first byte on, as long as
+	// remained of this time when the server began to wait for the request.
 	firstRequestTimeoutMs = 2_500.0
 
-	// requestTimeoutMs counts from the first byte of a later request to its last.
+	// requestTimeoutMs is the time from the first byte of a later request to its last byte.
 	requestTimeoutMs = 2_500.0
 
-	// minWriteTimeoutMs is the least time that a response may take to be written.
+	// minWriteTimeoutMs is the shortest timeout for writing a response.
 	minWriteTimeoutMs = 2_000.0
 
-	// lingerTimeoutMs counts from the acceptance of a connection. Until then a client whose
-	// request was rejected before it was read completely is still read from.
+	// lingerTimeoutMs is how long after accepting a connection the server still discards a
+	// client's bytes, if it rejected the request before it had read it completely.
 	lingerTimeoutMs = 2_800.0
 
-	// largeBodyLingerTimeoutMs is lingerTimeoutMs for a client that announced, or sent, a
-	// longer body than is accepted.
+	// largeBodyLingerTimeoutMs replaces lingerTimeoutMs if the client announced or sent a
+	// body of more than maxBodyBytes.
 	largeBodyLingerTimeoutMs = 5_500.0
 
-	// finalLingerTimeoutMs is how long a client is still read from after the last response
-	// on its connection.
+	// finalLingerTimeoutMs is how long the server still discards a client's bytes after the
+	// last response on the connection.
 	finalLingerTimeoutMs = 500.0
 
-	// newConnGraceMs is how long a new connection may not be evicted before it has sent its
-	// first request.
+	// newConnGraceMs is how long a new connection is safe from eviction while the server
+	// waits for its first request.
 	newConnGraceMs = 250.0
 
-	// evictedReadTimeoutMs is what an evicted connection has for a request whose first byte
-	// has been read.
+	// evictedReadTimeoutMs is the time that an evicted connection has to complete a request
+	// whose first byte has arrived.
 	evictedReadTimeoutMs = 50.0
 
-	// shutdownFirstRequestTimeoutMs is what a new connection has for its first request once
-	// the server shuts down.
+	// shutdownFirstRequestTimeoutMs is the time that a new connection has to begin its first
+	// request once the server shuts down.
 	shutdownFirstRequestTimeoutMs = 100.0
 )
 
 // Intervals of the accept loop.
 const (
-	acceptRetryInterval = 5 * time.Millisecond  // after a failed accept
-	evictionInterval    = 20 * time.Millisecond // between evictions while there is no capacity
-	backlogWait         = 20 * time.Millisecond // for one more connection, at shutdown
-	maxBacklogWait      = 400 * time.Millisecond
+	acceptRetryInterval = 5 * time.Millisecond   // after a failed accept
+	evictionInterval    = 20 * time.Millisecond  // between evictions while too many connections are open
+	backlogWait         = 20 * time.Millisecond  // for another connection in the backlog, at shutdown
+	maxBacklogWait      = 400 * time.Millisecond // for all connections in the backlog, at shutdown
 )
--- a/internal/frontend/httpfront/parse.go
+++ b/internal/frontend/httpfront/parse.go
@@ -11,7 +11,7 @@
 	"garnetline/routing"
 )
 
-// Headers of the platform's client protocol.
+// Request headers of the platform's client protocol.
 const (
 	headerTransactionID  = "X-Txn"
 	headerClientTimeout  = "X-Ttl-Ms"
@@ -22,17 +22,18 @@
 
 const (
 	pathPrefix     = "/v1/"
-	parameterChunk = "block"
-	hexIDLength    = 16
+	chunkParameter = "block" // of the query string
+	hexIDLength    = 16      // hexadecimal digits
 )
 
-// singleValueHeaders are the headers that a request may have once at most.
+// singleValueHeaders are the headers that a request may have at most once.
 var singleValueHeaders = [...]string{
 	headerTransactionID, headerClientTimeout, headerIdempotencyKey, headerGroup, headerObjectSize,
 }
 
-// parseRequest validates a request for an object and returns it as the dispatcher takes it.
-// The order of the checks decides which status a request with several errors gets.
+// parseRequest validates a request for an object and converts it to a dispatcher's request. An
+// error is a *requestError. The order of the checks decides which status the response to a
+// request with several errors has.
 func (s *Server) parseRequest(r *request) (*dispatch.Request, error) {
 	className, objectText, ok := splitPath(r.path)
 	if !ok {
@@ -64,7 +65,7 @@
 	return dispatched, nil
 }
 
-// splitPath returns the class and the object that a path names.
+// splitPath returns the class name and the object id in a path of the form /v1/CLASS/OBJECT.
 func splitPath(path string) (class, object string, ok bool) {
 	rest, ok := strings.CutPrefix(path, pathPrefix)
 	if !ok {
@@ -74,7 +75,7 @@
 	return class, object, ok && !strings.Contains(object, "/")
 }
 
-// findClass returns the index of a class, or -1.
+// findClass returns the index of the class with a name, or -1 if there is none.
 func findClass(classes []routing.Class, name string) int {
 	index := -1
 	for i := range classes {
@@ -85,7 +86,7 @@
 	return index
 }
 
-// methodOf returns the method that requests of a class have.
+// methodOf returns the HTTP method that requests of a class must use.
 func methodOf(class *routing.Class) string {
 	if class.Write {
 		return http.MethodPut
@@ -93,7 +94,7 @@
 	return http.MethodGet
 }
 
-// parseHexID reads an identifier of the protocol: 16 hexadecimal digits in lower case.
+// parseHexID parses an identifier of the protocol, which is 16 lower-case hexadecimal digits.
 func parseHexID(text string) (id uint64, ok bool) {
 	id, err := strconv.ParseUint(text, 16, 64)
 	return id, err == nil && len(text) == hexIDLength && text == strings.ToLower(text)
@@ -107,16 +108,16 @@
 	return routing.ObjectID(object), nil
 }
 
-// parseChunk returns the chunk that a query names, or 0.
+// parseChunk returns the chunk number in a query string, or 0 if the query string has none.
 func parseChunk(query string) (int, error) {
 	values, err := url.ParseQuery(query)
-	if err != nil || len(values[parameterChunk]) > 1 {
+	if err != nil || len(values[chunkParameter]) > 1 {
 		return 0, badRequest("query: malformed")
 	}
-	if !values.Has(parameterChunk) {
+	if !values.Has(chunkParameter) {
 		return 0, nil
 	}
-	text := values.Get(parameterChunk)
+	text := values.Get(chunkParameter)
 	chunk, err := strconv.ParseUint(text, 10, 31)
 	if err != nil || strconv.FormatUint(chunk, 10) != text {
 		return 0, badRequest("block: not a number")
@@ -124,7 +125,8 @@
 	return int(chunk), nil
 }
 
-// parseHeaders reads the protocol's headers into a request.
+// parseHeaders copies the values of the protocol's headers into dispatched. An error is a
+// *requestError.
 func parseHeaders(dispatched *dispatch.Request, r *request, class *routing.Class) (err error) {
 	for _, name := range singleValueHeaders {
 		if len(r.header[name]) > 1 {
@@ -156,7 +158,7 @@
 	return nil
 }
 
-// parseClientTimeout returns for how many milliseconds the client waits.
+// parseClientTimeout returns how many milliseconds the client waits for its response.
 func parseClientTimeout(text string) (float64, error) {
 	timeoutMs, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || timeoutMs == 0 || timeoutMs > maxClientTimeoutMs {
@@ -165,7 +167,7 @@
 	return min(float64(timeoutMs), clientTimeoutCapMs), nil
 }
 
-// parseGroup returns the group of the object, 0 if the request does not name it.
+// parseGroup returns the group of the object, or 0 if the header is missing or empty.
 func parseGroup(text string) (int, error) {
 	if text == "" {
 		return 0, nil
@@ -177,7 +179,7 @@
 	return int(group), nil
 }
 
-// parseObjectSize returns the size of the chunk in KB, 0 if the request does not name it.
+// parseObjectSize returns the size in the header in KB, or 0 if the header is missing.
 func parseObjectSize(values []string) (float64, error) {
 	if len(values) == 0 {
 		return 0, nil
@@ -191,7 +193,8 @@
 	return size, nil
 }
 
-// validIdempotencyKey reports whether a request of the class may have this key, or none.
+// validIdempotencyKey reports whether a request of the class may have this key. An empty key
+// means that the request has none.
 func validIdempotencyKey(key string, class *routing.Class) bool {
 	if key == "" {
 		return class.Idempotency != routing.IdempotentWithKey
@@ -199,8 +202,8 @@
 	return dispatch.ValidFieldValue(key)
 }
 
-// parseIfNoneMatch returns the entity tag of the client's copy without its quotes. A list of
-// tags, a weak one and * are ignored, and the client gets a complete response.
+// parseIfNoneMatch returns the entity tag of the client's copy without its quotes. It returns ""
+// for a list of tags, a weak tag and *, so that the client gets a complete response.
 func parseIfNoneMatch(values []string) string {
 	if len(values) != 1 {
 		return ""
@@ -216,8 +219,8 @@
 	return tag
 }
 
-// setClientInfo records when and from where a request came, for its trace. Several
-// traceparent headers count as none.
+// setClientInfo records the arrival time, client address and trace context of a request for its
+// trace. It ignores the trace context if the request has several traceparent headers.
 func setClientInfo(dispatched *dispatch.Request, r *request, netConn net.Conn) {
 	client := &dispatch.ClientInfo{ReceivedAt: r.receivedAt}
 	dispatched.Client = client
--- a/internal/frontend/httpfront/read.go
+++ b/internal/frontend/httpfront/read.go
@@ -21,17 +21,17 @@
 	continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 )
 
-// request is an HTTP request as it was read.
+// request is an HTTP request that was read from a connection and is not validated yet.
 type request struct {
 	method, path, query string
 	header              textproto.MIMEHeader
 	body                []byte
 	closeAfter          bool    // the connection is closed after the response
-	receivedAt          float64 // when its last byte arrived
-	clientDeadline      float64 // its client waits until then; 0: not known
+	receivedAt          float64 // time in ms when its last byte arrived
+	clientDeadline      float64 // time in ms until which the client waits; 0: unknown
 }
 
-// readRequest reads one request. It returns a *requestError for the client, or
+// readRequest reads one request. An error is a *requestError to answer the client with, or
 // errClientDisconnected.
 func (c *conn) readRequest() (*request, error) {
 	r := &request{}
@@ -40,7 +40,7 @@
 		return nil, err
 	}
 	if r.header, err = c.text.ReadMIMEHeader(); err != nil {
-		return nil, c.readFailure(err)
+		return nil, c.requestReadError(err)
 	}
 	hosts := len(r.header["Host"])
 	if hosts > 1 || protocol == protocolHTTP11 && hosts == 0 {
@@ -50,8 +50,8 @@
 	if err := c.readBody(r); err != nil {
 		return nil, err
 	}
-	// Symptom guarded against: a pipelined request was given all the time that its client
-	// had when it sent the request, not what was left of it when its turn came.
+	// The client's timeout starts when its request arrives. A pipelined request that was read
+	// ahead keeps the earlier time of that read, so that the time it waited for its turn counts.
 	if c.text.ReceivedBytes() || c.lastReadAt == 0 {
 		c.lastReadAt = c.server.Clock.Now()
 	}
@@ -60,15 +60,15 @@
 	return r, nil
 }
 
-// readRequestLine reads method and target into r and returns the protocol. One empty line
-// before the request is skipped.
+// readRequestLine reads the method and the target into r and returns the protocol version. It
+// skips one empty line before the request.
 func (c *conn) readRequestLine(r *request) (protocol string, err error) {
 	line, err := c.text.ReadLine()
 	if err == nil && line == "" {
 		line, err = c.text.ReadLine()
 	}
 	if err != nil {
-		return "", c.readFailure(err)
+		return "", c.requestReadError(err)
 	}
 	fields := strings.Split(line, " ")
 	if len(fields) != 3 || fields[0] == "" {
@@ -88,8 +88,9 @@
 	return protocol, nil
 }
 
-// readFailure returns what a failed read means for the client.
-func (c *conn) readFailure(err error) error {
+// requestReadError converts the error of a read to a *requestError, or to errClientDisconnected if
+// the client cannot be answered.
+func (c *conn) requestReadError(err error) error {
 	var malformed textproto.ProtocolError
 	switch {
 	case c.text.LimitExceeded():
@@ -102,7 +103,7 @@
 	return errClientDisconnected
 }
 
-// readBody reads the body that the header announces.
+// readBody reads the body, if the header announces one.
 func (c *conn) readBody(r *request) error {
 	encodings, lengths := r.header["Transfer-Encoding"], r.header["Content-Length"]
 	switch {
@@ -133,15 +134,15 @@
 	c.text.LimitRead(length)
 	body, err := c.text.ReadBody(length)
 	if err != nil {
-		return c.readFailure(err)
+		return c.requestReadError(err)
 	}
-	// Copied, since an attempt may still be written when the client's next request is read
-	// into the connection's buffer.
+	// The body is copied out of the connection's read buffer: an attempt may still be sending
+	// it when the client's next request overwrites the buffer.
 	r.body = bytes.Clone(body)
 	return nil
 }
 
-// readChunkedBody reads a body in chunks, and its trailers.
+// readChunkedBody reads a body with chunked transfer encoding, and discards its trailers.
 func (c *conn) readChunkedBody(r *request) error {
 	if err := c.writeContinue(r); err != nil {
 		return err
@@ -150,22 +151,22 @@
 	chunks := io.LimitReader(httputil.NewChunkedReader(c.text.R), maxBodyBytes+1)
 	var err error
 	if r.body, err = io.ReadAll(chunks); err != nil {
-		failure := c.readFailure(err)
-		if errors.Is(failure, errClientDisconnected) {
+		requestErr := c.requestReadError(err)
+		if errors.Is(requestErr, errClientDisconnected) {
 			return badRequest("malformed chunks")
 		}
-		return failure
+		return requestErr
 	}
 	if len(r.body) > maxBodyBytes {
 		return errBodyTooLong
 	}
 	if _, err := c.text.ReadMIMEHeader(); err != nil {
-		return c.readFailure(err)
+		return c.requestReadError(err)
 	}
 	return nil
 }
 
-// writeContinue tells a client that expects it to send its body.
+// writeContinue sends 100 Continue to a client that waits for it before it sends its body.
 func (c *conn) writeContinue(r *request) error {
 	if !headerHasToken(r.header, "Expect", "100-continue") {
 		return nil
@@ -177,7 +178,7 @@
 	return nil
 }
 
-// headerHasToken reports whether a header that is a list of tokens holds one of them.
+// headerHasToken reports whether a comma-separated header contains a token, ignoring case.
 func headerHasToken(header textproto.MIMEHeader, name, token string) bool {
 	for _, value := range header[name] {
 		for element := range strings.SplitSeq(value, ",") {
--- a/internal/frontend/httpfront/request_test.go
+++ b/internal/frontend/httpfront/request_test.go
@@ -14,7 +14,7 @@
 	"garnetline/internal/dispatch"
 )
 
-// Requests that cannot be used are rejected by the server and not submitted.
+// The server rejects malformed requests and does not submit them to the dispatcher.
 func TestMalformedRequestsAreRejected(t *testing.T) {
 	for _, test := range []struct {
 		name, text string
@@ -61,17 +61,18 @@
 				t.Errorf("status %d, want %d", response.status, test.status)
 			}
 			if count := dispatcher.count(); count != 0 {
-				t.Errorf("%d requests were submitted, want none", count)
+				t.Errorf("got %d submitted requests, want none", count)
 			}
 		})
 	}
 }
 
-// A request is the same in each form that HTTP/1.1 allows, read at once and byte by byte.
+// A request is submitted alike in each form that HTTP/1.1 allows, whether the server reads it at
+// once or byte by byte.
 func TestRequestForms(t *testing.T) {
 	read, write := getRequest(objectTarget, "X-Family: 17"), putRequest(3)+"abc"
 	chunked := strings.Replace(putRequest(0), "Content-Length: 0", "Transfer-Encoding: chunked", 1)
-	for name, form := range map[string]struct{ text, as string }{
+	for name, form := range map[string]struct{ text, equivalent string }{
 		"read":                   {read, read},
 		"empty line before":      {"\r\n" + read, read},
 		"lines that end with LF": {strings.ReplaceAll(read, "\r", ""), read},
@@ -87,39 +88,40 @@
 		"expects 100":            {putRequest(3, "Expect: 100-Continue") + "abc", write},
 	} {
 		t.Run(name, func(t *testing.T) {
-			checkSameRequest(t, form.text, form.as, func(conn net.Conn) (net.Conn, error) { return conn, nil })
+			checkSameRequest(t, form.text, form.equivalent, func(conn net.Conn) (net.Conn, error) { return conn, nil })
 		})
 		t.Run(name+", byte by byte", func(t *testing.T) {
-			checkSameRequest(t, form.text, form.as, func(conn net.Conn) (net.Conn, error) {
+			checkSameRequest(t, form.text, form.equivalent, func(conn net.Conn) (net.Conn, error) {
 				return singleByteConn{conn.(*net.TCPConn)}, nil
 			})
 		})
 	}
 }
 
-// checkSameRequest sends two texts on a connection that accept returns, and fails the test
-// unless both are served and submitted as the same request.
-func checkSameRequest(t *testing.T, text, as string, accept func(net.Conn) (net.Conn, error)) {
+// checkSameRequest sends two requests on one connection and fails the test unless both are served
+// and submitted alike. The server reads from the connection that accept returns.
+func checkSameRequest(t *testing.T, text, equivalent string, accept func(net.Conn) (net.Conn, error)) {
 	t.Helper()
 	dispatcher := &fakeDispatcher{response: servedX}
 	conn := dialAt(t, serveHooked(t, newServer(dispatcher), accept))
 	reader := bufio.NewReader(conn)
-	for _, request := range []string{text, as} {
+	for _, request := range []string{text, equivalent} {
 		send(t, conn, request)
 		response, err := parseFinalResponse(reader, http.MethodGet)
 		if err != nil || response.status != http.StatusOK || response.closes {
-			t.Fatalf("response %+v, %v; want status %d, kept alive", response, err, http.StatusOK)
+			t.Fatalf("got response %+v, error %v; want status %d, kept alive", response, err, http.StatusOK)
 		}
 	}
 	closeConn(t, conn)
-	one, other := dispatcher.request(0), dispatcher.request(1)
-	one.Respond, other.Respond = nil, nil
-	if !reflect.DeepEqual(one, other) {
-		t.Errorf("%+v, want %+v", one, other)
+	got, want := dispatcher.request(0), dispatcher.request(1)
+	got.Respond, want.Respond = nil, nil
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("got submitted request %+v, want %+v", got, want)
 	}
 }
 
-// A body in chunks or after 100 Continue is the same body.
+// The dispatcher gets the same body whether the client sends it with a length, in chunks or after
+// 100 Continue.
 func TestRequestBodyFormsAreEquivalent(t *testing.T) {
 	want := strings.Repeat("ab\r\n", 12_000)
 	chunks := "PUT /v1/form/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: x\r\nX-Txn: 9b1f03aa5c7e2d41\r\nX-Ttl-Ms: 1500\r\nX-Txn-Key: k1\r\n" +
@@ -135,27 +137,27 @@
 			sendInBackground(t, conn, text)
 			response, err := parseFinalResponse(bufio.NewReader(conn), http.MethodPut)
 			if err != nil || response.status != http.StatusOK {
-				t.Fatalf("response %+v, %v; want status %d", response, err, http.StatusOK)
+				t.Fatalf("got response %+v, error %v; want status %d", response, err, http.StatusOK)
 			}
 			if got := string(dispatcher.request(0).Body); got != want {
-				t.Errorf("body %.100q of %d bytes, want %.100q of %d", got, len(got), want, len(want))
+				t.Errorf("got body %.100q of %d bytes, want %.100q of %d bytes", got, len(got), want, len(want))
 			}
 		})
 	}
 }
 
-// A client that sends slowly, but completes its request in time, is served. Its time counts
-// from the last byte.
+// A client that sends slowly but completes its request in time is served. The deadline of its
+// request counts from the last byte.
 func TestSlowWriter(t *testing.T) {
 	manual := clock.NewManual(startTime)
-	dispatcher := &fakeDispatcher{hold: true} // no response is written while the client is read from
+	dispatcher := &fakeDispatcher{hold: true} // no response is written while the server reads from the client
 	server := newServer(dispatcher)
 	server.Clock = manual
 	text := putRequest(3) + "abc"
 	const byteInterval = 15 // ms
 	server.newConn(&slowClient{clock: manual, text: text, byteInterval: byteInterval}).serve()
 	if count := dispatcher.count(); count != 1 {
-		t.Fatalf("%d requests were submitted, want 1", count)
+		t.Fatalf("got %d submitted requests, want 1", count)
 	}
 	lastByteAt := startTime + byteInterval*float64(len(text))
 	if got, want := dispatcher.request(0).Deadline, lastByteAt+1500-responseMarginMs; got != want {
@@ -163,8 +165,8 @@
 	}
 }
 
-// FuzzConn: whatever a client sends, it gets complete responses only, and one for each request
-// that was submitted and whose client was not reported as disconnected.
+// FuzzConn checks that a client gets only complete responses, whatever it sends. Each submitted
+// request must be either served or reported as disconnected.
 func FuzzConn(f *testing.F) {
 	for _, text := range []string{
 		getRequest(objectTarget),
@@ -198,7 +200,7 @@
 			}
 		}
 		if served+len(dispatcher.disconnected) != dispatcher.count() {
-			t.Fatalf("%d requests submitted, %d served, %d disconnected", dispatcher.count(), served, len(dispatcher.disconnected))
+			t.Fatalf("%d requests submitted, %d served, %d disconnected; want each served or disconnected", dispatcher.count(), served, len(dispatcher.disconnected))
 		}
 	})
 }
--- a/internal/frontend/httpfront/response.go
+++ b/internal/frontend/httpfront/response.go
@@ -23,24 +23,24 @@
 	failedBody   = "failed\n"
 )
 
-// errClientDisconnected reports that a connection ended within a request: there is nobody to
-// respond to.
+// errClientDisconnected reports that the connection ended within a request, so that no response
+// can be sent.
 var errClientDisconnected = errors.New("client disconnected")
 
-// errBodyTooLong rejects a body of more than maxBodyBytes.
+// errBodyTooLong rejects a request whose body has more than maxBodyBytes.
 var errBodyTooLong = &requestError{
 	status:    http.StatusRequestEntityTooLarge,
 	message:   "body too long",
 	largeBody: true,
 }
 
-// requestError rejects a request that was malformed or came at a bad time, with a response
-// that is not the dispatcher's.
+// requestError rejects a request without a response from the dispatcher: the request is malformed
+// or too slow, or the server cannot serve it now.
 type requestError struct {
 	status    int
 	message   string // the body of the response
-	allow     string // the method that is allowed, if another one was used
-	largeBody bool   // the client may still have much to send
+	allow     string // the allowed method if the request used another one, otherwise ""
+	largeBody bool   // the client may still send a large body
 }
 
 // Error returns the status and the message.
@@ -54,8 +54,8 @@
 	return &requestError{status: http.StatusMethodNotAllowed, message: allowed + " only", allow: allowed}
 }
 
-// reasonPhrases are the reason phrases of all statuses in use. net/http words some of them
-// differently.
+// reasonPhrases maps each status in use to its reason phrase. Some differ from the phrases of
+// net/http.
 var reasonPhrases = map[int]string{
 	http.StatusOK:                          "OK",
 	http.StatusNotModified:                 "Not Modified",
@@ -93,7 +93,7 @@
 	}
 }
 
-// withEntityTag adds the line of an entity tag to a header, if there is one.
+// withEntityTag appends an ETag line to header lines. It returns them unchanged if tag is empty.
 func withEntityTag(header, tag string) string {
 	if tag == "" {
 		return header
@@ -101,8 +101,8 @@
 	return header + "ETag: \"" + tag + "\"\r\n"
 }
 
-// writeError writes the response of a *requestError. It returns false if the response could
-// not be written, or if there is nobody to respond to.
+// writeError writes the response for a *requestError. It returns false if the response could not
+// be written, or if err is no *requestError because the client has disconnected.
 func (c *conn) writeError(r *request, err error) bool {
 	var rejection *requestError
 	if !errors.As(err, &rejection) {
@@ -115,10 +115,10 @@
 	return c.writeMessage(r, rejection.status, header, []byte(rejection.message+"\n"))
 }
 
-// rejectUnread writes the response to a request that could not be read completely, and lingers so
-// that the client can read it. The time for that counts from the connection's start, however
-// the client spreads its bytes.
-func (c *conn) rejectUnread(err error) {
+// handleReadError writes the response to a request that could not be read completely, and lingers
+// so that the client can read the response. The linger timeout counts from the acceptance of the
+// connection, so that a client cannot extend it by sending slowly.
+func (c *conn) handleReadError(err error) {
 	var rejection *requestError
 	if !errors.As(err, &rejection) {
 		return
@@ -134,19 +134,20 @@
 	c.linger(c.remainingMs(timeoutMs))
 }
 
-// writeTimeoutMs returns how long a response may take to be written. A client reads as slowly
-// as its link is while it waits, up to the longest deadline of a class.
+// writeTimeoutMs returns the timeout for writing a response. A client on a slow link may read
+// until it would stop waiting, but no longer than the longest deadline of a class. The timeout is
+// never below minWriteTimeoutMs.
 func (c *conn) writeTimeoutMs(r *request) float64 {
 	if r.clientDeadline == 0 {
 		return minWriteTimeoutMs
 	}
-	waitsMs := r.clientDeadline - c.server.Clock.Now()
-	longestMs := clock.Millis(routing.MaxDeadline(c.server.Classes()))
-	return max(minWriteTimeoutMs, min(waitsMs, longestMs))
+	remainingMs := r.clientDeadline - c.server.Clock.Now()
+	maxTimeoutMs := clock.Millis(routing.MaxDeadline(c.server.Classes()))
+	return max(minWriteTimeoutMs, min(remainingMs, maxTimeoutMs))
 }
 
-// writeMessage writes a response with the given header lines. It returns false if that
-// failed.
+// writeMessage writes a response. header holds complete lines, to which writeMessage adds
+// Content-Length and Connection where they apply. It returns false if the write failed.
 func (c *conn) writeMessage(r *request, status int, header string, body []byte) bool {
 	message := fmt.Appendf(c.text.WriteBuffer(), "HTTP/1.1 %d %s\r\n%s", status, reasonPhrases[status], header)
 	if status != http.StatusNotModified {
--- a/internal/frontend/httpfront/response_test.go
+++ b/internal/frontend/httpfront/response_test.go
@@ -17,7 +17,7 @@
 	"garnetline/routing"
 )
 
-// The dispatcher's responses as the client reads them, one after another on one connection.
+// TestResponses checks how the client reads the dispatcher's responses, all on one connection.
 func TestResponses(t *testing.T) {
 	dispatcher := &fakeDispatcher{}
 	conn := dial(t, newServer(dispatcher))
@@ -51,7 +51,7 @@
 				t.Errorf("body %q, want %q", got.body, test.wantBody)
 			}
 			if got.closes {
-				t.Error("the connection is not kept alive")
+				t.Error("connection is closed after the response, want it kept alive")
 			}
 		})
 	}
@@ -78,7 +78,8 @@
 	}
 }
 
-// A response may be read as slowly as its client's link is, while the client waits.
+// A client on a slow link may read a response for as long as it waits, within the limits of
+// writeTimeoutMs.
 func TestWriteTimeout(t *testing.T) {
 	server := newServer(&fakeDispatcher{})
 	classes := []routing.Class{{Deadline: 6 * time.Second}, {Deadline: time.Second}}
@@ -97,14 +98,14 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := client.writeTimeoutMs(&request{clientDeadline: test.deadline}); got != test.want {
-				t.Errorf("%v ms to write, want %v", got, test.want)
+				t.Errorf("got write timeout %v ms, want %v ms", got, test.want)
 			}
 		})
 	}
 }
 
-// exchange sends a text on a new connection and returns the bytes of all responses up to the
-// first final one.
+// exchange sends a request on a new connection and returns the bytes of the responses, up to and
+// including the final one.
 func exchange(t *testing.T, server *Server, text string) []byte {
 	t.Helper()
 	conn := dial(t, server)
@@ -119,19 +120,19 @@
 	return raw.Bytes()
 }
 
-// responseCase is a request and what it is responded to with.
+// responseCase is a request and the dispatcher's response to it.
 type responseCase struct {
 	name, text string
 	response   dispatch.Response
-	change     func(*Server) // nil: none
+	setUp      func(*Server) // prepares the server; may be nil
 }
 
-// responsesToRequests are requests that are served, or would be in another state of the
-// server.
-func responsesToRequests() []responseCase {
+// wellFormedRequests returns requests that the server serves, or that it rejects only because of its
+// own state.
+func wellFormedRequests() []responseCase {
 	served := dispatch.Response{Kind: dispatch.Served, Body: []byte("a\x00\r\nb"), ETag: "4be0c1927d55a6f3"}
 	health := "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
-	handOver := func(server *Server) { // once the request is read
+	stopAccepting := func(server *Server) { // takes effect after the request was read
 		classes := server.Classes
 		server.Classes = func() []routing.Class { server.StopAccepting(); return classes() }
 	}
@@ -147,7 +148,7 @@
 		{"served, no tag, no body", getRequest(objectTarget), dispatch.Response{Kind: dispatch.Served}, nil},
 		{"served, last of its connection", getRequest(objectTarget, "Connection: close"), served, nil},
 		{"served, HTTP/1.0", strings.Replace(getRequest(objectTarget), "HTTP/1.1", "HTTP/1.0", 1), served, nil},
-		{"served, handed over", getRequest(objectTarget), served, handOver},
+		{"served, handed over", getRequest(objectTarget), served, stopAccepting},
 		{"written after 100", putRequest(3, "Expect: 100-continue") + "abc", dispatch.Response{Kind: dispatch.Served, Body: []byte("ok")}, nil},
 		{"the client's copy holds", getRequest(objectTarget), dispatch.Response{Kind: dispatch.NotModified, ETag: "4be0c1927d55a6f3"}, nil},
 		{"the client's copy holds, no tag", getRequest(objectTarget, "Connection: close"), dispatch.Response{Kind: dispatch.NotModified}, nil},
@@ -165,9 +166,9 @@
 	}
 }
 
-// malformedRequests are requests that the server rejects, each for another reason.
+// malformedRequests returns requests that the server rejects, each for a different reason.
 func malformedRequests() []responseCase {
-	without := func(text, what string) string { return strings.Replace(text, what, "", 1) }
+	without := func(text, removed string) string { return strings.Replace(text, removed, "", 1) }
 	requests := []struct{ name, text string }{
 		{"request line", "hello\r\n\r\n"},
 		{"target", getRequest("v1/part")},
@@ -201,14 +202,14 @@
 	return cases
 }
 
-// Every form of a response, to the byte.
+// TestGoldenResponses compares the bytes of each kind of response with a golden file.
 func TestGoldenResponses(t *testing.T) {
 	var out strings.Builder
-	for _, test := range append(responsesToRequests(), malformedRequests()...) {
+	for _, test := range append(wellFormedRequests(), malformedRequests()...) {
 		t.Run(test.name, func(t *testing.T) {
 			server := newServer(&fakeDispatcher{response: test.response})
-			if test.change != nil {
-				test.change(server)
+			if test.setUp != nil {
+				test.setUp(server)
 			}
 			out.WriteString(test.name + "\t" + strconv.Quote(string(exchange(t, server, test.text))) + "\n")
 		})
--- a/internal/frontend/httpfront/server.go
+++ b/internal/frontend/httpfront/server.go
@@ -1,10 +1,11 @@
-// Package httpfront serves the platform's client protocol: HTTP/1.1, one request at a time on
-// a connection. It reads and validates requests, hands them to the dispatcher and writes the
-// responses. It makes no routing decision. The admin API uses the same server with a Handler.
+// Package httpfront serves the platform's client protocol, which is HTTP/1.1 with one request at a
+// time on a connection. It reads and validates requests, submits them to the dispatcher and writes
+// the responses. Routing decisions are left to the dispatcher. The admin API uses the same server
+// with Options.Handler set.
 //
-// A Server owns the listener and all client connections. Each connection has a goroutine that
-// owns it; a second one reads ahead while a request is open, so that a client that
-// disconnects is noticed at once. Exported methods may be called from any goroutine.
+// A Server owns the listener and all client connections. Each connection is owned by a goroutine.
+// While a request is open, a second goroutine reads ahead to detect at once that the client
+// disconnects. Exported methods may be called from any goroutine.
 package httpfront
 
 import (
@@ -21,16 +22,16 @@
 	"garnetline/routing"
 )
 
-// Dispatcher takes the requests of clients.
+// Dispatcher serves the requests of clients.
 type Dispatcher interface {
-	// Submit hands a request over. It returns false if the dispatcher has stopped; the
-	// request's Respond is then never called.
+	// Submit passes a request to the dispatcher. It returns false if the dispatcher has
+	// stopped; the request's Respond is never called in that case.
 	Submit(*dispatch.Request) bool
 	// Disconnect reports that the client of a submitted request has disconnected.
 	Disconnect(*dispatch.Request)
 }
 
-// Options are what a Server needs.
+// Options holds the settings and the dependencies of a Server.
 type Options struct {
 	Clock      clock.Clock
 	Dispatcher Dispatcher
@@ -40,19 +41,20 @@
 	// not change while the server runs.
 	Classes func() []routing.Class
 
-	// Ready reports whether requests can be served; the health check fails until then.
+	// Ready reports whether requests can be served. The health check fails while it returns
+	// false.
 	Ready   func() bool
 	Metrics *metrics.Registry
 
-	// MaxConnections returns how many connections may be open at once. It is asked for each
+	// MaxConnections returns how many connections may be open at once. It is called for each
 	// new connection.
 	MaxConnections func() int
 
-	// RecordClient has requests carry the client's address and trace context.
+	// RecordClient adds the client's address and trace context to the submitted requests.
 	RecordClient bool
 
-	// Handler, if set, answers every request in place of the dispatcher, one request a
-	// connection.
+	// Handler, if set, answers every request in place of the dispatcher. The connection is
+	// closed after each response.
 	Handler func(ctx context.Context, method, path string) (status int, body []byte)
 }
 
@@ -63,16 +65,16 @@
 	keepAlivesDisabled atomic.Bool   // every response closes its connection
 	shuttingDown       atomic.Bool   // idle connections are closed
 	healthChecksFail   atomic.Bool   // set by FailHealthChecks
-	serveDone          chan struct{} // closed when Serve has returned
-	connectionClosed   chan struct{} // holds one value once a connection was closed
+	serveDone          chan struct{} // closed when Serve returns
+	connectionClosed   chan struct{} // receives a value when a connection was closed
 
 	mu             sync.Mutex
 	conns          map[*conn]bool
 	listener       net.Listener
-	acceptDeadline time.Time // the listener is closed by then; set by Shutdown
+	acceptDeadline time.Time // latest time to close the listener; set by Shutdown
 }
 
-// New returns a server that does not accept connections yet.
+// New returns a Server that accepts no connections until Serve is called.
 func New(o Options) *Server {
 	return &Server{
 		Options:          o,
@@ -97,19 +99,19 @@
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return nil
-		case isTimeout(err): // nothing waits to be accepted
+		case isTimeout(err): // no connection is waiting in the backlog
 			if s.shuttingDown.Load() {
 				_ = listener.Close()
 			}
-		default: // out of descriptors, or a client that has disconnected again
+		default: // no file descriptors are left, or the client disconnected before the accept
 			s.Metrics.Add("accept_errors", 1)
 			time.Sleep(acceptRetryInterval)
 		}
 	}
 }
 
-// setListener keeps the listener for StopAccepting and Shutdown, and closes it if one of them
-// was called before.
+// setListener stores the listener for StopAccepting and Shutdown. If one of them was called
+// before, it closes the listener.
 func (s *Server) setListener(listener net.Listener) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,26 +121,24 @@
 	}
 }
 
-// limitBacklogWait bounds the next accept once the server shuts down, so that connections
-// that already wait to be accepted are served and the listener is closed after them.
-//
-// Symptom guarded against: a listener that is closed resets the connections that wait to be
-// accepted, together with the requests that they have brought.
+// limitBacklogWait sets a deadline for the next accept once the server shuts down. Serve then
+// accepts the connections that wait in the backlog before it closes the listener. Closing the
+// listener at once would reset those connections and lose the requests that they have sent.
 func (s *Server) limitBacklogWait() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.shuttingDown.Load() || s.listener == nil {
 		return
 	}
-	until := time.Now().Add(backlogWait)
-	limited, ok := s.listener.(interface{ SetDeadline(time.Time) error })
-	if !ok || until.After(s.acceptDeadline) || limited.SetDeadline(until) != nil {
+	deadline := time.Now().Add(backlogWait)
+	deadlineListener, ok := s.listener.(interface{ SetDeadline(time.Time) error })
+	if !ok || deadline.After(s.acceptDeadline) || deadlineListener.SetDeadline(deadline) != nil {
 		_ = s.listener.Close()
 	}
 }
 
-// startConn serves an accepted connection on a goroutine of its own, as soon as there is
-// capacity for one more.
+// startConn waits until one more connection may be open, and then serves an accepted connection on
+// a goroutine of its own.
 func (s *Server) startConn(netConn net.Conn) {
 	s.Metrics.Add("connections_taken", 1)
 	s.connections.Add(1)
@@ -150,10 +150,9 @@
 	}()
 }
 
-// admit waits until there is capacity for one more connection, and evicts others for it.
-//
-// Symptom guarded against: connections that sent nothing, or that stayed idle after one
-// request, used up all that may be open, and the usual clients were not accepted.
+// admit waits until one more connection may be open, and evicts other connections meanwhile.
+// Without eviction, connections that send nothing or stay idle after a request could use up
+// MaxConnections and keep other clients out.
 func (s *Server) admit(c *conn) {
 	for !s.tryAdmit(c) {
 		select {
@@ -163,8 +162,9 @@
 	}
 }
 
-// tryAdmit adds a connection if there is capacity, and evicts another one if there is none.
-// At shutdown there is always capacity, as no more connections will come.
+// tryAdmit adds a connection if fewer than MaxConnections are open. Otherwise it evicts another
+// connection and returns false. At shutdown it admits every connection, because only those in the
+// backlog are still accepted.
 func (s *Server) tryAdmit(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -180,23 +180,24 @@
 	return false
 }
 
-// evictionCandidate returns the connection to be closed first, or nil if all are in use: one
-// whose request was rejected and which is still read from, then a new one past its grace
-// time, then the one that has been idle for longest. Within a state it is the oldest.
+// evictionCandidate returns the connection to evict next, or nil if none may be evicted. It prefers
+// a connection in stateRejected, then one in stateNew whose grace time has passed, then one in
+// stateIdle. Among connections in the same state it returns the one that entered the state first.
+// The caller holds s.mu.
 func (s *Server) evictionCandidate() *conn {
-	var first *conn
+	var candidate *conn
 	for c := range s.conns {
 		if !c.evictable() {
 			continue
 		}
-		if first == nil || c.state < first.state || c.state == first.state && c.stateSince < first.stateSince {
-			first = c
+		if candidate == nil || c.state < candidate.state || c.state == candidate.state && c.stateSince < candidate.stateSince {
+			candidate = c
 		}
 	}
-	return first
+	return candidate
 }
 
-// remove forgets a connection that was closed.
+// remove deletes a closed connection from the open ones and wakes admit.
 func (s *Server) remove(c *conn) {
 	s.mu.Lock()
 	delete(s.conns, c)
@@ -207,12 +208,12 @@
 	}
 }
 
-// FailHealthChecks makes the health check fail from now on. Requests are served as before.
+// FailHealthChecks makes all later health checks fail. Other requests are served as before.
 func (s *Server) FailHealthChecks() { s.healthChecksFail.Store(true) }
 
-// StopAccepting ends Serve and lets every response close its connection. Open requests are
-// served. Connections that wait to be accepted are left to the other processes that hold
-// the listening socket.
+// StopAccepting closes the listener, which ends Serve, and makes every later response close its
+// connection. Open requests are served. Connections in the backlog are left to the other processes
+// that hold the listening socket.
 func (s *Server) StopAccepting() {
 	s.keepAlivesDisabled.Store(true)
 	s.mu.Lock()
@@ -222,9 +223,9 @@
 	}
 }
 
-// Shutdown ends Serve after the connections that wait to be accepted, closes idle
-// connections, waits until the others have been served, and returns once all are closed.
-// Serve must have been called, or be called later.
+// Shutdown ends Serve once the connections in the backlog are accepted, closes idle connections and
+// waits until the requests on the others are served. It returns once all connections are closed.
+// It waits for Serve to return, so Serve must be called before it or concurrently.
 func (s *Server) Shutdown() {
 	s.beginShutdown()
 	s.limitBacklogWait()
@@ -232,7 +233,8 @@
 	s.connections.Wait()
 }
 
-// beginShutdown ends the wait of connections that have no request.
+// beginShutdown marks the server as shutting down and shortens the wait of connections on which no
+// byte of a request has arrived.
 func (s *Server) beginShutdown() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
