--- a/internal/frontend/httpfront/clients_test.go
+++ b/internal/frontend/httpfront/clients_test.go
@@ -119,8 +119,9 @@
 }
 
 // The connection of a client that sends nothing, too slowly or too much is closed within 3 s of its
-// start, or within 6 s if the body is too long. A request that has begun gets a response. If the
-// timeouts started again with each request, such a client could hold its connection for longer.
+// start, or within 6 s if the body is too long. A request that has begun gets a response. Timeouts
+// that start again with each request would let such a client hold its connection for 5 s or more
+// per request.
 func TestMisbehavingClientsAreClosedInTime(t *testing.T) {
 	chunked := strings.Replace(putRequest(0), "Content-Length: 0", "Transfer-Encoding: chunked", 1)
 	for _, test := range []struct {
