--- a/internal/fleet/consensus/cluster_test.go
+++ b/internal/fleet/consensus/cluster_test.go
@@ -18,18 +18,17 @@
 
 var errStorageFull = errors.New("disk full")
 
-// memoryStorage is a storage in memory: what was saved survives a crash, unless it is
-// unsynced.
+// memoryStorage is a Storage in memory. What was saved survives a crash, unless unsynced is set.
 type memoryStorage struct {
 	state     wal.State
 	failing   bool
-	saveDelay float64 // ms that the next save takes; negative once it has been made
+	saveDelay float64 // ms that the next save takes; that save negates the value
 	saves     int
-	unsynced  bool      // nothing is synced: a crash loses what came after synced
-	synced    wal.State // what the machine happened to write by itself
+	unsynced  bool      // saves are not synced: a crash takes the state back to synced
+	synced    wal.State // state that the simulated kernel has written to the disk without a sync
 }
 
-// crash is the end of a process and its machine.
+// crash simulates a crash of the machine that the storage is on.
 func (s *memoryStorage) crash() {
 	if s.unsynced {
 		s.state = s.synced
@@ -44,7 +43,7 @@
 	if s.unsynced && s.saves%7 == 0 {
 		s.synced = wal.State{HardState: s.state.HardState, Snapshot: s.state.Snapshot, Entries: slices.Clone(s.state.Entries)}
 	}
-	s.saveDelay = -s.saveDelay // this save takes it
+	s.saveDelay = -s.saveDelay // marks the delay as taken by this save
 	if snapshot != nil {
 		s.state.Snapshot = proto.Clone(snapshot).(*raftpb.Snapshot)
 		s.state.Entries = slices.DeleteFunc(s.state.Entries, func(e *raftpb.Entry) bool {
@@ -67,20 +66,20 @@
 func (s *memoryStorage) Rewrite(state wal.State) error { s.state = state; return nil }
 func (s *memoryStorage) NeedsRewrite() bool            { return false }
 
-// envelope is a message on its way. One of its three contents is set.
+// envelope is a message in flight. One of message, request and response is set.
 type envelope struct {
-	from, to int // a voter, or a router behind the voters
+	from, to int // number of a voter, or of a router, whose numbers follow the voters'
 	arriveAt float64
 	message  *raftpb.Message
 	request  *ClientRequest
 	response *lease.Response
 }
 
-// firstRouterID is the ID of the first router; the others follow.
+// firstRouterID is the ID of the first router. The IDs of the others follow it.
 const firstRouterID = 100
 
-// cluster is voters and routers on one simulated clock; each router's clock has a rate of
-// its own. Voters are numbered from 0, routers behind them.
+// cluster simulates voters and routers on one clock, from which each router's own clock differs
+// in its rate. Voters are numbered from 0; the routers' numbers follow.
 type cluster struct {
 	t        testing.TB
 	rng      *rand.Rand
@@ -90,18 +89,18 @@
 	nodes        []*Node
 	storages     []*memoryStorage
 	wakeAt       []float64
-	blockedUntil []float64 // until then a voter waits for its storage
+	blockedUntil []float64 // time until which a voter waits for its storage
 	down         []bool
 	leading      []bool
 
 	partitioned func(from, to int) bool
 	lossRate    float64
-	leaderKnown bool // routers know the leader, as leader hints tell the daemon's
+	leaderKnown bool // routers always know the leader, as real ones do by leader hints
 	inFlight    []envelope
 
 	routers   []*router
 	grants    int
-	violation string // two routers held one lease at a time
+	violation string // set if two routers held one lease at the same time
 	history   []porcupine.Operation
 }
 
@@ -110,10 +109,10 @@
 	id           membership.ID
 	clockRate    float64
 	wakeAt       float64
-	stalledUntil float64 // in the cluster's time
+	stalledUntil float64 // by the cluster's clock
 	queued       []lease.Response
 	likelyLeader int
-	historyIndex map[uint64]int // by request ID
+	historyIndex map[uint64]int // index of an open operation in cluster.history, by request ID
 }
 
 func newCluster(tb testing.TB, seed uint64, voters, routers int, leases ...string) *cluster {
@@ -158,7 +157,7 @@
 	return cluster
 }
 
-// start starts a voter with what its storage holds.
+// start starts a voter with the state that its storage holds.
 func (c *cluster) start(i int) {
 	voters := map[uint64]string{}
 	for k := range c.nodes {
@@ -171,7 +170,7 @@
 	c.nodes[i], c.down[i], c.wakeAt[i], c.leading[i] = node, false, c.now, false
 }
 
-// startAll starts the voters that are down.
+// startAll starts all voters that are down.
 func (c *cluster) startAll() {
 	for i := range c.nodes {
 		if c.down[i] {
@@ -182,17 +181,17 @@
 
 func (c *cluster) stop(i int) { c.down[i], c.leading[i] = true, false }
 
-// leader returns the number of a voter that leads; -1: none.
+// leader returns the number of the first voter that leads, or -1 if there is none.
 func (c *cluster) leader() int { return slices.Index(c.leading, true) }
 
 func (c *cluster) heal() { c.partitioned = func(int, int) bool { return false } }
 
-// isolate cuts a voter or router off from all others.
+// isolate partitions a voter or router from all others.
 func (c *cluster) isolate(member int) {
 	c.partitioned = func(from, to int) bool { return from == member || to == member }
 }
 
-// clock returns a router's own time.
+// clock returns the time of a router's own clock.
 func (c *cluster) clock(r *router) float64 { return c.now * r.clockRate }
 
 func (c *cluster) send(from int, e envelope) {
@@ -201,7 +200,7 @@
 	}
 	e.arriveAt, e.from = c.now+1+c.rng.ExpFloat64()*3, from
 	if from < len(c.nodes) {
-		e.arriveAt += max(0, c.blockedUntil[from]-c.now) // it leaves once the storage has it
+		e.arriveAt += max(0, c.blockedUntil[from]-c.now) // it is sent only after the storage has saved it
 	}
 	c.inFlight = append(c.inFlight, e)
 }
@@ -217,9 +216,9 @@
 	}
 	c.wakeAt[i], c.leading[i] = out.WakeAt, out.Leading
 	for _, m := range out.Messages {
-		c.send(i, envelope{to: int(m.GetTo()) - 1, message: proto.Clone(m).(*raftpb.Message)}) // as on a wire
+		c.send(i, envelope{to: int(m.GetTo()) - 1, message: proto.Clone(m).(*raftpb.Message)}) // a copy, as from a network
 		if m.GetType() == raftpb.MsgSnap {
-			c.nodes[i].ReportSnapshotSent(m.GetTo()) // as the daemon does
+			c.nodes[i].ReportSnapshotSent(m.GetTo()) // as the voter of package leasemanager does
 		}
 	}
 	for _, response := range out.Released {
@@ -256,7 +255,8 @@
 	}
 }
 
-// deliver has a router handle a response, and looks whether two hold a lease now.
+// deliver passes a response to a router, and records a violation if two routers hold the lease
+// afterwards.
 func (c *cluster) deliver(k int, response lease.Response) {
 	r := c.routers[k]
 	if i, open := r.historyIndex[response.RequestID]; open {
@@ -270,13 +270,13 @@
 		c.grants++
 		for _, other := range c.routers {
 			if token, valid := other.Valid(c.clock(other), response.Lease); valid && other != r {
-				c.violation = fmt.Sprintf("at %.0f %v holds %s under %d and %v under %d", c.now, r.id, response.Lease, change.FencingToken, other.id, token)
+				c.violation = fmt.Sprintf("at %.0f ms router %v holds %s under token %d while router %v holds it under token %d", c.now, r.id, response.Lease, change.FencingToken, other.id, token)
 			}
 		}
 	}
 }
 
-// run plays for some simulated time in ms.
+// run advances the simulation by a time in ms.
 func (c *cluster) run(ms float64) {
 	for end := c.now + ms; c.now < end; c.now += 2 {
 		c.deliverDue()
@@ -293,7 +293,7 @@
 	}
 }
 
-// deliverDue delivers what has arrived by now.
+// deliverDue delivers the messages that have arrived by now.
 func (c *cluster) deliverDue() {
 	due := c.inFlight
 	c.inFlight = nil
@@ -316,7 +316,7 @@
 	}
 }
 
-// held returns how many of the leases are held, counting each router that holds one.
+// held returns the number of pairs of a router and one of these leases that it holds.
 func (c *cluster) held(leases ...string) (n int) {
 	for _, name := range leases {
 		for k := range c.routers {
@@ -328,18 +328,18 @@
 	return n
 }
 
-// holds tells whether a router holds a lease.
+// holds reports whether a router holds a lease.
 func (c *cluster) holds(k int, name string) bool {
 	_, valid := c.routers[k].Valid(c.clock(c.routers[k]), name)
 	return valid
 }
 
-// holder returns the number of the router that holds a lease; -1: none.
+// holder returns the index of the router that holds a lease, or -1 if there is none.
 func (c *cluster) holder(name string) int {
 	return slices.IndexFunc(c.routers, func(r *router) bool { _, valid := r.Valid(c.clock(r), name); return valid })
 }
 
-// transfer has a router release a lease to another.
+// transfer makes a router release a lease to another router.
 func (c *cluster) transfer(name string, from, to int, handoff []byte) {
 	r := c.routers[from]
 	r.Release(c.clock(r), name, c.routers[to].id, handoff)
--- a/internal/fleet/consensus/golden_test.go
+++ b/internal/fleet/consensus/golden_test.go
@@ -15,7 +15,7 @@
 	"garnetline/routing"
 )
 
-// recordingStorage notes each record that it is given.
+// recordingStorage records everything that is saved in it, one line for each record.
 type recordingStorage struct {
 	memoryStorage
 	wantsRewrite bool
@@ -54,9 +54,9 @@
 
 func (s *recordingStorage) NeedsRewrite() bool { return s.wantsRewrite }
 
-// What a node that is the only voter stores: the first snapshot, its election, a command of
-// each kind, a change of members and a rewritten log are the same bytes as before the
-// renames, and a node that finds them goes on.
+// The bytes that the only voter of a registry stores must not change: its first snapshot, its
+// election, a command of each kind, a change of members and a rewritten log. A node that starts
+// from these bytes must continue with the same state.
 func TestGoldenEntries(t *testing.T) {
 	settings := DefaultSettings()
 	storage := &recordingStorage{}
@@ -79,12 +79,12 @@
 	}
 	for leading := false; !leading; now += settings.TickInterval {
 		if leading = step(Input{}).Leading; now > 10_000 {
-			t.Fatal("it is not elected")
+			t.Fatal("the only voter is not elected within 10 s")
 		}
 	}
 	out := serve(lease.Request{ID: 1, Lease: "probe/edge"}, nil)
 	if len(out.Responses) != 1 || !out.Responses[0].Granted {
-		t.Fatalf("%+v", out.Responses)
+		t.Fatalf("got responses %+v, want one grant", out.Responses)
 	}
 	serve(lease.Request{
 		ID: 2, Lease: "probe/edge", FencingToken: out.Responses[0].FencingToken, Release: true, TransferTo: 10, Handoff: []byte("work"),
@@ -103,13 +103,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := restarted.Step(now, Input{}); err != nil { // it applies what is behind the snapshot
+	if _, err := restarted.Step(now, Input{}); err != nil { // it applies the entries after the snapshot
 		t.Fatal(err)
 	}
 	if got, want := string(restarted.State().Snapshot()), string(node.State().Snapshot()); got != want {
-		t.Errorf("goes on from %x, was %x", got, want)
+		t.Errorf("restarted node has registry %x, want %x", got, want)
 	}
 	if s := restarted.Status(); len(s.Voters) != 1 || s.Voters[0] != 5 || len(s.Learners) != 1 || s.Learners[0] != 6 {
-		t.Errorf("%+v", s)
+		t.Errorf("got status %+v, want voter 5 and learner 6", s)
 	}
 }
--- a/internal/fleet/consensus/history_test.go
+++ b/internal/fleet/consensus/history_test.go
@@ -14,17 +14,17 @@
 	release bool
 }
 
-// operationOutput is the state of a lease that a response told.
+// operationOutput is the state of a lease according to a response.
 type operationOutput struct {
 	token  uint64
 	holder membership.ID
-	lost   bool // no response came: the operation may have been executed or not
+	lost   bool // there was no response: the operation may or may not have been executed
 }
 
-// neverReturned is the end of an operation without a response.
+// neverReturned is the return time of an operation without a response.
 const neverReturned = 1 << 60
 
-// openOperation is a request that has no response yet.
+// openOperation returns the operation of a request that has no response yet.
 func openOperation(client int, router membership.ID, request lease.Request, now float64) porcupine.Operation {
 	return porcupine.Operation{
 		ClientId: client,
@@ -42,8 +42,8 @@
 
 func microseconds(ms float64) int64 { return int64(ms * 1000) }
 
-// leaseModel is a lease of the registry as requests see it: fencing tokens only grow, and
-// each response is the state of the lease at some moment between the request and the response.
+// leaseModel models a lease of the registry as requests observe it: fencing tokens only grow, and
+// each response shows the state of the lease at some time between the request and the response.
 var leaseModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byLease := map[string][]porcupine.Operation{}
@@ -62,7 +62,8 @@
 	Init: func() any { return operationOutput{} },
 	Step: func(state, _, out any) (bool, any) {
 		before, after := state.(operationOutput), out.(operationOutput)
-		// What others did without a response may lie between: a later token is such a state.
+		// Operations without a response are left out of the history. One of them may have caused
+		// a state with a higher token.
 		return after.token > before.token || after == before, after
 	},
 }
--- a/internal/fleet/consensus/logger.go
+++ b/internal/fleet/consensus/logger.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// discardLogger is raft's logger. What matters of raft's state is shown by Status; only
-// what raft cannot survive is reported, as a panic.
+// discardLogger implements raft.Logger. It drops ordinary messages, because Status reports the
+// state that operators need, and turns raft's fatal errors into panics.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any)            {}
--- a/internal/fleet/consensus/messages.go
+++ b/internal/fleet/consensus/messages.go
@@ -8,54 +8,55 @@
 	"garnetline/internal/fleet/membership"
 )
 
-// ClientRequest is a router's request to the voters, with the router that sent it.
+// ClientRequest is a router's request to the voters, with the ID of the router that sent it.
 type ClientRequest struct {
 	From        membership.ID
-	Incarnation uint64 // of the router's process
+	Incarnation uint64 // identifies the router's process
 	lease.Request
-	Ban *BanRequest // set where the request is about operators' bans instead of a lease
+	Ban *BanRequest // set if the request concerns operators' bans, not a lease
 }
 
-// BanRequest reads operators' bans and may set one first.
+// BanRequest asks for the operators' bans. If Set is not nil, the voters set that ban first.
 type BanRequest struct {
-	KnownVersion uint64                 // the version that the router has already
-	Set          *leaseregistry.Command // nil if it only reads
+	KnownVersion uint64                 // version of the bans that the router already has
+	Set          *leaseregistry.Command // command that sets a ban; nil if the request only reads
 }
 
-// ClientResponse is a response with the router that it is for.
+// ClientResponse is a response, with the ID of the router that it is sent to.
 type ClientResponse struct {
 	To membership.ID
 	lease.Response
-	Ban *BanResponse // set where the response is about operators' bans instead of a lease
+	Ban *BanResponse // set if the response concerns operators' bans, not a lease
 }
 
-// BanResponse is the state of operators' bans.
+// BanResponse reports the operators' bans.
 type BanResponse struct {
 	RequestID, Version uint64
-	Rejection          string // why the ban was not set; empty if it was, or none was to be
-	Bans               []byte // leaseregistry.State.BansSnapshot; nil if the router's version is current
+	Rejection          string // why the ban was not set; empty if it was set or if the request only read
+	Bans               []byte // encoded by leaseregistry.State.BansSnapshot; nil if the router's version is current
 }
 
-// Input is one event for Node.Step. At most one field is set; none means that time passed.
+// Input is one event for Node.Step. At most one field is set. If none is set, the step only
+// advances the node's clock.
 type Input struct {
 	Message    *raftpb.Message
 	Request    *ClientRequest
-	Proposal   *leaseregistry.Command // from an operator or the voter itself; nobody gets a response
+	Proposal   *leaseregistry.Command // from an operator or from the voter itself; no response is sent
 	ConfChange *raftpb.ConfChangeV2
 }
 
-// Output is what a step asks its caller to do.
+// Output lists what the caller of a step has to do.
 type Output struct {
-	Messages  []*raftpb.Message // to other voters, by their raft IDs
-	Responses []ClientResponse
+	Messages  []*raftpb.Message // to send to other voters, whose raft IDs are in the messages
+	Responses []ClientResponse  // to send to routers
 	Applied   []AppliedCommand
-	Released  []lease.Response // leases released without a successor, for the candidates to learn of
-	WakeAt    float64          // when to step next at the latest, in ms
-	LeaderID  uint64           // raft ID of the leader; 0 if none is known
-	Leading   bool             // this node leads and serves requests
+	Released  []lease.Response // leases that were released to nobody; their candidates are to be notified
+	WakeAt    float64          // latest time of the next step, in ms
+	LeaderID  uint64           // raft ID of the leader; 0 if no leader is known
+	Leading   bool             // whether this node is the leader and serves requests
 }
 
-// AppliedCommand is a committed command and its result.
+// AppliedCommand is a committed command with the result of applying it.
 type AppliedCommand struct {
 	Index   uint64
 	Command *leaseregistry.Command
--- a/internal/fleet/consensus/node.go
+++ b/internal/fleet/consensus/node.go
@@ -1,9 +1,10 @@
-// Package consensus is one voter of the lease registry: raft's state machine, stepped by
-// messages and by the time, with the registry's state on it and, at the leader, the expiry
-// of the leases. It does no I/O by itself: what must be stored before anything is answered
-// goes through Storage, and what is to be sent is returned.
+// Package consensus implements one voter of the lease registry. A Node combines the raft state
+// machine, the registry to which committed commands are applied and, on the leader, the expiry
+// of the leases. Its caller steps it with messages and the current time. A Node stores through
+// Storage everything that must survive a crash, and only then returns messages and responses,
+// which the caller sends.
 //
-// A Node belongs to one goroutine, that of its owner (package leasemanager).
+// Only one goroutine, that of the node's owner (package leasemanager), may use a Node.
 package consensus
 
 import (
@@ -21,8 +22,8 @@
 	"garnetline/internal/fleet/leaseregistry"
 )
 
-// ErrHalted reports a node whose storage failed: it sends nothing any more.
-var ErrHalted = errors.New("voter halted: its storage failed, it neither votes nor answers")
+// ErrHalted reports that the storage of a node failed. Such a node sends nothing any more.
+var ErrHalted = errors.New("voter halted: its storage failed, so it no longer votes or responds")
 
 // Node is one voter or learner of the lease registry. It is not safe for concurrent use.
 type Node struct {
@@ -31,33 +32,34 @@
 	storage  Storage
 	raftNode *raft.RawNode
 	raftLog  *raft.MemoryStorage
-	haltErr  error // not nil once the storage failed
+	haltErr  error // set once the storage has failed
 
 	registry     *leaseregistry.State
 	confState    *raftpb.ConfState
-	confChanged  bool // the members have changed since the last snapshot
+	confChanged  bool // whether the members have changed since the last snapshot
 	appliedIndex uint64
-	appliedTerm  uint64 // in which the last applied entry was proposed
+	appliedTerm  uint64 // term of the last applied entry
 
-	nextTickAt float64 // ms
-	now        float64 // of the current step, ms
-	output     *Output // of the current step; nil between steps
+	nextTickAt float64 // in ms
+	now        float64 // time of the current step, in ms
+	output     *Output // output of the current step; nil between steps
 
-	// The state of a leader.
+	// State that is used only while this node is the leader.
 
-	leaseExpiry      *lease.ExpiryTracker // nil if it does not lead, or has not applied an entry of its term
-	leadingTerm      uint64               // in which leaseExpiry began
-	queuedRequests   []ClientRequest      // received since the last read began
-	pendingReads     map[uint64][]ClientRequest
+	leaseExpiry      *lease.ExpiryTracker       // nil unless this node leads and has applied an entry of its term
+	leadingTerm      uint64                     // term in which leaseExpiry was created
+	queuedRequests   []ClientRequest            // requests received since the last read was started
+	pendingReads     map[uint64][]ClientRequest // requests that share a read, by its ID
 	lastReadID       uint64
-	lastReadAt       float64                  // when the latest read began, ms
-	pendingProposals map[uint64]ClientRequest // by request ID
-	proposalsByLease map[string]int           // proposed commands that are not applied yet
+	lastReadAt       float64                  // when the latest read was started, in ms
+	pendingProposals map[uint64]ClientRequest // requests whose command was proposed, by request ID
+	proposalsByLease map[string]int           // number of proposed commands that are not applied yet, by lease
 }
 
-// NewNode returns a node with a raft ID. recovered is what its storage held. Where that is
-// empty, bootstrapVoters are the names of the very first voters by their raft IDs, this one
-// among them; they are nil for a node that joins existing voters.
+// NewNode returns the node with the given raft ID. recovered is the state that its storage held.
+// If that state is empty, bootstrapVoters holds the names of the registry's first voters by
+// their raft IDs, including this node; it is nil for a node that joins existing voters. now is
+// the time of the boot clock in ms.
 func NewNode(settings Settings, id uint64, storage Storage, recovered wal.State, bootstrapVoters map[uint64]string, now float64) (*Node, error) {
 	n := &Node{
 		settings:         settings,
@@ -86,8 +88,8 @@
 	return n, err
 }
 
-// bootstrapState returns the state that all of the first voters begin with: the same
-// snapshot of an empty registry.
+// bootstrapState returns the initial state, which is the same for all of the first voters: a
+// snapshot of a registry that holds only their names.
 func (n *Node) bootstrapState(voterNames map[uint64]string) wal.State {
 	n.registry.VoterNames = maps.Clone(voterNames)
 	first := uint64(1)
@@ -104,7 +106,7 @@
 	}
 }
 
-// loadState fills raft's log and the registry with what the storage held.
+// loadState loads the state that the storage held into raft's log and the registry.
 func (n *Node) loadState(state wal.State) error {
 	if state.Snapshot != nil {
 		if err := n.restoreSnapshot(state.Snapshot); err != nil {
@@ -142,8 +144,9 @@
 	}
 }
 
-// Step advances the node to now, in ms of the boot clock, and handles one event. After an
-// error of the storage it returns ErrHalted from then on, and no output.
+// Step advances the node to now, in ms of the boot clock, and handles one event. Once the
+// storage has failed, this and every later call returns ErrHalted, joined with the storage's
+// error, and an empty output.
 func (n *Node) Step(now float64, in Input) (Output, error) {
 	out := Output{WakeAt: math.Inf(1)}
 	if n.haltErr != nil {
@@ -169,8 +172,9 @@
 	return out, nil
 }
 
-// tick advances raft's logical clock. It ticks once a step, however late the step is: a node
-// that was suspended must not conclude, when it resumes, that everyone else was unresponsive.
+// tick advances raft's logical clock by at most one tick in each step, however late the step
+// is. Otherwise a node that resumes after a suspension would conclude that all other nodes had
+// been unresponsive.
 func (n *Node) tick() {
 	if n.now < n.nextTickAt {
 		return
@@ -179,8 +183,8 @@
 	n.raftNode.Tick()
 }
 
-// handleInput passes an event on. What raft rejects is dropped: a message is of no use then,
-// and a proposal is repeated by its sender.
+// handleInput passes an event to raft or queues a request. It ignores raft's errors: a message
+// that raft rejects has no use, and the sender of a rejected proposal repeats it.
 func (n *Node) handleInput(in Input) {
 	switch {
 	case in.Message != nil:
@@ -194,13 +198,14 @@
 	}
 }
 
-// halt stops the node for good.
+// halt stops the node permanently: all later steps return the same error.
 func (n *Node) halt(err error) (Output, error) {
 	n.haltErr = errors.Join(ErrHalted, err)
 	return Output{WakeAt: math.Inf(1)}, n.haltErr
 }
 
-// processReady carries out what raft asks for: it stores first, then sends and applies.
+// processReady handles the work that raft has ready. It stores the new state before it emits
+// messages and applies committed entries.
 func (n *Node) processReady() error {
 	for n.raftNode.HasReady() {
 		ready := n.raftNode.Ready()
@@ -222,7 +227,8 @@
 	return nil
 }
 
-// storeReady writes what raft wants stored, to the storage before raft's own log.
+// storeReady stores the state that raft hands over, first in the storage and then in raft's
+// in-memory log.
 func (n *Node) storeReady(ready raft.Ready) error {
 	hardState, snapshot := ready.HardState, ready.Snapshot
 	if raft.IsEmptyHardState(hardState) {
@@ -249,8 +255,8 @@
 	return n.raftLog.Append(ready.Entries)
 }
 
-// applyEntry applies a committed entry to the registry or to the members. An entry that
-// cannot be decoded changes nothing, at any node.
+// applyEntry applies a committed entry to the registry or to the list of members. Every node
+// ignores an entry that cannot be decoded, so that all nodes keep the same state.
 func (n *Node) applyEntry(entry *raftpb.Entry) {
 	n.appliedIndex, n.appliedTerm = entry.GetIndex(), entry.GetTerm()
 	switch entry.GetType() {
@@ -269,10 +275,10 @@
 	}
 }
 
-// applyCommand applies the command of a normal entry.
+// applyCommand applies the registry command of a normal entry.
 func (n *Node) applyCommand(entry *raftpb.Entry) {
 	if len(entry.GetData()) == 0 {
-		return // a leader's first entry
+		return // raft adds an empty entry at the start of a leader's term
 	}
 	command, ok := leaseregistry.DecodeCommand(entry.GetData())
 	if !ok {
--- a/internal/fleet/consensus/node_test.go
+++ b/internal/fleet/consensus/node_test.go
@@ -10,7 +10,7 @@
 	"garnetline/internal/fleet/consensus/wal"
 )
 
-// randomFault has something fail, or come back.
+// randomFault makes a random fault begin or restarts all voters.
 func (c *cluster) randomFault() {
 	members := len(c.nodes) + len(c.routers)
 	switch c.rng.IntN(6) {
@@ -18,10 +18,10 @@
 		c.stop(c.rng.IntN(len(c.nodes)))
 	case 1:
 		c.startAll()
-	case 2: // two sides, with voters and routers on either
+	case 2: // a partition with voters and routers on both sides
 		side := c.rng.IntN(1 << members)
 		c.partitioned = func(from, to int) bool { return side>>from&1 != side>>to&1 }
-	case 3: // one way between two members
+	case 3: // a partition in one direction between two members
 		lossyFrom, lossyTo := c.rng.IntN(members), c.rng.IntN(members)
 		c.partitioned = func(from, to int) bool { return from == lossyFrom && to == lossyTo }
 	case 4:
@@ -32,9 +32,10 @@
 	}
 }
 
-// Voters are killed, restarted with their storages and partitioned in all ways, routers
-// stalled for longer than a lease, packets lost, clocks differ in their rates: no two routers
-// hold a lease at one time, the responses are linearizable, and all leases are held again.
+// Voters are killed, restarted with their storages and partitioned, routers stall for longer than
+// a lease lasts, packets are lost and clocks run at different rates. No two routers may hold a
+// lease at the same time, the responses must be linearizable, and all leases must be held again
+// after the faults end.
 func TestClusterUnderFaults(t *testing.T) {
 	leases := []string{"a", "b", "c"}
 	grants := 0
@@ -43,7 +44,7 @@
 		cluster := newCluster(t, seed+1, voters, 4, leases...)
 		cluster.run(4000)
 		if got := cluster.held(leases...); got != 3 {
-			t.Fatalf("seed %d: %d leases of 3 are held after 4 s", seed, got)
+			t.Fatalf("seed %d: %d leases are held after 4 s, want 3", seed, got)
 		}
 		for range 40 {
 			cluster.randomFault()
@@ -54,7 +55,7 @@
 		cluster.startAll()
 		cluster.run(15_000)
 		if got := cluster.held(leases...); got != 3 || cluster.violation != "" {
-			t.Errorf("seed %d: %d leases of 3 are held at the end; %s", seed, got, cluster.violation)
+			t.Errorf("seed %d: %d leases are held at the end, want 3; violation %q, want none", seed, got, cluster.violation)
 		}
 		grants += cluster.grants
 		if !porcupine.CheckOperations(leaseModel, cluster.history) {
@@ -62,20 +63,20 @@
 		}
 	}
 	if grants < 30 {
-		t.Errorf("%d grants show nothing", grants)
+		t.Errorf("got %d grants, want at least 30 for the test to be meaningful", grants)
 	}
 }
 
-// A lease is transferred again and again, without two holders and with little time without
-// one; a voter whose storage fails stops, and the others go on.
+// A lease is transferred many times. It must never have two holders and must be without a holder
+// only for a short time. A voter whose storage fails must stop while the others continue.
 func TestTransfersAndDiskFailure(t *testing.T) {
 	cluster := newCluster(t, 9, 5, 3, "a")
 	cluster.run(4000)
-	gaps, astray := []float64{}, 0
+	gaps, misdirected := []float64{}, 0
 	for i := range 100 {
 		from := cluster.holder("a")
 		if from < 0 {
-			t.Fatalf("nobody holds it after %d times", i)
+			t.Fatalf("nobody holds the lease after %d transfers", i)
 		}
 		to := (from + 1 + i%2) % 3
 		cluster.transfer("a", from, to, []byte("work"))
@@ -84,7 +85,7 @@
 			cluster.run(2)
 		}
 		if !cluster.holds(to, "a") {
-			astray++ // its requests met no leader for a whole lease: anybody may have it then
+			misdirected++ // the new holder found no leader for a whole TTL, and another may get the lease
 		}
 		gaps = append(gaps, cluster.now-releasedAt)
 		cluster.run(200)
@@ -94,17 +95,18 @@
 		}
 	}
 	slices.Sort(gaps)
-	// These routers do not know who leads, and ask around: the daemon's get leader hints.
-	if gaps[50] > 250 || gaps[90] > 700 || astray > 5 || cluster.violation != "" {
-		t.Errorf("without a holder for %.0f ms, %.0f at the most, %d times another's; %s", gaps[50], gaps[99], astray, cluster.violation)
+	// These routers do not know the leader and try the voters at random, whereas real routers
+	// get leader hints.
+	if gaps[50] > 250 || gaps[90] > 700 || misdirected > 5 || cluster.violation != "" {
+		t.Errorf("without a holder for %.0f ms in the median and %.0f ms at most, %d leases went to another router than the target; violation %q, want none", gaps[50], gaps[99], misdirected, cluster.violation)
 	}
 	if !slices.Contains(cluster.down, true) {
-		t.Error("the voter whose storage failed goes on")
+		t.Error("the voter whose storage failed is still running, want it stopped")
 	}
 }
 
-// The log stays short, and a voter that was down for longer than the log reaches back
-// catches up by a snapshot.
+// The log must stay short, and a voter that was down while the entries it lacks were compacted
+// must catch up by a snapshot.
 func TestSnapshots(t *testing.T) {
 	cluster := newCluster(t, 10, 3, 2, "a")
 	cluster.settings.SnapshotEntries, cluster.settings.RetainedEntries = 40, 10
@@ -112,8 +114,8 @@
 		cluster.start(i)
 	}
 	cluster.run(4000)
-	away := (cluster.leader() + 1) % 3
-	cluster.stop(away)
+	stopped := (cluster.leader() + 1) % 3
+	cluster.stop(stopped)
 	for i := range 60 {
 		from := cluster.holder("a")
 		if from < 0 {
@@ -123,22 +125,22 @@
 		cluster.transfer("a", from, 1-from, nil)
 		cluster.run(100 + float64(i%3))
 	}
-	cluster.start(away)
+	cluster.start(stopped)
 	cluster.run(3000)
-	returned, leader, stored := cluster.nodes[away], cluster.nodes[cluster.leader()], cluster.storages[away].state
-	if got, want := returned.Status().AppliedIndex, leader.Status().AppliedIndex; got != want {
-		t.Errorf("applied %d of %d", got, want)
+	restarted, leader, stored := cluster.nodes[stopped], cluster.nodes[cluster.leader()], cluster.storages[stopped].state
+	if got, want := restarted.Status().AppliedIndex, leader.Status().AppliedIndex; got != want {
+		t.Errorf("restarted voter applied index %d, want %d", got, want)
 	}
 	if len(stored.Entries) > 120 || stored.Snapshot.GetMetadata().GetIndex() < 20 {
-		t.Errorf("it stores %d entries behind a snapshot of %d", len(stored.Entries), stored.Snapshot.GetMetadata().GetIndex())
+		t.Errorf("restarted voter stores %d entries after a snapshot at index %d, want at most 120 entries and an index of at least 20", len(stored.Entries), stored.Snapshot.GetMetadata().GetIndex())
 	}
-	if string(returned.State().Snapshot()) != string(leader.State().Snapshot()) {
-		t.Error("its registry differs from the leader's")
+	if string(restarted.State().Snapshot()) != string(leader.State().Snapshot()) {
+		t.Error("registry of the restarted voter differs from the leader's")
 	}
 }
 
-// A lease is transferred to a router that does not want it: the first candidates are
-// notified that it is free, also by a leader that was elected a moment ago.
+// A lease is transferred to a router that does not want it. The candidates that rank first must
+// be notified that nobody holds the lease, even if the leader was elected only a moment ago.
 func TestTransferToUnwillingRouter(t *testing.T) {
 	for seed := range uint64(20) {
 		cluster := newCluster(t, 100+seed, 3, 4, "a")
@@ -146,7 +148,7 @@
 		cluster.run(4000)
 		from := cluster.holder("a")
 		if from < 0 {
-			t.Fatalf("seed %d: nobody holds it", seed)
+			t.Fatalf("seed %d: nobody holds the lease after 4 s", seed)
 		}
 		to := (from + 1) % 4
 		if seed%2 == 1 {
@@ -160,17 +162,18 @@
 			cluster.run(2)
 		}
 		if took := cluster.now - releasedAt; took > 200 || cluster.violation != "" {
-			t.Errorf("seed %d: nobody held it for %.0f ms; %s", seed, took, cluster.violation)
+			t.Errorf("seed %d: nobody held the lease for %.0f ms, want at most 200 ms; violation %q, want none", seed, took, cluster.violation)
 		}
 		if cluster.holds(from, "a") {
-			t.Errorf("seed %d: it came back to the one that released it", seed)
+			t.Errorf("seed %d: the lease returned to the router that released it", seed)
 		}
 	}
 }
 
-// The leadership is transferred at periods from a few rounds of messages to more than a
-// lease, while holders renew and transfer: no two hold a lease, and leases are held for most
-// of the time, less where a leader lasts hardly longer than a request and its grant.
+// The leadership is transferred periodically, with periods from a few message round trips to more
+// than a TTL, while holders renew and transfer their leases. No two routers may hold a lease at
+// the same time, and the leases must be held for at least half of the time, or for a third if a
+// leader lasts hardly longer than a request and its grant take.
 func TestFlappingLeadership(t *testing.T) {
 	for _, period := range []float64{40, 150, 400, 900, 1150, 1300} {
 		cluster := newCluster(t, uint64(period), 5, 4, "a", "b")
@@ -195,13 +198,13 @@
 			held += cluster.held("a", "b")
 			samples += 2
 		}
-		t.Logf("each %.0f ms: leases are held for %.0f%% of the time, %d grants", period, 100*float64(held)/float64(samples), cluster.grants)
+		t.Logf("period %.0f ms: leases are held for %.0f%% of the time, %d grants", period, 100*float64(held)/float64(samples), cluster.grants)
 		if cluster.violation != "" || held < samples/3 || period >= 150 && held < samples/2 {
-			t.Errorf("each %.0f ms: held in %d samples of %d; %s", period, held, samples, cluster.violation)
+			t.Errorf("period %.0f ms: leases are held in %d of %d samples; violation %q, want none", period, held, samples, cluster.violation)
 		}
 		cluster.run(6000)
 		if n := cluster.held("a", "b"); n != 2 {
-			t.Errorf("each %.0f ms: %d of 2 are held once it is over", period, n)
+			t.Errorf("period %.0f ms: %d leases are held after the last leadership transfer, want 2", period, n)
 		}
 	}
 }
@@ -218,22 +221,23 @@
 	}
 }
 
-// addNode adds a node that knows of nothing, and returns its storage.
+// addNode adds a node without any state, and returns its storage.
 func (c *cluster) addNode() *memoryStorage {
 	storage := &memoryStorage{}
 	node, err := NewNode(c.settings, uint64(len(c.nodes)+1), storage, wal.State{}, nil, c.now)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	c.inFlight = nil // routers are numbered behind the voters
+	c.inFlight = nil // a new voter shifts the routers' numbers
 	c.nodes, c.wakeAt = append(c.nodes, node), append(c.wakeAt, c.now)
 	c.down, c.leading = append(c.down, false), append(c.leading, false)
 	c.storages = append(c.storages, storage)
 	return storage
 }
 
-// A node joins while commands come so fast that the log is compacted again and again: it
-// catches up by snapshots, becomes a voter, and the registry survives with its vote.
+// A node joins while commands arrive so fast that the log is compacted repeatedly. It must catch
+// up by snapshots and become a voter, and the registry must continue with its vote when another
+// voter stops.
 func TestJoinDuringLogCompaction(t *testing.T) {
 	const joinerID = 4
 	cluster := newCluster(t, 12, 3, 2, "a")
@@ -259,11 +263,11 @@
 			cluster.keepTransferring(300)
 		}
 		if !done() {
-			t.Fatalf("%v: %+v", kind, joiner.Status())
+			t.Fatalf("%v is not done after 20 s: status of the joining node %+v", kind, joiner.Status())
 		}
 	}
 	change(raftpb.ConfChangeAddLearnerNode, func() bool { return joiner.Status().AppliedIndex > appliedBefore })
-	cluster.isolate(joinerID - 1) // until the log is far beyond it
+	cluster.isolate(joinerID - 1) // until the leader has compacted the entries that it lacks
 	for end := cluster.now + 20_000; leader().Status().AppliedIndex < appliedBefore+60 && cluster.now < end; {
 		cluster.keepTransferring(100)
 	}
@@ -274,19 +278,20 @@
 	cluster.lossRate = 0
 	applied, snapshotIndex := leader().Status().AppliedIndex, storage.state.Snapshot.GetMetadata().GetIndex()
 	if applied < appliedBefore+60 || snapshotIndex <= appliedBefore+40 {
-		t.Errorf("%d commands while it joined, by a snapshot of %d", applied-appliedBefore, snapshotIndex)
+		t.Errorf("%d commands were applied while the node joined, by a snapshot at index %d", applied-appliedBefore, snapshotIndex)
 	}
 	cluster.stop(0)
 	before := leader().Status().AppliedIndex
 	cluster.run(8000)
 	cluster.keepTransferring(2000)
 	if cluster.violation != "" || leader().Status().AppliedIndex < before+20 || joiner.Status().AppliedIndex+10 < leader().Status().AppliedIndex {
-		t.Errorf("%s; %+v, the new one %+v", cluster.violation, leader().Status(), joiner.Status())
+		t.Errorf("violation %q, want none; status of the leader %+v, of the new voter %+v", cluster.violation, leader().Status(), joiner.Status())
 	}
 }
 
-// A storage takes two seconds for one save, at the leader or at another, again and again:
-// what depends on it is sent only then, no two hold a lease, and leases are held again.
+// One save of a storage takes two seconds, repeatedly, at the leader or at another voter, and the
+// messages that depend on it are sent only afterwards. No two routers may hold a lease at the
+// same time, and all leases must be held again at the end.
 func TestSlowDisk(t *testing.T) {
 	for seed := range uint64(6) {
 		cluster := newCluster(t, 40+seed, 3, 4, "a", "b")
@@ -300,7 +305,7 @@
 			if cluster.blockedUntil[slow] > cluster.now {
 				cluster.storages[slow].saveDelay = 0
 			}
-			for k, r := range cluster.routers { // something is to be saved
+			for k, r := range cluster.routers { // a transfer causes a save
 				if held := r.Held(cluster.clock(r)); len(held) > 0 {
 					cluster.transfer(held[0], k, (k+1)%4, nil)
 					break
@@ -313,10 +318,10 @@
 		}
 		cluster.run(8000)
 		if n := cluster.held("a", "b"); n != 2 || cluster.violation != "" {
-			t.Errorf("seed %d: %d of 2 are held; %s", 40+seed, n, cluster.violation)
+			t.Errorf("seed %d: %d leases are held at the end, want 2; violation %q, want none", 40+seed, n, cluster.violation)
 		}
 		if cluster.blockedUntil[0]+cluster.blockedUntil[1]+cluster.blockedUntil[2] == 0 {
-			t.Error("no save was slow")
+			t.Error("no save was slow, want at least one")
 		}
 	}
 }
--- a/internal/fleet/consensus/requests.go
+++ b/internal/fleet/consensus/requests.go
@@ -9,11 +9,11 @@
 	"garnetline/internal/fleet/leaseregistry"
 )
 
-// readIDLen is the length of a read's ID as raft carries it, in bytes.
+// readIDLen is the length in bytes of the read ID that raft.ReadState.RequestCtx holds.
 const readIDLen = 8
 
-// updateLeadership begins or ends to serve requests. A leader serves once an entry of its own
-// term is applied: only then does it know of all leases that earlier leaders granted.
+// updateLeadership starts or stops serving requests. A leader starts once it has applied an
+// entry of its own term, because only then does it know all leases that earlier leaders granted.
 func (n *Node) updateLeadership() {
 	status := n.raftNode.BasicStatus()
 	if status.RaftState != raft.StateLeader {
@@ -31,15 +31,15 @@
 	}
 }
 
-// dropPending forgets what was in progress in another term.
+// dropPending discards the reads and proposals that were started in another term.
 func (n *Node) dropPending() {
 	clear(n.pendingReads)
 	clear(n.pendingProposals)
 	clear(n.proposalsByLease)
 }
 
-// queueRequest receives a router's request. A request that cannot be served now is dropped;
-// its router repeats it, maybe at another voter.
+// queueRequest queues a router's request for the next read. It drops a request that cannot be
+// served now; the router repeats the request, possibly at another voter.
 func (n *Node) queueRequest(request ClientRequest) {
 	n.updateLeadership()
 	limit := n.settings.MaxPendingRequests
@@ -49,9 +49,9 @@
 	n.queuedRequests = append(n.queuedRequests, request)
 }
 
-// readIsDue tells whether queued requests can be served by a new read. Reads run one at a
-// time, and what is received meanwhile shares the next; a read whose responses were lost is
-// waited for no longer than a tick.
+// readIsDue reports whether a read for the queued requests should start now. Reads run one at a
+// time, and all requests received during one read share the next. A read that has not finished
+// after one tick interval does not delay the next, because its responses may have been lost.
 func (n *Node) readIsDue() bool {
 	if n.leaseExpiry == nil || len(n.queuedRequests) == 0 {
 		return false
@@ -59,8 +59,8 @@
 	return len(n.pendingReads) == 0 || n.now-n.lastReadAt >= n.settings.TickInterval
 }
 
-// startRead asks raft to confirm, by a quorum, that this node still leads, on behalf of all
-// queued requests.
+// startRead asks raft to confirm with a quorum that this node is still the leader. All queued
+// requests share this read.
 func (n *Node) startRead() {
 	n.lastReadID++
 	n.lastReadAt = n.now
@@ -69,9 +69,9 @@
 	n.raftNode.ReadIndex(binary.BigEndian.AppendUint64(nil, n.lastReadID))
 }
 
-// finishRead serves the requests of a confirmed read: a quorum still followed this leader
-// after they were received. Earlier reads were lost, and their requests are repeated by the
-// routers.
+// finishRead serves the requests of a confirmed read: a quorum still followed this leader after
+// it had received them. It discards earlier reads, whose confirmations were lost; the routers
+// repeat the requests of those.
 func (n *Node) finishRead(read raft.ReadState) {
 	if len(read.RequestCtx) != readIDLen {
 		return
@@ -92,16 +92,17 @@
 	}
 }
 
-// serveRequest responds to a request at once, or proposes a command whose result is the
-// response.
+// serveRequest responds to a request at once, or proposes a command and leaves the response to
+// completeProposal.
 func (n *Node) serveRequest(request ClientRequest) {
 	current := n.registry.Leases[request.Lease]
 	switch {
 	case request.Ban != nil:
 		n.serveBanRequest(request)
 	case n.proposalsByLease[request.Lease] > 0:
-		// Symptom guarded against: the lease had been proposed for another router, and before
-		// that was applied its holder renewed: it was granted the lease for a whole TTL more.
+		// The request is dropped while a command for the same lease is being committed. If that
+		// command grants the lease to another router, a renewal served now would give the old
+		// holder a whole TTL more.
 	case !withinLimits(request):
 	case request.Release:
 		n.serveRelease(request, current)
@@ -122,7 +123,7 @@
 	return request.Lease != "" && len(request.Lease) <= leaseregistry.MaxNameLen && len(request.Handoff) <= leaseregistry.MaxHandoffLen
 }
 
-// isRenewal tells whether the process that holds the lease asks for it again.
+// isRenewal reports whether the request comes from the process that already holds the lease.
 func isRenewal(request ClientRequest, current *leaseregistry.Lease) bool {
 	if current == nil || current.Holder != request.From || current.Incarnation != request.Incarnation {
 		return false
@@ -130,8 +131,8 @@
 	return request.FencingToken == current.FencingToken || request.FencingToken == 0
 }
 
-// isTransferTarget tells whether the lease was transferred to the router, whose process
-// becomes known by this request.
+// isTransferTarget reports whether the lease was transferred to the requesting router. The
+// registry learns the incarnation of that router's process only from this request.
 func isTransferTarget(request ClientRequest, current *leaseregistry.Lease) bool {
 	return current != nil && current.Holder == request.From && current.Incarnation == 0 && request.FencingToken == 0
 }
@@ -151,8 +152,8 @@
 	return command
 }
 
-// serveRelease has the holder's release or transfer committed. Of anyone else's it only
-// says who holds the lease.
+// serveRelease proposes the holder's release or transfer of a lease. To a router that is not the
+// holder it only responds with the state of the lease.
 func (n *Node) serveRelease(request ClientRequest, current *leaseregistry.Lease) {
 	if current == nil || current.Holder != request.From || current.FencingToken != request.FencingToken {
 		n.respondLease(request, current)
@@ -180,8 +181,8 @@
 	n.respondBans(request, nil)
 }
 
-// proposeFor proposes a command whose result is the response to a request. Where raft drops
-// the proposal there is no response, and the router repeats the request.
+// proposeFor proposes a command for a request, which gets its response once the command is
+// applied. If raft drops the proposal there is no response, and the router repeats the request.
 func (n *Node) proposeFor(request ClientRequest, command *leaseregistry.Command) {
 	if n.raftNode.Propose(command.Append(nil)) != nil {
 		return
@@ -190,8 +191,8 @@
 	n.proposalsByLease[request.Lease]++
 }
 
-// completeProposal notifies those whom an applied command concerns, and responds to the
-// request that led to it if this leader proposed it.
+// completeProposal announces the release or transfer that a command has caused, and responds to
+// the request if this leader proposed the command. err is the result of applying the command.
 func (n *Node) completeProposal(command *leaseregistry.Command, err error) {
 	if n.leaseExpiry == nil {
 		return
@@ -218,8 +219,9 @@
 	n.respondLease(request, n.registry.Leases[command.Lease])
 }
 
-// notifyRelease tells of a lease that its holder gave up: the router that it was transferred
-// to, which then requests it by itself, or whoever the owner of this node chooses.
+// notifyRelease announces a lease that its holder gave up. After a transfer it notifies the new
+// holder, which then requests the lease. After a release to nobody it puts the lease into
+// Output.Released, and the owner of this node chooses which routers to notify.
 func (n *Node) notifyRelease(command *leaseregistry.Command) {
 	switch command.Op {
 	case leaseregistry.OpTransfer:
@@ -236,7 +238,8 @@
 	}
 }
 
-// respondBans responds with the state of operators' bans, and with why one was not set.
+// respondBans responds with the operators' bans. err says why the requested ban was not set; it
+// is nil if the ban was set or if the request only read.
 func (n *Node) respondBans(request ClientRequest, err error) {
 	response := &BanResponse{RequestID: request.ID, Version: n.registry.BanVersion()}
 	if err != nil {
@@ -248,7 +251,7 @@
 	n.output.Responses = append(n.output.Responses, ClientResponse{To: request.From, Ban: response})
 }
 
-// respondLease responds with the state of a lease; current is nil if it was never granted.
+// respondLease responds with the state of a lease. current is nil if the lease was never granted.
 func (n *Node) respondLease(request ClientRequest, current *leaseregistry.Lease) {
 	response := lease.Response{RequestID: request.ID, Lease: request.Lease}
 	if current != nil {
--- a/internal/fleet/consensus/safeguards_test.go
+++ b/internal/fleet/consensus/safeguards_test.go
@@ -10,29 +10,29 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// faultKind is what a fault of a schedule does.
+// faultKind is the kind of a fault, or of its repair, in a schedule.
 type faultKind string
 
 const (
 	kill      faultKind = "kill"
-	restart   faultKind = "start"
-	partition faultKind = "cut"
+	restart   faultKind = "restart"
+	partition faultKind = "partition"
 	heal      faultKind = "heal"
 )
 
-// fault is one fault of a schedule.
+// fault is one step of a schedule. node is the number of a voter, which heal ignores.
 type fault struct {
 	kind faultKind
 	node int
 }
 
-// playSchedule plays a schedule over three voters, with or without synced storages, and
-// returns what broke.
-func playSchedule(t *testing.T, seed uint64, unsynced bool, schedule []fault) (broke string) {
+// runSchedule runs a schedule on three voters, with or without synced storages, and describes the
+// guarantee that was violated; it returns an empty string if there was no violation.
+func runSchedule(t *testing.T, seed uint64, unsynced bool, schedule []fault) (violation string) {
 	t.Helper()
 	defer func() {
-		if p := recover(); p != nil { // raft, of a log that has lost what was acknowledged
-			broke = fmt.Sprint("a voter cannot go on: ", p)
+		if p := recover(); p != nil { // raft panics if a log has lost acknowledged entries
+			violation = fmt.Sprint("a voter panicked: ", p)
 		}
 	}()
 	cluster := newCluster(t, seed, 3, 4, "a", "b", "c")
@@ -83,58 +83,59 @@
 	return schedule
 }
 
-// shrink leaves out of a schedule that breaks what it breaks without, too. Elections differ
-// from run to run, so each shorter schedule is played three times.
-func shrink(t *testing.T, seed uint64, schedule []fault, broke string) ([]fault, string) {
+// shrink removes each fault without which the schedule still causes a violation. Elections differ
+// from run to run, so each shorter schedule is run up to three times.
+func shrink(t *testing.T, seed uint64, schedule []fault, violation string) ([]fault, string) {
 	t.Helper()
 	for i := 0; i < len(schedule); {
 		shorter := slices.Delete(slices.Clone(schedule), i, i+1)
-		still := ""
+		shorterViolation := ""
 		for range 3 {
-			if still == "" {
-				still = playSchedule(t, seed, true, shorter)
+			if shorterViolation == "" {
+				shorterViolation = runSchedule(t, seed, true, shorter)
 			}
 		}
-		if still == "" {
+		if shorterViolation == "" {
 			i++
 			continue
 		}
-		schedule, broke = shorter, still
+		schedule, violation = shorter, shorterViolation
 	}
-	return schedule, broke
+	return schedule, violation
 }
 
-// Without syncs a voter votes and acknowledges what a crash takes back: found at random, and
-// shrunk. With them nothing is found on the same schedules.
+// Random schedules show why a storage must sync: without syncs, a crash takes back votes and
+// acknowledgements that a voter has already sent, and a guarantee is violated. The first such
+// schedule is shrunk. With syncs, the same schedules must cause no violation.
 func TestWithoutSyncs(t *testing.T) {
 	found := 0
 	for seed := range uint64(40) {
 		schedule := randomSchedule(seed)
-		if broke := playSchedule(t, seed, false, schedule); broke != "" {
-			t.Errorf("seed %d, synced: %s after %v", seed, broke, schedule)
+		if violation := runSchedule(t, seed, false, schedule); violation != "" {
+			t.Errorf("seed %d, synced: got violation %q after %v, want none", seed, violation, schedule)
 		}
-		broke := playSchedule(t, seed, true, schedule)
-		if broke == "" {
+		violation := runSchedule(t, seed, true, schedule)
+		if violation == "" {
 			continue
 		}
 		found++
 		if found > 1 {
 			continue
 		}
-		schedule, broke = shrink(t, seed, schedule, broke)
-		t.Logf("seed %d, smallest schedule: %v: %s", seed, schedule, broke)
+		schedule, violation = shrink(t, seed, schedule, violation)
+		t.Logf("seed %d, smallest schedule: %v: %s", seed, schedule, violation)
 		if len(schedule) == 0 || !strings.Contains(fmt.Sprint(schedule), string(kill)) {
-			t.Errorf("broken without a crash: %v", schedule)
+			t.Errorf("unsynced: violation after %v, want a schedule with a crash", schedule)
 		}
 	}
-	t.Logf("found by %d of 40 seeds", found)
+	t.Logf("unsynced: %d of 40 seeds cause a violation", found)
 	if found < 3 {
-		t.Errorf("without syncs only %d of 40 seeds find anything", found)
+		t.Errorf("unsynced: %d of 40 seeds cause a violation, want at least 3", found)
 	}
 }
 
-// Without pre-vote a voter that was isolated comes back with a later term, and the leader,
-// which a majority follows, has to step down. With it the leader stays.
+// Without pre-vote, a voter that was isolated returns with a later term, which forces the leader
+// to step down although a majority follows it. With pre-vote the leader must stay.
 func TestWithoutPreVote(t *testing.T) {
 	defer func() { preVoteEnabled = true }()
 	lost := map[bool]int{}
@@ -157,8 +158,8 @@
 			}
 		}
 	}
-	t.Logf("schedule: a follower is isolated, healed. The leader changes in %d of 10, without pre-vote in %d", lost[true], lost[false])
+	t.Logf("a follower is isolated and healed: the leader changes in %d of 10 runs, without pre-vote in %d", lost[true], lost[false])
 	if lost[true] > 0 || lost[false] < 8 {
-		t.Error("want none, and nearly all without it")
+		t.Error("want no change of leader with pre-vote, and a change in at least 8 of 10 runs without it")
 	}
 }
--- a/internal/fleet/consensus/settings.go
+++ b/internal/fleet/consensus/settings.go
@@ -2,18 +2,18 @@
 
 import "garnetline/internal/fleet/lease"
 
-// Settings are the intervals and limits of consensus.
+// Settings are the intervals and limits of a node.
 type Settings struct {
-	TickInterval       float64 // of raft's logical clock, in ms
-	ElectionTicks      int     // ticks without a leader before an election; raft randomizes it up to twice that
+	TickInterval       float64 // interval of raft's logical clock, in ms
+	ElectionTicks      int     // ticks without a leader before an election; raft draws from this to twice this value
 	HeartbeatTicks     int     // ticks between a leader's heartbeats
-	RetainedEntries    int     // entries kept before a snapshot for followers that lag
-	SnapshotEntries    int     // entries after which a snapshot is taken
-	MaxPendingRequests int     // requests that wait at a leader; more are dropped
+	RetainedEntries    int     // entries kept from before a snapshot, for followers that lag
+	SnapshotEntries    int     // length of the log, in entries, at which a snapshot is taken
+	MaxPendingRequests int     // requests that may wait at the leader; further ones are dropped
 	Lease              lease.Settings
 }
 
-// DefaultSettings returns the settings that apply where the operators' file sets none.
+// DefaultSettings returns the settings that apply if the operators' file sets none.
 func DefaultSettings() Settings {
 	return Settings{
 		TickInterval:       50,
@@ -26,7 +26,8 @@
 	}
 }
 
-// Limits of raft, in bytes but for the last.
+// Limits that raft is configured with. All are in bytes, except for maxInflightAppends, which is
+// a number of messages.
 const (
 	maxMessageSize     = 16 << 10
 	maxReadySize       = 1 << 20
@@ -34,6 +35,6 @@
 	maxInflightAppends = 64
 )
 
-// preVoteEnabled has a node ask whether it would be elected before it starts a new term.
-// Only tests switch it off, to show what it prevents.
+// preVoteEnabled turns on raft's pre-vote: before a node starts a new term, it asks the others
+// whether they would vote for it. Only tests turn it off, to show the disruption it prevents.
 var preVoteEnabled = true
--- a/internal/fleet/consensus/status.go
+++ b/internal/fleet/consensus/status.go
@@ -11,15 +11,15 @@
 	"garnetline/internal/fleet/leaseregistry"
 )
 
-// Status is the state of a node.
+// Status describes the state of a node for its owner.
 type Status struct {
 	ID, LeaderID, Term, CommitIndex, AppliedIndex uint64
-	Leading                                       bool // it leads and serves requests
+	Leading                                       bool // whether the node is the leader and serves requests
 	Voters, Learners                              []uint64
-	Halted                                        bool // its storage failed
+	Halted                                        bool // whether its storage failed
 }
 
-// Status returns the state of the node.
+// Status returns the current state of the node.
 func (n *Node) Status() Status {
 	status := n.raftNode.BasicStatus()
 	return Status{
@@ -35,19 +35,19 @@
 	}
 }
 
-// State returns the lease registry as this node has applied it. It may be out of date: a
-// router that needs the current state sends a request instead.
+// State returns this node's copy of the lease registry, which may be out of date. A router that
+// needs the current state sends a request instead.
 func (n *Node) State() *leaseregistry.State { return n.registry }
 
-// Leases returns the leases of the registry by name, as this node has applied them.
+// Leases returns the leases in this node's copy of the registry, sorted by name.
 func (n *Node) Leases() []*leaseregistry.Lease {
 	return slices.SortedFunc(maps.Values(n.registry.Leases), func(a, b *leaseregistry.Lease) int {
 		return cmp.Compare(a.Name, b.Name)
 	})
 }
 
-// LearnerLag returns how many entries a learner is behind the commit index, or -1 if this
-// node does not lead or has not heard from the learner.
+// LearnerLag returns by how many entries a learner lags behind the commit index, or -1 if this
+// node is not the leader or has not heard from the learner.
 func (n *Node) LearnerLag(id uint64) int {
 	lag := -1
 	n.raftNode.WithProgress(func(peer uint64, _ raft.ProgressType, progress tracker.Progress) {
@@ -61,8 +61,8 @@
 	return lag
 }
 
-// ReportUnreachable tells raft that a message to a node could not be sent, and whether it
-// was a snapshot.
+// ReportUnreachable tells raft that a message to a node could not be sent. snapshot says whether
+// that message was a snapshot.
 func (n *Node) ReportUnreachable(id uint64, snapshot bool) {
 	n.raftNode.ReportUnreachable(id)
 	if snapshot {
@@ -70,12 +70,12 @@
 	}
 }
 
-// ReportSnapshotSent tells raft that a snapshot is on its way. If it gets lost, the follower
-// rejects the next append and raft sends another.
+// ReportSnapshotSent tells raft that a snapshot was sent to a node. If the snapshot is lost, the
+// follower rejects the next append and raft sends another snapshot.
 func (n *Node) ReportSnapshotSent(id uint64) { n.raftNode.ReportSnapshot(id, raft.SnapshotFinish) }
 
-// TransferLeadership hands the leadership to the active voter with the longest log. It does
-// nothing if this node does not lead or is transferring it already.
+// TransferLeadership starts to transfer the leadership to the active voter with the longest log.
+// It does nothing if this node is not the leader or if a transfer is already in progress.
 func (n *Node) TransferLeadership() {
 	target, longest := uint64(0), uint64(0)
 	n.raftNode.WithProgress(func(id uint64, kind raft.ProgressType, progress tracker.Progress) {
--- a/internal/fleet/consensus/storage.go
+++ b/internal/fleet/consensus/storage.go
@@ -12,22 +12,23 @@
 )
 
 // ErrInvalidSnapshot reports a snapshot of the lease registry that cannot be decoded.
-var ErrInvalidSnapshot = errors.New("voter: snapshot of the lease registry is invalid")
+var ErrInvalidSnapshot = errors.New("voter: cannot decode the snapshot of the lease registry")
 
-// Storage is where a node keeps its log; wal.Log is one. When a call returns without an
-// error, what it was given survives a crash.
+// Storage keeps a node's log; wal.Log implements it. If a call returns no error, the data that
+// was passed to it survives a crash.
 type Storage interface {
-	// Save appends raft's hard state, entries and a snapshot; each may be nil.
+	// Save appends raft's hard state, entries and a snapshot; each of them may be nil.
 	Save(hardState *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error
-	// SaveMetadata stores what the owner of the node keeps with the log.
+	// SaveMetadata replaces the metadata that the owner of the node keeps in the log.
 	SaveMetadata(metadata []byte) error
-	// Rewrite replaces all that is stored by this state.
+	// Rewrite replaces the whole stored state with the given one.
 	Rewrite(state wal.State) error
-	// NeedsRewrite tells whether most of what is stored is obsolete.
+	// NeedsRewrite reports whether most of the stored data is obsolete.
 	NeedsRewrite() bool
 }
 
-// restoreSnapshot replaces the registry by that of a snapshot.
+// restoreSnapshot replaces the registry and the list of members with those of a snapshot. It
+// returns ErrInvalidSnapshot if the registry cannot be decoded.
 func (n *Node) restoreSnapshot(snapshot *raftpb.Snapshot) error {
 	registry, ok := leaseregistry.Restore(snapshot.GetData())
 	if !ok {
@@ -41,15 +42,16 @@
 	return nil
 }
 
-// compactLog takes a snapshot when the log has grown, and has the storage drop what is
-// obsolete.
+// compactLog takes a snapshot and shortens raft's log when the log has grown past
+// Settings.SnapshotEntries, and rewrites the storage when most of its data is obsolete.
 func (n *Node) compactLog() error {
 	first, err := n.raftLog.FirstIndex()
 	if err != nil {
 		return err
 	}
 	grown := n.appliedIndex > first+uint64(n.settings.SnapshotEntries)
-	// A learner rejects a snapshot that does not name it, so a change of members needs one too.
+	// A learner rejects a snapshot that does not list it as a member, so a snapshot is also
+	// taken after each change of members.
 	if grown || n.confChanged {
 		_, err := n.raftLog.CreateSnapshot(n.appliedIndex, n.confState, n.registry.Snapshot())
 		if err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
@@ -72,8 +74,8 @@
 	return n.storage.Rewrite(state)
 }
 
-// currentState returns what the storage must hold: the latest snapshot, the entries after
-// it, and the hard state.
+// currentState returns the state that the storage must hold: the latest snapshot, the entries
+// after it, and the hard state.
 func (n *Node) currentState() (wal.State, error) {
 	snapshot, err := n.raftLog.Snapshot()
 	if err != nil {
--- a/internal/fleet/consensus/wal/fs.go
+++ b/internal/fleet/consensus/wal/fs.go
@@ -9,7 +9,7 @@
 	"garnetline/internal/failpoint"
 )
 
-// Permissions of the log and its directory: only the router's user reads them.
+// Permissions of the log and its directory: only the user that runs the router has access.
 const (
 	dirMode  fs.FileMode = 0o700
 	fileMode fs.FileMode = 0o600
@@ -23,20 +23,20 @@
 	Close() error
 }
 
-// FS is the directory of a log. Each call may fail.
+// FS is the directory of a log. Each of its methods may fail.
 type FS interface {
-	// ReadFile returns fs.ErrNotExist if there is no such file.
+	// ReadFile reads a whole file. It returns fs.ErrNotExist if the file does not exist.
 	ReadFile(name string) ([]byte, error)
-	// Append opens a file at its end, and creates it if need be.
+	// Append opens a file for appending, and creates it if it does not exist.
 	Append(name string) (File, error)
 	Rename(from, to string) error
-	// Remove removes a file, which need not exist.
+	// Remove removes a file. It returns no error if the file does not exist.
 	Remove(name string) error
-	// Sync makes created and renamed files of the directory survive a crash.
+	// Sync syncs the directory, so that created and renamed files survive a crash.
 	Sync() error
 }
 
-// Dir is a directory of the machine, by its path.
+// Dir is a directory of the operating system's file system. Its value is the path.
 type Dir string
 
 // ReadFile implements FS.
@@ -44,7 +44,7 @@
 	return os.ReadFile(d.path(name))
 }
 
-// Append implements FS. It creates the directory if need be.
+// Append implements FS. It creates the directory if the directory does not exist.
 func (d Dir) Append(name string) (File, error) {
 	if err := os.MkdirAll(string(d), dirMode); err != nil {
 		return nil, err
@@ -77,7 +77,8 @@
 
 func (d Dir) path(name string) string { return filepath.Join(string(d), name) }
 
-// syncDelayFile is a file of the machine whose Sync a build for tests can make slow.
+// syncDelayFile is an operating system file whose Sync is delayed by a failpoint in builds for
+// tests.
 type syncDelayFile struct{ *os.File }
 
 func (f syncDelayFile) Sync() error {
--- a/internal/fleet/consensus/wal/golden_test.go
+++ b/internal/fleet/consensus/wal/golden_test.go
@@ -13,7 +13,7 @@
 
 const goldenOwner = "fleet/r01"
 
-// goldenState is what both golden logs hold at their end.
+// goldenState returns the state that both golden logs hold.
 func goldenState() State {
 	return State{
 		HardState: hardState(3, 2, 5),
@@ -28,7 +28,8 @@
 		ConfState: &raftpb.ConfState{Voters: []uint64{1, 2, 3}, Learners: []uint64{4}}}}
 }
 
-// appendGoldenState writes records of every kind, some of which the last ones make obsolete.
+// appendGoldenState writes records of every kind. The last ones make some of the earlier ones
+// obsolete.
 func appendGoldenState(l *Log) error {
 	if err := l.SaveMetadata([]byte{8, 9}); err != nil {
 		return err
@@ -43,8 +44,8 @@
 	return l.Save(last.HardState, last.Entries, last.Snapshot)
 }
 
-// A log with every kind of record, as it is appended to and as it is rewritten, is the same
-// file as before the renames, and a file written before is read.
+// The format of the log must not change: a log with every kind of record, appended or rewritten,
+// must equal its golden file, and the golden file must be readable.
 func TestGoldenLog(t *testing.T) {
 	for file, write := range map[string]func(l *Log) error{
 		"appended.log":  appendGoldenState,
@@ -71,7 +72,7 @@
 	}
 }
 
-// checkStored opens a log with this content and looks for the golden state.
+// checkStored checks that a log with the given content holds the golden state.
 func checkStored(t *testing.T, content []byte) {
 	t.Helper()
 	dir := t.TempDir()
@@ -88,6 +89,6 @@
 		t.Errorf("found %s, want %s", describe(found), describe(want))
 	}
 	if members := found.Snapshot.GetMetadata().GetConfState(); len(members.GetVoters()) != 3 || members.GetLearners()[0] != 4 {
-		t.Errorf("the members are read as %v", members)
+		t.Errorf("got members %v, want 3 voters and learner 4", members)
 	}
 }
--- a/internal/fleet/consensus/wal/record.go
+++ b/internal/fleet/consensus/wal/record.go
@@ -10,22 +10,22 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// FormatVersion is the version of the file format that this program writes. It reads older
-// ones too.
+// FormatVersion is the version of the file format that this program writes. Older versions can
+// be read too.
 const FormatVersion = 1
 
-// Sizes of a record, in bytes. A record is the length and the checksum of what follows, its
-// kind, and its body.
+// Sizes of a record and its parts, in bytes. A record consists of a length, a checksum, a kind and
+// a body. Length and checksum cover the kind and the body.
 const (
 	lengthLen    = 4
 	checksumLen  = 4
 	kindLen      = 1
 	prefixLen    = lengthLen + checksumLen
 	headerLen    = prefixLen + kindLen
-	maxRecordLen = 16 << 20 // of kind and body
+	maxRecordLen = 16 << 20 // of kind and body together
 )
 
-// The kinds of records. The first record of a log, and no other, names its owner.
+// The kinds of records. The first record of a log, and no other record, is of kindOwner.
 const (
 	kindOwner byte = 1 + iota
 	kindHardState
@@ -36,7 +36,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Errors of a log that this program must not use.
+// Errors of logs that this program must not use, and of writes to a log.
 var (
 	ErrNotLog       = errors.New("wal: not a voter's log")
 	ErrNewerFormat  = errors.New("wal: of a newer format than this program knows")
@@ -44,7 +44,8 @@
 	errRecordTooBig = errors.New("wal: record too big")
 )
 
-// OwnerError reports a log that belongs to another voter, as after a directory was copied.
+// OwnerError reports a log that belongs to another voter, for example because a directory was
+// copied.
 type OwnerError struct {
 	Found, Want string
 }
@@ -53,7 +54,7 @@
 	return fmt.Sprintf("wal: log of %q, not of %q", e.Found, e.Want)
 }
 
-// CorruptRecordError reports a record whose checksum holds and whose body cannot be decoded.
+// CorruptRecordError reports a record whose checksum is right but whose body cannot be decoded.
 type CorruptRecordError struct {
 	Kind byte
 	Err  error
@@ -65,11 +66,11 @@
 
 func (e *CorruptRecordError) Unwrap() error { return e.Err }
 
-// ownerBody is the body of the first record.
+// ownerBody returns the body of the first record: the format version and the owner's name.
 func ownerBody(owner string) []byte { return append([]byte{FormatVersion}, owner...) }
 
-// checkOwner returns an error unless the body of the first record names this owner, in a
-// format that can be read.
+// checkOwner checks the body of the first record. It returns ErrNewerFormat if this program cannot
+// read the format, and an OwnerError if the log belongs to another owner.
 func checkOwner(body []byte, owner string) error {
 	if len(body) == 0 || body[0] > FormatVersion {
 		return ErrNewerFormat
@@ -80,7 +81,7 @@
 	return nil
 }
 
-// appendRecord appends a record to b.
+// appendRecord appends an encoded record to b.
 func appendRecord(b []byte, kind byte, body []byte) []byte {
 	b = binary.BigEndian.AppendUint32(b, uint32(kindLen+len(body)))
 	checksum := crc32.New(castagnoli)
@@ -103,8 +104,8 @@
 	return appendRecord(b, kind, body), nil
 }
 
-// nextRecord returns the kind and the body of the record that content begins with, and its
-// length as stored; ok is false if it is torn.
+// nextRecord returns the kind and the body of the first record of content, and the record's stored
+// length in bytes. ok is false if the record is incomplete or its length or checksum is wrong.
 func nextRecord(content []byte) (kind byte, body []byte, length int, ok bool) {
 	if len(content) < headerLen {
 		return 0, nil, 0, false
@@ -120,7 +121,8 @@
 	return payload[0], payload[kindLen:], prefixLen + payloadLen, true
 }
 
-// readRecords reads records until one is torn. valid is the length of those that are not.
+// readRecords reads records up to the first that is torn or up to the end. valid is the length in
+// bytes of the records before that.
 func readRecords(content []byte, owner string) (valid int, state State, err error) {
 	for {
 		kind, body, length, ok := nextRecord(content[valid:])
@@ -143,15 +145,15 @@
 	}
 }
 
-// State is what a log holds.
+// State is the content of a log.
 type State struct {
 	HardState *raftpb.HardState
-	Snapshot  *raftpb.Snapshot // nil: none
+	Snapshot  *raftpb.Snapshot // nil if there is none
 	Entries   []*raftpb.Entry  // after the snapshot
-	Metadata  []byte           // of the log's owner: its raft ID, and whom it has heard from
+	Metadata  []byte           // of the log's owner: its raft ID and the raft IDs that it has heard from
 }
 
-// apply adds a record to the state.
+// apply updates the state by a record.
 func (s *State) apply(kind byte, body []byte) error {
 	var err error
 	switch kind {
@@ -170,7 +172,7 @@
 	case kindMetadata:
 		s.Metadata = append([]byte(nil), body...)
 	default:
-		err = errors.New("unknown kind")
+		err = errors.New("unknown record kind")
 	}
 	if err != nil {
 		return &CorruptRecordError{Kind: kind, Err: err}
@@ -178,8 +180,8 @@
 	return nil
 }
 
-// appendEntry appends an entry in place of those from its index on, which another leader has
-// overwritten.
+// appendEntry appends an entry. The entry replaces all entries from its index on, since a new
+// leader has overwritten them.
 func (s *State) appendEntry(entry *raftpb.Entry) {
 	for len(s.Entries) > 0 && s.Entries[len(s.Entries)-1].GetIndex() >= entry.GetIndex() {
 		s.Entries = s.Entries[:len(s.Entries)-1]
@@ -189,7 +191,7 @@
 	}
 }
 
-// entriesAfter returns the entries behind an index.
+// entriesAfter returns the entries whose index is above the given one.
 func entriesAfter(entries []*raftpb.Entry, index uint64) []*raftpb.Entry {
 	for len(entries) > 0 && entries[0].GetIndex() <= index {
 		entries = entries[1:]
--- a/internal/fleet/consensus/wal/wal.go
+++ b/internal/fleet/consensus/wal/wal.go
@@ -1,9 +1,10 @@
-// Package wal stores the raft log of one voter: an append-only file of records with length
-// and checksum, rewritten as a whole when a snapshot has made most of it obsolete. What Save
-// returned without an error survives a crash. After any failure nothing is written any more:
-// what the disk holds is not known then, and the voter must not vote.
+// Package wal stores the raft log of one voter in a write-ahead log: an append-only file of
+// records with length and checksum, which is rewritten as a whole when snapshots have made most
+// of it obsolete. Data that Save has stored without an error survives a crash. After a failure a
+// log accepts no more writes: the content of the disk is unknown then, and the voter must not
+// vote.
 //
-// A Log has one caller at a time, the node that it belongs to.
+// Only the node that a Log belongs to may use it, with one call at a time.
 package wal
 
 import (
@@ -15,33 +16,35 @@
 
 const (
 	fileName    = "log"
-	newFileName = "log.new" // while the log is rewritten
+	newFileName = "log.new" // the new log, until it replaces the old one
 
-	// A log is rewritten when it is longer than minRewriteSize and than rewriteFactor times
-	// what it must hold.
+	// A log is rewritten when it is longer than minRewriteSize, in bytes, and longer than
+	// rewriteFactor times its length after the last rewrite.
 	minRewriteSize = 1 << 20
 	rewriteFactor  = 2
 )
 
-// ErrFailed reports a log that failed before, or was closed.
-var ErrFailed = errors.New("wal: failed before, and is not written any more")
+// ErrFailed reports a write to a log that failed earlier or was closed.
+var ErrFailed = errors.New("wal: log failed earlier or was closed, no further writes are accepted")
 
 // Log is the log of one voter. It is not safe for concurrent use.
 type Log struct {
 	fs            FS
 	owner         string
 	file          File
-	size          int64
-	rewrittenSize int64 // when it was rewritten last
-	failure       error // not nil once a call failed
+	size          int64 // in bytes
+	rewrittenSize int64 // size when the log was opened or last rewritten
+	failure       error // set once a call has failed or the log is closed
 	buffer        []byte
 }
 
-// Open opens the log of a voter, and creates it if there is none, which fresh tells. owner
-// names the voter: Open returns an error for a log of another owner (OwnerError) or of a
-// newer format. A tail that a crash tore off is cut.
+// Open opens the log of a voter and returns the state that it holds. If there is no log, or none
+// with a complete record, Open starts a new one and fresh is true. owner names the voter. Open
+// returns an OwnerError for a log of another owner, ErrNewerFormat for a newer format, ErrNotLog
+// for a file that is no log, and a CorruptRecordError for a record that cannot be decoded. An
+// incomplete record at the end, which a crash can leave, is truncated.
 func Open(dir FS, owner string) (l *Log, state State, fresh bool, err error) {
-	if err := dir.Remove(newFileName); err != nil { // of a rewriting that a crash ended
+	if err := dir.Remove(newFileName); err != nil { // left by a crash during a rewrite
 		return nil, state, false, err
 	}
 	content, err := dir.ReadFile(fileName)
@@ -68,7 +71,7 @@
 	return l, state, fresh, nil
 }
 
-// prepare cuts a torn tail and names the owner in a log that is empty.
+// prepare truncates a torn record at the end, and writes the owner's record to an empty log.
 func (l *Log) prepare(torn, fresh bool) error {
 	if torn {
 		if err := errors.Join(l.file.Truncate(l.size), l.file.Sync()); err != nil {
@@ -81,16 +84,16 @@
 	return nil
 }
 
-// Save writes what a step of raft wants stored, and returns when it is on the disk. Each
-// argument may be nil.
+// Save appends raft's hard state, entries and a snapshot, and returns when they are on the disk.
+// Each argument may be nil.
 func (l *Log) Save(hardState *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error {
 	return l.save(State{HardState: hardState, Entries: entries, Snapshot: snapshot})
 }
 
-// SaveMetadata writes what the voter keeps of itself, and returns when it is on the disk.
+// SaveMetadata writes the voter's metadata, and returns when it is on the disk.
 func (l *Log) SaveMetadata(metadata []byte) error { return l.save(State{Metadata: metadata}) }
 
-// save writes the parts of a state that are set, as one write, and syncs the file.
+// save writes those parts of a state that are set in a single write, and syncs the file.
 func (l *Log) save(state State) error {
 	if l.failure != nil {
 		return l.failure
@@ -103,9 +106,9 @@
 	return l.recordFailure(err)
 }
 
-// appendState appends the records of a state: metadata, snapshot, entries and hard state,
-// in this order, so that a tail that is torn off never leaves a hard state without the
-// entries that it rests on.
+// appendState appends the records of a state in the order metadata, snapshot, entries, hard
+// state. With this order, a torn write never leaves a hard state without the entries that it
+// refers to.
 func appendState(b []byte, state State) ([]byte, error) {
 	var errs, err error
 	if state.Metadata != nil {
@@ -142,7 +145,8 @@
 	return err
 }
 
-// recordFailure makes an error final: the log is not written any more.
+// recordFailure makes a failure permanent: after an error the log accepts no more writes. It
+// returns err.
 func (l *Log) recordFailure(err error) error {
 	if err != nil {
 		l.failure = errors.Join(ErrFailed, err)
@@ -150,7 +154,7 @@
 	return err
 }
 
-// NeedsRewrite tells whether the log is long enough, and obsolete enough, to be rewritten.
+// NeedsRewrite reports whether the log has grown enough since the last rewrite to be rewritten.
 func (l *Log) NeedsRewrite() bool {
 	return l.failure == nil && l.size > minRewriteSize && l.size > rewriteFactor*l.rewrittenSize
 }
@@ -158,7 +162,7 @@
 // Size returns the length of the log in bytes.
 func (l *Log) Size() int64 { return l.size }
 
-// Rewrite replaces the log by one that holds just this state.
+// Rewrite replaces the log with one that holds only the given state.
 func (l *Log) Rewrite(state State) error {
 	if l.failure != nil {
 		return l.failure
@@ -186,7 +190,7 @@
 	return old.Close()
 }
 
-// Close closes the file. Nothing can be written afterwards.
+// Close closes the file. Later writes return ErrFailed.
 func (l *Log) Close() error {
 	if l.failure == nil {
 		l.failure = ErrFailed
--- a/internal/fleet/consensus/wal/wal_test.go
+++ b/internal/fleet/consensus/wal/wal_test.go
@@ -12,12 +12,12 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// memoryFS is a directory that loses what was not synced in a crash, and whose calls fail
+// memoryFS is a directory in memory. A crash takes back what was not synced, and the calls fail
 // from a given one on.
 type memoryFS struct {
-	syncedFiles  map[string]*memoryFile // by the names that survive a crash
-	visibleFiles map[string]*memoryFile // by their present names
-	failAtCall   int                    // this call and all later ones fail; 0: none
+	syncedFiles  map[string]*memoryFile // by their names after a crash
+	visibleFiles map[string]*memoryFile // by their current names
+	failAtCall   int                    // number of the first call that fails, as all later ones do; 0: none fails
 	calls        int
 	crashed      bool
 }
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// crash keeps what was synced, and of the rest a random part.
+// crash simulates a crash: each synced name keeps its synced content and a random part of the rest.
 func (m *memoryFS) crash(rng *rand.Rand) {
 	m.visibleFiles = map[string]*memoryFile{}
 	for n, d := range m.syncedFiles {
@@ -109,7 +109,7 @@
 
 func (h *openFile) Write(b []byte) (int, error) {
 	if err := h.fs.call(); err != nil {
-		h.file.content = append(h.file.content, b[:len(b)/2]...) // torn
+		h.file.content = append(h.file.content, b[:len(b)/2]...) // a torn write
 		return len(b) / 2, err
 	}
 	h.file.content = append(h.file.content, b...)
@@ -160,8 +160,8 @@
 	return b.String()
 }
 
-// writeUntilFailure writes steps until one fails and returns the states that may be found
-// afterwards: the last one that was acknowledged, and the one in progress.
+// writeUntilFailure saves one state after another until a call fails. It returns the two states
+// that the log may hold afterwards: the last one that was acknowledged, and the one in progress.
 func writeUntilFailure(m *memoryFS, steps int) (acknowledged, inProgress State, err error) {
 	log, acknowledged, _, err := Open(m, "f/1")
 	inProgress = acknowledged
@@ -174,7 +174,7 @@
 		inProgress.Entries = append([]*raftpb.Entry(nil), acknowledged.Entries...)
 		e := entry(last+1, i, fmt.Sprint("e", i))
 		if i%4 == 0 && len(acknowledged.Entries) > 0 {
-			e = entry(last, i, "over") // another leader's, over the last one
+			e = entry(last, i, "over") // an entry of another leader that overwrites the last one
 		}
 		h := hardState(i, i%3+1, last)
 		inProgress.appendEntry(e)
@@ -196,8 +196,8 @@
 	return acknowledged, inProgress, nil
 }
 
-// Each call fails in turn, and the machine with it. Either the acknowledged state is found
-// again, complete, or the one in progress.
+// The machine crashes at each call in turn. Afterwards the log must hold either the complete
+// acknowledged state or the state in progress.
 func TestFailureAtEveryCall(t *testing.T) {
 	intact := newMemoryFS()
 	if _, _, err := writeUntilFailure(intact, 12); err != nil {
@@ -211,14 +211,14 @@
 			m.crash(rand.New(rand.NewPCG(seed, uint64(failingCall))))
 			l, found, _, err := Open(m, "f/1")
 			if err != nil {
-				t.Fatalf("call %d failed: then %v", failingCall, err)
+				t.Fatalf("crash at call %d: Open returned %v", failingCall, err)
 			}
 			if got := describe(found); got != describe(acknowledged) && got != describe(inProgress) {
-				// A record of entries may be there without the hard state that came with it.
-				half := inProgress
-				half.HardState = acknowledged.HardState
-				if got != describe(half) {
-					t.Fatalf("call %d failed: found %s, want %s or %s", failingCall, got, describe(acknowledged), describe(inProgress))
+				// The crash may have kept the new entry without the hard state of the same write.
+				withoutHardState := inProgress
+				withoutHardState.HardState = acknowledged.HardState
+				if got != describe(withoutHardState) {
+					t.Fatalf("crash at call %d: found %s, want %s or %s", failingCall, got, describe(acknowledged), describe(inProgress))
 				}
 			}
 			closeFile(t, l)
@@ -238,15 +238,15 @@
 	}
 	m.failAtCall = 0
 	if err := l.Save(hardState(2, 1, 0), nil, nil); !errors.Is(err, ErrFailed) {
-		t.Errorf("written after a failure: %v", err)
+		t.Errorf("Save after a failure: got %v, want ErrFailed", err)
 	}
 	if err := l.Rewrite(State{}); !errors.Is(err, ErrFailed) {
-		t.Errorf("rewritten after a failure: %v", err)
+		t.Errorf("Rewrite after a failure: got %v, want ErrFailed", err)
 	}
 }
 
-// The log of another fleet or voter, of a newer format, or that is none is rejected with an
-// error that names the cause.
+// Open must reject the log of another fleet or voter, a log of a newer format and a file that is no
+// valid log, each with an error that names the cause.
 func TestRejectsForeignLogs(t *testing.T) {
 	withOwner := func(kind byte, body []byte) []byte {
 		return appendRecord(appendRecord(nil, kindOwner, ownerBody("f/1")), kind, body)
@@ -289,14 +289,14 @@
 			m.visibleFiles[fileName] = &memoryFile{content: foreign.content, syncedLen: len(foreign.content)}
 			_, _, _, err := Open(m, "f/1")
 			if err == nil || !foreign.is(err) || !strings.Contains(err.Error(), foreign.wantText) {
-				t.Errorf("%v, want %q", err, foreign.wantText)
+				t.Errorf("got error %v, want one that contains %q", err, foreign.wantText)
 			}
 		})
 	}
 }
 
-// In a directory of the machine: what was saved is found by the next process, a torn tail is
-// cut, and a long log is rewritten.
+// In a real directory, a saved state must be found when the log is opened again, a torn record at
+// the end must be truncated, and a long log must ask for a rewrite and be short after it.
 func TestDir(t *testing.T) {
 	dir := Dir(t.TempDir() + "/voter")
 	log, _, fresh, err := Open(dir, "dir/1")
@@ -311,7 +311,7 @@
 	}
 	want := State{HardState: hardState(1, 1, 5), Entries: []*raftpb.Entry{entry(5, 1, "five")}}
 	if err := log.Rewrite(want); err != nil || log.Size() > 1000 || log.NeedsRewrite() {
-		t.Errorf("%d bytes, %v", log.Size(), err)
+		t.Errorf("after Rewrite: got %d bytes and error %v, want at most 1000 bytes, no error and no need of a rewrite", log.Size(), err)
 	}
 	want.Entries = append(want.Entries, entry(6, 1, "six"))
 	if err := log.Save(nil, want.Entries[1:], nil); err != nil {
@@ -328,7 +328,7 @@
 	closeFile(t, tail)
 	log, got, fresh, err := Open(dir, "dir/1")
 	if err != nil || fresh || describe(got) != describe(want) {
-		t.Errorf("%v: %s, want %s", err, describe(got), describe(want))
+		t.Errorf("Open again: got error %v and state %s, want state %s", err, describe(got), describe(want))
 	}
 	closeFile(t, log)
 }
@@ -340,7 +340,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		valid, state, err := readRecords(b, "f/1")
 		if valid > len(b) || err == nil && valid > 0 && len(state.Entries) > len(b)/headerLen {
-			t.Fatalf("%d of %d bytes, %d entries", valid, len(b), len(state.Entries))
+			t.Fatalf("got %d valid bytes of %d and %d entries, want no more of either than the input can hold", valid, len(b), len(state.Entries))
 		}
 	})
 }
