--- a/internal/fleet/lease/fingerprint.go
+++ b/internal/fleet/lease/fingerprint.go
@@ -7,9 +7,9 @@
 	"slices"
 )
 
-// This file is for searches through all states that holders and a registry can reach.
+// This file supports exhaustive searches of the states that holders and a registry can reach.
 
-// Clone returns a copy of the holder that is independent from here on.
+// Clone returns a copy of the holder that shares no mutable state with it.
 func (h *Holder) Clone() *Holder {
 	clone := *h
 	clone.leases = make(map[string]*leaseState, len(h.leases))
@@ -25,17 +25,18 @@
 	return &clone
 }
 
-// Clone returns a copy of the tracker that is independent from here on.
+// Clone returns a copy of the tracker that shares no mutable state with it.
 func (t *ExpiryTracker) Clone() *ExpiryTracker {
 	return &ExpiryTracker{t.settings, maps.Clone(t.expiry)}
 }
 
-// maxFingerprintMs bounds times in a fingerprint: what is further away is alike.
+// maxFingerprintMs bounds the times in a fingerprint, in ms. Times further ahead count as equal.
 const maxFingerprintMs = 1e9
 
-// AppendFingerprint appends what two holders must have in common to behave alike from now on:
-// times are counted from now, and of the pending requests only those count that may still get
-// a response. Two with the same fingerprint, and the same responses on their way, do the same.
+// AppendFingerprint appends an encoding of everything that determines the holder's behaviour from
+// now on. Times are relative to now, and only those pending requests are included for which
+// answerable reports that a response may still come. Two holders with the same fingerprint and
+// the same responses in flight behave in the same way.
 func (h *Holder) AppendFingerprint(b []byte, now float64, answerable func(requestID uint64) bool) []byte {
 	number := func(v uint64) { b = binary.AppendUvarint(b, v) }
 	timeLeft := func(at float64) { number(uint64(min(max(at-now, 0), maxFingerprintMs))) }
@@ -50,7 +51,7 @@
 		for _, id := range slices.Sorted(maps.Keys(state.pendingRequests)) {
 			if answerable(id) {
 				number(h.lastRequestID - id)
-				number(uint64(min(now-state.pendingRequests[id], 2*h.settings.TTL))) // by then any response is too late
+				number(uint64(min(now-state.pendingRequests[id], 2*h.settings.TTL))) // an older request cannot be granted in time
 			}
 		}
 		number(math.MaxUint64)
@@ -63,7 +64,8 @@
 	return b
 }
 
-// AppendFingerprint appends what two trackers must have in common to answer alike from now on.
+// AppendFingerprint appends an encoding of everything that determines the tracker's results from
+// now on.
 func (t *ExpiryTracker) AppendFingerprint(b []byte, now float64) []byte {
 	for _, name := range slices.Sorted(maps.Keys(t.expiry)) {
 		b = binary.AppendUvarint(b, uint64(max(0, t.expiry[name]-now)))
@@ -71,7 +73,7 @@
 	return b
 }
 
-// AwaitsResponse tells whether a response to a request may still change something.
+// AwaitsResponse reports whether a response to a request may still change the holder's state.
 func (h *Holder) AwaitsResponse(name string, requestID uint64) bool {
 	state := h.leases[name]
 	if state == nil {
@@ -81,8 +83,8 @@
 	return pending || state.releasing != nil
 }
 
-// Backdate changes when a pending request was sent. It is for tests that break the rule by
-// which a lease counts from before it was requested.
+// Backdate sets the time at which a pending request was sent. Tests use it to violate the rule
+// that a holder counts a lease from the time at which it sent the request.
 func (h *Holder) Backdate(name string, requestID uint64, sentAt float64) {
 	state := h.leases[name]
 	if state == nil {
--- a/internal/fleet/lease/holder.go
+++ b/internal/fleet/lease/holder.go
@@ -1,12 +1,12 @@
-// Package lease has the two sides of a lease, without I/O: Holder is a router's, which knows
-// until when its lease is valid, and ExpiryTracker the registry leader's, which knows from
-// when on it may grant the lease to another router. Neither reads the other's clock. The
-// holder counts from before it sent its request, the leader from after it responded, and both
-// allow for clock drift and a safety margin, so that the lease has expired at the holder
-// before it can be granted to another.
+// Package lease implements the two sides of a lease, without I/O. Holder is the side of a router,
+// which knows until when its lease is valid. ExpiryTracker is the side of the registry's leader,
+// which knows when it may grant the lease to another router. Neither side reads the other's
+// clock. The holder counts the lease from before it sent its request and the leader from when
+// it granted or renewed the lease, and both allow for clock drift and a safety margin. Thus the
+// lease expires at the holder before it can be granted to another router.
 //
-// Its types belong to one goroutine each, that of their owner (packages leasemanager and
-// consensus).
+// A Holder may be used only by the goroutine of its owner (package leasemanager), and an
+// ExpiryTracker only by that of its owner (package consensus).
 package lease
 
 import (
@@ -19,21 +19,22 @@
 )
 
 const (
-	maxPendingRequests = 16 // of one lease; the oldest is forgotten
+	maxPendingRequests = 16 // per lease; the oldest is discarded
 
-	// Fractions of the TTL: when to renew, and by how much each rank requests later.
+	// Divisors of the TTL. A holder renews after TTL/renewalDivisor, and each rank requests the
+	// lease TTL/rankDivisor later than the rank before it.
 	renewalDivisor = 3
 	rankDivisor    = 2
 
-	// noticeDivisor is the fraction of the retry interval by which each rank requests later
-	// where nobody holds the lease.
+	// noticeDivisor divides the retry interval. After a notice that nobody holds the lease, each
+	// rank requests it RetryInterval/noticeDivisor later than the rank before it.
 	noticeDivisor = 4
 
-	maxBackoffDoublings = 16
+	maxBackoffDoublings = 16 // bounds the exponent of the backoff
 )
 
-// Holder is a router's side of its leases. It is not safe for concurrent use; its owner
-// publishes for others what it holds.
+// Holder is a router's side of its leases. It is not safe for concurrent use; its owner publishes
+// the leases that it holds to other goroutines.
 type Holder struct {
 	settings      Settings
 	self          membership.ID
@@ -41,27 +42,27 @@
 	lastRequestID uint64
 }
 
-// leaseState is one lease as this router knows it. Times are in ms.
+// leaseState is the state of one lease at this router. Times are in ms of the boot clock.
 type leaseState struct {
-	rank            int     // -1: the router does not want it
-	fencingToken    uint64  // 0: the router does not hold it
-	expiresAt       float64 // if it holds it
-	pendingRequests map[uint64]float64
+	rank            int                // negative if the router does not want the lease
+	fencingToken    uint64             // 0 if the router does not hold the lease
+	expiresAt       float64            // used only while the router holds the lease
+	pendingRequests map[uint64]float64 // time of sending, by request ID
 	nextRequestAt   float64
 	backoffUntil    float64
-	highestToken    uint64        // of all responses
-	lastKnownHolder membership.ID // by the latest response; 0: nobody, or not known
-	releasing       *Request      // repeated until the registry confirms it
+	highestToken    uint64        // highest token of all responses
+	lastKnownHolder membership.ID // according to the latest response; 0 if nobody holds it or if unknown
+	releasing       *Request      // release that is repeated until the registry confirms it; nil if there is none
 	releaseAttempts int
 }
 
-// NewHolder returns the side of a router that wants no lease. Request IDs count up from
-// above firstRequestID, which differs between incarnations.
+// NewHolder returns a holder that wants no lease yet. The IDs of its requests count up from
+// firstRequestID+1. Each incarnation must pass another firstRequestID.
 func NewHolder(settings Settings, self membership.ID, firstRequestID uint64) *Holder {
 	return &Holder{settings: settings, self: self, leases: map[string]*leaseState{}, lastRequestID: firstRequestID}
 }
 
-// stateOf returns the state of a lease, which it begins if there is none.
+// stateOf returns the state of a lease, and creates it if there is none.
 func (h *Holder) stateOf(name string) *leaseState {
 	state := h.leases[name]
 	if state == nil {
@@ -71,8 +72,9 @@
 	return state
 }
 
-// SetRank sets the router's rank for a lease. Below 0 it does not want the lease, and
-// releases it. Higher ranks request it later, in case those before them do not want it.
+// SetRank sets the router's rank for a lease. With a negative rank the router does not want the
+// lease, and releases it if it holds it. Higher ranks request the lease later, so that they get
+// it only if no router with a lower rank wants it.
 func (h *Holder) SetRank(now float64, name string, rank int) {
 	state := h.stateOf(name)
 	if rank < 0 && state.fencingToken != 0 {
@@ -84,8 +86,9 @@
 	state.rank = rank
 }
 
-// Release releases a lease, to another router if one is named. It is not valid here from now
-// on; the request to the registry is repeated until it is confirmed.
+// Release releases a lease to the router to, or to nobody if to is 0. From now on the lease is not
+// valid at this router. Step repeats the release until the registry confirms it or the lease has
+// expired there.
 func (h *Holder) Release(now float64, name string, to membership.ID, handoff []byte) {
 	state := h.stateOf(name)
 	if state.fencingToken == 0 {
@@ -95,14 +98,14 @@
 	state.releaseAttempts = 0
 	state.fencingToken, state.expiresAt = 0, 0
 	state.nextRequestAt = now
-	// Symptom guarded against: operators transferred a lease to a router that did not want it,
-	// and what that one released came back to the router that it was transferred from.
+	// Without this backoff, a lease that operators transferred to a router that did not want it
+	// came back, as soon as that router released it, to the router that had given it away.
 	state.backoffUntil = max(state.backoffUntil, now+h.settings.TTL)
 	clear(state.pendingRequests)
 }
 
-// Valid tells whether this router holds a lease now, and under which fencing token. It is to
-// be asked again before each write to a socket.
+// Valid returns the fencing token of a lease; ok is false if this router does not hold the lease
+// now. Callers must check it again before each write to a socket.
 func (h *Holder) Valid(now float64, name string) (token uint64, ok bool) {
 	state := h.leases[name]
 	if state == nil || state.fencingToken == 0 || now >= state.expiresAt {
@@ -111,7 +114,7 @@
 	return state.fencingToken, true
 }
 
-// AllReleased tells whether the registry has confirmed all releases, or need not any more.
+// AllReleased reports whether no release waits for the registry's confirmation any more.
 func (h *Holder) AllReleased() bool {
 	for _, state := range h.leases {
 		if state.releasing != nil {
@@ -121,7 +124,8 @@
 	return true
 }
 
-// Expiry returns when a lease expires, and its fencing token; zeros if it is not held.
+// Expiry returns the time in ms at which a lease expires, and its fencing token. Both are 0 if this
+// router does not hold the lease.
 func (h *Holder) Expiry(name string) (expiresAt float64, token uint64) {
 	if state := h.leases[name]; state != nil && state.fencingToken != 0 {
 		return state.expiresAt, state.fencingToken
@@ -129,8 +133,8 @@
 	return 0, 0
 }
 
-// LastKnownHolder returns who held a lease by the registry's latest response; 0: nobody, or
-// not known.
+// LastKnownHolder returns the holder of a lease according to the registry's latest response, or 0
+// if nobody held the lease or the holder is unknown.
 func (h *Holder) LastKnownHolder(name string) membership.ID {
 	if state := h.leases[name]; state != nil {
 		return state.lastKnownHolder
@@ -138,7 +142,7 @@
 	return 0
 }
 
-// Held returns the names of the leases that are valid now, sorted.
+// Held returns the sorted names of the leases that this router holds now.
 func (h *Holder) Held(now float64) []string {
 	var names []string
 	for name := range h.leases {
@@ -150,14 +154,15 @@
 	return names
 }
 
-// Step advances the holder to now. It returns the requests to send, the leases that expired,
-// and when to step next.
+// Step advances the holder to now, in ms. It returns the requests to send, the leases that
+// expired, and the time in ms of the next step.
 func (h *Holder) Step(now float64) (requests []Request, changes []Change, wakeAt float64) {
 	wakeAt = math.Inf(1)
 	for _, name := range slices.Sorted(maps.Keys(h.leases)) {
 		state := h.leases[name]
 		if state.fencingToken != 0 && now >= state.expiresAt {
-			// It could not be renewed in time: this router stops by itself, asking nobody.
+			// The lease was not renewed in time. This router stops using it without a
+			// confirmation by the registry.
 			changes = append(changes, Change{Lease: name, Cause: CauseExpired})
 			state.fencingToken, state.expiresAt = 0, 0
 			state.nextRequestAt = now + h.settings.TTL
@@ -173,8 +178,8 @@
 	return requests, changes, wakeAt
 }
 
-// newRequest returns the request to send now: the pending release, or one for a grant or
-// renewal.
+// newRequest returns the request to send now: the pending release if there is one, otherwise a
+// request for a grant or a renewal.
 func (h *Holder) newRequest(now float64, name string, state *leaseState) Request {
 	h.lastRequestID++
 	state.nextRequestAt = now + h.settings.RetryInterval
@@ -192,8 +197,8 @@
 	return Request{ID: h.lastRequestID, Lease: name, FencingToken: state.fencingToken}
 }
 
-// releaseRequest returns the pending release under a new request ID. It is the last one if
-// the lease expires at the registry before the next would be sent.
+// releaseRequest returns the pending release with a new request ID. It ends the release if the
+// lease expires at the registry before the next repetition would be sent.
 func (h *Holder) releaseRequest(state *leaseState) Request {
 	request := *state.releasing
 	request.ID = h.lastRequestID
--- a/internal/fleet/lease/messages.go
+++ b/internal/fleet/lease/messages.go
@@ -5,27 +5,28 @@
 // Request is a router's request to the voters: to grant, renew or release a lease.
 type Request struct {
 	ID           uint64
-	Lease        string        // its name
-	FencingToken uint64        // of the lease that is renewed or released; 0: to be granted
-	Release      bool          // to release the lease
-	TransferTo   membership.ID // with Release: to this router; 0: to nobody
-	Handoff      []byte        // with Release: what the next holder needs to go on
+	Lease        string        // name of the lease
+	FencingToken uint64        // token of the lease to renew or release; 0 to request a grant
+	Release      bool          // whether to release the lease
+	TransferTo   membership.ID // with Release: the next holder; 0 to release the lease to nobody
+	Handoff      []byte        // with Release: data with which the next holder continues
 }
 
-// Response is the state of a lease, in response to a request. With RequestID 0 it is a notice
-// that the lease was transferred to the router (Holder), or is held by nobody.
+// Response is the state of a lease in response to a request. A Response with RequestID 0 is a
+// notice: either the lease was transferred to the receiving router, which Holder names, or Holder
+// is 0 and nobody holds the lease.
 type Response struct {
 	RequestID    uint64
 	Lease        string
-	Granted      bool          // the router's process holds the lease under FencingToken
-	FencingToken uint64        // by the registry
-	Holder       membership.ID // by the registry; 0: nobody
-	Remaining    float64       // ms until the lease may be requested again
-	Losses       uint64        // how often the router lost this lease, as the registry counts it
-	Handoff      []byte        // with Granted: what the last holder left
+	Granted      bool          // whether the requesting process holds the lease under FencingToken
+	FencingToken uint64        // according to the registry
+	Holder       membership.ID // according to the registry; 0 if nobody holds the lease
+	Remaining    float64       // longest time in ms for which the lease may still be valid
+	Losses       uint64        // the registry's loss count of the router for this lease
+	Handoff      []byte        // with Granted: data that the last holder left
 }
 
-// ChangeCause is why a router holds a lease now, or no longer. It is logged.
+// ChangeCause says why a router got or lost a lease. It is logged.
 type ChangeCause string
 
 // The causes of changes.
@@ -37,19 +38,20 @@
 	CauseNotWanted     ChangeCause = "not wanted any more"
 )
 
-// Change is a lease that this router holds now, or no longer.
+// Change reports that this router got or lost a lease.
 type Change struct {
 	Lease        string
-	FencingToken uint64 // 0: no longer
-	Handoff      []byte
+	FencingToken uint64 // 0 if the router lost the lease
+	Handoff      []byte // data that the last holder left
 	Cause        ChangeCause
 }
 
-// Fence is the receiver's side of fencing tokens: the highest one seen of each lease. It is
-// not safe for concurrent use.
+// Fence is the receiver's side of fencing tokens: it maps each lease to the highest token seen. It
+// is not safe for concurrent use.
 type Fence map[string]uint64
 
-// Admit tells whether an act under a token is admitted: it is unless a higher token was seen.
+// Admit reports whether to accept an operation with this token, and records the token if so. It
+// rejects a token if it has seen a higher one of the same lease.
 func (f Fence) Admit(name string, token uint64) bool {
 	if token < f[name] {
 		return false
--- a/internal/fleet/lease/rank.go
+++ b/internal/fleet/lease/rank.go
@@ -10,16 +10,17 @@
 	"garnetline/internal/fleet/membership"
 )
 
-// rendezvousScore orders the candidates of a lease. All versions must compute the same.
+// rendezvousScore returns the score by which the candidates of a lease are ordered. All versions
+// must compute the same score.
 func rendezvousScore(name string, id membership.ID) uint64 {
 	var key [8]byte
 	binary.LittleEndian.PutUint64(key[:], uint64(id))
 	return xxhash.Sum64(append(key[:], name...))
 }
 
-// Rank returns a router's place among the candidates of a lease, by rendezvous hashing: the
-// same at all routers with the same view, and no third router's coming or going changes the
-// order of two. It is -1 if the router is no candidate.
+// Rank returns a router's rank among the candidates of a lease, from 0, by rendezvous hashing. All
+// routers with the same candidates compute the same ranks, and a router that is added or removed
+// does not change the relative order of the others. Rank returns -1 if self is not a candidate.
 func Rank(name string, self membership.ID, candidates []membership.ID) int {
 	if !slices.Contains(candidates, self) {
 		return -1
@@ -34,8 +35,7 @@
 	return rank
 }
 
-// TopRanked returns the first n candidates of a lease in the order of their ranks, or all if
-// there are fewer.
+// TopRanked returns the first n candidates of a lease by rank, or all of them if there are fewer.
 func TopRanked(name string, candidates []membership.ID, n int) []membership.ID {
 	ranked := slices.SortedFunc(slices.Values(candidates), func(a, b membership.ID) int {
 		return cmp.Or(cmp.Compare(rendezvousScore(name, b), rendezvousScore(name, a)), cmp.Compare(b, a))
--- a/internal/fleet/lease/rank_test.go
+++ b/internal/fleet/lease/rank_test.go
@@ -7,8 +7,8 @@
 	"garnetline/internal/fleet/membership"
 )
 
-// Routers of different versions must agree on the ranks for a lease: the order is pinned as
-// it was first released.
+// Routers of different versions must compute the same ranks for a lease, so this test pins the
+// order.
 func TestGoldenRanks(t *testing.T) {
 	routers := []membership.ID{1, 2, 3, 0xdeadbeef, 0x1122334455667788}
 	for name, want := range map[string][]membership.ID{
@@ -17,7 +17,7 @@
 	} {
 		got := TopRanked(name, routers, len(routers))
 		if !slices.Equal(got, want) {
-			t.Errorf("%s: %#v, want %#v", name, got, want)
+			t.Errorf("%s: got order %#v, want %#v", name, got, want)
 		}
 		for rank, id := range got {
 			if r := Rank(name, id, routers); r != rank {
--- a/internal/fleet/lease/response.go
+++ b/internal/fleet/lease/response.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// HandleResponse handles a response or a notice of the registry. It returns what this router
-// holds now, or no longer.
+// HandleResponse handles a response or a notice of the registry, received at now in ms. It returns
+// the leases that this router got or lost by it.
 func (h *Holder) HandleResponse(now float64, response Response) []Change {
 	state := h.leases[response.Lease]
 	if state == nil {
@@ -22,7 +22,7 @@
 	}
 	sentAt, pending := state.pendingRequests[response.RequestID]
 	if !pending || response.FencingToken < state.highestToken {
-		return nil // to an earlier incarnation, or overtaken by a later response
+		return nil // to a request of an earlier incarnation or a discarded one, or older than a response seen
 	}
 	state.highestToken = response.FencingToken
 	delete(state.pendingRequests, response.RequestID)
@@ -32,12 +32,12 @@
 	return h.handleGrant(now, sentAt, state, response)
 }
 
-// handleReleaseResponse ends a release that the registry has applied.
+// handleReleaseResponse ends a pending release once the registry has applied it.
 func (h *Holder) handleReleaseResponse(now float64, state *leaseState, response Response) {
 	switch {
 	case response.Granted && response.FencingToken > state.releasing.FencingToken:
-		// An earlier request of this process was granted meanwhile, which it does not accept:
-		// that grant is released instead.
+		// The registry has meanwhile granted an earlier request of this process. The router does
+		// not accept that grant, but releases it.
 		state.releasing.FencingToken = response.FencingToken
 		state.releaseAttempts = 0
 		state.nextRequestAt = now
@@ -47,29 +47,30 @@
 	}
 }
 
-// handleNotice handles the notice that a lease was transferred to this router, or that nobody
-// holds it.
+// handleNotice handles a notice that a lease was transferred to this router or that nobody holds
+// the lease.
 func (h *Holder) handleNotice(now float64, state *leaseState, response Response) {
 	if state.fencingToken != 0 {
 		return
 	}
 	switch {
 	case response.Holder == h.self:
-		// It requests the lease, or releases it until the registry confirms that.
+		// The router requests the lease or, if it does not want it, releases it until the
+		// registry confirms the release.
 		state.nextRequestAt, state.backoffUntil = now, 0
 		if state.rank < 0 {
 			state.releasing = &Request{Lease: response.Lease, FencingToken: response.FencingToken, Release: true}
 			state.releaseAttempts = 0
 		}
 	case response.Holder == 0 && state.rank >= 0:
-		// All candidates request it, in the order of their ranks.
-		turn := now + float64(state.rank)*h.settings.RetryInterval/noticeDivisor
-		state.nextRequestAt = min(state.nextRequestAt, max(state.backoffUntil, turn))
+		// All candidates that got the notice request the lease, in the order of their ranks.
+		requestAt := now + float64(state.rank)*h.settings.RetryInterval/noticeDivisor
+		state.nextRequestAt = min(state.nextRequestAt, max(state.backoffUntil, requestAt))
 	}
 }
 
-// handleRejection handles that another router holds the lease, or another process of this
-// one.
+// handleRejection handles a response that does not grant the lease: another router, another process
+// of this router or nobody holds it.
 func (h *Holder) handleRejection(now float64, state *leaseState, response Response) (changes []Change) {
 	if state.fencingToken != 0 && response.FencingToken != state.fencingToken {
 		changes = append(changes, Change{Lease: response.Lease, Cause: CauseTokenReplaced})
@@ -81,10 +82,11 @@
 	return changes
 }
 
-// handleGrant handles that the lease was granted or renewed, by a request sent at sentAt.
+// handleGrant handles a response that grants or renews the lease. sentAt is the time at which the
+// request was sent, from which the lease counts.
 func (h *Holder) handleGrant(now, sentAt float64, state *leaseState, response Response) (changes []Change) {
 	expiresAt := sentAt + h.settings.holderPeriod()
-	if now >= expiresAt && now >= state.expiresAt { // the response took longer than the lease
+	if now >= expiresAt && now >= state.expiresAt { // the response came after the end of the lease that it grants
 		if state.fencingToken != 0 {
 			changes = append(changes, Change{Lease: response.Lease, Cause: CauseRenewedLate})
 		}
@@ -100,15 +102,15 @@
 		state.fencingToken, state.expiresAt = response.FencingToken, expiresAt
 	}
 	state.nextRequestAt = now + h.settings.TTL/renewalDivisor
-	if state.rank < 0 { // requested before the router stopped wanting it
+	if state.rank < 0 { // the request was sent while the router still wanted the lease
 		h.Release(now, response.Lease, 0, nil)
 		changes = append(changes, Change{Lease: response.Lease, Cause: CauseNotWanted})
 	}
 	return changes
 }
 
-// scheduleRetry sets when to request a lease again that another router holds. A router that
-// lost it before backs off longer each time, up to a bound.
+// scheduleRetry sets when to request the lease again after a rejection. A router that has lost the
+// lease before backs off exponentially with its loss count, up to Settings.MaxBackoff.
 func (s *leaseState) scheduleRetry(settings Settings, now float64, response Response) {
 	if s.rank < 0 {
 		s.nextRequestAt = math.Inf(1)
--- a/internal/fleet/lease/settings.go
+++ b/internal/fleet/lease/settings.go
@@ -2,22 +2,23 @@
 
 import "garnetline/internal/fielderror"
 
-// Settings are the times of leases, in milliseconds of a clock that counts suspended time
-// too.
+// Settings are the settings of leases. Times are in ms of the boot clock, which also advances while
+// the machine is suspended.
 type Settings struct {
-	TTL           float64 // of a lease
-	SafetyMargin  float64 // by which the holder stops earlier and the registry waits longer
+	TTL           float64 // duration of a lease
+	SafetyMargin  float64 // time by which the holder stops earlier and the registry waits longer
 	MaxClockDrift float64 // ratio by which the rates of two clocks may differ
-	RetryInterval float64 // after which a request without a response is repeated, at another voter
-	MaxBackoff    float64 // longest time that a router does not request a lease that it lost
+	RetryInterval float64 // time after which a request without a response is repeated, possibly at another voter
+	MaxBackoff    float64 // longest time for which a router does not request a lease that it lost
 }
 
-// DefaultSettings returns the settings that apply where the operators' file sets none.
+// DefaultSettings returns the settings that apply if the operators' file sets none.
 func DefaultSettings() Settings {
 	return Settings{TTL: 3000, SafetyMargin: 200, MaxClockDrift: 0.01, RetryInterval: 250, MaxBackoff: 60_000}
 }
 
-// Limits of the settings. The margin and the retry interval are at most TTL/minTTLRatio.
+// Limits of the settings, in ms except for the drift. SafetyMargin and RetryInterval may be at most
+// TTL/minTTLRatio.
 const (
 	minTTL           = 200
 	maxTTL           = 600_000
@@ -28,25 +29,27 @@
 	minTTLRatio      = 4
 )
 
-// Validate returns an error, in terms of the operators' file, unless the settings leave a
-// holder time to act in.
+// Validate returns an error, which names the field of the operators' file, if a setting is out of
+// range. The ranges ensure that a holder has time to act before its lease expires.
 func (s Settings) Validate() error {
 	switch {
 	case !(s.TTL >= minTTL && s.TTL <= maxTTL):
-		return fielderror.Errorf("lease_ms", "want 200 to 600000")
+		return fielderror.Errorf("lease_ms", "expected 200 to 600000")
 	case !(s.SafetyMargin >= minMargin && s.SafetyMargin <= s.TTL/minTTLRatio):
-		return fielderror.Errorf("margin_ms", "want 10 to a quarter of lease_ms")
+		return fielderror.Errorf("margin_ms", "expected 10 to a quarter of lease_ms")
 	case !(s.MaxClockDrift >= minDrift && s.MaxClockDrift <= maxDrift):
-		return fielderror.Errorf("drift", "want 0.001 to 0.1")
+		return fielderror.Errorf("drift", "expected 0.001 to 0.1")
 	case !(s.RetryInterval >= minRetryInterval && s.RetryInterval <= s.TTL/minTTLRatio):
-		return fielderror.Errorf("retry_ms", "want 10 to a quarter of lease_ms")
+		return fielderror.Errorf("retry_ms", "expected 10 to a quarter of lease_ms")
 	}
 	return nil
 }
 
-// holderPeriod is how long a lease is valid for its holder, from before it was requested.
+// holderPeriod returns the time in ms for which a lease is valid for its holder, counted from
+// before the holder sent the request.
 func (s Settings) holderPeriod() float64 { return s.TTL*(1-s.MaxClockDrift) - s.SafetyMargin }
 
-// registryPeriod is how long the registry waits for a lease to expire, from after it was
-// granted or renewed. It ends after holderPeriod by any two clocks within MaxClockDrift.
+// registryPeriod returns the time in ms for which the registry waits until a lease has expired,
+// counted from its grant or renewal. It ends after holderPeriod if the rates of the two
+// clocks differ by at most MaxClockDrift.
 func (s Settings) registryPeriod() float64 { return s.TTL*(1+s.MaxClockDrift) + s.SafetyMargin }
--- a/internal/fleet/leaseregistry/command.go
+++ b/internal/fleet/leaseregistry/command.go
@@ -10,37 +10,37 @@
 	"garnetline/routing"
 )
 
-// Op is what a command does. The numbers are stored.
+// Op is the operation of a command. Its values are stored and must not change.
 type Op uint8
 
 // The operations.
 const (
-	OpGrant     Op = 1 + iota // grants a lease whose token is still the expected one
-	OpRelease                 // releases the holder's lease to nobody
+	OpGrant     Op = 1 + iota // grants a lease if its token is still ExpectedToken
+	OpRelease                 // releases the holder's lease, which nobody holds then
 	OpTransfer                // transfers the holder's lease to another router
-	OpSetBan                  // sets a ban whose version is still the expected one
-	OpNameVoter               // names a voter, or forgets its name
+	OpSetBan                  // sets a server's ban if its version is still ExpectedToken
+	OpNameVoter               // sets or removes the name of a voter
 )
 
-// Command is one entry of the log. Which fields count depends on Op.
+// Command is the content of one log entry. Op determines which of the other fields are used.
 type Command struct {
 	Op            Op
 	Lease         string
-	Holder        membership.ID    // who shall hold the lease; OpRelease: who releases it
-	Incarnation   uint64           // of the holder's process
-	ExpectedToken uint64           // the lease's token or the ban's version before; 0: there is none
-	Handoff       []byte           // OpRelease, OpTransfer
-	Server        routing.ServerID // OpSetBan
-	Disabled      bool             // OpSetBan
-	Text          string           // OpSetBan: who set it; OpNameVoter: the name, empty to forget it
-	Reason        string           // OpSetBan
-	SetAt         float64          // OpSetBan: Unix ms
+	Holder        membership.ID    // the new holder; OpRelease: the router that releases the lease
+	Incarnation   uint64           // identifies the holder's process
+	ExpectedToken uint64           // token of the lease or version of the ban before the command; 0: none yet
+	Handoff       []byte           // OpRelease, OpTransfer: data for the next holder
+	Server        routing.ServerID // OpSetBan: the server that the ban is about
+	Disabled      bool             // OpSetBan: whether the server is disabled
+	Text          string           // OpSetBan: who set the ban; OpNameVoter: the name, or empty to remove it
+	Reason        string           // OpSetBan: why the ban was set
+	SetAt         float64          // OpSetBan: when the ban was set, in Unix ms
 	VoterID       uint64           // OpNameVoter: the raft ID
-	HolderLost    bool             // OpGrant: the holder before had not released the lease
-	RequestID     uint64           // of the request that the command answers
+	HolderLost    bool             // OpGrant: the previous holder lost the lease without a release
+	RequestID     uint64           // ID of the request that caused the command; 0: no request did
 }
 
-// Field numbers of a command. They are stored and do not change.
+// Field numbers of an encoded command. They are stored and must not change.
 const (
 	fieldOp            protowire.Number = 1
 	fieldLease         protowire.Number = 2
@@ -58,13 +58,13 @@
 	fieldRequestID     protowire.Number = 14
 )
 
-// Bounds of decoded numbers, which keep what is converted exact.
+// Upper bounds of decoded numbers, within which the conversions are exact.
 const (
 	maxOp     = 255
 	maxUnixMs = 1 << 50
 )
 
-// Append appends the command in protobuf's encoding.
+// Append appends the command to b, encoded as a protobuf message.
 func (c *Command) Append(b []byte) []byte {
 	w := wireformat.NewWriter(b)
 	w.Uint(fieldOp, uint64(c.Op))
@@ -84,7 +84,8 @@
 	return w.Encoded()
 }
 
-// DecodeCommand decodes a command; ok is false if it is none, or exceeds a limit.
+// DecodeCommand decodes a command. ok is false if b is not a valid message or if the command
+// exceeds a limit.
 func DecodeCommand(b []byte) (command *Command, ok bool) {
 	command = &Command{}
 	ok = wireformat.ParseFields(b, command.setField)
--- a/internal/fleet/leaseregistry/golden_test.go
+++ b/internal/fleet/leaseregistry/golden_test.go
@@ -16,7 +16,7 @@
 	command *Command
 }
 
-// appliedCommands are those from which goldenState results, in their order.
+// appliedCommands returns the commands that lead to goldenState, in order.
 func appliedCommands() []goldenCommand {
 	return []goldenCommand{
 		{"grant", &Command{Op: OpGrant, Lease: "probe/edge", Holder: 0x1122334455667788, Incarnation: 77, RequestID: 1 << 62}},
@@ -30,7 +30,7 @@
 	}
 }
 
-// goldenCommands are the applied commands, and one with every field.
+// goldenCommands returns the applied commands, and one command that sets every field.
 func goldenCommands() []goldenCommand {
 	return append(appliedCommands(), goldenCommand{"all-fields", &Command{
 		Op: OpGrant, Lease: "d", Holder: 2, Incarnation: 3, ExpectedToken: 4, Handoff: []byte("5"), Server: 6, Disabled: true,
@@ -49,7 +49,7 @@
 	return state
 }
 
-// Commands are entries of the log, and stay readable by all versions.
+// Commands are stored in the log, so every version must encode and decode them in the same way.
 func TestGoldenCommands(t *testing.T) {
 	var encoded []golden.Message
 	for _, c := range goldenCommands() {
@@ -63,8 +63,8 @@
 	}
 }
 
-// A snapshot is stored by voters and sent between them; the part with the bans is sent to
-// routers.
+// Voters store snapshots and send them to each other, and they send the bans to routers, so the
+// encoding of both must not change.
 func TestGoldenSnapshot(t *testing.T) {
 	state := goldenState(t)
 	stored := golden.CompareMessages(t, "snapshot.golden", []golden.Message{
@@ -73,22 +73,23 @@
 	})
 	got, ok := Restore(stored[0].Bytes)
 	if !ok || !bytes.Equal(got.Snapshot(), stored[0].Bytes) {
-		t.Error("the stored snapshot is restored as another state")
+		t.Error("the stored snapshot is not restored to the same state")
 	}
 	lease := got.Leases["probe/edge"]
 	if lease == nil || lease.Holder != 11 || lease.FencingToken != 3 || lease.Losses[membership.ID(0x1122334455667788)] != 1 || string(lease.Handoff) != "\x00work\xff" {
-		t.Errorf("%+v", lease)
+		t.Errorf("got lease %+v, want holder 11, token 3, one loss and the handoff", lease)
 	}
 	if !reflect.DeepEqual(got, state) {
-		t.Errorf("restored as %+v", got)
+		t.Errorf("restored as %+v, want the state that was encoded", got)
 	}
 	bans, ok := Restore(stored[1].Bytes)
 	if !ok || !reflect.DeepEqual(bans.Bans, state.Bans) {
-		t.Errorf("bans restored as %+v", bans)
+		t.Errorf("bans restored as %+v, want those that were encoded", bans)
 	}
 }
 
-// Why a ban was not set is sent to the router that asked, and shown to operators.
+// The text of a rejection is sent to the router whose ban was not set and is shown to operators, so
+// it must not change.
 func TestGoldenRejections(t *testing.T) {
 	texts := ""
 	for _, err := range []error{ErrTokenMismatch, ErrFull, ErrUnknownCommand} {
--- a/internal/fleet/leaseregistry/snapshot.go
+++ b/internal/fleet/leaseregistry/snapshot.go
@@ -11,15 +11,15 @@
 	"garnetline/routing"
 )
 
-// Field numbers of a snapshot: one field for each lease, ban and voter's name. They are
-// stored and do not change, as those of the three below.
+// Field numbers of a snapshot, which has one field for each lease, ban and voter's name. These
+// numbers, and those of the three messages below, are stored and must not change.
 const (
 	snapshotLease     protowire.Number = 1
 	snapshotBan       protowire.Number = 2
 	snapshotVoterName protowire.Number = 3
 )
 
-// Field numbers of a lease. A router's losses follow its ID.
+// Field numbers of a lease. Each router ID of the loss counters is followed by that router's count.
 const (
 	leaseName         protowire.Number = 1
 	leaseHolder       protowire.Number = 2
@@ -32,7 +32,7 @@
 
 // Field numbers of a ban.
 const (
-	banServer   protowire.Number = 1 // plus one, since 0 is a server too
+	banServer   protowire.Number = 1 // server ID plus one, because 0 is a valid ID and zeros are not encoded
 	banDisabled protowire.Number = 2
 	banVersion  protowire.Number = 3
 	banSetBy    protowire.Number = 4
@@ -46,7 +46,7 @@
 	voterName protowire.Number = 2
 )
 
-// Snapshot returns the whole state as bytes, the same for equal states.
+// Snapshot encodes the whole state. Equal states have the same encoding.
 func (s *State) Snapshot() []byte {
 	w := wireformat.NewWriter(nil)
 	for _, name := range slices.Sorted(maps.Keys(s.Leases)) {
@@ -62,7 +62,7 @@
 	return w.Encoded()
 }
 
-// BansSnapshot returns the part of a snapshot that holds operators' bans. Restore reads it.
+// BansSnapshot encodes only the operators' bans. Restore can decode the result.
 func (s *State) BansSnapshot() []byte {
 	w := wireformat.NewWriter(nil)
 	s.writeBans(w)
@@ -96,7 +96,7 @@
 	w.Uint(banSetAt, uint64(b.SetAt))
 }
 
-// Restore decodes a snapshot; ok is false if it is none.
+// Restore decodes a snapshot. ok is false if the snapshot is invalid.
 func Restore(snapshot []byte) (state *State, ok bool) {
 	state = New()
 	ok = wireformat.ParseFields(snapshot, func(field protowire.Number, _ uint64, content []byte) bool {
--- a/internal/fleet/leaseregistry/state.go
+++ b/internal/fleet/leaseregistry/state.go
@@ -1,9 +1,10 @@
-// Package leaseregistry is the state that the voters agree on: who holds which lease under
-// which fencing token, operators' bans, and the names of the voters. It is a pure function of
-// the committed commands in their order, without clock or chance: what depends on time, such
-// as whether a lease has expired, the leader decides before it proposes a command.
+// Package leaseregistry holds the state that the voters replicate: the holder and the fencing
+// token of each lease, the operators' bans, and the names of the voters. The state is a pure
+// function of the sequence of committed commands and uses neither a clock nor random numbers. The
+// leader decides everything that depends on time, such as whether a lease has expired, before it
+// proposes a command.
 //
-// A State belongs to one goroutine, that of its owner (package consensus).
+// Only one goroutine, that of the state's owner (package consensus), may use a State.
 package leaseregistry
 
 import (
@@ -16,19 +17,20 @@
 	"garnetline/routing"
 )
 
-// Limits of the state, whatever is asked for.
+// Limits of the state, which no command can exceed.
 const (
 	MaxLeases     = 4096
 	MaxBans       = 4096
 	MaxNameLen    = 64  // of a lease or voter, in bytes
-	MaxTextLen    = 200 // of who set a ban, and of why, in bytes
-	MaxHandoffLen = 512 // of what a holder hands to its successor, in bytes
+	MaxTextLen    = 200 // of the author of a ban, and of its reason, in bytes
+	MaxHandoffLen = 512 // of the data that a holder leaves to its successor, in bytes
 
 	maxVoterNames   = 64
-	maxLossCounters = 16 // of one lease
+	maxLossCounters = 16 // per lease
 )
 
-// Errors that Apply returns. Their texts are sent to routers and shown to operators.
+// Errors that Apply returns. Their texts are sent to routers and shown to operators, so they must
+// not change.
 var (
 	ErrTokenMismatch  = errors.New("another token holds by now")
 	ErrFull           = errors.New("no room in the register")
@@ -38,27 +40,27 @@
 // Lease is the state of one lease.
 type Lease struct {
 	Name         string
-	Holder       membership.ID // 0: nobody
-	Incarnation  uint64        // of the holder's process; 0: not known yet, after a transfer
-	FencingToken uint64        // only grows; the index of the command that changed the holder
-	Losses       map[membership.ID]uint64
-	Handoff      []byte // what the last holder left to its successor
+	Holder       membership.ID            // 0 if nobody holds the lease
+	Incarnation  uint64                   // identifies the holder's process; 0 if unknown, as after a transfer
+	FencingToken uint64                   // log index of the command that set the holder; it only grows
+	Losses       map[membership.ID]uint64 // how often each router lost the lease, decayed by recordLoss
+	Handoff      []byte                   // data that the last holder left to its successor
 }
 
-// Ban is the state of one server that operators disabled or enabled again.
+// Ban records that operators disabled a server or enabled it again.
 type Ban struct {
 	Server        routing.ServerID
 	Disabled      bool
-	Version       uint64 // index of the command that set it
+	Version       uint64 // log index of the command that set the ban
 	SetBy, Reason string
-	SetAt         float64 // Unix ms, by the clock of the router that was called
+	SetAt         float64 // Unix ms by the clock of the router that received the operator's call
 }
 
 // State is the whole registry. It is not safe for concurrent use.
 type State struct {
 	Leases     map[string]*Lease
 	Bans       map[routing.ServerID]*Ban
-	VoterNames map[uint64]string // of voters and learners, by their raft IDs
+	VoterNames map[uint64]string // names of voters and learners, by raft ID
 }
 
 // New returns an empty registry.
@@ -66,9 +68,10 @@
 	return &State{Leases: map[string]*Lease{}, Bans: map[routing.ServerID]*Ban{}, VoterNames: map[uint64]string{}}
 }
 
-// Apply applies a command, whose index in the log becomes the new token or version. It
-// changes nothing if it returns an error: ErrTokenMismatch if what the command expects does
-// not hold any more, ErrFull, or ErrUnknownCommand.
+// Apply applies the command at a log index, which becomes the new token or version. It returns
+// ErrTokenMismatch if the lease or ban no longer matches what the command expects, ErrFull if a
+// limit is reached, and ErrUnknownCommand for an unknown operation. With an error the state is
+// unchanged.
 func (s *State) Apply(index uint64, command *Command) error {
 	switch command.Op {
 	case OpGrant:
@@ -164,7 +167,7 @@
 	}
 }
 
-// BanVersion returns the index of the latest command that set a ban; 0: there was none.
+// BanVersion returns the log index of the latest command that set a ban, or 0 if there was none.
 func (s *State) BanVersion() uint64 {
 	latest := uint64(0)
 	for _, ban := range s.Bans {
@@ -173,11 +176,12 @@
 	return latest
 }
 
-// recordLoss counts that the holder lost the lease, and halves the counts of all others.
+// recordLoss increments the holder's loss counter and halves those of all other routers.
 //
-// Symptom guarded against: after some ninety losses among eight routers each of them backed
-// off for the longest time, and nobody held the lease. A router that flaps while others hold
-// the lease stands out; where all lose it in turn, none does.
+// Without the halving, about ninety losses spread over eight routers made each of them back off
+// for the longest time, so that nobody held the lease. With it, only a router that loses the
+// lease repeatedly while others keep it reaches a high count; where all lose it in turn, no
+// router does.
 func (l *Lease) recordLoss() {
 	for id, losses := range l.Losses {
 		if id == l.Holder {
@@ -195,7 +199,7 @@
 	}
 }
 
-// evictLoss forgets the router that lost the lease least often.
+// evictLoss removes the lowest loss counter, and among equal ones that of the lowest router ID.
 func (l *Lease) evictLoss() {
 	ids := slices.SortedFunc(maps.Keys(l.Losses), func(a, b membership.ID) int {
 		return cmp.Or(cmp.Compare(l.Losses[a], l.Losses[b]), cmp.Compare(a, b))
--- a/internal/fleet/leaseregistry/state_test.go
+++ b/internal/fleet/leaseregistry/state_test.go
@@ -10,7 +10,7 @@
 	"garnetline/routing"
 )
 
-// randomCommand draws a command that may be valid, or not.
+// randomCommand draws a command that may be valid or invalid.
 func randomCommand(t *rapid.T) *Command {
 	return &Command{
 		Op:            Op(rapid.IntRange(0, 6).Draw(t, "op")),
@@ -27,22 +27,23 @@
 	}
 }
 
-// checkTokens compares the leases after a command with their tokens before, and notes the new
-// ones.
+// checkTokens checks the tokens of the leases after a command against those before it, and then
+// records the new ones in tokens.
 func checkTokens(t *rapid.T, state *State, command *Command, tokens map[string]uint64) {
 	for name, lease := range state.Leases {
 		if lease.FencingToken < tokens[name] {
-			t.Fatalf("%s: token %d after %d", name, lease.FencingToken, tokens[name])
+			t.Fatalf("lease %s: got token %d after token %d, want no lower one", name, lease.FencingToken, tokens[name])
 		}
 		if lease.FencingToken != tokens[name] && command.ExpectedToken != tokens[name] {
-			t.Fatalf("%s changed by a command with token %d, not %d", name, command.ExpectedToken, tokens[name])
+			t.Fatalf("lease %s was changed by a command that expects token %d, but its token was %d", name, command.ExpectedToken, tokens[name])
 		}
 		tokens[name] = lease.FencingToken
 	}
 }
 
-// Whatever the commands, a token only grows, no command without the present token changes a
-// lease, a rejected command changes nothing, and a snapshot restores the state.
+// For random commands, a token must only grow, a command that does not expect the current token
+// must not change a lease, a rejected command must change nothing, and a snapshot must restore the
+// same state.
 func TestRandomCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state, tokens := New(), map[string]uint64{}
@@ -50,24 +51,24 @@
 			command := randomCommand(t)
 			decoded, ok := DecodeCommand(command.Append(nil))
 			if !ok || !bytes.Equal(decoded.Append(nil), command.Append(nil)) {
-				t.Fatalf("decoded as %+v", decoded)
+				t.Fatalf("command decoded as %+v, want the one that was encoded", decoded)
 			}
 			before := state.Snapshot()
 			err := state.Apply(i+1, decoded)
 			if err != nil && !bytes.Equal(before, state.Snapshot()) {
-				t.Fatalf("%v, and changed all the same", err)
+				t.Fatalf("a command changed the state although it was rejected with %v", err)
 			}
 			checkTokens(t, state, command, tokens)
 			restored, ok := Restore(state.Snapshot())
 			if !ok || !bytes.Equal(restored.Snapshot(), state.Snapshot()) {
-				t.Fatal("a snapshot restores another state")
+				t.Fatal("a snapshot is not restored to the same state")
 			}
 		}
 	})
 }
 
-// A router that flaps while others hold the lease stands out; where all lose it in turn none
-// backs off for long.
+// A router that loses the lease repeatedly while others keep it must get a high loss count. Where
+// all routers lose it in turn, no count may grow high, so that none backs off for long.
 func TestLosses(t *testing.T) {
 	state, token := New(), uint64(0)
 	grant := func(to membership.ID, lost bool) *Lease {
@@ -83,16 +84,16 @@
 	for i := range 100 {
 		for id, losses := range grant(membership.ID(i%8+1), true).Losses {
 			if losses > 2 {
-				t.Fatalf("after %d losses in turn router %d has %d", i, id, losses)
+				t.Fatalf("after %d losses in turn router %d has loss count %d, want at most 2", i, id, losses)
 			}
 		}
 	}
-	for range 6 { // 9 flaps; 8 releases the lease in order
+	for range 6 { // router 9 loses the lease each time, router 8 does not
 		grant(9, false)
 		grant(8, true)
 	}
 	if losses := state.Leases["a"].Losses[9]; losses < 6 {
-		t.Errorf("one that lost it six times has %d", losses)
+		t.Errorf("router 9 lost the lease six times and has loss count %d, want at least 6", losses)
 	}
 }
 
@@ -107,7 +108,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if restored, ok := Restore(b); ok {
 			if _, ok := Restore(restored.Snapshot()); !ok {
-				t.Fatal("its own snapshot cannot be read")
+				t.Fatal("cannot restore the snapshot of a restored state")
 			}
 		}
 		DecodeCommand(b)
--- a/internal/fleet/zonelease/zonelease.go
+++ b/internal/fleet/zonelease/zonelease.go
@@ -1,6 +1,5 @@
-// Package zonelease has what the services share that one router of a zone performs for the
-// others while it holds a lease: how they learn of the lease, of the zone's routers and of the
-// time, and how they send.
+// Package zonelease defines the dependencies that are common to zone services. A zone service runs
+// on the one router of a zone that holds the service's lease, and serves the zone's other routers.
 package zonelease
 
 import (
@@ -10,11 +9,12 @@
 	"garnetline/internal/metrics"
 )
 
-// Options are what each of these services works with. No function may block.
+// Options are the dependencies of a zone service. None of the functions may block.
 type Options struct {
 	Zone string
 
-	// Valid returns the fencing token of a lease that this router holds now.
+	// Valid returns the fencing token of a lease; ok is false if this router does not hold the
+	// lease now.
 	Valid func(leaseName string) (fencingToken uint64, ok bool)
 	// ZonePeers returns the other routers of the zone that are alive.
 	ZonePeers func() []membership.ID
