--- a/internal/fleet/leasemanager/bootstrap.go
+++ b/internal/fleet/leasemanager/bootstrap.go
@@ -9,12 +9,13 @@
 )
 
 const (
-	helloInterval = 300.0 // ms between hellos of a voter that has not started, or asks to join
-	maxHeardFrom  = 64    // raft IDs that a voter keeps of those that it heard from
+	helloInterval = 300.0 // ms between hellos of a voter that has not started or that asks to join
+	maxHeardFrom  = 64    // number of raft IDs that a voter remembers having heard from
 )
 
-// maintainMembers says hello: without a log, to learn whether this voter had one before; as no
-// member of the registry, to ask to join. A leader promotes learners.
+// maintainMembers runs periodically. A voter whose node has not started sends hellos, to learn
+// whether it was a voter before, and tries to start. A node that is neither voter nor learner sends
+// hellos that ask to join. The leader promotes learners.
 func (v *voter) maintainMembers(now float64) {
 	if v.node == nil {
 		v.sendHellos(hello{Name: v.name, RaftID: v.bootstrapID, NoLog: true})
@@ -30,7 +31,7 @@
 	}
 }
 
-// sendHellos sends a hello to all other voters of the operators' file.
+// sendHellos sends a hello to all other voters that the operators' file names.
 func (v *voter) sendHellos(message hello) {
 	for _, name := range v.settings.Voters {
 		if name != v.name {
@@ -39,12 +40,13 @@
 	}
 }
 
-// bootstrap starts the node of a voter without a log: as one of the first voters once all
-// others have replied that they do not know it, or without a vote as soon as one replied that
-// it was a voter before, or that there is a registry already.
+// bootstrap starts the node of a voter without a log. Once all other voters have replied that they
+// do not know this one, it starts as one of the first voters. As soon as one of them replies that
+// this voter has voted before or that a registry exists, it starts under a new raft ID without a
+// vote.
 //
-// Symptom guarded against: a voter whose disk was emptied voted a second time in a term in
-// which it had voted before, and two leaders were elected.
+// Otherwise a voter whose disk was emptied could vote a second time in a term in which it had
+// voted before, and two leaders could be elected.
 func (v *voter) bootstrap(now float64) {
 	voters := map[uint64]string{v.bootstrapID: v.name}
 	registryExists, replyMissing := false, false
@@ -74,8 +76,8 @@
 	v.fault = v.startNode(voters, now)
 }
 
-// recordHeardFrom notes, on the disk, that a message came from a raft ID. It returns false if
-// that failed; the message must not be handled then.
+// recordHeardFrom stores on the disk that this voter has received a message from a raft ID. If it
+// returns false, storing failed and the message must not be handled.
 func (v *voter) recordHeardFrom(id uint64) bool {
 	if slices.Contains(v.metadata.HeardFrom, id) {
 		return true
@@ -93,13 +95,13 @@
 	return true
 }
 
-// isTrusted tells whether a hello may come from this sender: it names itself, or a voter
-// forwards the request of another to join.
+// isTrusted reports whether a hello may come from this sender: either the sender names itself, or it
+// is a voter that forwards another's request to join.
 func (v *voter) isTrusted(received hello, sender string) bool {
 	return received.Name == sender || received.JoinRequest && v.isVoterName(sender)
 }
 
-// handleHello handles a hello, and returns what the node is to do.
+// handleHello handles a hello, and returns the input for the node's next step.
 func (v *voter) handleHello(received hello) consensus.Input {
 	switch {
 	case received.Reply:
@@ -118,8 +120,8 @@
 	return consensus.Input{}
 }
 
-// handleJoinRequest adds the voter that asks as a learner, or forwards its request to the
-// leader, whom it may not know.
+// handleJoinRequest adds the requesting voter as a learner if this voter leads. Otherwise it forwards
+// the request to the leader, which the requesting voter may not know.
 func (v *voter) handleJoinRequest(received hello) consensus.Input {
 	if v.leading && !slices.Contains(v.node.Status().Voters, received.RaftID) {
 		return v.addLearner(received)
--- a/internal/fleet/leasemanager/codec.go
+++ b/internal/fleet/leasemanager/codec.go
@@ -12,11 +12,11 @@
 	"garnetline/internal/fleet/wireformat"
 )
 
-// This file has the encodings of what routers and voters send each other, and of what a voter
-// keeps in its log: protobuf messages of numbers and strings. Field numbers do not change.
-// Decoding rejects what exceeds the limits of the registry.
+// This file encodes and decodes the messages between routers and voters and the metadata in a
+// voter's log. All are protobuf messages of numbers and strings, whose field numbers must not
+// change. Messages that exceed the registry's limits are rejected.
 
-// maxRemainingMs bounds a decoded duration, which keeps it exact.
+// maxRemainingMs bounds a decoded duration in ms, so that its conversion to float64 is exact.
 const maxRemainingMs = 1 << 40
 
 // Field numbers of a lease request.
@@ -41,7 +41,7 @@
 	return w.Encoded()
 }
 
-// DecodeRequest decodes a router's request about a lease; ok is false if it is none.
+// DecodeRequest decodes a router's request about a lease. ok is false if the payload is invalid.
 func DecodeRequest(payload []byte) (request lease.Request, ok bool) {
 	ok = wireformat.ParseFields(payload, func(field protowire.Number, value uint64, content []byte) bool {
 		switch field {
@@ -76,7 +76,7 @@
 	responseHandoff      protowire.Number = 8
 )
 
-// EncodeResponse encodes a voter's response, or its notice, about a lease.
+// EncodeResponse encodes a voter's response or notice about a lease.
 func EncodeResponse(response lease.Response) []byte {
 	w := wireformat.NewWriter(nil)
 	w.Uint(responseRequestID, response.RequestID)
@@ -90,8 +90,8 @@
 	return w.Encoded()
 }
 
-// DecodeResponse decodes a voter's response, or its notice, about a lease; ok is false if it
-// is none.
+// DecodeResponse decodes a voter's response or notice about a lease. ok is false if the payload is
+// invalid.
 func DecodeResponse(payload []byte) (response lease.Response, ok bool) {
 	ok = wireformat.ParseFields(payload, func(field protowire.Number, value uint64, content []byte) bool {
 		switch field {
@@ -117,10 +117,11 @@
 	return response, ok && response.Lease != ""
 }
 
-// leaderHint is the response of a voter that does not lead: who does, as far as it knows.
+// leaderHint is the response of a voter that is not the leader. It names the leader that the voter
+// knows.
 type leaderHint struct {
 	RequestID uint64
-	Leader    string // a voter's name
+	Leader    string // name of the leading voter
 }
 
 // Field numbers of a leader hint.
@@ -153,7 +154,7 @@
 const (
 	banRequestID           protowire.Number = 1
 	banRequestKnownVersion protowire.Number = 2
-	banRequestSet          protowire.Number = 3 // a command of the registry
+	banRequestSet          protowire.Number = 3 // an encoded leaseregistry.Command
 )
 
 // EncodeBanRequest encodes a router's request about operators' bans.
@@ -182,12 +183,12 @@
 		return true
 	})
 	if ok && request.Set != nil {
-		request.Set.RequestID = requestID // by which the leader finds whose command it was
+		request.Set.RequestID = requestID // by which the leader finds the request when the command is applied
 	}
 	return requestID, request, ok
 }
 
-// isBanCommand tells whether a command sets a ban of a server that there can be.
+// isBanCommand reports whether a command sets the ban of a valid server ID, which has 32 bits.
 func isBanCommand(command *leaseregistry.Command) bool {
 	return command.Op == leaseregistry.OpSetBan && command.Server>>32 == 0
 }
@@ -209,8 +210,8 @@
 	return w.Encoded()
 }
 
-// DecodeBanResponse decodes a voter's response about operators' bans; ok is false if it is
-// none.
+// DecodeBanResponse decodes a voter's response about operators' bans. ok is false if the payload is
+// invalid.
 func DecodeBanResponse(payload []byte) (response consensus.BanResponse, ok bool) {
 	ok = wireformat.ParseFields(payload, func(field protowire.Number, value uint64, content []byte) bool {
 		switch field {
@@ -228,15 +229,16 @@
 	return response, ok
 }
 
-// hello is what voters tell each other about themselves, besides the messages of raft.
+// hello is a message by which voters find each other, reply and ask to join. It is independent of
+// raft's messages.
 type hello struct {
-	Name            string // of the voter that it is about
-	RaftID          uint64 // its raft ID, or the one that it would start with
-	NoLog           bool   // it has no log
-	Reply           bool   // it replies to a hello
-	HeardFromSender bool   // with Reply: it has heard from the raft ID that the hello named
-	SenderIsVoter   bool   // with Reply: that raft ID is a voter, as far as it knows
-	JoinRequest     bool   // it asks to be added under RaftID
+	Name            string // name of the voter that the hello describes
+	RaftID          uint64 // raft ID of that voter, or the one that it would start with
+	NoLog           bool   // the voter has no log
+	Reply           bool   // the hello is a reply to another hello
+	HeardFromSender bool   // with Reply: the voter has heard from the raft ID of the hello that it replies to
+	SenderIsVoter   bool   // with Reply: that raft ID is one of the voters that the voter knows
+	JoinRequest     bool   // the voter asks to be added under RaftID
 }
 
 // Field numbers of a hello, and the bits of its flags.
@@ -303,10 +305,10 @@
 	return received, ok && withinLimits
 }
 
-// voterMetadata is what a voter keeps of itself in its log.
+// voterMetadata is the metadata that a voter keeps in its log.
 type voterMetadata struct {
 	RaftID    uint64
-	HeardFrom []uint64 // raft IDs that it received messages of raft from
+	HeardFrom []uint64 // raft IDs from which the voter received raft messages
 }
 
 // Field numbers of the metadata.
--- a/internal/fleet/leasemanager/codec_test.go
+++ b/internal/fleet/leasemanager/codec_test.go
@@ -16,23 +16,23 @@
 func TestCodecRoundTrip(t *testing.T) {
 	request := lease.Request{ID: 1 << 62, Lease: "probe/x", FencingToken: 7, Release: true, TransferTo: 9, Handoff: []byte("w")}
 	if got, ok := DecodeRequest(EncodeRequest(request)); !ok || !reflect.DeepEqual(got, request) {
-		t.Errorf("%+v", got)
+		t.Errorf("lease request decoded as %+v, want the value that was encoded", got)
 	}
 	response := lease.Response{RequestID: 3, Lease: "probe/x", Granted: true, FencingToken: 7, Holder: 9, Remaining: 1500, Losses: 2, Handoff: []byte("w")}
 	if got, ok := DecodeResponse(EncodeResponse(response)); !ok || !reflect.DeepEqual(got, response) {
-		t.Errorf("%+v", got)
+		t.Errorf("lease response decoded as %+v, want the value that was encoded", got)
 	}
 	message := hello{Name: "r1", RaftID: 5, Reply: true, HeardFromSender: true}
 	if got, ok := decodeHello(message.encode()); !ok || got != message {
-		t.Errorf("%+v", got)
+		t.Errorf("hello decoded as %+v, want the value that was encoded", got)
 	}
 	metadata := voterMetadata{RaftID: 4, HeardFrom: []uint64{1, 2}}
 	if got, ok := decodeVoterMetadata(metadata.encode()); !ok || !reflect.DeepEqual(got, metadata) {
-		t.Errorf("%+v", got)
+		t.Errorf("metadata decoded as %+v, want the value that was encoded", got)
 	}
 	hint := leaderHint{5, "r1"}
 	if got, ok := decodeLeaderHint(hint.encode()); !ok || got != hint {
-		t.Errorf("%+v", got)
+		t.Errorf("leader hint decoded as %+v, want the value that was encoded", got)
 	}
 }
 
@@ -41,7 +41,7 @@
 	f.Add(hello{Name: "r1", RaftID: 5}.encode())
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if request, ok := DecodeRequest(b); ok && (len(request.Lease) > 64 || len(request.Handoff) > 512) {
-			t.Fatalf("%+v", request)
+			t.Fatalf("decoded request %+v exceeds the limits of 64 bytes for the lease and 512 for the handoff", request)
 		}
 		DecodeResponse(b)
 		decodeHello(b)
@@ -50,7 +50,7 @@
 	})
 }
 
-// goldenMessage is one message with what decodes it.
+// goldenMessage is a message with its encoding and the function that decodes it.
 type goldenMessage struct {
 	name    string
 	encoded []byte
@@ -65,7 +65,7 @@
 	}
 }
 
-// banRequest is a request about operators' bans with its ID.
+// banRequest is a request about operators' bans, with its request ID.
 type banRequest struct {
 	RequestID uint64
 	consensus.BanRequest
@@ -151,8 +151,8 @@
 	return messages
 }
 
-// What routers and voters send each other, and what a voter keeps in its log, is the same as
-// before the renames.
+// The encodings of the messages between routers and voters, and of the metadata in a voter's log,
+// must not change.
 func TestGoldenMessages(t *testing.T) {
 	messages := goldenMessages()
 	var encoded []golden.Message
@@ -166,7 +166,7 @@
 	}
 }
 
-// What operators see of the registry and of what is held.
+// The JSON that operators see of the voter's state and of the held leases must not change.
 func TestGoldenJSON(t *testing.T) {
 	for file, page := range map[string]any{
 		"register.json": Status{
--- a/internal/fleet/leasemanager/holder.go
+++ b/internal/fleet/leasemanager/holder.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	rankInterval    = 200.0 // ms between looks at the members
-	minStepInterval = 1.0   // ms
+	rankInterval    = 200.0 // ms between updates of the ranks from the members
+	minStepInterval = 1.0   // ms between steps of the holder
 )
 
-// Lease is a lease that this router holds. Its JSON is shown to operators by /fleet/duties.
+// Lease is a lease that this router holds. /fleet/duties shows its JSON to operators.
 type Lease struct {
 	Name         string  `json:"Duty"`
 	FencingToken uint64  `json:"Token"`
-	ExpiresAt    float64 `json:"End"`  // on the boot clock, ms
-	Handoff      []byte  `json:"Work"` // what the last holder left
+	ExpiresAt    float64 `json:"End"`  // ms of the boot clock
+	Handoff      []byte  `json:"Work"` // data that the last holder left
 }
 
-// Valid tells whether this router holds a lease now, and under which fencing token. It is to
-// be asked again at each write to a socket. It does not block.
+// Valid returns the fencing token of a lease; ok is false if this router does not hold the lease
+// now. Callers must check it again at each write to a socket. It does not block.
 func (m *Manager) Valid(name string) (token uint64, ok bool) {
 	for _, held := range *m.leases.Load() {
 		if held.Name == name {
@@ -35,12 +35,12 @@
 	return 0, false
 }
 
-// Leases returns what was held at the last change; each may have expired since. The slice is
-// not to be changed.
+// Leases returns the leases that this router held at the last change. Some may have expired since.
+// Callers must not modify the slice.
 func (m *Manager) Leases() []Lease { return *m.leases.Load() }
 
-// LastKnownHolder returns who held a lease by the latest response that this router received;
-// 0: nobody, or not known.
+// LastKnownHolder returns the holder of a lease according to the latest response that this router
+// received, or 0 if nobody held the lease or the holder is unknown.
 func (m *Manager) LastKnownHolder(name string) membership.ID {
 	holders := m.knownHolders.Load()
 	if holders == nil {
@@ -49,14 +49,14 @@
 	return (*holders)[name]
 }
 
-// runHolder is the holder's goroutine. Once ctx has ended it releases what is held and returns
-// when that is confirmed, or took too long.
+// runHolder runs the holder's goroutine. Once ctx has ended, it releases the held leases, and returns
+// when the registry has confirmed the releases or releaseTimeout has passed.
 func (m *Manager) runHolder(ctx context.Context) {
 	defer close(m.holderDone)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	nextRankAt := 0.0
-	var releaseDeadline <-chan time.Time // not nil once everything is being released
+	var releaseDeadline <-chan time.Time // not nil once all leases are being released
 	for {
 		select {
 		case <-ctx.Done():
@@ -83,10 +83,10 @@
 	}
 }
 
-// stepHolder sends the requests that are due and returns when to step next.
+// stepHolder sends the requests that are due, and returns the time in ms of the next step.
 func (m *Manager) stepHolder(now float64) (wakeAt float64) {
 	requests, changes, wakeAt := m.holder.Step(now)
-	m.publishLeases(now) // before the registry is told that something is released
+	m.publishLeases(now) // a released lease must be invalid here before the registry learns of the release
 	for _, request := range requests {
 		m.sendRequest(request.ID, outgoingMessage{channel: fragment.LeaseRequest, payload: EncodeRequest(request)})
 	}
@@ -94,8 +94,8 @@
 	return wakeAt
 }
 
-// awaitRelease waits for the next event while everything is being released. It returns false
-// when that has ended.
+// awaitRelease handles the next event while all leases are being released. It returns false once
+// the releases are confirmed or the deadline has passed.
 func (m *Manager) awaitRelease(timer *time.Timer, deadline <-chan time.Time) bool {
 	select {
 	case handle := <-m.holderInbox:
@@ -107,8 +107,8 @@
 	return !m.holder.AllReleased()
 }
 
-// releaseAll releases what is held, each lease to the candidate that ranks first without this
-// router. It returns false if nothing was held.
+// releaseAll releases each held lease to the first-ranked candidate other than this router. It
+// returns false if this router held no lease.
 func (m *Manager) releaseAll() bool {
 	m.stopping.Store(true)
 	now := m.options.Clock.Now()
@@ -120,8 +120,8 @@
 	return len(held) > 0
 }
 
-// release releases a lease to another router; 0: to the candidate that ranks first without
-// this router.
+// release releases a lease to the router to or, if to is 0, to the first-ranked candidate other
+// than this router.
 func (m *Manager) release(now float64, name string, to membership.ID) {
 	others := slices.DeleteFunc(m.eligibleMembers(), func(id membership.ID) bool { return id == m.self })
 	if first := lease.TopRanked(name, others, 1); to == 0 && len(first) > 0 {
@@ -131,7 +131,7 @@
 	m.options.Log.Info().Str("lease", name).Str("to", m.memberName(to)).Msg("lease transferred")
 }
 
-// updateRanks sets this router's rank for each lease that it is willing to hold.
+// updateRanks sets this router's rank for each lease in leaseNames.
 func (m *Manager) updateRanks(now float64) {
 	eligible := m.options.Eligible()
 	candidates := m.eligibleMembers()
@@ -144,8 +144,8 @@
 	}
 }
 
-// eligibleMembers returns the routers that may hold a lease, with this one: all that are
-// alive, or none if this router's identity was taken over by another process.
+// eligibleMembers returns the routers that may hold a lease: all that are alive, including this one,
+// or none if another process has taken over this router's identity.
 func (m *Manager) eligibleMembers() []membership.ID {
 	view := m.options.Transport.Members()
 	if view.Superseded {
@@ -160,7 +160,7 @@
 	return ids
 }
 
-// recordChanges logs and counts what is held now, or no longer.
+// recordChanges logs and counts the leases that this router got or lost.
 func (m *Manager) recordChanges(changes []lease.Change) {
 	for _, change := range changes {
 		if change.FencingToken != 0 {
@@ -173,7 +173,7 @@
 	}
 }
 
-// publishLeases publishes what is held, and who holds what by the latest responses.
+// publishLeases publishes the held leases and the last known holder of each lease.
 func (m *Manager) publishLeases(now float64) {
 	leases := make([]Lease, 0, len(m.leaseNames))
 	for _, name := range m.holder.Held(now) {
--- a/internal/fleet/leasemanager/manager.go
+++ b/internal/fleet/leasemanager/manager.go
@@ -1,7 +1,7 @@
-// Package leasemanager runs this router's part in leases that one router holds at a time: the
-// voter, where this router is one, and the holder, which requests leases, renews and releases
-// them. What is held now is published: whoever acts under a lease asks for its validity at
-// each write to a socket, and waits for nobody.
+// Package leasemanager runs this router's side of the fleet's leases: the voter, if this router is
+// one, and the holder, which requests, renews and releases leases. The held leases are published,
+// so that a goroutine that acts under a lease can check it at each write to a socket without
+// blocking.
 //
 // A Manager owns two goroutines, one for the voter and one for the holder, each with an inbox.
 // Its exported methods may be called from any goroutine; those that wait take a context.
@@ -27,16 +27,16 @@
 )
 
 const (
-	inboxSize = 512 // of either goroutine; what does not fit is dropped
+	inboxSize = 512 // messages per goroutine; further messages are dropped
 
-	// A shutdown waits so long for the leadership to be transferred, and then for the registry
-	// to confirm the releases.
+	// A shutdown waits up to leadershipTransferTimeout for another leader, and then up to
+	// releaseTimeout until the registry has confirmed the releases.
 	leadershipTransferTimeout = 800 * time.Millisecond
 	leadershipPollInterval    = 10 * time.Millisecond
 	releaseTimeout            = 2000 * time.Millisecond
 )
 
-// Names of the counters. Operators' dashboards rest on them.
+// Names of the counters, which operators' dashboards use.
 const (
 	metricDropped     = "duties_crowded_out"
 	metricGranted     = "duties_granted"
@@ -44,77 +44,79 @@
 	metricVoterFaults = "duties_elector_faults"
 )
 
-// Errors of operators' calls.
+// Errors that operators' calls return.
 var (
-	ErrNotHeld       = errors.New("this router does not hold that lease")
-	ErrNoSuchRouter  = errors.New("no other router of that name is present")
+	ErrNotHeld       = errors.New("this router does not hold the lease")
+	ErrNoSuchRouter  = errors.New("no other router with this name is present")
 	ErrNotVoter      = errors.New("this router is not a voter")
-	ErrNotLeader     = errors.New("not the leader")
-	ErrUnknownVoter  = errors.New("no voter of that name")
-	ErrOnlyVoterLeft = errors.New("the only voter cannot be removed")
+	ErrNotLeader     = errors.New("this router's voter is not the leader")
+	ErrUnknownVoter  = errors.New("no voter or learner with this name")
+	ErrOnlyVoterLeft = errors.New("cannot remove the only voter")
 )
 
-// Settings are the settings of the operators' file.
+// Settings are the settings of leases in the operators' file.
 type Settings struct {
 	Fleet     string   // name of the fleet
-	Voters    []string // names of the routers that keep the registry at the first start
+	Voters    []string // names of the routers that are the voters when the registry first starts
 	Consensus consensus.Settings
 }
 
-// Transport sends messages to other routers, and knows which there are.
+// Transport sends messages to other routers and returns the members of the fleet.
 type Transport interface {
-	// Send must not block.
+	// Send sends a message to a router. It must not block.
 	Send(to membership.ID, channel fragment.Channel, payload []byte)
+	// Members returns the current view of the fleet.
 	Members() *membership.View
 }
 
-// Options are what a manager works with.
+// Options are the settings and dependencies of a manager.
 type Options struct {
 	Settings
-	Name        string // of this router
-	Incarnation uint64 // of this router's process
-	LogDir      wal.FS // of a voter; nil: this router is none
+	Name        string // name of this router
+	Incarnation uint64 // identifies this router's process
+	LogDir      wal.FS // directory of the voter's log; nil if this router is not a voter
 	Transport   Transport
 	Clock       clock.Clock // the boot clock
 	Log         *zerolog.Logger
 	Metrics     *metrics.Registry
-	Eligible    func() bool // tells whether this router may hold leases
+	Eligible    func() bool // reports whether this router may hold leases
 	// OnBanResponse handles a voter's response about operators' bans. It must not block.
 	OnBanResponse func(response consensus.BanResponse)
 }
 
-// Manager is this router's voter and holder.
+// Manager runs this router's voter and holder.
 type Manager struct {
 	options  Options
 	self     membership.ID
 	stopping atomic.Bool
 
-	// Owned by the voter's goroutine.
+	// The fields below belong to the voter's goroutine.
 
-	voter      *voter // nil: this router is none
+	voter      *voter // nil if this router is not a voter
 	voterInbox chan func(v *voter) consensus.Input
 	voterDone  chan struct{}
 
-	// Owned by the holder's goroutine.
+	// The fields below belong to the holder's goroutine.
 
 	holder             *lease.Holder
 	holderInbox        chan func(now float64)
 	holderDone         chan struct{}
-	leaseNames         []string // that this router is willing to hold
-	handoffs           map[string][]byte
-	pendingRequests    map[uint64]outgoingMessage // without a response yet, by request ID
-	unansweredRequests int                        // since the last response
-	likelyLeader       membership.ID              // who responded last, or was named by a hint; 0: not known
+	leaseNames         []string                   // leases that this router is willing to hold
+	handoffs           map[string][]byte          // data of the last holder, by lease
+	pendingRequests    map[uint64]outgoingMessage // messages that have no response yet, by request ID
+	unansweredRequests int                        // number of requests sent since the last response
+	likelyLeader       membership.ID              // voter that responded last or that a hint named; 0 if unknown
 
-	// Published for any goroutine; what they point to does not change.
+	// Any goroutine may load these pointers. The values that they point to are not modified.
 
 	leases       atomic.Pointer[[]Lease]
 	knownHolders atomic.Pointer[map[string]membership.ID]
 	status       atomic.Pointer[Status]
 }
 
-// New returns a manager that does not run yet, and opens the voter's log where this router is
-// one. leaseNames are the leases that it is willing to hold.
+// New returns a manager, whose Run the caller must call. It opens the voter's log if this router is
+// a voter, and returns an error if the log cannot be used. leaseNames are the leases that this
+// router is willing to hold.
 func New(options Options, self membership.ID, leaseNames []string) (*Manager, error) {
 	manager := &Manager{
 		options:         options,
@@ -140,8 +142,8 @@
 	return manager, nil
 }
 
-// Run runs the voter and the holder until ctx ends and what was held is released. The voter
-// goes on until then, but hands its leadership on before anything is released.
+// Run runs the voter and the holder. When ctx ends, the voter first transfers its leadership and the
+// holder then releases its leases; the voter runs until that is done.
 func (m *Manager) Run(ctx context.Context) {
 	if m.voter == nil {
 		close(m.voterDone)
@@ -164,11 +166,12 @@
 	m.runHolder(holderCtx)
 }
 
-// Stopped is closed when Run has released everything.
+// Stopped returns a channel that is closed once Run has ended the release of all leases.
 func (m *Manager) Stopped() <-chan struct{} { return m.holderDone }
 
-// transferLeadership transfers the registry's leadership, if this router's voter has it, and
-// waits for that: those who take this router's leases over then find a leader that stays.
+// transferLeadership transfers the registry's leadership if this router's voter is the leader, and
+// waits until another voter leads. The routers that take over this router's leases then find a
+// leader that is not about to stop.
 func (m *Manager) transferLeadership() {
 	m.stopping.Store(true)
 	deadline := time.Now().Add(leadershipTransferTimeout)
@@ -181,8 +184,8 @@
 	}
 }
 
-// Deliver handles a message of another router. It never blocks: what does not fit into an
-// inbox is dropped.
+// Deliver handles a message of another router. It never blocks, and drops the message if the inbox
+// is full.
 func (m *Manager) Deliver(from membership.ID, incarnation uint64, channel fragment.Channel, payload []byte) {
 	switch channel {
 	case fragment.LeaseResponse:
@@ -224,8 +227,8 @@
 	}
 }
 
-// send passes a message to the transport, or to this router's own goroutines. A message to a
-// voter that is not present is dropped.
+// send passes a message to the transport or, if this router is the receiver, to its own goroutines.
+// It drops a message to a voter that is not present.
 func (m *Manager) send(message outgoingMessage) {
 	to := message.routerID
 	if message.voterName != "" {
@@ -241,7 +244,7 @@
 	m.options.Transport.Send(to, message.channel, message.payload)
 }
 
-// memberName returns the name of a router; empty: not known.
+// memberName returns the name of a router, or an empty string if it is unknown.
 func (m *Manager) memberName(id membership.ID) string {
 	for _, member := range m.options.Transport.Members().Members {
 		if member.ID == id {
@@ -251,7 +254,7 @@
 	return ""
 }
 
-// memberID returns the ID of the router of a name that is present; 0: none.
+// memberID returns the ID of the present router with a name, or 0 if there is none.
 func (m *Manager) memberID(name string) membership.ID {
 	for _, member := range m.options.Transport.Members().Members {
 		if member.Name == name && member.State.Present() {
@@ -261,8 +264,9 @@
 	return 0
 }
 
-// Transfer transfers a lease that this router holds, to a router by its name or, if that is
-// empty, to the candidate with the first rank. It returns ErrNotHeld or ErrNoSuchRouter.
+// Transfer transfers the lease name, which this router holds, to the router with the name to or, if
+// to is empty, to the first-ranked other candidate. It returns ErrNotHeld, ErrNoSuchRouter or the
+// error of ctx.
 func (m *Manager) Transfer(ctx context.Context, name, to string) error {
 	result := make(chan error, 1)
 	transfer := func(now float64) {
@@ -289,9 +293,9 @@
 	return awaitResult(ctx, result)
 }
 
-// ChangeVoter has a voter added or removed, where this router's voter leads. An added voter
-// joins once it asks for it. It returns ErrNotVoter, ErrNotLeader, ErrUnknownVoter or
-// ErrOnlyVoterLeft.
+// ChangeVoter adds or removes a voter. Only the leader's router can do this. An added voter joins
+// when it next asks to join. ChangeVoter returns ErrNotVoter, ErrNotLeader, ErrUnknownVoter,
+// ErrOnlyVoterLeft or the error of ctx.
 func (m *Manager) ChangeVoter(ctx context.Context, name string, add bool) error {
 	if m.voter == nil {
 		return ErrNotVoter
@@ -305,7 +309,7 @@
 	return awaitResult(ctx, result)
 }
 
-// awaitResult waits for the result of an operator's call.
+// awaitResult waits for the result of an operator's call or for the end of ctx.
 func awaitResult(ctx context.Context, result <-chan error) error {
 	select {
 	case err := <-result:
--- a/internal/fleet/leasemanager/members.go
+++ b/internal/fleet/leasemanager/members.go
@@ -10,10 +10,10 @@
 	"garnetline/internal/fleet/leaseregistry"
 )
 
-// maxPromotionLag is how many entries a learner may lag behind to be made a voter.
+// maxPromotionLag is the greatest lag, in entries, with which a learner is promoted to a voter.
 const maxPromotionLag = 50
 
-// isVoterName tells whether there is a voter of a name.
+// isVoterName reports whether one of the registry's voters has a name.
 func (v *voter) isVoterName(name string) bool {
 	if v.node == nil || name == "" {
 		return false
@@ -21,8 +21,9 @@
 	return slices.ContainsFunc(v.node.Status().Voters, func(id uint64) bool { return v.voterName(id) == name })
 }
 
-// addLearner makes a voter that asks to join a learner: one that lost its disk, or one that
-// operators added. Its name is registered first.
+// addLearner returns the input that makes a joining voter a learner, if the voter lost its disk or
+// was added by operators. Its name must be in the registry first: if it is not, the input proposes
+// that instead.
 func (v *voter) addLearner(joining hello) consensus.Input {
 	if !v.isVoterName(joining.Name) && !v.approvedNames[joining.Name] {
 		return consensus.Input{}
@@ -40,8 +41,9 @@
 	return consensus.Input{ConfChange: &raftpb.ConfChangeV2{Changes: []*raftpb.ConfChangeSingle{{Type: &kind, NodeId: &id}}}}
 }
 
-// promoteLearner makes a learner that has caught up a voter, in place of the raft ID that its
-// name had before. It proposes one change at a time: raft rejects a second.
+// promoteLearner promotes a learner that has caught up to a voter. If another raft ID with the same
+// name is still a voter, it removes that one first. It proposes one change at a time, because raft
+// rejects a second.
 func (v *voter) promoteLearner(status consensus.Status) {
 	for _, id := range status.Learners {
 		if lag := v.node.LearnerLag(id); lag < 0 || lag > maxPromotionLag {
@@ -59,11 +61,11 @@
 	}
 }
 
-// changeVoter has a voter added or removed by operators, at the leader. An added one joins
-// once it asks for it.
+// changeVoter adds or removes a voter for operators if this voter leads. An added voter joins when
+// it next asks to join.
 func (v *voter) changeVoter(name string, add bool) error {
 	if v.node == nil || !v.leading {
-		return fmt.Errorf("%w; it is %q", ErrNotLeader, v.leaderName())
+		return fmt.Errorf("%w; the leader is %q", ErrNotLeader, v.leaderName())
 	}
 	if add {
 		v.approvedNames[name] = true
--- a/internal/fleet/leasemanager/requests.go
+++ b/internal/fleet/leasemanager/requests.go
@@ -10,23 +10,24 @@
 )
 
 const (
-	maxPendingRequests = 64 // that a leader hint can redirect
+	maxPendingRequests = 64 // requests that a leader hint can still redirect; the oldest is discarded
 
-	// Every rotateAfter requests without a response one goes to the next voter of the list,
-	// and after forgetLeaderAfter the likely leader is forgotten.
+	// Of the requests since the last response, every rotateAfter-th goes to the next voter
+	// of Settings.Voters, and every forgetLeaderAfter-th clears the likely leader.
 	rotateAfter       = 3
 	forgetLeaderAfter = 4
 )
 
-// SendBanRequest sends a request about operators' bans, as EncodeBanRequest encodes it, to the
-// voters. Its response, if one comes, goes to Options.OnBanResponse.
+// SendBanRequest sends a request about operators' bans to the voters. payload is the result of
+// EncodeBanRequest. A response, if one arrives, is passed to Options.OnBanResponse.
 func (m *Manager) SendBanRequest(requestID uint64, payload []byte) {
 	m.enqueueHolder(func(float64) {
 		m.sendRequest(requestID, outgoingMessage{channel: fragment.BanRequest, payload: payload})
 	})
 }
 
-// sendRequest sends a request to the voter that responded last, or to the next one.
+// sendRequest sends a request to the likely leader. If that is unknown, and with every rotateAfter-th
+// request, it sends the request to a voter of Settings.Voters instead.
 func (m *Manager) sendRequest(requestID uint64, message outgoingMessage) {
 	m.pendingRequests[requestID] = message
 	if len(m.pendingRequests) > maxPendingRequests {
@@ -48,8 +49,8 @@
 	}
 }
 
-// handleLeaderHint repeats a request at the leader that another voter named, once for each
-// request.
+// handleLeaderHint sends a request again, to the leader that a voter named. It does so only once for
+// each request.
 func (m *Manager) handleLeaderHint(hint leaderHint) {
 	message, pending := m.pendingRequests[hint.RequestID]
 	if !pending {
@@ -63,14 +64,14 @@
 	}
 }
 
-// handleResponse handles a voter's response, or its notice, about a lease.
+// handleResponse handles a voter's response or notice about a lease.
 func (m *Manager) handleResponse(now float64, from membership.ID, response lease.Response) {
 	m.recordResponder(from, response.RequestID)
 	m.recordChanges(m.holder.HandleResponse(now, response))
 	m.publishLeases(now)
 }
 
-// recordResponder notes who responded to a request.
+// recordResponder records the voter that responded to a request as the likely leader.
 func (m *Manager) recordResponder(from membership.ID, requestID uint64) {
 	m.likelyLeader = from
 	m.unansweredRequests = 0
--- a/internal/fleet/leasemanager/status.go
+++ b/internal/fleet/leasemanager/status.go
@@ -2,45 +2,44 @@
 
 import "slices"
 
-// Status is the state of this router's voter, for operators. Its JSON is shown by
-// /fleet/duties.
+// Status is the state of this router's voter. /fleet/duties shows its JSON to operators.
 type Status struct {
-	Voter        bool          `json:"elector"` // this router is a voter
+	Voter        bool          `json:"elector"` // whether this router is a voter
 	Leader       string        `json:"leader"`
 	Leading      bool          `json:"leading"`
 	Voters       []string      `json:"voters"`
 	Learners     []string      `json:"learners"`
 	Term         uint64        `json:"term"`
 	AppliedIndex uint64        `json:"applied"`
-	Fault        string        `json:"fault,omitempty"` // why the voter halted
-	Leases       []LeaseStatus `json:"duties"`          // as this voter has applied them
+	Fault        string        `json:"fault,omitempty"` // why the voter halted; empty if it has not
+	Leases       []LeaseStatus `json:"duties"`          // leases in this voter's copy of the registry
 }
 
-// LeaseStatus is one lease as a voter has applied it.
+// LeaseStatus is one lease in a voter's copy of the registry.
 type LeaseStatus struct {
 	Name         string `json:"duty"`
-	Holder       string `json:"holder"` // the router's name, or its ID if that is not known; empty: nobody
+	Holder       string `json:"holder"` // the router's name, or its ID if the name is unknown; empty if nobody holds the lease
 	FencingToken uint64 `json:"token"`
 }
 
-// Status returns the state of this router's voter. It is not to be changed.
+// Status returns the state of this router's voter. Callers must not modify it.
 func (m *Manager) Status() *Status { return m.status.Load() }
 
-// publishStatus publishes the state of the voter, and logs what has changed.
+// publishStatus publishes the state of the voter, and logs changes of the leader and the voters.
 func (m *Manager) publishStatus() {
 	current := m.currentStatus()
 	previous := m.status.Swap(current)
 	if previous.Leader != current.Leader {
 		m.options.Log.Info().Str("leader", current.Leader).Uint64("term", current.Term).Msg("lease registry leader changed")
 	}
-	if m.votersNeedNotice(previous, current) {
+	if m.shouldLogVoters(previous, current) {
 		m.options.Log.Warn().Strs("voters", current.Voters).Strs("configured", m.options.Voters).Msg("voters changed or not as configured; the registry's list applies")
 	}
 }
 
-// votersNeedNotice tells whether the voters have changed, or are known for the first time and
-// differ from the operators' file.
-func (m *Manager) votersNeedNotice(previous, current *Status) bool {
+// shouldLogVoters reports whether the voters have changed, or have just become known and differ from
+// the operators' file.
+func (m *Manager) shouldLogVoters(previous, current *Status) bool {
 	if previous.Voters != nil {
 		return !slices.Equal(previous.Voters, current.Voters)
 	}
--- a/internal/fleet/leasemanager/voter.go
+++ b/internal/fleet/leasemanager/voter.go
@@ -14,37 +14,38 @@
 	"garnetline/internal/fleet/membership"
 )
 
-// voter is this router's part in the lease registry: a node of consensus, with what is needed
-// to start it, to join others, and to name its peers. It does no I/O but to its log, and is
-// stepped by its goroutine.
+// voter is this router's member of the lease registry: a consensus node, and the state that is needed
+// to start it, to join other voters and to know their names. Its only I/O is that of its log. Only
+// its goroutine steps it.
 type voter struct {
 	settings    Settings
 	name        string
-	bootstrapID uint64 // its raft ID if it is one of the first voters
+	bootstrapID uint64 // raft ID that the voter has if it is one of the first voters
 	log         *wal.Log
-	recovered   wal.State // what the log held at the start
+	recovered   wal.State // content of the log at the start
 
-	node     *consensus.Node // nil: it has not started or joined a registry yet
+	node     *consensus.Node // nil until the voter starts or joins a registry
 	metadata voterMetadata
 	leading  bool
-	fault    error // not nil once the log or the node failed
+	fault    error // set once the log or the node has failed
 
-	hellos        map[string]hello // the latest of each other voter, by its name
-	nextHelloAt   float64          // ms
-	approvedNames map[string]bool  // that operators added
-	queuedInputs  []consensus.Input
+	hellos        map[string]hello  // latest hello of each other voter, by its name
+	nextHelloAt   float64           // in ms
+	approvedNames map[string]bool   // names of voters that operators added
+	queuedInputs  []consensus.Input // steps to make after the current event
 
-	wakeAt float64      // ms
-	output *voterOutput // of the current step; nil between steps
+	wakeAt float64      // time of the next step, in ms
+	output *voterOutput // output of the current step; nil between steps
 }
 
-// voterOutput is what a step wants sent.
+// voterOutput lists what the caller of a step has to send.
 type voterOutput struct {
 	messages []outgoingMessage
-	released []lease.Response // for the candidates that rank first
+	released []lease.Response // leases that nobody holds; the first-ranked candidates are notified
 }
 
-// outgoingMessage is a message to a voter, by its name, or to a router, by its ID.
+// outgoingMessage is a message to a voter, which is addressed by name, or to a router, which is
+// addressed by ID.
 type outgoingMessage struct {
 	voterName string
 	routerID  membership.ID
@@ -55,18 +56,18 @@
 // incomingMessage is a message of another router.
 type incomingMessage struct {
 	from        membership.ID
-	voterName   string // of the sender, for messages between voters; empty: not known
-	incarnation uint64 // of the sender's process
+	voterName   string // name of the sender of a message between voters; empty if unknown
+	incarnation uint64 // identifies the sender's process
 	channel     fragment.Channel
 	payload     []byte
 }
 
-// bootstrapRaftID returns the raft ID under which a voter starts the very first registry. All
-// versions must compute the same.
+// bootstrapRaftID returns the raft ID of one of the first voters of a new registry. All versions must
+// compute the same ID.
 func bootstrapRaftID(fleet, name string) uint64 { return xxhash.Sum64String(fleet+"\x00"+name) | 1 }
 
-// newVoter opens a voter's log, and starts its node if the log names one. now is the boot
-// clock's time, as in all steps.
+// newVoter opens a voter's log, and starts its node if the log holds its raft ID. now is the time of
+// the boot clock in ms, as in all steps.
 func newVoter(settings Settings, name string, logDir wal.FS, now float64) (*voter, error) {
 	created := &voter{
 		settings:      settings,
@@ -93,14 +94,15 @@
 	return created, nil
 }
 
-// startNode starts the node, with the voters of the first registry or with none.
+// startNode starts the node. bootstrapVoters holds the voters of a new registry, and is nil if the
+// node restarts or joins an existing one.
 func (v *voter) startNode(bootstrapVoters map[uint64]string, now float64) error {
 	var err error
 	v.node, err = consensus.NewNode(v.settings.Consensus, v.metadata.RaftID, v.log, v.recovered, bootstrapVoters, now)
 	return err
 }
 
-// step handles one event, if handle is not nil, and returns what to send.
+// step handles one event, if handle is not nil, and returns the messages and notices to send.
 func (v *voter) step(now float64, handle func(v *voter) consensus.Input) voterOutput {
 	var out voterOutput
 	v.output = &out
@@ -123,10 +125,10 @@
 	return out
 }
 
-// stepNode steps the node, if it has started.
+// stepNode steps the node if it has started.
 //
-// Symptom guarded against: a voter that waited for the others before it started kept the wake
-// time of its beginning, and used a whole processor until they came.
+// It resets wakeAt even if the node has not started. Otherwise a voter that waits for the others
+// before it starts would keep a wake time in the past, and use a whole CPU until they arrive.
 func (v *voter) stepNode(now float64, input consensus.Input) {
 	v.wakeAt = math.Inf(1)
 	if v.node == nil || v.fault != nil {
@@ -146,7 +148,7 @@
 	}
 }
 
-// sendRaft sends a message of raft to a peer, or reports that it cannot be sent.
+// sendRaft sends a raft message to a peer, or reports to the node that it cannot be sent.
 func (v *voter) sendRaft(message *raftpb.Message) {
 	payload, err := proto.Marshal(message)
 	name := v.voterName(message.GetTo())
@@ -177,7 +179,7 @@
 	v.output.messages = append(v.output.messages, outgoingMessage{routerID: id, channel: channel, payload: payload})
 }
 
-// handleMessage handles a message of another router, and returns what the node is to do.
+// handleMessage handles a message of another router, and returns the input for the node's next step.
 func (v *voter) handleMessage(message incomingMessage) consensus.Input {
 	switch message.channel {
 	case fragment.Raft:
@@ -203,8 +205,8 @@
 	return consensus.Input{}
 }
 
-// handleRaft passes a message of raft on that is for this voter, once it is on the disk that
-// its sender was heard from.
+// handleRaft returns a raft message for this voter as the node's next input. Before that, it stores
+// on the disk that this voter has heard from the sender.
 func (v *voter) handleRaft(incoming incomingMessage) consensus.Input {
 	message := &raftpb.Message{}
 	if v.node == nil || proto.Unmarshal(incoming.payload, message) != nil {
@@ -214,13 +216,14 @@
 		return consensus.Input{}
 	}
 	if incoming.voterName != "" {
-		// A voter that has just joined may know its leader's name by nothing else.
+		// A voter that has just joined may have no other source for its leader's name.
 		v.hellos[incoming.voterName] = hello{Name: incoming.voterName, RaftID: message.GetFrom(), Reply: true}
 	}
 	return consensus.Input{Message: message}
 }
 
-// handleRequest has the node handle a router's request, or names the leader to the router.
+// handleRequest passes a router's request to the node, or sends the router a leader hint if another
+// voter leads.
 func (v *voter) handleRequest(request consensus.ClientRequest) consensus.Input {
 	leader := v.leaderName()
 	if !v.leading && leader != "" && leader != v.name {
@@ -233,7 +236,8 @@
 	return consensus.Input{Request: &request}
 }
 
-// voterName returns the name of the voter or learner with a raft ID; empty: not known.
+// voterName returns the name of the voter or learner with a raft ID, or an empty string if it is
+// unknown.
 func (v *voter) voterName(id uint64) string {
 	if name := v.node.State().VoterNames[id]; name != "" {
 		return name
@@ -251,7 +255,7 @@
 	return ""
 }
 
-// leaderName returns the leader's name; empty: none is known.
+// leaderName returns the leader's name, or an empty string if no leader is known.
 func (v *voter) leaderName() string {
 	if v.node == nil {
 		return ""
--- a/internal/fleet/leasemanager/voter_golden_test.go
+++ b/internal/fleet/leasemanager/voter_golden_test.go
@@ -15,22 +15,22 @@
 	"garnetline/internal/golden"
 )
 
-// clockedVoter is the only voter of a recordedGroup whose time passes.
+// clockedVoter is the only voter of a recordedGroup whose clock advances.
 const clockedVoter = "r01"
 
-// recordedGroup is voters that exchange messages in one order: only one's time passes, so
-// that it is always the one that stands for election. It records the first message of each
-// kind.
+// recordedGroup is a group of voters that exchange messages in a deterministic order. Only the clock
+// of clockedVoter advances, so that no other voter becomes a candidate. The group records the first
+// message of each kind.
 type recordedGroup struct {
 	t        *testing.T
 	settings Settings
-	now      float64 // of clockedVoter
+	now      float64 // clock of clockedVoter, in ms
 	voters   map[string]*voter
 	seen     map[string]bool
 	recorded strings.Builder
 }
 
-// recordedMessage is a message with its sender.
+// recordedMessage is a message with the name of its sender.
 type recordedMessage struct {
 	from string
 	outgoingMessage
@@ -50,7 +50,7 @@
 	return g
 }
 
-// start starts a voter with an empty log, or with one that holds just metadata.
+// start starts a voter with a log that is empty or, if metadata is not nil, holds only metadata.
 func (g *recordedGroup) start(name string, metadata []byte) {
 	g.t.Helper()
 	dir := wal.Dir(g.t.TempDir())
@@ -74,7 +74,7 @@
 	g.voters[name] = v
 }
 
-// record notes a message if it is the first of its kind.
+// record records a message if it is the first of its kind.
 func (g *recordedGroup) record(message recordedMessage) {
 	g.t.Helper()
 	kind := fmt.Sprintf("channel %d", message.channel)
@@ -92,7 +92,7 @@
 	fmt.Fprintf(&g.recorded, "%s, %s to %s: %x\n", kind, message.from, message.voterName, message.payload)
 }
 
-// deliver delivers a message, and all that follow from it.
+// deliver delivers a message, and all messages that are sent as a consequence.
 func (g *recordedGroup) deliver(first recordedMessage) {
 	g.t.Helper()
 	for queue := []recordedMessage{first}; len(queue) > 0; {
@@ -101,7 +101,7 @@
 		g.record(message)
 		receiver := g.voters[message.voterName]
 		if receiver == nil {
-			continue // to a router
+			continue // the message is for a router
 		}
 		now := 0.0
 		if message.voterName == clockedVoter {
@@ -123,12 +123,13 @@
 	}
 }
 
-// runUntil has time pass at clockedVoter, and has others say hello each time, until done.
-func (g *recordedGroup) runUntil(what string, done func() bool, others ...string) {
+// runUntil advances the clock of clockedVoter, and makes the others send hellos at each step, until
+// done returns true.
+func (g *recordedGroup) runUntil(condition string, done func() bool, others ...string) {
 	g.t.Helper()
 	for deadline := g.now + 10_000; !done(); g.now += 10 {
 		if g.now > deadline {
-			g.t.Fatalf("%s: not in 10 s", what)
+			g.t.Fatalf("%s: not reached within 10 s", condition)
 		}
 		g.step(clockedVoter, g.now)
 		for _, name := range others {
@@ -138,20 +139,20 @@
 	}
 }
 
-// Voters that start for the first time, elect a leader, grant a lease and add a voter that
-// lost its disk send each other the same bytes as before the renames.
-func TestGoldenElectors(t *testing.T) {
+// The bytes that voters send each other must not change, when they start for the first time, elect a
+// leader, grant a lease and add a voter that lost its disk.
+func TestGoldenVoterExchange(t *testing.T) {
 	g := newRecordedGroup(t, clockedVoter, "r02", "r03")
-	g.runUntil("all start", func() bool {
+	g.runUntil("all voters have started", func() bool {
 		return g.voters[clockedVoter].node != nil && g.voters["r02"].node != nil && g.voters["r03"].node != nil
 	}, "r02", "r03")
-	g.runUntil("a leader", func() bool { return g.voters[clockedVoter].leading })
+	g.runUntil("a leader is elected", func() bool { return g.voters[clockedVoter].leading })
 	payload := EncodeRequest(lease.Request{ID: 1, Lease: "probe/edge"})
 	g.deliver(recordedMessage{"a router", outgoingMessage{voterName: clockedVoter, channel: fragment.LeaseRequest, payload: payload}})
-	g.runUntil("a grant", func() bool { return len(g.voters["r02"].node.State().Leases) > 0 })
+	g.runUntil("the lease is granted", func() bool { return len(g.voters["r02"].node.State().Leases) > 0 })
 	g.deliver(recordedMessage{"a router", outgoingMessage{voterName: "r02", channel: fragment.LeaseRequest, payload: payload}})
 
 	g.start("r03", voterMetadata{RaftID: 99}.encode())
-	g.runUntil("a snapshot for it", func() bool { return g.voters["r03"].node.Status().AppliedIndex > 0 }, "r03")
+	g.runUntil("the voter without a disk has a snapshot", func() bool { return g.voters["r03"].node.Status().AppliedIndex > 0 }, "r03")
 	golden.Compare(t, "electors.golden", []byte(g.recorded.String()))
 }
--- a/internal/fleet/leasemanager/voter_loop.go
+++ b/internal/fleet/leasemanager/voter_loop.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// haltedInterval is how often a voter that halted handles its inbox and publishes its
-	// status, in ms.
+	// haltedInterval is the interval in ms at which a halted voter publishes its status if it
+	// receives no message.
 	haltedInterval = 1000.0
 
-	// maxReleaseNotices is how many routers are notified of a lease that nobody holds. More
-	// would request it in vain.
+	// maxReleaseNotices is the number of routers that are notified of a lease that nobody holds.
+	// If more were notified, most would request the lease in vain.
 	maxReleaseNotices = 4
 )
 
-// runVoter is the voter's goroutine.
+// runVoter runs the voter's goroutine until ctx ends.
 func (m *Manager) runVoter(ctx context.Context) {
 	defer close(m.voterDone)
 	defer m.closeLog()
@@ -50,7 +50,7 @@
 	}
 }
 
-// stepVoter steps the voter and sends what it wants sent.
+// stepVoter steps the voter and sends the resulting messages and notices.
 func (m *Manager) stepVoter(handle func(*voter) consensus.Input) {
 	out := m.voter.step(m.options.Clock.Now(), handle)
 	for _, message := range out.messages {
@@ -61,16 +61,17 @@
 	}
 }
 
-// announceReleased notifies the candidates that rank first for a lease that nobody holds it.
+// announceReleased notifies the first-ranked candidates of a lease that nobody holds it.
 //
-// Symptom guarded against: a lease was transferred to a router that did not want it, which
-// released it to nobody at once. The others had been told how long the lease before might
-// last, and requested it only after that: 1 to 2 s without a holder.
+// Without the notice, a lease that was transferred to a router that did not want it, and that
+// released it to nobody at once, had no holder for 1 to 2 s: the other routers knew how long the
+// previous grant might last, and requested the lease only after that time.
 func (m *Manager) announceReleased(released lease.Response) {
 	for _, id := range lease.TopRanked(released.Lease, m.eligibleMembers(), maxReleaseNotices) {
 		m.send(outgoingMessage{routerID: id, channel: fragment.LeaseResponse, payload: EncodeResponse(released)})
 	}
 }
 
-// closeLog closes the voter's log, of which nothing is written any more.
+// closeLog closes the voter's log when the voter has stopped. An error has no consequence, because
+// everything that was saved is already on the disk.
 func (m *Manager) closeLog() { _ = m.voter.log.Close() }
--- a/internal/fleet/leasemanager/voter_test.go
+++ b/internal/fleet/leasemanager/voter_test.go
@@ -11,10 +11,10 @@
 	"garnetline/internal/fleet/consensus/wal"
 )
 
-// maxDeliveries bounds the messages of one step of a voterGroup.
+// maxDeliveries bounds the messages that are delivered in one step of a voterGroup.
 const maxDeliveries = 500
 
-// voterGroup is voters that send each other messages by name, in one goroutine.
+// voterGroup is a group of voters that exchange messages in one goroutine.
 type voterGroup struct {
 	t           *testing.T
 	settings    Settings
@@ -39,7 +39,7 @@
 	return g
 }
 
-// start starts a voter with the log of a directory.
+// start starts a voter with the log in a directory.
 func (g *voterGroup) start(name, dir string) {
 	g.t.Helper()
 	v, err := newVoter(g.settings, name, wal.Dir(g.dir+"/"+dir), g.now)
@@ -50,7 +50,7 @@
 	g.voters[name] = v
 }
 
-// run plays for some ms.
+// run advances the group's clock by ms and delivers all messages.
 func (g *voterGroup) run(ms float64) {
 	type delivery struct {
 		from string
@@ -95,24 +95,25 @@
 	return fmt.Sprintf("votes %v, leader known %v", slices.Contains(status.Voters, v.metadata.RaftID), status.LeaderID != 0)
 }
 
-// The first voters start together, and not before each has heard from all. One whose disk is
-// emptied does not vote under its raft ID again, though the others are there, partitioned, or
-// emptied too; one that restarts with its disk goes on.
+// The first voters must not start before each has heard from all. A voter whose disk is emptied must
+// not vote under its old raft ID again, neither while it is partitioned nor when it hears from the
+// others, and must be added again. A voter that restarts with its disk must continue to vote under
+// the same raft ID.
 func TestBootstrapAndLostDisk(t *testing.T) {
 	group := newVoterGroup(t, "a", "b", "c")
 	group.unreachable["c"] = true
 	group.run(3000)
 	if group.state("a") != stateWaits || group.state("b") != stateWaits {
-		t.Fatalf("started without c: %s, %s", group.state("a"), group.state("b"))
+		t.Fatalf("voters a and b without c: got states %s and %s, want both to wait", group.state("a"), group.state("b"))
 	}
 	if v := group.voters["a"]; v.wakeAt < group.now-20 {
-		t.Errorf("one that waits wants to be woken at %.0f, and it is %.0f", v.wakeAt, group.now)
+		t.Errorf("waiting voter has wake time %.0f at time %.0f, want none in the past", v.wakeAt, group.now)
 	}
 	group.unreachable["c"] = false
 	group.run(4000)
 	for name := range group.voters {
 		if got := group.state(name); got != stateVoter {
-			t.Errorf("%s: %s", name, got)
+			t.Errorf("voter %s: got state %q, want a voter that knows the leader", name, got)
 		}
 	}
 	firstID := group.voters["b"].metadata.RaftID
@@ -120,9 +121,9 @@
 	group.start("b", "b-emptied")
 	group.run(3000)
 	if group.state("b") != stateWaits {
-		t.Errorf("emptied and partitioned: %s", group.state("b"))
+		t.Errorf("voter with an emptied disk, partitioned: got state %q, want it to wait", group.state("b"))
 	}
-	for _, name := range []string{"a", "c"} { // one that has heard from it is enough to know that it voted
+	for _, name := range []string{"a", "c"} { // one voter that has heard from b is enough to stop its vote
 		if slices.Contains(group.voters[name].metadata.HeardFrom, firstID) {
 			group.unreachable[name] = false
 			break
@@ -130,21 +131,21 @@
 	}
 	group.run(1000)
 	if group.voters["b"].node == nil || group.voters["b"].metadata.RaftID == firstID || group.state("b")[:11] != "votes false" {
-		t.Errorf("emptied: %s under %d, before %d", group.state("b"), group.voters["b"].metadata.RaftID, firstID)
+		t.Errorf("voter with an emptied disk: got state %q under raft ID %d, want no vote and a raft ID other than %d", group.state("b"), group.voters["b"].metadata.RaftID, firstID)
 	}
 	group.unreachable["a"], group.unreachable["c"] = false, false
 	group.run(6000)
 	if got := group.state("b"); got != stateVoter {
-		t.Errorf("added again: %s", got)
+		t.Errorf("voter that was added again: got state %q, want a voter that knows the leader", got)
 	}
 	secondID := group.voters["b"].metadata.RaftID
 	group.start("b", "b-emptied")
 	group.run(3000)
 	if got := group.state("b"); got != stateVoter || group.voters["b"].metadata.RaftID != secondID {
-		t.Errorf("restarted with its disk: %s", got)
+		t.Errorf("voter restarted with its disk: got state %q, want a voter under its previous raft ID", got)
 	}
 	var ownerErr *wal.OwnerError
 	if _, err := newVoter(group.settings, "x", wal.Dir(group.dir+"/a"), group.now); !errors.As(err, &ownerErr) {
-		t.Errorf("another's directory: %v", err)
+		t.Errorf("directory of another voter: got error %v, want an OwnerError", err)
 	}
 }
