--- a/plugin/compatibility_test.go
+++ b/plugin/compatibility_test.go
@@ -29,7 +29,7 @@
 		options plugin.Options
 		want    string
 	}{
-		{"no class", plugin.Options{}, "plugin: routing: Classes: there is none"},
+		{"no class", plugin.Options{}, "plugin: routing: Classes: expected at least one class, got none"},
 		{"class without a name", plugin.Options{Classes: []plugin.Class{{Aim: 1, Deadline: 1}}}, "plugin: Classes[0]: want a Name, an Aim and a Deadline"},
 		{"second class without an objective", plugin.Options{Classes: []plugin.Class{valid, {Name: "form", Deadline: 1}}}, "plugin: Classes[1]: want a Name, an Aim and a Deadline"},
 		{"class without a deadline", plugin.Options{Classes: []plugin.Class{{Name: "part", Aim: 1}}}, "plugin: Classes[0]: want a Name, an Aim and a Deadline"},
--- a/routing/actions.go
+++ b/routing/actions.go
@@ -2,21 +2,23 @@
 
 import "time"
 
-// Action is what the caller of Handle must do, in the order of the actions. The set is closed.
+// Action is something that the caller of Handle must do. The caller carries out actions in the order
+// in which Handle returned them. The set of actions is closed.
 type Action interface{ action() }
 
-// SendAttempt sends an attempt for a request to a server. The caller owes an Outcome for it, whose
-// Attempt counts the attempts of a request from 0. Before it writes the attempt it asks a Guard.
+// SendAttempt sends an attempt for a request to a server. The caller must report an Outcome for each
+// attempt; Outcome.Attempt numbers the attempts of a request from 0. Before the caller writes the
+// attempt to a connection, it checks the attempt against a Guard.
 type SendAttempt struct {
 	ID           RequestID
 	Server       ServerID
-	FillSource   ServerID      // who fills a miss; Server itself: nobody
-	CopyRank     int           // rank of the copy that the server keeps, 1 to 3; 0: it keeps none
-	MaxAge       time.Duration // greatest age of the copy served; 0: any
-	Deadline     time.Duration // when to abandon the attempt, by the clock of Handle
+	FillSource   ServerID      // server that fills a miss; Server itself: no fill
+	CopyRank     int           // rank of the copy that the server keeps, 1 to 3; 0: keep no copy
+	MaxAge       time.Duration // maximum age of the copy served; 0: any age
+	Deadline     time.Duration // time at which to abandon the attempt, by the clock of Handle
 	JoinFill     bool          // join a fill in progress
-	Revalidate   bool          // serve an aging copy and fetch a new one in the background
-	OnlyIfCached bool          // the source gives only what it holds and fetches nothing
+	Revalidate   bool          // serve a copy that is about to expire, and fetch a new one in the background
+	OnlyIfCached bool          // the source sends only what it has cached, and fetches nothing
 }
 
 // Ranks of the copy that a cache keeps; see SendAttempt.CopyRank.
@@ -25,29 +27,30 @@
 	popularCopyRank  = 2
 )
 
-// Reject is a final answer: not executed, and a retry is harmless after RetryAfter. A class that is
-// idempotent may have been executed all the same.
+// Reject is a final answer: the request was not executed, and the client may retry it after
+// RetryAfter. A request of an idempotent class may have been executed nevertheless.
 type Reject struct {
 	ID         RequestID
 	RetryAfter time.Duration
 }
 
-// Fail is a final answer that promises nothing of whether the request was executed.
+// Fail is a final answer that leaves open whether the request was executed.
 type Fail struct{ ID RequestID }
 
-// CancelAttempt stops waiting for an attempt, which ends as Canceled.
+// CancelAttempt abandons an attempt in flight, which then ends with the result Canceled.
 type CancelAttempt struct {
 	ID      RequestID
 	Attempt int // index among the attempts of its request
 }
 
-// SetTimer asks for a TimerFired event with its Token after its Delay. Timers are never canceled.
+// SetTimer requests a TimerFired event with Token after Delay. A timer cannot be canceled.
 type SetTimer struct {
 	Delay time.Duration
 	Token uint64
 }
 
-// Subscribe asks for the endpoint list and its updates; if that fails, an EndpointUpdate tells it.
+// Subscribe requests the endpoint list and its updates. If the subscription fails, the caller sends
+// an EndpointUpdate with Failed set.
 type Subscribe struct{}
 
 func (SendAttempt) action()   {}
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// enqueue keeps a request back while it can still be in time, else ends it. Its first timer stands:
-// if the latency that is expected of it falls later on, it must not wait for a second one.
+// enqueue queues a request while it can still be answered in time, and ends it otherwise. Only the
+// first call for a request sets a timer. A request that is queued again must therefore not wait past
+// queueUntil, even if its expected latency has fallen since: no other timer would end its wait.
 func (r *Router) enqueue(request *request) {
 	latestStart := request.objectiveAt - r.expectedLatency(request)
 	if request.valuePerSecond == 0 {
@@ -24,8 +25,8 @@
 	r.queue = append(r.queue, request)
 }
 
-// rejectOrFail gives the final answer to a request that will not be served. While an attempt is
-// in flight, its outcome decides.
+// rejectOrFail sends the final answer to a request that will not be served. While an attempt is in
+// flight it does nothing, since the outcome of the attempt decides the answer.
 func (r *Router) rejectOrFail(request *request) {
 	if request.inflight > 0 {
 		return
@@ -39,14 +40,14 @@
 	r.finish(request)
 }
 
-// queueValue is the priority weight of a request for each second of its transfer time.
+// queueValue returns the priority weight of a request per second of its transfer time.
 func (r *Router) queueValue(request *request) float64 {
 	weight := request.class.PriorityWeight * min(request.popularity, popularThreshold)
 	transferSeconds := r.transferTime(request).Seconds()
 	return weight / max(transferSeconds, minQueuedSeconds)
 }
 
-// dispatchQueue dispatches the queued requests again, those of the highest value a second first.
+// dispatchQueue dispatches the queued requests again, in descending order of their value per second.
 func (r *Router) dispatchQueue() {
 	queue := r.queue
 	r.queue = nil
@@ -55,14 +56,14 @@
 	})
 	for _, request := range queue {
 		if !request.queued {
-			continue // it has ended
+			continue // the request has ended
 		}
 		request.queued = false
 		r.dispatch(request)
 	}
 }
 
-// expectedLatency is how long a request that had to queue is likely to take.
+// expectedLatency returns how long a request that had to queue is likely to take once it is sent.
 func (r *Router) expectedLatency(request *request) time.Duration {
 	if request.class.Write {
 		return request.class.LatencyObjective / expectedWriteDivisor
@@ -73,31 +74,29 @@
 		return secondsToDuration(r.fillLatency + pace*transferTime.Seconds())
 	}
 	queuedLatency := secondsToDuration(queuedPace * transferTime.Seconds())
-	// The largest are never in time at the queued pace, and may queue a little too.
+	// Responses that are too large to be in time at the queued pace may also queue for a short time.
 	receivedAt := request.deadline - request.Timeout
 	minQueueTime := request.class.LatencyObjective / minQueueDivisor
 	longestLatency := request.objectiveAt - receivedAt - minQueueTime
 	return max(transferTime, min(queuedLatency, longestLatency))
 }
 
-// saturated reports whether a cache has as many attempts in flight from this router as its link
-// sends at full pace, or a part of that.
-//
-// Symptom guarded against: without cache status only late responses tell that.
-func (r *Router) saturated(server *server, part float64) bool {
+// saturated reports whether the attempts that this router has in flight at a cache have reached the
+// given fraction of its quota there. The quota follows from what the cache's link sends at full pace.
+// Where outcomes report no cache status, an overload would otherwise show only by late responses.
+func (r *Router) saturated(server *server, fraction float64) bool {
 	if !r.countsInflight() {
 		return false
 	}
 	floor := inflightFloor(server.limiter.active)
 	limit := max(floor, r.inflightQuota(server))
-	return float64(server.inflight) >= limit*part
+	return float64(server.inflight) >= limit*fraction
 }
 
-// zoneSaturated reports whether all caches together have as many attempts in flight from this
-// router as they send.
-//
-// Symptom guarded against: eight routers, each allowed two at a cache that sends six, jammed the
-// link of their zone, and what they rejected kept it jammed.
+// zoneSaturated reports whether the attempts that this router has in flight at all caches together
+// have reached its quota of the zone. Without this limit, eight routers that may each have two
+// attempts in flight at a cache that sends six overload the link of their zone, and the retries of
+// the requests that they reject keep it overloaded.
 func (r *Router) zoneSaturated() bool {
 	if !r.countsInflight() {
 		return false
@@ -113,8 +112,9 @@
 	return float64(inflight) >= max(inflightFloor(limited), quota)
 }
 
-// canFailOver reports whether a cache has ample headroom to take a request from its saturated home.
-// Where the quota at one cache is under the least that is always allowed, no object moves.
+// canFailOver reports whether a candidate cache has ample headroom to take a request whose home cache
+// is saturated. No request fails over while this router's quota at the home cache is below
+// minInflight.
 func (r *Router) canFailOver(home, candidate *server) bool {
 	homeQuota := r.zoneFraction * overcommitFactor * home.Weight
 	if homeQuota < minInflight {
@@ -123,11 +123,10 @@
 	return !r.saturated(candidate, failoverHeadroom)
 }
 
-// inflightFloor is what a router keeps in flight however small its quota: one more where no cache's
-// limiter is active.
-//
-// Symptom guarded against: a purge of everything made all responses late, eighty routers queued at
-// two each at once, and a quarter was rejected while the caches had headroom.
+// inflightFloor returns the number of attempts that a router may always have in flight, however small
+// its quota is. The floor is higher while no cache's limiter is active: after a purge of everything
+// had made all responses late, eighty routers with a floor of two queued at the same time and rejected
+// a quarter of the requests while the caches had headroom.
 func inflightFloor(limited bool) float64 {
 	if limited {
 		return minInflight
@@ -135,7 +134,7 @@
 	return minInflight + extraInflight
 }
 
-// countsInflight reports whether attempts in flight can be compared with weights.
+// countsInflight reports whether the number of attempts in flight is limited by the weights of caches.
 func (r *Router) countsInflight() bool {
 	if r.cacheStatusKnown {
 		return false
@@ -143,12 +142,13 @@
 	return r.settings.WeightIsCapacity && r.settings.TransferKBPerSecond > 0
 }
 
-// inflightQuota is what this router may have in flight at a cache, all routers of its zone alike.
+// inflightQuota returns the number of attempts that this router may have in flight at a cache. All
+// routers of a zone have equal quotas.
 func (r *Router) inflightQuota(server *server) float64 {
 	quota := overcommitFactor * r.zoneFraction
 	slowdownKnown := r.settings.BodyBytesPerSecond > 0
 	if slowdownKnown && r.slowdownOf(server) < saturatedSlowdown {
-		quota = max(quota, 1) // other routers have little in flight there
+		quota = max(quota, 1) // the cache responds in time, so other routers have few attempts in flight there
 	}
 	return quota * server.Weight * r.keyFraction(server)
 }
--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -2,40 +2,41 @@
 
 import "testing"
 
-// Queued again when fills became faster, a request still gets its answer. Symptom guarded against:
-// its timer had fired while an attempt was in flight, and none was set.
+// TestRequestQueuedTwiceIsAnswered checks that a request that is queued again, after fills have become
+// faster, gets its answer. Its timer has fired while an attempt was in flight, so no timer would end
+// a second wait.
 func TestRequestQueuedTwiceIsAnswered(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	router := harness.router
 	router.linkLimiter.active = true
 	router.fillPace = 3
-	look := harness.requestOne(Request{Object: 1, SizeKB: 200})
+	lookup := harness.requestOne(Request{Object: 1, SizeKB: 200})
 	router.linkLimiter.limit = 1
 	router.linkLimiter.inflight = 1
-	if actions := harness.finish(look, 0, NotCached, CacheStatusUnknown); len(sendActions(actions)) != 0 {
+	if actions := harness.finish(lookup, 0, NotCached, CacheStatusUnknown); len(sendActions(actions)) != 0 {
 		t.Fatalf("actions %v, want the request queued", actions)
 	}
 
-	queued := router.requests[look.ID]
+	queued := router.requests[lookup.ID]
 	queued.queued = false
 	router.queue = nil
 	router.linkLimiter.inflight = 0
-	router.dispatch(queued) // an attempt is in flight when the timer fires
+	router.dispatch(queued) // sends an attempt, which is in flight when the timer fires
 	if queued.inflight != 1 {
-		t.Fatalf("%d attempts in flight, want 1", queued.inflight)
+		t.Fatalf("got %d attempts in flight, want 1", queued.inflight)
 	}
 	harness.now = queued.queueUntil
 	harness.expireQueued(queued.ID)
 	router.fillPace = 1
 	router.linkLimiter.inflight = 9
-	if actions := harness.finish(look, 1, Rejected, FillRejected); !isRejected(actions) {
+	if actions := harness.finish(lookup, 1, Rejected, FillRejected); !isRejected(actions) {
 		t.Errorf("actions %v, want a rejection", actions)
 	}
 }
 
-// A home cache that has all that its link can send has failover targets, the caches with ample
-// headroom, and is queued for when there is none. Symptom guarded against: all requests queued, and
-// a sixth was rejected while the next cache had headroom for two thirds more.
+// TestSaturatedHomeHasFailoverTargets checks that requests for a saturated home cache go to caches with
+// ample headroom, and are queued when there are none. Without failover all requests queued, and a sixth
+// was rejected while the next cache had headroom for two thirds more.
 func TestSaturatedHomeHasFailoverTargets(t *testing.T) {
 	const weight = 4
 	config := settings()
@@ -58,21 +59,21 @@
 			want = int(quota * failoverHeadroom)
 		}
 		if got != want {
-			t.Errorf("%d attempts at cache %d, want %d; the home is %d", got, id, want, home)
+			t.Errorf("got %d attempts at cache %d, want %d; the home cache is %d", got, id, want, home)
 		}
 	}
 	if got, want := len(attemptsAt), len(harness.caches()); got != want {
-		t.Errorf("%d caches were asked, want %d", got, want)
+		t.Errorf("got attempts at %d caches, want %d", got, want)
 	}
 	next := sendActions(harness.finishWithoutStatus(sent[0], 0, Served, 10*millisecond))
 	if len(next) != 1 || next[0].Server != home {
-		t.Errorf("when one ends %v follow, want one to the home %d", next, home)
+		t.Errorf("after the end of one attempt got %v, want one attempt at the home cache %d", next, home)
 	}
 }
 
-// A write does not queue for a saturated cache: its bytes are few and its priority is the highest.
-// Symptom guarded against: a third of the writes was rejected unsent.
-func TestWritesPassASaturatedCache(t *testing.T) {
+// TestWritesAreNotQueuedForSaturatedCaches checks that a write is sent to a saturated cache at once: it
+// has few bytes and the highest priority. When writes queued, a third of them was rejected unsent.
+func TestWritesAreNotQueuedForSaturatedCaches(t *testing.T) {
 	config := settings()
 	config.WeightIsCapacity = true
 	config.AllowBypass = false
@@ -83,13 +84,13 @@
 	write := harness.requestOne(Request{Object: 7, Class: writeClass})
 	target := harness.router.requests[write.ID].attempts[0].target
 	if !harness.router.saturated(target, 1) {
-		t.Errorf("the write went to cache %d, want a saturated one", target.ID)
+		t.Errorf("got the write at cache %d, want a saturated cache", target.ID)
 	}
 }
 
-// A router that serves its zone alone for a while may use the caches' whole links as long as they
-// respond in time, and its quota of them once they slow down. Symptom guarded against: it rejected a
-// tenth while the links were half used.
+// TestCachesAtFullPaceTakeMore checks that a router may use the caches' whole links while the caches
+// respond in time, and only its quota of them once the caches slow down. With a fixed quota, a router
+// that served its zone alone for a while rejected a tenth of the requests while the links were half used.
 func TestCachesAtFullPaceTakeMore(t *testing.T) {
 	tests := []struct {
 		name      string
@@ -107,18 +108,19 @@
 			config.BodyBytesPerSecond = 100_000
 			harness := newHarness(t, config, fleetOfWeight(20))
 			server := harness.caches()[0]
-			server.inflight = 18 // over this router's quota, under the link's
+			server.inflight = 18 // more than this router's quota, less than the link's capacity
 			server.slowdown.observe(harness.now, slowdownTimeConstant, 1, test.slowdown)
 			if got := harness.router.saturated(server, 1); got != test.saturated {
-				t.Errorf("saturated: %v, want %v", got, test.saturated)
+				t.Errorf("got saturated %v, want %v", got, test.saturated)
 			}
 		})
 	}
 }
 
-// All routers of a zone together have no more in flight than its caches send, though each may have
-// minInflight at any one of them. Symptom guarded against: eight routers had 16 in flight at caches
-// that send six, the link of the zone jammed and 50 in 100 were rejected long after a burst of 5 s.
+// TestManyRoutersShareTheirCaches checks that all routers of a zone together have no more attempts in
+// flight than the zone's caches can send, although each router may have minInflight at any one cache.
+// Without the limit, eight routers had 16 attempts in flight at caches that send six: the link of the
+// zone was overloaded, and half of the requests were rejected long after a burst of 5 s.
 func TestManyRoutersShareTheirCaches(t *testing.T) {
 	harness := newSmallQuotaHarness(t)
 	inflight := 0
@@ -128,49 +130,50 @@
 	}
 	quota := overcommitFactor * 6 * 3 / 8
 	if float64(inflight) < quota || float64(inflight) > quota+1 {
-		t.Errorf("%d are in flight, want this router's quota, %.1f", inflight, quota)
+		t.Errorf("got %d attempts in flight, want this router's quota of %.1f", inflight, quota)
 	}
 }
 
-// An object stays with its home where this router's quota of a cache is so small that two at the
-// same time are chance. Symptom guarded against: 44 in 100 objects changed their cache on a day
-// without a fault, and the fills that this caused saturated the link.
-func TestSmallQuotasMoveNoObjects(t *testing.T) {
+// TestSmallQuotasDoNotMoveObjects checks that requests stay at the home cache while this router's quota
+// of a cache is so small that two attempts at the same time are a matter of chance. When such requests
+// failed over, 44% of the objects changed their cache without any fault, and the fills that this caused
+// saturated the link.
+func TestSmallQuotasDoNotMoveObjects(t *testing.T) {
 	harness := newSmallQuotaHarness(t)
 	home := harness.requestOne(Request{Object: 7}).Server
 	for range 3 {
 		for _, sent := range sendActions(harness.request(Request{Object: 7})) {
 			if sent.Server != home {
-				t.Errorf("sent to cache %d, want its home %d", sent.Server, home)
+				t.Errorf("got an attempt at cache %d, want the home cache %d", sent.Server, home)
 			}
 		}
 	}
 	if got, want := len(harness.router.queue), 4-int(inflightFloor(false)); got != want {
-		t.Errorf("%d queued for their home, want %d", got, want)
+		t.Errorf("got %d requests queued for their home cache, want %d", got, want)
 	}
 }
 
-// A queued request is rejected when no response at the pace of a saturated cache is in time any
-// more, not sent to be late. Symptom guarded against: of what was sent from the queue, a third came
-// after its deadline, and its work was lost.
-func TestQueuedIsSentInTimeOrNotAtAll(t *testing.T) {
+// TestQueuedRequestIsRejectedWhenTooLate checks that a queued request is rejected once a response at the
+// pace of a saturated cache can no longer be in time. When such requests were still sent, a third of the
+// responses arrived after their deadline, and the work was lost.
+func TestQueuedRequestIsRejectedWhenTooLate(t *testing.T) {
 	harness := newSmallQuotaHarness(t)
 	for range int(inflightFloor(false)) {
 		harness.requestOne(Request{Object: 7})
 	}
-	began := harness.now
+	startedAt := harness.now
 	actions := harness.request(Request{Object: 7})
 	queued := harness.router.requests[harness.nextID-1]
 	if len(sendActions(actions)) != 0 || queued == nil {
-		t.Fatalf("actions %v, want the request queued", actions)
+		t.Fatalf("got actions %v, want the request queued", actions)
 	}
 	transferSeconds := harness.transferSecondsOf(queued)
 	timeLeft := queued.objectiveAt - queued.queueUntil
 	if least := secondsToDuration(2 * transferSeconds); timeLeft < least {
-		t.Errorf("queued until %v before its objective, want %v or more", timeLeft, least)
+		t.Errorf("got queued until %v before its objective, want at least %v", timeLeft, least)
 	}
-	if queued.queueUntil <= began {
-		t.Errorf("queued until %v, want after %v", queued.queueUntil, began)
+	if queued.queueUntil <= startedAt {
+		t.Errorf("got queued until %v, want after %v", queued.queueUntil, startedAt)
 	}
 	harness.now = queued.queueUntil
 	if actions := harness.expireQueued(queued.ID); !isRejected(actions) {
@@ -178,20 +181,19 @@
 	}
 }
 
-// A router with a twentieth of its zone's requests sees too little of any cache to know its quota of
-// it, and keeps three in flight where it may go no further, two where a cache rejected lately.
-// Symptom guarded against: when all copies became void at the same time, eighty routers with small
-// quotas each queued all beyond two at a cache, and queued requests were rejected while the caches
-// still had headroom (join+vast: 23 to 27% rejected for 10 s, the caches' own rejections at 1%);
-// where caches were saturated (a second zone+vast), three in flight at each made it worse.
+// TestSmallQuotaRouterKeepsThreeInflight checks that a router with a twentieth of its zone's requests,
+// which sees too little of any cache for an exact quota, may have three attempts in flight, and two if
+// caches have rejected recently. When all copies became invalid at the same time, eighty routers with
+// small quotas each queued everything beyond two attempts, and rejected queued requests while the caches
+// still had headroom. Where caches were saturated, three attempts in flight made the overload worse.
 func TestSmallQuotaRouterKeepsThreeInflight(t *testing.T) {
 	tests := []struct {
 		name       string
-		rejections int // of each cache; three activate its limiter
+		rejections int // rejections by each cache; three activate its limiter
 		want       int
 	}{
-		{name: "no cache rejected lately", rejections: 0, want: 3},
-		{name: "caches rejected lately", rejections: 3, want: 2},
+		{name: "no cache rejected recently", rejections: 0, want: 3},
+		{name: "caches rejected recently", rejections: 3, want: 2},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -211,7 +213,7 @@
 				sent += len(sendActions(harness.request(Request{Object: ObjectID(i)})))
 			}
 			if sent != test.want {
-				t.Errorf("%d sent of 20, want %d in flight and the rest queued", sent, test.want)
+				t.Errorf("got %d of 20 requests sent, want %d sent and the others queued", sent, test.want)
 			}
 		})
 	}
--- a/routing/bounded.go
+++ b/routing/bounded.go
@@ -1,7 +1,7 @@
 package routing
 
-// boundedTable is a map of limited size in two halves: when the recent one is full it becomes the
-// previous one, and entries that were not put since are forgotten.
+// boundedTable is a map of limited size. It consists of two halves: when the recent half is full, it
+// replaces the previous half, and entries that exist only in the old previous half are dropped.
 type boundedTable[V any] struct {
 	recent   map[uint64]V
 	previous map[uint64]V
--- a/routing/bounded_test.go
+++ b/routing/bounded_test.go
@@ -8,6 +8,6 @@
 		b.put(i, 1)
 	}
 	if n := len(b.recent) + len(b.previous); n > 2*maxRecentEntries {
-		t.Errorf("%d entries, want at most %d", n, 2*maxRecentEntries)
+		t.Errorf("got %d entries, want at most %d", n, 2*maxRecentEntries)
 	}
 }
--- a/routing/decision_trace_test.go
+++ b/routing/decision_trace_test.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	traceLines    = 60   // lines at the start of a trace that are kept as text
-	traceHashStep = 1000 // lines between two hashes
+	traceLines    = 60   // number of lines at the start of a trace that are kept as text
+	traceHashStep = 1000 // number of lines between two hashes
 )
 
-// traceScenario is one set of settings and what the simulated fleet does under them.
+// traceScenario is a set of settings and the behavior of the simulated fleet.
 type traceScenario struct {
 	name     string
 	seed     uint64
 	settings func(*routing.Settings)
 	servers  func([]routing.Server) []routing.Server
-	statuses bool    // outcomes tell the cache status
-	sizes    bool    // requests tell their size
+	statuses bool    // outcomes report the cache status
+	sizes    bool    // requests have a size
 	loads    bool    // outcomes carry load reports
-	rate     float64 // requests a second
+	rate     float64 // requests per second
 	length   time.Duration
-	updated  bool // other settings are taken halfway
+	updated  bool // the settings are replaced halfway
 }
 
-// withWeight gives all servers one weight.
+// withWeight returns a function that gives all servers the same weight.
 func withWeight(weight float64) func([]routing.Server) []routing.Server {
 	return func(list []routing.Server) []routing.Server {
 		for i := range list {
@@ -43,9 +43,9 @@
 	}
 }
 
-// metered are the settings of a deployment without cache status, whose weights are capacities and
-// whose responses tell their bytes, with so many routers in the zone.
-func metered(routers int) func(*routing.Settings) {
+// meteredSettings returns a function that changes settings to a deployment without cache status, with
+// weights that are capacities, with known bytes of responses and with so many routers in the zone.
+func meteredSettings(routers int) func(*routing.Settings) {
 	return func(settings *routing.Settings) {
 		settings.WeightIsCapacity = true
 		settings.BodyBytesPerSecond = 100_000
@@ -59,9 +59,9 @@
 	return []traceScenario{
 		{name: "notes", seed: 1, statuses: true, sizes: true, loads: true, rate: 120, length: minute, updated: true},
 		{name: "notes-unsized", seed: 2, statuses: true, loads: true, rate: 60, length: minute},
-		{name: "metered", seed: 3, settings: metered(1), servers: withWeight(6), rate: 60, length: minute, updated: true},
-		{name: "metered-thin", seed: 4, settings: metered(8), servers: withWeight(6), rate: 25, length: minute},
-		{name: "metered-thinnest", seed: 5, settings: metered(40), servers: withWeight(4), rate: 10, length: minute},
+		{name: "metered", seed: 3, settings: meteredSettings(1), servers: withWeight(6), rate: 60, length: minute, updated: true},
+		{name: "metered-thin", seed: 4, settings: meteredSettings(8), servers: withWeight(6), rate: 25, length: minute},
+		{name: "metered-thinnest", seed: 5, settings: meteredSettings(40), servers: withWeight(4), rate: 10, length: minute},
 		{name: "untold", seed: 6, rate: 60, length: minute},
 		{name: "hits-only", seed: 7, statuses: true, sizes: true, rate: 80, length: minute,
 			settings: func(settings *routing.Settings) {
@@ -139,7 +139,7 @@
 	}
 }
 
-// traceFleet lists four caches in the router's zone and one elsewhere, three parents and an origin.
+// traceFleet returns four caches in the router's zone, one in another zone, three parents and an origin.
 func traceFleet() []routing.Server {
 	return []routing.Server{
 		{ID: 21, Zone: 2, Kind: 0, Phase: routing.Ready},
@@ -154,7 +154,7 @@
 	}
 }
 
-// traceWriter keeps the start of a trace as lines and all of it as hashes.
+// traceWriter keeps the first lines of a trace as text and hashes of the whole trace.
 type traceWriter struct {
 	all   strings.Builder
 	kept  strings.Builder
@@ -177,16 +177,16 @@
 	fmt.Fprintf(&w.kept, "%d lines, sha256 %x\n", w.count, w.hash.Sum(nil)[:12])
 }
 
-// TestDecisionTrace pins every decision of the package: a simulated fleet with a fixed seed feeds
-// a router requests, outcomes, timers, endpoint updates and purges, and each action that it returns
-// is printed field by field. The first actions of a scenario are kept as lines, all of them as a
-// running hash. A change of shape or names must leave the files as they are.
+// TestDecisionTrace compares all decisions of the package with recorded ones. A simulated fleet with a
+// fixed seed sends a router requests, outcomes, timers, endpoint updates and purges, and each action
+// that the router returns is printed field by field. A golden file holds the first actions of a scenario
+// as lines and all actions as a running hash. A refactoring must leave the golden files unchanged.
 //
-//	UPDATE_GOLDEN=1 go test ./routing -run Trace            writes testdata anew
-//	DECISION_TRACE_DIR=/tmp/x go test ./routing -run Trace  writes all lines to that folder too
+//	UPDATE_GOLDEN=1 go test ./routing -run Trace            rewrites the golden files in testdata
+//	DECISION_TRACE_DIR=/tmp/x go test ./routing -run Trace  also writes all lines to that directory
 //
-// The figures come from floating point arithmetic on amd64; a machine that fuses multiplication
-// and addition may decide otherwise.
+// The recorded decisions depend on floating point arithmetic on amd64. A machine that fuses
+// multiplication and addition may decide differently.
 func TestDecisionTrace(t *testing.T) {
 	for _, scenario := range traceScenarios() {
 		t.Run(scenario.name, func(t *testing.T) {
@@ -198,7 +198,7 @@
 	}
 }
 
-// writeWholeTrace writes all lines of a trace to the folder of DECISION_TRACE_DIR, if that is set.
+// writeWholeTrace writes all lines of a trace to the directory DECISION_TRACE_DIR, if it is set.
 func writeWholeTrace(t *testing.T, name, lines string) {
 	t.Helper()
 	dir := os.Getenv("DECISION_TRACE_DIR")
@@ -210,7 +210,7 @@
 	}
 }
 
-// traceGuards are guards that have seen purges, or none.
+// traceGuards returns guards with and without purges.
 func traceGuards() []routing.Guard {
 	const second = time.Second
 	return []routing.Guard{
@@ -231,7 +231,7 @@
 	}
 }
 
-// TestGuardTrace pins what a guard says of purges and of a stale watch stream.
+// TestGuardTrace compares the results of guards for purges and stale watch streams with recorded ones.
 func TestGuardTrace(t *testing.T) {
 	text := &strings.Builder{}
 	guards := traceGuards()
@@ -246,7 +246,7 @@
 	golden.Compare(t, "guard.txt", []byte(text.String()))
 }
 
-// printGuard prints what a guard says at several times of several objects and groups.
+// printGuard prints the results of a guard for several times, objects and groups.
 func printGuard(text *strings.Builder, index int, guard *routing.Guard) {
 	const second = time.Second
 	times := []time.Duration{
--- a/routing/ejection_test.go
+++ b/routing/ejection_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// newEjectionHarness starts a router whose servers have all responded just now.
+// newEjectionHarness creates a router whose servers have all just responded.
 func newEjectionHarness(t *testing.T) *harness {
 	t.Helper()
 	started := newHarness(t, settings(), fleet())
@@ -18,28 +18,28 @@
 
 // available reports whether a server may be chosen now.
 func (h *harness) available(id ServerID) bool {
-	h.handle(ClientDisconnected{}) // of nobody: the router sees the time
+	h.handle(ClientDisconnected{}) // an unknown request: only sets the router's time
 	return h.router.available(h.router.readyServer(id))
 }
 
-// wantEjected fails the test unless just these servers count as ejected.
+// wantEjected fails the test unless exactly these servers are ejected.
 func (h *harness) wantEjected(want ...ServerID) {
 	h.Helper()
 	if got := h.router.AppendEjected(nil); !slices.Equal(got, want) {
-		h.Errorf("ejected: %v, want %v", got, want)
+		h.Errorf("got ejected servers %v, want %v", got, want)
 	}
 }
 
-// wantAvailable fails the test unless a server is available, or not, as wanted.
+// wantAvailable fails the test unless the availability of a server is as wanted.
 func (h *harness) wantAvailable(id ServerID, want bool) {
 	h.Helper()
 	if got := h.available(id); got != want {
-		h.Errorf("server %d available: %v, want %v", id, got, want)
+		h.Errorf("got server %d available %v, want %v", id, got, want)
 	}
 }
 
-// A report of another router never begins an ejection.
-func TestExtendEjectionBeginsNone(t *testing.T) {
+// TestExtendEjectionNeverStartsEjection checks that a report of another router never ejects a server.
+func TestExtendEjectionNeverStartsEjection(t *testing.T) {
 	harness := newEjectionHarness(t)
 	harness.handle(ExtendEjection{Server: firstCache, Until: harness.now + second})
 	harness.wantAvailable(firstCache, true)
@@ -48,7 +48,8 @@
 	harness.wantEjected()
 }
 
-// A server that other routers ejected is probed with one request, unless it served lately.
+// TestRequireProbe checks that a server that other routers ejected is probed with one request, unless it
+// served recently.
 func TestRequireProbe(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -75,7 +76,7 @@
 			harness.wantAvailable(secondCache, true)
 			server := harness.router.readyServer(secondCache)
 			server.inflight = 1
-			harness.wantAvailable(secondCache, false) // a second request beside the probe
+			harness.wantAvailable(secondCache, false) // the probe is in flight
 			server.inflight = 0
 			harness.router.recordSuccess(server)
 			harness.wantEjected()
@@ -83,7 +84,8 @@
 	}
 }
 
-// An ejection is prolonged by another router's report, within a bound, and never ended by it.
+// TestExtendEjectionIsBounded checks that a report of another router prolongs an ejection by a bounded
+// time and never ends it.
 func TestExtendEjectionIsBounded(t *testing.T) {
 	harness := newEjectionHarness(t)
 	harness.now += 600 * millisecond
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // handleEndpointUpdate applies a change of the endpoint list. Servers that are removed or draining
-// are not chosen from now on.
+// are no longer chosen.
 func (r *Router) handleEndpointUpdate(update EndpointUpdate) {
 	if update.Failed {
 		r.emit(SetTimer{Delay: subscribeRetryInterval, Token: timerSubscribe})
@@ -27,7 +27,8 @@
 	r.dispatchQueue()
 }
 
-// applyEndpoint applies one entry of the list; caches of other zones are not kept.
+// applyEndpoint applies one entry of the endpoint list. It ignores caches of other zones. first is
+// true for entries of the first list.
 func (r *Router) applyEndpoint(listed Server, first bool) {
 	role := r.roleOf(listed)
 	if role == cache && listed.Zone != r.settings.Zone {
@@ -45,7 +46,7 @@
 	server.ready = listed.Phase == Ready
 }
 
-// roleOf is what a listed server does for this router.
+// roleOf returns the role of a listed server.
 func (r *Router) roleOf(listed Server) role {
 	switch listed.Kind {
 	case r.settings.OriginKind:
@@ -57,8 +58,8 @@
 	}
 }
 
-// indexReady lists the ready servers by role, and scales what a role carried to the weight that is
-// left of it.
+// indexReady lists the ready servers by role. Where the total weight of a role has fallen, it scales
+// the throughput of the role down by the same factor.
 func (r *Router) indexReady() {
 	before := r.totalWeight
 	r.readyByRole = [roleCount][]*server{}
@@ -74,7 +75,8 @@
 	}
 }
 
-// expired reports whether a server was removed so long ago that no late start event concerns it.
+// expired reports whether a server that is not ready can be dropped: this router has sent it no work
+// for serverRetention, so that a late start event can no longer concern it.
 func (r *Router) expired(server *server) bool {
 	if server.ready {
 		return false
@@ -87,7 +89,7 @@
 	return lastUsedAt < r.now-serverRetention
 }
 
-// readyServer returns a server that is listed as ready, or nil.
+// readyServer returns the server with an ID if it is listed as ready, or nil.
 func (r *Router) readyServer(id ServerID) *server {
 	for _, server := range r.servers {
 		if server.ID == id && server.ready {
--- a/routing/events.go
+++ b/routing/events.go
@@ -7,34 +7,36 @@
 	"time"
 )
 
-// RequestID identifies a request of one Router. The caller chooses it; it carries no meaning, and may
-// be used again when the request has had its answer.
+// RequestID identifies a request of one Router. The caller chooses it. The value has no meaning and
+// may be used again once the request has been answered.
 type RequestID uint64
 
-// ObjectID identifies an object; all its chunks share it. All routers use the same, since homes are
-// found by it. 0 is no object.
+// ObjectID identifies an object; all chunks of an object share it. All routers use the same ObjectID
+// for an object, because it determines the object's home servers. 0 means no object.
 type ObjectID uint64
 
-// ServerID identifies a cache, parent or origin for all routers. It carries no meaning.
+// ServerID identifies a cache, parent or origin. All routers use the same ServerID for a server. The
+// value has no meaning.
 type ServerID uint64
 
-// serverIDPrefix and serverIDDigits are the form of a ServerID in text.
+// serverIDPrefix and serverIDDigits define the text form of a ServerID.
 const (
 	serverIDPrefix = "s-"
 	serverIDDigits = 8
 )
 
-// String returns the id as ParseServerID reads it, such as s-0000002a.
+// String returns the text form of the ID, such as s-0000002a, which ParseServerID parses.
 func (id ServerID) String() string {
 	return fmt.Sprintf("%s%0*x", serverIDPrefix, serverIDDigits, uint64(id))
 }
 
-// ParseServerID reads an id that String wrote. Its error says what is no id.
+// ParseServerID parses the text form that String returns. It returns an error that quotes text if
+// text has another form.
 func ParseServerID(text string) (ServerID, error) {
 	digits, hasPrefix := strings.CutPrefix(text, serverIDPrefix)
 	number, err := strconv.ParseUint(digits, 16, 32)
 	if err != nil || !hasPrefix || len(digits) != serverIDDigits {
-		return 0, fmt.Errorf("%q is not an id", text)
+		return 0, fmt.Errorf("expected a server id such as s-0000002a, got %q", text)
 	}
 	return ServerID(number), nil
 }
@@ -42,7 +44,7 @@
 // Phase is the state of a server in the endpoint list.
 type Phase int
 
-// The phases of a server. Only one that is Ready is sent new attempts.
+// The phases of a server. Only servers in phase Ready are sent new attempts.
 const (
 	Removed Phase = iota
 	Ready
@@ -52,36 +54,36 @@
 // Server is one entry of the endpoint list.
 type Server struct {
 	ID        ServerID
-	Zone      int           // of Settings.Zones
-	Kind      int           // of Settings.Kinds
-	Cell      int           // part of its zone, for KeyScopeCell
-	Phase     Phase         // whether it takes new attempts
-	Weight    float64       // where Settings.WeightIsCapacity: concurrent transfers at full pace
-	StartedAt time.Duration // latest start, by the clock of Handle; 0: long ago
+	Zone      int           // from 0 to below Settings.Zones
+	Kind      int           // from 0 to below Settings.Kinds
+	Cell      int           // subdivision of its zone, for KeyScopeCell
+	Phase     Phase         // whether it accepts new attempts
+	Weight    float64       // concurrent transfers at full pace if Settings.WeightIsCapacity
+	StartedAt time.Duration // time of its latest start, by the clock of Handle; 0: not known
 }
 
-// LoadReport is the load that a server reports. A field that was not reported is NaN.
+// LoadReport is the load that a server reports. A field that the server did not report is NaN.
 type LoadReport struct {
-	Inflight        float64 // requests
-	CPUUtilization  float64 // 1: all of it
+	Inflight        float64 // requests in flight at the server
+	CPUUtilization  float64 // 0 to 1
 	HitRatio        float64 // 0 to 1
-	LinkUtilization float64 // of its zone's link, as it measured it; 1: full
+	LinkUtilization float64 // utilization of the zone's link as the server measured it; 1: full
 }
 
-// Result is how an attempt ended. Its numbers are stored in traces.
+// Result is the way in which an attempt ended. Its numeric values are stored in traces.
 type Result int
 
 // The results of an attempt.
 const (
-	Served         Result = iota // a response came, whole
-	ServerError                  // a response that tells an error
-	Rejected                     // the server, or its source, does not take it now
-	TimedOut                     // no response until SendAttempt.Deadline
-	ConnectFailed                // no connection to the server was made
-	ConnectionLost               // the connection broke before the response was whole
-	Canceled                     // abandoned by the caller, or after a CancelAttempt
-	NotSent                      // the caller did not write it
-	NotCached                    // an attempt that may cause no fill found no copy
+	Served         Result = iota // the response arrived completely
+	ServerError                  // the response reports an error
+	Rejected                     // the server or the fill source refused the attempt for now
+	TimedOut                     // no response arrived by SendAttempt.Deadline
+	ConnectFailed                // no connection to the server was established
+	ConnectionLost               // the connection broke before the response was complete
+	Canceled                     // the attempt was abandoned by the caller or after a CancelAttempt
+	NotSent                      // the caller did not write the attempt to a connection
+	NotCached                    // no copy was found, and the attempt must not cause a fill
 )
 
 // NotExecuted reports whether a result proves that the attempt was not executed.
@@ -94,103 +96,102 @@
 	}
 }
 
-// CacheStatus is how an attempt met, filled or failed to fill its object. Its numbers are stored in
-// traces.
+// CacheStatus tells whether the cache had a copy of the object and, if not, how the fill ended. Its
+// numeric values are stored in traces.
 type CacheStatus int
 
-// The cache statuses. From SourceRejected on no copy was served.
+// The cache statuses. With SourceRejected and all later values, no copy was served.
 const (
-	CacheStatusUnknown CacheStatus = iota // not told
-	Hit                                   // from the target's copy
-	Filled                                // the source had a copy
-	FilledByOrigin                        // the origin had to be asked
-	JoinedFill                            // another request's fill brought it
-	StaleHit                              // from a copy past its freshness lifetime
-	SourceRejected                        // the source does not take the fill now
+	CacheStatusUnknown CacheStatus = iota // not reported
+	Hit                                   // the target had a copy
+	Filled                                // a fill from a copy of the source
+	FilledByOrigin                        // a fill for which the origin had to be asked
+	JoinedFill                            // the fill of another request delivered the object
+	StaleHit                              // the target had a copy past its freshness lifetime
+	SourceRejected                        // the source refused the fill for now
 	SourceUnreachable                     // the source did not answer
-	SourceMiss                            // the source has no copy and may not fetch one
-	FillRejected                          // by the cache, which has too many fills in progress
-	OriginFailed                          // the source could not fetch it from the origin
+	SourceMiss                            // the source has no copy and must not fetch one
+	FillRejected                          // the cache refused the fill: it has too many fills in progress
+	OriginFailed                          // the source could not fetch the object from the origin
 )
 
 // sourceFailed reports whether the source of a fill, or the origin behind it, failed.
 func (s CacheStatus) sourceFailed() bool { return s >= SourceRejected && s != FillRejected }
 
-// filled reports whether a copy came by a fill that the attempt itself caused.
+// filled reports whether the copy was obtained by a fill that the attempt itself caused.
 func (s CacheStatus) filled() bool { return s == Filled || s == FilledByOrigin }
 
-// Event is what a Router is notified of, by Handle. The set of events is closed.
+// Event is an input of a Router, passed to Handle. The set of events is closed.
 type Event interface{ event() }
 
 // EndpointUpdate is a change of the endpoint list. The caller sends it for each watch event and, with
-// Failed, when a subscription did not succeed.
+// Failed set, when a subscription failed.
 type EndpointUpdate struct {
-	Snapshot bool     // Servers is the whole list: all others are removed
-	Failed   bool     // a subscription did not succeed, and Servers is empty
+	Snapshot bool     // Servers is the whole list: all other servers are removed
+	Failed   bool     // a subscription failed, and Servers is empty
 	Servers  []Server // entries that are new or have changed
 }
 
-// Request is a client's request. It is owed exactly one final answer: an attempt that is served, a
-// Reject or a Fail.
+// Request is a client's request. Each request gets exactly one final answer: an attempt that is
+// served, a Reject or a Fail. There is none after ClientDisconnected.
 type Request struct {
 	ID          RequestID
-	Class       int // index of Settings.Classes; one that is not listed is rejected
+	Class       int // index in Settings.Classes; a request of an unlisted class is rejected
 	Object      ObjectID
-	Chunk       int           // of the object
-	PurgeGroup  int           // that the object is purged with
-	Timeout     time.Duration // from now until its client gives up
-	SizeKB      float64       // of the response, in KB; 0: not known
-	ClientRetry bool          // it repeats an earlier one of its client; not used here
+	Chunk       int           // number of the chunk within the object
+	PurgeGroup  int           // group with which the object is purged
+	Timeout     time.Duration // time from now until the client gives up
+	SizeKB      float64       // size of the response in KB; 0: not known
+	ClientRetry bool          // the request repeats an earlier one of the client; not used by this package
 }
 
-// Outcome is the end of one attempt. The caller sends one for each SendAttempt, also for those that it
-// did not write or that were canceled.
+// Outcome is the end of one attempt. The caller sends one for each SendAttempt, including attempts
+// that it did not write and attempts that were canceled.
 type Outcome struct {
 	ID          RequestID
 	Attempt     int      // index among the attempts of its request
-	Server      ServerID // that the attempt was sent to
+	Server      ServerID // server that the attempt was sent to
 	Result      Result
 	CacheStatus CacheStatus
-	SourceWait  time.Duration // until the source's first byte or failure; 0: not told
-	Duration    time.Duration // of the attempt, until its end
-	BodyBytes   int           // bytes of the body that were served; 0: not told
-	RequestDone bool          // the request has its answer, and no further attempt is wanted
-	Load        LoadReport    // that came with the response
+	SourceWait  time.Duration // time until the first byte or the failure of the source; 0: not reported
+	Duration    time.Duration // time from the start of the attempt to its end
+	BodyBytes   int           // bytes of the body that were served; 0: not reported
+	RequestDone bool          // the request has been answered and needs no further attempt
+	Load        LoadReport    // load reported with the response
 }
 
-// TimerFired is the firing of a timer that an earlier SetTimer asked for.
+// TimerFired reports that the timer of an earlier SetTimer has expired.
 type TimerFired struct{ Token uint64 }
 
 // Purge is the purge of an object or, with Object 0, of a whole group. The caller sends it for each
-// purge that the watch stream tells.
+// purge that the watch stream reports.
 type Purge struct {
 	Object ObjectID
 	Group  int
 	Age    time.Duration // time since the purge was made
 }
 
-// ClientDisconnected ends a request to which no answer is owed any more.
+// ClientDisconnected ends a request that needs no answer any more.
 type ClientDisconnected struct{ ID RequestID }
 
-// PeerLoadReport is a cache's load as another router of the zone learned it.
+// PeerLoadReport is the load of a cache as received by another router of the zone.
 type PeerLoadReport struct {
 	Server ServerID
 	Load   LoadReport
 	Age    time.Duration // time since the cache measured it
 }
 
-// ExtendEjection prolongs the ejection of a server by this router until a time, since another
-// router probes it first. It never ejects a server, nor ends an ejection.
+// ExtendEjection prolongs this router's ejection of a server, because another router probes the server
+// first. It never ejects a server and never ends an ejection.
 type ExtendEjection struct {
 	Server ServerID
-	Until  time.Duration // by the clock of Handle; bounded to a few seconds from now
+	Until  time.Duration // new end of the ejection, by the clock of Handle; at most a few seconds from now
 }
 
-// RequireProbe has a server that other routers ejected probed with one request before it gets more,
-// unless it served this router lately.
-//
-// Symptom guarded against: the lease holder, whom the server had failed only a few times yet, went
-// on sending to it and so took it for recovered.
+// RequireProbe makes this router probe a server that other routers ejected: the server gets one request
+// and, until it has responded, no others. The event has no effect if the server recently served
+// this router. Without the probe, a lease holder at which the server had failed only a few times
+// kept sending to it and therefore considered it recovered.
 type RequireProbe struct{ Server ServerID }
 
 func (EndpointUpdate) event()     {}
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -7,7 +7,7 @@
 	"garnetline/routing"
 )
 
-// A router is notified of its servers and of a request, and returns what to do.
+// Example passes a list of servers and a request to a router, and prints the action that it returns.
 func Example() {
 	router, err := routing.New(routing.Settings{
 		Zones: 2, Zone: 1, Kinds: 3, ParentKind: 1, OriginKind: 2,
@@ -23,10 +23,10 @@
 		{ID: 31, Zone: 0, Kind: 1, Phase: routing.Ready},
 	}}, nil)
 	page := routing.Request{ID: 1, Object: 0xfe, Timeout: 3 * time.Second, SizeKB: 200}
-	for _, a := range router.Handle(time.Millisecond, page, nil) {
-		if get, ok := a.(routing.SendAttempt); ok {
+	for _, action := range router.Handle(time.Millisecond, page, nil) {
+		if attempt, ok := action.(routing.SendAttempt); ok {
 			fmt.Printf("request %d to cache %d, a miss filled by parent %d, join %v\n",
-				get.ID, get.Server, get.FillSource, get.JoinFill)
+				attempt.ID, attempt.Server, attempt.FillSource, attempt.JoinFill)
 		}
 	}
 	// Output: request 1 to cache 11, a miss filled by parent 31, join false
--- a/routing/fleet_simulation_test.go
+++ b/routing/fleet_simulation_test.go
@@ -11,11 +11,11 @@
 	"garnetline/routing"
 )
 
-// simulationStart is the time at which a simulation begins; a trace counts from it.
+// simulationStart is the time at which a simulation begins. Times in a trace are relative to it.
 const simulationStart = 1000 * time.Second
 
-// simulation plays a scenario on one router. The order of its random draws is part of the recorded
-// decisions.
+// simulation runs a scenario on one router. The recorded decisions depend on the order in which it
+// draws random numbers.
 type simulation struct {
 	traceScenario
 	random         *rand.Rand
@@ -24,9 +24,9 @@
 	now            time.Duration
 	end            time.Duration
 	queue          eventQueue
-	scheduled      int // events so far
+	scheduled      int // number of events scheduled so far
 	servers        []*simulatedServer
-	open           map[routing.RequestID]routing.Request // requests without an answer
+	open           map[routing.RequestID]routing.Request // requests without a final answer
 	attemptCounts  map[routing.RequestID]int
 	inflight       []*simulatedAttempt
 	nextID         routing.RequestID
@@ -34,11 +34,11 @@
 	conditions
 }
 
-// conditions are what changes with a regime beside the servers.
+// conditions are the conditions, apart from the state of servers, that change during a simulation.
 type conditions struct {
-	load            float64 // requests now, as a multiple of the scenario's rate
-	linkUtilization float64 // of the zone's link
-	hitRatio        float64 // part of looks that find a copy
+	load            float64 // present request rate as a multiple of the scenario's rate
+	linkUtilization float64 // utilization of the zone's link
+	hitRatio        float64 // fraction of lookups that find a copy
 }
 
 func newSimulation(t *testing.T, scenario traceScenario) *simulation {
@@ -73,11 +73,11 @@
 	return simulated
 }
 
-// run plays the scenario to its end, then lets go of what is still open.
+// run runs the scenario to its end, then handles the outstanding timers and outcomes.
 func (s *simulation) run() {
 	s.handle(routing.EndpointUpdate{Snapshot: true, Servers: s.list()})
 	s.after(0, s.sendRequest)
-	s.after(3*time.Second, s.changeRegime)
+	s.after(3*time.Second, s.changeConditions)
 	s.after(700*time.Millisecond, s.sendUpdates)
 	s.after(time.Second, s.printServers)
 	if s.updated {
@@ -100,7 +100,7 @@
 	s.trace.printHash()
 }
 
-// handle feeds the router one event, prints the actions and carries them out.
+// handle passes an event to the router, prints the actions that it returns and carries them out.
 func (s *simulation) handle(event routing.Event) {
 	for _, action := range s.router.Handle(s.now, event, nil) {
 		s.print(action)
@@ -122,7 +122,7 @@
 	}
 }
 
-// print adds an action to the trace. The keys are those of the recorded decisions.
+// print adds an action to the trace, with the keys that the golden files use.
 func (s *simulation) print(action routing.Action) {
 	elapsed := s.now - simulationStart
 	switch action := action.(type) {
@@ -145,7 +145,7 @@
 	}
 }
 
-// printServers prints once a second which servers the router has ejected.
+// printServers prints the servers that the router has ejected, and schedules itself again in a second.
 func (s *simulation) printServers() {
 	ejected := ""
 	for _, id := range s.router.AppendEjected(nil) {
@@ -155,7 +155,7 @@
 	s.after(time.Second, s.printServers)
 }
 
-// schedule has an event happen at a time.
+// schedule adds an event to the queue, to be handled at a time.
 func (s *simulation) schedule(at time.Duration, event *simulatedEvent) {
 	event.at = at
 	event.order = s.scheduled
@@ -163,22 +163,22 @@
 	heap.Push(&s.queue, event)
 }
 
-// after has a step taken after a delay, unless the scenario has ended by then.
+// after schedules a call of step after a delay. The call is skipped if the scenario has ended by then.
 func (s *simulation) after(delay time.Duration, step func()) {
 	s.schedule(s.now+delay, &simulatedEvent{step: step})
 }
 
-// simulatedEvent is something due at a time: a step, a timer, or the outcome of an attempt.
+// simulatedEvent is an event due at a time: a step, a timer, or the outcome of an attempt.
 type simulatedEvent struct {
 	at      time.Duration
-	order   int // among the events of one time
+	order   int // order among the events of the same time
 	timer   *uint64
 	outcome *routing.Outcome
-	attempt *simulatedAttempt // that outcome ends
+	attempt *simulatedAttempt // attempt that outcome ends
 	step    func()
 }
 
-// eventQueue is a heap of events in the order of their times.
+// eventQueue is a heap of events, ordered by time.
 type eventQueue []*simulatedEvent
 
 // next removes the earliest event and returns it.
@@ -197,7 +197,7 @@
 	return q[i].order < q[j].order
 }
 
-// Push and Pop are for container/heap.
+// Push and Pop implement heap.Interface.
 func (q *eventQueue) Push(event any) { *q = append(*q, event.(*simulatedEvent)) }
 
 func (q *eventQueue) Pop() any {
--- a/routing/guard.go
+++ b/routing/guard.go
@@ -5,28 +5,26 @@
 	"time"
 )
 
-// Guard is checked once more when an attempt is written to its connection, since the attempt may
-// have been queued after it was decided on. A Guard is immutable: any goroutine may use it.
+// Guard holds what must be checked again when an attempt is written to its connection, because the
+// attempt may have been queued after the Router decided on it. A Guard is immutable: any goroutine may
+// use it.
 type Guard struct {
-	Ready          map[ServerID]bool // listed, and neither draining nor removed
-	Purges         []PurgeRecord     // from which older copies may be left
-	PurgeRetention time.Duration     // after it a purge has left no older copy
-	PurgeGrace     time.Duration     // after it a purge binds
-	PurgesSeen     bool              // purges happen here
-	LastEventAt    time.Duration     // latest event of the watch stream; 0: there is none
+	Ready          map[ServerID]bool // servers that are listed and neither draining nor removed
+	Purges         []PurgeRecord     // purges that may have left older copies
+	PurgeRetention time.Duration     // time after which a purge has left no older copy
+	PurgeGrace     time.Duration     // time after which a purge must be obeyed
+	PurgesSeen     bool              // purges occur in this deployment
+	LastEventAt    time.Duration     // time of the latest event of the watch stream; 0: no event yet
 }
 
-// Excludes reports whether nothing new may go to a server, as target or as source.
-//
-// Symptom guarded against: an attempt that waited in a queue while its server was listed as
-// draining goes out past the grace.
+// Excludes reports whether a server must get no new attempts, neither as target nor as source. Without
+// this check, an attempt that waits in a queue while its server is listed as draining would be sent
+// after the drain grace. A nil Guard excludes no server.
 func (g *Guard) Excludes(id ServerID) bool { return g == nil || !g.Ready[id] }
 
-// MaxAge returns the oldest copy that will do at now for an attempt that was decided on with the
-// bound age, 0 for any.
-//
-// Symptom guarded against: an attempt decided on just before a purge is written after it, and is
-// answered from the old copy.
+// MaxAge returns the maximum age at now of a copy that may serve an attempt, where age is the maximum
+// at the time of the decision. 0 stands for any age. Without this check, an attempt that was decided
+// on just before a purge and is written after it would be answered from the old copy.
 func (g *Guard) MaxAge(now, age time.Duration, object ObjectID, group int) time.Duration {
 	exceedsGrace := age == 0 || age > g.PurgeGrace
 	if exceedsGrace && g.watchStale(now) {
@@ -44,8 +42,8 @@
 	return age
 }
 
-// MayBeStale reports whether old copies of an object may still exist. With group -1 the object's
-// group is not known, and a purge of any group counts.
+// MayBeStale reports whether purged copies of an object may still exist. A negative group means that
+// the object's group is not known; then a purge of any group counts. A nil Guard reports false.
 func (g *Guard) MayBeStale(now time.Duration, object ObjectID, group int) bool {
 	if g == nil {
 		return false
@@ -65,10 +63,9 @@
 	return purge.At+g.PurgeRetention > now
 }
 
-// watchStale reports whether there may be purges that have not arrived.
-//
-// Symptom guarded against: with the watch stream cut off a purge binds all the same. It might hurt
-// for as long as that lasts: copies must be nearly new.
+// watchStale reports whether purges may exist that have not arrived, because the watch stream is cut
+// off: such purges must be obeyed too. While this lasts, only copies younger than the purge grace are
+// served, which costs hits.
 func (g *Guard) watchStale(now time.Duration) bool {
 	if !g.PurgesSeen || g.LastEventAt == 0 {
 		return false
@@ -76,20 +73,20 @@
 	return now > g.LastEventAt+watchStaleAfter
 }
 
-// maxCopyAge returns the age of the oldest copy that will do for a request: fresh, and younger than
-// the latest purge of its object or group. 0 means that any will do.
+// maxCopyAge returns the maximum age of a copy that may serve a request: the copy must be fresh and
+// newer than the latest purge of its object or group. 0 means any age.
 func (r *Router) maxCopyAge(request *request) time.Duration {
 	return r.purgeLog.MaxAge(r.now, request.class.FreshnessLifetime, request.Object, request.PurgeGroup)
 }
 
-// PurgeRecord is a purge and when it was made.
+// PurgeRecord is a purge and the time at which it was made.
 type PurgeRecord struct {
-	Object ObjectID      // 0: the whole group
-	Group  int           // where Object is 0
-	At     time.Duration // when it was made, by the clock of Handle
+	Object ObjectID      // purged object; 0: the whole group
+	Group  int           // purged group, if Object is 0
+	At     time.Duration // time of the purge, by the clock of Handle
 }
 
-// covers reports whether a purge concerns an object of a group.
+// covers reports whether a purge applies to an object that belongs to group.
 func (p PurgeRecord) covers(object ObjectID, group int) bool {
 	if p.Object != 0 {
 		return p.Object == object
@@ -97,7 +94,7 @@
 	return p.Group == group
 }
 
-// handlePurge records a purge and forgets those that have left no older copy.
+// handlePurge records a purge and drops earlier purges that have left no older copy.
 func (r *Router) handlePurge(event Purge) {
 	retention := r.settings.PurgeRetention
 	r.purgeLog.PurgeRetention = retention
--- a/routing/guard_test.go
+++ b/routing/guard_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// A watch stream that is cut off may keep a purge back that binds all the same: where purges happen,
-// copies must then be younger than the grace.
+// TestStaleWatchBoundsCopyAge checks that copies must be younger than the purge grace while the watch
+// stream is cut off, in a deployment with purges: the stream may miss purges that must be obeyed.
 func TestStaleWatchBoundsCopyAge(t *testing.T) {
 	const grace = 500 * millisecond
-	followed := Guard{
+	watched := Guard{
 		PurgeRetention: 6 * second, PurgeGrace: grace, PurgesSeen: true, LastEventAt: 100 * second,
 	}
 	tests := []struct {
@@ -20,35 +20,35 @@
 		wantAge   time.Duration
 		wantStale bool
 	}{
-		{name: "event lately", guard: followed, now: 101_400 * millisecond},
-		{name: "cut off", guard: followed, now: 101_600 * millisecond, wantAge: grace, wantStale: true},
-		{name: "cut off, with a bound", guard: followed, now: 101_600 * millisecond,
+		{name: "recent event", guard: watched, now: 101_400 * millisecond},
+		{name: "cut off", guard: watched, now: 101_600 * millisecond, wantAge: grace, wantStale: true},
+		{name: "cut off, with a bound", guard: watched, now: 101_600 * millisecond,
 			bound: 12 * second, wantAge: grace, wantStale: true},
-		{name: "cut off, with a tighter bound", guard: followed, now: 101_600 * millisecond,
+		{name: "cut off, with a tighter bound", guard: watched, now: 101_600 * millisecond,
 			bound: 200 * millisecond, wantAge: 200 * millisecond, wantStale: true},
-		{name: "no purges here", guard: Guard{PurgeGrace: grace, LastEventAt: followed.LastEventAt}, now: 200 * second},
-		{name: "not followed", guard: Guard{PurgeGrace: grace, PurgesSeen: true}, now: 200 * second},
+		{name: "no purges here", guard: Guard{PurgeGrace: grace, LastEventAt: watched.LastEventAt}, now: 200 * second},
+		{name: "no event yet", guard: Guard{PurgeGrace: grace, PurgesSeen: true}, now: 200 * second},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if got := test.guard.MaxAge(test.now, test.bound, 7, 1); got != test.wantAge {
-				t.Errorf("age %v, want %v", got, test.wantAge)
+				t.Errorf("got age %v, want %v", got, test.wantAge)
 			}
 			if got := test.guard.MayBeStale(test.now, 7, 1); got != test.wantStale {
-				t.Errorf("may be stale: %v, want %v", got, test.wantStale)
+				t.Errorf("got may be stale %v, want %v", got, test.wantStale)
 			}
 		})
 	}
 }
 
-// A purge bounds the age of copies from its moment until all older copies are gone.
+// TestPurgeBoundsCopyAge checks that a purge limits the age of copies until no older copies are left.
 func TestPurgeBoundsCopyAge(t *testing.T) {
 	const object, group = 7, 4
 	tests := []struct {
 		name  string
 		purge Purge
 		class int
-		wait  time.Duration // from the purge to the request
+		wait  time.Duration // time from the purge to the request
 		want  time.Duration
 	}{
 		{name: "object", purge: Purge{Object: object, Age: 100 * millisecond},
@@ -57,11 +57,11 @@
 		{name: "group", purge: Purge{Group: group, Age: 100 * millisecond}, want: 100 * millisecond},
 		{name: "other group", purge: Purge{Group: 5, Age: 100 * millisecond}},
 		{name: "just purged", purge: Purge{Object: object}, want: time.Microsecond},
-		{name: "fresher than the class asks", purge: Purge{Object: object, Age: second},
+		{name: "purged within the freshness lifetime", purge: Purge{Object: object, Age: second},
 			class: smallClass, want: second},
-		{name: "older than the class allows", purge: Purge{Object: object, Age: 5 * second},
+		{name: "purged before the freshness lifetime", purge: Purge{Object: object, Age: 5 * second},
 			class: smallClass, wait: 4 * second, want: 8 * second},
-		{name: "at the end", purge: Purge{Object: object, Age: second},
+		{name: "end of the purge retention", purge: Purge{Object: object, Age: second},
 			wait: 5*second - millisecond, want: 6*second - millisecond},
 	}
 	for _, test := range tests {
@@ -71,19 +71,19 @@
 			harness.now += test.wait
 			sent := harness.requestOne(Request{Class: test.class, Object: object, PurgeGroup: group, SizeKB: 1})
 			if sent.MaxAge != test.want {
-				t.Errorf("age %v, want %v", sent.MaxAge, test.want)
+				t.Errorf("got age %v, want %v", sent.MaxAge, test.want)
 			}
 		})
 	}
 }
 
-// A purge that has left no older copy is forgotten.
-func TestOldPurgesAreForgotten(t *testing.T) {
+// TestExpiredPurgesAreRemoved checks that a purge that has left no older copy is removed.
+func TestExpiredPurgesAreRemoved(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	harness.handle(Purge{Object: 7})
 	harness.now += 7 * second
 	harness.handle(Purge{Object: 9})
 	if got := len(harness.router.purgeLog.Purges); got != 1 {
-		t.Errorf("%d purges kept, want 1", got)
+		t.Errorf("got %d purges, want 1", got)
 	}
 }
--- a/routing/hanging_parent_test.go
+++ b/routing/hanging_parent_test.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// hangingParent is a harness with a parent whose fills hang, while hits that name it go on.
+// hangingParent is a harness with a parent whose fills never end, while attempts that name it as source
+// and are hits are still served.
 type hangingParent struct {
 	*harness
 	parent ServerID
-	hung   int // fills sent to it
+	hung   int // number of fills sent to the parent
 	checks []dueCheck
 }
 
@@ -19,7 +20,7 @@
 	at time.Duration
 }
 
-// fireChecks fires the timers that are due and ends what is canceled.
+// fireChecks fires the timers that are due and ends the attempts that the router cancels.
 func (h *hangingParent) fireChecks() {
 	for len(h.checks) > 0 && h.checks[0].at <= h.now {
 		check := h.checks[0]
@@ -35,7 +36,7 @@
 	}
 }
 
-// serve ends attempts in time, but fills by the hanging parent.
+// serve ends attempts in time, except fills by the hanging parent.
 func (h *hangingParent) serve(actions []Action, fill bool) {
 	for _, sent := range sendActions(actions) {
 		if fill && sent.FillSource == h.parent {
@@ -47,10 +48,10 @@
 	}
 }
 
-// A parent whose fills hang is ejected though hits that name it go on. Symptom guarded against: one
-// attempt in three to it ended late or not at all for 5 s.
-func TestHitsKeepNoHangingParentAlive(t *testing.T) {
-	const mostHung = 65 // of some 100
+// TestHangingParentIsEjectedDespiteHits checks that a parent whose fills never end is ejected although
+// hits that name it as source succeed. Otherwise one attempt in three to it ends late or not at all.
+func TestHangingParentIsEjectedDespiteHits(t *testing.T) {
+	const mostHung = 65 // of about 100
 	harness := &hangingParent{harness: newHarness(t, settings(), fleet())}
 	harness.parent = harness.parents()[0].ID
 	for i := range 600 {
@@ -60,6 +61,6 @@
 		harness.serve(harness.request(Request{Object: ObjectID(1 + i)}), fill)
 	}
 	if harness.hung > mostHung {
-		t.Errorf("%d fills went to a parent that completes none, want at most %d", harness.hung, mostHung)
+		t.Errorf("got %d fills sent to a parent that completes none, want at most %d", harness.hung, mostHung)
 	}
 }
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -24,10 +24,10 @@
 	firstCache   ServerID = 11
 	secondCache  ServerID = 12
 	thirdCache   ServerID = 13
-	remoteCache  ServerID = 21 // of another zone
+	remoteCache  ServerID = 21 // in another zone
 	firstParent  ServerID = 31
 	secondParent ServerID = 32
-	theOrigin    ServerID = 41
+	originServer ServerID = 41
 )
 
 // Indices of the test classes.
@@ -38,7 +38,7 @@
 	onceClass
 )
 
-// settings are those of a router that serves its zone alone; the other zone has one too.
+// settings returns the settings of the only router of its zone. One other zone has a router too.
 func settings() Settings {
 	return Settings{
 		Zones: 3, Zone: 1, Kinds: 3, ParentKind: parentKind, OriginKind: originKind,
@@ -72,7 +72,7 @@
 	}
 }
 
-// fleet lists three caches in the router's zone, one elsewhere, two parents and an origin.
+// fleet returns three caches in the router's zone, one in another zone, two parents and an origin.
 func fleet() []Server {
 	return []Server{
 		{ID: firstCache, Zone: 1, Kind: cacheKind, Phase: Ready},
@@ -81,11 +81,11 @@
 		{ID: remoteCache, Zone: 2, Kind: cacheKind, Phase: Ready},
 		{ID: firstParent, Kind: parentKind, Phase: Ready},
 		{ID: secondParent, Kind: parentKind, Phase: Ready},
-		{ID: theOrigin, Kind: originKind, Phase: Ready},
+		{ID: originServer, Kind: originKind, Phase: Ready},
 	}
 }
 
-// fleetOfWeight is the test fleet with one weight for all servers.
+// fleetOfWeight returns the test fleet with the same weight for all servers.
 func fleetOfWeight(weight float64) []Server {
 	list := fleet()
 	for i := range list {
@@ -94,7 +94,7 @@
 	return list
 }
 
-// harness drives a Router and keeps what a caller would.
+// harness drives a Router and holds the state of its caller.
 type harness struct {
 	*testing.T
 	router *Router
@@ -102,13 +102,13 @@
 	nextID RequestID
 }
 
-// newHarness starts a router that knows a list of servers.
+// newHarness creates a router and passes it a list of servers.
 func newHarness(t *testing.T, config Settings, list []Server) *harness {
 	t.Helper()
 	return newSeededHarness(t, config, list, 1)
 }
 
-// newSeededHarness starts a router that draws its lots from a seed.
+// newSeededHarness creates a router with a seed and passes it a list of servers.
 func newSeededHarness(t *testing.T, config Settings, list []Server, seed uint64) *harness {
 	t.Helper()
 	router, err := New(config, seed)
@@ -120,8 +120,8 @@
 	return started
 }
 
-// newSmallQuotaHarness starts one of eight routers of a zone, whose quota of each of the three caches
-// is under two of their six transfers.
+// newSmallQuotaHarness creates one of eight routers of a zone. Its quota of each of the three caches is
+// less than two of the cache's six transfers.
 func newSmallQuotaHarness(t *testing.T) *harness {
 	t.Helper()
 	config := settings()
@@ -129,19 +129,19 @@
 	config.RoutersByZone = []int{0, 8, 1}
 	config.BodyBytesPerSecond = 100_000
 	started := newHarness(t, config, fleetOfWeight(6))
-	for _, server := range started.caches() { // others have much in flight there
+	for _, server := range started.caches() { // makes the caches look busy with attempts of other routers
 		server.slowdown.observe(started.now, slowdownTimeConstant, 1, 1.5*saturatedSlowdown)
 	}
 	return started
 }
 
-// handle feeds the router an event at the present time.
+// handle passes an event to the router at the present time.
 func (h *harness) handle(event Event) []Action {
 	return h.router.Handle(h.now, event, nil)
 }
 
-// request sends a request, by default with the deadline of its class, and returns the actions that
-// follow.
+// request sends a request and returns the actions that follow. By default the request has a new ID and
+// the deadline of its class.
 func (h *harness) request(request Request) []Action {
 	if request.ID == 0 {
 		request.ID = h.nextID
@@ -153,23 +153,23 @@
 	return h.handle(request)
 }
 
-// requestOne sends a request that must lead to one attempt, and returns that.
+// requestOne sends a request that must lead to one attempt, and returns the attempt.
 func (h *harness) requestOne(request Request) SendAttempt {
 	h.Helper()
 	return h.singleAttempt(h.request(request))
 }
 
-// singleAttempt returns the attempt of actions that must hold one.
+// singleAttempt returns the attempt in actions, which must contain exactly one.
 func (h *harness) singleAttempt(actions []Action) SendAttempt {
 	h.Helper()
 	attempts := sendActions(actions)
 	if len(attempts) != 1 {
-		h.Fatalf("%d attempts, want one: %v", len(attempts), actions)
+		h.Fatalf("got %d attempts, want 1: %v", len(attempts), actions)
 	}
 	return attempts[0]
 }
 
-// finish reports the end of an attempt, the index-th of its request.
+// finish reports the end of an attempt. index is its index among the attempts of its request.
 func (h *harness) finish(sent SendAttempt, index int, result Result, status CacheStatus) []Action {
 	nan := math.NaN()
 	return h.handle(Outcome{
@@ -179,7 +179,7 @@
 	})
 }
 
-// finishWithoutStatus reports the end of an attempt by a cache that tells no cache status.
+// finishWithoutStatus reports the end of an attempt at a cache that reports no cache status.
 func (h *harness) finishWithoutStatus(sent SendAttempt, index int, result Result, took time.Duration) []Action {
 	return h.handle(Outcome{
 		ID: sent.ID, Attempt: index, Server: sent.Server, Result: result,
@@ -224,7 +224,7 @@
 	})
 }
 
-// transferSecondsOf is the transfer time of a request in seconds.
+// transferSecondsOf returns the transfer time of a request in seconds.
 func (h *harness) transferSecondsOf(request *request) float64 {
 	seconds, _ := h.router.transferSeconds(request)
 	return seconds
--- a/routing/inflight.go
+++ b/routing/inflight.go
@@ -1,6 +1,6 @@
 package routing
 
-// track counts an attempt as in flight (delta 1) or ended (delta -1) with its servers and limiters.
+// track counts an attempt as started (delta 1) or ended (delta -1) at its request, servers and limiters.
 func (r *Router) track(attempt *attempt, delta int) {
 	attempt.ended = delta < 0
 	attempt.request.inflight += delta
--- a/routing/limiter.go
+++ b/routing/limiter.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// limiter is an adaptive concurrency limit for what shares a bottleneck: a link, a source's fills,
-// fetches from the origin, writes, or all that is sent to one cache. While it is active a request
-// first looks for a copy; only known misses wait, for a few fills.
-//
-// Symptom guarded against: a full link, or a server that slows: more work made all slower until
-// none was in time.
+// limiter is an adaptive concurrency limit for the transfers that share a bottleneck: a link, a
+// source's fills, fetches from the origin, writes, or all attempts sent to one cache. While the
+// limiter of a fill path is active, a request first looks up a copy without causing a fill. Only
+// requests that are known to miss wait until one of the few allowed fills can start. Without the
+// limit, more work on a full link or a slow server slows all transfers until none ends in time.
 type limiter struct {
-	utilization   float64 // smoothed; 1: as busy as the bottleneck should be
+	utilization   float64 // smoothed; 1: the load that the bottleneck should have
 	active        bool
-	inflight      int           // from this router
-	limit         float64       // of inflight, while active
-	updatedAt     time.Duration // latest change of limit
-	lastStartedAt time.Duration // of the newest
-	pausedUntil   time.Duration // none is admitted before
+	inflight      int           // transfers of this router in flight
+	limit         float64       // limit of inflight, valid while active
+	updatedAt     time.Duration // time of the latest update of limit
+	lastStartedAt time.Duration // start of the newest transfer
+	pausedUntil   time.Duration // no transfer is admitted before this time
 }
 
-// admits reports whether one more may start. A limit below one is kept by pauses.
+// admits reports whether one more transfer may start. A limit below 1 is enforced by pauses between
+// transfers.
 func (l *limiter) admits(now time.Duration) bool {
 	if !l.active {
 		return true
@@ -27,7 +27,8 @@
 	return belowLimit && now >= l.pausedUntil
 }
 
-// track adds delta to what is in flight.
+// track adds delta to the number of transfers in flight. When a transfer ends under a limit below 1, it
+// starts a pause.
 func (l *limiter) track(now time.Duration, delta int) {
 	l.inflight += delta
 	if delta > 0 {
@@ -41,9 +42,10 @@
 	}
 }
 
-// observe takes one observation of the bottleneck's utilization. The limit starts from what is in
-// flight and is lifted only when it was not needed for a while, or all that waits would fill the
-// link again. zoneFraction is the router's part of its zone's requests.
+// observe records one observation of the bottleneck's utilization. The limit starts at the number of
+// transfers in flight, or at the router's share of initialZoneLimit if that is higher. It is removed
+// only when it has not been needed for a while; otherwise all waiting requests would overload the
+// bottleneck again. zoneFraction is the fraction of its zone's requests that the router receives.
 func (l *limiter) observe(now time.Duration, utilization, zoneFraction float64) {
 	steps := min(float64((now-l.updatedAt)/limitUpdateInterval), maxLimitSteps)
 	weight := min(max(steps, 1), maxObservationSteps)
@@ -58,7 +60,8 @@
 	}
 }
 
-// updateLimit ends the limiter or lowers or raises its limit, by so many update intervals.
+// updateLimit deactivates the limiter, or lowers or raises its limit. steps is the number of update
+// intervals since the last change.
 func (l *limiter) updateLimit(steps, zoneFraction float64) {
 	used := min(float64(l.inflight)+1, l.limit)
 	idle := l.utilization < limiterActivation/limiterEndDivisor
@@ -74,7 +77,7 @@
 	}
 }
 
-// recordPace records how busy a served attempt shows its bottleneck to be.
+// recordPace derives the utilization of a bottleneck from the pace of a served attempt, and records it.
 func (r *Router) recordPace(attempt *attempt, outcome *Outcome, transfer transfer) {
 	responseTime := outcome.Duration - outcome.SourceWait
 	pace := responseTime.Seconds() / max(transfer.seconds, minPaceSeconds)
@@ -82,10 +85,10 @@
 	sourceWaitUnknown := status.filled() && r.settings.HitStatusOnly
 	switch {
 	case status == CacheStatusUnknown:
-		// Else rejections alone would be observed, and a limiter never be lifted.
+		// Without this observation only rejections would be observed, and the limiter would never end.
 		attempt.target.limiter.observe(r.now, unknownStatusUtilization, r.zoneFraction)
 	case !transfer.known || sourceWaitUnknown:
-		// The pace tells nothing.
+		// The pace is not known.
 	case status.filled():
 		r.recordFillPace(attempt, outcome.SourceWait, pace)
 	case status == Hit || status == StaleHit:
@@ -93,7 +96,7 @@
 	}
 }
 
-// recordFillPace records the pace of a fill and how busy it shows its source to be.
+// recordFillPace records the latency and pace of a fill, and the utilization of its source.
 func (r *Router) recordFillPace(attempt *attempt, sourceWait time.Duration, pace float64) {
 	r.fillLatency += (sourceWait.Seconds() - r.fillLatency) * limiterGain / fillGainDivisor
 	cappedPace := min(pace, fillPaceCapFactor*fillPaceTarget)
@@ -103,8 +106,8 @@
 	attempt.source.limiter.observe(r.now, utilization, r.zoneFraction)
 }
 
-// recordOriginLoad records how busy the origin is: for writes it counts less than for reads, so
-// that they still come through.
+// recordOriginLoad records the utilization of the origin. It counts less for writes than for reads, so
+// that writes are still admitted when reads are limited.
 func (r *Router) recordOriginLoad(attempt *attempt, utilization float64) {
 	r.originLimiter.observe(r.now, utilization, r.zoneFraction)
 	if attempt.request.class.Write {
@@ -112,15 +115,15 @@
 	}
 }
 
-// recordLinkLoad records the use of the zone's link as one of its caches measured it, if it did.
+// recordLinkLoad records the utilization of the zone's link if a cache has reported it.
 func (r *Router) recordLinkLoad(load LoadReport) {
-	measured := load.LinkUtilization >= 0 // not so for NaN
+	measured := load.LinkUtilization >= 0 // false for NaN
 	if measured {
 		r.linkLimiter.observe(r.now, load.LinkUtilization/linkUtilizationTarget, r.zoneFraction)
 	}
 }
 
-// handlePeerLoadReport uses the report of a cache of this zone if it is recent.
+// handlePeerLoadReport records the load of a cache of this zone if the report is recent.
 func (r *Router) handlePeerLoadReport(report PeerLoadReport) {
 	if report.Age >= peerReportMaxAge {
 		return
--- a/routing/limiter_test.go
+++ b/routing/limiter_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// reportLink has a cache report the use of the zone's link with an outcome, several times.
+// reportLink reports the utilization of the zone's link in the outcomes of several attempts.
 func (h *harness) reportLink(utilization float64, times int) {
 	h.Helper()
 	for range times {
@@ -20,36 +20,37 @@
 	}
 }
 
-// With a saturated link requests look for a copy first, and fills of known misses are limited.
+// TestSaturatedLinkLimitsFills checks that, with a saturated link, requests first look up a copy, and that
+// fills of known misses are limited.
 func TestSaturatedLinkLimitsFills(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	harness.reportLink(5, 20)
 	fills := 0
 	for i := range 50 {
-		look := harness.requestOne(Request{Object: ObjectID(i + 1), SizeKB: 1})
-		if look.FillSource != look.Server {
-			t.Fatalf("attempt %v, want a look", look)
+		lookup := harness.requestOne(Request{Object: ObjectID(i + 1), SizeKB: 1})
+		if lookup.FillSource != lookup.Server {
+			t.Fatalf("got attempt %v, want a lookup without a fill", lookup)
 		}
-		fills += len(sendActions(harness.finish(look, 0, NotCached, CacheStatusUnknown)))
+		fills += len(sendActions(harness.finish(lookup, 0, NotCached, CacheStatusUnknown)))
 	}
 	if fills == 0 || fills > initialZoneLimit {
-		t.Errorf("%d fills, want 1 to %v", fills, initialZoneLimit)
+		t.Errorf("got %d fills, want 1 to %v", fills, initialZoneLimit)
 	}
 }
 
-// When a saturated link is free again, the ordinary path comes back.
-func TestFreeLinkEndsTheLimit(t *testing.T) {
+// TestIdleLinkEndsLimiter checks that requests take the ordinary path again once a saturated link is idle.
+func TestIdleLinkEndsLimiter(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	harness.reportLink(5, 20)
 	harness.reportLink(0, 40)
 	sent := harness.requestOne(Request{Object: 5, SizeKB: 1})
 	if sent.FillSource == sent.Server {
-		t.Errorf("attempt %v looks first, want one with a source", sent)
+		t.Errorf("got attempt %v without a fill source, want one with a source", sent)
 	}
 }
 
-// With a slow origin a known miss asks its parent for what that holds, and what the parent lacks is
-// limited.
+// TestSlowOriginIsLimited checks that, with a slow origin, a known miss first asks the parent only for
+// what the parent has cached, and that fetches of what the parent lacks are limited.
 func TestSlowOriginIsLimited(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	for range 10 {
@@ -57,29 +58,29 @@
 	}
 	fromParent, fromOrigin := 0, 0
 	for i := range 50 {
-		look := harness.requestOne(Request{Object: ObjectID(i + 1), SizeKB: 1})
-		fills := sendActions(harness.finish(look, 0, NotCached, CacheStatusUnknown))
+		lookup := harness.requestOne(Request{Object: ObjectID(i + 1), SizeKB: 1})
+		fills := sendActions(harness.finish(lookup, 0, NotCached, CacheStatusUnknown))
 		if len(fills) == 0 {
 			continue
 		}
 		if !fills[0].OnlyIfCached {
-			t.Fatalf("attempt %v, want a fill of what the parent holds", fills[0])
+			t.Fatalf("got attempt %v, want a fill only from the cache of the parent", fills[0])
 		}
 		fromParent++
 		fromOrigin += len(sendActions(harness.finish(fills[0], 1, NotCached, SourceMiss)))
 	}
 	if fromParent == 0 {
-		t.Error("nothing was asked of parents, want some")
+		t.Error("got no fills from parents, want at least 1")
 	}
 	if fromOrigin == 0 || fromOrigin > initialZoneLimit {
-		t.Errorf("%d asked of the origin, want 1 to %v", fromOrigin, initialZoneLimit)
+		t.Errorf("got %d fetches from the origin, want 1 to %v", fromOrigin, initialZoneLimit)
 	}
 }
 
-// With an origin that many routers overload, what a router always has in flight there is its quota
-// of its zone's limit, kept by pauses where that is below one; a write is queued too while the
-// origin answers none in time.
-func TestLimitsAreZoneQuotas(t *testing.T) {
+// TestOriginLimitIsZoneQuota checks that a router's limit at an overloaded origin is its quota of its
+// zone's limit, that pauses enforce a limit below 1, and that writes are queued too while the origin
+// answers none in time.
+func TestOriginLimitIsZoneQuota(t *testing.T) {
 	const routers = 20
 	config := settings()
 	config.RoutersByZone = []int{0, routers, 1}
@@ -97,7 +98,7 @@
 	}
 	limiter := &router.originLimiter
 	if want := minZoneLimit / routers; limiter.limit > want*1.01 {
-		t.Errorf("the limit of one of %d routers is %v, want %v", routers, limiter.limit, want)
+		t.Errorf("got a limit of one of %d routers of %v, want %v", routers, limiter.limit, want)
 	}
 
 	limiter.track(harness.now, 1)
@@ -105,23 +106,24 @@
 	limiter.track(harness.now, -1)
 	harness.now += 8 * second
 	if limiter.admits(harness.now) {
-		t.Error("no pause after what one router may have in flight a tenth of the time")
+		t.Error("got a transfer admitted after a transfer under a limit of 0.1, want a pause")
 	}
 	harness.now += 2 * second
 	if !limiter.admits(harness.now) {
-		t.Error("nothing admitted after the pause")
+		t.Error("got no transfer admitted after the pause, want one")
 	}
 
 	write := harness.requestOne(Request{Class: writeClass, Object: 1, SizeKB: 10})
-	if write.Server != theOrigin {
-		t.Fatalf("a write went to %d, want %d", write.Server, theOrigin)
+	if write.Server != originServer {
+		t.Fatalf("got a write at server %d, want server %d", write.Server, originServer)
 	}
 	if actions := harness.request(Request{Class: writeClass, Object: 2, SizeKB: 10}); len(sendActions(actions)) != 0 {
-		t.Errorf("actions %v, want the second write queued for an origin that answers none in time", actions)
+		t.Errorf("got actions %v, want the second write queued for an overloaded origin", actions)
 	}
 }
 
-// A cache that rejected for a while and serves again is not limited for ever.
+// TestLimiterEndsWithoutStatus checks that the limiter of a cache that rejected for a while ends when the
+// cache serves again, although outcomes report no cache status.
 func TestLimiterEndsWithoutStatus(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	limiter := &harness.caches()[0].limiter
@@ -130,7 +132,7 @@
 		limiter.observe(harness.now, rejectionUtilization, 1)
 	}
 	if !limiter.active {
-		t.Fatal("rejections do not activate the limiter")
+		t.Fatal("got an inactive limiter after rejections, want an active one")
 	}
 	for i := range 400 {
 		harness.now += 100 * millisecond
@@ -139,14 +141,15 @@
 		}
 	}
 	if limiter.active {
-		t.Errorf("still limited at utilization %.2f", limiter.utilization)
+		t.Errorf("got an active limiter at utilization %.2f, want an inactive one", limiter.utilization)
 	}
 }
 
-// Where responses tell hits and fills but not how long a fill waited, a small object's fill must not
-// make its parent look saturated (symptom guarded against: known misses were limited all day), and a
-// status that comes does not stand for failures, which are never told.
-func TestFillsLimitNoParentWhereOnlyHitsAreTold(t *testing.T) {
+// TestFillsDoNotLimitParentWithHitStatusOnly checks that fills of small objects do not make a parent look
+// saturated where responses report hits and fills but not how long a fill waited. Otherwise known misses
+// are limited without need. It also checks that the reported statuses do not count as the status of
+// failures, which is never reported there.
+func TestFillsDoNotLimitParentWithHitStatusOnly(t *testing.T) {
 	tests := []struct {
 		name          string
 		hitStatusOnly bool
@@ -164,24 +167,24 @@
 				return parent.limiter.active
 			})
 			if want := !test.hitStatusOnly; parentLimited != want {
-				t.Errorf("a parent is limited: %v, want %v", parentLimited, want)
+				t.Errorf("got a limited parent %v, want %v", parentLimited, want)
 			}
 			if got, want := harness.router.cacheStatusKnown, !test.hitStatusOnly; got != want {
-				t.Errorf("the status of failures counts as known: %v, want %v", got, want)
+				t.Errorf("got the status of failures known %v, want %v", got, want)
 			}
 		})
 	}
 }
 
-// fillSlowly has small objects filled that take 200 ms each, for 10 ms of transfer, until a parent is
-// limited.
+// fillSlowly sends requests for small objects whose fills take 200 ms for 10 ms of transfer. It stops
+// when a parent is limited.
 func (h *harness) fillSlowly(requests int) {
 	h.Helper()
 	for i := range requests {
 		h.now += 100 * millisecond
 		sent := h.requestOne(Request{Object: ObjectID(1 + i), SizeKB: 10})
-		looksFirst := sent.FillSource == sent.Server
-		if looksFirst {
+		isLookup := sent.FillSource == sent.Server
+		if isLookup {
 			return
 		}
 		h.handle(Outcome{
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// available reports whether a server may be chosen: it is not ejected and, until it has responded
-// after an ejection, nothing else is in flight to it.
+// available reports whether a server may be chosen: it is ready and not ejected. After an ejection and
+// until it has responded, it may be chosen only while no other attempt to it is in flight.
 func (r *Router) available(server *server) bool {
 	if !server.ready || r.now < server.ejectedUntil {
 		return false
@@ -12,8 +12,8 @@
 	return !probing || server.inflight == 0
 }
 
-// AppendEjected appends to ids the servers listed as ready that are ejected, or probed and have not
-// responded since, and returns the result.
+// AppendEjected appends to ids the servers listed as ready that are ejected, or that have not responded
+// since their ejection ended, and returns the extended slice.
 func (r *Router) AppendEjected(ids []ServerID) []ServerID {
 	for _, server := range r.servers {
 		if server.ready && server.ejections > 0 {
@@ -23,8 +23,8 @@
 	return ids
 }
 
-// UnavailableCount returns how many servers listed as ready are not chosen at the time of the latest
-// event.
+// UnavailableCount returns the number of servers listed as ready that cannot be chosen at the time of
+// the latest event.
 func (r *Router) UnavailableCount() int64 {
 	count := int64(0)
 	for _, server := range r.servers {
@@ -35,7 +35,8 @@
 	return count
 }
 
-// recordFailure records a failure of a server, which may eject it, each time for twice as long.
+// recordFailure records a failure of a server and may eject the server. Each consecutive ejection lasts
+// twice as long as the one before, up to maxEjectionTime.
 func (r *Router) recordFailure(server *server) {
 	server.consecutiveFailures++
 	if r.now < server.ejectedUntil {
@@ -50,10 +51,10 @@
 	}
 }
 
-// recordSuccess records a success of a server and ends its ejection.
-//
-// Symptom guarded against: a server that was unresponsive and responds again has most likely
-// restarted and warms up before the endpoint list tells. It might hurt one that was cut off.
+// recordSuccess records a success of a server and ends its ejection unless the server is still an
+// outlier. A server that was unresponsive and responds again has most likely restarted, so its slow
+// start begins here, before the endpoint list reports the restart. A server that was only cut off from
+// the network gets less load than it could take.
 func (r *Router) recordSuccess(server *server) {
 	if server.unresponsive && server.ejections > 1 && server.warmingSince < r.now-maxEjectionTime {
 		server.warmingSince = r.now
@@ -67,10 +68,9 @@
 	}
 }
 
-// isOutlier reports whether a server fails far more than its best peer.
-//
-// Symptom guarded against: a parent that failed its fills looked well, by hits that name it, and
-// its errors were attributed to caches.
+// isOutlier reports whether a server's error rate is far above that of its best peer. Without this
+// check, a parent that fails its fills looks healthy, because hits that name it as source succeed, and
+// its errors are attributed to caches.
 func (r *Router) isOutlier(server *server) bool {
 	least := server.errorRate
 	for _, peer := range r.readyByRole[server.role] {
@@ -79,11 +79,11 @@
 	return server.errorRate > outlierErrorMargin+outlierErrorRatio*least
 }
 
-// recordErrorRates records with both servers of an attempt whether it failed.
+// recordErrorRates updates the error rates of both servers of an attempt, which has failed or not.
 func (r *Router) recordErrorRates(attempt *attempt, failed bool) {
 	for _, server := range [...]*server{attempt.target, attempt.source} {
 		elapsed := (r.now - server.errorRateUpdatedAt).Seconds()
-		gain := min(errorRateGain, elapsed) // what fails at the same time has one cause
+		gain := min(errorRateGain, elapsed) // simultaneous failures have one cause and count once
 		server.errorRate *= 1 - gain
 		server.errorRateUpdatedAt = r.now
 		if failed && !r.cacheStatusKnown {
@@ -92,7 +92,7 @@
 	}
 }
 
-// moreErrorProne returns the one of target and source that fails more of its attempts.
+// moreErrorProne returns the target or the source, whichever has the higher error rate.
 func (a *attempt) moreErrorProne() *server {
 	if a.source.errorRate > a.target.errorRate {
 		return a.source
@@ -100,7 +100,7 @@
 	return a.target
 }
 
-// recordOutcome records the end of an attempt with the servers that took part in it.
+// recordOutcome updates the records of the servers of an attempt that has ended.
 func (r *Router) recordOutcome(attempt *attempt, outcome Outcome) {
 	originSlow := attempt.showsSlowOrigin(&outcome)
 	if originSlow {
@@ -109,7 +109,7 @@
 	}
 	switch outcome.Result {
 	case Canceled, NotSent, TimedOut:
-		return // no server's fault: an unresponsive one is found by checkOverdue
+		return // no server is at fault; checkOverdue detects unresponsive servers
 	}
 	attempt.target.lastResponseAt = r.now
 	if outcome.CacheStatus != CacheStatusUnknown && !r.settings.HitStatusOnly {
@@ -124,13 +124,13 @@
 	case served:
 		r.recordServed(attempt, &outcome)
 	case originSlow || attempt.failedWithSharedFill(outcome.CacheStatus):
-		// It is the origin's fault, or of a source that is not known here.
+		// The origin is at fault, or a fill source that this router does not know.
 	default:
 		r.attributeFailure(attempt, &outcome)
 	}
 }
 
-// recordServed records what a served attempt tells of its servers, the origin and the object's size.
+// recordServed records what a served attempt shows about its servers, the origin and the transfer time.
 func (r *Router) recordServed(attempt *attempt, outcome *Outcome) {
 	transfer := r.measureTransfer(attempt.request, outcome)
 	if transfer.measured {
@@ -152,15 +152,14 @@
 	r.learnTransferTime(attempt.request, outcome, transfer)
 }
 
-// sourceServed reports whether a success may be the source's too.
-//
-// Symptom guarded against: without cache status a source never counted as responding and was at
-// fault for every slow attempt, until all parents were ejected.
+// sourceServed reports whether a success counts for the source too. An unknown status counts for it:
+// otherwise a source would never count as responding where outcomes report no cache status, would be
+// at fault for every slow attempt, and all parents would be ejected.
 func (s CacheStatus) sourceServed() bool {
 	return s.filled() || s == JoinedFill || s == CacheStatusUnknown
 }
 
-// showsSlowOrigin reports whether a failed attempt tells of an origin that is too slow.
+// showsSlowOrigin reports whether a failed attempt indicates that the origin is too slow.
 func (a *attempt) showsSlowOrigin(outcome *Outcome) bool {
 	if outcome.Result == TimedOut && a.suggestsOriginOverload() {
 		return true
@@ -168,7 +167,7 @@
 	return a.asksOrigin() && outcome.CacheStatus == SourceUnreachable
 }
 
-// attributeFailure records a failure with the server whose fault it is.
+// attributeFailure records a failure or a rejection at the server that most likely caused it.
 func (r *Router) attributeFailure(attempt *attempt, outcome *Outcome) {
 	target, source := attempt.target, attempt.source
 	status := outcome.CacheStatus
@@ -188,16 +187,14 @@
 	case outcome.Result == ServerError:
 		r.recordFailure(attempt.moreErrorProne())
 	case outcome.Result == ConnectFailed || attempt.sentAt >= target.connectionLostAt:
-		target.connectionLostAt = r.now // all attempts on one connection are lost at the same time
+		target.connectionLostAt = r.now // attempts sent before now are lost with the same connection
 		r.recordFailure(target)
 	}
 }
 
-// checkOverdue handles an attempt that takes longer than it should: it may eject a server, and
-// cancel the attempt to send its request elsewhere.
-//
-// Symptom guarded against: a server that became unresponsive, which neither serves nor rejects. It
-// might hurt where little is sent.
+// checkOverdue handles an attempt that takes longer than expected: it may eject a server, and cancel the
+// attempt so that its request is sent to another server. It detects unresponsive servers, which neither
+// serve nor reject. With little traffic it may eject a server that is only slow.
 func (r *Router) checkOverdue(attempt *attempt) {
 	request := attempt.request
 	r.recordOverdue(attempt)
@@ -206,7 +203,7 @@
 	movable := r.settings.CanCancel && request.class.Idempotency == Idempotent
 	switch {
 	case r.now+interval > request.deadline:
-		// It is too late for anything else.
+		// The deadline is too close for another check or attempt.
 	case !atFault || r.available(suspect):
 		r.emit(SetTimer{Delay: interval, Token: timerToken(request, timerCheckAttempt)})
 	case movable && r.mayAttempt(request):
@@ -215,15 +212,16 @@
 	}
 }
 
-// recordOverdue records what an attempt tells before it ends, by how long it takes already.
+// recordOverdue records the load of the origin and the slowdown of the target that the duration of an
+// unfinished attempt shows.
 func (r *Router) recordOverdue(attempt *attempt) {
 	elapsed := r.now - attempt.sentAt
 	if elapsed > r.longestObjective && attempt.suggestsOriginOverload() {
 		r.recordOriginLoad(attempt, elapsed.Seconds()/r.longestObjective.Seconds())
 	}
 	request, target := attempt.request, attempt.target
-	bytesTell := r.settings.BodyBytesPerSecond > 0 && !request.class.Write
-	if !bytesTell {
+	slowdownKnown := r.settings.BodyBytesPerSecond > 0 && !request.class.Write
+	if !slowdownKnown {
 		return
 	}
 	fullPaceSeconds := r.transferTime(request).Seconds() + responseTimeAllowance
@@ -231,21 +229,21 @@
 	r.recordSlowdown(target, max(slowdown, r.slowdownOf(target)))
 }
 
-// checkInterval is how long an attempt may take until its next check.
+// checkInterval returns the time from the start of an attempt, or from its last check, to the next check.
 func (r *Router) checkInterval(request *request) time.Duration {
 	return max(minCheckInterval, request.class.LatencyObjective/checkObjectiveDivisor+r.transferTime(request))
 }
 
-// findOverdueFault returns the server that an overdue attempt most likely waits for, and whether
-// that is at fault. A target that has not responded since the attempt was sent is suspected itself;
-// if it has responded to others, the source is, unless that has responded too, as it does by hits
-// that name it: then what fails more than its peers.
+// findOverdueFault returns the server that an overdue attempt most likely waits for, and whether that
+// server is at fault. The suspect is the target if it has not responded since the attempt was sent, and
+// otherwise the source. If the suspect has responded too, as a source seems to do by hits that name it,
+// then after several checks the server with the higher error rate is at fault if it is an outlier.
 func (r *Router) findOverdueFault(attempt *attempt) (suspect *server, atFault bool) {
 	suspect = attempt.target
 	if attempt.target.lastResponseAt > attempt.sentAt {
 		suspect = attempt.source
 	}
-	if !r.respondedLately(suspect, attempt.sentAt) {
+	if !r.respondedRecently(suspect, attempt.sentAt) {
 		suspect.unresponsive = true
 		r.recordFailure(suspect)
 		return suspect, true
@@ -263,27 +261,25 @@
 	return suspect, true
 }
 
-// respondedLately reports whether a server has responded since a time or, for a cache, lately.
-//
-// Symptom guarded against: a router with few requests receives few responses of each cache, and took
-// caches that were slow after a purge of everything for unresponsive; eighty routers canceled their
-// attempts and had other caches fill the objects again.
-func (r *Router) respondedLately(server *server, since time.Duration) bool {
+// respondedRecently reports whether a server has responded after since or, if it is a cache, within
+// recentResponseWindow. A router with few requests receives few responses of each cache. Without the
+// window, such routers considered caches unresponsive that were only slow after a purge of everything:
+// eighty routers canceled their attempts, and other caches had to fill the objects again.
+func (r *Router) respondedRecently(server *server, since time.Duration) bool {
 	if server.lastResponseAt > since {
 		return true
 	}
 	return server.role == cache && server.lastResponseAt > r.now-recentResponseWindow
 }
 
-// suggestsOriginOverload reports whether an attempt that takes long tells of an overloaded origin.
-//
-// Symptom guarded against: one lost response to a write, while others took their usual time, had
-// all misses wait for the origin's limiter.
+// suggestsOriginOverload reports whether a slow attempt indicates that the origin is overloaded. It does
+// not if the source has responded to others since: otherwise the loss of a single response to a write
+// makes all misses wait for the origin's limiter.
 func (a *attempt) suggestsOriginOverload() bool {
 	return a.asksOrigin() && a.source.lastResponseAt <= a.sentAt
 }
 
-// extendEjection prolongs an ejection, within a bound; it never begins nor ends one.
+// extendEjection prolongs an ejection by a bounded time. It never starts or ends an ejection.
 func (r *Router) extendEjection(event ExtendEjection) {
 	server := r.readyServer(event.Server)
 	if server == nil || server.ejections == 0 {
@@ -294,14 +290,14 @@
 	}
 }
 
-// requireProbe has the next request to a server probe it, unless it served this router lately.
+// requireProbe makes the next request to a server a probe, unless the server served this router recently.
 func (r *Router) requireProbe(event RequireProbe) {
 	server := r.readyServer(event.Server)
 	if server == nil || server.ejections > 0 {
 		return
 	}
-	servedLately := r.now <= server.lastResponseAt+recentSuccessWindow
-	if server.consecutiveFailures > 0 || !servedLately {
+	servedRecently := r.now <= server.lastResponseAt+recentSuccessWindow
+	if server.consecutiveFailures > 0 || !servedRecently {
 		server.ejections = 1
 		server.ejectedUntil = r.now
 	}
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// sendMany sends requests for so many objects at the same time, and returns their attempts.
+// sendMany sends requests for different objects at the same time, and returns their attempts.
 func (h *harness) sendMany(objects int) []SendAttempt {
 	var attempts []SendAttempt
 	for i := range objects {
@@ -12,8 +12,8 @@
 	return attempts
 }
 
-// A failing source is not taken for a failing cache.
-func TestSourceFailuresKeepTheHomeCache(t *testing.T) {
+// TestSourceFailuresDoNotEjectHomeCache checks that failures of a source do not count for the cache.
+func TestSourceFailuresDoNotEjectHomeCache(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	request := Request{Object: 5, SizeKB: 1}
 	first := harness.requestOne(request)
@@ -22,11 +22,12 @@
 		harness.finish(harness.requestOne(request), 0, ServerError, SourceUnreachable)
 	}
 	if after := harness.requestOne(request); after.Server != first.Server {
-		t.Errorf("cache %d follows, want the home %d", after.Server, first.Server)
+		t.Errorf("got an attempt at cache %d, want the home cache %d", after.Server, first.Server)
 	}
 }
 
-// A cache that fails again and again is ejected, and probed after its ejection.
+// TestFailingCacheIsEjectedAndProbed checks that a cache with consecutive failures is ejected, and probed
+// after its ejection.
 func TestFailingCacheIsEjectedAndProbed(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	request := Request{Object: 5, SizeKB: 1}
@@ -36,21 +37,22 @@
 	for range consecutiveFailureLimit - 1 {
 		sent := harness.requestOne(request)
 		if sent.Server != home {
-			t.Errorf("cache %d before the ejection, want the home %d", sent.Server, home)
+			t.Errorf("got an attempt at cache %d before the ejection, want the home cache %d", sent.Server, home)
 		}
 		harness.finish(sent, 0, ServerError, CacheStatusUnknown)
 	}
 	if sent := harness.requestOne(request); sent.Server == home {
-		t.Errorf("a cache that failed %d times in a row is still used", consecutiveFailureLimit)
+		t.Errorf("got an attempt at a cache with %d consecutive failures, want the cache ejected", consecutiveFailureLimit)
 	}
 	harness.now += maxEjectionTime
 	if sent := harness.requestOne(request); sent.Server != home {
-		t.Errorf("attempt %v after the ejection, want a probe of %d", sent, home)
+		t.Errorf("got attempt %v after the ejection, want a probe of cache %d", sent, home)
 	}
 }
 
-// An unresponsive cache is found by the lack of outcomes, and its requests move.
-func TestUnresponsiveCacheIsFound(t *testing.T) {
+// TestUnresponsiveCacheIsDetected checks that overdue attempts reveal an unresponsive cache, and that their
+// requests are sent to other caches.
+func TestUnresponsiveCacheIsDetected(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	var overdue []SendAttempt
 	for range consecutiveFailureLimit {
@@ -68,33 +70,34 @@
 		for _, next := range sendActions(actions) {
 			moved++
 			if next.Server == unresponsive {
-				t.Errorf("moved to the unresponsive cache: %v", next)
+				t.Errorf("got attempt %v at the unresponsive cache, want another cache", next)
 			}
 		}
 	}
 	if moved == 0 {
-		t.Error("no request moved, want some")
+		t.Error("got no request sent to another cache, want at least 1")
 	}
 }
 
-// A look that joined another request's failing fill is a miss, no fault of its cache. Symptom guarded
-// against: caches were ejected because of a slow origin.
-func TestSharedFillFailureIsNoFaultOfTheCache(t *testing.T) {
+// TestSharedFillFailureIsNotAttributedToCache checks that a lookup that joined a failing fill of another
+// request counts as a miss, not as a failure of the cache. Otherwise a slow origin ejects caches.
+func TestSharedFillFailureIsNotAttributedToCache(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	for range 10 {
 		harness.router.originLimiter.observe(harness.now, 3, 1)
 	}
 	for i := range 2 * consecutiveFailureLimit {
-		look := harness.requestOne(Request{Object: 5, SizeKB: 1})
-		fill := harness.singleAttempt(harness.finish(look, 0, ServerError, SourceUnreachable))
-		if fill.Server != look.Server || fill.FillSource == fill.Server {
-			t.Fatalf("after look %d: %v, want a fill by the same cache", i, fill)
+		lookup := harness.requestOne(Request{Object: 5, SizeKB: 1})
+		fill := harness.singleAttempt(harness.finish(lookup, 0, ServerError, SourceUnreachable))
+		if fill.Server != lookup.Server || fill.FillSource == fill.Server {
+			t.Fatalf("after lookup %d got attempt %v, want a fill by the same cache", i, fill)
 		}
 		harness.handle(ClientDisconnected{ID: fill.ID})
 	}
 }
 
-// A fetch that timed out behind a parent tells of the origin, not of the parent.
+// TestSlowFetchIsAttributedToTheOrigin checks that a parent's fetch that timed out counts as a failure of
+// the origin, not of the parent.
 func TestSlowFetchIsAttributedToTheOrigin(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	router := harness.router
@@ -118,19 +121,19 @@
 		})
 	}
 	if !router.originLimiter.active {
-		t.Error("the origin is not limited")
+		t.Error("got an inactive origin limiter, want an active one")
 	}
 	if source.consecutiveFailures > 0 || source.limiter.active {
-		t.Errorf("the parent has %d failures and is limited: %v, want 0 and false",
+		t.Errorf("got a parent with %d failures and limiter active %v, want 0 and false",
 			source.consecutiveFailures, source.limiter.active)
 	}
 }
 
-// A cache that responded to this router a second ago and is slow now is waited for, not taken for
-// unresponsive. Symptom guarded against: after a purge of everything all responses were slow; routers
-// with few requests, which had received none since an attempt, canceled it and had another cache fill
-// the object again (join+vast, seed 775179834380: G 0.41 against 0.55).
-func TestSlowCacheThatRespondedLatelyIsNotUnresponsive(t *testing.T) {
+// TestSlowCacheThatRespondedRecentlyIsNotUnresponsive checks that an attempt at a cache that responded a
+// second ago and is slow now is not canceled. After a purge of everything all responses were slow.
+// Routers with few requests, which had received no response since they sent an attempt, canceled it, and
+// another cache had to fill the object again.
+func TestSlowCacheThatRespondedRecentlyIsNotUnresponsive(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	request := Request{Object: 5, SizeKB: 1}
 	first := harness.requestOne(request)
@@ -139,25 +142,25 @@
 	harness.now += second
 	slow := harness.requestOne(request)
 	if slow.Server != first.Server {
-		t.Fatalf("the second went to %v, the first to %v", slow.Server, first.Server)
+		t.Fatalf("got the second attempt at cache %v, want cache %v", slow.Server, first.Server)
 	}
 	harness.now += 700 * millisecond
 	if actions := harness.checkNewest(slow.ID); containsAction[CancelAttempt](actions) {
-		t.Errorf("actions %v, want no cancel: the cache responded 1.7 s ago", actions)
+		t.Errorf("got actions %v, want no cancellation: the cache responded 1.7 s ago", actions)
 	}
 	if harness.router.readyServer(first.Server).unresponsive {
-		t.Errorf("cache %d is marked unresponsive", first.Server)
+		t.Errorf("got cache %d unresponsive, want responsive", first.Server)
 	}
 }
 
-// Slow attempts must not eject parents where outcomes never name the source. Symptom guarded against:
-// both were ejected, and the origin had to fill everything.
-func TestFillsWithoutStatusKeepTheirParent(t *testing.T) {
+// TestSlowFillsWithoutStatusDoNotEjectParents checks that slow attempts do not eject parents where outcomes
+// report no cache status. Otherwise both parents are ejected, and the origin has to fill everything.
+func TestSlowFillsWithoutStatusDoNotEjectParents(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	for i := range 100 {
 		harness.now += 20 * millisecond
 		slow := harness.requestOne(Request{Object: ObjectID(1 + i)})
-		for j := range 6 { // meanwhile its cache serves others
+		for j := range 6 { // requests that are served meanwhile
 			harness.now += millisecond
 			other := harness.requestOne(Request{Object: ObjectID(1000 + 10*i + j)})
 			harness.finishWithoutStatus(other, 0, Served, millisecond)
@@ -167,20 +170,20 @@
 		harness.finishWithoutStatus(slow, 0, Served, 2*second)
 		for _, parent := range harness.parents() {
 			if parent.ejections > 0 {
-				t.Fatalf("parent %d was ejected after %d slow attempts", parent.ID, i+1)
+				t.Fatalf("got parent %d ejected after %d slow attempts, want no ejection", parent.ID, i+1)
 			}
 		}
 	}
 }
 
-// failureRule tells whether an attempt fails; hit, whether its cache holds the object.
+// failureRule reports whether an attempt fails. hit tells whether the cache has the object.
 type failureRule func(sent SendAttempt, hit bool) bool
 
 func nothingFails(SendAttempt, bool) bool { return false }
 
-// playFailures sends 600 requests whose attempts fail by a rule, without cache status, and returns
-// how many attempts failed and how many requests were rejected.
-func (h *harness) playFailures(fails failureRule) (failures, rejections int) {
+// runWithFailures sends 600 requests whose attempts fail according to a rule, without cache status. It
+// returns the number of attempts that failed and the number of requests that were rejected.
+func (h *harness) runWithFailures(fails failureRule) (failures, rejections int) {
 	for i := range 600 {
 		h.now += 20 * millisecond
 		hit := i%3 > 0
@@ -202,30 +205,31 @@
 	return failures, rejections
 }
 
-// wantFewFailures plays failures by a rule and fails the test unless few requests met them.
+// wantFewFailures sends requests whose attempts fail according to a rule, and fails the test if too many
+// attempts fail or too many requests are rejected.
 func (h *harness) wantFewFailures(cause string, fails failureRule) {
 	h.Helper()
-	failures, rejections := h.playFailures(fails)
+	failures, rejections := h.runWithFailures(fails)
 	if failures > 40 || rejections > 2 {
-		h.Errorf("%s: %d errors and %d rejections, want at most 40 and 2", cause, failures, rejections)
+		h.Errorf("%s: got %d errors and %d rejections, want at most 40 and 2", cause, failures, rejections)
 	}
 }
 
-// wantNoEjection fails the test if one of the servers is ejected.
+// wantNoEjection fails the test if any of the servers is ejected.
 func (h *harness) wantNoEjection(when string, servers []*server) {
 	h.Helper()
 	for _, server := range servers {
 		if server.ejections > 0 {
-			h.Errorf("%s: server %d is ejected, at %.2f", when, server.ID, server.errorRate)
+			h.Errorf("%s: got server %d ejected at error rate %.2f, want no ejection", when, server.ID, server.errorRate)
 		}
 	}
 }
 
-// A server that fails its part is ejected though others name it in their successes, and those that
-// met it are not; what failed by it goes another way at once. It has its place again when it has
-// recovered. Symptom guarded against: one attempt in three ended as an error, and no server was ever
-// ejected.
-func TestErrorsWithoutStatusFindTheFailingServer(t *testing.T) {
+// TestErrorsWithoutStatusEjectFailingServer checks that a failing server is ejected although it also takes
+// part in attempts that succeed, that the servers that shared its failed attempts are not ejected, and
+// that its requests are retried at other servers at once. It is used again after it has recovered.
+// Without this detection, one attempt in three ended as an error and no server was ever ejected.
+func TestErrorsWithoutStatusEjectFailingServer(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 
 	failingParent := harness.parents()[0]
@@ -233,26 +237,27 @@
 		return sent.FillSource == failingParent.ID && !hit
 	})
 	harness.wantNoEjection("parent failing", harness.caches())
-	harness.playFailures(nothingFails)
+	harness.runWithFailures(nothingFails)
 	harness.wantNoEjection("parent recovered", []*server{failingParent})
 
 	failingCache := harness.caches()[0]
 	harness.wantFewFailures("failing cache", func(sent SendAttempt, hit bool) bool {
 		return sent.Server == failingCache.ID && hit
 	})
-	harness.playFailures(nothingFails)
+	harness.runWithFailures(nothingFails)
 
 	count := 0
-	harness.playFailures(func(SendAttempt, bool) bool {
+	harness.runWithFailures(func(SendAttempt, bool) bool {
 		count++
 		return count%8 == 0
 	})
 	harness.wantNoEjection("all fail alike", harness.router.servers)
 }
 
-// What fails at the same time is one failure, and a busy server is not ejected for a few among
-// hundreds. Symptom guarded against: a cache with 70 requests in flight was ejected for three.
-func TestFewErrorsOfManyAreNoOutlier(t *testing.T) {
+// TestFewErrorsAmongManyDoNotEject checks that simultaneous failures count as one failure, and that a busy
+// server is not ejected for a few failures among hundreds of requests. Otherwise three failures ejected
+// a cache with 70 requests in flight.
+func TestFewErrorsAmongManyDoNotEject(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	attempts := harness.sendMany(60)
 	failing := attempts[0].Server
@@ -266,12 +271,13 @@
 	}
 	for _, server := range harness.router.servers {
 		if server.ejections > 0 || harness.router.isOutlier(server) {
-			t.Errorf("server %d is ejected or an outlier, at %.2f", server.ID, server.errorRate)
+			t.Errorf("got server %d ejected or an outlier at error rate %.2f, want neither", server.ID, server.errorRate)
 		}
 	}
 }
 
-// One connection that breaks with many requests is one failure.
+// TestLostConnectionIsOneFailure checks that the loss of a connection with many requests counts as one
+// failure.
 func TestLostConnectionIsOneFailure(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	attempts := harness.sendMany(40)
@@ -281,15 +287,16 @@
 	}
 	for _, server := range harness.caches() {
 		if server.consecutiveFailures > 1 || server.ejections > 0 {
-			t.Errorf("cache %d has %d failures and %d ejections, want at most 1 and 0",
+			t.Errorf("got cache %d with %d failures and %d ejections, want at most 1 and 0",
 				server.ID, server.consecutiveFailures, server.ejections)
 		}
 	}
 }
 
-// A write whose response is lost, while others take their usual time, does not make the origin look
-// overloaded: no read is queued or sent to look first. One that answers nothing at all does.
-func TestLostResponseIsNoOriginOverload(t *testing.T) {
+// TestLostResponseDoesNotLimitOrigin checks that the loss of the response to a write does not activate the
+// origin's limiter while other responses are in time, since reads would then be queued or sent as lookups
+// first. An origin that answers nothing at all must activate the limiter.
+func TestLostResponseDoesNotLimitOrigin(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	limiter := &harness.router.originLimiter
 	write := Request{Class: writeClass, Object: 9}
@@ -303,7 +310,7 @@
 		harness.finishWithoutStatus(lost, 0, TimedOut, 3*second)
 	}
 	if limiter.active || limiter.utilization > limiterActivation/2 {
-		t.Errorf("the origin is taken for overloaded: limited %v, at %.2f", limiter.active, limiter.utilization)
+		t.Errorf("got an origin limiter with active %v and utilization %.2f, want it inactive and lower", limiter.active, limiter.utilization)
 	}
 	for range 3 {
 		stuck := harness.requestOne(write)
@@ -311,6 +318,6 @@
 		harness.checkNewest(stuck.ID)
 	}
 	if !limiter.active {
-		t.Error("an origin that answers nothing is not taken for overloaded")
+		t.Error("got an inactive limiter for an origin that answers nothing, want an active one")
 	}
 }
--- a/routing/random_stream_test.go
+++ b/routing/random_stream_test.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// randomStream feeds a legal stream of events made from a seed to one router, and checks what one
-// router's actions can tell of the rules.
+// randomStream sends a valid stream of events, generated from a seed, to one router, and checks the
+// invariants that the actions of one router must keep.
 type randomStream struct {
 	*harness
-	seed     uint64
-	random   *rand.Rand
-	step     stepFunc
-	all      []Action
-	inflight []streamAttempt
-	timers   []streamTimer
-	attempts map[RequestID]int           // sent for a request
-	live     map[RequestID]int           // of them, in flight
-	deadline map[RequestID]time.Duration // of requests that are owed an answer
-	excluded map[ServerID]bool           // not listed as ready
-}
-
-// stepFunc feeds a router one event and returns its actions.
+	seed           uint64
+	random         *rand.Rand
+	step           stepFunc
+	all            []Action
+	inflight       []streamAttempt
+	timers         []streamTimer
+	attempts       map[RequestID]int           // number of attempts sent, by request
+	inflightCounts map[RequestID]int           // number of attempts in flight, by request
+	deadline       map[RequestID]time.Duration // deadlines of requests without a final answer
+	excluded       map[ServerID]bool           // servers that are not listed as ready
+}
+
+// stepFunc passes an event to a router and returns its actions.
 type stepFunc func(router *Router, now time.Duration, event Event) []Action
 
 type streamAttempt struct {
@@ -38,18 +38,18 @@
 	token uint64
 }
 
-// playRandomStream plays a stream of 3,000 steps and returns the actions.
-func playRandomStream(t *testing.T, seed uint64, step stepFunc) []Action {
+// runRandomStream sends a stream of 3,000 steps to a router and returns the actions.
+func runRandomStream(t *testing.T, seed uint64, step stepFunc) []Action {
 	t.Helper()
 	stream := &randomStream{
-		harness:  newHarness(t, settings(), fleet()),
-		seed:     seed,
-		step:     step,
-		random:   rand.New(rand.NewPCG(seed, 7)),
-		attempts: map[RequestID]int{},
-		live:     map[RequestID]int{},
-		deadline: map[RequestID]time.Duration{},
-		excluded: map[ServerID]bool{},
+		harness:        newHarness(t, settings(), fleet()),
+		seed:           seed,
+		step:           step,
+		random:         rand.New(rand.NewPCG(seed, 7)),
+		attempts:       map[RequestID]int{},
+		inflightCounts: map[RequestID]int{},
+		deadline:       map[RequestID]time.Duration{},
+		excluded:       map[ServerID]bool{},
 	}
 	for i := range 3000 {
 		stream.now += time.Duration(stream.random.IntN(20)) * millisecond
@@ -61,18 +61,19 @@
 	return stream.all
 }
 
-// checkDeadlines wants no request up to the newest to be owed an answer for long.
+// checkDeadlines fails the test if a request has no answer within a short time after its deadline. newest
+// is the highest ID to check.
 func (s *randomStream) checkDeadlines(newest RequestID) {
 	const allowance = 28 * millisecond // a timer fires up to a step of 20 ms late
 	for id := RequestID(1); id <= newest; id++ {
-		deadline, owed := s.deadline[id]
-		if owed && deadline+allowance < s.now {
-			s.Fatalf("seed %d: request %d is overdue since %v, now %v", s.seed, id, deadline, s.now)
+		deadline, pending := s.deadline[id]
+		if pending && deadline+allowance < s.now {
+			s.Fatalf("seed %d: got no answer to request %d by its deadline %v, now %v", s.seed, id, deadline, s.now)
 		}
 	}
 }
 
-// notify feeds the router one event, and checks and books the actions.
+// notify passes an event to the router, and checks and records the actions.
 func (s *randomStream) notify(event Event) {
 	actions := s.step(s.router, s.now, event)
 	s.all = append(s.all, actions...)
@@ -94,26 +95,26 @@
 }
 
 func (s *randomStream) checkAttempt(sent SendAttempt) {
-	if _, owed := s.deadline[sent.ID]; !owed {
-		s.Fatalf("seed %d: sent for a finished request: %v", s.seed, sent)
+	if _, pending := s.deadline[sent.ID]; !pending {
+		s.Fatalf("seed %d: got an attempt for a finished request: %v", s.seed, sent)
 	}
 	if s.excluded[sent.Server] || s.excluded[sent.FillSource] {
-		s.Fatalf("seed %d: sent to a server that is not ready: %v", s.seed, sent)
+		s.Fatalf("seed %d: got an attempt with a server that is not ready: %v", s.seed, sent)
 	}
-	s.live[sent.ID]++
-	if s.live[sent.ID] > 1 {
-		s.Fatalf("seed %d: %d attempts at once: %v", s.seed, s.live[sent.ID], sent)
+	s.inflightCounts[sent.ID]++
+	if s.inflightCounts[sent.ID] > 1 {
+		s.Fatalf("seed %d: got %d attempts of a request in flight, want at most 1: %v", s.seed, s.inflightCounts[sent.ID], sent)
 	}
 	s.inflight = append(s.inflight, streamAttempt{SendAttempt: sent, index: s.attempts[sent.ID]})
 	s.attempts[sent.ID]++
 	if most := s.router.settings.MaxAttempts; s.attempts[sent.ID] > most {
-		s.Fatalf("seed %d: %d attempts, want at most %d: %v", s.seed, s.attempts[sent.ID], most, sent)
+		s.Fatalf("seed %d: got %d attempts, want at most %d: %v", s.seed, s.attempts[sent.ID], most, sent)
 	}
 }
 
 func (s *randomStream) checkAnswer(id RequestID, answer Action) {
-	if _, owed := s.deadline[id]; !owed {
-		s.Fatalf("seed %d: second answer: %v", s.seed, answer)
+	if _, pending := s.deadline[id]; !pending {
+		s.Fatalf("seed %d: got an answer to a request that has none outstanding: %v", s.seed, answer)
 	}
 	delete(s.deadline, id)
 }
@@ -143,8 +144,8 @@
 func (s *randomStream) endAttempt(index int, result Result) {
 	attempt := s.inflight[index]
 	s.inflight = slices.Delete(s.inflight, index, index+1)
-	s.live[attempt.ID]--
-	_, owed := s.deadline[attempt.ID]
+	s.inflightCounts[attempt.ID]--
+	_, pending := s.deadline[attempt.ID]
 	if result == Served {
 		delete(s.deadline, attempt.ID)
 	}
@@ -152,21 +153,21 @@
 		ID: attempt.ID, Attempt: attempt.index, Server: attempt.Server, Result: result,
 		CacheStatus: CacheStatus(s.random.IntN(11)),
 		Duration:    time.Duration(s.random.IntN(900)) * millisecond,
-		RequestDone: result == Served || !owed,
+		RequestDone: result == Served || !pending,
 		Load:        LoadReport{LinkUtilization: s.random.Float64() * 4},
 	})
 }
 
-// randomEvent feeds the event of a step, drawn by lot.
+// randomEvent passes a random event to the router.
 func (s *randomStream) randomEvent(step int) {
-	switch lot := s.random.IntN(100); {
-	case lot < 45:
+	switch draw := s.random.IntN(100); {
+	case draw < 45:
 		s.randomRequest(RequestID(step + 1))
-	case lot < 92:
+	case draw < 92:
 		s.randomOutcome()
-	case lot < 95:
+	case draw < 95:
 		s.randomUpdate()
-	case lot < 98:
+	case draw < 98:
 		s.notify(Purge{
 			Object: ObjectID(s.random.IntN(50)),
 			Group:  s.random.IntN(4),
@@ -196,7 +197,7 @@
 		return
 	}
 	index := s.random.IntN(len(s.inflight))
-	result := min(s.random.IntN(16), int(NotCached)) * s.random.IntN(2) // a half is served
+	result := min(s.random.IntN(16), int(NotCached)) * s.random.IntN(2) // at least half of the attempts are served
 	s.endAttempt(index, Result(result))
 }
 
@@ -210,7 +211,7 @@
 
 func (s *randomStream) randomDisconnect(step int) {
 	id := RequestID(1 + s.random.IntN(step+1))
-	if _, owed := s.deadline[id]; owed {
+	if _, pending := s.deadline[id]; pending {
 		delete(s.deadline, id)
 		s.notify(ClientDisconnected{ID: id})
 	}
@@ -220,23 +221,25 @@
 	return router.Handle(now, event, nil)
 }
 
-func TestRandomStreamsKeepTheRules(t *testing.T) {
+// TestRandomStreamsKeepInvariants checks the invariants for random streams of events.
+func TestRandomStreamsKeepInvariants(t *testing.T) {
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
-			playRandomStream(t, seed, handleEvent)
+			runRandomStream(t, seed, handleEvent)
 		})
 	}
 }
 
-// The same events give the same actions, also beside another busy instance.
+// TestSameEventsGiveTheSameActions checks that a router returns the same actions for the same events, even
+// if another router is in use at the same time.
 func TestSameEventsGiveTheSameActions(t *testing.T) {
-	want := playRandomStream(t, 3, handleEvent)
+	want := runRandomStream(t, 3, handleEvent)
 	other := newHarness(t, settings(), fleet())
-	got := playRandomStream(t, 3, func(router *Router, now time.Duration, event Event) []Action {
+	got := runRandomStream(t, 3, func(router *Router, now time.Duration, event Event) []Action {
 		other.request(Request{Object: ObjectID(now), SizeKB: 5})
 		return router.Handle(now, event, nil)
 	})
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("a replay gave %d actions, want the same %d", len(got), len(want))
+		t.Errorf("got %d actions in a replay, want the same %d actions", len(got), len(want))
 	}
 }
--- a/routing/records.go
+++ b/routing/records.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// role is what a server does for this router.
+// role is the function that a server has for this router.
 type role int
 
 const (
@@ -16,44 +16,44 @@
 	roleCount
 )
 
-// longAgo is long before any start.
+// longAgo is a time long before any event.
 const longAgo = time.Duration(math.MinInt64 / 4)
 
-// server is what the router knows of one listed server.
+// server holds what the router knows of one listed server.
 type server struct {
 	Server
 	role                role
 	ready               bool          // listed as ready
 	warmingSince        time.Duration // start of its slow start
-	unresponsive        bool          // did not respond at all, and has not since
-	consecutiveFailures int           // since its latest success
-	ejections           int           // in a row
-	ejectedUntil        time.Duration // 0: not ejected
-	errorRate           float64       // smoothed, of the attempts it takes part in
-	errorRateUpdatedAt  time.Duration // when errorRate changed last
-	connectionLostAt    time.Duration // when a failed connection counted last
-	lastResponseAt      time.Duration // for a source: latest fill
-	slowdown            decayingRatio // of responses, over what their bytes need
-	inflight            int           // attempts that name it
-	recentWork          []decayingSum // sent to it, in order of time
-	score               float64       // in the latest rankServers; the least ranks first
-	limiter             limiter       // of what a cache is sent, or of a source's known fills and writes
+	unresponsive        bool          // it let an attempt become overdue and has not succeeded since
+	consecutiveFailures int           // failures since its latest success
+	ejections           int           // consecutive ejections; 0: neither ejected nor to be probed
+	ejectedUntil        time.Duration // end of its ejection; 0: not ejected
+	errorRate           float64       // smoothed error rate of the attempts that it takes part in
+	errorRateUpdatedAt  time.Duration // time of the latest update of errorRate
+	connectionLostAt    time.Duration // time at which a lost connection was last counted as a failure
+	lastResponseAt      time.Duration // time of its latest response; for a source also of its latest fill
+	slowdown            decayingRatio // response time divided by the time that the bytes need
+	inflight            int           // attempts in flight that have it as target or source
+	recentWork          []decayingSum // work sent to it, oldest first
+	score               float64       // rendezvous score in the latest rankServers; the lowest ranks first
+	limiter             limiter       // of attempts sent to a cache, or of a source's fills and writes
 }
 
-// attempt is one sending of a request.
+// attempt is one attempt to have a server answer a request.
 type attempt struct {
 	request       *request
-	index         int     // among the attempts of its request
-	target        *server // that it is sent to
-	source        *server // that fills a miss; the target itself: nobody
+	index         int     // index among the attempts of its request
+	target        *server // server that the attempt is sent to
+	source        *server // server that fills a miss; the target itself: no fill
 	sentAt        time.Duration
 	ended         bool
-	notExecuted   bool // it ended, provably without having been executed
-	cacheOnly     bool // a look for what the cache holds
-	fill          bool // for a known miss
-	fromOrigin    bool // for what its parent lacks, or straight from the origin
-	onlyIfCached  bool // its source gives only what it holds
-	overdueChecks int  // at which all servers seemed responsive
+	notExecuted   bool // it ended and was certainly not executed
+	cacheOnly     bool // lookup that causes no fill
+	fill          bool // fill of a known miss
+	fromOrigin    bool // fill that the origin must serve
+	onlyIfCached  bool // its source sends only what it has cached
+	overdueChecks int  // overdue checks at which all its servers seemed responsive
 }
 
 // asksOrigin reports whether the origin takes part in an attempt.
@@ -63,38 +63,38 @@
 type request struct {
 	Request
 	class            *Class
-	meanTransferTime *float64      // of its class, seconds
-	deadline         time.Duration // its client gives up then
-	objectiveAt      time.Duration // a response until then meets the latency objective
-	popularity       float64       // of its object
+	meanTransferTime *float64      // mean of its class, in seconds
+	deadline         time.Duration // time at which its client gives up
+	objectiveAt      time.Duration // a response by this time meets the latency objective
+	popularity       float64       // decayed request count of its object
 	attempts         []*attempt    // oldest first
 	inflight         int           // attempts that have not ended
-	excluded         []*server     // that failed it
-	cacheMissed      bool          // a look found no copy
-	sourceMissed     bool          // its parent has none either
-	queued           bool          // it is in the queue
-	queueUntil       time.Duration // once it was queued
-	valuePerSecond   float64       // of transfer time, once it was queued
+	excluded         []*server     // servers that failed this request
+	cacheMissed      bool          // a lookup found no copy in the cache
+	sourceMissed     bool          // its parent has no copy either
+	queued           bool          // the request is in the queue
+	queueUntil       time.Duration // latest time in the queue; set when first queued
+	valuePerSecond   float64       // priority weight per second of transfer time; set when first queued
 }
 
-// latestAttempt returns the newest attempt of a request that has one.
+// latestAttempt returns the newest attempt of a request, which must have one.
 func (q *request) latestAttempt() *attempt { return q.attempts[len(q.attempts)-1] }
 
-// Timer tokens hold a request and, in the low bits, a kind.
+// A timer token holds a request ID and, in its low bits, the kind of the timer.
 const (
 	timerSubscribe    = iota // subscribe to the endpoint list again
 	timerCheckAttempt        // check the newest attempt
-	timerQueueExpired        // a queued request has waited long enough
+	timerQueueExpired        // end the wait of a queued request
 	timerKindBits     = 2
 	timerKindMask     = 1<<timerKindBits - 1
 )
 
-// timerToken is the token of a timer of a kind for a request.
+// timerToken returns the token of a timer of the given kind for a request.
 func timerToken(request *request, kind uint64) uint64 {
 	return uint64(request.ID)<<timerKindBits | kind
 }
 
-// containsServer reports whether a server is one of a list.
+// containsServer reports whether list contains a server with the given ID.
 func containsServer(list []*server, id ServerID) bool {
 	return slices.ContainsFunc(list, func(server *server) bool { return server.ID == id })
 }
--- a/routing/rendezvous.go
+++ b/routing/rendezvous.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// Homes of objects are found by weighted rendezvous hashing. All routers must agree on them, so the
-// functions of this file never change.
+// Weighted rendezvous hashing determines the home servers of objects. All routers must compute the same
+// homes, so the results of the functions in this file must never change.
 
-// rendezvousScore is the score of a server for a key; the server with the least is its home. A
-// server is home of a part of all keys that is proportional to its capacity.
+// rendezvousScore returns the score of a server for a key. The server with the lowest score is the home
+// of the key. A server is home of a fraction of all keys that is proportional to its capacity.
 func rendezvousScore(key uint64, id ServerID, capacity float64) float64 {
 	return -math.Log(uniform(key^mix64(uint64(id)))) / capacity
 }
@@ -26,10 +26,10 @@
 	return (float64(mix64(key)>>(64-mantissaBits)) + 0.5) / (1 << mantissaBits)
 }
 
-// chunkKey is the key of a request's chunk: caches keep each chunk by itself.
+// chunkKey returns the rendezvous key of a request's chunk. Caches store each chunk separately.
 func (q *request) chunkKey() uint64 {
 	return mix64(uint64(q.Object) + uint64(q.Chunk)*chunkStride)
 }
 
-// chunkStride keeps the chunks of an object apart; all routers must agree on it.
+// chunkStride gives the chunks of an object different keys. All routers must use the same value.
 const chunkStride = 0x9e3779b97f4a7c15
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -1,11 +1,11 @@
 package routing
 
-// retry decides what follows a failed attempt: a fill after a miss, or another server.
+// retry decides what follows a failed attempt: a fill after a miss, or an attempt at another server.
 func (r *Router) retry(request *request, attempt *attempt, outcome Outcome) {
 	notCached := outcome.Result == NotCached
 	cacheMiss := attempt.cacheOnly && notCached
 	sourceMiss := outcome.CacheStatus == SourceMiss || attempt.onlyIfCached && notCached
-	// Without cache status a rejection is by the cache, or by its source.
+	// If outcomes report no cache status, either the cache or its source may have rejected.
 	ambiguous := !r.cacheStatusKnown && outcome.Result == Rejected && !request.class.Write
 	suspectSource := ambiguous && attempt.index == 0
 	switch {
@@ -21,8 +21,8 @@
 	r.dispatch(request)
 }
 
-// mayAttempt reports whether one more attempt of a request is allowed: by the limit of attempts,
-// its deadline and what it may do twice.
+// mayAttempt reports whether the limit of attempts, the deadline and the idempotency of a request allow
+// one more attempt.
 func (r *Router) mayAttempt(request *request) bool {
 	limit := r.settings.MaxAttempts
 	if !r.cacheStatusKnown && !request.class.Write {
@@ -55,7 +55,8 @@
 	return nil
 }
 
-// inKeyScope reports whether a server discards repeats of what may have been executed already.
+// inKeyScope reports whether a request may be sent to a server as far as its idempotency key is
+// concerned: if the request may have been executed already, the server must discard the repeat.
 func (q *request) inKeyScope(server *server) bool {
 	executed := q.firstMaybeExecuted()
 	if executed == nil || q.class.Idempotency != IdempotentWithKey {
@@ -74,7 +75,8 @@
 	}
 }
 
-// failedWithSharedFill reports whether a look failed together with the fill for another request.
+// failedWithSharedFill reports whether a lookup failed because it had joined the fill of another request
+// and that fill failed.
 func (a *attempt) failedWithSharedFill(status CacheStatus) bool {
 	return a.cacheOnly && status.sourceFailed()
 }
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// What may have been executed is repeated only as its class allows.
+// TestRetriesFollowIdempotency checks that a request that may have been executed is retried only as its
+// class allows.
 func TestRetriesFollowIdempotency(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -13,7 +14,7 @@
 		result  Result
 		after   time.Duration
 		retried bool
-		failed  bool // else rejected, where it is not retried
+		failed  bool // if not retried: answered with Fail, not Reject
 	}{
 		{name: "idempotent, error", class: bigClass, result: ServerError, retried: true},
 		{name: "with key, error, in window", class: writeClass, result: ServerError, retried: true},
@@ -34,55 +35,57 @@
 			actions := harness.finish(sent, 0, test.result, CacheStatusUnknown)
 			retried := len(sendActions(actions)) == 1
 			if retried != test.retried {
-				t.Errorf("retried: %v, want %v: %v", retried, test.retried, actions)
+				t.Errorf("got retried %v, want %v: %v", retried, test.retried, actions)
 			}
 			if failed := isFailed(actions); !retried && failed != test.failed {
-				t.Errorf("failed: %v, want %v: %v", failed, test.failed, actions)
+				t.Errorf("got failed %v, want %v: %v", failed, test.failed, actions)
 			}
 		})
 	}
 }
 
-// A request never has two attempts in flight.
-func TestNeverTwoAttemptsAtOnce(t *testing.T) {
+// TestAtMostOneAttemptInFlight checks that a request never has two attempts in flight.
+func TestAtMostOneAttemptInFlight(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	sent := harness.requestOne(Request{Object: 1, SizeKB: 10})
 	for range 4 {
 		harness.now += second
 		if actions := harness.checkNewest(sent.ID); len(sendActions(actions)) != 0 {
-			t.Fatalf("actions %v, want no second attempt", actions)
+			t.Fatalf("got actions %v, want no second attempt", actions)
 		}
 	}
 }
 
-// A write that may have been executed, and may not be again, is answered at once.
+// TestFinalAnswerIsNotDelayed checks that a write that may have been executed and must not be repeated is
+// answered at once.
 func TestFinalAnswerIsNotDelayed(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	sent := harness.requestOne(Request{Class: onceClass, Object: 1, SizeKB: 10})
 	if actions := harness.finish(sent, 0, ConnectionLost, CacheStatusUnknown); !isFailed(actions) {
-		t.Errorf("actions %v, want a failure at once", actions)
+		t.Errorf("got actions %v, want an immediate Fail", actions)
 	}
 }
 
-// What a parent does not hold is known by the miss of a fill that may only use its copies; without
-// cache status nothing else tells it.
+// TestParentMissWithoutStatus checks that a router without cache status learns that a parent has no copy
+// from a failed fill that may only use copies of the parent. Nothing else reports it there.
 func TestParentMissWithoutStatus(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	harness.router.originLimiter.active = true
 	harness.router.originLimiter.limit = 10
-	look := harness.requestOne(Request{Object: 7})
-	fromParent := harness.singleAttempt(harness.finishWithoutStatus(look, 0, NotCached, millisecond))
+	lookup := harness.requestOne(Request{Object: 7})
+	fromParent := harness.singleAttempt(harness.finishWithoutStatus(lookup, 0, NotCached, millisecond))
 	if !fromParent.OnlyIfCached {
-		t.Fatalf("attempt %+v, want a fill of what the parent holds", fromParent)
+		t.Fatalf("got attempt %+v, want a fill only from the cache of the parent", fromParent)
 	}
 	fromOrigin := harness.singleAttempt(harness.finishWithoutStatus(fromParent, 1, NotCached, millisecond))
 	if fromOrigin.Server != fromParent.Server || fromOrigin.OnlyIfCached {
-		t.Errorf("attempt %+v, want a fetch from the origin through the same cache", fromOrigin)
+		t.Errorf("got attempt %+v, want a fetch from the origin through the same cache", fromOrigin)
 	}
 }
 
-// Three rejections without cache status end a read: further ones feed the jam.
-func TestReadsWithoutStatusStopEarly(t *testing.T) {
+// TestReadsWithoutStatusHaveFewAttempts checks that three rejections without cache status end a read:
+// further attempts would add to the overload.
+func TestReadsWithoutStatusHaveFewAttempts(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	sent := harness.requestOne(Request{Object: 7})
 	const last = maxReadAttemptsUnknownStatus - 1
@@ -90,22 +93,22 @@
 		sent = harness.singleAttempt(harness.finishWithoutStatus(sent, index, Rejected, millisecond))
 	}
 	if actions := harness.finishWithoutStatus(sent, last, Rejected, millisecond); !isRejected(actions) {
-		t.Errorf("actions %v, want a rejection", actions)
+		t.Errorf("got actions %v, want a rejection", actions)
 	}
 }
 
-// A rejection without cache status may be the source's: the home cache is asked once more with
-// another source. Symptom guarded against: while a parent was lost, every miss of its objects went
-// round the caches and was rejected.
+// TestRejectionWithoutStatusChangesTheSource checks that after a rejection without cache status, which the
+// source may have caused, the home cache gets a second attempt with another source. Otherwise, while a
+// parent is lost, every miss of its objects is tried at one cache after another and rejected.
 func TestRejectionWithoutStatusChangesTheSource(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	first := harness.requestOne(Request{Object: 7})
 	second := harness.singleAttempt(harness.finishWithoutStatus(first, 0, Rejected, millisecond))
 	if second.Server != first.Server || second.FillSource == first.FillSource {
-		t.Errorf("%+v follows %+v, want the same cache and another source", second, first)
+		t.Errorf("got attempt %+v after %+v, want the same cache and another source", second, first)
 	}
 	third := harness.singleAttempt(harness.finishWithoutStatus(second, 1, Rejected, millisecond))
 	if third.Server == first.Server {
-		t.Errorf("%+v follows two rejections, want another cache", third)
+		t.Errorf("got attempt %+v after two rejections, want another cache", third)
 	}
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -5,46 +5,45 @@
 	"time"
 )
 
-// Router makes the routing decisions of one edge router. Only one goroutine may use it at a time, all
-// its methods included.
+// Router makes the routing decisions of one edge router. Only one goroutine may call its methods at a
+// time.
 type Router struct {
 	settings          Settings
 	seed              uint64
-	longestObjective  time.Duration // of all classes: an origin that takes it is overloaded
-	zoneFraction      float64       // of its zone's requests that this router receives
+	longestObjective  time.Duration // longest of all classes; an origin that takes as long is overloaded
+	zoneFraction      float64       // fraction of its zone's requests that this router receives
 	slowStarts        [roleCount]SlowStart
 	servers           []*server
 	readyByRole       [roleCount][]*server
-	totalWeight       [roleCount]float64        // of the ready servers
-	throughput        [roleCount]decayingSum    // seconds of transfer time a second, served for this router
-	peakThroughput    [roleCount]float64        // highest throughput seen, per weight
-	initialized       bool                      // the first endpoint list has come
-	requests          map[RequestID]*request    // unfinished ones
-	queue             []*request                // oldest first
-	meanTransferTimes []float64                 // by class, seconds
-	transferTimes     boundedTable[float64]     // least one seen by chunk, seconds
-	popularity        boundedTable[decayingSum] // request counts by object
-	originLimiter     limiter                   // of what parents fetch from the origin
+	totalWeight       [roleCount]float64        // total of the ready servers
+	throughput        [roleCount]decayingSum    // seconds of transfer time per second, served to this router
+	peakThroughput    [roleCount]float64        // highest throughput seen, per unit of weight
+	initialized       bool                      // the first endpoint list has arrived
+	requests          map[RequestID]*request    // unfinished requests
+	queue             []*request                // queued requests, oldest first
+	meanTransferTimes []float64                 // by class, in seconds
+	transferTimes     boundedTable[float64]     // shortest one seen, in seconds, by chunk key
+	popularity        boundedTable[decayingSum] // decayed request counts by object
+	originLimiter     limiter                   // of fetches from the origin
 	linkLimiter       limiter                   // of fills through the zone's link
-	purgeLog          Guard                     // only its purges are used
-	cacheStatusKnown  bool                      // outcomes tell it, also of failures
-	fillLatency       float64                   // smoothed time until a fill begins, seconds
-	fillPace          float64                   // smoothed time of a fill over its transfer time
-	ranking           []*server                 // result of the latest rankServers
-	now               time.Duration             // of the event being handled
-	actions           []Action                  // called for by it
+	purgeLog          Guard                     // only Purges and PurgeRetention are used
+	cacheStatusKnown  bool                      // outcomes report the cache status, also of failures
+	fillLatency       float64                   // smoothed time until a fill begins, in seconds
+	fillPace          float64                   // smoothed duration of a fill divided by its transfer time
+	ranking           []*server                 // result of the latest rankServers; its memory is reused
+	now               time.Duration             // time of the event being handled
+	actions           []Action                  // actions that this event calls for
 }
 
-// New returns a Router that has just started. A seed sets the routers of a zone apart in what
-// they draw by lot. An error wraps a *SettingError.
+// New returns a Router that knows no servers yet. Routers of a zone should have different seeds, so
+// that their random choices differ. An error wraps a *SettingError.
 func New(settings Settings, seed uint64) (*Router, error) {
 	r := &Router{seed: seed, requests: map[RequestID]*request{}}
 	return r, r.UpdateSettings(settings)
 }
 
-// UpdateSettings replaces the settings and keeps what is known of servers, objects and requests.
-// Classes are told apart by their index. Settings that cannot be used change nothing; the error wraps
-// a *SettingError.
+// UpdateSettings replaces the settings and keeps what is known of servers, objects and requests. A
+// class is identified by its index. Invalid settings change nothing; the error wraps a *SettingError.
 func (r *Router) UpdateSettings(settings Settings) error {
 	if err := settings.validate(); err != nil {
 		return fmt.Errorf("routing: %w", err)
@@ -55,18 +54,18 @@
 	if len(settings.RoutersByZone) > 0 {
 		r.zoneFraction = 1 / float64(max(settings.RoutersByZone[settings.Zone], 1))
 	}
-	r.longestObjective = time.Millisecond // a divisor
+	r.longestObjective = time.Millisecond // not 0, since it is a divisor
 	for i, class := range settings.Classes {
 		r.longestObjective = max(r.longestObjective, class.LatencyObjective)
-		if i == len(r.meanTransferTimes) { // until more is known: not too short
+		if i == len(r.meanTransferTimes) { // initial estimate: rather too long than too short
 			r.meanTransferTimes = append(r.meanTransferTimes, class.LatencyObjective.Seconds())
 		}
 	}
 	return nil
 }
 
-// Handle handles one event at the time now and returns actions with those appended that the event
-// calls for. Times count from any one moment and never decrease.
+// Handle handles one event at the time now. It appends the actions that the event calls for to actions
+// and returns the extended slice. Times count from an arbitrary fixed moment and must never decrease.
 func (r *Router) Handle(now time.Duration, event Event, actions []Action) []Action {
 	r.now = now
 	r.actions = actions
@@ -97,10 +96,10 @@
 	return actions
 }
 
-// emit adds an action to those that the event being handled calls for.
+// emit appends an action to the actions of the event being handled.
 func (r *Router) emit(action Action) { r.actions = append(r.actions, action) }
 
-// handleTimer handles the firing of a timer; its request may have ended since.
+// handleTimer handles a timer that has expired. It ignores timers of requests that have ended.
 func (r *Router) handleTimer(token uint64) {
 	if token == timerSubscribe {
 		r.emit(Subscribe{})
@@ -122,18 +121,18 @@
 	}
 }
 
-// handleRequest handles a client's request: it is forwarded, queued or answered at once.
+// handleRequest forwards, queues or answers a client's request. It ignores a request whose ID is in use.
 func (r *Router) handleRequest(event Request) {
 	if r.requests[event.ID] != nil {
 		return
 	}
 	if event.Class < 0 || event.Class >= len(r.settings.Classes) {
-		// The class was never announced. Nothing was sent, so that a retry is harmless.
+		// The settings have no such class. Nothing was sent, so a retry is harmless.
 		r.emit(Reject{ID: event.ID})
 		return
 	}
 	request := r.newRequest(&event)
-	if r.hasSize(request) { // rejected ones count too: the larger are rejected more often
+	if r.hasSize(request) { // requests rejected later count too, since larger ones are rejected more often
 		r.learnMeanTransferTime(request, event.SizeKB/r.settings.TransferKBPerSecond)
 	}
 	if !request.class.Write {
@@ -143,7 +142,7 @@
 	r.dispatch(request)
 }
 
-// newRequest returns the record of a request of an announced class.
+// newRequest returns the record of a request, whose class must exist.
 func (r *Router) newRequest(event *Request) *request {
 	class := &r.settings.Classes[event.Class]
 	created := &request{
@@ -157,7 +156,7 @@
 	return created
 }
 
-// dispatch sends the next attempt of a request, queues the request or ends it.
+// dispatch sends the next attempt of a request, or queues the request or ends it.
 func (r *Router) dispatch(request *request) {
 	route := r.selectRoute(request)
 	switch {
@@ -170,8 +169,8 @@
 	}
 }
 
-// handleOutcome records the end of an attempt and continues its request. Outcomes of unknown or
-// ended attempts change nothing.
+// handleOutcome records the end of an attempt, and finishes or retries its request. It ignores outcomes
+// of unknown or ended attempts.
 func (r *Router) handleOutcome(outcome Outcome) {
 	request := r.requests[outcome.ID]
 	if request == nil || outcome.Attempt < 0 || outcome.Attempt >= len(request.attempts) {
@@ -195,7 +194,7 @@
 	r.dispatchQueue()
 }
 
-// finish forgets a request and cancels what is in flight for it.
+// finish removes a request and cancels its attempts in flight.
 func (r *Router) finish(request *request) {
 	delete(r.requests, request.ID)
 	request.queued = false
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -8,36 +8,38 @@
 	"testing"
 )
 
-func TestUnusableSettingIsNamed(t *testing.T) {
+// TestInvalidSettingIsNamed checks that the error for an invalid setting names the setting.
+func TestInvalidSettingIsNamed(t *testing.T) {
 	tests := []struct {
 		setting string
-		spoil   func(*Settings)
+		modify  func(*Settings)
 	}{
-		{setting: "Classes", spoil: func(s *Settings) { s.Classes = nil }},
-		{setting: "Zone", spoil: func(s *Settings) { s.Zone = 3 }},
-		{setting: "ParentKind", spoil: func(s *Settings) { s.ParentKind = 3 }},
-		{setting: "OriginKind", spoil: func(s *Settings) { s.OriginKind = -2 }},
-		{setting: "RoutersByZone", spoil: func(s *Settings) { s.RoutersByZone = []int{1} }},
-		{setting: "MaxAttempts", spoil: func(s *Settings) { s.MaxAttempts = 0 }},
-		{setting: "Deadline", spoil: func(s *Settings) { s.Classes[1].Deadline = 0 }},
+		{setting: "Classes", modify: func(s *Settings) { s.Classes = nil }},
+		{setting: "Zone", modify: func(s *Settings) { s.Zone = 3 }},
+		{setting: "ParentKind", modify: func(s *Settings) { s.ParentKind = 3 }},
+		{setting: "OriginKind", modify: func(s *Settings) { s.OriginKind = -2 }},
+		{setting: "RoutersByZone", modify: func(s *Settings) { s.RoutersByZone = []int{1} }},
+		{setting: "MaxAttempts", modify: func(s *Settings) { s.MaxAttempts = 0 }},
+		{setting: "Deadline", modify: func(s *Settings) { s.Classes[1].Deadline = 0 }},
 	}
 	for _, test := range tests {
 		t.Run(test.setting, func(t *testing.T) {
 			config := settings()
-			test.spoil(&config)
+			test.modify(&config)
 			_, err := New(config, 1)
 			if err == nil || !strings.Contains(err.Error(), test.setting) {
-				t.Errorf("error %v, want one that names %s", err, test.setting)
+				t.Errorf("got error %v, want one that names %s", err, test.setting)
 			}
-			var unusable *SettingError
-			if !errors.As(err, &unusable) || !strings.Contains(unusable.Setting, test.setting) {
-				t.Errorf("error %v, want a SettingError of %s", err, test.setting)
+			var invalid *SettingError
+			if !errors.As(err, &invalid) || !strings.Contains(invalid.Setting, test.setting) {
+				t.Errorf("got error %v, want a SettingError for %s", err, test.setting)
 			}
 		})
 	}
 }
 
-// Every request has one final answer, in time, whatever is listed or lost.
+// TestEveryRequestIsAnswered checks that every request gets a final answer, whichever servers are listed
+// and although all its attempts time out.
 func TestEveryRequestIsAnswered(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -59,8 +61,8 @@
 	}
 }
 
-// timeOutUntilAnswered sends a request whose attempts all time out, and fails the test unless it gets
-// a final answer.
+// timeOutUntilAnswered sends a request whose attempts all time out, and fails the test if the request
+// gets no final answer.
 func (h *harness) timeOutUntilAnswered(request Request) {
 	h.Helper()
 	const mostAttempts = 9
@@ -71,26 +73,26 @@
 		}
 		attempts := sendActions(actions)
 		if len(attempts) != 1 {
-			h.Fatalf("actions %v, want one attempt or an answer", actions)
+			h.Fatalf("got actions %v, want one attempt or an answer", actions)
 		}
 		h.now = attempts[0].Deadline
 		actions = h.finish(attempts[0], index, TimedOut, CacheStatusUnknown)
 	}
 	if !isRejected(actions) && !isFailed(actions) {
-		h.Fatalf("no answer after %d attempts: %v", mostAttempts, actions)
+		h.Fatalf("got no answer after %d attempts: %v", mostAttempts, actions)
 	}
 }
 
-// A request of a class that was never announced is rejected.
+// TestUnknownClassIsRejected checks that a request of a class that the settings do not list is rejected.
 func TestUnknownClassIsRejected(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	if actions := harness.handle(Request{ID: 9, Class: 99, Timeout: second}); !isRejected(actions) {
-		t.Errorf("actions %v, want a rejection", actions)
+		t.Errorf("got actions %v, want a rejection", actions)
 	}
 }
 
-// Late events, and those of others, change nothing.
-func TestUnknownEventsChangeNothing(t *testing.T) {
+// TestUnknownEventsAreIgnored checks that late events and events of unknown requests lead to no actions.
+func TestUnknownEventsAreIgnored(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	sent := harness.requestOne(Request{Object: 1, SizeKB: 10})
 	harness.finish(sent, 0, Served, Hit)
@@ -108,31 +110,32 @@
 	for _, event := range events {
 		t.Run(fmt.Sprintf("%T", event), func(t *testing.T) {
 			if actions := harness.handle(event); len(actions) != 0 {
-				t.Errorf("%+v: actions %v, want none", event, actions)
+				t.Errorf("%+v: got actions %v, want none", event, actions)
 			}
 		})
 	}
 }
 
-// Servers come and go all the time; what is kept of them does not grow.
+// TestRemovedServersExpire checks that the number of known servers stays bounded while servers are added
+// and removed all the time.
 func TestRemovedServersExpire(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	for i := range 500 {
-		guest := Server{ID: ServerID(1000 + i), Zone: 1, Kind: cacheKind, Phase: Ready, StartedAt: harness.now}
+		temporary := Server{ID: ServerID(1000 + i), Zone: 1, Kind: cacheKind, Phase: Ready, StartedAt: harness.now}
 		elsewhere := Server{ID: ServerID(90000 + i), Zone: 2, Kind: cacheKind, Phase: Ready}
-		harness.handle(EndpointUpdate{Servers: []Server{guest, elsewhere}})
+		harness.handle(EndpointUpdate{Servers: []Server{temporary, elsewhere}})
 		harness.finish(harness.requestOne(Request{Object: ObjectID(i + 1), SizeKB: 1}), 0, Served, Hit)
 		harness.now += second
-		guest.Phase = Removed
-		harness.handle(EndpointUpdate{Servers: []Server{guest}})
+		temporary.Phase = Removed
+		harness.handle(EndpointUpdate{Servers: []Server{temporary}})
 	}
 	got := len(harness.router.servers)
 	if most := int(serverRetention/second) + 10; got > most {
-		t.Errorf("%d servers kept, want at most %d", got, most)
+		t.Errorf("got %d servers, want at most %d", got, most)
 	}
 }
 
-// benchmarkFleet lists zones of five caches, a parent for every four of them, and an origin.
+// benchmarkFleet returns zones of five caches, one parent for every four zones, and an origin.
 func benchmarkFleet(zones int) []Server {
 	list := []Server{{ID: 1, Kind: originKind, Phase: Ready}}
 	for zone := range zones {
@@ -147,7 +150,7 @@
 	return list
 }
 
-// BenchmarkHandle shows what a request with its outcome costs in a small and in a large fleet.
+// BenchmarkHandle measures the handling of a request and its outcome in a small and in a large fleet.
 func BenchmarkHandle(b *testing.B) {
 	for name, zones := range map[string]int{"small": 4, "large": 40} {
 		b.Run(name, func(b *testing.B) {
--- a/routing/selection.go
+++ b/routing/selection.go
@@ -5,18 +5,19 @@
 	"slices"
 )
 
-// The ordinary path: a request goes to the home cache of its object, found by rendezvous hashing
-// over the zone's caches, and a miss is filled from the home parent, found over all parents. A
-// request for a popular object joins a fill in progress. The rest is for when that path fails.
+// On the ordinary path, a request goes to the home cache of its chunk, which rendezvous hashing selects
+// among the zone's caches. A miss is filled from the home parent of the object, which is selected among
+// all parents. A request for a popular object joins a fill in progress. All other code of this file
+// handles the cases in which the ordinary path cannot be used.
 
-// route is where an attempt goes.
+// route is the path of an attempt.
 type route struct {
-	target   *server // nil: nowhere
-	source   *server // who fills a miss; the target itself, or nil: nobody
-	admitted bool    // it need not wait
+	target   *server // server that the attempt is sent to; nil: there is none
+	source   *server // server that fills a miss; the target itself, or nil: no fill
+	admitted bool    // the attempt may be sent now
 }
 
-// selectRoute picks the target of a request's next attempt, and who fills a miss.
+// selectRoute selects the target of a request's next attempt and the server that fills a miss.
 func (r *Router) selectRoute(request *request) route {
 	source, sourceAdmits := r.selectSource(request)
 	bypassAllowed := r.settings.AllowBypass
@@ -38,9 +39,10 @@
 	}
 }
 
-// selectCache picks one of the caches that can take a request, best first. A saturated home cache
-// has the next cache with ample headroom as its failover target, and is queued for when there is
-// none. The route has no target where no cache is left; anyLimited reports whether a limiter is why.
+// selectCache selects one of the caches that can take a request. caches are ordered best first. If the
+// home cache is saturated, the next cache with ample headroom is the failover target; if there is none,
+// the request waits for the home cache. The route has no target if no cache is left. anyLimited reports
+// whether a limiter excluded a cache.
 func (r *Router) selectCache(
 	request *request, caches []*server, source *server,
 ) (selected route, anyLimited bool) {
@@ -68,15 +70,16 @@
 	return route{}, anyLimited
 }
 
-// fillSource returns who fills a miss at a cache: the source, or nobody, which is the cache itself.
+// fillSource returns the server that fills a miss at a cache. It is the cache itself if the attempt must
+// cause no fill.
 func (r *Router) fillSource(request *request, target, source *server) *server {
-	if source == nil || r.looksFirst(request, source) {
+	if source == nil || r.requiresLookup(request, source) {
 		return target
 	}
 	return source
 }
 
-// mustQueue reports whether a request must wait whichever cache it goes to.
+// mustQueue reports whether a request must wait, regardless of the cache that is selected.
 func (r *Router) mustQueue(request *request, sourceAdmits bool) bool {
 	if request.cacheMissed {
 		fillAdmitted := sourceAdmits && r.linkLimiter.admits(r.now)
@@ -90,16 +93,16 @@
 	return !request.class.Write && r.zoneSaturated()
 }
 
-// looksFirst reports whether a request must look for a copy before it may cause a fill, since a
-// bottleneck of fills is busy.
-func (r *Router) looksFirst(request *request, source *server) bool {
+// requiresLookup reports whether a request must look up a copy before it may cause a fill, because a
+// limiter on the fill path is active.
+func (r *Router) requiresLookup(request *request, source *server) bool {
 	if request.cacheMissed || request.class.Write {
 		return false
 	}
 	return r.linkLimiter.active || r.originLimiter.active || source.limiter.active
 }
 
-// bypassCaches routes straight to the source, which must be allowed to ask the origin.
+// bypassCaches returns a route directly to the source. The origin, if there is one, fills a miss there.
 func (r *Router) bypassCaches(source *server, sourceAdmits bool) route {
 	filler := source
 	if len(r.readyByRole[origin]) > 0 {
@@ -109,15 +112,13 @@
 	return route{target: source, source: filler, admitted: sourceAdmits && pathAdmits}
 }
 
-// selectSource returns the home parent of an object, or its failover target where that is ejected
-// or warming up; the origin for a write, and where no or too few parents are left. admits: it may
-// be sent one more.
-//
-// Symptom guarded against: with one of two parents unresponsive the other's link was full, and
-// answers came late.
+// selectSource returns the home parent of an object, or the failover target of that parent if it is
+// ejected or can take no more while it warms up. It returns the origin for a write and where no parents
+// or too few are left: with one of two parents unresponsive, the other's link was full and responses
+// were late. admits reports whether the limiter of the source admits one more transfer.
 func (r *Router) selectSource(request *request) (source *server, admits bool) {
 	sources := r.rankServers(parent, mix64(uint64(request.Object)), request)
-	if len(sources) == 0 || request.class.Write || r.parentsOverstretched(sources) {
+	if len(sources) == 0 || request.class.Write || r.tooFewParentsLeft(sources) {
 		sources = r.readyByRole[origin]
 	}
 	if len(sources) == 0 || !request.inKeyScope(sources[0]) {
@@ -126,9 +127,9 @@
 	return sources[0], sources[0].limiter.admits(r.now)
 }
 
-// parentsOverstretched reports whether too few parents are left to take over the objects of one
-// that ranks above them and is unresponsive, while the origin can.
-func (r *Router) parentsOverstretched(ranked []*server) bool {
+// tooFewParentsLeft reports whether an unresponsive parent ranks above the parents in ranked, these are
+// too few to take over its objects, and the origin can take them over instead.
+func (r *Router) tooFewParentsLeft(ranked []*server) bool {
 	parents := r.readyByRole[parent]
 	if r.settings.OriginStopsOnOverload || len(r.readyByRole[origin]) == 0 {
 		return false
@@ -143,9 +144,9 @@
 	})
 }
 
-// rankServers returns the servers of a role that can take a request in the rendezvous order of
-// key, best first; the result is valid until the next call. A warming or slow server draws as
-// many keys as it can carry. If all parents are ejected, their ejections tell nothing.
+// rankServers returns the servers of a role that can take a request, in the rendezvous order of key, best
+// first. The result is valid until the next call. A warming or slow server is home of only as many keys
+// as it can carry. If no parent is available, ejections of parents are ignored.
 func (r *Router) rankServers(role role, key uint64, request *request) []*server {
 	ignoreEjections := role == parent && !slices.ContainsFunc(r.readyByRole[role], r.available)
 	ranked := r.ranking[:0]
@@ -167,7 +168,7 @@
 	return ranked
 }
 
-// weight is a server's capacity relative to its peers.
+// weight returns the capacity of a server relative to its peers.
 func (r *Router) weight(server *server) float64 {
 	if r.settings.WeightIsCapacity {
 		return max(server.Weight, minWeight)
@@ -175,10 +176,9 @@
 	return 1
 }
 
-// keyFraction is the part of its keys that a server keeps that is far slower than its best peer.
-//
-// Symptom guarded against: a cache that did a tenth of its work was queued for as a saturated
-// home, and a third of all requests was rejected.
+// keyFraction returns the fraction of its keys that a server keeps. It is below 1 for a server that is
+// far slower than its best peer: otherwise requests queue for a cache at a tenth of its usual pace as for
+// a saturated home, and a third of all requests is rejected.
 func (r *Router) keyFraction(server *server) float64 {
 	slowdown := r.slowdownOf(server)
 	least := slowdown
@@ -194,7 +194,7 @@
 	server.slowdown.observe(r.now, slowdownTimeConstant, slowdownGain, min(slowdown, slowdownCap))
 }
 
-// slowdownOf is the smoothed slowdown of a server now.
+// slowdownOf returns the present smoothed slowdown of a server.
 func (r *Router) slowdownOf(server *server) float64 {
 	return server.slowdown.value(r.now, slowdownTimeConstant)
 }
@@ -202,7 +202,7 @@
 // sendAttempt sends an attempt and sets the timer of its first check.
 func (r *Router) sendAttempt(request *request, route route) {
 	sent := r.startAttempt(request, route)
-	popular := request.popularity >= popularThreshold // a write never is
+	popular := request.popularity >= popularThreshold // never true for a write
 	sent.onlyIfCached = sent.fill && !sent.fromOrigin && r.originLimiter.active
 	action := SendAttempt{
 		ID:           request.ID,
@@ -224,7 +224,7 @@
 	r.emit(SetTimer{Delay: r.checkInterval(request), Token: timerToken(request, timerCheckAttempt)})
 }
 
-// startAttempt creates an attempt and counts it with all that limits it.
+// startAttempt creates an attempt and counts it at its servers, limiters and slow start budgets.
 func (r *Router) startAttempt(request *request, route route) *attempt {
 	target, source := route.target, route.source
 	toCache := target.role == cache
--- a/routing/selection_test.go
+++ b/routing/selection_test.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// without is the test fleet without some servers.
+// without returns the test fleet without some servers.
 func without(removed ...ServerID) []Server {
 	return slices.DeleteFunc(fleet(), func(listed Server) bool { return slices.Contains(removed, listed.ID) })
 }
 
-// All routers agree on homes, and a lost server moves only its own objects.
+// TestRoutersAgreeOnHomes checks that all routers compute the same home servers, and that the removal of a
+// server moves only the objects of that server.
 func TestRoutersAgreeOnHomes(t *testing.T) {
 	router := newHarness(t, settings(), fleet())
 	peer := newHarness(t, settings(), fleet())
@@ -23,13 +24,13 @@
 		byPeer := peer.requestOne(request)
 		bySmaller := smaller.requestOne(request)
 		if sent.Server != byPeer.Server || sent.FillSource != byPeer.FillSource {
-			t.Fatalf("object %d: routers disagree: %v, %v", i, sent, byPeer)
+			t.Fatalf("object %d: got attempts %v and %v of two routers, want the same servers", i, sent, byPeer)
 		}
 		if sent.Server != secondCache && sent.Server != bySmaller.Server {
-			t.Fatalf("object %d moved to cache %d though its home %d stayed", i, bySmaller.Server, sent.Server)
+			t.Fatalf("object %d: got cache %d, want its home cache %d, which is still listed", i, bySmaller.Server, sent.Server)
 		}
 		if sent.FillSource != secondParent && sent.FillSource != bySmaller.FillSource {
-			t.Fatalf("object %d moved to parent %d though its home %d stayed", i, bySmaller.FillSource, sent.FillSource)
+			t.Fatalf("object %d: got parent %d, want its home parent %d, which is still listed", i, bySmaller.FillSource, sent.FillSource)
 		}
 		homes[sent.Server]++
 		homes[sent.FillSource]++
@@ -39,13 +40,14 @@
 	}
 	for _, id := range []ServerID{firstCache, secondCache, thirdCache, firstParent, secondParent} {
 		if homes[id] < 50 {
-			t.Errorf("server %d is home of %d of 300, want 50 or more", id, homes[id])
+			t.Errorf("got server %d as home of %d of 300 objects, want at least 50", id, homes[id])
 		}
 	}
 }
 
-// A draining or removed server gets nothing, nor fills anything.
-func TestDrainingServersGetNothing(t *testing.T) {
+// TestDrainingServersGetNoAttempts checks that a draining or removed server is neither target nor source
+// of an attempt.
+func TestDrainingServersGetNoAttempts(t *testing.T) {
 	tests := []struct {
 		name   string
 		update EndpointUpdate
@@ -65,7 +67,7 @@
 			for i := range 100 {
 				sent := harness.requestOne(Request{Object: ObjectID(i + 1), SizeKB: 1})
 				if sent.Server == secondCache || sent.FillSource == secondParent {
-					t.Fatalf("attempt %v, want none at a server that is not ready", sent)
+					t.Fatalf("got attempt %v, want none with a server that is not ready", sent)
 				}
 				harness.finish(sent, 0, Served, Hit)
 			}
@@ -73,34 +75,34 @@
 	}
 }
 
-// If no cache can take a request it goes straight to its home parent, which may ask the origin.
-// Symptom guarded against: misses of parents that were named as their own source.
+// TestBypassToTheParent checks that a request that no cache can take is sent directly to its home parent,
+// with the origin as fill source. With the parent as its own source, misses there could not be filled.
 func TestBypassToTheParent(t *testing.T) {
 	harness := newHarness(t, settings(), fleet()[3:])
 	sent := harness.requestOne(Request{Object: 5, SizeKB: 1})
 	toParent := sent.Server == firstParent || sent.Server == secondParent
-	if !toParent || sent.FillSource != theOrigin {
-		t.Errorf("attempt %v, want a parent that may ask the origin", sent)
+	if !toParent || sent.FillSource != originServer {
+		t.Errorf("got attempt %v, want one at a parent with the origin as source", sent)
 	}
 }
 
-// slowCache is a harness with a cache that may take many times as long as the others.
+// slowCache is a harness with a cache that can be many times slower than the others.
 type slowCache struct {
 	*harness
 	slow     ServerID
 	inflight []timedAttempt
 }
 
-// timedAttempt is an attempt and when it was sent and will end.
+// timedAttempt is an attempt with the times at which it was sent and will end.
 type timedAttempt struct {
 	SendAttempt
 	sentAt time.Duration
 	endsAt time.Duration
 }
 
-// play sends requests, one each 20 ms, for so many objects, while the slow cache takes that many times
-// as long as the others. It returns how many attempts the slow cache got.
-func (h *slowCache) play(requests int, slowdown time.Duration) int {
+// run sends requests for different objects, one every 20 ms, while the slow cache takes slowdown times as
+// long as the others. It returns the number of attempts at the slow cache.
+func (h *slowCache) run(requests int, slowdown time.Duration) int {
 	const responseTime = 150 * millisecond
 	attemptsAtSlow := 0
 	for i := range requests {
@@ -118,7 +120,7 @@
 	return attemptsAtSlow
 }
 
-// endDue ends the attempts whose time has come.
+// endDue ends the attempts that are due.
 func (h *slowCache) endDue() {
 	h.inflight = slices.DeleteFunc(h.inflight, func(attempt timedAttempt) bool {
 		if attempt.endsAt > h.now {
@@ -132,26 +134,26 @@
 	})
 }
 
-// A cache that does a tenth of its work for a while keeps few of its keys, and has them again when
-// it has recovered. Symptom guarded against: requests for its keys queued for it as for a saturated
-// home, and a third of all requests were rejected.
+// TestSlowCacheKeepsFewKeys checks that a cache at a tenth of its usual pace keeps only a few of its keys,
+// and gets them back after it has recovered. Otherwise requests for its keys queue as for a saturated
+// home cache, and a third of all requests is rejected.
 func TestSlowCacheKeepsFewKeys(t *testing.T) {
 	config := settings()
 	config.BodyBytesPerSecond = 100_000
 	harness := &slowCache{harness: newHarness(t, config, fleet())}
 	harness.slow = harness.caches()[0].ID
-	before := harness.play(300, 1)
-	harness.play(150, 10)
-	during := harness.play(300, 10)
-	harness.play(300, 1)
-	after := harness.play(300, 1)
+	before := harness.run(300, 1)
+	harness.run(150, 10)
+	during := harness.run(300, 10)
+	harness.run(300, 1)
+	after := harness.run(300, 1)
 	if before < 60 {
-		t.Errorf("of 300 requests it had %d before, want 60 or more", before)
+		t.Errorf("got %d of 300 requests at the cache before its slowdown, want at least 60", before)
 	}
 	if during > before/3 {
-		t.Errorf("of 300 requests it had %d while slow, want at most %d", during, before/3)
+		t.Errorf("got %d of 300 requests at the slow cache, want at most %d", during, before/3)
 	}
 	if after < before*3/4 {
-		t.Errorf("of 300 requests it had %d when it had recovered, want %d or more", after, before*3/4)
+		t.Errorf("got %d of 300 requests at the recovered cache, want at least %d", after, before*3/4)
 	}
 }
--- a/routing/simulated_events_test.go
+++ b/routing/simulated_events_test.go
@@ -7,12 +7,12 @@
 	"garnetline/routing"
 )
 
-// milliseconds draws a time from least to less than least+span milliseconds.
+// milliseconds returns a random duration of at least least and less than least+span milliseconds.
 func (s *simulation) milliseconds(least, span int) time.Duration {
 	return time.Duration(least+s.random.IntN(span)) * time.Millisecond
 }
 
-// sendRequest sends the next request, and sets when the one after it comes.
+// sendRequest sends a request and schedules the next one.
 func (s *simulation) sendRequest() {
 	request := s.drawRequest()
 	s.nextID++
@@ -22,13 +22,13 @@
 		s.after(delay, func() { s.disconnect(request.ID) })
 	}
 	if s.random.IntN(400) == 0 {
-		s.handle(request) // an id that is open already, or is used again
+		s.handle(request) // an ID that is in use or was used before
 	}
 	interval := s.random.ExpFloat64() / (s.rate * s.load)
 	s.after(time.Duration(interval*float64(time.Second)), s.sendRequest)
 }
 
-// drawRequest draws a request and books it, unless its class was never announced.
+// drawRequest returns a random request. It records the request as open if the settings list its class.
 func (s *simulation) drawRequest() routing.Request {
 	class := []int{0, 0, 0, 1, 1, 1, 1, 2, 3, 4, 5}[s.random.IntN(11)]
 	deadline := s.routerSettings.Classes[class].Deadline
@@ -48,7 +48,7 @@
 		request.SizeKB = s.sizeKB(request)
 	}
 	if s.random.IntN(300) == 0 {
-		request.Class = len(s.routerSettings.Classes) + 1 // never announced
+		request.Class = len(s.routerSettings.Classes) + 1 // not in the settings
 		return request
 	}
 	s.open[request.ID] = request
@@ -60,8 +60,8 @@
 	s.handle(routing.ClientDisconnected{ID: id})
 }
 
-// changeRegime ends the faults of the last few seconds and begins others.
-func (s *simulation) changeRegime() {
+// changeConditions ends the present fault, starts a random other one and schedules the next change.
+func (s *simulation) changeConditions() {
 	s.conditions = conditions{load: 1, linkUtilization: 0.4, hitRatio: 0.7}
 	for _, server := range s.servers {
 		server.unresponsive = false
@@ -70,26 +70,27 @@
 		server.rejectionRate = 0.002
 		server.slowdown = 1
 	}
-	one := s.servers[s.random.IntN(len(s.servers))]
-	s.beginFault(s.random.IntN(14), one)
-	s.after(s.milliseconds(1500, 3500), s.changeRegime)
+	chosen := s.servers[s.random.IntN(len(s.servers))]
+	s.beginFault(s.random.IntN(14), chosen)
+	s.after(s.milliseconds(1500, 3500), s.changeConditions)
 }
 
-// beginFault begins a fault of one server, of the origin or of a kind.
-func (s *simulation) beginFault(regime int, one *simulatedServer) {
-	switch regime {
+// beginFault starts the fault with a number: of the chosen server, the origin, the load or a kind of
+// server.
+func (s *simulation) beginFault(fault int, chosen *simulatedServer) {
+	switch fault {
 	case 0:
 		s.load = 6
 	case 1:
-		one.unresponsive = true
+		chosen.unresponsive = true
 	case 2:
-		one.down = true
+		chosen.down = true
 	case 3:
-		one.errorRate = 0.7
+		chosen.errorRate = 0.7
 	case 4:
-		one.rejectionRate = 0.6
+		chosen.rejectionRate = 0.6
 	case 5:
-		one.slowdown = 12
+		chosen.slowdown = 12
 	case 6:
 		s.origin().slowdown = 80
 		s.hitRatio = 0.2
@@ -103,15 +104,15 @@
 		s.origin().unresponsive = true
 		s.hitRatio = 0.3
 	default:
-		s.beginKindFault(regime)
+		s.beginKindFault(fault)
 	}
 }
 
-// beginKindFault begins a fault that all servers of a kind have.
-func (s *simulation) beginKindFault(regime int) {
+// beginKindFault starts a fault of all servers of a kind.
+func (s *simulation) beginKindFault(fault int) {
 	const cacheKind = 0
 	parentKind := s.routerSettings.ParentKind
-	switch regime {
+	switch fault {
 	case 9:
 		for _, server := range s.serversOfKind(parentKind) {
 			server.unresponsive = true
@@ -136,7 +137,7 @@
 	}
 }
 
-// restart lists a server as removed and, after a moment, as freshly started.
+// restart lists a server as removed and, after a random delay, as ready with a new start time.
 func (s *simulation) restart(server *simulatedServer) {
 	server.down = true
 	server.listed.Phase = routing.Removed
@@ -157,14 +158,15 @@
 	s.handle(routing.EndpointUpdate{Snapshot: true, Servers: s.list()})
 }
 
-// sendUpdates sends what comes from elsewhere: endpoint updates, purges, reports of other routers.
+// sendUpdates sends a random event that no request causes, such as an endpoint update, a purge or a report
+// of another router, and schedules the next one.
 func (s *simulation) sendUpdates() {
-	one := s.servers[s.random.IntN(len(s.servers))]
+	chosen := s.servers[s.random.IntN(len(s.servers))]
 	switch s.random.IntN(12) {
 	case 0:
-		one.listed.Phase = routing.Draining
-		s.update(one.listed)
-		s.after(s.milliseconds(0, 3000), func() { s.restart(one) })
+		chosen.listed.Phase = routing.Draining
+		s.update(chosen.listed)
+		s.after(s.milliseconds(0, 3000), func() { s.restart(chosen) })
 	case 1:
 		s.handle(routing.EndpointUpdate{Failed: true})
 	case 2:
@@ -177,33 +179,33 @@
 	case 5:
 		load := noLoad()
 		load.LinkUtilization = 3 * s.random.Float64()
-		s.handle(routing.PeerLoadReport{Server: one.listed.ID, Load: load, Age: s.milliseconds(0, 1200)})
+		s.handle(routing.PeerLoadReport{Server: chosen.listed.ID, Load: load, Age: s.milliseconds(0, 1200)})
 	case 6, 7:
-		s.handle(routing.ExtendEjection{Server: one.listed.ID, Until: s.now + s.milliseconds(0, 8000)})
+		s.handle(routing.ExtendEjection{Server: chosen.listed.ID, Until: s.now + s.milliseconds(0, 8000)})
 	case 8, 9:
-		s.handle(routing.RequireProbe{Server: one.listed.ID})
+		s.handle(routing.RequireProbe{Server: chosen.listed.ID})
 	case 10:
-		s.handle(routing.Outcome{ID: s.nextID + 5, Load: noLoad()}) // of nobody
+		s.handle(routing.Outcome{ID: s.nextID + 5, Load: noLoad()}) // unknown request
 		s.handle(routing.TimerFired{Token: s.random.Uint64()})
 	case 11:
-		s.listGuest()
+		s.listTemporaryCache()
 	}
 	s.after(s.milliseconds(100, 900), s.sendUpdates)
 }
 
-// listGuest lists a cache that comes for a second.
-func (s *simulation) listGuest() {
-	guest := routing.Server{
+// listTemporaryCache lists an additional cache for one second.
+func (s *simulation) listTemporaryCache() {
+	temporary := routing.Server{
 		ID: 50 + routing.ServerID(s.random.IntN(3)), Zone: 1, Phase: routing.Ready, Weight: 6, StartedAt: s.now,
 	}
-	s.update(guest)
+	s.update(temporary)
 	s.after(time.Second, func() {
-		guest.Phase = routing.Removed
-		s.update(guest)
+		temporary.Phase = routing.Removed
+		s.update(temporary)
 	})
 }
 
-// updateSettings gives the router other settings: one class more, other quotas.
+// updateSettings replaces the router's settings: an additional class, other quotas and another slow start.
 func (s *simulation) updateSettings() {
 	added := routing.Class{
 		Name: "new", LatencyObjective: 300 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1,
--- a/routing/simulated_servers_test.go
+++ b/routing/simulated_servers_test.go
@@ -8,17 +8,17 @@
 	"garnetline/routing"
 )
 
-// simulatedServer is one server: what is listed of it, and how it behaves at present.
+// simulatedServer is a server with its entry in the endpoint list and its present behavior.
 type simulatedServer struct {
 	listed        routing.Server
-	unresponsive  bool    // answers nothing
-	down          bool    // takes no connection
-	errorRate     float64 // part of its attempts that it fails
-	rejectionRate float64 // part of its attempts that it rejects
-	slowdown      float64 // by which all it does takes longer
+	unresponsive  bool    // it answers nothing
+	down          bool    // it accepts no connections
+	errorRate     float64 // fraction of its attempts that fail
+	rejectionRate float64 // fraction of its attempts that it rejects
+	slowdown      float64 // factor by which its transfers take longer
 }
 
-// simulatedAttempt is an attempt that a server has in hand.
+// simulatedAttempt is an attempt in flight at a server.
 type simulatedAttempt struct {
 	send    routing.SendAttempt
 	request routing.Request
@@ -27,7 +27,7 @@
 	ended   bool
 }
 
-// list is the present endpoint list.
+// list returns the present endpoint list.
 func (s *simulation) list() []routing.Server {
 	var list []routing.Server
 	for _, server := range s.servers {
@@ -36,7 +36,7 @@
 	return list
 }
 
-// server returns a server; one that is not of the fleet takes no connection.
+// server returns the server with an ID. For an unknown ID it returns a server that accepts no connections.
 func (s *simulation) server(id routing.ServerID) *simulatedServer {
 	for _, server := range s.servers {
 		if server.listed.ID == id {
@@ -46,7 +46,7 @@
 	return &simulatedServer{down: true, slowdown: 1}
 }
 
-// origin is the last server of the fleet.
+// origin returns the last server of the fleet, which is the origin if there is one.
 func (s *simulation) origin() *simulatedServer { return s.servers[len(s.servers)-1] }
 
 func (s *simulation) serversOfKind(kind int) []*simulatedServer {
@@ -59,7 +59,7 @@
 	return list
 }
 
-// beginAttempt decides when and how an attempt will end.
+// beginAttempt determines when and how an attempt will end, and schedules its outcome.
 func (s *simulation) beginAttempt(send routing.SendAttempt) {
 	attempt := &simulatedAttempt{
 		send: send, request: s.open[send.ID], index: s.attemptCounts[send.ID], started: s.now,
@@ -83,7 +83,7 @@
 	s.schedule(s.now+delay, &simulatedEvent{outcome: &outcome, attempt: attempt})
 }
 
-// breakConnections ends all that a server has in hand.
+// breakConnections ends all attempts in flight at a server with a lost connection.
 func (s *simulation) breakConnections(id routing.ServerID) {
 	for _, attempt := range slices.Clone(s.inflight) {
 		if attempt.send.Server == id && !attempt.ended {
@@ -102,7 +102,7 @@
 	}
 }
 
-// finish reports the end of an attempt, once.
+// finish reports the end of an attempt, unless it has ended already.
 func (s *simulation) finish(attempt *simulatedAttempt, outcome routing.Outcome) {
 	if attempt.ended {
 		return
@@ -122,7 +122,7 @@
 	s.handle(outcome)
 }
 
-// drawOutcome draws the end of an attempt and the time until then.
+// drawOutcome returns a random outcome of an attempt and the time until it.
 func (s *simulation) drawOutcome(attempt *simulatedAttempt) (routing.Outcome, time.Duration) {
 	target := s.server(attempt.send.Server)
 	outcome := routing.Outcome{Load: noLoad()}
@@ -152,7 +152,7 @@
 		return s.served(attempt, outcome, s.transferSeconds(attempt)*target.slowdown, 0)
 	case !fills && !isOrigin:
 		outcome.Result = routing.NotCached
-		if s.random.IntN(20) == 0 { // it joined another request's fill, which failed
+		if s.random.IntN(20) == 0 { // the attempt joined the fill of another request, which failed
 			outcome.Result = routing.ServerError
 			outcome.CacheStatus = s.status(routing.SourceUnreachable)
 		}
@@ -162,7 +162,7 @@
 	return outcome, quick
 }
 
-// drawFillOutcome draws the end of an attempt that its source fills.
+// drawFillOutcome returns a random outcome of an attempt with a fill, and the time until it.
 func (s *simulation) drawFillOutcome(
 	attempt *simulatedAttempt, outcome routing.Outcome, quick time.Duration,
 ) (routing.Outcome, time.Duration) {
@@ -195,7 +195,8 @@
 	return s.served(attempt, outcome, seconds, 0.01*source.slowdown)
 }
 
-// served is a success that waits for its source and then takes some seconds to send.
+// served returns a success that waits for its source and is then sent, and the time until its end. wait
+// and sending are in seconds.
 func (s *simulation) served(
 	attempt *simulatedAttempt, outcome routing.Outcome, sending, wait float64,
 ) (routing.Outcome, time.Duration) {
@@ -211,30 +212,31 @@
 	return outcome, outcome.SourceWait + time.Duration(took*float64(time.Second))
 }
 
-// status draws one of several cache statuses; where a deployment does not tell it, it is unknown.
+// status returns a random one of several cache statuses, or CacheStatusUnknown if the deployment does not
+// report it.
 func (s *simulation) status(statuses ...routing.CacheStatus) routing.CacheStatus {
 	status := statuses[0]
 	if len(statuses) > 1 {
 		status = statuses[s.random.IntN(len(statuses))]
 	}
-	failureUntold := s.routerSettings.HitStatusOnly && status >= routing.SourceRejected
-	if !s.statuses || failureUntold {
+	failureNotReported := s.routerSettings.HitStatusOnly && status >= routing.SourceRejected
+	if !s.statuses || failureNotReported {
 		return routing.CacheStatusUnknown
 	}
 	return status
 }
 
-// sizeKB is the size of an object's chunk in KB.
+// sizeKB returns the size of an object's chunk in KB.
 func (s *simulation) sizeKB(request routing.Request) float64 {
 	return float64(5 + (uint64(request.Object)*7919+uint64(request.Chunk)*104729)%400)
 }
 
-// transferSeconds is the time that sending an attempt's response takes at full pace.
+// transferSeconds returns the time in seconds that it takes to send an attempt's response at full pace.
 func (s *simulation) transferSeconds(attempt *simulatedAttempt) float64 {
 	return s.sizeKB(attempt.request) / 1000
 }
 
-// noLoad is the report of a server that reports nothing.
+// noLoad returns the report of a server that reports no load.
 func noLoad() routing.LoadReport {
 	nan := math.NaN()
 	return routing.LoadReport{Inflight: nan, CPUUtilization: nan, HitRatio: nan, LinkUtilization: nan}
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// startWarming notes when a listed server started. A new server is warming up from its start or,
-// where that is not told, from now; one of the first list that tells none is not.
+// startWarming records the start time of a listed server. A new server warms up from its start time or,
+// if that is not reported, from now. A server of the first endpoint list without a start time does not
+// warm up.
 func (r *Router) startWarming(server *server, listed Server, first bool) {
 	if first {
 		server.warmingSince = longAgo
@@ -19,7 +20,7 @@
 	}
 }
 
-// capacityFraction is the least part of its capacity that a server has at a time.
+// capacityFraction returns the fraction of its full capacity that a server has at a time.
 func (r *Router) capacityFraction(server *server, at time.Duration) float64 {
 	slowStart := &r.slowStarts[server.role]
 	warmed := max(0, (at-server.warmingSince).Seconds()/max(slowStart.Duration.Seconds(), minSlowStartSeconds))
@@ -27,12 +28,11 @@
 	return min(1, max(minCapacityFraction, fraction))
 }
 
-// withinSlowStartBudget reports whether a warming server can take more work from this router, by
-// what its peers carried. Where the budget is less than one piece of work, one is sent in as many
-// windows as the budget pays for, drawn by lot, so that the sum over all routers holds.
-//
-// Symptom guarded against: many routers that each send little find an empty server at once, and
-// the least of each pushes it over.
+// withinSlowStartBudget reports whether this router may send more work to a warming server. The budget
+// derives from the throughput of the server's peers. If the budget is less than the work of one attempt,
+// the router sends one attempt in a fraction of the overload windows. It chooses these at random, so
+// that the routers together stay within their budgets. Without this rule, many routers that each send
+// little find an empty server at the same time, and the minimum of each adds up to an overload.
 func (r *Router) withinSlowStartBudget(server *server, work float64) bool {
 	if r.capacityFraction(server, r.now) >= 1 {
 		return true
@@ -47,12 +47,12 @@
 	}
 	window := r.slowStarts[server.role].OverloadWindow
 	windowNumber := uint64(r.now / max(window, 1))
-	lot := r.seed ^ mix64(uint64(server.ID)^mix64(windowNumber))
-	return uniform(lot) < budget/work
+	draw := r.seed ^ mix64(uint64(server.ID)^mix64(windowNumber))
+	return uniform(draw) < budget/work
 }
 
-// sentInWindow is the work that this router sent to a server within its overload window, in seconds
-// of transfer time.
+// sentInWindow returns the work that this router sent to a server within the last overload window, in
+// seconds of transfer time.
 func (r *Router) sentInWindow(server *server) float64 {
 	windowStart := r.now - r.slowStarts[server.role].OverloadWindow
 	sent := 0.0
@@ -64,8 +64,8 @@
 	return sent
 }
 
-// slowStartBudget is the work, in seconds of transfer time, that this router may send a warming
-// server within its overload window.
+// slowStartBudget returns the work, in seconds of transfer time, that this router may send to a warming
+// server within an overload window.
 func (r *Router) slowStartBudget(server *server) float64 {
 	slowStart := &r.slowStarts[server.role]
 	window := slowStart.OverloadWindow
@@ -74,11 +74,10 @@
 	return overload * capacity * r.expectedThroughput(server.role) * r.weight(server) * window.Seconds()
 }
 
-// expectedThroughput is the work a second, per weight, that this router may count on: the highest
-// it saw, or its quota of what weights promise where they count transfers.
-//
-// Symptom guarded against: a router that restarted, or whose zone came back warming up, rejected
-// all.
+// expectedThroughput returns the work per second and per unit of weight that this router assumes a role
+// to carry. It is the highest throughput seen, or the router's quota of the throughput implied by weights
+// that count transfers, whichever is higher. Without the quota, a router that has restarted, or whose
+// zone restarts completely, has seen no throughput and rejects all requests.
 func (r *Router) expectedThroughput(role role) float64 {
 	promised := 0.0
 	if r.settings.WeightIsCapacity && r.settings.TransferKBPerSecond > 0 {
@@ -90,7 +89,8 @@
 	return max(r.peakThroughput[role], promised)
 }
 
-// recordSentWork records work sent to a server: one that restarted unlisted counts it too.
+// recordSentWork records work sent to a server. Work sent before the endpoint list reports a restart of
+// the server counts too.
 func (r *Router) recordSentWork(server *server, work float64) {
 	expired := r.now - r.slowStarts[server.role].OverloadWindow
 	server.recentWork = slices.DeleteFunc(server.recentWork, func(piece decayingSum) bool {
@@ -99,8 +99,8 @@
 	server.recentWork = append(server.recentWork, decayingSum{r.now, work})
 }
 
-// recordThroughput records work that a server completed; what one completes after its removal
-// tells nothing of the others.
+// recordThroughput records work that a server completed. Work that a server completes after its removal
+// is ignored, because it does not show what the remaining servers carry.
 func (r *Router) recordThroughput(server *server, work float64) {
 	if !server.ready {
 		return
