--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// What a warming server is sent in any window stays under its budget, also just after this
-// router's own start, when no class's transfer time is known. Symptom guarded against: a burst of
-// looks, each counted as no work.
+// TestSlowStartBudget checks that the work sent to a warming server stays within its budget, even just
+// after the start of this router, when it has not learned the transfer time of any class. Otherwise a
+// burst of lookups counts as no work.
 func TestSlowStartBudget(t *testing.T) {
 	list := fleet()
 	list[1].StartedAt = 1000 * second
@@ -18,10 +18,10 @@
 		servers []Server
 		most    float64 // seconds of transfer time
 	}{
-		// A peer carries at most 20 a second of 0.1 s each here; the slow start begins at a fifth, and
-		// twice that may be sent for 2 s.
+		// A peer carries at most 20 requests of 0.1 s per second here. The slow start begins at a fifth of
+		// that, and twice this amount may be sent for 2 s.
 		{name: "beside a warm peer", servers: slices.Concat(list[:2], upstreams), most: 2 * 0.4 * 20 * 2.0},
-		// The router knows nothing of the cache's capacity.
+		// The router does not know the cache's capacity.
 		{name: "alone", servers: slices.Concat(list[1:2], upstreams), most: 1.5},
 	}
 	for _, test := range tests {
@@ -39,16 +39,16 @@
 				}
 			}
 			if sent > test.most {
-				t.Errorf("the warming cache was sent %.1f s of work, want at most %.1f", sent, test.most)
+				t.Errorf("got %.1f s of work sent to the warming cache, want at most %.1f", sent, test.most)
 			}
 		})
 	}
 }
 
-// Many routers that each see few requests find a warming cache, or parent, at the same time: their
-// sum stays within its budget. Symptom guarded against: the least that each always sent overloaded
-// it.
-func TestSlowStartBudgetHoldsForTheSum(t *testing.T) {
+// TestSlowStartBudgetHoldsForAllRouters checks that many routers with few requests each, which find a
+// warming cache or parent at the same time, together stay within its budget. Otherwise the minimum that
+// each router always sends overloads the server.
+func TestSlowStartBudgetHoldsForAllRouters(t *testing.T) {
 	const routers = 60
 	list := fleet()
 	list[1].StartedAt = 1000 * second // secondCache
@@ -57,7 +57,7 @@
 	for seed := range uint64(routers) {
 		harness := newHarness(t, settings(), list)
 		harness.router.seed = seed
-		for i := range 8 { // one request each quarter of a second
+		for i := range 8 { // one request every 250 ms
 			harness.now += 250 * millisecond
 			actions := harness.request(Request{Object: ObjectID(seed*100 + uint64(i) + 1), SizeKB: 100})
 			for _, attempt := range sendActions(actions) {
@@ -70,24 +70,25 @@
 			}
 		}
 	}
-	// All carried 480 requests of at most 0.6 s in 2 s; two caches and one parent are not
-	// warming, so a cache does 72 s of work a second at the most, a parent 144.
+	// All servers carried 480 requests of at most 0.6 s in 2 s. Two caches and one parent are not
+	// warming up, so that a cache carries at most 72 s of work per second, and a parent 144 s.
 	if most := 2 * 0.36 * 72 * 2.0; sent[secondCache] > most {
-		t.Errorf("the warming cache was sent %.0f s of work, want at most %.0f", sent[secondCache], most)
+		t.Errorf("got %.0f s of work sent to the warming cache, want at most %.0f", sent[secondCache], most)
 	}
 	if most := 2 * 0.19 * 144 * 2.0; sent[secondParent] > most {
-		t.Errorf("the warming parent was sent %.0f s of work, want at most %.0f", sent[secondParent], most)
+		t.Errorf("got %.0f s of work sent to the warming parent, want at most %.0f", sent[secondParent], most)
 	}
 }
 
-// Where the budget is less than one piece of work, as many routers send one as it pays for.
-func TestSmallSlowStartBudgetIsDrawnByLot(t *testing.T) {
+// TestSmallSlowStartBudgetIsRandom checks that, if the budget is less than the work of one attempt, a random
+// fraction of the routers sends an attempt, so that the routers together stay within the budget.
+func TestSmallSlowStartBudgetIsRandom(t *testing.T) {
 	const routers, work = 1000, 0.4
 	list := fleet()
 	list[1].StartedAt = 1000 * second
 	harness := newHarness(t, settings(), list)
 	router := harness.router
-	router.peakThroughput[cache] = 0.01 // it has seen its caches carry next to nothing
+	router.peakThroughput[cache] = 0.01 // the throughput seen so far is almost 0
 	warming := router.servers[1]
 	senders := 0
 	for router.seed = range uint64(routers) {
@@ -98,25 +99,26 @@
 	}
 	expected := routers * slowStartMargin * 2 * 0.2 * 0.01 * 2 / work
 	if float64(senders) > 2*expected || senders == 0 {
-		t.Errorf("%d of %d routers send a first request, want 1 to %.0f", senders, routers, 2*expected)
+		t.Errorf("got a first request from %d of %d routers, want 1 to %.0f", senders, routers, 2*expected)
 	}
 }
 
-// A zone that lost all its caches tells nothing of what one carries. Symptom guarded against:
-// endless budgets for the first that came back.
-func TestRemovedServersTeachNoThroughput(t *testing.T) {
+// TestRemovedServersDoNotChangeThroughput checks that work completed by removed servers does not change the
+// throughput of their role. Otherwise, in a zone that has lost all its caches, the first cache that
+// returns gets an unlimited budget.
+func TestRemovedServersDoNotChangeThroughput(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	sent := harness.requestOne(Request{Object: 1, SizeKB: 500})
 	harness.handle(EndpointUpdate{Snapshot: true, Servers: fleet()[3:]})
 	before := harness.router.peakThroughput[cache]
 	harness.finish(sent, 0, Served, Hit)
 	if after := harness.router.peakThroughput[cache]; after > before {
-		t.Errorf("the caches are taken to carry %v, want at most %v", after, before)
+		t.Errorf("got a peak throughput of caches of %v, want at most %v", after, before)
 	}
 }
 
-// A router that restarted has seen no throughput. Where all caches are warming up and their weights
-// count transfers, it sends its quota and no more.
+// TestSlowStartBudgetFromWeights checks that a router that has restarted, and has seen no throughput, sends
+// its quota and no more if all caches are warming up and their weights count transfers.
 func TestSlowStartBudgetFromWeights(t *testing.T) {
 	config := settings()
 	config.WeightIsCapacity = true
@@ -138,18 +140,18 @@
 			harness.finishWithoutStatus(sent, 0, Served, 100*millisecond)
 		}
 	}
-	// The slow start is at 0.2 to 0.36 of 10 transfers, and twice that for 2 s is too much.
+	// The slow start is at 0.2 to 0.36 of 10 transfers. Twice that for 2 s is an overload.
 	if most := 2 * 0.2 * 10 * 2.0; work == 0 || work > most {
-		t.Errorf("a warming cache was sent %.1f s of work, want some and at most %.1f", work, most)
+		t.Errorf("got %.1f s of work sent to a warming cache, want more than 0 and at most %.1f", work, most)
 	}
 }
 
-// warmingZone is a zone whose caches restart at the same time, with several routers.
+// warmingZone is a zone with several routers, whose caches all restart at the same time.
 type warmingZone struct {
 	routers     []*harness
 	caches      []Server
 	restartedAt time.Duration
-	sent        map[ServerID][]sentWork // after the restart
+	sent        map[ServerID][]sentWork // work sent after the restart
 }
 
 // sentWork is work sent to a server, in seconds of transfer time.
@@ -158,7 +160,7 @@
 	seconds float64
 }
 
-// newWarmingZone starts several routers that differ in their seeds.
+// newWarmingZone creates several routers with different seeds.
 func newWarmingZone(t *testing.T, config Settings, list []Server, routers int) *warmingZone {
 	t.Helper()
 	zone := &warmingZone{caches: list[:3], restartedAt: 1010 * second, sent: map[ServerID][]sentWork{}}
@@ -168,7 +170,7 @@
 	return zone
 }
 
-// restart tells all routers that all caches have just started.
+// restart notifies all routers that all caches have just started.
 func (z *warmingZone) restart() {
 	for i := range z.caches {
 		z.caches[i].StartedAt = z.restartedAt
@@ -179,8 +181,8 @@
 	}
 }
 
-// requestInterval is the time between two requests to a router: one after another has ten times the
-// traffic of the others.
+// requestInterval returns the time between two requests to a router. The routers take turns in receiving
+// ten times the traffic of the others.
 func (z *warmingZone) requestInterval(index int, now time.Duration) time.Duration {
 	const interval = 200 * millisecond
 	busyRouter := int(now/(2*second)) % len(z.routers)
@@ -190,7 +192,7 @@
 	return interval
 }
 
-// request sends a request to a router and has it served at once.
+// request sends a request to a router and serves its attempt at once.
 func (z *warmingZone) request(index int, now time.Duration) {
 	router := z.routers[index]
 	router.now = now
@@ -206,10 +208,10 @@
 	}
 }
 
-// All routers of a zone together spare caches that restart at the same time, though each keeps to its
-// own quota, has seen its caches carry much while others were ejected, and its traffic is several
-// times that of others.
-func TestManyRoutersSpareWarmingCaches(t *testing.T) {
+// TestManyRoutersDoNotOverloadWarmingCaches checks that the routers of a zone together do not overload caches
+// that restart at the same time, although each router only keeps to its own quota, has seen a high
+// throughput before the restart, and sometimes has several times the traffic of the others.
+func TestManyRoutersDoNotOverloadWarmingCaches(t *testing.T) {
 	const routers = 8
 	config := settings()
 	config.WeightIsCapacity = true
@@ -236,19 +238,19 @@
 	}
 }
 
-// checkLoad fails the test where a server was sent more than it can bear, or next to nothing.
+// checkLoad fails the test if a server was sent an overload or almost nothing.
 func checkLoad(t *testing.T, sent []sentWork, listed Server, slowStart SlowStart) {
 	t.Helper()
 	most := highestLoad(sent, slowStart, listed.Weight, listed.StartedAt)
-	t.Logf("cache %d: %.2f of what it can bear", listed.ID, most)
+	t.Logf("cache %d: peak load of %.2f of the overload limit", listed.ID, most)
 	if most < 0.2 || most > 1 {
-		t.Errorf("cache %d was sent %.2f of what it can bear within %v, want 0.2 to 1",
+		t.Errorf("cache %d: got a load of %.2f of the overload limit within %v, want 0.2 to 1",
 			listed.ID, most, slowStart.OverloadWindow)
 	}
 }
 
-// highestLoad is the most work that a server was sent within any window, as a part of what overloads
-// it at that time of its slow start.
+// highestLoad returns the most work that a server was sent within any overload window, as a fraction of
+// the work that overloads the server at that time of its slow start.
 func highestLoad(sent []sentWork, slowStart SlowStart, weight float64, startedAt time.Duration) float64 {
 	most := 0.0
 	for i, last := range sent {
@@ -260,8 +262,8 @@
 			}
 		}
 		warmed := float64(windowStart-startedAt) / float64(slowStart.Duration)
-		part := min(1, slowStart.InitialCapacity+(1-slowStart.InitialCapacity)*warmed)
-		capacity := max(slowStart.InitialCapacity, part) * weight
+		fraction := min(1, slowStart.InitialCapacity+(1-slowStart.InitialCapacity)*warmed)
+		capacity := max(slowStart.InitialCapacity, fraction) * weight
 		overload := slowStart.OverloadFactor * capacity * slowStart.OverloadWindow.Seconds()
 		most = max(most, sum/overload)
 	}
--- a/routing/source_files_test.go
+++ b/routing/source_files_test.go
@@ -13,26 +13,26 @@
 	"testing"
 )
 
-// Limits of every source file of the package that is no test.
+// Limits for every source file of the package other than tests.
 const (
 	maxFileLines     = 499
 	maxFunctionLines = 59
 	maxLineColumns   = 110
 )
 
-// decisionFiles choose, wait, retry, reject or hold a tuned value.
+// decisionFiles are the files with routing decisions or tuned values.
 var decisionFiles = []string{
 	"admission.go", "constants.go", "endpoints.go", "guard.go", "hotkeys.go", "limiter.go", "outlier.go", "retry.go",
 	"router.go", "selection.go", "slowstart.go", "transfertime.go",
 }
 
-// mechanismFiles hold types, records and arithmetic, and decide nothing.
+// mechanismFiles are the files with types, records and arithmetic but without decisions.
 var mechanismFiles = []string{
 	"actions.go", "bounded.go", "decay.go", "doc.go", "events.go", "inflight.go", "records.go", "rendezvous.go",
 	"settings.go",
 }
 
-// sourceFiles returns the names of the package's files that are no tests.
+// sourceFiles returns the names of the package's Go files other than tests.
 func sourceFiles(t *testing.T) []string {
 	t.Helper()
 	all, err := filepath.Glob("*.go")
@@ -42,7 +42,7 @@
 	return slices.DeleteFunc(all, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
 }
 
-// policyFiles returns the paths that deploy/balancer.toml names as policy.
+// policyFiles returns the paths that the policy entry of deploy/balancer.toml lists.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
@@ -51,27 +51,27 @@
 	}
 	list := regexp.MustCompile(`(?m)^policy = \[(.*)\]`).FindSubmatch(deploy)
 	if list == nil {
-		t.Fatal("deploy/balancer.toml names no policy files")
+		t.Fatal("expected a policy list in deploy/balancer.toml, found none")
 	}
 	var paths []string
 	for quoted := range strings.SplitSeq(string(list[1]), ", ") {
 		path, err := strconv.Unquote(quoted)
 		if err != nil {
-			t.Fatalf("policy in deploy/balancer.toml: %s: %v", quoted, err)
+			t.Fatalf("policy list in deploy/balancer.toml: expected a quoted path, got %s: %v", quoted, err)
 		}
 		paths = append(paths, path)
 	}
 	return paths
 }
 
-// Every file of the package is known to decide or not to, and deploy/balancer.toml names those that
-// do as policy, and no others.
+// TestPolicyFilesDecide checks that every file of the package is listed either in decisionFiles or in
+// mechanismFiles, and that deploy/balancer.toml lists exactly the decision files as policy.
 func TestPolicyFilesDecide(t *testing.T) {
 	files := sourceFiles(t)
 	listed := slices.Concat(decisionFiles, mechanismFiles)
 	slices.Sort(listed)
 	if !slices.Equal(files, listed) {
-		t.Errorf("files of the package %v, want %v", files, listed)
+		t.Errorf("got files %v in the package, want %v", files, listed)
 	}
 	var want []string
 	for _, name := range decisionFiles {
@@ -81,11 +81,11 @@
 	slices.Sort(want)
 	slices.Sort(got)
 	if !slices.Equal(got, want) {
-		t.Errorf("deploy/balancer.toml names %v as policy, want %v", got, want)
+		t.Errorf("got policy files %v in deploy/balancer.toml, want %v", got, want)
 	}
 }
 
-// No file, function or line of the package is longer than a reader can take in at once.
+// TestSourceFilesKeepTheirLimits checks the length of files, functions and lines of the package.
 func TestSourceFilesKeepTheirLimits(t *testing.T) {
 	for _, name := range sourceFiles(t) {
 		t.Run(name, func(t *testing.T) {
@@ -106,11 +106,11 @@
 		count++
 		columns := len([]rune(strings.ReplaceAll(line, "\t", " ")))
 		if columns > maxLineColumns {
-			t.Errorf("line %d has %d columns, want at most %d", count, columns, maxLineColumns)
+			t.Errorf("line %d: got %d columns, want at most %d", count, columns, maxLineColumns)
 		}
 	}
 	if count > maxFileLines {
-		t.Errorf("%d lines, want at most %d", count, maxFileLines)
+		t.Errorf("got %d lines, want at most %d", count, maxFileLines)
 	}
 }
 
@@ -129,13 +129,13 @@
 		first := fileSet.Position(function.Pos()).Line
 		last := fileSet.Position(function.End()).Line
 		if lines := last - first + 1; lines > maxFunctionLines {
-			t.Errorf("%s has %d lines, want at most %d", function.Name.Name, lines, maxFunctionLines)
+			t.Errorf("function %s: got %d lines, want at most %d", function.Name.Name, lines, maxFunctionLines)
 		}
 	}
 }
 
-// No tuned value hides in a decision: the numbers in the decision files are 0 and 1, all others are
-// constants of constants.go, each with a comment.
+// TestTunedValuesAreDocumentedConstants checks that the decision files contain no numbers except 0 and 1.
+// All other numbers must be constants in constants.go with a comment.
 func TestTunedValuesAreDocumentedConstants(t *testing.T) {
 	for _, name := range decisionFiles {
 		t.Run(name, func(t *testing.T) {
@@ -151,7 +151,7 @@
 				literal, ok := node.(*ast.BasicLit)
 				isNumber := ok && (literal.Kind == token.INT || literal.Kind == token.FLOAT)
 				if isNumber && literal.Value != "0" && literal.Value != "1" && literal.Value != "0.0" {
-					t.Errorf("the number %s stands in a decision, want a constant of constants.go", literal.Value)
+					t.Errorf("got the number %s in a decision file, want a constant in constants.go", literal.Value)
 				}
 				return true
 			})
@@ -159,7 +159,7 @@
 	}
 }
 
-// checkConstantComments wants a comment above the first constant of each paragraph.
+// checkConstantComments checks that the first constant of each paragraph has a comment.
 func checkConstantComments(t *testing.T, file *ast.File) {
 	t.Helper()
 	for _, declaration := range file.Decls {
@@ -171,16 +171,16 @@
 		for _, spec := range group.Specs {
 			constant, ok := spec.(*ast.ValueSpec)
 			if !ok {
-				t.Fatalf("%T in a group of constants", spec)
+				t.Fatalf("got %T in a group of constants, want *ast.ValueSpec", spec)
 			}
 			sameParagraph := endOfPrevious != token.NoPos && constant.Doc == nil && constant.Pos()-endOfPrevious <= paragraphGap
 			if constant.Doc == nil && !sameParagraph {
-				t.Errorf("%s has no comment with its unit and origin", constant.Names[0].Name)
+				t.Errorf("got no comment on constant %s, want one with its unit and reason", constant.Names[0].Name)
 			}
 			endOfPrevious = constant.End()
 		}
 	}
 }
 
-// paragraphGap is the most bytes between two constants of one paragraph: a line end and a tab.
+// paragraphGap is the maximum number of bytes between two constants of a paragraph: a newline and a tab.
 const paragraphGap = 2
--- a/routing/transfertime.go
+++ b/routing/transfertime.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// transfer is the time that sending a response at full pace takes.
+// transfer is the time that it takes to send a response at full pace.
 type transfer struct {
 	seconds  float64
-	known    bool // not just the mean of its class
-	measured bool // by the bytes of this response
+	known    bool // specific to the request, not the mean of its class
+	measured bool // computed from the bytes of this response
 }
 
 // hasSize reports whether a request came with the size of its object.
@@ -14,14 +14,15 @@
 	return request.SizeKB > 0 && r.settings.TransferKBPerSecond > 0
 }
 
-// transferTime is transferSeconds as a duration.
+// transferTime returns the result of transferSeconds as a duration.
 func (r *Router) transferTime(request *request) time.Duration {
 	seconds, _ := r.transferSeconds(request)
 	return secondsToDuration(seconds)
 }
 
-// transferSeconds is the transfer time of a request in seconds: by its size, or else the least that
-// its chunk ever took, or the mean of its class.
+// transferSeconds returns the transfer time of a request in seconds. It is computed from the size of the
+// object, if known; otherwise it is the learned transfer time of the chunk or, if there is none, the
+// mean of the class. known is false for the mean.
 func (r *Router) transferSeconds(request *request) (seconds float64, known bool) {
 	if r.hasSize(request) {
 		return request.SizeKB / r.settings.TransferKBPerSecond, true
@@ -32,11 +33,11 @@
 	return *request.meanTransferTime, false
 }
 
-// measureTransfer is the transfer time of a served request: by the bytes of the response where they
-// tell it, else as known before.
+// measureTransfer returns the transfer time of a served request. It is computed from the bytes of the
+// response, if reported, and otherwise the result of transferSeconds.
 func (r *Router) measureTransfer(request *request, outcome *Outcome) transfer {
-	bytesTell := outcome.BodyBytes > 0 && r.settings.BodyBytesPerSecond > 0
-	if bytesTell && !request.class.Write {
+	hasBodyBytes := outcome.BodyBytes > 0 && r.settings.BodyBytesPerSecond > 0
+	if hasBodyBytes && !request.class.Write {
 		measured := float64(outcome.BodyBytes) / r.settings.BodyBytesPerSecond
 		return transfer{seconds: measured, known: true, measured: true}
 	}
@@ -44,7 +45,7 @@
 	return transfer{seconds: seconds, known: known}
 }
 
-// learnTransferTime keeps the transfer time of a chunk whose requests come without a size.
+// learnTransferTime stores the transfer time of a chunk if the request came without a size.
 func (r *Router) learnTransferTime(request *request, outcome *Outcome, transfer transfer) {
 	if r.hasSize(request) {
 		return
@@ -62,7 +63,7 @@
 	}
 }
 
-// learnMeanTransferTime moves the mean of a request's class towards one transfer time.
+// learnMeanTransferTime moves the mean of a request's class towards a transfer time in seconds.
 func (r *Router) learnMeanTransferTime(request *request, seconds float64) {
 	mean := request.meanTransferTime
 	*mean += (seconds - *mean) * meanTransferTimeGain
--- a/routing/unresponsive_parent_test.go
+++ b/routing/unresponsive_parent_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// An unresponsive parent is probed with one request at a time whenever its ejection ends. Where few
-// parents are left, what it would fill comes from the origin, unless that stops when it is
-// overloaded; then from the other parents. Symptoms guarded against: many requests at once to an
-// unresponsive parent, and a saturated link of the other.
+// TestUnresponsiveParentIsReplaced checks that an unresponsive parent is probed with one request at a time
+// when its ejection ends. If few parents are left, the origin fills the objects of that parent; if an
+// overload stops the origin, the other parents do. Otherwise an unresponsive parent gets many requests
+// at once, or the link of the other parent is saturated.
 func TestUnresponsiveParentIsReplaced(t *testing.T) {
 	tests := []struct {
 		name        string
 		originStops bool
 		failover    ServerID
 	}{
-		{name: "by the origin", originStops: false, failover: theOrigin},
+		{name: "by the origin", originStops: false, failover: originServer},
 		{name: "by the other parent where the origin stops", originStops: true, failover: secondParent},
 	}
 	for _, test := range tests {
@@ -25,15 +25,15 @@
 			config.HitStatusOnly = true
 			config.OriginStopsOnOverload = test.originStops
 			harness := newUnresponsiveParent(t, config)
-			harness.play(3000)
+			harness.run(3000)
 			if ejections := harness.parent.ejections; ejections < 3 {
-				t.Errorf("%d ejections, want 3 or more", ejections)
+				t.Errorf("got %d ejections, want at least 3", ejections)
 			}
 			if harness.mostInflight > 1 {
-				t.Errorf("%d in flight at once to an unresponsive parent, want at most 1", harness.mostInflight)
+				t.Errorf("got %d attempts in flight at an unresponsive parent, want at most 1", harness.mostInflight)
 			}
 			if fills := harness.failovers[test.failover]; len(harness.failovers) != 1 || fills < 100 {
-				t.Errorf("its part came from %v, want 100 or more, all from %d", harness.failovers, test.failover)
+				t.Errorf("got fills by failover sources %v, want at least 100, all from server %d", harness.failovers, test.failover)
 			}
 		})
 	}
@@ -43,10 +43,10 @@
 type unresponsiveParent struct {
 	*harness
 	parent       *server
-	inflight     []inflightAttempt // to the parent
-	mostInflight int               // at once, from its second ejection on
+	inflight     []inflightAttempt // attempts whose fill source is the parent
+	mostInflight int               // most attempts in flight after the second ejection
 	homes        map[ObjectID]ServerID
-	failovers    map[ServerID]int // fills in the place of the ejected parent
+	failovers    map[ServerID]int // number of fills in place of the ejected parent, by source
 }
 
 type inflightAttempt struct {
@@ -65,8 +65,8 @@
 	return started
 }
 
-// play sends requests for 200 objects in turn, one each 5 ms.
-func (h *unresponsiveParent) play(requests int) {
+// run sends requests for 200 objects in turn, one every 5 ms.
+func (h *unresponsiveParent) run(requests int) {
 	const objects = 200
 	for i := range requests {
 		h.now += 5 * millisecond
@@ -81,7 +81,7 @@
 	}
 }
 
-// serve ends each attempt at once, but those that the unresponsive parent fills.
+// serve ends each attempt at once, except those that the unresponsive parent fills.
 func (h *unresponsiveParent) serve(actions []Action, object ObjectID) {
 	for _, sent := range sendActions(actions) {
 		if sent.FillSource == h.parent.ID {
@@ -95,7 +95,7 @@
 	}
 }
 
-// checkAttempts fires the timers of what is in flight and ends what is canceled.
+// checkAttempts fires the check timers of attempts in flight and ends the attempts that are canceled.
 func (h *unresponsiveParent) checkAttempts() {
 	for i := 0; i < len(h.inflight); i++ {
 		attempt := &h.inflight[i]
