--- a/routing/limiter_test.go
+++ b/routing/limiter_test.go
@@ -98,7 +98,7 @@
 	}
 	limiter := &router.originLimiter
 	if want := minZoneLimit / routers; limiter.limit > want*1.01 {
-		t.Errorf("got a limit of one of %d routers of %v, want %v", routers, limiter.limit, want)
+		t.Errorf("got limit %[2]v for one of %[1]d routers, want %[3]v", routers, limiter.limit, want)
 	}
 
 	limiter.track(harness.now, 1)
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -32,7 +32,7 @@
 			}
 			var invalid *SettingError
 			if !errors.As(err, &invalid) || !strings.Contains(invalid.Setting, test.setting) {
-				t.Errorf("got error %v, want a SettingError for %s", err, test.setting)
+				t.Errorf("got error %v, want a *SettingError for %s", err, test.setting)
 			}
 		})
 	}
--- a/routing/selection_test.go
+++ b/routing/selection_test.go
@@ -40,7 +40,7 @@
 	}
 	for _, id := range []ServerID{firstCache, secondCache, thirdCache, firstParent, secondParent} {
 		if homes[id] < 50 {
-			t.Errorf("got server %d as home of %d of 300 objects, want at least 50", id, homes[id])
+			t.Errorf("server %d: got home of %d of 300 objects, want at least 50", id, homes[id])
 		}
 	}
 }
