--- /dev/null
+++ b/internal/ci/logtexts_test.go
@@ -0,0 +1,104 @@
+package ci
+
+import (
+	"go/ast"
+	"go/token"
+	"regexp"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// Marks of the part of the on-call page that names texts of the log and of errors.
+const (
+	logTextsHeading = "## Log lines that call for action"
+	errorTextPrefix = "wal: "
+	cutOffMark      = " …" // ends a text of which the page shows the beginning only
+)
+
+// formatVerb matches a verb of the package fmt after regexp.QuoteMeta.
+var formatVerb = regexp.MustCompile(`%[a-z]`)
+
+// sourceTexts returns the string literals of all files outside tests.
+func sourceTexts(t *testing.T) []string {
+	t.Helper()
+	var texts []string
+	for _, file := range parseModule(t) {
+		if file.isTest() {
+			continue
+		}
+		ast.Inspect(file.tree, func(node ast.Node) bool {
+			literal, ok := node.(*ast.BasicLit)
+			if !ok || literal.Kind != token.STRING {
+				return true
+			}
+			text, err := strconv.Unquote(literal.Value)
+			if err != nil {
+				t.Fatalf("%s:%d: %v", file.path, file.line(literal.Pos()), err)
+			}
+			texts = append(texts, text)
+			return true
+		})
+	}
+	return texts
+}
+
+// documentedTexts returns the texts that the on-call page names: those of several words in the
+// first column of the table of log lines, and the errors of the voters' logs below it.
+func documentedTexts(t *testing.T) []string {
+	t.Helper()
+	_, section, found := strings.Cut(strings.Join(readPage(t, "docs/on-call.md"), "\n"), logTextsHeading)
+	if !found {
+		t.Fatalf("docs/on-call.md: heading %q not found", logTextsHeading)
+	}
+	section, _, _ = strings.Cut(section, "\n## ")
+	var texts []string
+	var prose strings.Builder
+	for line := range strings.Lines(section) {
+		if !strings.HasPrefix(line, "|") {
+			prose.WriteString(strings.TrimSpace(line) + " ") // a text may continue on the next line
+			continue
+		}
+		event, _, _ := strings.Cut(line[1:], "|")
+		for _, match := range inlineCode.FindAllStringSubmatch(event, -1) {
+			if strings.Contains(match[1], " ") {
+				texts = append(texts, match[1])
+			}
+		}
+	}
+	for _, match := range inlineCode.FindAllStringSubmatch(prose.String(), -1) {
+		if strings.HasPrefix(match[1], errorTextPrefix) {
+			texts = append(texts, match[1])
+		}
+	}
+	return texts
+}
+
+// produces tells whether a string literal, as it is or as a format, gives a documented text.
+func produces(literal, documented string) bool {
+	pattern := "^" + formatVerb.ReplaceAllString(regexp.QuoteMeta(literal), ".+") + "$"
+	if beginning, isCut := strings.CutSuffix(documented, cutOffMark); isCut {
+		return strings.HasPrefix(literal, beginning)
+	}
+	return literal == documented || formatVerb.MatchString(literal) && strings.HasPrefix(literal, errorTextPrefix) &&
+		regexp.MustCompile(pattern).MatchString(documented)
+}
+
+// Each text of the log and of an error that the on-call page tells operators to look for is one
+// that the program prints.
+func TestOnCallPageLogTextsExist(t *testing.T) {
+	literals := sourceTexts(t)
+	documented := documentedTexts(t)
+	for _, text := range documented {
+		found := false
+		for _, literal := range literals {
+			found = found || produces(literal, text)
+		}
+		if !found {
+			t.Errorf("docs/on-call.md: no string of the source gives %q", text)
+		}
+	}
+	if len(documented) < 20 {
+		t.Errorf("got %d texts on the page, want 20 or more: %q", len(documented), documented)
+	}
+}
--- a/internal/ci/source_test.go
+++ b/internal/ci/source_test.go
@@ -43,7 +43,7 @@
 			return nil
 		}
 		set := token.NewFileSet()
-		tree, err := parser.ParseFile(set, path, nil, parser.SkipObjectResolution)
+		tree, err := parser.ParseFile(set, path, nil, parser.SkipObjectResolution|parser.ParseComments)
 		if err != nil {
 			return err
 		}
