--- a/internal/fleet/membership/broadcast.go
+++ b/internal/fleet/membership/broadcast.go
@@ -8,30 +8,33 @@
 )
 
 const (
-	// fastGossipThreshold is how many queued broadcasts make a router send faster.
+	// fastGossipThreshold is the number of queued broadcasts above which a router gossips
+	// fastGossipFactor times as often.
 	fastGossipThreshold = 48
 	fastGossipFactor    = 4
 
-	// maxBroadcasts bounds the queue; what finds no room waits for the exchange of views.
+	// maxBroadcasts bounds the queue. Updates and items beyond it reach the other routers
+	// through the comparison of views (see runSync).
 	maxBroadcasts = 4096
 )
 
-// broadcast is an update or an item that is sent to others a number of times.
+// broadcast is an update or an item that is sent to other routers a limited number of times.
 type broadcast struct {
 	update    Update
-	item      []byte // nil: it is the update
-	transmits int    // so far
+	item      []byte // nil if the broadcast is an update
+	transmits int    // number of packets that have carried it
 }
 
-// broadcastQueue holds the broadcasts. They are sent in turn, so that all are sent alike.
+// broadcastQueue holds the broadcasts. They are sent in round-robin order, so that all are
+// sent equally often.
 type broadcastQueue struct {
 	entries     []broadcast
-	next        int             // into entries
-	queuedItems map[uint64]bool // checksums of the items in entries
+	next        int             // index of the entry that is sent next
+	queuedItems map[uint64]bool // hashes of the items in entries
 }
 
-// addUpdate queues an update, in place of an older one about the same router or one by the
-// same reporter.
+// addUpdate queues an update. It replaces a queued update about the same router that is older
+// or has the same reporter.
 func (q *broadcastQueue) addUpdate(update Update) {
 	for i := range q.entries {
 		entry := &q.entries[i]
@@ -48,7 +51,7 @@
 	}
 }
 
-// addItem queues an item, unless it is queued.
+// addItem queues an item, unless it is already in the queue.
 func (q *broadcastQueue) addItem(item []byte) {
 	if q.queuedItems == nil {
 		q.queuedItems = map[uint64]bool{}
@@ -60,7 +63,7 @@
 	}
 }
 
-// remove removes the i-th entry; the last one takes its place.
+// remove removes the i-th entry and moves the last entry into its place.
 func (q *broadcastQueue) remove(i int) {
 	if item := q.entries[i].item; item != nil {
 		delete(q.queuedItems, xxhash.Sum64(item))
@@ -71,13 +74,14 @@
 	q.entries = q.entries[:last]
 }
 
-// Broadcast queues an item to be sent to all.
+// Broadcast queues an item to be sent to all routers.
 func (m *Machine) Broadcast(item []byte) {
 	m.broadcasts.addItem(item)
 	m.scheduleGossip()
 }
 
-// scheduleGossip has the queue sent soon.
+// scheduleGossip schedules the next gossip within one gossip interval, unless it is already
+// scheduled.
 func (m *Machine) scheduleGossip() {
 	if math.IsInf(m.nextGossipAt, 1) {
 		m.nextGossipAt = m.now + m.settings.GossipInterval*m.rng.Float64()
@@ -104,16 +108,19 @@
 		return
 	}
 	m.nextGossipAt = m.now + m.settings.GossipInterval
-	if queued > fastGossipThreshold { // a fleet that starts at once: updates are old before their turn comes
+	if queued > fastGossipThreshold {
+		// When a whole fleet starts at once, updates would be outdated before they are sent.
 		m.nextGossipAt = m.now + m.settings.GossipInterval/fastGossipFactor
 	}
 }
 
-// send sends a packet to a router, or with a nil receiver to an address at which one may
-// be. What the receiver is held for, if that is not alive, goes first: it may refute.
+// send sends a packet to addr. receiver is nil if the sender does not know which router is at
+// that address, or if the packet is not to carry broadcasts. If the receiver is regarded as
+// suspect, failed or left, that update comes before the broadcasts so that the receiver can
+// refute it.
 func (m *Machine) send(addr netip.AddrPort, receiver *peer, packet *Packet) {
 	if m.superseded && packet.Kind != Ack && packet.Kind != SyncResponse && packet.Kind != SyncRequest {
-		return // its successor sends the rest
+		return // the later process with this router's ID sends all other packets
 	}
 	m.sequence++
 	packet.Sequence = m.sequence
@@ -128,7 +135,7 @@
 	m.output.Packets = append(m.output.Packets, OutgoingPacket{addr, packet})
 }
 
-// attachBroadcasts puts queued broadcasts into a packet, as far as budget bytes hold them.
+// attachBroadcasts adds queued broadcasts to a packet, up to budget bytes.
 func (m *Machine) attachBroadcasts(packet *Packet, budget int) {
 	limit := int(math.Ceil(m.settings.RetransmitMult * math.Log10(float64(len(m.present)+2))))
 	queue := &m.broadcasts
@@ -154,7 +161,8 @@
 	}
 }
 
-// outdated reports whether more is known than what a queued update says.
+// outdated reports whether a queued update is older than what this router knows, or is about
+// a router that has been forgotten.
 func (m *Machine) outdated(update *Update) bool {
 	known := m.peers[update.ID]
 	if known == nil {
@@ -170,7 +178,8 @@
 	return encodedItemSize(b.item)
 }
 
-// addTo adds the broadcast to a packet. It returns false where that has as many already.
+// addTo adds the broadcast to a packet. It returns false if the packet already has the
+// maximum number of updates or items.
 func (b *broadcast) addTo(p *Packet) bool {
 	if b.item == nil {
 		if len(p.Updates) >= maxUpdates {
--- a/internal/fleet/membership/checksum.go
+++ b/internal/fleet/membership/checksum.go
@@ -6,16 +6,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// toggleChecksum adds a present router to the checksums by which views are compared, or
-// takes it out again.
+// toggleChecksum adds a present router to the checksum of its bucket, or removes it if it was
+// added before. It does nothing for a router that is not present.
 func (m *Machine) toggleChecksum(r *peer) {
 	if r.State.Present() {
 		m.checksums[r.ID%BucketCount] ^= peerChecksum(r.ID, r.Revision)
 	}
 }
 
-// updateSelfChecksum replaces this router's part of the checksums after its revision
-// changed.
+// updateSelfChecksum replaces this router's contribution to the checksums after its revision
+// has changed.
 func (m *Machine) updateSelfChecksum() {
 	bucket := m.self.ID % BucketCount
 	m.checksums[bucket] ^= m.selfChecksum
@@ -23,7 +23,7 @@
 	m.checksums[bucket] ^= m.selfChecksum
 }
 
-// allChecksums returns the checksums of members and items together.
+// allChecksums returns for each bucket the combined checksum of its members and items.
 func (m *Machine) allChecksums() []uint32 {
 	checksums := make([]uint32, BucketCount)
 	for bucket := range checksums {
@@ -35,10 +35,12 @@
 	return checksums
 }
 
-// Checksums returns what two routers with equal views have in common.
+// Checksums returns the checksum of each bucket. Two routers with equal views have equal
+// checksums.
 func (m *Machine) Checksums() [BucketCount]uint32 { return [BucketCount]uint32(m.allChecksums()) }
 
-// peerChecksum is the same at all routers, since checksums are compared between them.
+// peerChecksum returns the checksum of a router at a revision. It must be the same at all
+// routers, since they compare checksums with each other.
 func peerChecksum(id ID, revision uint64) uint32 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], uint64(id))
--- a/internal/fleet/membership/codec.go
+++ b/internal/fleet/membership/codec.go
@@ -8,7 +8,7 @@
 	"garnetline/internal/fleet/wireformat"
 )
 
-// Field numbers of a packet, in protobuf's encoding.
+// Field numbers of a packet in the protobuf encoding.
 const (
 	fieldKind = 1 + iota
 	fieldFrom
@@ -22,7 +22,7 @@
 	fieldPayload
 )
 
-// Field numbers of an update.
+// Field numbers of an update in the protobuf encoding.
 const (
 	updateFieldID = 1 + iota
 	updateFieldRevision
@@ -35,10 +35,10 @@
 )
 
 const (
-	checksumLen = 4 // bytes
-	portLen     = 2 // bytes
-	ipv4Len     = 4 // bytes
-	ipv6Len     = 16
+	checksumLen = 4  // bytes
+	portLen     = 2  // bytes
+	ipv4Len     = 4  // bytes
+	ipv6Len     = 16 // bytes
 )
 
 // Append appends the encoded packet to b.
@@ -80,7 +80,7 @@
 	return b
 }
 
-// appendFixed64 appends a number, unless it is 0.
+// appendFixed64 appends a fixed64 field, unless its value is 0.
 func appendFixed64(b []byte, field protowire.Number, value uint64) []byte {
 	if value == 0 {
 		return b
@@ -96,7 +96,7 @@
 	return append(b, byte(addr.Port()>>8), byte(addr.Port()))
 }
 
-// appendUpdate appends an update; its length, of two bytes at the most, goes before it.
+// appendUpdate appends a length-delimited update. The length takes at most two bytes.
 func appendUpdate(b []byte, field protowire.Number, u *Update) []byte {
 	var buffer [4*MaxNameLen + 64]byte
 	encoded := appendFixed64(buffer[:0], updateFieldID, uint64(u.ID))
@@ -112,8 +112,9 @@
 	return appendBytes(b, field, encoded)
 }
 
-// Decode decodes a packet. Unknown fields of a later version are skipped; whatever is out of
-// bounds is ErrMalformedPacket. Nothing in the result refers to b.
+// Decode decodes a packet. It skips unknown fields, which a later version may send. It returns
+// ErrMalformedPacket if the encoding is invalid or a field is out of bounds. The result does
+// not refer to the memory of b.
 func Decode(b []byte) (*Packet, error) {
 	if len(b) > MaxPacketLen {
 		return nil, ErrMalformedPacket
@@ -130,7 +131,7 @@
 	return knownKind && p.From.ID != 0 && p.From.State == Alive && p.From.Addr.IsValid()
 }
 
-// setField takes one decoded field. It returns false where the field is out of bounds.
+// setField sets one decoded field. It returns false if the field is out of bounds.
 func (p *Packet) setField(number protowire.Number, value uint64, content []byte) bool {
 	switch number {
 	case fieldKind:
@@ -183,7 +184,8 @@
 	return true
 }
 
-// unmarshal decodes an update. It returns false where that is out of bounds.
+// unmarshal decodes an update. It returns false if the encoding is invalid or a field is out
+// of bounds.
 func (u *Update) unmarshal(b []byte) bool {
 	return wireformat.ParseFieldsFixed64(b, u.setField) && u.ID != 0 && u.State <= Left
 }
@@ -210,7 +212,7 @@
 	return true
 }
 
-// parseName accepts printable ASCII only, since names are printed to logs and terminals.
+// parseName accepts only printable ASCII, since names are printed to logs and terminals.
 func parseName(b []byte, name *string) bool {
 	if len(b) > MaxNameLen {
 		return false
--- a/internal/fleet/membership/codec_test.go
+++ b/internal/fleet/membership/codec_test.go
@@ -31,13 +31,13 @@
 	packet.Checksums[3] = 5
 	decoded, err := Decode(packet.Append(nil))
 	if err != nil || !reflect.DeepEqual(packet, decoded) {
-		t.Errorf("%v: %+v, want %+v", err, decoded, packet)
+		t.Errorf("got error %v and packet %+v, want %+v", err, decoded, packet)
 	}
-	later := append(packet.Append(nil), 0xfa, 0x01, 0x01, 'x') // a field that this version does not know
-	if decoded, err := Decode(later); err != nil || !reflect.DeepEqual(packet, decoded) {
-		t.Errorf("with a later field: %v", err)
+	withUnknownField := append(packet.Append(nil), 0xfa, 0x01, 0x01, 'x') // a field of a later version
+	if decoded, err := Decode(withUnknownField); err != nil || !reflect.DeepEqual(packet, decoded) {
+		t.Errorf("packet with an unknown field: got error %v, want the packet without that field", err)
 	}
-	for name, spoil := range map[string]func(*Packet){
+	for name, corrupt := range map[string]func(*Packet){
 		"no kind":           func(p *Packet) { p.Kind = 0 },
 		"unknown kind":      func(p *Packet) { p.Kind = 200 },
 		"no sender":         func(p *Packet) { p.From.ID = 0 },
@@ -52,17 +52,17 @@
 		"too many updates":  func(p *Packet) { p.Updates = make([]Update, maxUpdates+1); p.Updates[0].ID = 1 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			spoilt := samplePacket()
-			spoil(spoilt)
-			if _, err := Decode(spoilt.Append(nil)); err == nil {
-				t.Error("decoded")
+			corrupted := samplePacket()
+			corrupt(corrupted)
+			if _, err := Decode(corrupted.Append(nil)); err == nil {
+				t.Error("decoded without an error, want one")
 			}
 		})
 	}
 }
 
-// Whatever the bytes, there is no panic; what is decoded is within bounds, and reads the
-// same when it is encoded again.
+// Decode does not panic on any input. A decoded packet is within bounds, and decodes to the same
+// packet after it is encoded again.
 func FuzzDecode(f *testing.F) {
 	f.Add(samplePacket().Append(nil))
 	f.Add([]byte{8, 1})
@@ -72,12 +72,12 @@
 			return
 		}
 		if len(packet.Updates) > maxUpdates || len(packet.Items) > maxItems || len(packet.From.Name) > MaxNameLen {
-			t.Fatalf("out of bounds: %+v", packet)
+			t.Fatalf("decoded packet is out of bounds: %+v", packet)
 		}
 		encoded := packet.Append(nil)
 		again, err := Decode(encoded)
 		if len(encoded) <= MaxPacketLen && (err != nil || !bytes.Equal(encoded, again.Append(nil))) {
-			t.Fatalf("%v: %x, then %x", err, encoded, again.Append(nil))
+			t.Fatalf("decoding again: got error %v; encoded first as %x, then as %x", err, encoded, again.Append(nil))
 		}
 	})
 }
--- a/internal/fleet/membership/golden_test.go
+++ b/internal/fleet/membership/golden_test.go
@@ -8,7 +8,8 @@
 	"garnetline/internal/golden"
 )
 
-// packetsOfEachKind returns one packet of each kind, and one with all of the fields.
+// packetsOfEachKind returns one packet of each kind and one with all fields set, with their names
+// in the golden file.
 func packetsOfEachKind() (names []string, packets []*Packet) {
 	from := Update{ID: 0x1122334455667788, Revision: FirstRevision(5) + 3, Name: "r1", Zone: "north", Version: "1.2", Addr: netip.MustParseAddrPort("10.1.2.3:7946")}
 	suspect := Update{ID: 8, Revision: FirstRevision(2), State: Suspect, ReportedBy: 9, Name: "r2", Zone: "south", Version: "1.1", Addr: netip.MustParseAddrPort("[fd00::2]:7946")}
@@ -36,7 +37,8 @@
 	return names, packets
 }
 
-// Packets between routers of this version and of the one before are the same bytes.
+// The encoding of packets is the same as in the previous version, since routers of both versions
+// exchange them.
 func TestGoldenPackets(t *testing.T) {
 	names, packets := packetsOfEachKind()
 	var messages []golden.Message
@@ -46,28 +48,28 @@
 	for _, m := range golden.CompareMessages(t, "packets.golden", messages) {
 		p, err := Decode(m.Bytes)
 		if err != nil {
-			t.Errorf("%s: %v", m.Name, err)
+			t.Errorf("%s: cannot decode: %v", m.Name, err)
 			continue
 		}
 		if again := p.Append(nil); !bytes.Equal(again, m.Bytes) {
-			t.Errorf("%s: read and written again it is %x, want %x", m.Name, again, m.Bytes)
+			t.Errorf("%s: decoded and encoded again: got %x, want %x", m.Name, again, m.Bytes)
 		}
 	}
 }
 
-// The admin API, metrics and log lines show states and identities in these words.
+// The admin API, metrics and log lines show states and IDs in this form.
 func TestPrintedStrings(t *testing.T) {
 	for s, want := range map[State]string{Alive: "alive", Suspect: "suspect", Failed: "failed", Left: "left", Left + 1: "unknown"} {
 		if s.String() != want {
-			t.Errorf("state %d is %q, want %q", s, s, want)
+			t.Errorf("state %d: got name %q, want %q", s, s, want)
 		}
 	}
 	if got := ID(0xab).String(); got != "00000000000000ab" {
-		t.Errorf("an identity is %q", got)
+		t.Errorf("got ID %q, want \"00000000000000ab\"", got)
 	}
 }
 
-// Events are logged and counted under these names, and under those of states.
+// Events are logged and counted under these names or under the name of a state.
 func TestEventKinds(t *testing.T) {
 	for got, want := range map[string]string{
 		EventSuspect: Suspect.String(), EventFailed: Failed.String(), EventLeft: Left.String(),
@@ -75,15 +77,15 @@
 		EventSuperseded: "superseded", EventStalled: "woken", EventFull: "full",
 	} {
 		if got != want {
-			t.Errorf("an event is %q, want %q", got, want)
+			t.Errorf("got event kind %q, want %q", got, want)
 		}
 	}
 }
 
-// An incarnation of a process begins at a multiple of 2^24; what is below counts refutations.
+// The revisions of an incarnation start at a multiple of 2^24; the low 24 bits count refutations.
 func TestIncarnationBits(t *testing.T) {
 	update := Update{Revision: FirstRevision(3) + 2}
 	if update.Revision != 3<<24+2 || update.Incarnation() != 3 {
-		t.Errorf("%x, of incarnation %d", update.Revision, update.Incarnation())
+		t.Errorf("got revision %x and incarnation %d, want 3000002 and 3", update.Revision, update.Incarnation())
 	}
 }
--- a/internal/fleet/membership/machine.go
+++ b/internal/fleet/membership/machine.go
@@ -7,33 +7,33 @@
 	"slices"
 )
 
-// stallPeriods is by how many probe intervals a step must be late for this router to
-// conclude that it was stopped.
-const stallPeriods = 2
+// stallProbeIntervals is how many probe intervals, plus the probe timeout, a step must be late
+// for this router to conclude that its process was stopped.
+const stallProbeIntervals = 2
 
-// leaveNotices is to how many routers one that leaves says so, at the most.
-const leaveNotices = 8
+// maxLeaveNotices is the maximum number of packets in which a router announces that it leaves.
+const maxLeaveNotices = 8
 
-// Machine is what one router knows of the others. It is not safe for concurrent use.
+// Machine holds what one router knows about the others. It is not safe for concurrent use.
 type Machine struct {
 	settings Settings
 	self     Update
 	seeds    []netip.AddrPort
 	rng      *rand.Rand
 	store    ItemStore
-	output   *Output // of the call that runs
+	output   *Output // result of the call in progress
 	now      float64
 	wakeAt   float64
-	sequence uint64 // of the latest packet sent
+	sequence uint64 // number of the latest packet sent
 
 	peers        map[ID]*peer
-	idsByName    map[string]ID // of those that are present
-	present      []*peer       // in the order of probing
-	probeIndex   int           // into present
+	idsByName    map[string]ID // this router and the present ones
+	present      []*peer       // alive or suspect, in the order of probing
+	probeIndex   int           // index in present of the next router to probe
 	suspects     []*peer
-	departed     []*peer // failed or left, and not forgotten
+	departed     []*peer // failed or left, and not yet forgotten
 	checksums    [BucketCount]uint32
-	selfChecksum uint32 // this router's part of its bucket
+	selfChecksum uint32 // this router's contribution to its bucket
 
 	healthScore int
 	probe       activeProbe
@@ -48,25 +48,27 @@
 	nextReconnectAt float64
 	syncInterval    float64
 
-	lastReceivedAt    float64 // the latest packet of anybody
+	lastReceivedAt    float64 // when a packet of any router last arrived, ms
 	left              bool
 	superseded        bool  // a later process has this router's ID
-	Replays           int64 // packets dropped as old or repeated
-	Rejected          int64 // routers beyond the member limit
+	Replays           int64 // packets dropped because they were outdated or repeated
+	Rejected          int64 // routers not added because of the member limit
 	reportedConflicts map[string]bool
-	disabledRule      testRule // set by tests alone
+	disabledRule      protocolRule // 0: none; only tests set it
 }
 
-// testRule is a rule of the protocol that a test disables, to see that it notices.
-type testRule uint8
+// protocolRule is a rule of the protocol that a test can disable, to verify that the test
+// detects a violation of it.
+type protocolRule uint8
 
 const (
-	ruleOrdering   testRule = 1 + iota // an older update never replaces a newer one
-	ruleRefutation                     // a router that is held for gone says that it is not
+	ruleOrdering   protocolRule = 1 + iota // an older update never replaces a newer one
+	ruleRefutation                         // a router that is reported as suspect, failed or left refutes that
 )
 
-// New returns a machine that knows itself alone. self is alive, with the first revision of
-// its incarnation; seeds are addresses at which others may be. store may be nil.
+// New returns the machine of the router self, which knows no other router yet. self must be
+// alive and have the first revision of its incarnation. seeds are addresses at which other
+// routers may be reachable. store may be nil.
 func New(settings Settings, self Update, seeds []netip.AddrPort, rng *rand.Rand, store ItemStore, now float64) *Machine {
 	machine := &Machine{
 		settings:          settings,
@@ -89,14 +91,15 @@
 	return machine
 }
 
-// Step brings the machine to now, in ms, and handles a packet, which may be nil.
+// Step advances the machine's clock to now, in ms, handles a received packet, which may be nil,
+// and runs the timers that are due.
 func (m *Machine) Step(now float64, packet *Packet) Output {
 	var out Output
 	m.output = &out
-	late := now - m.wakeAt
+	lateness := now - m.wakeAt
 	m.now = max(m.now, now)
-	if late > stallPeriods*m.settings.ProbeInterval+m.settings.ProbeTimeout {
-		m.handleStall(late)
+	if lateness > stallProbeIntervals*m.settings.ProbeInterval+m.settings.ProbeTimeout {
+		m.handleStall(lateness)
 	}
 	if packet != nil && !m.left {
 		m.handlePacket(packet)
@@ -110,8 +113,8 @@
 	return out
 }
 
-// SendPayload sends a payload to another state machine of a router. It may get lost, and is
-// not sent to a router that is not present.
+// SendPayload sends a payload to a different state machine of the router to. The payload may be
+// lost. It is not sent if that router is not present or the payload exceeds MaxPayloadLen.
 func (m *Machine) SendPayload(now float64, to ID, payload []byte) (out Output) {
 	m.output = &out
 	m.now = max(m.now, now)
@@ -122,7 +125,8 @@
 	return out
 }
 
-// Leave tells the others that this router leaves. Nothing is sent after it.
+// Leave announces to other routers that this one leaves. The machine sends no packets
+// afterwards.
 func (m *Machine) Leave(now float64) Output {
 	var out Output
 	m.output = &out
@@ -131,7 +135,7 @@
 		m.self.State = Left
 		update := m.self
 		update.ReportedBy = update.ID
-		for range min(leaveNotices, len(m.present)) {
+		for range min(maxLeaveNotices, len(m.present)) {
 			m.send(m.randomPeer(nil).Addr, nil, &Packet{Kind: Gossip, Updates: []Update{update}})
 		}
 	}
@@ -141,26 +145,26 @@
 	return out
 }
 
-// SetSeeds replaces the addresses at which others may be.
+// SetSeeds replaces the addresses at which other routers may be reachable.
 func (m *Machine) SetSeeds(seeds []netip.AddrPort) { m.seeds = slices.Clone(seeds) }
 
-// InjectUpdate broadcasts an update about another router as if this one believed it. It is
-// for tests of what a router that has the key can do wrongly.
+// InjectUpdate applies and broadcasts an update as if this router had received it. Tests use it
+// to simulate a faulty router that holds the fleet's key.
 func (m *Machine) InjectUpdate(update Update) {
 	m.output = &Output{}
 	m.applyUpdate(update, "injected by a test")
 	m.output = nil
 }
 
-// handleStall makes up for the time in which this router did nothing.
-//
-// Symptom guarded against: a router stopped for 30 s woke, found every probe unanswered
-// and every suspicion expired, and told the fleet that all of it had failed.
-func (m *Machine) handleStall(late float64) {
+// handleStall cancels the active probe and extends all suspicions after this router's process
+// was stopped for a while, so that the time of the stop does not count. lateness is in ms.
+// Otherwise a router that resumes after 30 s finds every probe unanswered and every suspicion
+// expired, and reports all other routers as failed.
+func (m *Machine) handleStall(lateness float64) {
 	m.probe.target = nil
 	for _, suspect := range m.suspects {
-		suspect.suspectedAt += late
-		suspect.suspicionDeadline += late
+		suspect.suspectedAt += lateness
+		suspect.suspicionDeadline += lateness
 	}
 	m.raiseHealthScore(1)
 	m.nextProbeAt = m.now + m.settings.ProbeInterval
@@ -169,7 +173,7 @@
 	m.output.addEvent(EventStalled, m.self, "this router was stalled")
 }
 
-// runTimers does what is due.
+// runTimers runs the timers that are due and drops expired requests.
 func (m *Machine) runTimers() {
 	if m.superseded {
 		m.pollSuccessor()
@@ -192,8 +196,9 @@
 	m.pending = slices.DeleteFunc(m.pending, func(request pendingRequest) bool { return request.expiresAt <= m.now })
 }
 
-// pollSuccessor asks whether the later process of this router's ID is still there. That
-// one does all else.
+// pollSuccessor sends a SyncRequest to a random router, whose answer shows whether the later
+// process with this router's ID is still present. While it is, that process does all other
+// work.
 func (m *Machine) pollSuccessor() {
 	if m.nextReconnectAt > m.now {
 		return
@@ -204,7 +209,7 @@
 	}
 }
 
-// nextWakeAt returns when the next timer is due.
+// nextWakeAt returns when the next timer is due, in ms.
 func (m *Machine) nextWakeAt() float64 {
 	if m.left {
 		return math.Inf(1)
@@ -217,7 +222,7 @@
 		wakeAt = min(wakeAt, m.probe.helpAt)
 	}
 	for _, suspect := range m.suspects {
-		wakeAt = min(wakeAt, suspect.suspicionDeadline, suspect.nextCheckAt())
+		wakeAt = min(wakeAt, suspect.suspicionDeadline, suspect.nextRecheckAt())
 	}
 	for i := range m.relays {
 		wakeAt = min(wakeAt, m.relays[i].deadline)
@@ -225,14 +230,15 @@
 	return wakeAt
 }
 
-// raiseHealthScore notes evidence that this router is itself slow: it then probes more
-// slowly and waits longer before it suspects others.
+// raiseHealthScore records evidence that this router itself is slow. With a higher score it
+// probes less often and waits longer before it suspects others.
 func (m *Machine) raiseHealthScore(by int) {
 	m.healthScore = min(m.settings.MaxHealthScore, m.healthScore+by)
 }
 
-// lowerHealthScore notes evidence that this router is well.
+// lowerHealthScore records evidence that this router is healthy.
 func (m *Machine) lowerHealthScore(by int) { m.healthScore = max(0, m.healthScore-by) }
 
-// healthMultiplier is the factor by which this router's own slowness stretches its timers.
+// healthMultiplier returns the factor by which this router lengthens its probe timers because
+// it is slow itself.
 func (m *Machine) healthMultiplier() float64 { return float64(1 + m.healthScore) }
--- a/internal/fleet/membership/machine_test.go
+++ b/internal/fleet/membership/machine_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// fuzzPacket returns a packet that a byte stands for.
+// fuzzPacket returns a packet whose fields are derived from a byte of the fuzz input.
 func fuzzPacket(b byte) *Packet {
 	update := Update{
 		ID:         ID(1 + b%9),
@@ -29,30 +29,30 @@
 	}
 }
 
-// checkBounds fails the test where a machine or the output of a step is out of bounds.
+// checkBounds fails the test if a machine or the output of a step exceeds a limit.
 func checkBounds(t *testing.T, machine *Machine, out *Output) {
 	t.Helper()
 	for _, sent := range out.Packets {
 		if n := len(sent.Packet.Append(nil)); n > MaxPacketLen {
-			t.Fatalf("a packet of %d bytes", n)
+			t.Fatalf("got a packet of %d bytes, want at most MaxPacketLen", n)
 		}
 	}
 	switch {
 	case len(machine.peers) > machine.settings.MaxMembers:
-		t.Fatalf("%d members", len(machine.peers))
+		t.Fatalf("got %d members, want at most MaxMembers", len(machine.peers))
 	case len(machine.unverified) > maxUnverified:
-		t.Fatalf("%d unverified packets", len(machine.unverified))
+		t.Fatalf("got %d unverified packets, want at most maxUnverified", len(machine.unverified))
 	case len(machine.pending) > maxPendingRequests:
-		t.Fatalf("%d pending requests", len(machine.pending))
+		t.Fatalf("got %d pending requests, want at most maxPendingRequests", len(machine.pending))
 	case len(machine.relays) > maxRelays:
-		t.Fatalf("%d relays", len(machine.relays))
+		t.Fatalf("got %d relays, want at most maxRelays", len(machine.relays))
 	case len(out.Packets) > 64:
-		t.Fatalf("%d packets of one step", len(out.Packets))
+		t.Fatalf("got %d packets from one step, want at most 64", len(out.Packets))
 	}
 }
 
-// Whatever packets come, in whatever order and at whatever times, a machine holds its
-// bounds and never goes back in what it knows of a router.
+// For any sequence of packets and times, a machine stays within its limits and never replaces an
+// update about a router with an older one.
 func FuzzMachine(f *testing.F) {
 	f.Add(uint64(1), []byte("some steps, in an order that chance has"))
 	f.Add(uint64(2), bytes.Repeat([]byte{1, 5, 9, 250}, 30))
@@ -78,7 +78,7 @@
 			checkBounds(t, machine, &out)
 			for _, member := range machine.View().Members {
 				if old, known := latest[member.ID]; known && newer(&old, &member.Update) {
-					t.Fatalf("went back from %+v to %+v", old, member.Update)
+					t.Fatalf("newer update %+v was replaced with the older %+v", old, member.Update)
 				}
 				latest[member.ID] = member.Update
 			}
@@ -86,20 +86,20 @@
 	})
 }
 
-func TestReplayWindowAcceptsEachOnce(t *testing.T) {
+func TestReplayWindowAcceptsEachPacketOnce(t *testing.T) {
 	w := replayWindow{verified: true, highest: 100, seen: 1}
 	for _, step := range []struct {
 		sequence uint64
 		want     bool
 	}{{100, false}, {101, true}, {101, false}, {99, true}, {99, false}, {300, true}, {237, true}, {236, false}, {237, false}, {101, false}} {
 		if got := w.accept(step.sequence); got != step.want {
-			t.Errorf("%d: %v, want %v", step.sequence, got, step.want)
+			t.Errorf("sequence number %d: got accepted %v, want %v", step.sequence, got, step.want)
 		}
 	}
 }
 
-// benchFleet returns a machine that knows so many others, all of which have been verified.
-func benchFleet(others int) *Machine {
+// newBenchMachine returns a machine that knows the given number of other routers, all verified.
+func newBenchMachine(others int) *Machine {
 	self := Update{ID: 1, Revision: FirstRevision(1), Name: "r0", Addr: testAddr(0)}
 	m := New(DefaultSettings(), self, nil, rand.New(rand.NewPCG(1, 1)), nil, 0)
 	m.settings.MaxMembers = 2 * others
@@ -111,7 +111,7 @@
 }
 
 func BenchmarkStep(b *testing.B) {
-	m := benchFleet(300)
+	m := newBenchMachine(300)
 	now := 0.0
 	for b.Loop() {
 		now += 20
@@ -120,7 +120,7 @@
 }
 
 func BenchmarkPing(b *testing.B) {
-	m := benchFleet(300)
+	m := newBenchMachine(300)
 	p := &Packet{Kind: Ping, From: m.present[0].Update, Target: 1}
 	for b.Loop() {
 		p.Sequence++
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -1,14 +1,15 @@
-// Package membership tracks which routers of an installation there are and which of them
-// have failed: SWIM with Lifeguard's refinements, as a state machine without I/O.
+// Package membership tracks which routers belong to an installation and which of them have
+// failed. It implements SWIM with the Lifeguard extensions as a state machine without I/O.
 //
-// A router is identified by an ID that outlives its process where its state directory does.
-// What is said of an ID is ordered by a revision alone, by no clock: the incarnation of the
-// router's process in the upper bits, how often that process refuted a suspicion in the
-// lower ones.
+// A router is identified by an ID, which survives a restart of the process if the router's
+// state directory does. Updates about an ID are ordered by their revision, not by a clock.
+// The upper bits of a revision hold the incarnation of the router's process, the lower bits
+// how often that process has refuted a suspicion.
 //
-// A Machine owns what one router knows of the others. It is stepped by packets and by the
-// time, and returns what is to be sent. It is not safe for concurrent use: the goroutine
-// that owns it (of the transport, or of a simulation) makes all calls.
+// A Machine holds what one router knows about the others. The caller steps it with received
+// packets and the current time, and it returns the packets to send. It is not safe for
+// concurrent use: the goroutine that owns it (the transport's or a simulation's) makes all
+// calls.
 package membership
 
 import (
@@ -16,14 +17,14 @@
 	"net/netip"
 )
 
-// ID identifies a router. Zero is no router.
+// ID identifies a router. Zero is not a valid ID.
 type ID uint64
 
-// String returns the ID as it is printed and stored: 16 hexadecimal digits.
+// String returns the ID in its printed and stored form: 16 hexadecimal digits.
 func (id ID) String() string { return fmt.Sprintf("%016x", uint64(id)) }
 
-// State tells how a router is seen. The order matters: of two updates of one revision, the
-// one with the higher state takes precedence.
+// State is the state of a router as another router sees it. The order of the values matters:
+// of two updates with the same revision, the one with the higher state takes precedence.
 type State uint8
 
 // The states of a router.
@@ -36,7 +37,7 @@
 
 var stateNames = [...]string{"alive", "suspect", "failed", "left"}
 
-// String returns the name of the state as logs, metrics and the admin API show it.
+// String returns the name of the state that logs, metrics and the admin API show.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -47,52 +48,56 @@
 // Present reports whether a router in this state counts as present: alive or suspect.
 func (s State) Present() bool { return s <= Suspect }
 
-// refutationBits are the bits of a revision that count refutations within one incarnation.
+// refutationBits is the number of low bits of a revision that count the refutations within
+// one incarnation.
 const refutationBits = 24
 
-// FirstRevision returns the revision with which an incarnation begins.
+// FirstRevision returns the first revision of an incarnation.
 func FirstRevision(incarnation uint64) uint64 { return incarnation << refutationBits }
 
-// Update is a statement about a router: its own, or that of another that suspects it.
+// Update describes a router at one revision. It comes from that router itself, or from
+// another one that reports it as suspect or failed.
 type Update struct {
 	ID         ID
 	Revision   uint64
 	State      State
-	ReportedBy ID // who says so, where it is suspect or failed
+	ReportedBy ID // router that reports it as suspect or failed; its own ID when it leaves
 	Name       string
 	Zone       string
 	Version    string
-	Addr       netip.AddrPort // where packets for it are sent
+	Addr       netip.AddrPort // address that receives its packets
 }
 
-// Incarnation returns the number of the process among those that had the ID, from 1 on.
+// Incarnation returns the number of the router's process. The first process with the ID has
+// number 1.
 func (u *Update) Incarnation() uint64 { return u.Revision >> refutationBits }
 
-// newer reports whether update takes precedence over known. An older one never does.
+// newer reports whether update takes precedence over known: it has a higher revision, or the
+// same revision and a higher state.
 func newer(update, known *Update) bool {
 	return update.Revision > known.Revision || update.Revision == known.Revision && update.State > known.State
 }
 
-// Settings are the times and counts of the protocol. Times are milliseconds.
+// Settings are the parameters of the protocol. All times are in milliseconds.
 type Settings struct {
-	ProbeInterval          float64 // between two probes
-	ProbeTimeout           float64 // until other routers are asked to probe too
-	IndirectProbes         int     // how many are asked
-	SuspicionMult          float64 // shortest suspicion, in probe intervals times the decimal logarithm of the routers
-	MinSuspicionTimeout    float64 // and never less
-	MaxSuspicionMult       float64 // longest suspicion, in shortest ones
-	SuspicionConfirmations int     // independent ones that bring a suspicion down to the shortest
-	MaxHealthScore         int     // bound of the local health score; 0 switches Lifeguard off
-	GossipInterval         float64 // between packets that only carry broadcasts
-	GossipFanout           int     // routers that get each
-	RetransmitMult         float64 // a broadcast is sent this often, times the decimal logarithm of the routers
-	SyncInterval           float64 // between exchanges of the whole view
-	ReconnectInterval      float64 // between attempts at a failed router, or at an address of the settings
-	ForgetAfter            float64 // a router that failed or left is forgotten after it
+	ProbeInterval          float64 // time between two probes
+	ProbeTimeout           float64 // time without an answer after which other routers are asked to probe too
+	IndirectProbes         int     // number of routers that are asked
+	SuspicionMult          float64 // shortest suspicion timeout, in probe intervals times log10 of the number of routers
+	MinSuspicionTimeout    float64 // lower bound of the shortest suspicion timeout
+	MaxSuspicionMult       float64 // longest suspicion timeout, as a multiple of the shortest
+	SuspicionConfirmations int     // independent confirmations that reduce the timeout to the shortest
+	MaxHealthScore         int     // upper bound of the local health score; 0 disables it
+	GossipInterval         float64 // time between Gossip packets
+	GossipFanout           int     // number of routers that gossip is sent to per interval
+	RetransmitMult         float64 // transmissions of a broadcast, divided by log10 of the number of routers
+	SyncInterval           float64 // longest time between two comparisons of the whole view with another router
+	ReconnectInterval      float64 // time between attempts to reach a failed router or a seed address
+	ForgetAfter            float64 // time after which a router that failed or left is forgotten
 	MaxMembers             int
 }
 
-// DefaultSettings returns the settings that the operators' file begins with.
+// DefaultSettings returns the defaults for the operators' settings file.
 func DefaultSettings() Settings {
 	return Settings{
 		ProbeInterval:          200,
@@ -113,35 +118,36 @@
 	}
 }
 
-// BucketCount is the number of parts in which views are compared. A router is in the bucket
-// of its ID modulo it; a store chooses the bucket of an item, the same at all routers.
+// BucketCount is the number of buckets in which the views of two routers are compared. A
+// router is in the bucket given by its ID modulo BucketCount. An ItemStore chooses the bucket
+// of an item, and all routers must choose the same one.
 const BucketCount = 32
 
-// ItemStore holds the items that spread beside the updates of members and mean something to
-// another state machine.
+// ItemStore holds the items that are gossiped along with the membership updates. Another
+// state machine interprets them.
 type ItemStore interface {
 	// Checksum returns the checksum of the items in a bucket.
 	Checksum(bucket int) uint32
-	// ForEach calls visit with the items of a bucket until it returns false.
+	// ForEach calls visit with each item of a bucket until visit returns false.
 	ForEach(bucket int, visit func(item []byte) bool)
-	// Receive takes an item of another router. It reports whether the item is new, and so
-	// to be broadcast.
+	// Receive adds an item that another router sent. It reports whether the item is new and
+	// has to be broadcast.
 	Receive(now float64, from ID, item []byte) (isNew bool)
 }
 
-// Kinds of events, by which they are logged and counted. A router that is no longer alive
-// has the name of its state as the kind.
+// Kinds of events, under which they are logged and counted. When a router becomes suspect,
+// failed or left, the kind is the name of the new state.
 const (
 	EventSuspect    = "suspect"
 	EventFailed     = "failed"
 	EventLeft       = "left"
-	EventJoined     = "joined"     // not known before, or a new incarnation
-	EventBack       = "back"       // alive again
-	EventRefuted    = "refuted"    // this router was held for suspect or failed
-	EventConflict   = "conflict"   // two routers with one name or one ID
+	EventJoined     = "joined"     // a router that was unknown, or a new incarnation of a known one
+	EventBack       = "back"       // a router is alive again
+	EventRefuted    = "refuted"    // this router raised its revision to refute a report about its ID
+	EventConflict   = "conflict"   // two routers have the same name or the same ID
 	EventSuperseded = "superseded" // a later process has this router's ID
-	EventStalled    = "woken"      // this router did nothing for a while
-	EventFull       = "full"       // the member limit is reached
+	EventStalled    = "woken"      // this router was not running for a while
+	EventFull       = "full"       // a router was rejected because of the member limit
 )
 
 // Event is a change of the view that is logged and counted.
@@ -151,25 +157,25 @@
 	Cause  string
 }
 
-// OutgoingPacket is a packet with the address that it is sent to.
+// OutgoingPacket is a packet to send and its destination address.
 type OutgoingPacket struct {
 	To     netip.AddrPort
 	Packet *Packet
 }
 
-// Payload is what a router sent to another state machine of this one. Its sender has been
-// verified.
+// Payload is data that another router sent to a different state machine of this router. Its
+// sender has been verified.
 type Payload struct {
 	From        ID
 	Incarnation uint64
 	Data        []byte
 }
 
-// Output is what a step calls for.
+// Output is what the caller has to do after a step.
 type Output struct {
 	Packets     []OutgoingPacket
 	Events      []Event
-	WakeAt      float64 // when to step next at the latest
+	WakeAt      float64 // latest time of the next step, ms
 	ViewChanged bool
 	Payloads    []Payload
 }
--- a/internal/fleet/membership/packet.go
+++ b/internal/fleet/membership/packet.go
@@ -8,50 +8,51 @@
 // Limits of a packet and of its fields.
 const (
 	MaxPacketLen  = 1400 // bytes before encryption
-	MaxNameLen    = 64   // bytes of a router's name, zone and version, each
+	MaxNameLen    = 64   // bytes; applies to a router's name, zone and version
 	MaxItemLen    = 96   // bytes
 	MaxPayloadLen = 1100 // bytes
 	maxUpdates    = 64
 	maxItems      = 64
 )
 
-// packetBudget is how many bytes of updates, items and checksums go into one packet.
+// packetBudget is the maximum size in bytes of the updates, items and checksums in a packet.
 const packetBudget = 1150
 
-// ErrMalformedPacket reports bytes that are no packet.
+// ErrMalformedPacket is returned for bytes that are not a valid packet.
 var ErrMalformedPacket = errors.New("fleet: malformed packet")
 
-// Kind tells what a packet is for.
+// Kind is the purpose of a packet.
 type Kind uint8
 
-// The kinds of packets. Their numbers are on the wire.
+// The kinds of packets. Their numbers are part of the wire format.
 const (
 	Ping         Kind = 1 + iota
 	Ack               // answers Ping and IndirectPing
-	Nack              // the router asked for an indirect probe has no answer either, but is itself well
-	IndirectPing      // asks another router to probe
-	Gossip            // updates and items alone
-	SyncRequest       // asks for what differs from the sender's checksums
-	SyncResponse      // a part of the answer
-	Data              // a payload for another state machine of the receiver
+	Nack              // answers IndirectPing: the target has not answered in time
+	IndirectPing      // asks another router to probe the target
+	Gossip            // carries only updates and items
+	SyncRequest       // asks for the content of the buckets whose checksums differ
+	SyncResponse      // answers SyncRequest, in one or more packets
+	Data              // carries a payload for a different state machine of the receiver
 	kindEnd
 )
 
 // Packet is one datagram between two routers.
 type Packet struct {
 	Kind       Kind
-	From       Update         // of the sender about itself
-	Sequence   uint64         // the sender's packets so far in this incarnation
-	Nonce      uint64         // of a request, or of the one that is answered
-	Target     ID             // who is meant, or whom IndirectPing is about
-	TargetAddr netip.AddrPort // IndirectPing: where that router is
+	From       Update         // the sender's update about itself
+	Sequence   uint64         // number of the packet among those of the sender's incarnation
+	Nonce      uint64         // of the request: this packet, or the one that it answers
+	Target     ID             // intended receiver; in IndirectPing, Ack and Nack, the probed router
+	TargetAddr netip.AddrPort // IndirectPing: the target's address
 	Updates    []Update
 	Items      [][]byte
-	Payload    []byte   // of Data
-	Checksums  []uint32 // of members and items, for each bucket
+	Payload    []byte   // Data only
+	Checksums  []uint32 // one per bucket, of its members and items
 }
 
-// encodedSize returns about how many bytes the packet's updates, items and checksums take.
+// encodedSize returns the approximate size in bytes of the packet's updates, items and
+// checksums.
 func (p *Packet) encodedSize() int {
 	size := checksumLen * len(p.Checksums)
 	for i := range p.Updates {
@@ -63,8 +64,8 @@
 	return size
 }
 
-// encodedSize returns about how many bytes an update takes.
+// encodedSize returns the approximate size of an encoded update, in bytes.
 func (u *Update) encodedSize() int { return 48 + len(u.Name) + len(u.Zone) + len(u.Version) }
 
-// encodedItemSize returns how many bytes an item takes, with its tag and length.
+// encodedItemSize returns the size of an encoded item, in bytes, with its tag and length.
 func encodedItemSize(item []byte) int { return len(item) + 3 }
--- a/internal/fleet/membership/peer.go
+++ b/internal/fleet/membership/peer.go
@@ -2,29 +2,28 @@
 
 import "math"
 
-// peer is what is known of another router.
+// peer holds what this router knows about another one.
 type peer struct {
 	Update
 	stateSince     float64 // ms
-	lastReceivedAt float64 // latest packet of its own; 0: never
+	lastReceivedAt float64 // when its latest packet arrived, ms; 0: never
 	replay         replayWindow
-	direct         bool // the latest probe was answered without the help of others
-	lastHelper     ID   // the router through which it answered latest
+	direct         bool // it answered the latest probe directly, not through another router
+	lastHelper     ID   // router that relayed its latest indirect answer
 
-	accusers          []ID // who suspects it, the first accuser first
-	suspectedAt       float64
-	suspicionDeadline float64
-	checks            int // of the suspicion, so far
+	suspectedBy       []ID    // routers that suspect it, in the order of their reports
+	suspectedAt       float64 // ms
+	suspicionDeadline float64 // ms
+	rechecks          int     // probes sent by recheckSuspect during this suspicion
 }
 
-// nextCheckAt returns when a suspect is probed once more before it is declared failed.
-//
-// Symptom guarded against: of 30 routers at 5% loss one in a thousand suspicions ended in
-// a failure, at a router that gossip had passed by with the refutation and that did not
-// meet the accused in the meantime.
-func (r *peer) nextCheckAt() float64 {
+// nextRecheckAt returns when a suspect is probed again before it is declared failed, in ms.
+// Without these probes, a router that gossip does not reach with the refutation, and that
+// receives no packet from the suspect in the meantime, declares a live router failed: with 30
+// routers and 5% packet loss, this happened in one of a thousand suspicions.
+func (r *peer) nextRecheckAt() float64 {
 	duration := r.suspicionDeadline - r.suspectedAt
-	switch r.checks {
+	switch r.rechecks {
 	case 0:
 		return r.suspectedAt + duration/2
 	case 1:
@@ -33,17 +32,19 @@
 	return math.Inf(1)
 }
 
-// replayWindowLen is how many packets below the newest may still arrive.
+// replayWindowLen is the number of sequence numbers, up to the highest one received, for which
+// a packet is still accepted.
 const replayWindowLen = 64
 
-// replayWindow accepts each packet of one incarnation once, and none that is much older
-// than the newest. It is verified once that incarnation has answered a request of this
-// router, which a recorded packet cannot.
+// replayWindow accepts each packet of one incarnation of a sender once, and rejects packets
+// that are much older than the newest. The sender is verified once that incarnation has
+// answered a request of this router, since a replayed packet does not contain the nonce of a
+// new request.
 type replayWindow struct {
 	incarnation uint64
 	verified    bool
 	highest     uint64 // sequence number
-	seen        uint64 // bit n: highest-n was accepted
+	seen        uint64 // bit n is set if sequence number highest-n was accepted
 }
 
 // verifiedFor reports whether this incarnation of the sender has been verified.
@@ -51,7 +52,8 @@
 	return w.verified && w.incarnation == incarnation
 }
 
-// accept reports whether the packet with this sequence number is the first of its number.
+// accept records a sequence number. It returns false if a packet with that number was
+// accepted before, or if the number is below the window.
 func (w *replayWindow) accept(sequence uint64) bool {
 	if sequence > w.highest {
 		if advance := sequence - w.highest; advance < replayWindowLen {
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// pickAttempts is how often a random choice among the routers present is repeated where it
-// hits one that is excluded.
+// pickAttempts is the number of random choices among the present routers that are made to
+// find a suitable one.
 const pickAttempts = 8
 
-// activeProbe is the probe that waits for its answer.
+// activeProbe is the probe that this router is waiting for an answer to.
 type activeProbe struct {
-	target        *peer // nil: there is none, or it was answered
+	target        *peer // nil if no probe is active or it has been answered
 	nonce         uint64
-	helpAt        float64 // when others are asked to probe too
+	helpAt        float64 // when other routers are asked to probe too, ms
 	helpRequested bool
 	nackCount     int
 	helperCount   int
 }
 
-// runProbe continues the active probe and begins the next one when that is due. A router
-// that is itself slow probes more slowly and waits longer.
+// runProbe requests indirect probes for the active probe and starts the next probe, each when
+// it is due. A router that is slow itself probes less often and waits longer.
 func (m *Machine) runProbe() {
 	slowness := m.healthMultiplier()
 	if probe := &m.probe; probe.target != nil && !probe.helpRequested && probe.helpAt <= m.now {
@@ -41,8 +41,8 @@
 	m.send(target.Addr, target, &Packet{Kind: Ping, Nonce: m.probe.nonce, Target: target.ID})
 }
 
-// nextProbeTarget returns the next router in the order of probing, which is shuffled at its
-// end.
+// nextProbeTarget returns the next router in the order of probing, or nil if no other router is
+// present. The order is shuffled after each round.
 func (m *Machine) nextProbeTarget() *peer {
 	if m.probeIndex >= len(m.present) {
 		m.probeIndex = 0
@@ -56,7 +56,7 @@
 	return m.present[m.probeIndex-1]
 }
 
-// forgetDeparted forgets the routers that have been gone for long.
+// forgetDeparted removes the routers that failed or left at least Settings.ForgetAfter ago.
 func (m *Machine) forgetDeparted() {
 	m.departed = slices.DeleteFunc(m.departed, func(r *peer) bool {
 		expired := m.now-r.stateSince >= m.settings.ForgetAfter
@@ -68,15 +68,15 @@
 	})
 }
 
-// requestIndirectProbes asks others to probe the router that has not answered, and probes
-// it once more.
+// requestIndirectProbes asks other routers to probe the target that has not answered, and
+// probes it directly once more.
 func (m *Machine) requestIndirectProbes() {
 	probe := &m.probe
 	target := probe.target
 	m.send(target.Addr, target, &Packet{Kind: Ping, Nonce: probe.nonce, Target: target.ID})
 	excluded := []*peer{target}
 	for i := range m.settings.IndirectProbes {
-		helper := m.peers[target.lastHelper] // whose probe was answered the last time
+		helper := m.peers[target.lastHelper] // it relayed the target's latest indirect answer
 		if i > 0 || helper == nil || !helper.State.Present() {
 			helper = m.chooseHelper(excluded)
 		}
@@ -86,16 +86,16 @@
 		excluded = append(excluded, helper)
 		probe.helperCount++
 		request := &Packet{Kind: IndirectPing, Nonce: probe.nonce, Target: target.ID, TargetAddr: target.Addr}
-		if target.State != Alive { // the helper tells it, if only that one reaches it
+		if target.State != Alive { // the helper forwards this to the target, which may be reachable only through it
 			request.Updates = append(request.Updates, target.Update)
 		}
 		m.send(helper.Addr, helper, request)
 	}
 }
 
-// chooseHelper returns a random router that is to probe for this one: preferably one that
-// this router reaches itself, since one that is cut off from it too helps nobody, and its
-// silence says nothing.
+// chooseHelper returns a random router to send an IndirectPing to, or nil. It prefers a router
+// that this one reaches directly: one that is unreachable cannot relay a probe, and that it
+// does not answer says nothing about the target.
 func (m *Machine) chooseHelper(excluded []*peer) *peer {
 	for range pickAttempts {
 		if helper := m.randomPeer(excluded); helper != nil && helper.direct {
@@ -105,8 +105,8 @@
 	return m.randomPeer(excluded)
 }
 
-// failProbe suspects the target of a probe whose interval is over. Helpers that did not
-// answer at all raise this router's health score.
+// failProbe ends the active probe and suspects its target if it has not answered. Helpers that
+// sent no Nack raise this router's health score, since the fault may be its own.
 func (m *Machine) failProbe() {
 	probe := &m.probe
 	target := probe.target
@@ -115,7 +115,8 @@
 		return
 	}
 	target.direct = false
-	// One that was never verified says nothing about this router.
+	// A target that has never been verified may not exist, so its missing answer is no
+	// evidence that this router is slow.
 	if target.replay.verified {
 		if probe.helperCount > 0 {
 			m.raiseHealthScore(probe.helperCount - probe.nackCount)
@@ -129,8 +130,8 @@
 	m.applyUpdate(update, "probe not answered")
 }
 
-// handleProbeReply handles an Ack or Nack of this router's own probe, or of one that it
-// made for another.
+// handleProbeReply handles an Ack or Nack to this router's own probe, or to a probe that it
+// made for another router.
 func (m *Machine) handleProbeReply(sender *peer, reply *Packet) {
 	probe := &m.probe
 	if probe.target == nil || reply.Nonce != probe.nonce {
@@ -140,7 +141,7 @@
 	switch {
 	case reply.Kind == Nack:
 		probe.nackCount++
-	case reply.Target == probe.target.ID: // its own answer, or that of a helper
+	case reply.Target == probe.target.ID: // an answer of the target, direct or relayed by a helper
 		probe.target.direct = sender == probe.target
 		if !probe.target.direct {
 			probe.target.lastHelper = sender.ID
@@ -150,7 +151,8 @@
 	}
 }
 
-// randomPeer returns a random router that is present and not excluded, or nil.
+// randomPeer returns a random router that is present and not excluded, or nil if it finds none
+// in pickAttempts choices.
 func (m *Machine) randomPeer(excluded []*peer) *peer {
 	for range pickAttempts {
 		if len(m.present) == 0 {
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -3,30 +3,30 @@
 import "slices"
 
 const (
-	maxUnverified      = 64   // packets of routers that have not been verified yet
+	maxUnverified      = 64   // stored packets of senders that have not been verified yet
 	maxPendingRequests = 1024 // requests that wait for an answer
-	maxCorrections     = 8    // updates that put one sender right
+	maxCorrections     = 8    // updates sent at once to a sender with outdated suspicions
 
-	// requestLifetime is how many probe intervals a request waits for its answer, and a
-	// packet for the verification of its sender.
+	// requestLifetime is the number of probe intervals that a request waits for its answer
+	// and that a packet is stored until its sender is verified.
 	requestLifetime = 4
 )
 
 // pendingRequest is a request that a later packet may answer.
 type pendingRequest struct {
 	nonce     uint64
-	target    ID // 0: whoever answers
+	target    ID // 0: any router may answer
 	expiresAt float64
-	sync      bool // a SyncRequest
+	sync      bool // the request is a SyncRequest
 }
 
-// unverifiedPacket is a packet that waits until its sender has been verified.
+// unverifiedPacket is a packet that is stored until its sender has been verified.
 type unverifiedPacket struct {
 	packet    *Packet
 	expiresAt float64
 }
 
-// handlePacket handles a packet that was decrypted and decoded.
+// handlePacket handles a decrypted and decoded packet.
 func (m *Machine) handlePacket(packet *Packet) {
 	if packet.From.ID == m.self.ID {
 		m.applySelfUpdate(packet.From)
@@ -49,7 +49,7 @@
 		return
 	}
 	if !verified {
-		m.applyUpdate(packet.From, "answered a request")
+		m.applyUpdate(packet.From, "router answered a request")
 		if sender = m.peers[packet.From.ID]; sender == nil {
 			return // the member limit is reached
 		}
@@ -60,8 +60,9 @@
 	m.releaseUnverified(sender, incarnation)
 }
 
-// rejectOldIncarnation drops a packet of the process before, or a recorded one of it. If
-// that process still lives it is to know that it has a successor, or that this one is gone.
+// rejectOldIncarnation drops a packet from an earlier incarnation of the sender, which may be a
+// replay. It sends the known update back: an earlier process that still runs learns from it
+// that a later process has its ID, or that the later process failed or left.
 func (m *Machine) rejectOldIncarnation(known *peer, packet *Packet) {
 	m.Replays++
 	if packet.Kind == SyncRequest || packet.Kind == Ping {
@@ -69,12 +70,12 @@
 	}
 }
 
-// challenge asks a sender that has not been verified for an answer, and keeps its packet
-// until then.
+// challenge sends a Ping to a sender that has not been verified, and stores its packet until
+// it answers.
 func (m *Machine) challenge(packet *Packet) {
 	if packet.Kind == Ping && m.isTarget(packet) {
 		m.send(packet.From.Addr, nil, &Packet{Kind: Ack, Nonce: packet.Nonce, Target: m.self.ID})
-		packet.Kind = Gossip // the rest of it waits
+		packet.Kind = Gossip // the Ping is answered; the packet's updates and items wait for the verification
 	}
 	if packet.Kind == Ack || packet.Kind == Nack || packet.Kind == SyncResponse {
 		return // answers no request of this router
@@ -82,14 +83,14 @@
 	m.unverified = slices.DeleteFunc(m.unverified, func(waiting unverifiedPacket) bool {
 		return waiting.expiresAt <= m.now || waiting.packet.From.ID == packet.From.ID
 	})
-	if len(m.unverified) == maxUnverified { // the oldest had its chance
+	if len(m.unverified) == maxUnverified { // drop the oldest, which had the longest time to be verified
 		m.unverified = m.unverified[1:]
 	}
 	m.unverified = append(m.unverified, unverifiedPacket{packet, m.now + requestLifetime*m.settings.ProbeInterval})
 	m.send(packet.From.Addr, nil, &Packet{Kind: Ping, Nonce: m.newRequest(packet.From.ID, false), Target: packet.From.ID})
 }
 
-// releaseUnverified handles the packet that waited until its sender was verified.
+// releaseUnverified handles the stored packet of a sender that has just been verified.
 func (m *Machine) releaseUnverified(sender *peer, incarnation uint64) {
 	i := slices.IndexFunc(m.unverified, func(waiting unverifiedPacket) bool { return waiting.packet.From.ID == sender.ID })
 	if i < 0 {
@@ -102,13 +103,13 @@
 	}
 }
 
-// isTarget reports whether a packet is meant for this router.
+// isTarget reports whether a packet is addressed to this router or to any router.
 func (m *Machine) isTarget(packet *Packet) bool {
 	return packet.Target == m.self.ID || packet.Target == 0
 }
 
-// handleVerified handles a packet of a verified sender. answersSync tells that it answers a
-// SyncRequest of this router.
+// handleVerified handles a packet of a verified sender. answersSync tells whether the packet
+// answers a SyncRequest of this router.
 func (m *Machine) handleVerified(sender *peer, packet *Packet, answersSync bool) {
 	sender.lastReceivedAt = m.now
 	m.lastReceivedAt = m.now
@@ -141,29 +142,29 @@
 	}
 }
 
-// applySenderUpdate applies what a sender says of itself. Where that refutes a suspicion,
-// the accusers are notified at once, not when gossip reaches them.
+// applySenderUpdate applies a sender's update about itself. If the update refutes a suspicion,
+// the routers that reported the suspicion are notified at once, without waiting for gossip.
 func (m *Machine) applySenderUpdate(sender *peer, update Update) {
 	suspected := sender.State == Suspect
-	m.applyUpdate(update, "own update")
+	m.applyUpdate(update, "update from the router itself")
 	if !suspected || sender.State != Alive {
 		return
 	}
-	for _, id := range sender.accusers {
-		if accuser := m.peers[id]; accuser != nil && accuser.State.Present() {
-			m.send(accuser.Addr, accuser, &Packet{Kind: Gossip, Updates: []Update{sender.Update}})
+	for _, id := range sender.suspectedBy {
+		if reporter := m.peers[id]; reporter != nil && reporter.State.Present() {
+			m.send(reporter.Addr, reporter, &Packet{Kind: Gossip, Updates: []Update{sender.Update}})
 		}
 	}
 }
 
-// applyUpdates applies what a sender says of others. A sender with an outdated suspicion has
-// missed the refutation and may be about to declare a router failed that lives: it is put
-// right at once.
+// applyUpdates applies the updates in a sender's packet. A sender with an outdated suspicion has
+// missed the refutation and may soon declare a live router failed, so it is sent the newer
+// update at once.
 func (m *Machine) applyUpdates(sender *peer, updates []Update) {
 	var corrections []Update
 	for i := range updates {
 		update := &updates[i]
-		m.applyUpdate(*update, "update of another router")
+		m.applyUpdate(*update, "update from another router")
 		known := m.peers[update.ID]
 		if known == nil || update.State == Alive || known.State != Alive {
 			continue
@@ -177,8 +178,8 @@
 	}
 }
 
-// matchRequest returns the request that a packet answers. A SyncRequest is answered by
-// several packets.
+// matchRequest returns the pending request that a packet answers. The request stays pending
+// until it expires, since several packets may answer a SyncRequest.
 func (m *Machine) matchRequest(packet *Packet) (request pendingRequest, ok bool) {
 	if packet.Kind != Ack && packet.Kind != Nack && packet.Kind != SyncResponse {
 		return pendingRequest{}, false
@@ -191,8 +192,8 @@
 	return pendingRequest{}, false
 }
 
-// newRequest notes a request to target and returns its nonce. The oldest is dropped where
-// there are too many.
+// newRequest adds a pending request to target and returns its nonce. It drops the oldest
+// request if maxPendingRequests are pending.
 func (m *Machine) newRequest(target ID, sync bool) (nonce uint64) {
 	if len(m.pending) == maxPendingRequests {
 		m.pending = m.pending[1:]
--- a/internal/fleet/membership/relay.go
+++ b/internal/fleet/membership/relay.go
@@ -7,23 +7,23 @@
 
 const (
 	maxRelays = 64
-	// relayLifetime is how many probe intervals a relayed probe waits for a late answer
-	// after its Nack.
+	// relayLifetime is the number of probe intervals that a relayed probe waits for a late
+	// answer after the Nack has been sent.
 	relayLifetime = 2
 )
 
-// relayedProbe is a probe made for another router.
+// relayedProbe is a probe that this router makes at the request of another one.
 type relayedProbe struct {
 	replyAddr    netip.AddrPort
 	requester    ID
 	requestNonce uint64
 	probeNonce   uint64
 	target       ID
-	deadline     float64 // of the Nack, then of the relayed probe
+	deadline     float64 // when to send the Nack, and after that when to drop the probe, ms
 	nackSent     bool
 }
 
-// startRelay probes a router for another one.
+// startRelay probes the target of an IndirectPing for its requester.
 func (m *Machine) startRelay(requester *peer, request *Packet) {
 	if !request.TargetAddr.IsValid() || len(m.relays) == maxRelays || request.Target == m.self.ID {
 		return
@@ -40,7 +40,7 @@
 	m.send(request.TargetAddr, m.peers[request.Target], &Packet{Kind: Ping, Nonce: nonce, Target: request.Target})
 }
 
-// handleRelayReply passes on the answer to a probe that was made for another router.
+// handleRelayReply forwards the answer to a relayed probe to its requester.
 func (m *Machine) handleRelayReply(sender *peer, reply *Packet) {
 	for i, relay := range m.relays {
 		if reply.Nonce != relay.probeNonce || reply.Kind != Ack || sender.ID != relay.target {
@@ -52,8 +52,8 @@
 	}
 }
 
-// runRelays sends each requester one Nack where its probe has no answer in time, and drops
-// the probe a while later: a late answer is still passed on.
+// runRelays sends the requester one Nack when a relayed probe is not answered in time. It
+// drops the probe only after relayLifetime, so that a late answer is still forwarded.
 func (m *Machine) runRelays() {
 	m.relays = slices.DeleteFunc(m.relays, func(relay relayedProbe) bool {
 		return relay.nackSent && relay.deadline <= m.now
--- a/internal/fleet/membership/search_test.go
+++ b/internal/fleet/membership/search_test.go
@@ -14,47 +14,50 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The search goes through what can happen to a few routers, each with a clock of its own:
-// a timer fires, a packet arrives, arrives twice or never, a process is killed, or is
-// started again. A state is reached again by the same steps; those with one digest are one.
+// The search explores the states that a few routers, each with its own clock, can reach through
+// these moves: a timer fires, a packet is delivered, duplicated or lost, a process is killed or
+// restarted. The same moves always lead to the same state. States with equal digests are treated
+// as one state.
 
 const (
-	maxInFlight = 5 // packets on their way; the oldest is lost beyond it
-	// healTime is for how long the routers run without a fault before views must be equal.
-	healTime = 60_000
-	// failTime is after how long who is wrongly suspected has been declared failed.
-	failTime = 8000
+	maxInFlight = 5 // packets in flight; when there are more, the oldest are lost
+	// healDuration is how long the routers run without faults before their views must be equal,
+	// in ms.
+	healDuration = 60_000
+	// failureDuration is the time within which a wrongly suspected router would have been
+	// declared failed, in ms. Equal views count only after it.
+	failureDuration = 8000
 )
 
-// world is a state of the search.
-type world struct {
+// searchState is a state of the search.
+type searchState struct {
 	machines     []*Machine
-	sources      []*rand.PCG // of their random numbers
+	sources      []*rand.PCG // random number source of each machine
 	now          []float64
 	wakeAt       []float64
 	dead         []bool
 	incarnations []uint64
 	inFlight     []OutgoingPacket
-	known        map[[2]ID]Update // latest that each router knows of each
-	disabledRule testRule
-	violation    string
+	known        map[[2]ID]Update // latest update that the first router knows about the second
+	disabledRule protocolRule
+	violation    string // latest violation; empty: none
 }
 
-// clone returns a world of its own in the same state.
-func (w *world) clone() *world {
-	clone := &world{
-		sources:      make([]*rand.PCG, len(w.machines)),
-		now:          slices.Clone(w.now),
-		wakeAt:       slices.Clone(w.wakeAt),
-		dead:         slices.Clone(w.dead),
-		incarnations: slices.Clone(w.incarnations),
-		inFlight:     slices.Clone(w.inFlight),
-		known:        maps.Clone(w.known),
-		disabledRule: w.disabledRule,
-		violation:    w.violation,
+// clone returns an independent copy of the state.
+func (s *searchState) clone() *searchState {
+	clone := &searchState{
+		sources:      make([]*rand.PCG, len(s.machines)),
+		now:          slices.Clone(s.now),
+		wakeAt:       slices.Clone(s.wakeAt),
+		dead:         slices.Clone(s.dead),
+		incarnations: slices.Clone(s.incarnations),
+		inFlight:     slices.Clone(s.inFlight),
+		known:        maps.Clone(s.known),
+		disabledRule: s.disabledRule,
+		violation:    s.violation,
 	}
-	for i, m := range w.machines {
-		source := *w.sources[i]
+	for i, m := range s.machines {
+		source := *s.sources[i]
 		clone.sources[i] = &source
 		clone.machines = append(clone.machines, m.clone(rand.New(&source)))
 	}
@@ -69,7 +72,7 @@
 	clone.reportedConflicts = maps.Clone(m.reportedConflicts)
 	for id, r := range m.peers {
 		clonedPeer := *r
-		clonedPeer.accusers = slices.Clone(r.accusers)
+		clonedPeer.suspectedBy = slices.Clone(r.suspectedBy)
 		clone.peers[id] = &clonedPeer
 	}
 	for _, list := range []*[]*peer{&clone.present, &clone.suspects, &clone.departed} {
@@ -93,8 +96,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 1)
 }
 
-func newWorld(routers int, disabledRule testRule) *world {
-	w := &world{
+func newSearchState(routers int, disabledRule protocolRule) *searchState {
+	state := &searchState{
 		machines:     make([]*Machine, routers),
 		sources:      make([]*rand.PCG, routers),
 		now:          make([]float64, routers),
@@ -105,125 +108,127 @@
 		disabledRule: disabledRule,
 	}
 	for i := range routers {
-		w.start(i)
+		state.start(i)
 	}
-	return w
+	return state
 }
 
-// start starts the next process of a router.
-func (w *world) start(i int) {
+// start starts a new process of the i-th router with the next incarnation.
+func (s *searchState) start(i int) {
 	settings := DefaultSettings()
 	settings.GossipFanout = 1
 	settings.IndirectProbes = 1
 	settings.GossipInterval = 50
-	w.incarnations[i]++
-	self := Update{ID: ID(i + 1), Revision: FirstRevision(w.incarnations[i]), Name: "r" + strconv.Itoa(i), Addr: testAddr(i)}
-	w.sources[i] = rand.NewPCG(uint64(i), w.incarnations[i])
-	w.machines[i] = New(settings, self, []netip.AddrPort{testAddr(0)}, rand.New(w.sources[i]), nil, w.now[i])
-	w.machines[i].disabledRule = w.disabledRule
-	w.dead[i] = false
-	w.wakeAt[i] = w.now[i]
-	for pair := range w.known {
+	s.incarnations[i]++
+	self := Update{ID: ID(i + 1), Revision: FirstRevision(s.incarnations[i]), Name: "r" + strconv.Itoa(i), Addr: testAddr(i)}
+	s.sources[i] = rand.NewPCG(uint64(i), s.incarnations[i])
+	s.machines[i] = New(settings, self, []netip.AddrPort{testAddr(0)}, rand.New(s.sources[i]), nil, s.now[i])
+	s.machines[i].disabledRule = s.disabledRule
+	s.dead[i] = false
+	s.wakeAt[i] = s.now[i]
+	for pair := range s.known {
 		if pair[0] == self.ID {
-			delete(w.known, pair) // a new incarnation knows nothing
+			delete(s.known, pair) // a new incarnation knows no other router
 		}
 	}
 }
 
-// step steps a router and checks that it never goes back in what it knows of another.
-func (w *world) step(i int, p *Packet) {
-	out := w.machines[i].Step(w.now[i], p)
-	w.wakeAt[i] = out.WakeAt
-	w.inFlight = append(w.inFlight, out.Packets...)
-	w.inFlight = w.inFlight[max(0, len(w.inFlight)-maxInFlight):]
-	for _, member := range w.machines[i].View().Members {
+// step steps a router and checks that the router does not replace an update with an older one.
+func (s *searchState) step(i int, p *Packet) {
+	out := s.machines[i].Step(s.now[i], p)
+	s.wakeAt[i] = out.WakeAt
+	s.inFlight = append(s.inFlight, out.Packets...)
+	s.inFlight = s.inFlight[max(0, len(s.inFlight)-maxInFlight):]
+	for _, member := range s.machines[i].View().Members {
 		pair := [2]ID{ID(i + 1), member.ID}
-		if old, known := w.known[pair]; known && newer(&old, &member.Update) {
-			w.violation = fmt.Sprintf("r%d went back from %v of %x to %v of %x for %s", i, old.State, old.Revision, member.State, member.Revision, member.Name)
+		if old, known := s.known[pair]; known && newer(&old, &member.Update) {
+			s.violation = fmt.Sprintf("r%d replaced state %v at revision %x with older state %v at revision %x for %s", i, old.State, old.Revision, member.State, member.Revision, member.Name)
 		}
-		w.known[pair] = member.Update
+		s.known[pair] = member.Update
 	}
 }
 
-// arrive has the i-th packet in flight arrive; keep has it arrive again later.
-func (w *world) arrive(i int, keep bool) {
-	out := w.inFlight[i]
+// deliver delivers the i-th packet in flight. With keep, the packet stays in flight and can be
+// delivered again.
+func (s *searchState) deliver(i int, keep bool) {
+	out := s.inFlight[i]
 	if !keep {
-		w.inFlight = slices.Delete(slices.Clone(w.inFlight), i, i+1)
+		s.inFlight = slices.Delete(slices.Clone(s.inFlight), i, i+1)
 	}
-	for router := range w.machines {
-		if testAddr(router) == out.To && !w.dead[router] {
+	for router := range s.machines {
+		if testAddr(router) == out.To && !s.dead[router] {
 			p := *out.Packet
-			w.step(router, &p)
+			s.step(router, &p)
 		}
 	}
 }
 
-// A move is its kind times ten and the number of a router or a packet in flight.
+// Kinds of moves. A move is encoded as its kind plus the index of a router or of a packet in
+// flight, which is below 10.
 const (
 	moveTimer = iota * 10
-	moveArrive
-	moveArriveCopy
+	moveDeliver
+	moveDuplicate
 	moveRestart
 	moveKill
 )
 
-// moves returns what can happen next.
-func (w *world) moves() (moves []byte) {
-	routers := byte(len(w.machines))
+// moves returns the moves that are possible in this state.
+func (s *searchState) moves() (moves []byte) {
+	routers := byte(len(s.machines))
 	for i := range routers {
-		if !w.dead[i] {
+		if !s.dead[i] {
 			moves = append(moves, moveTimer+i)
 		}
 	}
-	for i := range w.inFlight {
-		moves = append(moves, moveArrive+byte(i), moveArriveCopy+byte(i))
+	for i := range s.inFlight {
+		moves = append(moves, moveDeliver+byte(i), moveDuplicate+byte(i))
 	}
 	for i := range routers {
-		if w.incarnations[i] < 2 {
+		if s.incarnations[i] < 2 {
 			moves = append(moves, moveRestart+i)
 		}
 	}
-	if !slices.Contains(w.dead, true) {
+	if !slices.Contains(s.dead, true) {
 		moves = append(moves, moveKill+routers-1)
 	}
 	return moves
 }
 
-func (w *world) apply(move byte) {
+func (s *searchState) apply(move byte) {
 	i := int(move % 10)
 	switch kind := move - move%10; kind {
 	case moveTimer:
-		w.now[i] = max(w.now[i], w.wakeAt[i])
-		w.step(i, nil)
-	case moveArrive, moveArriveCopy:
-		if i < len(w.inFlight) {
-			w.arrive(i, kind == moveArriveCopy)
+		s.now[i] = max(s.now[i], s.wakeAt[i])
+		s.step(i, nil)
+	case moveDeliver, moveDuplicate:
+		if i < len(s.inFlight) {
+			s.deliver(i, kind == moveDuplicate)
 		}
 	case moveRestart:
-		w.start(i)
+		s.start(i)
 	case moveKill:
-		w.dead[i] = true
+		s.dead[i] = true
 	}
 }
 
-// digest is what two states that count as one have in common: times relative to each
-// router's now, nonces by whether their request still waits.
-func (w *world) digest() uint64 {
+// digest returns a hash that is equal for states that the search treats as one. It includes times
+// relative to each router's clock, and of a nonce only whether its request is still pending.
+func (s *searchState) digest() uint64 {
 	var text strings.Builder
-	for i, m := range w.machines {
-		fmt.Fprint(&text, w.dead[i], w.incarnations[i], m.healthScore, m.superseded, m.self.Revision, len(m.broadcasts.entries),
-			int(m.nextProbeAt-w.now[i]), len(m.unverified), m.probe.target != nil, '|')
+	for i, m := range s.machines {
+		fmt.Fprint(&text, s.dead[i], s.incarnations[i], m.healthScore, m.superseded, m.self.Revision, len(m.broadcasts.entries),
+			int(m.nextProbeAt-s.now[i]), len(m.unverified), m.probe.target != nil, '|')
 		for _, member := range m.View().Members {
 			fmt.Fprint(&text, member.ID, member.Revision, member.State)
 			if r := m.peers[member.ID]; r != nil {
-				fmt.Fprint(&text, r.replay.verified, r.replay.incarnation, int(max(0, r.suspicionDeadline-w.now[i])))
+				fmt.Fprint(&text, r.replay.verified, r.replay.incarnation, int(max(0, r.suspicionDeadline-s.now[i])))
 			}
 		}
 	}
-	for _, out := range w.inFlight {
+	for _, out := range s.inFlight {
 		p := out.Packet
-		fmt.Fprint(&text, out.To, p.Kind, p.From.ID, p.From.Revision, w.awaited(out))
+		fmt.Fprint(&text, out.To, p.Kind, p.From.ID, p.From.Revision, s.isAwaited(out))
 		for _, update := range p.Updates {
 			fmt.Fprint(&text, update.ID, update.Revision, update.State)
 		}
@@ -231,26 +236,26 @@
 	return xxhash.Sum64String(text.String())
 }
 
-// awaited reports whether the receiver of a packet waits for its nonce.
-func (w *world) awaited(out OutgoingPacket) bool {
-	for i, m := range w.machines {
-		waits := func(request pendingRequest) bool { return request.nonce == out.Packet.Nonce }
-		if testAddr(i) == out.To && slices.ContainsFunc(m.pending, waits) {
+// isAwaited reports whether the receiver of a packet has a pending request with its nonce.
+func (s *searchState) isAwaited(out OutgoingPacket) bool {
+	for i, m := range s.machines {
+		matches := func(request pendingRequest) bool { return request.nonce == out.Packet.Nonce }
+		if testAddr(i) == out.To && slices.ContainsFunc(m.pending, matches) {
 			return true
 		}
 	}
 	return false
 }
 
-// heal lets all run without a fault and reports whether the views end equal.
-func (w *world) heal() bool {
-	now := slices.Max(w.now)
+// heal runs all routers without faults and reports whether their views become equal.
+func (s *searchState) heal() bool {
+	now := slices.Max(s.now)
 	start := now
-	for end := now + healTime; now < end; {
+	for end := now + healDuration; now < end; {
 		router := -1
 		next := end
-		for i := range w.machines {
-			if at := max(now, w.wakeAt[i]); !w.dead[i] && at < next {
+		for i := range s.machines {
+			if at := max(now, s.wakeAt[i]); !s.dead[i] && at < next {
 				next = at
 				router = i
 			}
@@ -259,64 +264,64 @@
 		if router < 0 {
 			break
 		}
-		for i := range w.now {
-			w.now[i] = max(w.now[i], now)
+		for i := range s.now {
+			s.now[i] = max(s.now[i], now)
 		}
-		w.step(router, nil)
-		for n := 0; len(w.inFlight) > 0 && n < 50; n++ {
-			w.arrive(0, false)
+		s.step(router, nil)
+		for n := 0; len(s.inFlight) > 0 && n < 50; n++ {
+			s.deliver(0, false)
 		}
-		if now > start+failTime && w.equalViews() {
+		if now > start+failureDuration && s.equalViews() {
 			return true
 		}
 	}
-	return w.equalViews()
+	return s.equalViews()
 }
 
-func (w *world) equalViews() bool {
+func (s *searchState) equalViews() bool {
 	live := 0
-	for _, dead := range w.dead {
+	for _, dead := range s.dead {
 		if !dead {
 			live++
 		}
 	}
-	firstLive := w.machines[slices.Index(w.dead, false)]
-	for i, m := range w.machines {
-		if !w.dead[i] && (m.PresentCount() != live || m.Checksums() != firstLive.Checksums()) {
+	firstLive := s.machines[slices.Index(s.dead, false)]
+	for i, m := range s.machines {
+		if !s.dead[i] && (m.PresentCount() != live || m.Checksums() != firstLive.Checksums()) {
 			return false
 		}
 	}
 	return true
 }
 
-func (w *world) views() (lines []string) {
-	for i, m := range w.machines {
+func (s *searchState) views() (lines []string) {
+	for i, m := range s.machines {
 		for _, member := range m.View().Members {
-			lines = append(lines, fmt.Sprintf("r%d dead %v: %s %v %x", i, w.dead[i], member.Name, member.State, member.Revision))
+			lines = append(lines, fmt.Sprintf("r%d (dead: %v) sees %s as %v at revision %x", i, s.dead[i], member.Name, member.State, member.Revision))
 		}
 	}
 	return lines
 }
 
-// searchResult is what a search found.
+// searchResult is the result of a search.
 type searchResult struct {
-	states    int
-	healed    int // of those
-	depth     int // steps to the latest one
-	path      []byte
+	states    int    // number of states visited
+	healed    int    // number of those that were healed
+	depth     int    // number of moves to the last state
+	path      []byte // moves to the violation
 	violation string // empty: none
 }
 
 // searchNode is a state with the moves that led to it.
 type searchNode struct {
-	world *world
+	state *searchState
 	path  []byte
 }
 
-// search goes through states from a settled fleet on, the shallow ones first, up to the
-// first path that breaks a rule. Every healEvery-th state is healed.
-func search(routers, maxStates, healEvery int, disabledRule testRule) (result searchResult) {
-	first := newWorld(routers, 0)
+// search explores states breadth-first, starting from routers with equal views, until it finds a
+// violation or has visited maxStates states. It checks that every healEvery-th state heals.
+func search(routers, maxStates, healEvery int, disabledRule protocolRule) (result searchResult) {
+	first := newSearchState(routers, 0)
 	first.heal()
 	first.inFlight = nil
 	first.disabledRule = disabledRule
@@ -328,13 +333,13 @@
 	for len(queue) > 0 && result.states < maxStates {
 		node := queue[0]
 		queue = queue[1:]
-		if node.world.violation != "" {
+		if node.state.violation != "" {
 			result.depth = len(node.path)
 			result.path = node.path
-			result.violation = node.world.violation
+			result.violation = node.state.violation
 			return result
 		}
-		digest := node.world.digest()
+		digest := node.state.digest()
 		if visited[digest] {
 			continue
 		}
@@ -343,39 +348,40 @@
 		result.depth = len(node.path)
 		if result.states%healEvery == 0 {
 			result.healed++
-			if violation := node.world.checkHeals(); violation != "" {
+			if violation := node.state.checkHeals(); violation != "" {
 				result.path = node.path
 				result.violation = violation
 				return result
 			}
 		}
-		if len(queue) <= min(4*maxStates, 100_000) { // else there are enough to go on with
+		if len(queue) <= min(4*maxStates, 100_000) { // a longer queue would not be used up
 			queue = append(queue, node.successors()...)
 		}
 	}
 	return result
 }
 
-// checkHeals returns what is wrong after a copy of the world was healed, or nothing.
-func (w *world) checkHeals() string {
-	clone := w.clone()
+// checkHeals heals a copy of the state. It returns a description of the violation, or an empty
+// string if the views became equal without one.
+func (s *searchState) checkHeals() string {
+	clone := s.clone()
 	if clone.heal() && clone.violation == "" {
 		return ""
 	}
-	return fmt.Sprintf("%s; at the end %v", clone.violation, clone.views())
+	return fmt.Sprintf("violation while healing (if any): %s; final views: %v", clone.violation, clone.views())
 }
 
 func (n searchNode) successors() (nodes []searchNode) {
-	for _, move := range n.world.moves() {
-		next := n.world.clone()
+	for _, move := range n.state.moves() {
+		next := n.state.clone()
 		next.apply(move)
 		nodes = append(nodes, searchNode{next, append(slices.Clone(n.path), move)})
 	}
 	return nodes
 }
 
-// No two views stay different once packets arrive, and an older update never replaces a
-// newer one. GARNETLINE_STATES goes through more states than CI does.
+// All views become equal once packets arrive without faults, and an older update never replaces a
+// newer one. The environment variable GARNETLINE_STATES sets the number of states to visit.
 func TestStateSearch(t *testing.T) {
 	states := 6000
 	if s, err := strconv.Atoi(os.Getenv("GARNETLINE_STATES")); err == nil {
@@ -383,21 +389,21 @@
 	}
 	for _, routers := range []int{2, 3} {
 		result := search(routers, states, 7, 0)
-		t.Logf("%d routers: %d states up to %d steps, %d healed", routers, result.states, result.depth, result.healed)
+		t.Logf("%d routers: visited %d states with up to %d moves, healed %d", routers, result.states, result.depth, result.healed)
 		if result.violation != "" {
-			t.Errorf("%d routers, steps %v: %s", routers, result.path, result.violation)
+			t.Errorf("%d routers, moves %v: %s", routers, result.path, result.violation)
 		}
 	}
 }
 
-// Each rule that is disabled is noticed.
+// The search finds a violation when a rule of the protocol is disabled, for each such rule.
 func TestStateSearchFindsDisabledRules(t *testing.T) {
-	for rule, routers := range map[testRule]int{ruleOrdering: 2, ruleRefutation: 2} {
+	for rule, routers := range map[protocolRule]int{ruleOrdering: 2, ruleRefutation: 2} {
 		result := search(routers, 20_000, 2, rule)
 		if result.violation == "" {
-			t.Errorf("rule %d is disabled, and %d states show nothing", rule, result.states)
+			t.Errorf("rule %d disabled: got no violation in %d states, want one", rule, result.states)
 		} else {
-			t.Logf("rule %d disabled: found in state %d by %v: %s", rule, result.states, result.path, result.violation)
+			t.Logf("rule %d disabled: violation in state %d after moves %v: %s", rule, result.states, result.path, result.violation)
 		}
 	}
 }
--- a/internal/fleet/membership/suspicion.go
+++ b/internal/fleet/membership/suspicion.go
@@ -5,43 +5,43 @@
 	"slices"
 )
 
-// startSuspicion starts the suspicion of a router that is suspect.
+// startSuspicion starts the suspicion timer of a router, if its state is Suspect.
 func (m *Machine) startSuspicion(r *peer) {
 	if r.State != Suspect {
 		return
 	}
-	r.accusers = append(r.accusers[:0], r.ReportedBy)
+	r.suspectedBy = append(r.suspectedBy[:0], r.ReportedBy)
 	r.suspectedAt = m.now
-	r.checks = 0
+	r.rechecks = 0
 	r.suspicionDeadline = m.now + m.suspicionTimeout(0)
 	m.suspects = append(m.suspects, r)
 }
 
-// stopSuspicion ends the suspicion of a router that was suspect.
+// stopSuspicion stops the suspicion timer of a router, if its state is Suspect.
 func (m *Machine) stopSuspicion(r *peer) {
 	if r.State == Suspect {
 		m.suspects = removePeer(m.suspects, r)
 	}
 }
 
-// confirmSuspicion counts one more router that suspects, which shortens the suspicion.
+// confirmSuspicion adds a router that reports the same suspicion, which shortens the timeout.
 func (m *Machine) confirmSuspicion(r *peer, update Update) {
-	if len(r.accusers) > m.settings.SuspicionConfirmations || slices.Contains(r.accusers, update.ReportedBy) {
+	if len(r.suspectedBy) > m.settings.SuspicionConfirmations || slices.Contains(r.suspectedBy, update.ReportedBy) {
 		return
 	}
-	r.accusers = append(r.accusers, update.ReportedBy)
-	r.suspicionDeadline = r.suspectedAt + m.suspicionTimeout(len(r.accusers)-1)
+	r.suspectedBy = append(r.suspectedBy, update.ReportedBy)
+	r.suspicionDeadline = r.suspectedAt + m.suspicionTimeout(len(r.suspectedBy)-1)
 	m.broadcasts.addUpdate(update)
 	m.scheduleGossip()
 }
 
-// suspicionTimeout returns for how long a router may be suspect after so many
-// confirmations, in ms.
+// suspicionTimeout returns how long a router with the given number of confirmations stays
+// suspect before it is declared failed, in ms.
 func (m *Machine) suspicionTimeout(confirmations int) float64 {
 	routers := len(m.present) + 1
 	scale := math.Log10(max(10, float64(routers)))
 	shortest := max(m.settings.MinSuspicionTimeout, m.settings.SuspicionMult*scale*m.settings.ProbeInterval)
-	// The accused and the first accuser do not confirm.
+	// The suspect itself and the first router to report it do not count as confirmations.
 	expected := min(m.settings.SuspicionConfirmations, routers-2)
 	if expected < 1 {
 		return shortest
@@ -51,7 +51,8 @@
 	return max(shortest, longest-shortened)
 }
 
-// runSuspicions declares failed who has not refuted in time, and checks on the others.
+// runSuspicions declares suspects failed that have not refuted the suspicion in time, and
+// probes the others again when that is due.
 func (m *Machine) runSuspicions() {
 	for i := 0; i < len(m.suspects); i++ {
 		suspect := m.suspects[i]
@@ -60,17 +61,17 @@
 			update := suspect.Update
 			update.State = Failed
 			update.ReportedBy = m.self.ID
-			m.applyUpdate(update, "suspicion not refuted in time") // takes it out of suspects
+			m.applyUpdate(update, "suspicion not refuted in time") // removes the suspect from m.suspects
 			i--
-		case suspect.nextCheckAt() <= m.now:
-			suspect.checks++
+		case suspect.nextRecheckAt() <= m.now:
+			suspect.rechecks++
 			m.recheckSuspect(suspect)
 		}
 	}
 }
 
-// recheckSuspect probes a suspect, directly and through another router, before it is
-// declared failed. Both packets carry the suspicion.
+// recheckSuspect probes a suspect again, directly and through another router, before it is
+// declared failed. Both packets carry the suspicion, so that the suspect can refute it.
 func (m *Machine) recheckSuspect(suspect *peer) {
 	m.send(suspect.Addr, suspect, &Packet{Kind: Ping, Nonce: m.newRequest(suspect.ID, false), Target: suspect.ID})
 	if helper := m.chooseHelper([]*peer{suspect}); helper != nil {
--- a/internal/fleet/membership/sync.go
+++ b/internal/fleet/membership/sync.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// maxSyncPackets is how many packets answer one SyncRequest at the most.
+// maxSyncPackets is the maximum number of packets that answer one SyncRequest.
 const maxSyncPackets = 16
 
-// syncBackoff is the factor by which exchanges of equal views become rarer.
+// syncBackoff is the factor by which the interval between syncs grows while views are equal.
 const syncBackoff = 1.5
 
-// shortestSyncInterval is the interval of exchanges while views differ.
+// shortestSyncInterval returns the interval between syncs while views differ, in ms.
 func (m *Machine) shortestSyncInterval() float64 {
 	return min(m.settings.ReconnectInterval, m.settings.SyncInterval)
 }
 
-// runSync asks a random router for what differs: soon again while views differ, and ever
-// more rarely where they do not.
+// runSync compares views with a random router. While views are equal, the interval until the
+// next sync grows up to Settings.SyncInterval; a difference resets it to the shortest.
 func (m *Machine) runSync() {
 	m.nextSyncAt = m.now + m.syncInterval*(0.75+m.rng.Float64()/2)
 	m.syncInterval = min(m.settings.SyncInterval, syncBackoff*m.syncInterval)
@@ -26,13 +26,14 @@
 	}
 }
 
-// requestSync asks for what differs. target is 0 where it is not known who answers.
+// requestSync asks the router at an address for the content of the buckets in which the views
+// differ. target is 0 if it is not known which router will answer.
 func (m *Machine) requestSync(to netip.AddrPort, target ID) {
 	m.send(to, nil, &Packet{Kind: SyncRequest, Nonce: m.newRequest(target, true), Target: target, Checksums: m.allChecksums()})
 }
 
-// reconnect asks a failed router, or an address of the settings at which nobody is known: a
-// partition that heals is found in this way, and so is the fleet at the start.
+// reconnect sends a SyncRequest to a failed router, or to a seed address at which no router is
+// present. This detects that a partition has healed, and finds the fleet after a start.
 func (m *Machine) reconnect() {
 	var candidates []netip.AddrPort
 	for _, r := range m.departed {
@@ -51,8 +52,9 @@
 	}
 }
 
-// sendDifferences sends what this router holds in the buckets in which the checksums of a
-// request differ, up to a bound: the rest follows with the next exchange, which is soon.
+// sendDifferences sends the members and items of the buckets whose checksums differ from those
+// in request, in at most maxSyncPackets packets. The next sync, which comes soon while views
+// differ, transfers the rest.
 func (m *Machine) sendDifferences(to *peer, request *Packet, kind Kind) {
 	checksums := m.allChecksums()
 	packets := newSyncWriter(m, to.Addr, kind, request.Nonce)
@@ -60,7 +62,7 @@
 		packets.setChecksums(checksums)
 	}
 	differs := false
-	first := m.rng.IntN(BucketCount) // the bound is not to starve the last buckets
+	first := m.rng.IntN(BucketCount) // random, so that the limit does not always cut off the same buckets
 	for offset := range BucketCount {
 		bucket := (first + offset) % BucketCount
 		if request.Checksums != nil && checksums[bucket] == request.Checksums[bucket] {
@@ -80,7 +82,8 @@
 	}
 }
 
-// writeBucket writes the members and items of a bucket. It returns false at the bound.
+// writeBucket writes the members and items of a bucket. It returns false once maxSyncPackets
+// packets have been sent.
 func (m *Machine) writeBucket(packets *syncWriter, bucket int) bool {
 	for _, list := range [][]*peer{m.present, m.departed} {
 		for _, r := range list {
@@ -100,7 +103,7 @@
 	return complete
 }
 
-// syncWriter packs updates and items into the packets of one answer.
+// syncWriter distributes updates and items over the packets of one answer.
 type syncWriter struct {
 	machine *Machine
 	to      netip.AddrPort
@@ -108,7 +111,7 @@
 	nonce   uint64
 	current *Packet
 	budget  int // bytes left in current
-	sent    int // packets, with those beyond the bound
+	sent    int // packets sent, including one refused because of maxSyncPackets
 }
 
 func newSyncWriter(m *Machine, to netip.AddrPort, kind Kind, nonce uint64) *syncWriter {
@@ -122,13 +125,14 @@
 	w.budget = packetBudget
 }
 
-// setChecksums puts the checksums into the first packet.
+// setChecksums adds the checksums to the current packet.
 func (w *syncWriter) setChecksums(checksums []uint32) {
 	w.current.Checksums = checksums
 	w.budget -= checksumLen * len(checksums)
 }
 
-// flush sends the current packet. It returns false where the bound is reached.
+// flush sends the current packet and starts a new one. It returns false without sending if
+// maxSyncPackets packets have been sent.
 func (w *syncWriter) flush() bool {
 	w.sent++
 	if w.sent > maxSyncPackets {
--- a/internal/fleet/membership/update.go
+++ b/internal/fleet/membership/update.go
@@ -2,14 +2,15 @@
 
 import "slices"
 
-// recentPeriods is for how many probe intervals after a router's latest packet it is probed
-// before another's report that it is gone is believed.
-const recentPeriods = 8
+// recentProbeIntervals is the number of probe intervals after a router's latest packet during
+// which a report that it failed is not accepted before the router has been probed.
+const recentProbeIntervals = 8
 
-// maxReportedConflicts bounds how many conflicts are remembered as reported.
+// maxReportedConflicts bounds the number of conflicts that are reported.
 const maxReportedConflicts = 256
 
-// applyUpdate applies an update about a router, if it is newer than what is known.
+// applyUpdate applies an update about a router if it is newer than the known one, or counts it
+// if it confirms a suspicion. cause is the reason that events give for a change.
 func (m *Machine) applyUpdate(update Update, cause string) {
 	if update.ID == m.self.ID {
 		m.applySelfUpdate(update)
@@ -24,8 +25,9 @@
 		return
 	}
 	if update.State == Failed && known.State == Alive && m.receivedRecently(known) {
-		// No suspicion came before it, and its latest packet came a moment ago: a partition
-		// healed whose other side had declared it failed. It is probed before that is believed.
+		// No suspicion preceded this report, and the router's latest packet is recent. A
+		// partition has probably healed whose other side had declared the router failed. The
+		// router is probed before the report is accepted.
 		update.State = Suspect
 	}
 	if update.State == Suspect && known.State == Suspect && update.Revision == known.Revision {
@@ -37,20 +39,22 @@
 	}
 	m.replaceUpdate(known, update, cause)
 	if known.State == Suspect && update.ReportedBy != m.self.ID && m.receivedRecently(known) {
-		// Its latest packet came a moment ago: it is notified at once, and its answer is
-		// broadcast. Where two sides see each other through one router, nobody else can.
+		// The suspect's latest packet is recent, so the suspect is notified at once, and its
+		// refutation is broadcast. If this router is the only link between the suspect and the
+		// routers that suspect it, no other router can do this.
 		m.send(known.Addr, known, &Packet{Kind: Ping, Nonce: m.newRequest(known.ID, false), Target: known.ID})
 	}
 	m.broadcastChange(known.Update)
 }
 
-// receivedRecently reports whether a packet of the router itself came a moment ago.
+// receivedRecently reports whether the router's latest packet arrived within the last
+// recentProbeIntervals probe intervals.
 func (m *Machine) receivedRecently(r *peer) bool {
-	return r.lastReceivedAt > 0 && m.now-r.lastReceivedAt <= recentPeriods*m.settings.ProbeInterval
+	return r.lastReceivedAt > 0 && m.now-r.lastReceivedAt <= recentProbeIntervals*m.settings.ProbeInterval
 }
 
-// addPeer adds a router that was not known. One that is gone is not added: it was forgotten,
-// or never known.
+// addPeer adds a router that was not known. It ignores a router that failed or left, since this
+// router has forgotten it or never knew it.
 func (m *Machine) addPeer(update Update, cause string) {
 	if !update.State.Present() {
 		return
@@ -71,14 +75,14 @@
 	m.broadcastChange(added.Update)
 }
 
-// broadcastChange broadcasts an update by which the view has changed.
+// broadcastChange broadcasts an update that has changed the view.
 func (m *Machine) broadcastChange(update Update) {
 	m.output.ViewChanged = true
 	m.broadcasts.addUpdate(update)
 	m.scheduleGossip()
 }
 
-// replaceUpdate replaces what is known of a router by a newer update.
+// replaceUpdate replaces the known update of a router with a newer one.
 func (m *Machine) replaceUpdate(known *peer, update Update, cause string) {
 	old := known.Update
 	m.stopSuspicion(known)
@@ -114,7 +118,7 @@
 	return slices.DeleteFunc(list, func(r *peer) bool { return r == removed })
 }
 
-// addPresent adds a router to the order of probing, at a random place.
+// addPresent inserts a router at a random position in the order of probing.
 func (m *Machine) addPresent(added *peer) {
 	m.present = append(m.present, added)
 	i := m.rng.IntN(len(m.present))
@@ -127,7 +131,8 @@
 	}
 }
 
-// reportConflict reports, once for each router, that two have one name or one ID.
+// reportConflict reports that two routers have the same name or the same ID, once for each
+// cause and ID.
 func (m *Machine) reportConflict(update Update, cause string) {
 	key := cause + update.ID.String()
 	if !m.reportedConflicts[key] && len(m.reportedConflicts) < maxReportedConflicts {
@@ -136,21 +141,23 @@
 	}
 }
 
-// applySelfUpdate applies what others say of this router's ID.
+// applySelfUpdate applies an update about this router's own ID. It refutes a report that this
+// router is suspect, failed or left, and detects other processes with the same ID.
 func (m *Machine) applySelfUpdate(update Update) {
 	incarnation := m.self.Incarnation()
 	switch {
 	case update.Incarnation() < incarnation:
 	case update.Incarnation() > incarnation && update.State.Present():
-		// The successor in an upgrade, or one that was started by mistake with a copy of
-		// this router's state directory. Either way there is one member, and it is that one.
+		// The later process is this router's successor in an upgrade, or was started by
+		// mistake with a copy of the state directory. In both cases the ID belongs to the
+		// later process, and this one is superseded.
 		if !m.superseded {
 			m.superseded = true
 			m.output.addEvent(EventSuperseded, update, "a later process has this router's identity")
 		}
 	case update.Incarnation() > incarnation:
 		m.self.Revision = FirstRevision(update.Incarnation() + 1)
-		m.announceSelf("the later process of this identity is gone")
+		m.announceSelf("the later process with this router's identity failed or left")
 	case update.State != Alive && update.Revision >= m.self.Revision && m.disabledRule != ruleRefutation:
 		m.self.Revision = update.Revision + 1
 		m.raiseHealthScore(1)
@@ -160,7 +167,7 @@
 	}
 }
 
-// announceSelf broadcasts this router's new revision.
+// announceSelf broadcasts this router's new revision and reports the refutation.
 func (m *Machine) announceSelf(cause string) {
 	m.superseded = false
 	m.updateSelfChecksum()
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -5,29 +5,30 @@
 	"slices"
 )
 
-// Member is one router as another sees it.
+// Member describes a router as the viewer, the router that owns the view, sees it.
 type Member struct {
 	Update
 	StateSince     float64 // ms on the viewer's clock
-	LastReceivedAt float64 // latest packet of its own, in ms; 0: never
-	Direct         bool    // its latest probe was answered without the help of others
-	Self           bool
+	LastReceivedAt float64 // when its latest packet arrived, in ms on the viewer's clock; 0: never
+	Direct         bool    // it answered the latest probe directly, not through another router
+	Self           bool    // the member is the viewer
 }
 
-// View is what one router knows of all. It does not change.
+// View is a snapshot of what one router, the viewer, knows about all routers. It must not be
+// modified.
 type View struct {
-	At          float64 // ms
+	At          float64 // time of the snapshot, ms
 	Self        ID
-	Members     []Member // by name, then ID
-	Present     int      // alive or suspect, the viewer among them
-	Alive       int      // of those, not suspect
-	HealthScore int      // how slow the viewer takes itself to be; 0: not at all
-	Conflicts   int      // routers whose name or ID another has too
+	Members     []Member // sorted by name, then ID
+	Present     int      // number of alive or suspect routers, including the viewer
+	Alive       int      // number of alive routers, including the viewer
+	HealthScore int      // the viewer's local health score; 0: healthy, higher: slower
+	Conflicts   int      // conflicts reported so far: two routers with the same name or ID
 	Superseded  bool     // a later process has the viewer's ID
-	Silence     float64  // ms since the latest packet of anybody
+	Silence     float64  // ms since the latest packet of any other router
 }
 
-// View returns the view as of the latest step.
+// View returns a snapshot as of the latest step.
 func (m *Machine) View() *View {
 	view := &View{
 		At:          m.now,
@@ -52,7 +53,8 @@
 	return view
 }
 
-// State returns how a router is seen, and whether it is known.
+// State returns the state of a router, and whether the router is known. For an unknown router
+// the state is Failed.
 func (m *Machine) State(id ID) (state State, known bool) {
 	if id == m.self.ID {
 		return m.self.State, true
@@ -63,7 +65,7 @@
 	return Failed, false
 }
 
-// PresentCount returns how many routers are present, this one among them.
+// PresentCount returns the number of present routers, including this one.
 func (m *Machine) PresentCount() int { return 1 + len(m.present) }
 
 // Self returns this router's update about itself.
