--- a/internal/fleet/gossip/expiry.go
+++ b/internal/fleet/gossip/expiry.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// expiryInterval is the time between two looks for items to forget, ms.
+	// expiryInterval is the time between two searches for expired items, ms.
 	expiryInterval = 1000
-	// maxForgotten bounds how many forgotten items are remembered.
+	// maxForgotten bounds the number of forgotten items whose hashes are kept.
 	maxForgotten = 8192
 )
 
-// Step applies the enables that were deferred, once that is permitted, and forgets old
-// items.
+// Step applies the deferred enables once DeferEnables is false, and forgets expired items. now is
+// in ms.
 func (s *Store) Step(now float64) {
 	if !s.DeferEnables && len(s.deferredEnables) > 0 {
 		s.applyDeferredEnables()
@@ -47,14 +47,14 @@
 	}
 }
 
-// deferredServers returns the servers whose enable is deferred, in order.
+// deferredServers returns the servers whose enable is deferred, sorted by ID.
 func (s *Store) deferredServers() []routing.ServerID {
 	return slices.DeleteFunc(s.Bans(), func(server routing.ServerID) bool { return !s.deferredEnables[server] })
 }
 
-// expired reports whether an item is to be forgotten. From half of its retention on it is
-// not advertised: else a router that forgot it first would be sent it again, and take it
-// for new.
+// expired reports whether an item is older than its retention, in ms. It also stops advertising
+// an item after half of the retention: otherwise a router that has already forgotten the item
+// could be sent it again and accept it as new.
 func (s *Store) expired(now float64, e *entry, retention float64) bool {
 	age := now - e.receivedAt
 	if age >= retention/2 {
@@ -63,8 +63,8 @@
 	return age >= retention
 }
 
-// markForgotten remembers an item as forgotten, in place of the oldest one where there are
-// too many.
+// markForgotten records the hash of a forgotten item. It drops the oldest hash if there are
+// maxForgotten already.
 func (s *Store) markForgotten(hash uint64) {
 	if len(s.forgottenOrder) == maxForgotten {
 		delete(s.forgotten, s.forgottenOrder[0])
--- a/internal/fleet/gossip/export.go
+++ b/internal/fleet/gossip/export.go
@@ -6,11 +6,11 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// fieldBan is the field number of each ban in an export.
+// fieldBan is the protobuf field number of each ban in an export.
 const fieldBan = 1
 
-// Export returns the bans as they are stored for the router's next process. changed tells
-// whether they differ from the last call's; if not, nothing is returned.
+// Export returns the encoded bans to store for the router's next process. changed tells whether
+// they have changed since the last call; if not, stored is nil.
 func (s *Store) Export() (stored []byte, changed bool) {
 	if !s.dirty {
 		return nil, false
@@ -23,7 +23,8 @@
 	return stored, true
 }
 
-// Import adds the bans that an earlier process exported. What cannot be decoded is skipped.
+// Import adds the bans that an earlier process exported. It skips items that cannot be decoded,
+// and stops where the framing is invalid.
 func (s *Store) Import(now float64, stored []byte) {
 	for len(stored) > 0 {
 		_, fieldType, n := protowire.ConsumeTag(stored)
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -7,7 +7,8 @@
 	"garnetline/internal/golden"
 )
 
-// Items between routers of this version and of the one before are the same bytes.
+// The encoding of items is the same as in the previous version, since routers of both versions
+// exchange them.
 func TestGoldenItems(t *testing.T) {
 	items := []Item{
 		{Kind: Ban, Server: 0xfffffffe, Router: 0x1122334455667788, Sequence: 3},
@@ -24,27 +25,27 @@
 	for i, m := range golden.CompareMessages(t, "items.golden", messages) {
 		got, ok := Decode(m.Bytes)
 		if !ok || got != items[i] {
-			t.Errorf("%s: %+v, want %+v", m.Name, got, items[i])
+			t.Errorf("%s: decoded %+v, want %+v", m.Name, got, items[i])
 		}
 	}
 }
 
-// The file of the bans that the next process reads is the same bytes.
+// The encoding of the bans file, which the router's next process reads, does not change.
 func TestGoldenBansFile(t *testing.T) {
 	store := New(DefaultSettings(), 7, 1<<24)
 	store.SetDisabled(0, 5, true)
 	store.SetDisabled(0, 6, true)
 	store.SetDisabled(0, 6, false)
-	foreign := Item{Kind: Ban, Server: 9, Router: 3, Sequence: 2}
-	store.Receive(0, 3, foreign.Append(nil))
+	remoteBan := Item{Kind: Ban, Server: 9, Router: 3, Sequence: 2}
+	store.Receive(0, 3, remoteBan.Append(nil))
 	exported, _ := store.Export()
 	stored := golden.CompareMessages(t, "bans.golden", []golden.Message{{Name: "bans", Bytes: exported}})
 	next := New(DefaultSettings(), 7, 2<<24)
 	next.Import(0, stored[0].Bytes)
 	if again, _ := next.Export(); !bytes.Equal(again, stored[0].Bytes) {
-		t.Errorf("read and written again it is %x, want %x", again, stored[0].Bytes)
+		t.Errorf("exported again after import: got %x, want %x", again, stored[0].Bytes)
 	}
 	if !next.Disabled(5) || next.Disabled(6) || !next.Disabled(9) {
-		t.Errorf("banned are %v, want 5 and 9", next.Bans())
+		t.Errorf("got banned servers %v, want 5 and 9", next.Bans())
 	}
 }
--- a/internal/fleet/gossip/item.go
+++ b/internal/fleet/gossip/item.go
@@ -8,30 +8,30 @@
 	"garnetline/routing"
 )
 
-// Kind tells what an item is about.
+// Kind is the kind of an item.
 type Kind uint8
 
-// The kinds of items. Their numbers are on the wire and in the bans file.
+// The kinds of items. Their numbers are part of the wire format and of the bans file.
 const (
 	Ban   Kind = 1 + iota // an operator disabled a server
-	Drain                 // a change log showed a server as no longer ready
-	Purge                 // a change log asked for an object or a group to be purged
+	Drain                 // a router's change log showed that a server is no longer ready
+	Purge                 // a router's change log contained the purge of an object or a group
 )
 
-// Item is one ban, drain or purge. Which fields it has depends on its kind.
+// Item is one ban, drain or purge. Its kind determines which fields are set.
 type Item struct {
 	Kind      Kind
 	Server    routing.ServerID
-	Router    membership.ID    // Ban: at whose admin API it was set; with Sequence, the dot
-	Sequence  uint64           // Ban: number among those of the router
-	Removed   bool             // Ban: it was removed
-	StartedAt float64          // Drain: start of the server that drains, Unix ms; 0: long ago
-	Object    routing.ObjectID // Purge
-	Group     int              // Purge
-	PurgedAt  float64          // Purge: Unix ms
+	Router    membership.ID    // Ban: router whose admin API set it; Router and Sequence are the ban's dot
+	Sequence  uint64           // Ban: number of the ban among those set at Router
+	Removed   bool             // Ban: the ban was removed
+	StartedAt float64          // Drain: start time of the draining server, Unix ms; 0: long ago
+	Object    routing.ObjectID // Purge: object to purge
+	Group     int              // Purge: group to purge
+	PurgedAt  float64          // Purge: time of the purge, Unix ms
 }
 
-// Field numbers of an item, in protobuf's encoding.
+// Field numbers of an item in the protobuf encoding.
 const (
 	fieldKind = 1 + iota
 	fieldServer
@@ -45,12 +45,11 @@
 )
 
 const (
-	// maxTimestamp is the highest time that an item may have, Unix ms; beyond it there is
-	// no date.
+	// maxTimestamp bounds the times of an item, Unix ms. A higher value cannot be a valid date.
 	maxTimestamp = 1 << 50
-	// maxGroup is one more than the highest group.
+	// maxGroup is one more than the highest group number.
 	maxGroup = 1 << 16
-	// serverIDBits is the length of a server's ID.
+	// serverIDBits is the size of a server ID, in bits.
 	serverIDBits = 32
 )
 
@@ -69,8 +68,8 @@
 	return wireformat.AppendUint(b, fieldPurgedAt, uint64(i.PurgedAt))
 }
 
-// Decode decodes an item. Fields of a later version are skipped; ok is false where it is
-// malformed or a field is out of bounds.
+// Decode decodes an item. It skips unknown fields, which a later version may send. ok is false if
+// the encoding is malformed or a field is out of bounds.
 func Decode(b []byte) (item Item, ok bool) {
 	if len(b) > membership.MaxItemLen {
 		return item, false
@@ -132,12 +131,11 @@
 	return false
 }
 
-// bucket returns the part of the store in which the item is compared, the same at all
-// routers.
+// bucket returns the bucket whose checksum includes the item. It is the same at all routers.
 func (i *Item) bucket() int {
 	hash := uint64(i.Server)*31 + uint64(i.Object) + uint64(i.Group)*7 + i.Sequence
 	return int(hash % membership.BucketCount)
 }
 
-// dotHash identifies a dot among those that were forgotten.
+// dotHash returns the hash that identifies a ban's dot among the forgotten items.
 func (i *Item) dotHash() uint64 { return uint64(i.Router)*0x9e3779b97f4a7c15 + i.Sequence }
--- a/internal/fleet/gossip/store.go
+++ b/internal/fleet/gossip/store.go
@@ -1,15 +1,15 @@
-// Package gossip holds what routers tell each other about servers: bans that operators set,
-// servers that drain or are gone, purges. It does no I/O: the state machine of membership
-// spreads the items. Merging gives the same result in every order and however often an item
-// comes.
+// Package gossip stores the items that routers exchange about servers: bans set by operators,
+// servers that drain or are gone, and purges. It does no I/O: the membership state machine
+// sends and receives the items. Merging is commutative and idempotent: the result depends
+// neither on the order of the items nor on how often each one is received.
 //
-// Items of other routers disable servers and undo that again; only the change log makes a
-// server usable. Bans are an add-wins set: each ban is a dot, the ID of the router at whose
-// admin API it was set and a number; to enable a server removes the dots that the router
-// knows. Of a ban and an enable on two sides of a partition the ban holds, since the enable
-// did not know its dot.
+// Items of other routers can only disable a server or undo that; a server becomes usable only
+// through the change log. Bans form an add-wins set (a CRDT). Each ban is identified by a dot:
+// the ID of the router whose admin API set it, and a sequence number. Enabling a server removes
+// the dots that the enabling router knows. If a server is banned on one side of a partition and
+// enabled on the other, the ban remains, since the enabling router did not know its dot.
 //
-// A Store owns the items of one router. It is not safe for concurrent use: the goroutine
+// A Store holds the items of one router. It is not safe for concurrent use: the goroutine
 // that owns the router's fleet.Node makes all calls.
 package gossip
 
@@ -23,45 +23,46 @@
 	"garnetline/routing"
 )
 
-// Settings bound the store. Times are milliseconds.
+// Settings are the limits of a Store. All times are in milliseconds.
 type Settings struct {
-	DotRetention  float64 // a removed dot is forgotten after it
-	ItemRetention float64 // a drain or purge is forgotten after it
-	MaxDots       int
-	MaxItems      int // drains and purges
+	DotRetention  float64 // time after which a removed ban is forgotten
+	ItemRetention float64 // time after which a drain or purge is forgotten
+	MaxDots       int     // maximum number of bans, including removed ones
+	MaxItems      int     // maximum number of drains and purges
 }
 
-// DefaultSettings returns the settings that the operators' file begins with.
+// DefaultSettings returns the defaults for the operators' settings file.
 func DefaultSettings() Settings {
 	return Settings{DotRetention: 86_400_000, ItemRetention: 600_000, MaxDots: 4096, MaxItems: 4096}
 }
 
-// Change is what an item changes for this router.
+// Change is the effect of an item on this router.
 type Change struct {
 	Item
-	Disabled bool // Ban: the server is disabled now; else it is enabled again
+	Disabled bool // Ban: whether the server is disabled now
 }
 
-// Store holds the items of one router. It is a membership.ItemStore.
+// Store holds the items of one router. It implements membership.ItemStore.
 type Store struct {
 	settings        Settings
 	self            membership.ID
-	lastSequence    uint64 // of this router's own bans
+	lastSequence    uint64 // sequence number of this router's latest ban
 	dots            map[dot]*entry
-	items           map[uint64]*entry // drains and purges, by the hash of their bytes
-	banCounts       map[routing.ServerID]int
-	deferredEnables map[routing.ServerID]bool // enabled by another router while that is deferred
+	items           map[uint64]*entry         // drains and purges, by the hash of their encoding
+	banCounts       map[routing.ServerID]int  // number of bans of each banned server
+	deferredEnables map[routing.ServerID]bool // servers enabled by another router while DeferEnables was set
 	checksums       [membership.BucketCount]uint32
 	forgotten       map[uint64]bool // hashes of forgotten items, which are not accepted again
-	forgottenOrder  []uint64        // of forgotten, the oldest first
-	lastExpiryAt    float64
+	forgottenOrder  []uint64        // hashes in forgotten, the oldest first
+	lastExpiryAt    float64         // ms
 
-	// DeferEnables holds back that other routers enable a server.
+	// DeferEnables keeps a server disabled after another router has enabled it, until Step is
+	// called with DeferEnables unset.
 	DeferEnables bool
-	// Rejected counts items that were malformed or beyond a limit.
+	// Rejected counts the items that were malformed or exceeded a limit.
 	Rejected int64
-	changes  []Change
-	dirty    bool // the dots have changed since the last Export
+	changes  []Change // since the last TakeChanges
+	dirty    bool     // the bans have changed since the last Export
 }
 
 // dot identifies a ban.
@@ -70,16 +71,16 @@
 	sequence uint64
 }
 
-// entry is an item with its bytes.
+// entry is an item with its encoding.
 type entry struct {
 	Item
 	encoded    []byte
 	receivedAt float64 // ms
-	advertised bool    // it is sent to others and counts in the checksums
+	advertised bool    // ForEach returns the item and the checksums include it
 }
 
-// New returns an empty store of a router. Its dots are numbered from above
-// firstSequence, which grows with each incarnation of the router.
+// New returns an empty store for the router self. The sequence numbers of its bans start after
+// firstSequence, which must grow with each incarnation of the router.
 func New(settings Settings, self membership.ID, firstSequence uint64) *Store {
 	return &Store{
 		settings:        settings,
@@ -93,8 +94,8 @@
 	}
 }
 
-// Receive merges an encoded item of another router. It reports whether the item is new, and
-// so to be broadcast.
+// Receive merges an encoded item that another router sent. It reports whether the item is new
+// and has to be broadcast. now is in ms.
 func (s *Store) Receive(now float64, _ membership.ID, encoded []byte) bool {
 	item, ok := Decode(encoded)
 	if !ok {
@@ -104,20 +105,21 @@
 	return s.merge(now, item, encoded, false)
 }
 
-// AddLocal adds what this router's own change log showed, which changes nothing for this
-// router. It returns the encoded item to broadcast, or nil where it is known.
+// AddLocal adds an item from this router's own change log. It records no Change, since the item
+// changes nothing for a router that reads it from its own log. It returns the encoded item to
+// broadcast, or nil if the item is not new.
 func (s *Store) AddLocal(now float64, item Item) []byte {
 	encoded := item.Append(nil)
-	known := len(s.changes)
+	changeCount := len(s.changes)
 	if !s.merge(now, item, encoded, true) {
 		return nil
 	}
-	s.changes = s.changes[:known]
+	s.changes = s.changes[:changeCount]
 	return encoded
 }
 
-// SetDisabled disables a server, or enables it again, by order of an operator at this
-// router's admin API. It returns the encoded items to broadcast.
+// SetDisabled disables or enables a server at the request of an operator at this router's admin
+// API. It returns the encoded items to broadcast.
 func (s *Store) SetDisabled(now float64, server routing.ServerID, disabled bool) [][]byte {
 	if disabled {
 		return s.disable(now, server)
@@ -158,7 +160,7 @@
 	return encoded
 }
 
-// sortedDots returns the dots in an order that is the same each time.
+// sortedDots returns the dots sorted by router and sequence number.
 func (s *Store) sortedDots() []dot {
 	dots := make([]dot, 0, len(s.dots))
 	for d := range s.dots {
@@ -170,8 +172,8 @@
 	return dots
 }
 
-// merge adds an item. local tells that it comes from this router itself or its own file. It
-// reports whether the item is new.
+// merge adds an item and reports whether it is new. local tells whether the item comes from this
+// router itself or from its stored bans.
 func (s *Store) merge(now float64, item Item, encoded []byte, local bool) bool {
 	if item.Kind == Ban {
 		return s.mergeBan(now, item, encoded, local)
@@ -204,7 +206,7 @@
 		return false
 	}
 	if item.Router == s.self && item.Sequence > s.lastSequence {
-		s.lastSequence = item.Sequence // sent back by others after this router lost its state
+		s.lastSequence = item.Sequence // other routers returned the ban after this router lost its state
 	}
 	wasDisabled := s.Disabled(item.Server)
 	if known != nil {
@@ -230,17 +232,17 @@
 	return true
 }
 
-// recordBanChange records that a server is disabled now, or enabled again.
+// recordBanChange records a Change with the server's current disabled state.
 func (s *Store) recordBanChange(server routing.ServerID, item Item) {
 	s.changes = append(s.changes, Change{Item: item, Disabled: s.Disabled(server)})
 }
 
-// Disabled reports whether a ban holds for a server.
+// Disabled reports whether a server is banned, or still disabled because its enable is deferred.
 func (s *Store) Disabled(server routing.ServerID) bool {
 	return s.banCounts[server] > 0 || s.deferredEnables[server]
 }
 
-// Bans returns the servers that are disabled, in order.
+// Bans returns the disabled servers, sorted by ID.
 func (s *Store) Bans() []routing.ServerID {
 	var servers []routing.ServerID
 	for server := range s.banCounts {
@@ -255,7 +257,7 @@
 	return servers
 }
 
-// Drains returns the drains that came after a moment, in ms.
+// Drains returns the drains received at or after the time after, in ms, sorted by server.
 func (s *Store) Drains(after float64) []Item {
 	var drains []Item
 	for _, e := range s.items {
@@ -269,15 +271,14 @@
 	return drains
 }
 
-// TakeChanges returns what has changed for this router since the last call.
+// TakeChanges returns the changes since the last call.
 func (s *Store) TakeChanges() []Change {
 	changes := s.changes
 	s.changes = nil
 	return changes
 }
 
-// setAdvertised adds an item to what is sent to others and counts in the checksums, or
-// takes it out.
+// setAdvertised sets whether an item is sent to other routers and included in the checksums.
 func (s *Store) setAdvertised(e *entry, advertised bool) {
 	if e.advertised != advertised {
 		e.advertised = advertised
@@ -285,10 +286,11 @@
 	}
 }
 
-// Checksum returns the checksum of a bucket, by which stores are compared.
+// Checksum returns the checksum of the advertised items in a bucket. Routers compare these
+// checksums to find differences between their stores.
 func (s *Store) Checksum(bucket int) uint32 { return s.checksums[bucket] }
 
-// ForEach calls visit with the encoded items of a bucket until it returns false.
+// ForEach calls visit with each advertised, encoded item of a bucket until visit returns false.
 func (s *Store) ForEach(bucket int, visit func(encoded []byte) bool) {
 	for _, d := range s.sortedDots() {
 		if e := s.dots[d]; e.advertised && e.bucket() == bucket && !visit(e.encoded) {
--- a/internal/fleet/gossip/store_test.go
+++ b/internal/fleet/gossip/store_test.go
@@ -13,7 +13,7 @@
 	"garnetline/routing"
 )
 
-// describe returns what a store holds, as text.
+// describe returns the content of a store as text.
 func describe(s *Store) string {
 	var items []string
 	for bucket := range membership.BucketCount {
@@ -26,7 +26,7 @@
 	return fmt.Sprint(s.Bans(), items, s.checksums)
 }
 
-// modelDot is a ban of the model.
+// modelDot is a ban in the model.
 type modelDot struct {
 	server routing.ServerID
 	id     string
@@ -37,14 +37,14 @@
 	return modelDot{item.Server, fmt.Sprint(item.Router, item.Sequence)}
 }
 
-// model is what several stores should come to: a server is disabled where a ban is left
-// whose dot no enable knew.
+// model computes the state that several stores must converge to: a server is disabled if it has
+// a ban whose dot no enabling router knew.
 type model struct {
 	stores  []*Store
-	sent    [][]byte
-	live    map[modelDot]bool
-	known   []map[modelDot]bool // by each store
-	removed map[modelDot]bool
+	sent    [][]byte            // items that all stores are to receive
+	live    map[modelDot]bool   // all bans that were set
+	known   []map[modelDot]bool // bans that each store knows
+	removed map[modelDot]bool   // bans that were known to an enabling store
 }
 
 func newModel(routers int) *model {
@@ -79,7 +79,7 @@
 	m.known[router][dotOf(encoded)] = true
 }
 
-// receiveAll has each store receive all that was sent, twice, in a random order.
+// receiveAll delivers all sent items to each store, twice and in random order.
 func (m *model) receiveAll() {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, s := range m.stores {
@@ -92,7 +92,7 @@
 	}
 }
 
-// disabled returns for each server that was ever disabled whether it is now.
+// disabled returns for each server that was ever banned whether it must be disabled now.
 func (m *model) disabled() map[routing.ServerID]bool {
 	disabled := map[routing.ServerID]bool{}
 	for ban := range m.live {
@@ -101,9 +101,9 @@
 	return disabled
 }
 
-// Several routers ban and enable at random, and receive a part of each other's items in any
-// order and more than once. Once each has received all, they agree with each other and with
-// the model.
+// Several routers ban and enable servers at random, and receive some of each other's items in any
+// order and more than once. After each has received all items, the stores are equal to each
+// other and to the model.
 func TestMergeAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const routers = 3
@@ -125,19 +125,19 @@
 		want.receiveAll()
 		for i, s := range want.stores {
 			if describe(s) != describe(want.stores[0]) {
-				t.Fatalf("stores differ:\n%s\n%s", describe(s), describe(want.stores[0]))
+				t.Fatalf("stores differ: got\n%s\nwant that of router 0\n%s", describe(s), describe(want.stores[0]))
 			}
 			for server, disabled := range want.disabled() {
 				if s.Disabled(server) != disabled {
-					t.Fatalf("router %d: %v disabled %v, want %v", i, server, s.Disabled(server), disabled)
+					t.Fatalf("router %d, server %v: got disabled %v, want %v", i, server, s.Disabled(server), disabled)
 				}
 			}
 		}
 	})
 }
 
-// That another router enables a server is held back while that is deferred, and applied
-// then; an operator's enable at this router counts at once.
+// An enable from another router is deferred while DeferEnables is set and applied by the first
+// Step afterwards. An enable by an operator at this router applies at once.
 func TestRemoteEnableIsDeferred(t *testing.T) {
 	remote, local := New(DefaultSettings(), 1, 0), New(DefaultSettings(), 2, 0)
 	receive := func(items [][]byte) {
@@ -149,25 +149,25 @@
 	local.DeferEnables = true
 	receive(remote.SetDisabled(0, 5, false))
 	if !local.Disabled(5) {
-		t.Error("enabled while that is deferred")
+		t.Error("server 5 was enabled by another router while enables are deferred, want disabled")
 	}
 	local.TakeChanges()
 	local.DeferEnables = false
 	local.Step(1)
 	if c := local.TakeChanges(); local.Disabled(5) || len(c) != 1 || c[0].Disabled {
-		t.Errorf("not enabled when it is no longer deferred: %+v", c)
+		t.Errorf("after enables are no longer deferred: got changes %+v, want one that enables server 5", c)
 	}
 	local.DeferEnables = true
 	receive(remote.SetDisabled(0, 6, true))
 	receive(remote.SetDisabled(0, 6, false))
 	local.SetDisabled(0, 6, false)
 	if local.Disabled(6) {
-		t.Error("the operator's own enable does not count")
+		t.Error("server 6 is disabled after the operator enabled it at this router, want enabled")
 	}
 }
 
-// What is forgotten is not accepted again from one that forgets later, and in the time
-// between the checksums of the two are equal.
+// A router does not accept an item that it has forgotten from a router that forgets it later.
+// After both have forgotten the item, their checksums are equal.
 func TestExpiredItemsStayForgotten(t *testing.T) {
 	settings := DefaultSettings()
 	first, second := New(settings, 1, 0), New(settings, 2, 0)
@@ -179,20 +179,21 @@
 		second.Step(now)
 		second.ForEach(item.bucket(), func(advertised []byte) bool {
 			if first.Receive(now, 2, advertised) {
-				t.Fatalf("accepted again after %.0f ms", now)
+				t.Fatalf("forgotten item was accepted again after %.0f ms", now)
 			}
 			return true
 		})
 	}
 	if first.checksums != second.checksums || len(first.items)+len(second.items) != 0 {
-		t.Errorf("%d and %d left", len(first.items), len(second.items))
+		t.Errorf("got %d and %d items, want none and equal checksums", len(first.items), len(second.items))
 	}
 	if first.Receive(2*settings.ItemRetention, 2, encoded) {
-		t.Error("an old packet brings it back")
+		t.Error("forgotten item was accepted again from an old packet")
 	}
 }
 
-// Bans outlive the process, and an incarnation that lost its state continues its numbers.
+// Exported bans survive a restart, and the next process continues their sequence numbers even if
+// it starts numbering from 0.
 func TestExportImport(t *testing.T) {
 	before := New(DefaultSettings(), 1, 0)
 	before.SetDisabled(0, 5, true)
@@ -200,20 +201,20 @@
 	before.SetDisabled(0, 6, false)
 	stored, changed := before.Export()
 	if _, again := before.Export(); !changed || again {
-		t.Error("changed is wrong")
+		t.Error("want changed to be true in the first export and false in the second")
 	}
 	after := New(DefaultSettings(), 1, 0)
 	after.Import(0, stored)
 	after.Import(0, stored[:len(stored)-1])
 	if describe(before) != describe(after) || !after.Disabled(5) || after.Disabled(6) {
-		t.Errorf("%s, want %s", describe(after), describe(before))
+		t.Errorf("after import: got %s, want %s with server 5 disabled and 6 enabled", describe(after), describe(before))
 	}
 	if items := after.SetDisabled(0, 7, true); len(items) != 1 || after.lastSequence <= before.lastSequence {
-		t.Errorf("%d dots, number %d after %d", len(items), after.lastSequence, before.lastSequence)
+		t.Errorf("got %d items with sequence number %d, want one with a number above %d", len(items), after.lastSequence, before.lastSequence)
 	}
 }
 
-func TestBounds(t *testing.T) {
+func TestStoreLimits(t *testing.T) {
 	settings := DefaultSettings()
 	settings.MaxDots = 3
 	settings.MaxItems = 2
@@ -225,7 +226,7 @@
 		s.Receive(0, 9, purge.Append(nil))
 	}
 	if len(s.dots) != 3 || len(s.items) != 2 || s.Rejected != 15 {
-		t.Errorf("%d dots, %d items, %d rejected", len(s.dots), len(s.items), s.Rejected)
+		t.Errorf("got %d dots, %d items and %d rejected, want 3, 2 and 15", len(s.dots), len(s.items), s.Rejected)
 	}
 }
 
@@ -244,7 +245,7 @@
 		}
 		encoded := item.Append(nil)
 		if again, ok := Decode(encoded); !ok || again != item || !bytes.Equal(encoded, again.Append(nil)) {
-			t.Fatalf("%+v, then %+v", item, again)
+			t.Fatalf("decoded %+v, but %+v after encoding it again", item, again)
 		}
 	})
 }
