--- a/internal/fleet/connectivity/behaviors.go
+++ b/internal/fleet/connectivity/behaviors.go
@@ -1,10 +1,10 @@
 package connectivity
 
-// Behavior says what a router does about one subject in each state.
+// Behavior describes how a router handles one subject in each connectivity state.
 type Behavior struct{ Subject, Together, Partial, Alone string }
 
-// Behaviors returns all that depends on the fleet. The command prints the texts, and
-// operators' pages quote them.
+// Behaviors returns the behavior of every subject that depends on the fleet. The command line
+// prints the texts and the operators' documentation quotes them.
 func Behaviors() []Behavior {
 	enable := func(s State) string {
 		if s.AcceptsRemoteEnable() {
--- a/internal/fleet/connectivity/connectivity.go
+++ b/internal/fleet/connectivity/connectivity.go
@@ -1,8 +1,8 @@
-// Package connectivity judges from a router's view of the fleet whether it is together with
-// the others, partitioned with some of them, or alone. It does no I/O.
+// Package connectivity determines from a router's view of the fleet whether it can reach most
+// routers (together), only some of them (partial) or none (alone). It does no I/O.
 //
-// A state that permits less is entered soon; one that permits more needs evidence for
-// longer, and for longer each time that it did not last.
+// A router enters a state that permits less after a short delay. It enters a state that permits
+// more after a longer delay, which doubles each time that the router falls back afterwards.
 //
 // A Machine is not safe for concurrent use: the goroutine that owns the router's fleet.Node
 // makes all calls.
@@ -15,7 +15,7 @@
 // State is how much of the fleet a router can reach.
 type State uint8
 
-// The states, the one that permits the most first.
+// The states, in descending order of what they permit.
 const (
 	Together State = iota
 	Partial
@@ -24,29 +24,31 @@
 
 var stateNames = [...]string{"together", "partial", "alone"}
 
-// String returns the name of the state as logs, metrics and the admin API show it.
+// String returns the name of the state that logs, metrics and the admin API show.
 func (s State) String() string { return stateNames[s] }
 
-// AcceptsRemoteEnable reports whether a server that another router enables is enabled here.
+// AcceptsRemoteEnable reports whether a router in this state enables a server at once when an
+// operator has enabled it at another router.
 func (s State) AcceptsRemoteEnable() bool { return s == Together }
 
-// Ready reports whether a router in this state is ready: not one that has nobody left,
-// neither peers nor servers nor the change log. One that only lost its peers is.
+// Ready reports whether a router in this state is ready for requests. It is not ready if it has
+// lost all other routers, all servers and the change log. A router that has lost only the
+// other routers is ready.
 func (s State) Ready(serversLost, changeLogLost bool) bool {
 	return s != Alone || !serversLost || !changeLogLost
 }
 
-// Settings are the thresholds. Times are milliseconds.
+// Settings are the thresholds and delays. All times are in milliseconds.
 type Settings struct {
-	RecentWindow    float64 // a router that was present within it is expected to be
-	TogetherShare   float64 // share of the expected routers from which on a router is together
-	SilenceTimeout  float64 // alone after no packet for so long, whatever the view says
-	DowngradeDelay  float64 // evidence for a state that permits less
-	UpgradeDelay    float64 // evidence for one that permits more
-	MaxUpgradeDelay float64 // bound of UpgradeDelay's growth
+	RecentWindow    float64 // routers that were present within this time count as known
+	TogetherShare   float64 // smallest present share of the known routers for Together
+	SilenceTimeout  float64 // time without a packet after which the state is Alone, whatever the view shows
+	DowngradeDelay  float64 // how long the view must show a state that permits less
+	UpgradeDelay    float64 // how long the view must show a state that permits more, at first
+	MaxUpgradeDelay float64 // upper bound of the upgrade delay as it doubles
 }
 
-// DefaultSettings returns the settings that the operators' file begins with.
+// DefaultSettings returns the defaults for the operators' settings file.
 func DefaultSettings() Settings {
 	return Settings{
 		RecentWindow:    600_000,
@@ -58,26 +60,26 @@
 	}
 }
 
-// Status is the state with what it is based on.
+// Status is the state of a router and the counts that it is based on.
 type Status struct {
 	State   State
-	Since   float64 // ms
-	Present int     // alive or suspect, this router among them
-	Known   int     // present lately and not left: what shared budgets are divided by
+	Since   float64 // when the state was entered, ms
+	Present int     // number of alive or suspect routers, including this one
+	Known   int     // number of routers present within RecentWindow that have not left; divisor of shared budgets
 }
 
-// Machine follows the view of one router.
+// Machine derives the connectivity state of one router from its views.
 type Machine struct {
 	settings       Settings
-	lastSeenAt     map[membership.ID]float64 // when each was present latest
+	lastSeenAt     map[membership.ID]float64 // when each router was last present, ms
 	current        Status
-	candidate      State // what the view says
-	candidateSince float64
-	upgradeDelay   float64
-	upgraded       bool // it has been at least once
+	candidate      State   // state that the latest view shows
+	candidateSince float64 // ms
+	upgradeDelay   float64 // ms
+	upgraded       bool    // the machine has entered a state that permits more at least once
 }
 
-// New returns a machine that is alone until the view says otherwise.
+// New returns a machine in the state Alone. now is in ms.
 func New(settings Settings, now float64) *Machine {
 	return &Machine{
 		settings:     settings,
@@ -88,10 +90,10 @@
 	}
 }
 
-// Status returns the state that holds now.
+// Status returns the status as of the latest step.
 func (m *Machine) Status() Status { return m.current }
 
-// Step takes the view as of now, in ms.
+// Step updates the state from the view at the time now, in ms.
 func (m *Machine) Step(now float64, view *membership.View) Status {
 	m.current.Present = view.Present
 	m.recordSeen(now, view)
@@ -103,7 +105,7 @@
 	}
 	if candidate == m.current.State {
 		if candidate == Together && now-m.current.Since >= m.settings.MaxUpgradeDelay {
-			m.upgradeDelay = m.settings.UpgradeDelay // it has lasted
+			m.upgradeDelay = m.settings.UpgradeDelay // the state has lasted
 		}
 		return m.current
 	}
@@ -118,7 +120,7 @@
 	switch {
 	case upgrade:
 		m.upgraded = true
-	case m.upgraded: // what was permitted did not last: the next time it takes longer
+	case m.upgraded: // the earlier upgrade did not last, so the next one takes longer
 		m.upgradeDelay = min(m.settings.MaxUpgradeDelay, 2*m.upgradeDelay)
 	}
 	m.current.State = candidate
@@ -126,8 +128,8 @@
 	return m.current
 }
 
-// recordSeen notes which routers are present, and forgets those that left or have not been
-// for long.
+// recordSeen records which routers are present. It forgets routers that left or have not been
+// present within RecentWindow.
 func (m *Machine) recordSeen(now float64, view *membership.View) {
 	for i := range view.Members {
 		member := &view.Members[i]
@@ -145,12 +147,12 @@
 	}
 }
 
-// classify returns the state that the view shows at this moment.
+// classify returns the state that the view shows, without delays.
 func (m *Machine) classify(view *membership.View) State {
 	if m.current.Present <= 1 || view.Silence > m.settings.SilenceTimeout {
-		// A router that is cut off from all takes minutes to declare hundreds failed one by
-		// one, the more so as it raises its health score. That no packet comes it knows at
-		// once.
+		// An isolated router declares the others failed one by one, which takes minutes for
+		// hundreds of routers, and longer as its health score rises. The absence of packets
+		// shows the isolation much earlier.
 		return Alone
 	}
 	if float64(m.current.Present) < m.settings.TogetherShare*float64(m.current.Known) {
