--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -1,10 +1,10 @@
-// Package fleet combines what one router knows of the others: which are there (membership),
-// what they tell about servers (gossip), and how much of the fleet it can reach
-// (connectivity). It does no I/O: package transport runs a Node in the daemon, a network
-// simulator in experiments.
+// Package fleet combines the three state machines of a router's view of its fleet: which
+// routers are present (membership), what they publish about servers (gossip), and how much of
+// the fleet this router can reach (connectivity). The package does no I/O: package transport
+// runs a Node in the daemon, and a network simulator runs it in experiments.
 //
 // A Node is not safe for concurrent use: the goroutine that owns it makes all calls. A
-// Status does not change and may be read by any.
+// Status is immutable and may be read by any goroutine.
 package fleet
 
 import (
@@ -20,21 +20,23 @@
 	"garnetline/routing"
 )
 
-// relayCount is how many routers broadcast what the change log told all of them. The rest
-// would only repeat it; the exchange of views makes up for what these lose.
+// relayCount is how many routers broadcast an item that all routers read from the change log.
+// A broadcast by more routers would only repeat the item; the periodic exchange of views
+// delivers it where these broadcasts are lost.
 const relayCount = 4
 
-// connectivityInterval is how often connectivity is judged when nothing changes, ms.
+// connectivityInterval is the time between two evaluations of connectivity while the view does
+// not change, in ms.
 const connectivityInterval = 250.0
 
-// Settings are those of the parts.
+// Settings are the settings of the node's state machines.
 type Settings struct {
 	Membership   membership.Settings
 	Connectivity connectivity.Settings
 	Gossip       gossip.Settings
 }
 
-// DefaultSettings returns the settings that the operators' file begins with.
+// DefaultSettings returns the settings that apply where the operators' settings file sets none.
 func DefaultSettings() Settings {
 	return Settings{
 		Membership:   membership.DefaultSettings(),
@@ -43,15 +45,15 @@
 	}
 }
 
-// Node is what one router knows of the fleet.
+// Node is one router's view of the fleet.
 type Node struct {
 	*membership.Machine
 	Store        *gossip.Store
 	connectivity *connectivity.Machine
-	nextCheckAt  float64 // of connectivity, ms
+	nextCheckAt  float64 // when connectivity is evaluated next, ms
 }
 
-// Output is what a step calls for.
+// Output is what the caller must carry out after a step.
 type Output struct {
 	membership.Output
 	Changes             []gossip.Change
@@ -59,7 +61,7 @@
 	ConnectivityChanged bool
 }
 
-// New returns the node of a router. seeds are addresses at which others may be.
+// New returns the node of a router. seeds are addresses at which other routers may listen.
 func New(settings Settings, self membership.Update, seeds []netip.AddrPort, rng *rand.Rand, now float64) *Node {
 	store := gossip.New(settings.Gossip, self.ID, self.Revision)
 	return &Node{
@@ -70,7 +72,7 @@
 	}
 }
 
-// Step brings the node to now, in ms, and handles a packet, which may be nil.
+// Step advances the node to now, in ms, and handles a received packet, which may be nil.
 func (n *Node) Step(now float64, p *membership.Packet) Output {
 	out := Output{Output: n.Machine.Step(now, p)}
 	before := n.connectivity.Status()
@@ -93,23 +95,24 @@
 // Connectivity returns the connectivity as of the latest step.
 func (n *Node) Connectivity() connectivity.Status { return n.connectivity.Status() }
 
-// SetDisabled disables a server, or enables it again, by order of an operator at this
-// router's admin API.
+// SetDisabled records and broadcasts that an operator disabled or enabled a server through
+// this router's admin API.
 func (n *Node) SetDisabled(now float64, server routing.ServerID, disabled bool) {
 	for _, item := range n.Store.SetDisabled(now, server, disabled) {
 		n.Broadcast(item)
 	}
 }
 
-// Publish tells the fleet what this router's own change log showed.
+// Publish adds an item that this router read from its own change log, and broadcasts it if
+// this router is one of the item's relays.
 func (n *Node) Publish(now float64, item gossip.Item) {
 	if encoded := n.Store.AddLocal(now, item); encoded != nil && n.relays(encoded) {
 		n.Broadcast(encoded)
 	}
 }
 
-// relays reports whether this router is one of those that broadcast an item: the few that
-// rank lowest among those present, by a hash of ID and item.
+// relays reports whether this router broadcasts an item: the relayCount present routers with
+// the lowest rank for the item do.
 func (n *Node) relays(encoded []byte) bool {
 	hash := xxhash.Sum64(encoded)
 	self := rank(n.Self().ID, hash)
@@ -122,7 +125,8 @@
 	return lower < relayCount
 }
 
-// rank is the same at all routers.
+// rank returns a router's rank for the item with a hash. All routers compute the same rank, and
+// so select the same relays.
 func rank(id membership.ID, hash uint64) uint64 {
 	mixed := (uint64(id) ^ hash) * 0x9e3779b97f4a7c15
 	return mixed ^ mixed>>32
--- a/internal/fleet/simulation_test.go
+++ b/internal/fleet/simulation_test.go
@@ -1,6 +1,7 @@
 //go:build amd64
 
-// On other machines, fused multiply-add changes the last bits of some times.
+// The test runs on amd64 only: on other architectures, fused multiply-add changes the last bits
+// of some times and so the hash.
 
 package fleet_test
 
@@ -18,7 +19,7 @@
 	"garnetline/internal/netsim"
 )
 
-// simulation is a fleet on a simulated network with a hash over all that it does.
+// simulation is a fleet on a simulated network with a hash over all its packets and outputs.
 type simulation struct {
 	net     *netsim.Network
 	hash    hash.Hash64
@@ -54,21 +55,21 @@
 	s.record("%v %v %d ", out.Connectivity.State, out.Connectivity.Since, out.Connectivity.Known)
 }
 
-// do has a router do something now.
+// do runs an action on the node of one router at the current time.
 func (s *simulation) do(i int, action func(node *fleet.Node, now float64)) {
 	host := s.net.Hosts[i]
 	s.net.Step(host, func() { action(host.Machine.(*fleet.Node), s.net.Now) })
 }
 
-// run runs the fleet for a while and reports what it did so far.
+// run runs the fleet for ms milliseconds and reports the packet count and the hash so far.
 func (s *simulation) run(phase string, ms float64) {
 	s.net.Run(s.net.Now + ms)
 	fmt.Fprintf(&s.report, "%s %d %016x\n", phase, s.packets, s.hash.Sum64())
 }
 
-// Twelve routers on a simulated network send the same packets at the same times as before,
-// through loss, a stall, an upgrade, a crash, a partition that heals and a shutdown: what is
-// rewritten for its readers behaves as it did.
+// Twelve routers on a simulated network send the packets of the golden file at the same times,
+// through loss, a stall, an upgrade, a crash, a partition that heals and a shutdown. The test
+// guards against changes of behavior when code is refactored.
 func TestGoldenSimulation(t *testing.T) {
 	const routers = 12
 	sim := newSimulation(routers)
@@ -100,9 +101,9 @@
 	sim.run("partition with bans", 10_000)
 	sim.net.Link.Partitioned = nil
 	sim.run("healed", 60_000)
-	accused := sim.net.Hosts[8]
+	reportedHost := sim.net.Hosts[8]
 	sim.do(7, func(node *fleet.Node, _ float64) {
-		node.InjectUpdate(membership.Update{ID: accused.Self.ID, Revision: membership.FirstRevision(1), State: membership.Failed, ReportedBy: 3, Name: "r008", Addr: accused.Addr})
+		node.InjectUpdate(membership.Update{ID: reportedHost.Self.ID, Revision: membership.FirstRevision(1), State: membership.Failed, ReportedBy: 3, Name: "r008", Addr: reportedHost.Addr})
 	})
 	sim.run("false report", 10_000)
 	sim.net.Leave(sim.net.Hosts[9])
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -5,21 +5,21 @@
 	"garnetline/internal/fleet/membership"
 )
 
-// Status is what a router shows of its fleet: in the admin API, as JSON, and so to the
-// command line and to tests.
+// Status is a router's view of its fleet as the admin API returns it in JSON, and as the command
+// line and tests read it.
 type Status struct {
 	Name              string         `json:"name"`
 	Fleet             string         `json:"fleet"`
 	RouterID          string         `json:"seat"`
 	Incarnation       uint64         `json:"life"`
 	At                float64        `json:"at_ms"`  // Unix ms of the view
-	Bound             bool           `json:"bound"`  // the socket is this process's
+	Bound             bool           `json:"bound"`  // this process has bound the socket
 	Connectivity      string         `json:"stance"` // together, partial or alone
 	ConnectivitySince float64        `json:"stance_since_ms"`
-	Present           int            `json:"there"`  // alive or suspect, this one among them
-	Known             int            `json:"known"`  // present lately: what shared budgets are divided by
-	HealthScore       int            `json:"health"` // how slow it takes itself to be; 0: not at all
-	Superseded        bool           `json:"yielded"`
+	Present           int            `json:"there"`   // routers that are alive or suspect, including this one
+	Known             int            `json:"known"`   // routers present recently: the divisor of shared budgets
+	HealthScore       int            `json:"health"`  // evidence that this router itself is slow; 0: none
+	Superseded        bool           `json:"yielded"` // a later process has this router's ID
 	Members           []MemberStatus `json:"members"`
 	Bans              []string       `json:"bans"`
 }
@@ -32,15 +32,15 @@
 	Refutations uint64  `json:"refutations"`
 	State       string  `json:"state"`
 	StateSince  float64 `json:"since_ms"`
-	ReportedBy  string  `json:"by,omitempty"` // by name where that is known, else by ID
+	ReportedBy  string  `json:"by,omitempty"` // name of the router that reported the state; its ID if the name is not known
 	Zone        string  `json:"zone"`
 	Version     string  `json:"version"`
 	Addr        string  `json:"addr"`
-	Direct      bool    `json:"direct"` // its latest probe was answered without help
+	Direct      bool    `json:"direct"` // the member answered its latest probe without the help of other routers
 	Self        bool    `json:"self,omitempty"`
 }
 
-// NewStatus returns the status of a view. Its Bound and Bans are for the caller to fill.
+// NewStatus returns the status of a view. The caller sets the fields Bound and Bans.
 func NewStatus(view *membership.View, current connectivity.Status, fleet string) *Status {
 	status := &Status{
 		Fleet:             fleet,
--- a/internal/fleet/status_test.go
+++ b/internal/fleet/status_test.go
@@ -11,7 +11,7 @@
 	"garnetline/internal/golden"
 )
 
-// The admin API shows a fleet under these keys.
+// The admin API encodes the status of a fleet under the JSON keys of the golden file.
 func TestGoldenStatus(t *testing.T) {
 	self := membership.Update{ID: 0xab, Revision: membership.FirstRevision(4) + 1, Name: "r1", Zone: "north", Version: "1.2", Addr: netip.MustParseAddrPort("10.1.2.3:7946")}
 	suspect := membership.Update{ID: 0xcd, Revision: membership.FirstRevision(2) + 3, State: membership.Suspect, ReportedBy: 0xab, Name: "r2", Zone: "south", Version: "1.1", Addr: netip.MustParseAddrPort("[fd00::2]:7946")}
@@ -31,6 +31,6 @@
 	stored := golden.Compare(t, "status.json", append(encoded, '\n'))
 	read := &Status{}
 	if err := json.Unmarshal(stored, read); err != nil || !reflect.DeepEqual(read, status) {
-		t.Errorf("%v: %+v, want %+v", err, read, status)
+		t.Errorf("golden status read back: error %v, got %+v, want %+v", err, read, status)
 	}
 }
--- a/internal/fleet/transport/commands.go
+++ b/internal/fleet/transport/commands.go
@@ -7,12 +7,12 @@
 	"garnetline/routing"
 )
 
-// SetReceiver sets who is called with the messages of other routers' state machines. It is
-// called before Run.
+// SetReceiver sets the function that is called with the messages of other routers' state
+// machines. It must be called before Run.
 func (t *Transport) SetReceiver(receiver Receiver) { t.options.Receiver = receiver }
 
-// Send sends a message to a state machine of another router. It may get lost, and never
-// blocks.
+// Send sends a message to a state machine of another router. Send never blocks; the message may
+// be lost.
 func (t *Transport) Send(to membership.ID, channel fragment.Channel, message []byte) {
 	t.enqueue(func(now float64) {
 		t.lastMessageID++
@@ -30,7 +30,8 @@
 // Stopped returns a channel that is closed when Run has returned.
 func (t *Transport) Stopped() <-chan struct{} { return t.done }
 
-// enqueue has Run call a command. It never blocks: what finds no room is counted.
+// enqueue queues a command for Run to call. It never blocks: a command that finds the queue full
+// is dropped and counted.
 func (t *Transport) enqueue(command func(now float64)) {
 	select {
 	case t.commands <- command:
@@ -39,8 +40,9 @@
 	}
 }
 
-// SetDisabled tells the fleet that an operator disabled a server at this router, or enabled
-// it again. It waits for room in the queue: the transport waits for nobody.
+// SetDisabled tells the fleet that an operator disabled or enabled a server at this router. It
+// blocks while the queue is full, so that no change is dropped. The wait cannot deadlock: Run
+// waits for no other goroutine.
 func (t *Transport) SetDisabled(server routing.ServerID, disabled bool) {
 	select {
 	case t.commands <- func(now float64) { t.node.SetDisabled(now, server, disabled) }:
@@ -48,19 +50,19 @@
 	}
 }
 
-// Broadcast tells the fleet what this router's change log showed.
+// Broadcast publishes an item that this router read from its change log.
 func (t *Transport) Broadcast(item gossip.Item) {
 	t.enqueue(func(now float64) { t.node.Publish(now, item) })
 }
 
-// Reload replaces keys and seeds; the other settings stay.
+// Reload replaces the keys and the seeds; the other settings remain as they were at the start.
 func (t *Transport) Reload(settings Settings) {
 	t.keyring.Store(settings.Keyring)
 	t.enqueue(func(float64) { t.node.SetSeeds(settings.Seeds) })
 }
 
-// notifyChanges hands over what other routers' items have changed. The bounds of the store
-// bound it.
+// notifyChanges queues changes that items of other routers caused, for TakeChanges. The limits
+// of the gossip store also limit the queue.
 func (t *Transport) notifyChanges(changes []gossip.Change) {
 	t.mu.Lock()
 	t.changes = append(t.changes, changes...)
@@ -71,10 +73,10 @@
 	}
 }
 
-// ChangesReady returns a channel that is sent to when there are changes to take.
+// ChangesReady returns a channel that receives a value when TakeChanges has changes to return.
 func (t *Transport) ChangesReady() <-chan struct{} { return t.changesReady }
 
-// TakeChanges returns what other routers' items have changed since the last call.
+// TakeChanges returns the changes that items of other routers caused since the last call.
 func (t *Transport) TakeChanges() []gossip.Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/fleet/transport/counters.go
+++ b/internal/fleet/transport/counters.go
@@ -6,8 +6,8 @@
 	"garnetline/internal/fleet/packetcrypto"
 )
 
-// Names of the transport's counters. Each event of membership is counted too, under
-// eventCounterPrefix and its kind.
+// Names of the transport's counters. Each membership event is counted as well, under
+// eventCounterPrefix followed by the kind of the event.
 const (
 	counterPacketsSent      = "fleet_packets_out"
 	counterBytesSent        = "fleet_bytes_out"
@@ -30,7 +30,7 @@
 	eventCounterPrefix = "fleet_"
 )
 
-// rejectionCounter returns the counter of packets rejected with an error.
+// rejectionCounter returns the name of the counter of packets that are rejected with err.
 func rejectionCounter(err error) string {
 	switch {
 	case errors.Is(err, packetcrypto.ErrForeignPacket):
--- a/internal/fleet/transport/identity.go
+++ b/internal/fleet/transport/identity.go
@@ -12,34 +12,35 @@
 )
 
 const (
-	// identityFilePrefix stands before the router's name.
+	// identityFilePrefix precedes the router's name in the name of the file.
 	identityFilePrefix = "garnetline-fleet-"
 	// identityFormat is the content of the file: the router's ID and its latest incarnation.
 	identityFormat = "%v %d\n"
-	identityScan   = "%x %d\n"
-	maxIdentityLen = 64 // bytes that are read
+	// identityScanFormat parses the content that identityFormat writes.
+	identityScanFormat = "%x %d\n"
+	maxIdentityLen     = 64 // bytes read from the file at most
 
-	// maxIncarnation bounds what is accepted from the file, so that revisions do not
-	// overflow.
+	// maxIncarnation is the exclusive upper bound of the incarnations that are accepted from
+	// the file, so that revisions do not overflow.
 	maxIncarnation = 1 << 39
 )
 
 // identityFile is the path of the file that holds a router's ID and the number of its latest
-// incarnation, or empty where nothing is kept. Two processes of a router share the file,
-// which is how each knows of the other.
+// incarnation; it is empty if nothing is stored. The old and the new process of a router share
+// the file: the old one learns from the incarnation in it that the new one has started.
 type identityFile string
 
-// identityFileIn returns the identity file of a router in its state directory, which may be
+// newIdentityFile returns the identity file of a router in its state directory, which may be
 // empty.
-func identityFileIn(stateDir, name string) identityFile {
+func newIdentityFile(stateDir, name string) identityFile {
 	if stateDir == "" {
 		return ""
 	}
 	return identityFile(filepath.Join(stateDir, identityFilePrefix+name))
 }
 
-// startIncarnation begins the next incarnation of the ID in the file, or the first of a new
-// ID where there is none or it cannot be read.
+// startIncarnation increments the incarnation in the file and returns it with the ID. If the
+// file is missing or cannot be parsed, it stores and returns a new ID with incarnation 1.
 func (f identityFile) startIncarnation() (id membership.ID, incarnation uint64, err error) {
 	if f == "" {
 		return newRouterID(), 1, nil
@@ -67,7 +68,7 @@
 	return id, incarnation, file.Sync()
 }
 
-// latestIncarnation returns the number of the latest incarnation, 0 where that is not known.
+// latestIncarnation returns the number of the latest incarnation, or 0 if it is not known.
 func (f identityFile) latestIncarnation() uint64 {
 	if f == "" {
 		return 0
@@ -83,15 +84,15 @@
 
 func (identityFile) parse(file io.Reader) (id membership.ID, incarnation uint64, ok bool) {
 	var number uint64
-	n, _ := fmt.Fscanf(io.LimitReader(file, maxIdentityLen), identityScan, &number, &incarnation)
+	n, _ := fmt.Fscanf(io.LimitReader(file, maxIdentityLen), identityScanFormat, &number, &incarnation)
 	if n != 2 || incarnation >= maxIncarnation {
 		return 0, 0, false
 	}
 	return membership.ID(number), incarnation, number != 0
 }
 
-// gossipedBansPath returns the path of the file of the bans that gossip brought, beside the
-// identity file.
+// gossipedBansPath returns the path of the file that stores the bans received by gossip. It is
+// in the folder of the identity file.
 func (f identityFile) gossipedBansPath() string { return string(f) + ".bans" }
 
 func newRouterID() membership.ID { return membership.ID(rand.Uint64() | 1) }
--- a/internal/fleet/transport/limiter.go
+++ b/internal/fleet/transport/limiter.go
@@ -1,14 +1,15 @@
 package transport
 
-// rateLimiter limits what is sent a second. A second's worth may be sent at once.
+// rateLimiter is a pair of token buckets that limits the packets and the bytes sent per second.
+// Each bucket holds the tokens of one second.
 type rateLimiter struct {
 	packetsPerSecond, bytesPerSecond float64
 	packetTokens, byteTokens         float64
 	refilledAt                       float64 // ms; 0: never
 }
 
-// allow takes the tokens of a packet of size bytes, if reserve, a share of a second's worth,
-// is left after it.
+// allow takes the tokens of a packet of size bytes, unless that would leave less than the share
+// reserve of either bucket. It reports whether it took them.
 func (l *rateLimiter) allow(now float64, size int, reserve float64) bool {
 	l.refill(now)
 	packets := l.packetTokens - 1
--- a/internal/fleet/transport/packets.go
+++ b/internal/fleet/transport/packets.go
@@ -8,21 +8,19 @@
 	"garnetline/internal/fleet/packetcrypto"
 )
 
-// loadReportReserve is the share of the limits that load reports of servers leave for other
-// packets: the next report says more than one that was dropped.
+// loadReportReserve is the share of the rate limits that load reports of servers leave to other
+// packets. Load reports are the ones to drop, because the next report replaces a dropped one.
 const loadReportReserve = 0.25
 
-// sendPackets encrypts and sends packets, within the limits a second.
+// sendPackets encrypts and sends packets. It drops and counts those beyond the rate limits.
 func (t *Transport) sendPackets(now float64, packets []membership.OutgoingPacket) {
 	t.sendWithReserve(now, packets, 0)
 }
 
-// sendWithReserve sends as sendPackets does, but leaves a share of the limits for packets
-// that matter more.
-//
-// Symptom guarded against: a router that checks 60 servers for 80 routers has more to report
-// than may be sent; lease renewals, messages between voters and answers to probes waited
-// for that.
+// sendWithReserve sends packets like sendPackets, but leaves the share reserve of the rate limits
+// to packets of higher priority. Without a reserve, a router that polls 60 servers for 80 routers
+// has more load reports than the limits allow, and they delay lease renewals, messages between
+// voters and responses to probes.
 func (t *Transport) sendWithReserve(now float64, packets []membership.OutgoingPacket, reserve float64) {
 	if !t.bound {
 		return
@@ -51,7 +49,7 @@
 
 // readLoop reads, decrypts and decodes packets for Run, until the socket is closed.
 func (t *Transport) readLoop() {
-	sealed := make([]byte, membership.MaxPacketLen+packetcrypto.Overhead+1) // one more shows what is too long
+	sealed := make([]byte, membership.MaxPacketLen+packetcrypto.Overhead+1) // the additional byte reveals packets that are too long
 	var buffer []byte
 	for {
 		n, _, err := t.conn.ReadFromUDPAddrPort(sealed)
--- a/internal/fleet/transport/publish.go
+++ b/internal/fleet/transport/publish.go
@@ -6,12 +6,13 @@
 )
 
 const (
-	minPublishInterval = 20.0   // ms between two snapshots
-	maxPublishInterval = 1000.0 // ms, while nothing changes
+	minPublishInterval = 20.0   // ms between two snapshots at least
+	maxPublishInterval = 1000.0 // ms between two snapshots while nothing changes
 )
 
-// publishIfDue publishes a snapshot where something changed or the latest is old, but not
-// too often. It returns when to step next: wakeAt, or earlier where it has to wait.
+// publishIfDue publishes a snapshot if something changed or the latest snapshot is
+// maxPublishInterval old, but not within minPublishInterval of the latest one. It returns the
+// time of the next step: wakeAt, or earlier if a snapshot must wait until then.
 func (t *Transport) publishIfDue(now float64, viewChanged bool, wakeAt float64) float64 {
 	age := now - t.publishedAt
 	t.publishPending = t.publishPending || viewChanged || age >= maxPublishInterval
@@ -25,7 +26,7 @@
 	return wakeAt
 }
 
-// publishStatus replaces the snapshots.
+// publishStatus replaces the snapshots that Status and Members return.
 func (t *Transport) publishStatus(now float64) {
 	view := t.node.View()
 	t.members.Store(view)
@@ -40,8 +41,8 @@
 	t.publishedAt = now
 }
 
-// Status returns the latest snapshot, which does not change. It allocates nothing.
+// Status returns the latest snapshot, which is immutable. It allocates nothing.
 func (t *Transport) Status() *fleet.Status { return t.status.Load() }
 
-// Members returns the latest view as the state machines have it. It does not change.
+// Members returns the latest view of the membership state machine, which is immutable.
 func (t *Transport) Members() *membership.View { return t.members.Load() }
--- a/internal/fleet/transport/transport.go
+++ b/internal/fleet/transport/transport.go
@@ -1,10 +1,10 @@
-// Package transport connects a router with the others of its fleet by UDP: it owns the
-// socket, the fleet.Node that packets and time step, and the files for the router's next
+// Package transport connects a router with the other routers of its fleet by UDP. It owns the
+// socket, the fleet.Node that packets and timers advance, and the files for the router's next
 // process.
 //
-// One goroutine, Transport.Run, owns all of that. The other methods may be called by any
-// goroutine; nothing that serves a request waits for them, but for SetDisabled, which waits
-// for room in a queue. What is known is published as snapshots.
+// One goroutine, Transport.Run, owns all of these. The other methods may be called by any
+// goroutine, and none of them blocks except SetDisabled, which waits while a queue is full.
+// Readers get the state of the fleet as immutable snapshots.
 package transport
 
 import (
@@ -34,38 +34,38 @@
 )
 
 const (
-	queueCapacity     = 256   // packets, and commands, that wait; more are dropped and counted
+	queueCapacity     = 256   // packets, and as many commands, in the queues
 	bindRetryInterval = 100.0 // ms
 )
 
-// Settings are what the operators' file says.
+// Settings are the operators' settings of the fleet.
 type Settings struct {
 	FleetName        string
 	ListenAddr       netip.AddrPort
-	AdvertiseAddr    netip.AddrPort // port 0: the one that is listened at
+	AdvertiseAddr    netip.AddrPort // port 0: the port of the bound socket
 	Seeds            []netip.AddrPort
 	Keyring          *packetcrypto.Keyring
 	Node             fleet.Settings
-	PacketsPerSecond float64 // sent, at the most
-	BytesPerSecond   float64 // sent, encrypted, at the most
+	PacketsPerSecond float64 // limit of the packets sent
+	BytesPerSecond   float64 // limit of the encrypted bytes sent
 }
 
-// Receiver is called with a message of another router's state machine. It must not block.
+// Receiver is called with a message from a state machine of another router. It must not block.
 type Receiver func(from membership.ID, incarnation uint64, channel fragment.Channel, message []byte)
 
-// Options are what a Transport works with.
+// Options are the settings and the dependencies of a Transport.
 type Options struct {
 	Settings
 	Name, Zone, Version string
-	StateDir            string // outlives the process; empty: there is none
+	StateDir            string // a folder that outlives the process; empty: nothing is stored
 	Clock               clock.Clock
 	Log                 *zerolog.Logger
 	Metrics             *metrics.Registry
-	InitialBans         []routing.ServerID // set by operators while no fleet knew
+	InitialBans         []routing.ServerID // bans that operators set while the router was in no fleet
 	Receiver            Receiver           // nil: messages are dropped
 }
 
-// Transport connects a router with the others of its fleet.
+// Transport connects a router with the other routers of its fleet.
 type Transport struct {
 	options     Options
 	identity    identityFile
@@ -93,12 +93,13 @@
 	changesReady chan struct{}
 }
 
-// New returns a transport after it has begun an incarnation of the router's identity. Run
-// runs it.
+// New starts the next incarnation of the router's identity and returns its transport, which Run
+// runs. It returns an error if the identity file cannot be updated, or if the socket cannot be
+// bound where its port is needed at once.
 func New(options Options) (*Transport, error) {
 	t := &Transport{
 		options:      options,
-		identity:     identityFileIn(options.StateDir, options.Name),
+		identity:     newIdentityFile(options.StateDir, options.Name),
 		packets:      make(chan *membership.Packet, queueCapacity),
 		commands:     make(chan func(float64), queueCapacity),
 		done:         make(chan struct{}),
@@ -108,7 +109,7 @@
 	t.keyring.Store(options.Keyring)
 	id, incarnation, err := t.identity.startIncarnation()
 	if err != nil {
-		return nil, fmt.Errorf("fleet: identity file: %w", err)
+		return nil, fmt.Errorf("fleet: update identity file: %w", err)
 	}
 	t.incarnation = incarnation
 	self := membership.Update{
@@ -121,9 +122,9 @@
 	}
 	now := t.now()
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	if self.Addr.Port() == 0 { // the socket determines it, and so it cannot be another process's
+	if self.Addr.Port() == 0 { // the port is known only after the bind; no previous process can hold it
 		if err := t.bind(); err != nil {
-			return nil, fmt.Errorf("fleet: listen: %w", err)
+			return nil, fmt.Errorf("fleet: bind UDP socket: %w", err)
 		}
 		self.Addr = netip.AddrPortFrom(self.Addr.Addr(), t.conn.LocalAddr().(*net.UDPAddr).AddrPort().Port())
 	}
@@ -144,13 +145,13 @@
 	return err
 }
 
-// Run runs the transport until ctx ends. It returns when the socket is closed.
+// Run runs the transport until ctx ends. It returns after the socket is closed.
 func (t *Transport) Run(ctx context.Context) {
 	defer close(t.done)
 	var reader sync.WaitGroup
 	defer func() {
 		if t.conn != nil {
-			_ = t.conn.Close() // its readers end, which is all that matters
+			_ = t.conn.Close() // ends readLoop; an error of Close has no consequence
 		}
 		reader.Wait()
 	}()
@@ -165,8 +166,8 @@
 	t.serve(ctx, timer)
 }
 
-// waitForSocket binds the socket. A predecessor that still runs has the address; it closes
-// its socket at its end. It returns false where ctx ended first.
+// waitForSocket retries until the socket is bound: while the router's previous process still
+// runs, that process holds the address. It returns false if ctx ends first.
 func (t *Transport) waitForSocket(ctx context.Context, timer *time.Timer) bool {
 	logged := false
 	for !t.bound {
@@ -195,8 +196,7 @@
 	return true
 }
 
-// serve steps the node by packets, commands and its timer, and leaves the fleet when ctx
-// ends.
+// serve steps the node for each packet, command and timer, and leaves the fleet when ctx ends.
 func (t *Transport) serve(ctx context.Context, timer *time.Timer) {
 	wakeAt := t.step(nil)
 	for {
@@ -216,8 +216,8 @@
 	}
 }
 
-// step steps the node with a packet, which may be nil, and carries out what that calls for.
-// It returns when to step next.
+// step steps the node with a packet, which may be nil, and carries out the output. It returns
+// the time of the next step.
 func (t *Transport) step(p *membership.Packet) (wakeAt float64) {
 	now := t.now()
 	out := t.node.Step(now, p)
@@ -241,7 +241,7 @@
 	return wakeAt
 }
 
-// deliver hands complete messages of other routers to the receiver.
+// deliver reassembles the messages of other routers and calls the receiver with each complete one.
 func (t *Transport) deliver(now float64, payloads []membership.Payload) {
 	if t.options.Receiver == nil {
 		return
@@ -253,8 +253,8 @@
 	}
 }
 
-// leave tells the others that this router leaves, unless a successor has its identity
-// already.
+// leave tells the other routers that this router leaves, unless a later process of the router
+// has taken over its identity.
 func (t *Transport) leave() {
 	now := t.now()
 	if t.identity.latestIncarnation() > t.incarnation {
@@ -263,7 +263,7 @@
 	}
 	out := t.node.Leave(now)
 	t.sendPackets(now, out.Packets)
-	t.options.Log.Info().Msg("fleet left")
+	t.options.Log.Info().Msg("left the fleet")
 }
 
 // logEvent logs and counts a change of the view.
@@ -277,7 +277,7 @@
 		line = t.options.Log.Warn()
 	}
 	update := event.Update
-	line.Str("what", event.Kind). // the test cluster looks for it
+	line.Str("what", event.Kind). // the test cluster searches the log for this field
 					Str("member", update.Name).
 					Str("router_id", update.ID.String()).
 					Str("state", update.State.String()).
@@ -288,8 +288,8 @@
 					Msg("fleet member changed")
 }
 
-// restoreBans loads the bans of the process before, and adds those that operators set while
-// no fleet knew.
+// restoreBans loads the bans that the previous process stored, and adds the bans that operators
+// set while the router was in no fleet.
 func (t *Transport) restoreBans(now float64) {
 	if t.identity != "" {
 		if bans, err := os.ReadFile(t.identity.gossipedBansPath()); err == nil {
@@ -303,7 +303,7 @@
 	}
 }
 
-// saveBans replaces the file of the bans for the next process, as a whole or not at all.
+// saveBans atomically replaces the file from which the next process restores the bans.
 func (t *Transport) saveBans(bans []byte) {
 	if err := atomicfile.Replace(t.identity.gossipedBansPath(), bans); err != nil {
 		t.options.Metrics.Add(counterBansNotSaved, 1)
--- a/internal/fleet/transport/transport_test.go
+++ b/internal/fleet/transport/transport_test.go
@@ -55,19 +55,19 @@
 	return transport
 }
 
-// runProcess runs a transport while during lasts, and returns its last status.
-func runProcess(t *testing.T, options Options, during func(*Transport)) *fleet.Status {
+// runProcess runs a transport until action returns, and returns its last status.
+func runProcess(t *testing.T, options Options, action func(*Transport)) *fleet.Status {
 	t.Helper()
 	transport := newTransport(t, options)
 	ctx, cancel := context.WithCancel(context.Background())
 	go transport.Run(ctx)
-	during(transport)
+	action(transport)
 	cancel()
 	<-transport.Stopped()
 	return transport.Status()
 }
 
-// waitForBans waits until so many servers are banned.
+// waitForBans waits until count servers are banned.
 func waitForBans(t *testing.T, transport *Transport, count int) {
 	t.Helper()
 	for range 5000 {
@@ -76,11 +76,11 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Errorf("never %d bans: %+v", count, transport.Status())
+	t.Errorf("timed out waiting for %d bans, status %+v", count, transport.Status())
 }
 
-// The identity and the bans outlive the process; a file that cannot be read is a new
-// identity.
+// The identity and the bans outlive the process. A router whose identity file cannot be parsed
+// starts with a new identity.
 func TestIdentityAndBansSurviveRestart(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	dir := t.TempDir()
@@ -89,25 +89,25 @@
 		waitForBans(t, transport, 1)
 	})
 	options := testOptions(t, dir)
-	options.InitialBans = []routing.ServerID{5, 6} // 6 was set while no fleet knew
+	options.InitialBans = []routing.ServerID{5, 6} // 6 was banned while the router was in no fleet
 	second := runProcess(t, options, func(transport *Transport) { waitForBans(t, transport, 2) })
 	if second.RouterID != first.RouterID || second.Incarnation != 2 {
-		t.Errorf("router %s incarnation %d, then router %s incarnation %d", first.RouterID, first.Incarnation, second.RouterID, second.Incarnation)
+		t.Errorf("first process is router %s incarnation %d, second is router %s incarnation %d, want the same router with incarnation 2", first.RouterID, first.Incarnation, second.RouterID, second.Incarnation)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "garnetline-fleet-r"), []byte("none"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	third := runProcess(t, testOptions(t, dir), func(*Transport) {})
 	if third.RouterID == first.RouterID || third.Incarnation != 1 {
-		t.Errorf("%+v", third)
+		t.Errorf("after a malformed identity file: got status %+v, want a new router ID with incarnation 1", third)
 	}
 	if _, err := New(testOptions(t, filepath.Join(dir, "nowhere"))); err == nil {
-		t.Error("a state directory that is not there is accepted")
+		t.Error("New returned no error for a state directory that does not exist")
 	}
 }
 
-// allowedIn5s returns how many packets of 150 bytes, one offered each millisecond, a limiter
-// allows in 5 s.
+// allowedIn5s returns how many packets a limiter allows in 5 s if a packet of 150 bytes is
+// offered each millisecond.
 func allowedIn5s(l rateLimiter) int {
 	allowed := 0
 	for now := 1.0; now < 5001; now++ {
@@ -119,34 +119,34 @@
 }
 
 func TestRateLimiter(t *testing.T) {
-	// 6.7 a second by bytes, and a second's worth at once.
+	// The byte limit allows 6.7 packets per second, and a burst of one second's tokens.
 	if n := allowedIn5s(rateLimiter{packetsPerSecond: 10, bytesPerSecond: 1000}); n < 33 || n > 40 {
-		t.Errorf("%d packets of 150 bytes in 5 s", n)
+		t.Errorf("byte limit: got %d packets of 150 bytes in 5 s, want 33 to 40", n)
 	}
 	if n := allowedIn5s(rateLimiter{packetsPerSecond: 10, bytesPerSecond: 1e6}); n < 50 || n > 60 {
-		t.Errorf("%d packets in 5 s", n)
+		t.Errorf("packet limit: got %d packets in 5 s, want 50 to 60", n)
 	}
 	limiter := rateLimiter{packetsPerSecond: 100, bytesPerSecond: 1e6}
-	for now := 1.0; now < 5001; now++ { // more load reports than may be sent, and other packets
+	for now := 1.0; now < 5001; now++ { // more load reports than the limit allows, and other packets
 		limiter.allow(now, 150, loadReportReserve)
 		if int(now)%50 == 0 && !limiter.allow(now, 150, 0) {
-			t.Fatalf("at %.0f there is no room beside load reports", now)
+			t.Fatalf("at %.0f ms: packet without a reserve rejected, want load reports to leave tokens for it", now)
 		}
 	}
 }
 
-// BenchmarkStatus is what a reader of the snapshot pays.
+// BenchmarkStatus measures reading the snapshot.
 func BenchmarkStatus(b *testing.B) {
 	transport := newTransport(b, testOptions(b, ""))
 	b.ReportAllocs()
 	for b.Loop() {
 		if transport.Status() == nil {
-			b.Fatal("none")
+			b.Fatal("got no status")
 		}
 	}
 }
 
-// BenchmarkPublish is what a change of the view costs, of 300 routers.
+// BenchmarkPublish measures publishing a view of 300 routers.
 func BenchmarkPublish(b *testing.B) {
 	transport := newTransport(b, testOptions(b, ""))
 	for i := range 300 {
@@ -157,7 +157,7 @@
 	}
 }
 
-// BenchmarkSeal is the encryption and decryption of a packet of the usual size.
+// BenchmarkSeal measures the encryption and decryption of a packet of typical size.
 func BenchmarkSeal(b *testing.B) {
 	keyring := testOptions(b, "").Keyring
 	packet := make([]byte, 120)
