--- a/internal/fleet/bans/bans.go
+++ b/internal/fleet/bans/bans.go
@@ -1,13 +1,14 @@
-// Package bans keeps the servers that operators disabled the same at all routers. The lease
-// registry holds each ban in one order, with who set it, when and why, and outlives every
-// router; gossip between routers is faster, and may forget.
+// Package bans keeps the set of servers that operators disabled the same at all routers. The
+// lease registry stores the bans in a total order, with who set each, when and why, and outlives
+// every router. Gossip between routers is faster but may lose bans.
 //
-// Disabling needs nobody: a ban that an operator sets at one router holds there at once, and
-// is registered when the voters can be reached. Enabling needs a quorum: the registry must
-// have taken the change before this router sends requests to the server again.
+// Disabling needs no other router: a ban that an operator sets at one router applies there at
+// once, and is registered when the voters can be reached. Enabling needs a quorum: the registry
+// must have applied the change before this router sends requests to the server again.
 //
-// Machine decides, without I/O and without a clock of its own. Manager runs it in one
-// goroutine and owns the state file; all its methods but Run may be called by any goroutine.
+// Machine makes the decisions, without I/O and without a clock of its own. Manager runs it in one
+// goroutine and owns the state file; all methods of Manager but Run may be called by any
+// goroutine.
 package bans
 
 import (
@@ -17,45 +18,45 @@
 	"garnetline/routing"
 )
 
-// Errors that Manager.Apply and a Completion return.
+// Errors of Manager.Apply and of a Completion.
 var (
-	ErrNoQuorum        = errors.New("no majority of the voters answered: the server stays disabled")
-	ErrVersionConflict = errors.New("the ban was changed meanwhile: read the bans again")
+	ErrNoQuorum        = errors.New("no majority of the voters responded in time: the server stays disabled")
+	ErrVersionConflict = errors.New("version conflict: the ban has changed since it was read; read the bans again")
 )
 
-// Settings are times, in milliseconds.
+// Settings are the times that a Machine works with, in milliseconds.
 type Settings struct {
-	PollInterval  float64 // between readings of the registry, where nothing happens
+	PollInterval  float64 // between reads of the registry while nothing changes
 	RetryInterval float64 // after which a request without a response is repeated
 	ChangeTimeout float64 // after which an operator's change without a response fails
-	AdoptAfter    float64 // after which any router registers a ban that nobody has registered
+	AdoptAfter    float64 // after which any router registers a ban that no router has registered
 }
 
-// DefaultSettings returns the settings that hold where the operators' file names none.
+// DefaultSettings returns the settings that apply where the operators' settings file sets none.
 func DefaultSettings() Settings {
 	return Settings{PollInterval: 1000, RetryInterval: 150, ChangeTimeout: 700, AdoptAfter: 10_000}
 }
 
-// LocalBan records why a server is disabled at this router. It outlives the process.
+// LocalBan records why a server is disabled at this router. It is stored in the state file.
 type LocalBan struct {
-	Unregistered bool    `json:"Own"`     // an operator set it here, and the registry does not have it yet
-	Version      uint64  `json:"Version"` // of the registry's ban that this router applied; 0: none
+	Unregistered bool    `json:"Own"`     // an operator set the ban here, and the registry does not have it yet
+	Version      uint64  `json:"Version"` // version of the registered ban that this router applied; 0: none
 	SetBy        string  `json:"Who,omitempty"`
 	Reason       string  `json:"Why,omitempty"`
 	SetAt        float64 `json:"At"` // Unix ms
 }
 
-// Change is an operator's wish to disable or enable a server.
+// Change is an operator's request to disable or enable a server.
 type Change struct {
 	Server  routing.ServerID
 	Disable bool
 	SetBy   string
 	Reason  string
-	Version uint64  // of the ban that the operator saw, which must still hold; 0: whichever holds
+	Version uint64  // version of the ban that the operator read, which must still be current; 0: any version
 	SetAt   float64 // Unix ms
 }
 
-// Action is what this router must do with a server to follow the registry.
+// Action disables or enables a server at this router so that it follows the registry.
 type Action struct {
 	Server  routing.ServerID
 	Disable bool
@@ -67,7 +68,7 @@
 	consensus.BanRequest
 }
 
-// Completion is the end of an operator's change.
+// Completion is the result of an operator's change.
 type Completion struct {
 	ChangeID uint64
 	Err      error
@@ -79,5 +80,5 @@
 	Actions     []Action
 	Completions []Completion
 	Persist     bool    // the local bans have changed and must be stored
-	WakeAt      float64 // ms, when Step is due again at the latest; only Step sets it
+	WakeAt      float64 // latest time of the next Step, ms; set by Step only
 }
--- a/internal/fleet/bans/golden_test.go
+++ b/internal/fleet/bans/golden_test.go
@@ -17,9 +17,8 @@
 	"garnetline/routing"
 )
 
-// The file of local bans is read by later releases and written as it always was, with the
-// keys of the first release.
-// UPDATE_GOLDEN=1 rewrites testdata.
+// The format of the state file does not change, since other releases read the file: it keeps the
+// JSON keys of the first release. UPDATE_GOLDEN=1 rewrites testdata.
 func TestStateFileFormat(t *testing.T) {
 	folder := t.TempDir()
 	logger := zerolog.New(io.Discard)
@@ -42,11 +41,12 @@
 		t.Fatal(err)
 	}
 	if read := New(options).machine.LocalBans(); !reflect.DeepEqual(read, bans) {
-		t.Errorf("read back: %+v", read)
+		t.Errorf("golden state file read back: got %+v, want the bans that were stored", read)
 	}
 }
 
-// Operators' scripts read this JSON. UPDATE_GOLDEN=1 rewrites testdata.
+// The JSON keys of the status do not change, since operators' scripts read them.
+// UPDATE_GOLDEN=1 rewrites testdata.
 func TestStatusJSON(t *testing.T) {
 	status := Status{
 		ReadAt: 1_700_000_000_500.25,
@@ -63,6 +63,6 @@
 	golden.Compare(t, "status.json", text)
 	var read Status
 	if err := json.Unmarshal(golden.Read(t, "status.json"), &read); err != nil || !reflect.DeepEqual(read, status) {
-		t.Errorf("read back: %+v, %v", read, err)
+		t.Errorf("golden status read back: got %+v, error %v, want the status that was encoded", read, err)
 	}
 }
--- a/internal/fleet/bans/machine.go
+++ b/internal/fleet/bans/machine.go
@@ -11,34 +11,35 @@
 	"garnetline/routing"
 )
 
-// maxOpenRequests bounds the requests whose response is still taken.
+// maxOpenRequests is the number of requests whose responses are still accepted.
 const maxOpenRequests = 64
 
-// Machine is one router's side of the registered bans. It is not safe for concurrent use.
+// Machine keeps one router's disabled servers in agreement with the registered bans. It is not
+// safe for concurrent use.
 type Machine struct {
 	settings      Settings
 	lastRequestID uint64
 	nextPollAt    float64
 
-	// The registry, as it was read last.
+	// State of the registry at its latest read.
 	registered      map[routing.ServerID]*leaseregistry.Ban
 	registryVersion uint64
-	lastReadAt      float64 // when that reading was requested; NaN: never read
+	lastReadAt      float64 // when that read was requested; NaN: never read
 
-	// This router.
+	// State of this router.
 	localBans         map[routing.ServerID]LocalBan
-	appliedVersions   map[routing.ServerID]uint64  // of the registered bans that were followed
-	unregisteredSince map[routing.ServerID]float64 // disabled by gossip, and not in the registry
-	reenabledAt       map[routing.ServerID]float64 // first seen enabled although the registry has it disabled
+	appliedVersions   map[routing.ServerID]uint64  // versions of the registered bans that were applied here
+	unregisteredSince map[routing.ServerID]float64 // servers that gossip disabled and that the registry does not have disabled
+	reenabledAt       map[routing.ServerID]float64 // when a server was first seen enabled here while the registry had it disabled
 	lastActionAt      map[routing.ServerID]float64
 
-	// What waits for a response.
-	openRequests  map[uint64]float64 // when each was made
+	// Requests and changes that wait for a response.
+	openRequests  map[uint64]float64 // time of each request by its ID
 	changes       map[uint64]*pendingChange
-	registrations map[routing.ServerID]uint64 // requests that register a ban
+	registrations map[routing.ServerID]uint64 // ID of the request that registers a server's ban
 }
 
-// pendingChange is an operator's change that waits for the registry.
+// pendingChange is an operator's change that the registry has not applied yet.
 type pendingChange struct {
 	Change
 	requestID     uint64
@@ -46,9 +47,8 @@
 	deadline      float64
 }
 
-// NewMachine returns a Machine that has not read the registry. localBans are those that were
-// stored before the process began, and belong to the Machine from here on. Requests are
-// numbered from above firstID.
+// NewMachine returns a Machine that has not read the registry. localBans are the bans that an
+// earlier process stored; the Machine takes ownership of the map. Request IDs begin at firstID+1.
 func NewMachine(settings Settings, firstID uint64, localBans map[routing.ServerID]LocalBan, now float64) *Machine {
 	if localBans == nil {
 		localBans = map[routing.ServerID]LocalBan{}
@@ -70,13 +70,13 @@
 	}
 }
 
-// LastReadAt returns when the latest reading of the registry was requested, or NaN.
+// LastReadAt returns when the latest read of the registry was requested, or NaN if there was none.
 func (m *Machine) LastReadAt() float64 { return m.lastReadAt }
 
-// registryRead reports whether the registry has been read at all.
+// registryRead reports whether the registry has been read at least once.
 func (m *Machine) registryRead() bool { return !math.IsNaN(m.lastReadAt) }
 
-// Bans returns the registered bans as they were read last, by server.
+// Bans returns the registered bans of the latest read, in the order of their server IDs.
 func (m *Machine) Bans() []leaseregistry.Ban {
 	var list []leaseregistry.Ban
 	for _, ban := range m.registered {
@@ -86,27 +86,28 @@
 	return list
 }
 
-// LocalBans returns what must be stored for the next process. The map is the Machine's own.
+// LocalBans returns the bans that must be stored for the next process. The caller must not change
+// the map, which the Machine owns.
 func (m *Machine) LocalBans() map[routing.ServerID]LocalBan { return m.localBans }
 
-// RecordDisabled records that an operator disabled a server at this router, which holds
-// already. The ban is registered as soon as the voters can be reached.
+// RecordDisabled records that an operator disabled a server at this router. The caller has
+// disabled the server already; the Machine registers the ban as soon as the voters can be reached.
 func (m *Machine) RecordDisabled(now float64, change Change) {
 	m.localBans[change.Server] = LocalBan{Unregistered: true, SetBy: change.SetBy, Reason: change.Reason, SetAt: change.SetAt}
 	delete(m.registrations, change.Server)
 	m.nextPollAt = now
 }
 
-// RequestEnable begins to register that a server is enabled. A Completion with the id that it
-// returns tells how that ended.
+// RequestEnable starts to register that a server is enabled. A Completion with the returned ID
+// reports the result.
 func (m *Machine) RequestEnable(now float64, change Change) (changeID uint64) {
 	m.lastRequestID++
 	m.changes[m.lastRequestID] = &pendingChange{Change: change, nextRequestAt: now, deadline: now + m.settings.ChangeTimeout}
 	return m.lastRequestID
 }
 
-// Step advances the Machine to now. disabledHere are the servers that are disabled at this
-// router, for whatever reason.
+// Step advances the Machine to now. disabledHere are all servers that are disabled at this
+// router, for any reason.
 func (m *Machine) Step(now float64, disabledHere []routing.ServerID) Output {
 	var out Output
 	m.reconcile(now, disabledHere, &out)
@@ -118,7 +119,8 @@
 	return out
 }
 
-// advanceChanges fails the changes whose time is over, and sends the others on.
+// advanceChanges fails the changes whose deadline has passed, and sends due requests for the
+// others.
 func (m *Machine) advanceChanges(now float64, out *Output) {
 	for _, changeID := range slices.Sorted(maps.Keys(m.changes)) {
 		change := m.changes[changeID]
@@ -130,14 +132,15 @@
 		case m.registryRead():
 			change.nextRequestAt = now + m.settings.RetryInterval
 			change.requestID = m.addRequest(now, m.command(change.Change), out)
-		default: // which version it replaces is not known yet
+		default: // the version that the change replaces is known only after a read of the registry
 			change.nextRequestAt = now + m.settings.RetryInterval
 			m.addRequest(now, nil, out)
 		}
 	}
 }
 
-// poll registers the bans that the registry does not have, or else reads it.
+// poll registers the bans that the registry does not have. If there are none, it reads the
+// registry.
 func (m *Machine) poll(now float64, disabledHere []routing.ServerID, out *Output) {
 	registering := m.registryRead() && m.registerBans(now, disabledHere, out)
 	if !registering {
@@ -150,7 +153,8 @@
 	}
 }
 
-// registerBans reports whether there was a ban to register.
+// registerBans requests the registration of each ban that this router must register. It reports
+// whether there was one.
 func (m *Machine) registerBans(now float64, disabledHere []routing.ServerID, out *Output) bool {
 	registering := false
 	for _, server := range disabledHere {
@@ -165,9 +169,9 @@
 	return registering
 }
 
-// needsRegistration reports whether this router must register that a server is disabled. A
-// ban that gossip brought is registered by the router where it was set, which knows by whom
-// and why; other routers do it only if that one has not.
+// needsRegistration reports whether this router must register that a server is disabled. A ban
+// received by gossip is registered by the router at which it was set, because that router knows
+// who set it and why. The other routers register it if it is not registered after AdoptAfter.
 func (m *Machine) needsRegistration(now float64, server routing.ServerID) bool {
 	if ban, known := m.localBans[server]; known {
 		return ban.Unregistered
@@ -190,7 +194,8 @@
 	return earliest
 }
 
-// addRequest adds a request that reads the registry and, where command is not nil, changes it.
+// addRequest adds a request that reads the registry and also applies command to it, unless
+// command is nil.
 func (m *Machine) addRequest(now float64, command *leaseregistry.Command, out *Output) (requestID uint64) {
 	if len(m.openRequests) >= maxOpenRequests {
 		oldest := slices.Min(slices.Collect(maps.Keys(m.openRequests)))
@@ -203,7 +208,8 @@
 	return m.lastRequestID
 }
 
-// command returns a change as the registry takes it, on top of the version that it replaces.
+// command returns the registry command for a change, with the version of the ban that the change
+// replaces.
 func (m *Machine) command(change Change) *leaseregistry.Command {
 	version := change.Version
 	if ban := m.registered[change.Server]; version == 0 && ban != nil {
@@ -222,7 +228,7 @@
 
 func truncate(text string) string { return text[:min(len(text), leaseregistry.MaxTextLen)] }
 
-// HandleResponse takes a voter's response.
+// HandleResponse handles a voter's response.
 func (m *Machine) HandleResponse(now float64, response consensus.BanResponse) Output {
 	var out Output
 	if !m.readRegistry(now, response) {
@@ -233,12 +239,12 @@
 	return out
 }
 
-// readRegistry takes over the registry's bans. It reports whether the response is the newest
-// state of the registry that this router knows of.
+// readRegistry stores the bans in a response. It reports whether the response is to an open
+// request and has the newest state of the registry that this router knows of.
 func (m *Machine) readRegistry(now float64, response consensus.BanResponse) bool {
 	requestedAt, open := m.openRequests[response.RequestID]
 	if !open || response.Version < m.registryVersion {
-		return false // for an earlier process, or overtaken
+		return false // to a request of an earlier process, or older than the state that was read
 	}
 	delete(m.openRequests, response.RequestID)
 	if response.Bans != nil || response.Version == 0 {
@@ -250,7 +256,7 @@
 		m.registryVersion = response.Version
 	}
 	if response.Version != m.registryVersion {
-		return false // the voter took this router for one that knows more
+		return false // the response has another version but no bans: the voter assumed that this router knows them
 	}
 	if !m.registryRead() {
 		m.lastReadAt = requestedAt
@@ -260,32 +266,33 @@
 	return true
 }
 
-// completeRegistrations ends the registration of a ban that a request made.
+// completeRegistrations completes the registrations that the request with requestID made.
 func (m *Machine) completeRegistrations(now float64, requestID uint64, out *Output) {
 	for server, registration := range m.registrations {
 		if registration != requestID {
 			continue
 		}
 		delete(m.registrations, server)
-		if ban := m.registered[server]; ban != nil && ban.Disabled { // by this request or another router's
+		if ban := m.registered[server]; ban != nil && ban.Disabled { // registered by this request or by another router
 			m.adoptRegistered(server, ban, out)
-		} else { // an enable that did not know of the ban came first: register it on top of that
+		} else { // an enable was registered first, without knowledge of the ban: register the ban as the next version
 			m.nextPollAt = now
 		}
 	}
 }
 
-// completeChanges ends the operator's change that a request made, or has it sent again.
+// completeChanges completes the operator's change that a request made, or schedules another
+// request for it.
 func (m *Machine) completeChanges(now float64, response consensus.BanResponse, out *Output) {
 	for changeID, change := range m.changes {
 		if change.requestID != response.RequestID {
 			continue
 		}
 		ban := m.registered[change.Server]
-		taken := ban != nil && ban.Disabled == change.Disable && response.Rejection == ""
-		enabledAnyway := ban != nil && !ban.Disabled && change.Version == 0
+		applied := ban != nil && ban.Disabled == change.Disable && response.Rejection == ""
+		alreadyEnabled := ban != nil && !ban.Disabled && change.Version == 0
 		switch {
-		case taken || enabledAnyway:
+		case applied || alreadyEnabled:
 			delete(m.changes, changeID)
 			out.Completions = append(out.Completions, Completion{ChangeID: changeID})
 			m.appliedVersions[change.Server] = ban.Version
@@ -294,7 +301,7 @@
 		case change.Version != 0:
 			delete(m.changes, changeID)
 			out.Completions = append(out.Completions, Completion{ChangeID: changeID, Err: ErrVersionConflict})
-		default: // the ban has another version by now: try on top of that
+		default: // the ban has another version by now: retry with that version
 			change.nextRequestAt = now
 		}
 	}
--- a/internal/fleet/bans/machine_test.go
+++ b/internal/fleet/bans/machine_test.go
@@ -14,8 +14,8 @@
 	"garnetline/routing"
 )
 
-// simulatedRouter has what a ban touches in the daemon: the disabled servers and the store of
-// gossip.
+// simulatedRouter has the parts of a router that bans affect: its disabled servers and its gossip
+// store.
 type simulatedRouter struct {
 	machine     *Machine
 	disabled    map[routing.ServerID]bool
@@ -24,15 +24,15 @@
 	changes     map[uint64]Change
 }
 
-// simulation is routers, a registry in one place and operators.
+// simulation simulates routers, operators, and a registry without replication.
 type simulation struct {
 	rng         *rand.Rand
 	now         float64
-	loss        float64 // share of requests, and of responses, that is lost
+	loss        float64 // share of the requests, and of the responses, that are lost
 	registry    *leaseregistry.State
-	index       uint64 // of the registry's latest command
+	index       uint64 // log index of the registry's latest command
 	routers     []*simulatedRouter
-	lastChange  map[routing.ServerID]string // what operators did last, as far as it was taken
+	lastChange  map[routing.ServerID]string // operators' latest change that was applied
 	enableCount int
 }
 
@@ -61,8 +61,8 @@
 	}
 }
 
-// applyGossip has a router's servers follow what the others published, as the watcher of the
-// endpoint list does.
+// applyGossip applies the changes that other routers published to the router's servers, as the
+// watcher of the endpoint list does.
 func (r *simulatedRouter) applyGossip() {
 	for _, change := range r.gossip.TakeChanges() {
 		r.setDisabled(change.Server, change.Disabled)
@@ -77,7 +77,7 @@
 	router.applyGossip()
 }
 
-// handleOutput does what a Manager does.
+// handleOutput carries out an output as a Manager does.
 func (s *simulation) handleOutput(router *simulatedRouter, out Output) {
 	for _, action := range out.Actions {
 		s.setDisabled(router, action.Server, action.Disable, !action.Disable)
@@ -100,7 +100,7 @@
 	}
 }
 
-// respond does what the voters do.
+// respond returns the voters' response to a request.
 func (s *simulation) respond(request Request) consensus.BanResponse {
 	response := consensus.BanResponse{RequestID: request.ID}
 	if request.Set != nil {
@@ -138,7 +138,8 @@
 	}
 }
 
-// randomEvent has an operator, a router or the network do something.
+// randomEvent simulates a random operator's change, partition, restart of a router or change of
+// the message loss.
 func (s *simulation) randomEvent() {
 	router := s.routers[s.rng.IntN(3)]
 	server := routing.ServerID(s.rng.IntN(2) + 1)
@@ -160,9 +161,10 @@
 	}
 }
 
-// Operators disable and enable servers at any router, routers are partitioned, start again,
-// and lose requests and responses: when all is quiet, all have disabled what the registry has
-// disabled, and what operators disabled last is disabled.
+// Operators disable and enable servers at any router, while routers are partitioned, restart, and
+// lose requests and responses. After these events end, every router has disabled exactly the
+// servers that the registry has disabled, and a server whose latest change was a disable is
+// disabled.
 func TestRandomOperatorChanges(t *testing.T) {
 	enableCount := 0
 	for seed := range uint64(100) {
@@ -183,18 +185,19 @@
 			for i, router := range sim.routers {
 				disabled := router.disabled[server]
 				if disabled != registered || sim.lastChange[server] == "disabled" && !disabled {
-					t.Errorf("seed %d: server %d is disabled %v at router %d, the registry has %+v, operators last %s it",
+					t.Errorf("seed %d: server %d: got disabled %v at router %d, registry has %+v, latest operator's change %q",
 						seed, server, disabled, i, ban, sim.lastChange[server])
 				}
 			}
 		}
 	}
 	if enableCount < 100 {
-		t.Errorf("%d enables show nothing", enableCount)
+		t.Errorf("got %d enables in all simulations, want at least 100", enableCount)
 	}
 }
 
-// enable plays an operator's enable at a router until it completes.
+// enable simulates an operator's enable at a router until the change completes, and returns its
+// result.
 func (s *simulation) enable(router *simulatedRouter, change Change, partitioned bool) error {
 	router.partitioned = partitioned
 	changeID := router.machine.RequestEnable(s.now, change)
@@ -223,8 +226,8 @@
 	return errors.New("the change did not complete")
 }
 
-// A change with an older version than the registry's is rejected; one without a response ends,
-// and the server stays disabled.
+// A change whose version is not the registry's fails with ErrVersionConflict. A change without a
+// response fails with ErrNoQuorum, and the server stays disabled.
 func TestVersionConflictAndNoQuorum(t *testing.T) {
 	const server = routing.ServerID(7)
 	sim := newSimulation(1)
@@ -234,7 +237,7 @@
 	sim.run(1000)
 	bans := other.machine.Bans()
 	if len(bans) != 1 || !bans[0].Disabled || bans[0].SetBy != "ada" || bans[0].Reason != "disk" || !other.disabled[server] {
-		t.Fatalf("%+v", bans)
+		t.Fatalf("after a ban by ada: another router has registered bans %+v, want one for disk, applied there", bans)
 	}
 	if err := sim.enable(router, Change{Server: server, Version: 99}, false); !errors.Is(err, ErrVersionConflict) {
 		t.Error(err)
--- a/internal/fleet/bans/manager.go
+++ b/internal/fleet/bans/manager.go
@@ -16,28 +16,28 @@
 
 const (
 	mailboxSize     = 64
-	maxStepInterval = 100 * time.Millisecond // between looks at what is disabled here
+	maxStepInterval = 100 * time.Millisecond // between checks of the servers that are disabled here
 	actionTimeout   = 500 * time.Millisecond
 )
 
-// defaultSetBy, with the router's name behind it, says who set a ban whose caller gave no
-// name. It is stored in the registry.
+// defaultSetBy, followed by the router's name, is stored in the registry as the author of a ban
+// whose caller gave no name.
 const defaultSetBy = "the door of "
 
-// Options are what a Manager works with.
+// Options are the settings and the dependencies of a Manager.
 type Options struct {
 	Settings
 	StateDir     string  // a folder that outlives the process; empty: nothing is stored
-	RouterName   string  // for bans whose caller gave no name
-	ReadyTimeout float64 // ms from the start for which Ready waits for the registry
+	RouterName   string  // recorded as the author of bans whose caller gave no name
+	ReadyTimeout float64 // ms after the start when Ready no longer waits for the registry
 
 	// SendRequest sends a request to a voter. It must not block.
 	SendRequest func(requestID uint64, request consensus.BanRequest)
 	// Disabled returns the servers that are disabled at this router now.
 	Disabled func() []routing.ServerID
-	// SetDisabled disables or enables a server at this router, by an operator's change.
+	// SetDisabled disables or enables a server at this router because of an operator's change.
 	SetDisabled func(ctx context.Context, server routing.ServerID, disable bool) error
-	// SetDisabledByRegistry does the same to follow the registry.
+	// SetDisabledByRegistry disables or enables a server at this router to follow the registry.
 	SetDisabledByRegistry func(ctx context.Context, server routing.ServerID, disable bool) error
 
 	Clock     clock.Clock // the boot clock
@@ -46,13 +46,14 @@
 	Metrics   *metrics.Registry
 }
 
-// Manager runs a Machine: it sends its requests, carries out its actions and stores its bans.
+// Manager runs a Machine: it sends the Machine's requests, carries out its actions and stores its
+// local bans.
 type Manager struct {
 	options     Options
 	file        stateFile
 	machine     *Machine               // owned by Run
-	completions map[uint64]chan error  // by change; owned by Run
-	mailbox     chan func(now float64) // run by Run
+	completions map[uint64]chan error  // receivers of results by change ID; owned by Run
+	mailbox     chan func(now float64) // functions that Run calls
 	status      atomic.Pointer[Status]
 	ready       atomic.Bool
 	done        chan struct{}
@@ -63,7 +64,8 @@
 	file := newStateFile(options.StateDir)
 	localBans, err := file.load()
 	if err != nil {
-		// The file only says what bans rest on: without it they hold until an operator enables.
+		// The file records only why servers are disabled. Without it they stay disabled until an
+		// operator enables them.
 		options.Log.Error().Err(err).Str("path", string(file)).Msg("local ban file cannot be read, starting without it")
 	}
 	firstRequestID := rand.Uint64() >> 1
@@ -79,7 +81,7 @@
 	return manager
 }
 
-// Run keeps the bans until ctx ends.
+// Run runs the Machine until ctx ends.
 func (m *Manager) Run(ctx context.Context) {
 	defer close(m.done)
 	readyDeadline := m.options.Clock.Now() + m.options.ReadyTimeout
@@ -108,14 +110,14 @@
 	}
 }
 
-// updateReady makes the router ready once it has disabled what the registry has disabled, or
-// the time for that is over.
-func (m *Manager) updateReady(actionsLeft, timedOut bool) {
+// updateReady marks the router ready once it has disabled all servers that the registry has
+// disabled, or once the time for that has expired.
+func (m *Manager) updateReady(actionsPending, timedOut bool) {
 	if m.ready.Load() {
 		return
 	}
 	confirmed := m.machine.registryRead()
-	caughtUp := confirmed && !actionsLeft
+	caughtUp := confirmed && !actionsPending
 	if !caughtUp && !timedOut {
 		return
 	}
@@ -126,8 +128,8 @@
 	}
 }
 
-// runAction does to a server what the registry says. One that fails is repeated by the
-// Machine.
+// runAction disables or enables a server to follow the registry. The Machine repeats an action
+// that fails.
 func (m *Manager) runAction(ctx context.Context, action Action) {
 	ctx, cancel := context.WithTimeout(ctx, actionTimeout)
 	defer cancel()
@@ -135,11 +137,11 @@
 	m.options.Metrics.Add("keeper_orders", 1)
 	if err == nil {
 		m.options.Log.Info().Stringer("server", action.Server).Bool("disabled", action.Disable).
-			Msg("ban of the lease registry applied")
+			Msg("applied a ban change from the lease registry")
 	}
 }
 
-// handleOutput does what both steps and responses may call for.
+// handleOutput carries out the parts of an output that both Step and HandleResponse set.
 func (m *Manager) handleOutput(out Output) {
 	for _, completion := range out.Completions {
 		if waiter := m.completions[completion.ChangeID]; waiter != nil {
@@ -152,20 +154,22 @@
 	}
 }
 
-// persist stores the local bans. A failure is counted: the next change stores them again.
+// persist stores the local bans. It counts a failure and does not retry: the next change stores
+// all local bans again.
 func (m *Manager) persist() {
 	if err := m.file.save(m.machine.LocalBans()); err != nil {
 		m.options.Metrics.Add("keeper_unkept", 1)
 	}
 }
 
-// Ready reports whether the registry has been read, or had its time to be.
+// Ready reports whether this router has applied the registry's bans, or ReadyTimeout has expired.
 func (m *Manager) Ready() bool { return m.ready.Load() }
 
 // Stopped is closed when Run has returned.
 func (m *Manager) Stopped() <-chan struct{} { return m.done }
 
-// HandleResponse takes a voter's response. It never blocks.
+// HandleResponse handles a voter's response. It never blocks; it drops and counts a response that
+// finds the mailbox full.
 func (m *Manager) HandleResponse(response consensus.BanResponse) {
 	select {
 	case m.mailbox <- func(now float64) { m.handleOutput(m.machine.HandleResponse(now, response)) }:
@@ -174,9 +178,9 @@
 	}
 }
 
-// Apply carries out an operator's change. A server is disabled here at once, and registered
-// as soon as that can be; it is enabled only once the registry has taken the change, and
-// ErrNoQuorum or ErrVersionConflict is returned where it does not.
+// Apply carries out an operator's change. A disable applies here at once and is registered as
+// soon as the voters can be reached. An enable applies only after the registry has accepted it;
+// otherwise Apply returns ErrNoQuorum or ErrVersionConflict.
 func (m *Manager) Apply(ctx context.Context, change Change) error {
 	change.SetAt = m.options.WallClock.Now()
 	if change.SetBy == "" {
@@ -218,7 +222,7 @@
 	}
 }
 
-// enqueue has Run call a function.
+// enqueue queues a function for Run to call. It waits while the mailbox is full, until ctx ends.
 func (m *Manager) enqueue(ctx context.Context, run func(now float64)) error {
 	select {
 	case m.mailbox <- run:
--- a/internal/fleet/bans/manager_test.go
+++ b/internal/fleet/bans/manager_test.go
@@ -20,7 +20,7 @@
 	"garnetline/routing"
 )
 
-// disabledServers stands in for the endpoint list, whose disabled servers a Manager sets.
+// disabledServers is a fake of the endpoint list, in which a Manager disables and enables servers.
 type disabledServers struct {
 	mu      sync.Mutex
 	servers []routing.ServerID
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// testOptions are those of a router whose requests nobody answers. Its log may be read once
-// the Manager has stopped.
+// testOptions returns the options of a router whose requests get no response. The log may be read
+// after the Manager has stopped.
 func testOptions(folder string, disabled *disabledServers, log *bytes.Buffer) Options {
 	logger := zerolog.New(log)
 	return Options{
@@ -62,8 +62,8 @@
 	}
 }
 
-// Without a voter a server can be disabled, which the next process knows, and not enabled; the
-// router becomes ready with the bans that it knows, and says so.
+// Without a quorum a server can be disabled but not enabled, and the next process knows the ban.
+// The router becomes ready with its local bans and logs a warning.
 func TestManagerWithoutQuorum(t *testing.T) {
 	const server = routing.ServerID(7)
 	folder := t.TempDir()
@@ -79,23 +79,23 @@
 		t.Error(err)
 	}
 	if err := manager.Apply(ctx, Change{Server: server}); !errors.Is(err, ErrNoQuorum) {
-		t.Errorf("enabled without a quorum: %v", err)
+		t.Errorf("enable without a quorum: got error %v, want ErrNoQuorum", err)
 	}
 	if list := disabled.list(); !slices.Equal(list, []routing.ServerID{server}) {
-		t.Errorf("disabled: %v", list)
+		t.Errorf("got disabled servers %v, want the one that was disabled", list)
 	}
 	stop()
 	<-manager.Stopped()
 	if text := log.String(); !strings.Contains(text, "ban list not confirmed by the lease registry before timeout, using the local copy") {
-		t.Errorf("the log says:\n%s", text)
+		t.Errorf("got no warning of unconfirmed bans in the log:\n%s", text)
 	}
 	next := New(testOptions(folder, disabled, &log)).machine.LocalBans()
 	if ban := next[server]; len(next) != 1 || !ban.Unregistered || ban.SetBy != "the door of r01" || ban.Reason != "disk" {
-		t.Errorf("the next process knows %+v", next)
+		t.Errorf("got local bans %+v in the next process, want the unregistered ban for disk", next)
 	}
 }
 
-// A state file that cannot be read is reported, and does not keep the router from starting.
+// A state file that cannot be parsed is logged and does not prevent the start of the router.
 func TestUnreadableStateFile(t *testing.T) {
 	folder := t.TempDir()
 	if err := os.WriteFile(filepath.Join(folder, stateFileName), []byte(`{"7":{"Own":true},`), 0o600); err != nil {
@@ -104,9 +104,9 @@
 	var log bytes.Buffer
 	manager := New(testOptions(folder, &disabledServers{}, &log))
 	if bans := manager.machine.LocalBans(); len(bans) != 0 {
-		t.Errorf("%+v", bans)
+		t.Errorf("got local bans %+v, want none", bans)
 	}
 	if text := log.String(); !strings.Contains(text, "local ban file cannot be read") {
-		t.Errorf("the log says:\n%s", text)
+		t.Errorf("got no error about the ban file in the log:\n%s", text)
 	}
 }
--- a/internal/fleet/bans/reconcile.go
+++ b/internal/fleet/bans/reconcile.go
@@ -8,20 +8,20 @@
 	"garnetline/routing"
 )
 
-// reconcile compares the servers that are disabled here with the registry as it was read
-// last.
+// reconcile compares the servers that are disabled here with the registry's state at the latest
+// read, and adds the actions that remove the differences.
 //
-// Symptom guarded against: a router that had read the registry before an operator enabled a
-// server disabled it again by that old reading, when gossip told it of the enable. So each
-// version is followed once, and again only on a later reading; a version that disables is
-// undone by a later version.
+// Each version of a ban is applied once, and again only after a later read of the registry still
+// has it; a ban is lifted only by a later version. Otherwise a router that read the registry
+// before an operator enabled a server, and then learned of the enable by gossip, would disable the
+// server again because of the outdated read.
 func (m *Machine) reconcile(now float64, disabledHere []routing.ServerID, out *Output) {
 	for _, server := range slices.Sorted(maps.Keys(m.registered)) {
 		m.reconcileServer(now, server, slices.Contains(disabledHere, server), out)
 	}
 	for _, server := range slices.Sorted(maps.Keys(m.localBans)) {
-		// An enable that did not know of this router's ban undid it before it was registered.
-		// Of a ban and an enable that do not know of each other, the ban holds.
+		// Gossip of an enable lifted this router's ban before the ban was registered. If a ban and
+		// an enable are concurrent, the ban takes precedence: disable the server again.
 		if m.localBans[server].Unregistered && !slices.Contains(disabledHere, server) {
 			m.addAction(now, Action{Server: server, Disable: true}, out)
 		}
@@ -31,7 +31,7 @@
 	})
 }
 
-// reconcileServer has this router follow one registered ban.
+// reconcileServer adds the action, if any, that makes this router follow one registered ban.
 func (m *Machine) reconcileServer(now float64, server routing.ServerID, disabledHere bool, out *Output) {
 	ban := m.registered[server]
 	if disabledHere || !ban.Disabled {
@@ -39,7 +39,7 @@
 	}
 	local, known := m.localBans[server]
 	if known && local.Unregistered {
-		return // until it is registered, the ban that was set here holds
+		return // the ban that was set here applies until it is registered
 	}
 	switch {
 	case ban.Disabled && disabledHere && local.Version != ban.Version:
@@ -57,18 +57,18 @@
 	}
 }
 
-// adoptRegistered records that a server is disabled here by a registered ban.
+// adoptRegistered records that a registered ban is the reason why a server is disabled here.
 func (m *Machine) adoptRegistered(server routing.ServerID, ban *leaseregistry.Ban, out *Output) {
 	m.localBans[server] = LocalBan{Version: ban.Version}
 	m.appliedVersions[server] = ban.Version
 	out.Persist = true
 }
 
-// stillDisabled reports whether the registry was read again after gossip enabled a server
-// here, and still has it disabled.
+// stillDisabled reports whether a read of the registry that was requested after gossip enabled a
+// server here still has the server disabled.
 //
-// Symptom guarded against: an enable took away the gossip of a ban that was registered right
-// after it. The server stayed enabled at some routers for good, and disabled in the registry.
+// Without this check, an enable could erase a ban from gossip just before the ban is registered,
+// and some routers would keep the server enabled forever although the registry has it disabled.
 func (m *Machine) stillDisabled(now float64, server routing.ServerID) bool {
 	reenabledAt, seen := m.reenabledAt[server]
 	if !seen {
@@ -77,8 +77,8 @@
 	return seen && m.lastReadAt > reenabledAt
 }
 
-// addAction adds an action, and adds it again after a while where it had no effect: the
-// endpoint list may not have the server yet.
+// addAction adds an action unless the server had one within RetryInterval. An action can have no
+// effect, because the endpoint list may not have the server yet; the caller then adds it again.
 func (m *Machine) addAction(now float64, action Action, out *Output) {
 	if m.lastActionAt[action.Server]+m.settings.RetryInterval <= now {
 		m.lastActionAt[action.Server] = now
--- a/internal/fleet/bans/statefile.go
+++ b/internal/fleet/bans/statefile.go
@@ -11,10 +11,11 @@
 	"garnetline/routing"
 )
 
-// stateFileName is the file of the local bans, in a folder that outlives the process.
+// stateFileName is the name of the file of the local bans in the state folder.
 const stateFileName = "garnetline-bans.json"
 
-// stateFile stores the local bans between processes. The empty path stores nothing.
+// stateFile is the path of the file that stores the local bans for the next process. With an
+// empty path nothing is stored.
 type stateFile string
 
 func newStateFile(folder string) stateFile {
@@ -24,7 +25,7 @@
 	return stateFile(filepath.Join(folder, stateFileName))
 }
 
-// load returns the stored bans. There are none where the file does not exist.
+// load returns the stored bans, or an empty map if the file does not exist.
 func (f stateFile) load() (map[routing.ServerID]LocalBan, error) {
 	bans := map[routing.ServerID]LocalBan{}
 	if f == "" {
@@ -43,7 +44,7 @@
 	return bans, nil
 }
 
-// save replaces the stored bans, as a whole or not at all.
+// save atomically replaces the stored bans.
 func (f stateFile) save(bans map[routing.ServerID]LocalBan) error {
 	if f == "" {
 		return nil
--- a/internal/fleet/bans/status.go
+++ b/internal/fleet/bans/status.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// Status is what operators see of the registered bans.
+// Status is the state of the registered bans as the admin API returns it.
 type Status struct {
-	ReadAt       float64  `json:"read_ms"` // Unix ms of the latest reading of the registry; 0: none yet
+	ReadAt       float64  `json:"read_ms"` // Unix ms of the latest read of the registry; 0: none yet
 	Bans         []Ban    `json:"bans"`
-	DisabledHere []string `json:"out_here"` // at this router, whatever the registry has
+	DisabledHere []string `json:"out_here"` // servers disabled at this router, even if the registry has them enabled
 }
 
 // Ban is one registered ban.
@@ -19,10 +19,10 @@
 	SetAt    float64 `json:"at_ms"` // Unix ms
 }
 
-// Status returns the bans as they were read last. What it points to does not change.
+// Status returns the bans of the latest read of the registry. The returned value is immutable.
 func (m *Manager) Status() *Status { return m.status.Load() }
 
-// publish replaces what Status returns.
+// publish replaces the value that Status returns.
 func (m *Manager) publish(now float64) {
 	status := &Status{Bans: []Ban{}, DisabledHere: []string{}}
 	for _, server := range m.options.Disabled() {
--- a/internal/fleet/recoveryprobe/coordinator.go
+++ b/internal/fleet/recoveryprobe/coordinator.go
@@ -15,36 +15,38 @@
 const (
 	stepInterval     = 50 * time.Millisecond
 	mailboxSize      = 256
-	holderCandidates = 2 // routers that are sent reports while the holder is unknown
+	holderCandidates = 2 // highest-ranked routers that receive reports while the lease holder is unknown
 )
 
-// Options are what a Coordinator works with. No function may block.
+// Options are the settings and the dependencies of a Coordinator. None of the functions may block.
 type Options struct {
 	zonelease.Options
 	Settings
 	Self membership.ID
 
-	// LastKnownHolder returns a lease's holder by the latest response of the lease registry.
+	// LastKnownHolder returns a lease's holder according to the latest response of the lease
+	// registry, or 0 if it is not known.
 	LastKnownHolder func(leaseName string) membership.ID
 	// Ejected returns the servers that this router's outlier detection has ejected.
 	Ejected func() []routing.ServerID
-	// ExtendEjection keeps an ejected server ejected for some ms from now.
+	// ExtendEjection keeps an ejected server ejected for ms milliseconds from now.
 	ExtendEjection func(server routing.ServerID, ms float64)
 	// RequireProbe ejects a server until one request to it has succeeded.
 	RequireProbe func(server routing.ServerID)
 }
 
-// Coordinator runs a Machine: it sends its messages and has the routing module eject and probe.
+// Coordinator runs a Machine: it sends the Machine's messages, and tells the routing module which
+// servers to keep ejected and which to probe.
 type Coordinator struct {
 	options   Options
 	leaseName string
 	machine   *Machine // owned by Run
-	mailbox   chan received
+	mailbox   chan receivedMessage
 	done      chan struct{}
 }
 
-// received is a message with its sender.
-type received struct {
+// receivedMessage is a message with its sender.
+type receivedMessage struct {
 	from    membership.ID
 	message Message
 }
@@ -55,12 +57,12 @@
 		options:   options,
 		leaseName: LeaseName(options.Zone),
 		machine:   NewMachine(options.Settings, options.Self),
-		mailbox:   make(chan received, mailboxSize),
+		mailbox:   make(chan receivedMessage, mailboxSize),
 		done:      make(chan struct{}),
 	}
 }
 
-// Run plays this router's part until ctx ends.
+// Run runs the Machine until ctx ends.
 func (c *Coordinator) Run(ctx context.Context) {
 	defer close(c.done)
 	ticker := time.NewTicker(stepInterval)
@@ -115,7 +117,8 @@
 		c.options.Send(to, fragment.EjectionReport, message.Append(nil))
 		return
 	}
-	// Checked at the write: a holder that was stopped says nothing under a lease that has ended.
+	// The lease is checked again right before the send, so that a holder whose process was paused
+	// sends nothing under a lease that has ended.
 	if current, ok := c.options.Valid(c.leaseName); !ok || current != message.FencingToken {
 		c.options.Metrics.Add("first_held_back", 1)
 		return
@@ -126,7 +129,8 @@
 // Stopped is closed when Run has returned.
 func (c *Coordinator) Stopped() <-chan struct{} { return c.done }
 
-// Receive takes another router's message. It never blocks.
+// Receive queues another router's message for Run. It never blocks; it drops and counts a message
+// that is malformed, is on the wrong channel, or finds the mailbox full.
 func (c *Coordinator) Receive(from membership.ID, channel fragment.Channel, encoded []byte) {
 	message, ok := Decode(encoded)
 	fromHolder := message.FencingToken != 0
@@ -135,7 +139,7 @@
 		return
 	}
 	select {
-	case c.mailbox <- received{from: from, message: message}:
+	case c.mailbox <- receivedMessage{from: from, message: message}:
 	default:
 		c.options.Metrics.Add("first_crowded_out", 1)
 	}
--- a/internal/fleet/recoveryprobe/golden_test.go
+++ b/internal/fleet/recoveryprobe/golden_test.go
@@ -7,7 +7,7 @@
 	"garnetline/internal/golden"
 )
 
-// Routers of several releases run side by side: what they send each other stays as it is.
+// The encoding of messages does not change, since routers of several releases run side by side.
 // UPDATE_GOLDEN=1 rewrites testdata.
 func TestMessageFormat(t *testing.T) {
 	for _, c := range []struct {
@@ -20,10 +20,10 @@
 	} {
 		golden.Compare(t, c.file, c.sent.Append(nil))
 		if read, ok := Decode(golden.Read(t, c.file)); !ok || !reflect.DeepEqual(read, c.sent) {
-			t.Errorf("%s: read back: %+v, %v", c.file, read, ok)
+			t.Errorf("%s read back: got %+v, ok %v, want the message that was encoded", c.file, read, ok)
 		}
 	}
 	if name := LeaseName("lyon"); name != "first/lyon" {
-		t.Errorf("the lease is called %q in the registry", name)
+		t.Errorf("got lease name %q, want first/lyon", name)
 	}
 }
--- a/internal/fleet/recoveryprobe/holder.go
+++ b/internal/fleet/recoveryprobe/holder.go
@@ -9,12 +9,13 @@
 	"garnetline/routing"
 )
 
-// ejectionDelay is how long, in ms, this router has to eject a server that it is to probe. A
-// server that is not ejected by then had answered a request just before: it has recovered.
+// ejectionDelay is the time in ms within which the routing module of this router ejects a server
+// that this router must probe. A server that is not ejected by then has just answered a request
+// and so has recovered.
 const ejectionDelay = 150.0
 
-// coordinate is the lease holder's part of a step.
-func (m *Machine) coordinate(now float64, input Input, out *Output) {
+// stepAsHolder does the work of a step that only the lease holder does.
+func (m *Machine) stepAsHolder(now float64, input Input, out *Output) {
 	m.holderLastSeenAt = math.Inf(-1)
 	clear(m.holderResults)
 	lastEjectedAt := m.collectReports(now, input.ZonePeers)
@@ -32,7 +33,7 @@
 }
 
 // collectReports drops the reports of routers that are gone or unresponsive. It returns the
-// servers that any other has ejected, with the latest moment at which one did.
+// servers that other routers have ejected, each with the time of its latest ejection.
 func (m *Machine) collectReports(now float64, zonePeers []membership.ID) map[routing.ServerID]float64 {
 	reportTimeout := 3*m.settings.ReportInterval + m.settings.HolderTimeout
 	lastEjectedAt := map[routing.ServerID]float64{}
@@ -48,13 +49,14 @@
 	return lastEjectedAt
 }
 
-// probe has this router probe a server that others have ejected, unless it has recovered since.
+// probe makes this router probe a server that other routers have ejected, unless the server has
+// recovered since its latest ejection.
 func (m *Machine) probe(now float64, server routing.ServerID, lastEjectedAt float64, out *Output) {
 	result, known := m.results[server]
 	if known && result.recovered && lastEjectedAt <= result.at {
 		return
 	}
-	if _, ejectedHere := m.ejectedAt[server]; ejectedHere { // probed when its ejection time is over
+	if _, ejectedHere := m.ejectedAt[server]; ejectedHere { // the routing module probes it when its ejection time ends
 		m.results[server] = probeResult{at: now}
 		return
 	}
@@ -69,7 +71,8 @@
 	}
 }
 
-// scheduleResults tells each router what is known of the servers that it has ejected.
+// scheduleResults adds a message to each router with the results of the servers that the router
+// has ejected.
 func (m *Machine) scheduleResults(now float64, fencingToken uint64, out *Output) {
 	if now-m.lastSentAt < m.settings.ReportInterval/2 {
 		return
--- a/internal/fleet/recoveryprobe/machine.go
+++ b/internal/fleet/recoveryprobe/machine.go
@@ -10,37 +10,37 @@
 	"garnetline/routing"
 )
 
-// maxPeerReports bounds the routers whose reports the lease holder remembers.
+// maxPeerReports is the maximum number of routers whose reports the lease holder stores.
 const maxPeerReports = 4096
 
-// Machine is one router's part. It is not safe for concurrent use. Times are milliseconds of
-// the clock that its caller reads.
+// Machine is the state machine of one router, as the lease holder or as another router of the zone.
+// It is not safe for concurrent use. Times are in milliseconds of the caller's clock.
 type Machine struct {
 	settings      Settings
 	self          membership.ID
 	ejectedAt     map[routing.ServerID]float64 // by this router
-	lastSentAt    float64                      // -Inf: a message is due at once
-	nextPeerIndex int                          // round robin while the holder is unknown
+	lastSentAt    float64                      // -Inf: the next message is due at once
+	nextPeerIndex int                          // of the round robin over peers while the holder is unknown
 
-	// What the lease holder sent.
+	// State received from the lease holder.
 	fence            lease.Fence
 	holder           membership.ID
 	holderLastSeenAt float64 // -Inf: never
 	holderResults    map[routing.ServerID]probeResult
 
-	// Of the lease holder alone.
+	// State that only the lease holder uses.
 	peerReports  map[membership.ID]ejectionReport
 	results      map[routing.ServerID]probeResult
 	lastProbedAt map[routing.ServerID]float64
 }
 
-// probeResult is what the lease holder knows of an ejected server.
+// probeResult is the result of the latest probe of an ejected server.
 type probeResult struct {
 	recovered bool
-	at        float64 // when that was found
+	at        float64 // time of the result
 }
 
-// ejectionReport is what another router has ejected.
+// ejectionReport is another router's latest report of its ejected servers.
 type ejectionReport struct {
 	receivedAt float64
 	ejectedAt  map[routing.ServerID]float64
@@ -67,7 +67,7 @@
 	out := Output{EjectionExtensions: map[routing.ServerID]float64{}, Messages: map[membership.ID]Message{}}
 	m.recordEjections(now, input.Ejected)
 	if input.FencingToken != 0 {
-		m.coordinate(now, input, &out)
+		m.stepAsHolder(now, input, &out)
 		return out
 	}
 	clear(m.peerReports)
@@ -79,13 +79,14 @@
 	return out
 }
 
-// recordEjections notes what this router ejected or returned to since the step before.
+// recordEjections records the servers that this router has ejected, or has returned to, since the
+// previous step.
 func (m *Machine) recordEjections(now float64, ejected []routing.ServerID) {
 	for server := range m.ejectedAt {
 		if !slices.Contains(ejected, server) {
 			delete(m.ejectedAt, server)
 			m.sendAtOnce()
-			m.results[server] = probeResult{recovered: true, at: now} // by this router's own probe
+			m.results[server] = probeResult{recovered: true, at: now} // found by this router's own probe
 		}
 	}
 	for _, server := range ejected {
@@ -103,15 +104,16 @@
 	return now-m.holderLastSeenAt <= m.settings.HolderTimeout
 }
 
-// scheduleReports tells the lease holder, or those who may be it, what this router has ejected.
+// scheduleReports adds the reports of this router's ejected servers, to the lease holder or, while
+// it is unknown, to the routers that may hold the lease.
 func (m *Machine) scheduleReports(now float64, input Input, out *Output) {
 	holderKnown := m.holder != 0 && m.holderSeen(now)
 	if len(m.ejectedAt) == 0 {
-		nothingLeft := math.IsInf(m.lastSentAt, -1)
-		if nothingLeft && holderKnown {
+		emptyReportDue := math.IsInf(m.lastSentAt, -1)
+		if emptyReportDue && holderKnown {
 			out.Messages[m.holder] = Message{}
 		}
-		if nothingLeft {
+		if emptyReportDue {
 			m.lastSentAt = now
 		}
 		return
@@ -130,8 +132,9 @@
 			out.Messages[candidate] = report
 		}
 	}
-	// Symptom guarded against: the holder was none of the candidates, no router told it of a
-	// server, and all probed by themselves. So one peer after another is told too.
+	// The lease holder may be none of the candidates. Without a report it would not learn of the
+	// ejected server, and all routers would probe on their own. So each report also goes to one
+	// further peer, in turn.
 	if peerCount := len(input.ZonePeers); peerCount > 0 {
 		m.nextPeerIndex++
 		out.Messages[input.ZonePeers[m.nextPeerIndex%peerCount]] = report
@@ -148,8 +151,8 @@
 	return message
 }
 
-// extendEjections keeps this router away from what the lease holder probes, or has found
-// recovered a moment ago.
+// extendEjections keeps the servers ejected here that the lease holder is still probing, and those
+// that have recovered but that are not due for this router's return yet.
 func (m *Machine) extendEjections(now float64, zonePeers []membership.ID, out *Output) {
 	for server, ejectedAt := range m.ejectedAt {
 		result, known := m.holderResults[server]
@@ -158,7 +161,8 @@
 		case !result.recovered:
 			out.EjectionExtensions[server] = m.holderLastSeenAt + m.settings.HolderTimeout - now
 		case ejectedAt > result.at:
-			// It failed this router after the holder found it recovered: this router's own matter.
+			// The server failed here after the holder found it recovered: this router's own ejection
+			// time applies.
 		default:
 			if returnAt := m.returnTime(result.at, zonePeers); returnAt > now {
 				out.EjectionExtensions[server] = returnAt - now
@@ -167,17 +171,18 @@
 	}
 }
 
-// returnTime is when this router may return to a server that recovered: the routers do so one
-// after another, each at its place, whichever of them have the server ejected.
+// returnTime returns when this router may return to a server that recovered at recoveredAt. The
+// routers of the zone return one after another in the order of their ranks, and a router keeps its
+// position whether or not the others have the server ejected.
 func (m *Machine) returnTime(recoveredAt float64, zonePeers []membership.ID) float64 {
 	routers := append(slices.Clone(zonePeers), m.self)
-	place := lease.Rank(returnOrderKey, m.self, routers)
-	return recoveredAt + 1000*float64(place)/m.settings.ReturnRate
+	position := lease.Rank(returnOrderKey, m.self, routers)
+	return recoveredAt + 1000*float64(position)/m.settings.ReturnRate
 }
 
-// HandleMessage takes another router's message. It reports whether the message was accepted:
-// not under an older fencing token than the latest, nor from more routers than there is room
-// for.
+// HandleMessage handles another router's message. It reports whether the message was accepted: it
+// rejects results with an older fencing token than the latest one, and reports while
+// maxPeerReports reports are stored.
 func (m *Machine) HandleMessage(now float64, from membership.ID, message Message) bool {
 	if message.FencingToken == 0 {
 		return m.handleReport(now, from, message.Servers)
@@ -194,7 +199,8 @@
 	return true
 }
 
-// handleReport takes what another router has ejected.
+// handleReport stores another router's report of its ejected servers. An empty report deletes the
+// stored one.
 func (m *Machine) handleReport(now float64, from membership.ID, servers []ServerStatus) bool {
 	if len(m.peerReports) >= maxPeerReports {
 		return false
--- a/internal/fleet/recoveryprobe/machine_test.go
+++ b/internal/fleet/recoveryprobe/machine_test.go
@@ -10,27 +10,27 @@
 	"garnetline/routing"
 )
 
-// server is the one that fails and recovers.
+// server is the ID of the server that fails and recovers in these tests.
 const server = routing.ServerID(7)
 
-// zone is the routers of one zone before one server, each with the routing module's ejection
-// times as they are without a lease: 500 ms, doubled up to 4 s, one request out after each.
+// zone simulates the routers of one zone and one server. Each router has the ejection times of the
+// routing module without a lease: 500 ms, doubled up to 4 s, with one request after each.
 type zone struct {
 	rng          *rand.Rand
 	now          float64 // ms
-	messageLoss  float64 // share of the messages that are lost
+	messageLoss  float64 // share of lost messages
 	serverUp     bool
 	routers      []*zoneRouter
 	holder       int // index of the lease holder; -1: none
 	fencingToken uint64
-	probes       []float64 // when a router that had ejected the server sent it a request, while it was up
+	probes       []float64 // times of requests to the running server from routers that had it ejected
 	withLease    bool
 }
 
 type zoneRouter struct {
 	machine      *Machine
 	id           membership.ID
-	failures     int // in a row; above 0: the server is ejected here
+	failures     int // consecutive failures; above 0: the server is ejected here
 	ejectedUntil float64
 	lastSuccess  float64
 	unreachable  bool // this router cannot reach the server
@@ -53,7 +53,7 @@
 	return z
 }
 
-// run plays for some ms in steps of 10; each router has a request every 50.
+// run simulates ms milliseconds in steps of 10 ms. Each router has a request every 50 ms.
 func (z *zone) run(ms float64) {
 	for end := z.now + ms; z.now < end; z.now += 10 {
 		for i, router := range z.routers {
@@ -67,7 +67,7 @@
 	}
 }
 
-// request has a router send the server a request.
+// request simulates a request of a router to the server.
 func (z *zone) request(router *zoneRouter) {
 	if !z.serverUp || router.unreachable {
 		router.ejectedUntil = z.now + min(500*float64(int(1)<<min(router.failures, 8)), 4000)
@@ -81,7 +81,7 @@
 	router.lastSuccess = z.now
 }
 
-// step does what a Coordinator and the routing module do.
+// step simulates a step of a router's Coordinator and routing module.
 func (z *zone) step(router *zoneRouter, isHolder bool) {
 	input := Input{HolderCandidates: []membership.ID{z.routers[0].id, z.routers[1].id}, ZonePeers: router.peers}
 	if router.failures > 0 {
@@ -117,9 +117,10 @@
 	return count
 }
 
-// recover has the server fail for 10 s. It returns how many probes the server receives in the
-// first second after the first of them, and how long it takes until all routers are back, in ms.
-func (z *zone) recover() (probesInFirstSecond int, allBack float64) {
+// failAndRecover makes the server fail for 10 s. It returns how many probes the recovered server
+// receives within 1 s of the first one, and the ms from the recovery until no router has the server
+// ejected.
+func (z *zone) failAndRecover() (probesInFirstSecond int, recoveryTime float64) {
 	z.run(1000)
 	z.serverUp = false
 	z.run(10_000)
@@ -137,33 +138,34 @@
 	return probesInFirstSecond, z.now - recoveredAt
 }
 
-// A server that recovers receives one probe, and then the other routers at the return rate,
-// messages lost or not. Without a lease it receives them as their ejection times end.
+// A server that recovers receives one probe first; then the other routers return to it at the
+// return rate, even if messages are lost. Without a lease, all routers return as soon as their
+// ejection times end.
 func TestRoutersReturnGradually(t *testing.T) {
 	returnRate := DefaultSettings().ReturnRate
 	for _, routers := range []int{3, 30, 300} {
-		withLease, allBack := newZone(1, routers, true).recover()
-		withoutLease, allBackWithout := newZone(1, routers, false).recover()
-		t.Logf("%d routers: %d probes in the first second, all back after %.1f s; without a lease %d, %.1f s",
-			routers, withLease, allBack/1000, withoutLease, allBackWithout/1000)
+		withLease, recoveryTime := newZone(1, routers, true).failAndRecover()
+		withoutLease, recoveryTimeWithout := newZone(1, routers, false).failAndRecover()
+		t.Logf("%d routers: %d probes in the first second, all routers returned after %.1f s; without a lease %d probes, %.1f s",
+			routers, withLease, recoveryTime/1000, withoutLease, recoveryTimeWithout/1000)
 		bound := 1 + int(returnRate)
 		if withLease > bound || routers >= 300 && withoutLease < 2*bound {
-			t.Errorf("%d routers: %d probes in the first second, %d without a lease", routers, withLease, withoutLease)
+			t.Errorf("%d routers: got %d probes in the first second, %d without a lease", routers, withLease, withoutLease)
 		}
-		if allBack > 1000*(float64(routers)/returnRate+5) {
-			t.Errorf("%d routers: all back after %.0f ms", routers, allBack)
+		if recoveryTime > 1000*(float64(routers)/returnRate+5) {
+			t.Errorf("%d routers: all routers returned only after %.0f ms", routers, recoveryTime)
 		}
 		lossy := newZone(2, routers, true)
 		lossy.messageLoss = 0.2
-		probes, allBack := lossy.recover()
-		if probes > 1+int(returnRate)+routers/20 || allBack > 1000*(float64(routers)/returnRate+6) {
-			t.Errorf("%d routers, a fifth of the messages lost: %d probes, %.0f ms", routers, probes, allBack)
+		probes, recoveryTime := lossy.failAndRecover()
+		if probes > 1+int(returnRate)+routers/20 || recoveryTime > 1000*(float64(routers)/returnRate+6) {
+			t.Errorf("%d routers, 20%% message loss: got %d probes in the first second, all routers returned after %.0f ms", routers, probes, recoveryTime)
 		}
 	}
 }
 
-// No router waits for a lease holder that is gone, unresponsive, or has no requests to probe
-// with; one that cannot reach the server stays away alone and holds up nobody.
+// No router waits for a lease holder that is gone or unresponsive, and a router that cannot reach
+// the server does not delay the return of the others.
 func TestProbesWithoutHolder(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -183,36 +185,36 @@
 		z.serverUp = true
 		z.run(12_000)
 		if count := z.ejectedCount(); count != test.ejected {
-			t.Errorf("%s: %d routers have the server ejected", test.name, count)
+			t.Errorf("%s: wrong number of routers that have the server ejected: got %d", test.name, count)
 		}
 	}
 }
 
-// A server that one router alone cannot reach stays in use at all others.
+// A server that only one router cannot reach stays in use at all other routers.
 func TestUnreachableFromOneRouter(t *testing.T) {
 	z := newZone(4, 10, true)
 	z.routers[5].unreachable = true
 	z.run(20_000)
 	if count := z.ejectedCount(); count != 1 {
-		t.Errorf("%d routers have the server ejected", count)
+		t.Errorf("got %d routers that have the server ejected, want 1", count)
 	}
 }
 
-// A lease holder that is none of the candidates is found all the same.
+// The routers find a lease holder that is not among the candidates.
 func TestHolderOutsideCandidates(t *testing.T) {
 	z := newZone(5, 30, true)
 	z.holder = 17
-	probes, allBack := z.recover()
-	if allBack < 10*1000/DefaultSettings().ReturnRate || z.routers[3].machine.holder != 18 {
-		t.Errorf("%d probes in the first second, all back after %.0f ms", probes, allBack)
+	probes, recoveryTime := z.failAndRecover()
+	if recoveryTime < 10*1000/DefaultSettings().ReturnRate || z.routers[3].machine.holder != 18 {
+		t.Errorf("holder not found, or routers returned too early: got %d probes in the first second, all routers returned after %.0f ms", probes, recoveryTime)
 	}
 }
 
-// A message under an older fencing token is rejected.
+// A message with an older fencing token than the latest is rejected.
 func TestOlderTokenIsRejected(t *testing.T) {
 	machine := NewMachine(DefaultSettings(), 1)
 	if !machine.HandleMessage(0, 2, Message{FencingToken: 9}) || machine.HandleMessage(0, 3, Message{FencingToken: 8}) {
-		t.Error("an older holder's message is accepted")
+		t.Error("first message rejected, or message with an older fencing token accepted")
 	}
 }
 
@@ -220,7 +222,7 @@
 	sent := Message{FencingToken: 3, Servers: []ServerStatus{{Server: 0, Age: 20, Recovered: true}, {Server: 9, Age: 1}}}
 	f.Add(sent.Append(nil))
 	if got, ok := Decode(sent.Append(nil)); !ok || !reflect.DeepEqual(got, sent) {
-		f.Fatalf("%+v", got)
+		f.Fatalf("got %+v after decoding, want the message that was encoded", got)
 	}
 	f.Fuzz(func(t *testing.T, encoded []byte) {
 		if message, ok := Decode(encoded); ok && len(message.Servers) > MaxServers {
--- a/internal/fleet/recoveryprobe/message.go
+++ b/internal/fleet/recoveryprobe/message.go
@@ -8,24 +8,24 @@
 	"garnetline/routing"
 )
 
-// MaxServers is how many servers a message may name.
+// MaxServers is the maximum number of servers in a message.
 const MaxServers = 256
 
-// fieldRecovered is a field of an item of a message.
+// fieldRecovered is the field number of ServerStatus.Recovered in a message item.
 const fieldRecovered = zonemessage.FirstItemField
 
-// Message is what routers of a zone send each other: the servers that the sender has ejected
-// or, from the lease holder, the probe results that it knows.
+// Message is a message between routers of a zone. It lists the servers that the sender has ejected
+// or, if the sender is the lease holder, the probe results of servers.
 type Message struct {
 	FencingToken uint64 // 0 unless sent by the lease holder
 	Servers      []ServerStatus
 }
 
-// ServerStatus is what a message says of one server.
+// ServerStatus is the entry of one server in a Message.
 type ServerStatus struct {
 	Server    routing.ServerID
-	Age       float64 // ms since it was ejected or, from the lease holder, since the result
-	Recovered bool    // set by the lease holder alone
+	Age       float64 // ms since the ejection or, in a message of the lease holder, since the result
+	Recovered bool    // set by the lease holder only
 }
 
 // Append appends the encoded message to b.
@@ -46,7 +46,8 @@
 	return wireformat.AppendUint(item.Encode(), fieldRecovered, recovered)
 }
 
-// Decode reads a message. ok is false where it is malformed or names more than MaxServers.
+// Decode decodes a message. ok is false if the message is malformed or has more than MaxServers
+// servers.
 func Decode(b []byte) (message Message, ok bool) {
 	message.FencingToken, message.Servers, ok = zonemessage.Parse(b, MaxServers, decodeServerStatus)
 	return message, ok
--- a/internal/fleet/recoveryprobe/recoveryprobe.go
+++ b/internal/fleet/recoveryprobe/recoveryprobe.go
@@ -1,13 +1,13 @@
-// Package recoveryprobe coordinates the half-open probes of ejected servers within one zone:
-// the lease holder sends a single request to an ejected server, and the other routers stay
-// away from it until they learn the result, and then return at a bounded rate.
+// Package recoveryprobe coordinates the half-open probes of ejected servers within one zone. The
+// lease holder sends a single request to an ejected server. The other routers send the server
+// nothing until they learn the result, and then return to it at a limited rate.
 //
-// The package can only delay a router's own probe. A router that has not heard from the lease
-// holder for HolderTimeout probes on its own schedule, as it would without a lease; none sends
-// requests to a server before its own ejection time is over.
+// The package can only delay a router's own probe. A router that has received no message from the
+// lease holder for HolderTimeout probes on its own schedule, as it would without a lease. No router
+// sends requests to a server before its own ejection time has ended.
 //
-// Machine decides, without I/O and without a clock of its own. Coordinator runs it in one
-// goroutine; its methods but Run may be called by any goroutine.
+// Machine makes the decisions, without I/O and without a clock of its own. Coordinator runs it in
+// one goroutine; all methods of Coordinator but Run may be called by any goroutine.
 package recoveryprobe
 
 import (
@@ -15,42 +15,42 @@
 	"garnetline/routing"
 )
 
-// leaseNamePrefix begins the name of the lease in the registry. It is stored there, and stays
-// what the first release called it.
+// leaseNamePrefix is the prefix of the lease's name in the registry. The registry stores the name,
+// so the prefix keeps the text of the first release.
 const leaseNamePrefix = "first/"
 
-// returnOrderKey is the key of the hash by which routers return to a recovered server. All
-// releases must use the same.
+// returnOrderKey is the key of the hash that orders the returns of routers to a recovered server.
+// All releases must use the same key.
 const returnOrderKey = leaseNamePrefix + "ramp"
 
 // LeaseName returns the name of a zone's lease.
 func LeaseName(zone string) string { return leaseNamePrefix + zone }
 
-// Settings are times, in milliseconds, and a rate.
+// Settings are the times, in milliseconds, and the rate that a Machine works with.
 type Settings struct {
-	ReportInterval float64 // between a router's reports of what it has ejected, while there is any
+	ReportInterval float64 // between a router's reports of its ejected servers, while it has any
 	HolderTimeout  float64 // for which a message of the lease holder is valid
-	ReturnRate     float64 // routers a second that return to a server once it has recovered
-	ResultTTL      float64 // for which the lease holder remembers a result
-	ProbeInterval  float64 // between the lease holder's probes of one server, at least
+	ReturnRate     float64 // routers per second that return to a recovered server
+	ResultTTL      float64 // for which the lease holder stores a result
+	ProbeInterval  float64 // least time between two probes of one server by the lease holder
 }
 
-// DefaultSettings returns the settings that hold where the operators' file names none.
+// DefaultSettings returns the settings that apply where the operators' settings file sets none.
 func DefaultSettings() Settings {
 	return Settings{ReportInterval: 200, HolderTimeout: 1000, ReturnRate: 30, ResultTTL: 60_000, ProbeInterval: 1000}
 }
 
-// Input is the local state that one Step works on.
+// Input is the local state that one Step reads.
 type Input struct {
-	Ejected          []routing.ServerID // by this router's outlier detection
+	Ejected          []routing.ServerID // servers ejected by this router's outlier detection
 	FencingToken     uint64             // 0 unless this router holds the lease
-	ZonePeers        []membership.ID    // alive, without this router
-	HolderCandidates []membership.ID    // who may hold the lease
+	ZonePeers        []membership.ID    // other routers of the zone that are alive
+	HolderCandidates []membership.ID    // routers that may hold the lease; 0 entries are ignored
 }
 
 // Output is what the caller of a Machine must carry out.
 type Output struct {
-	EjectionExtensions map[routing.ServerID]float64 // ms from now for which to send nothing to a server
-	Probes             []routing.ServerID           // to be ejected here until one request has succeeded
-	Messages           map[membership.ID]Message
+	EjectionExtensions map[routing.ServerID]float64 // ms from now for which a server must stay ejected
+	Probes             []routing.ServerID           // servers to eject here until one request to each has succeeded
+	Messages           map[membership.ID]Message    // by receiver
 }
