--- a/internal/fleet/fragment/fragment.go
+++ b/internal/fleet/fragment/fragment.go
@@ -1,6 +1,6 @@
-// Package fragment splits messages that are longer than a packet between routers into
-// fragments, and reassembles them. It does no I/O. A fragment that is lost loses its whole
-// message, which the protocol of the sender sends again.
+// Package fragment splits messages between routers that are longer than a packet into fragments,
+// and reassembles them. It does no I/O. If a fragment is lost, its whole message is lost, and the
+// protocol that sent the message must send it again.
 //
 // A Reassembler is not safe for concurrent use: the goroutine that owns it makes all calls.
 package fragment
@@ -13,37 +13,37 @@
 	"garnetline/internal/fleet/membership"
 )
 
-// Channel tells what a message is for.
+// Channel is the kind of a message, by which the receiver selects the state machine to handle it.
 type Channel uint8
 
-// The channels. Their numbers are on the wire.
+// The channels. Their numbers are sent in packets and must not change.
 const (
 	Raft           Channel = 1 + iota // between voters
-	LeaseRequest                      // of a router to a voter
-	LeaseResponse                     // to a LeaseRequest
-	LoadReport                        // of the load of servers
-	VoterHello                        // between voters, about themselves
-	LeaderHint                        // who leads, by a voter that does not
-	BanRequest                        // of a router to a voter, about the operators' bans
-	BanResponse                       // to a BanRequest
-	EjectionReport                    // of the servers that a router has ejected, to who probes them
-	ProbeResult                       // to an EjectionReport
+	LeaseRequest                      // from a router to a voter
+	LeaseResponse                     // response to a LeaseRequest
+	LoadReport                        // load of servers, from the lease holder that polls them
+	VoterHello                        // between voters, with information about the sender
+	LeaderHint                        // which voter leads, from a voter that does not
+	BanRequest                        // from a router to a voter, about the operators' bans
+	BanResponse                       // response to a BanRequest
+	EjectionReport                    // servers that a router has ejected, to the router that probes them
+	ProbeResult                       // response to an EjectionReport
 )
 
-// Limits of what is reassembled, whatever arrives.
+// Limits that bound a Reassembler's memory for any input.
 const (
-	headerReserve     = 40
+	headerReserve     = 40                                       // bytes, more than the longest header
 	maxFragmentLen    = membership.MaxPayloadLen - headerReserve // bytes
-	maxFragments      = 600                                      // of one message
-	maxPartial        = 64                                       // messages that are not complete yet
-	reassemblyTimeout = 2000.0                                   // ms after the latest fragment
+	maxFragments      = 600                                      // fragments of one message
+	maxPartial        = 64                                       // incomplete messages
+	reassemblyTimeout = 2000.0                                   // ms after the latest fragment of a message
 )
 
-// MaxMessageLen is the length of the longest message, in bytes.
+// MaxMessageLen is the maximum length of a message, in bytes.
 const MaxMessageLen = maxFragmentLen * maxFragments
 
-// Split splits a message into payloads, nil where it is too long. id differs between the
-// messages that are in transit at one time.
+// Split splits a message into payloads. It returns nil if the message is longer than MaxMessageLen.
+// Messages that are in transit at the same time must have different ids.
 func Split(id uint64, channel Channel, message []byte) (payloads [][]byte) {
 	count := max(1, (len(message)+maxFragmentLen-1)/maxFragmentLen)
 	if count > maxFragments {
@@ -59,7 +59,7 @@
 	return payloads
 }
 
-// header is what stands before the content of a fragment.
+// header is the part of a payload that precedes the content of the fragment.
 type header struct {
 	channel Channel
 	id      uint64
@@ -67,7 +67,8 @@
 	count   uint64
 }
 
-// parseHeader returns the header of a payload and the content after it.
+// parseHeader returns the header of a payload and the content after it. ok is false if the header is
+// malformed.
 func parseHeader(payload []byte) (head header, content []byte, ok bool) {
 	if len(payload) == 0 {
 		return header{}, nil, false
@@ -86,12 +87,12 @@
 	return head, content, ok
 }
 
-// Reassembler reassembles messages.
+// Reassembler reassembles messages from their fragments. Its zero value is ready to use.
 type Reassembler struct {
 	partial []*partialMessage
 }
 
-// partialMessage is a message some fragments of which have arrived.
+// partialMessage is a message of which only some fragments have arrived.
 type partialMessage struct {
 	from        membership.ID
 	incarnation uint64
@@ -102,7 +103,8 @@
 	expiresAt   float64
 }
 
-// Add adds a payload that arrived now, in ms. complete tells that it completed a message.
+// Add adds a payload that arrived at now, in ms. If the payload completes a message, Add returns the
+// message and its channel, and complete is true.
 func (r *Reassembler) Add(now float64, payload membership.Payload) (channel Channel, message []byte, complete bool) {
 	head, content, ok := parseHeader(payload.Data)
 	if !ok {
@@ -127,8 +129,8 @@
 	return head.channel, slices.Concat(partial.fragments...), true
 }
 
-// find returns the index of the message that a fragment belongs to, which is begun where it
-// is the first.
+// find returns the index of the partial message of a fragment. It adds one if no other
+// fragment of the message has arrived.
 func (r *Reassembler) find(payload membership.Payload, head header) int {
 	i := slices.IndexFunc(r.partial, func(p *partialMessage) bool {
 		return p.from == payload.From && p.incarnation == payload.Incarnation && p.id == head.id && p.channel == head.channel
@@ -136,7 +138,7 @@
 	if i >= 0 {
 		return i
 	}
-	if len(r.partial) == maxPartial { // the oldest had its time
+	if len(r.partial) == maxPartial { // drop the message that was started first
 		r.partial = r.partial[1:]
 	}
 	r.partial = append(r.partial, &partialMessage{
--- a/internal/fleet/fragment/fragment_test.go
+++ b/internal/fleet/fragment/fragment_test.go
@@ -8,81 +8,83 @@
 	"garnetline/internal/fleet/membership"
 )
 
-// transit is a set of messages on their way at one time.
-type transit struct {
+// inFlight is a set of messages that are in transit at the same time.
+type inFlight struct {
 	payloads []membership.Payload
-	want     map[string]bool // messages that are not complete yet
-	complete map[string]bool
+	want     map[string]bool // messages that must be reassembled and are not yet
+	complete map[string]bool // messages that were reassembled
 }
 
-// send adds the fragments of a message, some twice, and without the last one where that is
-// lost.
-func (tr *transit) send(t *testing.T, rng *rand.Rand, id uint64, message []byte, lost bool) {
+// send adds the fragments of a message, some of them twice. If lost is set, it omits the last
+// fragment.
+func (m *inFlight) send(t *testing.T, rng *rand.Rand, id uint64, message []byte, lost bool) {
 	t.Helper()
 	fragments := Split(id, Raft, message)
 	for _, data := range fragments {
 		if len(data) > membership.MaxPayloadLen {
-			t.Fatalf("a payload of %d bytes", len(data))
+			t.Fatalf("got a payload of %d bytes, want at most membership.MaxPayloadLen", len(data))
 		}
 	}
 	lost = lost && len(fragments) > 1
 	if !lost {
-		tr.want[string(message)] = true
+		m.want[string(message)] = true
 	}
 	for i, data := range fragments {
 		if lost && i == len(fragments)-1 {
 			break
 		}
 		payload := membership.Payload{From: 7, Incarnation: 1, Data: data}
-		tr.payloads = append(tr.payloads, payload)
+		m.payloads = append(m.payloads, payload)
 		if len(fragments) > 1 && rng.IntN(5) == 0 {
-			tr.payloads = append(tr.payloads, payload)
+			m.payloads = append(m.payloads, payload)
 		}
 	}
 }
 
-// arrive adds all fragments to a reassembler.
-func (tr *transit) arrive(t *testing.T, now float64, reassembler *Reassembler) {
+// deliver adds all fragments to a reassembler and checks the reassembled messages.
+func (m *inFlight) deliver(t *testing.T, now float64, reassembler *Reassembler) {
 	t.Helper()
-	for _, payload := range tr.payloads {
+	for _, payload := range m.payloads {
 		channel, message, complete := reassembler.Add(now, payload)
 		if !complete {
 			continue
 		}
-		if channel != Raft || !tr.want[string(message)] && !tr.complete[string(message)] { // all of it twice comes twice
-			t.Fatalf("%d bytes on %d that nobody sent", len(message), channel)
+		if channel != Raft || !m.want[string(message)] && !m.complete[string(message)] { // a message whose fragments all arrive twice is reassembled twice
+			t.Fatalf("got a message of %d bytes on channel %d that was not sent", len(message), channel)
 		}
-		delete(tr.want, string(message))
-		tr.complete[string(message)] = true
+		delete(m.want, string(message))
+		m.complete[string(message)] = true
 	}
 }
 
-// Fragments in any order, some twice, of several messages at once, are reassembled; one that
-// is lost loses its message and no other.
+// The fragments of several messages are reassembled in any order and with duplicates. A lost
+// fragment affects only its own message.
 func TestFragmentsInAnyOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var reassembler Reassembler
 	for round := range 50 {
-		tr := transit{want: map[string]bool{}, complete: map[string]bool{}}
+		messages := inFlight{want: map[string]bool{}, complete: map[string]bool{}}
 		for id := range uint64(5) {
 			message := bytes.Repeat([]byte{byte(id), byte(round)}, rng.IntN(20_000))
-			tr.send(t, rng, uint64(round)*10+id, message, id == 4)
+			messages.send(t, rng, uint64(round)*10+id, message, id == 4)
 		}
-		rng.Shuffle(len(tr.payloads), func(i, j int) { tr.payloads[i], tr.payloads[j] = tr.payloads[j], tr.payloads[i] })
-		tr.arrive(t, float64(round), &reassembler)
-		if len(tr.want) > 0 {
-			t.Fatalf("%d were never complete", len(tr.want))
+		rng.Shuffle(len(messages.payloads), func(i, j int) {
+			messages.payloads[i], messages.payloads[j] = messages.payloads[j], messages.payloads[i]
+		})
+		messages.deliver(t, float64(round), &reassembler)
+		if len(messages.want) > 0 {
+			t.Fatalf("round %d: %d messages were not reassembled", round, len(messages.want))
 		}
 	}
 	if len(reassembler.partial) > maxPartial {
-		t.Errorf("%d wait", len(reassembler.partial))
+		t.Errorf("got %d partial messages, want at most maxPartial", len(reassembler.partial))
 	}
 	if Split(1, Raft, make([]byte, MaxMessageLen+1)) != nil {
-		t.Error("too long is split")
+		t.Error("Split returned payloads for a message longer than MaxMessageLen")
 	}
 }
 
-// Whatever the bytes, there is no panic.
+// Add does not panic for any payload.
 func FuzzReassembler(f *testing.F) {
 	f.Add(Split(3, LeaseRequest, make([]byte, 3000))[1])
 	f.Fuzz(func(_ *testing.T, data []byte) {
--- a/internal/fleet/fragment/golden_test.go
+++ b/internal/fleet/fragment/golden_test.go
@@ -8,8 +8,8 @@
 	"garnetline/internal/golden"
 )
 
-// Fragments between routers of this version and of the one before are the same bytes, and so
-// are the numbers of the channels.
+// The encoding of fragments and the numbers of the channels do not change, since routers of several
+// releases run side by side.
 func TestGoldenFragments(t *testing.T) {
 	long := make([]byte, 2*maxFragmentLen+10)
 	for i := range long {
@@ -34,11 +34,11 @@
 		}
 	}
 	if len(got) != 2+len(channels) || !bytes.Equal(got[0], long) {
-		t.Fatalf("%d messages put together, want %d", len(got), 2+len(channels))
+		t.Fatalf("got %d reassembled messages, want %d and the long one first", len(got), 2+len(channels))
 	}
 	for i, name := range names {
 		if string(got[1+i]) != name {
-			t.Errorf("%q, want %q", got[1+i], name)
+			t.Errorf("got message %q, want %q", got[1+i], name)
 		}
 	}
 }
--- a/internal/fleet/loadreport/collector.go
+++ b/internal/fleet/loadreport/collector.go
@@ -15,20 +15,20 @@
 
 const stepInterval = 20 * time.Millisecond
 
-// Options are what a Collector works with. No function may block.
+// Options are the settings and the dependencies of a Collector. None of the functions may block.
 type Options struct {
 	zonelease.Options
-	MinInterval float64 // ms between polls of one server, at least
-	MaxInterval float64 // ms between them where nothing changes
+	MinInterval float64 // least ms between two polls of one server
+	MaxInterval float64 // ms to which the time between polls of one server grows while its load does not change
 
 	// Servers returns the servers of the zone that are ready.
 	Servers func() []Server
-	// ReportLoad takes a server's load, which was measured age ms ago.
+	// ReportLoad is called with a server's load, which was measured age ms ago.
 	ReportLoad func(server routing.ServerID, load routing.LoadReport, age float64)
 }
 
-// Collector polls servers while this router holds the lease, and takes the reports of the
-// router that holds it otherwise.
+// Collector polls servers while this router holds the lease. While another router holds it, the
+// Collector receives the reports of that router.
 type Collector struct {
 	options   Options
 	leaseName string
@@ -41,7 +41,7 @@
 	nextSendAt float64
 }
 
-// measurement is a load that the zone's other routers do not know yet.
+// measurement is a server's load that has not been sent to the zone's other routers yet.
 type measurement struct {
 	load       routing.LoadReport
 	measuredAt float64
@@ -59,8 +59,8 @@
 	}
 }
 
-// Run polls while this router holds the lease, until ctx ends. It returns when no poll is
-// under way and all connections are closed.
+// Run polls while this router holds the lease, until ctx ends. It returns after all polls have
+// ended and all connections are closed.
 func (c *Collector) Run(ctx context.Context) {
 	defer close(c.done)
 	ticker := time.NewTicker(stepInterval)
@@ -85,7 +85,7 @@
 // Stopped is closed when Run has returned.
 func (c *Collector) Stopped() <-chan struct{} { return c.done }
 
-// step begins the polls that are due and sends the reports of those that have ended.
+// step starts the polls that are due and sends the reports of the polls that have ended.
 func (c *Collector) step(ctx context.Context, polls *sync.WaitGroup) {
 	fencingToken, holdsLease := c.options.Valid(c.leaseName)
 	c.mu.Lock()
@@ -106,7 +106,8 @@
 	c.sendReports(now, fencingToken)
 }
 
-// updateServers polls the servers that are ready now, and no others. The lock is held.
+// updateServers starts polling servers that have become ready and stops polling those that no
+// longer are. The caller holds mu.
 func (c *Collector) updateServers() {
 	ready := c.options.Servers()
 	for _, server := range ready {
@@ -117,8 +118,8 @@
 	c.removeServers(func(server Server) bool { return !slices.Contains(ready, server) })
 }
 
-// removeServers stops polling the servers for which remove returns true. One whose poll is
-// under way is left for a later step. The lock is held.
+// removeServers stops polling the servers for which remove returns true. A server whose poll is
+// under way is removed by a later step. The caller holds mu.
 func (c *Collector) removeServers(remove func(Server) bool) {
 	for id, server := range c.servers {
 		if !server.polling && remove(server.Server) {
@@ -128,16 +129,15 @@
 	}
 }
 
-// BatchInterval is how long reports are collected, in ms, where a zone has so many other
-// routers. Each is sent a packet after it: no more than some 200 a second in all, whatever the
-// number of servers.
-//
-// Symptom guarded against: each report went to each peer by itself, 772 packets a second with
-// 30 routers and 20 servers, where a router may send 500.
+// BatchInterval returns the time in ms for which reports are collected before they are sent to the
+// other routers of the zone, whose number is peers. It grows with peers, so that a router sends
+// about 200 batches per second at most, whatever the number of servers. Without batches, the lease
+// holder of a zone with 30 routers and 20 servers sent 772 packets per second, while a router may
+// send 500.
 func BatchInterval(peers int) float64 { return max(40, 5*float64(peers)) }
 
-// sendReports sends the zone's other routers what was measured since it did so last. The lock
-// is held.
+// sendReports sends the measurements since the previous batch to the zone's other routers, if
+// BatchInterval has passed. The caller holds mu.
 func (c *Collector) sendReports(now float64, fencingToken uint64) {
 	if now < c.nextSendAt || len(c.unsent) == 0 {
 		return
@@ -158,8 +158,8 @@
 	}
 }
 
-// Receive takes another router's reports. Those under an older fencing token than the latest
-// are rejected: their sender has lost the lease.
+// Receive handles a packet of another router's reports. It rejects reports with an older fencing
+// token than the latest, because their sender has lost the lease.
 func (c *Collector) Receive(packet []byte) {
 	fencingToken, reports, ok := decodePacket(packet)
 	if !ok || fencingToken == 0 {
@@ -173,7 +173,7 @@
 		return
 	}
 	c.options.Metrics.Add("reports_taken", int64(len(reports)))
-	for _, next := range reports {
-		c.options.ReportLoad(next.server, next.load, next.age)
+	for _, r := range reports {
+		c.options.ReportLoad(r.server, r.load, r.age)
 	}
 }
--- a/internal/fleet/loadreport/collector_test.go
+++ b/internal/fleet/loadreport/collector_test.go
@@ -18,8 +18,9 @@
 	"garnetline/routing"
 )
 
-// The lease holder polls the servers and sends its peers several reports in one packet; a peer
-// takes them with their age, and none under an older token; without the lease nothing is polled.
+// The lease holder polls the servers and sends its peers several reports in one packet. A peer
+// accepts the reports with their age, and rejects those with an older fencing token. A router
+// without the lease does not poll.
 func TestReportsAreBatched(t *testing.T) {
 	packets := holderPackets(t, startServers(t, 5), 20)
 	received := map[routing.ServerID]int{}
@@ -28,7 +29,7 @@
 		ReportLoad: func(server routing.ServerID, load routing.LoadReport, age float64) {
 			received[server]++
 			if load.CPUUtilization != 0.5 || !math.IsNaN(load.HitRatio) || age < 0 || age > 10_000 {
-				t.Errorf("server %v: %+v, %v ms old", server, load, age)
+				t.Errorf("server %v: got load %+v of age %v ms, want CPU utilization 0.5, no hit ratio, an age of 0 to 10000 ms", server, load, age)
 			}
 		},
 	})
@@ -40,18 +41,19 @@
 		reports += count
 	}
 	if len(received) != 5 || reports < 2*len(packets) {
-		t.Errorf("%d packets reported %d servers %d times", len(packets), len(received), reports)
+		t.Errorf("%d packets: got reports of %d servers and %d reports in all, want 5 servers and at least two reports per packet", len(packets), len(received), reports)
 	}
-	underOlderToken := append([]byte{8, 6}, packets[0][2:]...)
-	peer.Receive(underOlderToken)
+	withOlderToken := append([]byte{8, 6}, packets[0][2:]...)
+	peer.Receive(withOlderToken)
 	if peer.options.Metrics.Counter("reports_refused").Load() == 0 {
-		t.Error("an older holder's report is accepted")
+		t.Error("reports with an older fencing token accepted")
 	}
 	peer.Receive([]byte{1, 2, 3})
 }
 
-// holderPackets returns what a router sends its peers that gets the lease after a while, under
-// token 7, until there are so many packets.
+// holderPackets runs a router that first has no lease and then gets it with fencing token 7. It
+// returns the packets that the router sends to its peers, at least as many as wanted unless 20 s
+// pass.
 func holderPackets(t *testing.T, servers []Server, wanted int) [][]byte {
 	t.Helper()
 	var fencingToken atomic.Uint64
@@ -87,7 +89,7 @@
 	}
 	time.Sleep(100 * time.Millisecond)
 	if sentPackets() != 0 || holder.options.Metrics.Counter("probes_sent").Load() != 0 {
-		t.Error("polled without the lease")
+		t.Error("polled the servers without the lease")
 	}
 	fencingToken.Store(7)
 	for end := time.Now().Add(20 * time.Second); sentPackets() < wanted && time.Now().Before(end); {
@@ -98,7 +100,7 @@
 	return packets
 }
 
-// startServers starts fake servers that report a CPU utilization of one half.
+// startServers starts fake servers that report a CPU utilization of 0.5.
 func startServers(t *testing.T, count int) []Server {
 	t.Helper()
 	var servers []Server
--- a/internal/fleet/loadreport/golden_test.go
+++ b/internal/fleet/loadreport/golden_test.go
@@ -14,8 +14,8 @@
 	"garnetline/routing"
 )
 
-// Routers of several releases run side by side: the packet of load reports stays as it is.
-// UPDATE_GOLDEN=1 rewrites testdata.
+// The encoding of load reports does not change, since routers of several releases run side by
+// side. UPDATE_GOLDEN=1 rewrites testdata.
 func TestReportFormat(t *testing.T) {
 	const now = 5000.0
 	nan := math.NaN()
@@ -45,25 +45,25 @@
 	sender.sendReports(now, 300)
 	golden.Compare(t, "reports.bin", packet)
 
-	same := func(a, b float64) bool { return a == b || math.IsNaN(a) && math.IsNaN(b) }
+	equalOrBothNaN := func(a, b float64) bool { return a == b || math.IsNaN(a) && math.IsNaN(b) }
 	received := 0
 	receiver := New(Options{
 		Options: zonelease.Options{Zone: "z", Clock: clock.NewBoot(), Metrics: metrics.New()},
 		ReportLoad: func(server routing.ServerID, got routing.LoadReport, age float64) {
 			received++
 			want := sent[server].load
-			if !same(got.Inflight, want.Inflight) || !same(got.CPUUtilization, want.CPUUtilization) ||
-				!same(got.HitRatio, want.HitRatio) || !same(got.LinkUtilization, want.LinkUtilization) ||
+			if !equalOrBothNaN(got.Inflight, want.Inflight) || !equalOrBothNaN(got.CPUUtilization, want.CPUUtilization) ||
+				!equalOrBothNaN(got.HitRatio, want.HitRatio) || !equalOrBothNaN(got.LinkUtilization, want.LinkUtilization) ||
 				age != now-sent[server].measuredAt {
-				t.Errorf("%v read back: %+v, %v ms old", server, got, age)
+				t.Errorf("server %v read back: got load %+v of age %v ms, want the report that was encoded", server, got, age)
 			}
 		},
 	})
 	receiver.Receive(golden.Read(t, "reports.bin"))
 	if received != len(sent) {
-		t.Errorf("%d reports read back, want %d", received, len(sent))
+		t.Errorf("got %d reports read back, want %d", received, len(sent))
 	}
 	if name := LeaseName("lyon"); name != "probe/lyon" {
-		t.Errorf("the lease is called %q in the registry", name)
+		t.Errorf("got lease name %q, want probe/lyon", name)
 	}
 }
--- a/internal/fleet/loadreport/loadreport.go
+++ b/internal/fleet/loadreport/loadreport.go
@@ -1,11 +1,11 @@
-// Package loadreport polls the servers of one zone for their load. The lease holder of the
-// zone does it and sends the reports to the zone's other routers: if each polled by itself,
-// every server would answer as many polls as there are routers.
+// Package loadreport polls the servers of one zone for their load. Only the lease holder of the
+// zone polls; it sends the reports to the other routers of the zone. If each router polled on its
+// own, every server would have to answer the polls of all routers.
 //
-// A poll is checked at the write: a router that was stopped after it decided to poll writes
-// nothing under a lease that has ended.
+// The lease is checked again right before a poll is written, so that a router whose process was
+// paused after it had decided to poll writes nothing under a lease that has ended.
 //
-// Collector runs one goroutine, and one more for each poll that is under way. Its methods but
+// Collector runs one goroutine, and one more for each poll that is under way. All its methods but
 // Run may be called by any goroutine.
 package loadreport
 
@@ -15,14 +15,14 @@
 	"garnetline/routing"
 )
 
-// leaseNamePrefix begins the name of the lease in the registry. It is stored there, and stays
-// what the first release called it.
+// leaseNamePrefix is the prefix of the lease's name in the registry. The registry stores the name,
+// so the prefix keeps the text of the first release.
 const leaseNamePrefix = "probe/"
 
 // LeaseName returns the name of a zone's lease.
 func LeaseName(zone string) string { return leaseNamePrefix + zone }
 
-// Server is one that is to be polled.
+// Server is a server to poll.
 type Server struct {
 	ID      routing.ServerID
 	Address netip.AddrPort
--- a/internal/fleet/loadreport/poll.go
+++ b/internal/fleet/loadreport/poll.go
@@ -14,23 +14,24 @@
 )
 
 const (
-	pollTimeout       = 300.0 // ms
-	maxAnswerSize     = 1 << 10
-	significantChange = 0.1 // of the link's utilization, after which the next poll comes soon
-	intervalGrowth    = 1.5 // of the time between polls, while nothing changes
+	pollTimeout       = 300.0   // ms
+	maxResponseSize   = 1 << 10 // bytes
+	significantChange = 0.1     // change of the link utilization after which the next poll follows at MinInterval
+	intervalGrowth    = 1.5     // factor by which the time between polls grows while the load does not change
 )
 
-// errLeaseLost reports a poll that was not written: another router holds the lease by now.
+// errLeaseLost is the error of a poll that was not written because this router no longer holds
+// the lease.
 var errLeaseLost = errors.New("lease lost before the poll was written")
 
-// polledServer is one that is polled. Its connection and sequence belong to the poll that is
-// under way, the rest to the Collector's lock.
+// polledServer is a server that is polled. The poll that is under way owns conn and sequence; the
+// Collector's mu guards the other fields.
 type polledServer struct {
 	Server
 	nextPollAt          float64
-	interval            float64 // ms between polls now; longer while the load does not change
-	polling             bool
-	lastLinkUtilization float64 // NaN: not polled yet
+	interval            float64 // current ms between polls; it grows while the load does not change
+	polling             bool    // a poll is under way
+	lastLinkUtilization float64 // NaN: no poll has succeeded yet
 
 	conn     *textconn.Conn
 	sequence uint64
@@ -42,12 +43,12 @@
 
 func (s *polledServer) close() {
 	if s.conn != nil {
-		_ = s.conn.Close() // a poll's answer was read, or is given up
+		_ = s.conn.Close() // the poll's response has been read or is no longer wanted
 		s.conn = nil
 	}
 }
 
-// scheduleNext sets when the server is polled again, after a poll that returned err or load.
+// scheduleNext sets the time of the server's next poll after a poll that returned load and err.
 func (s *polledServer) scheduleNext(now float64, load routing.LoadReport, err error, minInterval, maxInterval float64) {
 	change := math.Abs(load.LinkUtilization - s.lastLinkUtilization)
 	if err != nil || change > significantChange || math.IsNaN(s.lastLinkUtilization) {
@@ -58,7 +59,7 @@
 	s.nextPollAt = now + s.interval
 }
 
-// poll polls a server once, and keeps its report to be sent.
+// poll polls a server once, reports the load to this router and stores it for sendReports.
 func (c *Collector) poll(ctx context.Context, server *polledServer, fencingToken uint64) {
 	load, err := c.query(ctx, server, fencingToken)
 	now := c.options.Clock.Now()
@@ -77,15 +78,17 @@
 	c.options.ReportLoad(server.ID, load, 0)
 }
 
-// query writes one poll and reads its answer.
+// query writes one poll and reads the response. It returns errLeaseLost if the fencing token is no
+// longer valid right before the write.
 func (c *Collector) query(ctx context.Context, server *polledServer, fencingToken uint64) (routing.LoadReport, error) {
 	if err := server.connect(ctx); err != nil {
 		return routing.LoadReport{}, err
 	}
 	server.sequence++
-	tag := fmt.Sprintf("p%d.%d", fencingToken, server.sequence) // servers may read the token there
+	tag := fmt.Sprintf("p%d.%d", fencingToken, server.sequence) // servers can read the fencing token from the tag
 	command := fmt.Appendf(server.conn.WriteBuffer(), "*2\r\n$6\r\ngauges\r\n$%d\r\n%s\r\n", len(tag), tag)
-	// Checked at the write, after whatever came between.
+	// The lease is checked right before the write: the router may have been delayed since the
+	// poll was started.
 	if current, ok := c.options.Valid(c.leaseName); !ok || current != fencingToken {
 		c.options.Metrics.Add("probes_held_back", 1)
 		return routing.LoadReport{}, errLeaseLost
@@ -94,10 +97,10 @@
 		return routing.LoadReport{}, err
 	}
 	c.options.Metrics.Add("probes_sent", 1)
-	return upstream.ReadLoadReport(server.conn, tag, maxAnswerSize, pollTimeout)
+	return upstream.ReadLoadReport(server.conn, tag, maxResponseSize, pollTimeout)
 }
 
-// connect dials the server, unless there is a connection from an earlier poll.
+// connect dials the server, unless the connection of an earlier poll is still open.
 func (s *polledServer) connect(ctx context.Context) error {
 	if s.conn != nil {
 		return nil
--- a/internal/fleet/loadreport/report.go
+++ b/internal/fleet/loadreport/report.go
@@ -9,11 +9,11 @@
 	"garnetline/routing"
 )
 
-// MaxReportsPerPacket is how many reports one packet has room for.
+// MaxReportsPerPacket is the maximum number of reports in a packet.
 const MaxReportsPerPacket = 50
 
-// Fields of a report in a packet. Each is the value in thousandths and 1; one that is left out
-// was not measured.
+// Field numbers of a report in a packet. A field holds the value in thousandths plus 1, so that a
+// measured 0 is not omitted; a field that is absent was not measured.
 const (
 	fieldInflight protowire.Number = zonemessage.FirstItemField + iota
 	fieldCPUUtilization
@@ -30,16 +30,17 @@
 	age    float64 // ms since it was measured
 }
 
-// encodePacket returns reports as they are sent under a fencing token.
+// encodePacket returns the packet with the reports and the fencing token of the sender's lease.
 func encodePacket(fencingToken uint64, reports []report) []byte {
 	packet := zonemessage.AppendToken(nil, fencingToken)
-	for _, next := range reports {
-		packet = zonemessage.AppendItem(packet, next.encode())
+	for _, r := range reports {
+		packet = zonemessage.AppendItem(packet, r.encode())
 	}
 	return packet
 }
 
-// decodePacket reads what encodePacket returned.
+// decodePacket decodes a packet of encodePacket. ok is false if the packet is malformed or has more
+// than MaxReportsPerPacket reports.
 func decodePacket(packet []byte) (fencingToken uint64, reports []report, ok bool) {
 	return zonemessage.Parse(packet, MaxReportsPerPacket, decodeReport)
 }
@@ -52,7 +53,7 @@
 	return appendMeasured(encoded, fieldLinkUtilization, r.load.LinkUtilization)
 }
 
-// appendMeasured appends a value, unless it is NaN: not measured.
+// appendMeasured appends a value, unless it is negative or NaN. NaN means not measured.
 func appendMeasured(encoded []byte, field protowire.Number, value float64) []byte {
 	if !(value >= 0) {
 		return encoded
--- a/internal/fleet/packetcrypto/golden_test.go
+++ b/internal/fleet/packetcrypto/golden_test.go
@@ -7,10 +7,10 @@
 	"garnetline/internal/golden"
 )
 
-// counting is a source of nonces that are the same each time.
-type counting struct{ next byte }
+// countingReader is a deterministic source of nonces: it returns consecutive byte values.
+type countingReader struct{ next byte }
 
-func (c *counting) Read(b []byte) (int, error) {
+func (c *countingReader) Read(b []byte) (int, error) {
 	for i := range b {
 		b[i] = c.next
 		c.next++
@@ -18,12 +18,12 @@
 	return len(b), nil
 }
 
-// Sealed packets of routers of this version and of the one before are the same bytes, for
-// the same key and nonce.
+// The encoding of an encrypted packet does not change for the same key and nonce, since routers of
+// several releases run side by side.
 func TestGoldenSealedPackets(t *testing.T) {
-	before := rand.Reader
-	t.Cleanup(func() { rand.Reader = before })
-	rand.Reader = &counting{}
+	originalReader := rand.Reader
+	t.Cleanup(func() { rand.Reader = originalReader })
+	rand.Reader = &countingReader{}
 	texts := []string{"", "a packet between routers"}
 	messages := []golden.Message{
 		{Name: "empty", Bytes: newKeyring(t, "f", firstSecret).Seal(nil, []byte(texts[0]))},
@@ -33,7 +33,7 @@
 	for i, m := range golden.CompareMessages(t, "sealed.golden", messages) {
 		got, err := both.Open(nil, m.Bytes)
 		if err != nil || string(got) != texts[i] {
-			t.Errorf("%s: %q, %v", m.Name, got, err)
+			t.Errorf("%s: got packet %q, error %v, want the packet that was sealed", m.Name, got, err)
 		}
 	}
 }
--- a/internal/fleet/packetcrypto/keyring.go
+++ b/internal/fleet/packetcrypto/keyring.go
@@ -1,8 +1,9 @@
-// Package packetcrypto encrypts packets between routers with a key of the operators' file,
-// so that nobody without it can write or read them, and tells apart what does not belong
-// here: foreign bytes, other versions of the protocol, other fleets.
+// Package packetcrypto encrypts packets between routers with a key from the operators' settings
+// file, so that only those who have the key can write or read packets. It distinguishes the reasons
+// for which a received packet is rejected: foreign bytes, another version of the protocol, another
+// fleet, an unknown key.
 //
-// A Keyring does not change and may be used by several goroutines at a time.
+// A Keyring is immutable and may be used by several goroutines at a time.
 package packetcrypto
 
 import (
@@ -16,19 +17,19 @@
 	"garnetline/internal/fielderror"
 )
 
-// Version is the version of the protocol. Routers of different versions do not talk.
+// Version is the version of the protocol. Routers reject packets of other versions.
 const Version = 1
 
-// Errors that tell why a packet was not opened.
+// Errors of Keyring.Open: the reasons why a packet is rejected.
 var (
-	ErrForeignPacket   = errors.New("not a packet of a router")
-	ErrVersionMismatch = errors.New("packet of another protocol version")
-	ErrFleetMismatch   = errors.New("packet of another fleet")
-	ErrNoMatchingKey   = errors.New("packet encrypted with an unknown key, or modified")
+	ErrForeignPacket   = errors.New("not a fleet packet: too short or without the magic bytes")
+	ErrVersionMismatch = errors.New("fleet packet of another protocol version")
+	ErrFleetMismatch   = errors.New("fleet packet of another fleet")
+	ErrNoMatchingKey   = errors.New("fleet packet modified or encrypted with an unknown key")
 )
 
-// The header is in clear and authenticated: two bytes of magic, the version, the hash of the
-// fleet's name and the hint of the key.
+// Layout of a packet. The header is authenticated but not encrypted: two magic bytes, the version,
+// a hash of the fleet's name, and the key hint. The nonce and the ciphertext follow.
 const (
 	magic0 = 'g'
 	magic1 = 'f'
@@ -42,34 +43,34 @@
 	nonceEnd     = headerLen + chacha20poly1305.NonceSizeX
 )
 
-// Overhead is how many bytes sealing adds to a packet.
+// Overhead is the number of bytes that Seal adds to a packet.
 const Overhead = nonceEnd + chacha20poly1305.Overhead
 
-// MinSecretLen is the least length of a secret, in bytes.
+// MinSecretLen is the minimum length of a secret, in bytes.
 const MinSecretLen = 16
 
-// Keyring seals with its first key and opens with each of them.
+// Keyring encrypts packets with its first key and decrypts packets of each of its keys.
 type Keyring struct {
 	fleetHash [fleetHashLen]byte
 	keys      []key
 }
 
 type key struct {
-	hint   byte // tells which of the keys it may be
+	hint   byte // sent in the header, so that the receiver tries only keys with the same hint
 	secret [chacha20poly1305.KeySize]byte
 }
 
-// NewKeyring returns the keyring of a fleet. Each secret is text of MinSecretLen bytes or
-// more.
+// NewKeyring returns the keyring of a fleet with a key for each secret. It returns a
+// fielderror.Error if there is no secret or one is shorter than MinSecretLen.
 func NewKeyring(fleet string, secrets []string) (*Keyring, error) {
 	if len(secrets) == 0 {
-		return nil, fielderror.Errorf("keys", "none given")
+		return nil, fielderror.Errorf("keys", "expected at least one key, got none")
 	}
 	hash := xxhash.Sum64String(fleet)
 	ring := &Keyring{fleetHash: [fleetHashLen]byte{byte(hash), byte(hash >> 8), byte(hash >> 16), byte(hash >> 24)}}
 	for i, secret := range secrets {
 		if len(secret) < MinSecretLen {
-			return nil, fielderror.Errorf("keys", "key %d has %d bytes, want at least %d", i+1, len(secret), MinSecretLen)
+			return nil, fielderror.Errorf("keys", "key %d has %d bytes, expected at least %d", i+1, len(secret), MinSecretLen)
 		}
 		ring.keys = append(ring.keys, deriveKey(fleet, secret))
 	}
@@ -92,14 +93,14 @@
 	b = append(b, r.fleetHash[:]...)
 	b = append(b, sealingKey.hint)
 	var nonce [chacha20poly1305.NonceSizeX]byte
-	rand.Read(nonce[:]) // never fails: it ends the program instead
+	rand.Read(nonce[:]) // returns no error: it ends the program if the system has no randomness
 	b = append(b, nonce[:]...)
-	cipher, _ := chacha20poly1305.NewX(sealingKey.secret[:]) // fails only for another length of key
+	cipher, _ := chacha20poly1305.NewX(sealingKey.secret[:]) // fails only for a key of another length
 	return cipher.Seal(b, nonce[:], packet, b[start:start+headerLen])
 }
 
-// Open appends the decrypted packet to b. The error is one of ErrForeignPacket,
-// ErrVersionMismatch, ErrFleetMismatch and ErrNoMatchingKey.
+// Open authenticates and decrypts a packet and appends it to b. It returns ErrForeignPacket,
+// ErrVersionMismatch, ErrFleetMismatch or ErrNoMatchingKey if it rejects the packet.
 func (r *Keyring) Open(b, sealed []byte) ([]byte, error) {
 	switch {
 	case len(sealed) < Overhead || sealed[0] != magic0 || sealed[1] != magic1:
--- a/internal/fleet/wireformat/append.go
+++ b/internal/fleet/wireformat/append.go
@@ -1,7 +1,7 @@
-// Package wireformat encodes and decodes the fields of what routers send to each other, in
-// protobuf's encoding. Numbers and strings that are zero are left out.
+// Package wireformat encodes and decodes the fields of messages between routers in the encoding of
+// Protocol Buffers. Numbers that are 0 and strings that are empty are omitted.
 //
-// Its functions keep no state and may be called by any goroutine.
+// The functions are stateless and may be called by any goroutine.
 package wireformat
 
 import "google.golang.org/protobuf/encoding/protowire"
--- a/internal/fleet/wireformat/fields.go
+++ b/internal/fleet/wireformat/fields.go
@@ -2,20 +2,19 @@
 
 import "google.golang.org/protobuf/encoding/protowire"
 
-// VisitFunc is called with a field of a message: its number and, by its type, the value of
-// a number or the content of a string. The content refers to the message. It returns false
-// where the field is not valid, which ends the parsing.
+// VisitFunc is called with each field of a message: the field number and, depending on the type of
+// the field, the value of a number or the content of a string. content is a slice of the message
+// and not a copy. VisitFunc returns false if the field is not valid, which ends the parsing.
 type VisitFunc func(number protowire.Number, value uint64, content []byte) bool
 
-// ParseFields calls visit with each field of a message of varints and strings. It returns
-// false where the message is cut short, holds a field of another type, or visit returned
+// ParseFields calls visit with each field of a message of varints and strings. It returns false if
+// the message is truncated or malformed, if it has a field of another type, or if visit returns
 // false.
 func ParseFields(message []byte, visit VisitFunc) bool {
 	return parseFields(message, false, visit)
 }
 
-// ParseFieldsFixed64 is ParseFields for messages that may hold 64-bit numbers of fixed
-// length too.
+// ParseFieldsFixed64 is like ParseFields but also accepts fields of 64-bit numbers of fixed length.
 func ParseFieldsFixed64(message []byte, visit VisitFunc) bool {
 	return parseFields(message, true, visit)
 }
--- a/internal/fleet/wireformat/writer_test.go
+++ b/internal/fleet/wireformat/writer_test.go
@@ -24,12 +24,12 @@
 			var zero Writer
 			test.write(&zero)
 			if got := zero.Encoded(); string(got) != test.want {
-				t.Errorf("%x, want %x", got, test.want)
+				t.Errorf("got %x, want %x", got, test.want)
 			}
 			appending := NewWriter([]byte("before"))
 			test.write(appending)
 			if got := appending.Encoded(); !bytes.Equal(got, []byte("before"+test.want)) {
-				t.Errorf("appended: %x, want %x", got, "before"+test.want)
+				t.Errorf("appended to existing bytes: got %x, want %x", got, "before"+test.want)
 			}
 		})
 	}
--- a/internal/fleet/zonemessage/zonemessage.go
+++ b/internal/fleet/zonemessage/zonemessage.go
@@ -1,8 +1,8 @@
-// Package zonemessage encodes what the routers of one zone tell each other about its servers:
-// a fencing token and a bounded list of items, each of which names a server and an age and may
-// have further fields of its sender's package.
+// Package zonemessage encodes messages between the routers of one zone about the zone's servers. A
+// message has a fencing token and a bounded list of items. Each item has the ID of a server and an
+// age, and may have additional fields, which the package that sends the message defines.
 //
-// Its functions hold no state and may be called by any goroutine. Field numbers never change:
+// The functions are stateless and may be called by any goroutine. Field numbers never change, since
 // routers of several releases run side by side.
 package zonemessage
 
@@ -13,31 +13,32 @@
 	"garnetline/routing"
 )
 
-// Fields of a message.
+// Field numbers of a message.
 const (
 	fieldToken protowire.Number = 1
 	fieldItem  protowire.Number = 2
 )
 
-// Fields of an item.
+// Field numbers of an item.
 const (
-	fieldServer protowire.Number = 1 // its id and 1, so that no id is left out as zero
+	fieldServer protowire.Number = 1 // server ID plus 1, so that the ID 0 is not omitted as a zero value
 	fieldAge    protowire.Number = 2
 
-	// FirstItemField is the first field number that a sender's package may give a meaning.
+	// FirstItemField is the first field number for the additional fields of an item.
 	FirstItemField protowire.Number = 3
 )
 
-// MaxNumber is the largest number that readers take from a field, whatever is sent.
+// MaxNumber is the upper bound that decoders apply to a number: they replace a larger number by it.
 const MaxNumber = 1 << 40
 
-// Item is what all items of a message have in common.
+// Item holds the fields that all items of a message have.
 type Item struct {
 	Server routing.ServerID
 	Age    float64 // ms
 }
 
-// AppendToken appends the fencing token, with which a message begins; 0 is left out.
+// AppendToken appends the fencing token, which is the first field of a message. The token 0 is
+// omitted.
 func AppendToken(message []byte, fencingToken uint64) []byte {
 	return wireformat.AppendUint(message, fieldToken, fencingToken)
 }
@@ -47,15 +48,16 @@
 	return wireformat.AppendString(message, fieldItem, string(item))
 }
 
-// Encode returns the item, to which further fields may be appended. A negative age is sent as
-// 0.
+// Encode returns the encoded item, to which additional fields may be appended. The age is rounded
+// down to whole milliseconds, and a negative age is encoded as 0.
 func (i Item) Encode() []byte {
 	encoded := wireformat.AppendUint(nil, fieldServer, uint64(i.Server)+1)
 	return wireformat.AppendUint(encoded, fieldAge, uint64(max(0, i.Age)))
 }
 
-// Parse returns a message's fencing token and its items, each read by parseItem. ok is false
-// where the message is malformed, has more than maxItems items or parseItem refuses one.
+// Parse returns the fencing token and the items of a message; parseItem decodes each item. ok is
+// false if the message is malformed, has more than maxItems items, or parseItem returns false for an
+// item.
 func Parse[T any](message []byte, maxItems int, parseItem func(encoded []byte) (T, bool)) (fencingToken uint64, items []T, ok bool) {
 	ok = wireformat.ParseFields(message, func(number protowire.Number, value uint64, content []byte) bool {
 		switch number {
@@ -71,7 +73,8 @@
 	return fencingToken, items, ok
 }
 
-// ParseItem returns what all items have in common, and calls visit with each further field.
+// ParseItem returns the fields that all items have, and calls visit with each additional field. It
+// returns false if the item is malformed.
 func ParseItem(encoded []byte, visit func(number protowire.Number, value uint64)) (Item, bool) {
 	var item Item
 	ok := wireformat.ParseFields(encoded, func(number protowire.Number, value uint64, _ []byte) bool {
--- a/internal/fleet/zonemessage/zonemessage_test.go
+++ b/internal/fleet/zonemessage/zonemessage_test.go
@@ -22,45 +22,46 @@
 	return message
 }
 
-// What is encoded is read back, ages as whole milliseconds that are not negative.
+// A decoded message has the token and the items that were encoded, with ages in whole milliseconds
+// that are not negative.
 func TestRoundTrip(t *testing.T) {
 	message := encode(9, Item{Server: 0, Age: 1.75}, Item{Server: 1 << 40, Age: -3}, Item{Server: 7, Age: 1e6})
 	want := []Item{{Server: 0, Age: 1}, {Server: 1 << 40, Age: 0}, {Server: 7, Age: 1e6}}
 	fencingToken, items, ok := Parse(message, len(want), parseCommon)
 	if !ok || fencingToken != 9 || !reflect.DeepEqual(items, want) {
-		t.Errorf("token %d, %+v, %v", fencingToken, items, ok)
+		t.Errorf("got token %d, items %+v, ok %v, want token 9 and the encoded items", fencingToken, items, ok)
 	}
 }
 
-// Fields that this release does not know are passed over in messages, and handed to the
-// sender's package in items.
-func TestFurtherFields(t *testing.T) {
+// Parse ignores fields of a message that this release does not know; ParseItem passes the unknown
+// fields of an item to visit.
+func TestAdditionalFields(t *testing.T) {
 	item := wireformat.AppendUint(Item{Server: 7, Age: 5}.Encode(), FirstItemField, 12)
 	message := wireformat.AppendUint(AppendItem(AppendToken(nil, 1), item), 15, 4)
-	further := map[protowire.Number]uint64{}
+	additional := map[protowire.Number]uint64{}
 	_, items, ok := Parse(message, 1, func(encoded []byte) (Item, bool) {
-		return ParseItem(encoded, func(number protowire.Number, value uint64) { further[number] = value })
+		return ParseItem(encoded, func(number protowire.Number, value uint64) { additional[number] = value })
 	})
-	if !ok || !reflect.DeepEqual(items, []Item{{Server: 7, Age: 5}}) || !reflect.DeepEqual(further, map[protowire.Number]uint64{FirstItemField: 12}) {
-		t.Errorf("%+v, further fields %v, %v", items, further, ok)
+	if !ok || !reflect.DeepEqual(items, []Item{{Server: 7, Age: 5}}) || !reflect.DeepEqual(additional, map[protowire.Number]uint64{FirstItemField: 12}) {
+		t.Errorf("got items %+v, additional fields %v, ok %v, want server 7 of age 5 with the value 12 in FirstItemField", items, additional, ok)
 	}
 }
 
-// What is malformed or beyond the bounds is refused, and a huge age is bounded.
+// Malformed messages and those with too many items are rejected, and an age is at most MaxNumber.
 func TestBounds(t *testing.T) {
-	two := encode(1, Item{Server: 1}, Item{Server: 2})
-	if _, _, ok := Parse(two, 1, parseCommon); ok {
-		t.Error("more items than there may be are accepted")
+	twoItems := encode(1, Item{Server: 1}, Item{Server: 2})
+	if _, _, ok := Parse(twoItems, 1, parseCommon); ok {
+		t.Error("Parse accepted a message with more than maxItems items")
 	}
-	if _, _, ok := Parse(two[:len(two)-1], 2, parseCommon); ok {
-		t.Error("a message that is cut short is accepted")
+	if _, _, ok := Parse(twoItems[:len(twoItems)-1], 2, parseCommon); ok {
+		t.Error("Parse accepted a truncated message")
 	}
 	if _, _, ok := Parse(AppendItem(nil, []byte{8}), 2, parseCommon); ok {
-		t.Error("an item that is cut short is accepted")
+		t.Error("Parse accepted a truncated item")
 	}
 	item, ok := parseCommon(wireformat.AppendUint(nil, fieldAge, math.MaxUint64))
 	if !ok || item.Age != MaxNumber {
-		t.Errorf("an age of %v ms, %v", item.Age, ok)
+		t.Errorf("got age %v ms, ok %v, want MaxNumber", item.Age, ok)
 	}
 }
 
@@ -74,16 +75,16 @@
 			return
 		}
 		if len(items) > maxItems {
-			t.Fatalf("%d items", len(items))
+			t.Fatalf("got %d items, want at most maxItems", len(items))
 		}
 		for _, item := range items {
-			if item.Server+1 == 0 { // a zero that no sender writes: it would be left out
+			if item.Server+1 == 0 { // encoded as 0, which senders omit, so that it cannot be encoded again
 				return
 			}
 		}
-		again, itemsAgain, ok := Parse(encode(fencingToken, items...), maxItems, parseCommon)
-		if !ok || again != fencingToken || !reflect.DeepEqual(itemsAgain, items) {
-			t.Errorf("token %d, %+v, read again: token %d, %+v, %v", fencingToken, items, again, itemsAgain, ok)
+		tokenAgain, itemsAgain, ok := Parse(encode(fencingToken, items...), maxItems, parseCommon)
+		if !ok || tokenAgain != fencingToken || !reflect.DeepEqual(itemsAgain, items) {
+			t.Errorf("encoded again: got token %d, items %+v, after decoding token %d, items %+v, ok %v", fencingToken, items, tokenAgain, itemsAgain, ok)
 		}
 	})
 }
