--- a/internal/fleet/bans/machine.go
+++ b/internal/fleet/bans/machine.go
@@ -28,8 +28,8 @@
 
 	// State of this router.
 	localBans         map[routing.ServerID]LocalBan
-	appliedVersions   map[routing.ServerID]uint64  // versions of the registered bans that were applied here
-	unregisteredSince map[routing.ServerID]float64 // servers that gossip disabled and that the registry does not have disabled
+	appliedVersions   map[routing.ServerID]uint64  // version of the registered ban that was applied here last
+	unregisteredSince map[routing.ServerID]float64 // since when a server is disabled here by gossip but not by the registry
 	reenabledAt       map[routing.ServerID]float64 // when a server was first seen enabled here while the registry had it disabled
 	lastActionAt      map[routing.ServerID]float64
 
--- a/internal/fleet/bans/manager.go
+++ b/internal/fleet/bans/manager.go
@@ -165,7 +165,7 @@
 // Ready reports whether this router has applied the registry's bans, or ReadyTimeout has expired.
 func (m *Manager) Ready() bool { return m.ready.Load() }
 
-// Stopped is closed when Run has returned.
+// Stopped returns a channel that is closed when Run has returned.
 func (m *Manager) Stopped() <-chan struct{} { return m.done }
 
 // HandleResponse handles a voter's response. It never blocks; it drops and counts a response that
--- a/internal/fleet/fragment/fragment_test.go
+++ b/internal/fleet/fragment/fragment_test.go
@@ -73,7 +73,7 @@
 		})
 		messages.deliver(t, float64(round), &reassembler)
 		if len(messages.want) > 0 {
-			t.Fatalf("round %d: %d messages were not reassembled", round, len(messages.want))
+			t.Fatalf("%d messages were not reassembled", len(messages.want))
 		}
 	}
 	if len(reassembler.partial) > maxPartial {
--- a/internal/fleet/loadreport/collector.go
+++ b/internal/fleet/loadreport/collector.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// Stopped is closed when Run has returned.
+// Stopped returns a channel that is closed when Run has returned.
 func (c *Collector) Stopped() <-chan struct{} { return c.done }
 
 // step starts the polls that are due and sends the reports of the polls that have ended.
--- a/internal/fleet/loadreport/poll.go
+++ b/internal/fleet/loadreport/poll.go
@@ -31,7 +31,7 @@
 	nextPollAt          float64
 	interval            float64 // current ms between polls; it grows while the load does not change
 	polling             bool    // a poll is under way
-	lastLinkUtilization float64 // NaN: no poll has succeeded yet
+	lastLinkUtilization float64 // NaN: no poll has succeeded yet, or the server does not report it
 
 	conn     *textconn.Conn
 	sequence uint64
--- a/internal/fleet/recoveryprobe/coordinator.go
+++ b/internal/fleet/recoveryprobe/coordinator.go
@@ -126,7 +126,7 @@
 	c.options.Send(to, fragment.ProbeResult, message.Append(nil))
 }
 
-// Stopped is closed when Run has returned.
+// Stopped returns a channel that is closed when Run has returned.
 func (c *Coordinator) Stopped() <-chan struct{} { return c.done }
 
 // Receive queues another router's message for Run. It never blocks; it drops and counts a message
--- a/internal/fleet/recoveryprobe/machine.go
+++ b/internal/fleet/recoveryprobe/machine.go
@@ -18,7 +18,7 @@
 type Machine struct {
 	settings      Settings
 	self          membership.ID
-	ejectedAt     map[routing.ServerID]float64 // by this router
+	ejectedAt     map[routing.ServerID]float64 // when this router ejected each server
 	lastSentAt    float64                      // -Inf: the next message is due at once
 	nextPeerIndex int                          // of the round robin over peers while the holder is unknown
 
