--- a/internal/atomicfile/atomicfile.go
+++ b/internal/atomicfile/atomicfile.go
@@ -1,18 +1,20 @@
-// Package atomicfile replaces small state files. It owns no state, and any goroutine may call
-// it; a file has one writer at a time.
+// Package atomicfile replaces small state files atomically. The package has no state of its own.
+// Its functions may be called from any goroutine, but each file must have one writer at a time.
 package atomicfile
 
 import "os"
 
 const (
-	// temporarySuffix names the file that is written before it takes the place of the other.
+	// temporarySuffix is appended to a path for the file with the new content, which is renamed to
+	// the path once it is written.
 	temporarySuffix = ".new"
-	// ownerOnly is the mode of state files: no other user reads them.
+	// ownerOnly is the mode of state files, which other users must not read.
 	ownerOnly = 0o600
 )
 
-// Replace replaces the content of the file at path, as a whole or not at all: a process that
-// is killed meanwhile leaves the old content. It does not wait for the disk.
+// Replace creates the file at path or replaces its content atomically: if the process is killed
+// during the call, the file has either the old or the new content. Replace does not sync the file
+// to disk, so a crash of the machine can lose the new content.
 func Replace(path string, content []byte) error {
 	temporary := path + temporarySuffix
 	if err := os.WriteFile(temporary, content, ownerOnly); err != nil {
--- a/internal/atomicfile/atomicfile_test.go
+++ b/internal/atomicfile/atomicfile_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A file is made, replaced and, where the new content cannot be written, left as it was.
+// Guards that Replace creates a file, replaces its content, and keeps the old content if the new
+// content cannot be written.
 func TestReplace(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	for _, content := range []string{"first", "the second one", ""} {
@@ -15,12 +16,12 @@
 		}
 		got, err := os.ReadFile(path)
 		if err != nil || string(got) != content {
-			t.Errorf("%q, %v, want %q", got, err, content)
+			t.Errorf("got content %q and error %v, want %q", got, err, content)
 		}
 	}
 	info, err := os.Stat(path)
 	if err != nil || info.Mode().Perm() != ownerOnly {
-		t.Errorf("mode %v, %v", info, err)
+		t.Errorf("got file info %v and error %v, want a file that only its owner can access", info, err)
 	}
 	if err := Replace(path, []byte("kept")); err != nil {
 		t.Fatal(err)
@@ -29,9 +30,9 @@
 		t.Fatal(err)
 	}
 	if err := Replace(path, []byte("lost")); err == nil {
-		t.Error("no error, though the new content has no place")
+		t.Error("got no error, though the temporary file cannot be written")
 	}
 	if got, err := os.ReadFile(path); err != nil || string(got) != "kept" {
-		t.Errorf("%q, %v after a failure", got, err)
+		t.Errorf("got content %q and error %v after a failed Replace, want the old content", got, err)
 	}
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,8 +1,7 @@
-// Package clock is the program's one source of time. Times are Unix milliseconds as a
-// float64; the decision module counts in time.Duration, and Duration and Millis convert at
-// its edge.
+// Package clock is the program's only source of time. A time is a float64 in Unix milliseconds.
+// The routing module uses time.Duration instead; Duration and Millis convert between the two.
 //
-// Clocks own nothing but their own start. All of them may be used from any goroutine.
+// All clocks are safe for concurrent use.
 package clock
 
 import (
@@ -14,16 +13,16 @@
 	"garnetline/internal/failpoint"
 )
 
-// Clock tells the time.
+// Clock returns the current time.
 type Clock interface {
 	Now() float64 // Unix milliseconds
 }
 
-// System reads the wall clock once, when it is made, and from then on follows the monotonic
-// clock, so that a step of the wall clock moves no deadline.
+// System is a clock that reads the wall clock once, when it is created, and afterwards follows
+// the monotonic clock, so that a step of the wall clock does not move deadlines.
 type System struct {
 	start     time.Time
-	startUnix float64 // ms, the wall clock at start
+	startUnix float64 // wall clock at start, Unix ms
 }
 
 // NewSystem returns a clock that starts now.
@@ -36,12 +35,13 @@
 	return s.startUnix + Millis(time.Since(s.start))
 }
 
-// stepRounding is the unit, in ms, to which a step of the wall clock is rounded. Without a
-// step the result is exactly 0, so that equal times of others stay equal when converted.
+// stepRounding is the multiple, in ms, to which a step of the wall clock is rounded. Rounding
+// makes the result exactly 0 if there was no step, so that equal times from other machines are
+// still equal after their conversion.
 const stepRounding = 20.0
 
-// WallClockStep returns by how many milliseconds the wall clock has been set forward since the
-// clock's start; a negative number says that it was set back.
+// WallClockStep returns by how many milliseconds the wall clock has been set forward since s was
+// created. The result is negative if the wall clock was set back.
 func (s System) WallClockStep() float64 {
 	difference := unixMillis(failpoint.WallClock()) - s.Now()
 	return math.Round(difference/stepRounding) * stepRounding
@@ -50,11 +50,11 @@
 func unixMillis(t time.Time) float64 { return float64(t.UnixMicro()) / 1e3 }
 
 // WallClockStep returns by how many milliseconds the machine's wall clock has been set forward
-// since the start of c: a time that another machine read from its wall clock is that much
-// later than the same time by c. It is 0 for clocks that know no wall clock.
+// since c was created, or 0 if c does not track the wall clock. To convert a time that another
+// machine read from its wall clock to the time of c, subtract the step.
 //
-// Symptom guarded against: a wall clock that was set back by some seconds made every purge
-// look long past, and old copies were served as if there had been none.
+// Without this conversion, setting the wall clock back by some seconds makes every purge look
+// long past, so that the router serves old copies as if there had been no purge.
 func WallClockStep(c Clock) float64 {
 	if stepper, ok := c.(wallClockStepper); ok {
 		return stepper.WallClockStep()
@@ -62,21 +62,22 @@
 	return 0
 }
 
-// wallClockStepper is a clock that knows by how much the wall clock has been set.
+// wallClockStepper is a clock that tracks steps of the wall clock.
 type wallClockStepper interface{ WallClockStep() float64 }
 
-// Boot counts milliseconds since the machine's start, the time in which it was suspended
-// included: a lease must not last longer on a machine that slept through a part of it.
+// Boot is a clock that counts milliseconds since the machine booted, including the time that the
+// machine was suspended. Leases are measured with it, because a lease must not last longer on a
+// machine that was suspended during a part of it.
 //
-// Where the system has no such clock, Boot follows the monotonic one, which stands still
-// while the machine is suspended. A lease holder that wakes up then is held back by its
-// fencing token alone.
+// If the system has no such clock, Boot follows the monotonic clock, which stops while the
+// machine is suspended. Then only the fencing token stops a lease holder whose lease expired
+// during a suspension.
 type Boot struct{ start time.Time }
 
-// NewBoot returns the boot clock.
+// NewBoot returns a Boot clock.
 func NewBoot() Boot { return Boot{time.Now()} }
 
-// Now returns the time in milliseconds since a moment that is the same for the whole process.
+// Now returns the milliseconds since a moment that is the same for the whole process.
 func (b Boot) Now() float64 {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
@@ -85,8 +86,8 @@
 	return float64(now.Sec)*1000 + float64(now.Nsec)/1e6
 }
 
-// Duration converts milliseconds to a duration. Values beyond its range become the nearest
-// end of it, and NaN becomes 0.
+// Duration converts milliseconds to a time.Duration. A value outside the range of time.Duration
+// becomes the nearest limit of the range, and NaN becomes 0.
 func Duration(ms float64) time.Duration {
 	ns := ms * float64(time.Millisecond)
 	switch {
@@ -100,5 +101,5 @@
 	return time.Duration(ns)
 }
 
-// Millis converts a duration to milliseconds.
+// Millis converts a time.Duration to milliseconds.
 func Millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -6,44 +6,45 @@
 	"time"
 )
 
-// Milliseconds and durations convert into one another, and values out of range become the
-// nearest end of the range.
+// Guards that milliseconds and durations are converted to each other, that a value out of range
+// becomes the nearest limit of the range, and that the clocks return the expected times.
 func TestConversions(t *testing.T) {
 	for ms, want := range map[float64]time.Duration{0: 0, 1.5: 1500 * time.Microsecond, -2: -2 * time.Millisecond,
 		1e300: math.MaxInt64, math.Inf(-1): math.MinInt64} {
 		if got := Duration(ms); got != want {
-			t.Errorf("%v ms became %v, want %v", ms, got, want)
+			t.Errorf("Duration(%v): got %v, want %v", ms, got, want)
 		}
 	}
 	if got := Duration(math.NaN()); got != 0 {
-		t.Errorf("NaN became %v", got)
+		t.Errorf("Duration(NaN): got %v, want 0", got)
 	}
 	if got := Millis(1500 * time.Microsecond); got != 1.5 {
-		t.Errorf("1.5 ms became %v", got)
+		t.Errorf("Millis(1.5ms): got %v, want 1.5", got)
 	}
-	c := NewManual(10)
-	c.Advance(2.5)
-	if c.Now() != 12.5 {
-		t.Errorf("the clock stands at %v", c.Now())
+	manual := NewManual(10)
+	manual.Advance(2.5)
+	if manual.Now() != 12.5 {
+		t.Errorf("manual clock: got time %v, want 12.5", manual.Now())
 	}
-	s := NewSystem()
-	if a, b := s.Now(), s.Now(); b < a || math.Abs(a-float64(time.Now().UnixMilli())) > 60_000 {
-		t.Errorf("the system's clock says %v, then %v", a, b)
+	system := NewSystem()
+	if first, second := system.Now(), system.Now(); second < first || math.Abs(first-float64(time.Now().UnixMilli())) > 60_000 {
+		t.Errorf("system clock: got %v and then %v, want ascending times within a minute of the wall clock", first, second)
 	}
 }
 
-// A wall clock that was not set has no step, though two readings differ a little.
+// Guards that the step is exactly 0 if the wall clock was not set, although the readings of the two
+// clocks differ slightly, and that a step in either direction is returned.
 func TestWallClockStep(t *testing.T) {
-	s := NewSystem()
-	if got := WallClockStep(s); got != 0 {
-		t.Errorf("the wall clock seems set by %v ms", got)
+	system := NewSystem()
+	if got := WallClockStep(system); got != 0 {
+		t.Errorf("without a step: got %v ms, want 0", got)
 	}
-	s.startUnix -= 3_600_000.4 // as if it had been set on by so much since
-	if got := WallClockStep(s); got != 3_600_000 {
-		t.Errorf("set by an hour: %v ms", got)
+	system.startUnix -= 3_600_000.4 // has the same effect as setting the wall clock forward by that much
+	if got := WallClockStep(system); got != 3_600_000 {
+		t.Errorf("wall clock set forward by an hour: got step %v ms, want 3600000", got)
 	}
-	m := NewManual(5)
-	if m.StepWallClock(-30); WallClockStep(m) != -30 || m.Now() != 5 {
-		t.Errorf("set back: step %v, now %v", WallClockStep(m), m.Now())
+	manual := NewManual(5)
+	if manual.StepWallClock(-30); WallClockStep(manual) != -30 || manual.Now() != 5 {
+		t.Errorf("wall clock set back: got step %v and time %v, want -30 and 5", WallClockStep(manual), manual.Now())
 	}
 }
--- a/internal/failpoint/doc.go
+++ b/internal/failpoint/doc.go
@@ -1,7 +1,8 @@
-// Package failpoint lets tests disturb a process of the program: its wall clock may jump and
-// its saves may take long. The failpoints exist only in programs built with -tags faults; in
-// every other build the functions do what the program would do without them.
+// Package failpoint lets tests inject faults into a running program: steps of the wall clock and
+// slow syncs of files to disk. The faults are possible only in programs built with -tags faults.
+// In other builds, WallClock returns the real time and BeforeSync does nothing.
 //
-// The package owns no state: each call reads files in the directory that TMPDIR names, which
-// the test writes. All functions may be called from any goroutine.
+// The package has no state of its own: with -tags faults, each call reads a file that the test
+// writes to the directory that the environment variable TMPDIR names. All functions are safe for
+// concurrent use.
 package failpoint
--- a/internal/failpoint/enabled.go
+++ b/internal/failpoint/enabled.go
@@ -10,20 +10,21 @@
 	"time"
 )
 
-// The files that tests write, each with a number of milliseconds.
+// Names of the files that tests write. Each file contains a number of milliseconds.
 const (
 	wallClockFile = "fault-wall"
 	syncDelayFile = "fault-save"
 )
 
-// WallClock returns the machine's wall clock, moved by what wallClockFile says.
+// WallClock returns the machine's wall clock plus the duration in wallClockFile.
 func WallClock() time.Time { return time.Now().Add(readDuration(wallClockFile)) }
 
-// BeforeSync is called before a file is made durable. It takes as long as syncDelayFile says.
+// BeforeSync is called before a file is synced to disk. It sleeps for the duration in
+// syncDelayFile.
 func BeforeSync() { time.Sleep(readDuration(syncDelayFile)) }
 
-// readDuration returns what a file says in milliseconds, and 0 where there is no such file
-// or no number in it.
+// readDuration reads a duration, in milliseconds, from a file in the directory TMPDIR. It returns
+// 0 if the file cannot be read or does not contain an integer.
 func readDuration(name string) time.Duration {
 	content, err := os.ReadFile(filepath.Join(os.Getenv("TMPDIR"), name))
 	if err != nil {
--- a/internal/fielderror/fielderror.go
+++ b/internal/fielderror/fielderror.go
@@ -1,6 +1,6 @@
-// Package fielderror is the error of a configuration value that cannot be used. It names the
-// field in the terms of the file that the operator wrote, so that a caller can point to the
-// line without reading the error's text.
+// Package fielderror defines the error for an invalid value in a configuration. The error names
+// the field as the operator's file does, so that a caller can find the line of the field without
+// parsing the text of the error.
 package fielderror
 
 import (
@@ -8,24 +8,24 @@
 	"strconv"
 )
 
-// Error reports a field that cannot be used.
+// Error reports a field with an invalid value.
 type Error struct {
-	Field string // as the file names it
-	Label string // of a block that may stand several times; "" for others
-	Err   error  // why
+	Field string // name of the field in the file
+	Label string // label of a block that may occur more than once; "" for other fields
+	Err   error  // cause
 }
 
-// Errorf returns an Error of a field. Format and arguments say why, as in fmt.Errorf.
+// Errorf returns an Error for a field. Format and arguments describe the cause, as in fmt.Errorf.
 func Errorf(field, format string, arguments ...any) error {
 	return &Error{Field: field, Err: fmt.Errorf(format, arguments...)}
 }
 
-// LabeledErrorf is Errorf for a block with a label.
+// LabeledErrorf is like Errorf, but for a block with a label.
 func LabeledErrorf(field, label, format string, arguments ...any) error {
 	return &Error{Field: field, Label: label, Err: fmt.Errorf(format, arguments...)}
 }
 
-// Error returns the field and the cause in one line.
+// Error returns the field, its label if there is one, and the cause.
 func (e *Error) Error() string {
 	if e.Label == "" {
 		return e.Field + ": " + e.Err.Error()
--- a/internal/logs/golden_test.go
+++ b/internal/logs/golden_test.go
@@ -11,11 +11,11 @@
 	"garnetline/internal/golden"
 )
 
-// Guards the form of the log, which operators' tools read: the names of time, level, event and
-// error, and the counters as one event with sorted names.
-func TestFormOfEvents(t *testing.T) {
+// Guards the format of the log, which operators' tools parse: the keys of time, level, message and
+// error, and the counters as one event sorted by name.
+func TestGoldenEvents(t *testing.T) {
 	defer zerolog.SetGlobalLevel(zerolog.GlobalLevel())
-	defer func(f func() time.Time) { zerolog.TimestampFunc = f }(zerolog.TimestampFunc)
+	defer func(previous func() time.Time) { zerolog.TimestampFunc = previous }(zerolog.TimestampFunc)
 	zerolog.TimestampFunc = func() time.Time { return time.UnixMilli(1_700_000_000_123) }
 	var out bytes.Buffer
 	log := New(&out)
@@ -30,7 +30,7 @@
 		WriteCounters(log, map[string]int64{"b": 2, "a": 1, "c_3": -3})
 	}
 	if _, err := ParseLevel("loud"); err == nil {
-		t.Error("a level that does not exist is read")
+		t.Error("got no error for an unknown level")
 	} else {
 		out.WriteString(err.Error() + "\n")
 	}
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,8 +1,8 @@
-// Package logs sets up the program's structured log: one event per line, as JSON, written by
-// zerolog. Events carry no idempotency key and no entity tag.
+// Package logs sets up the program's structured log, which zerolog writes as one JSON event per
+// line. Events never contain an idempotency key or an entity tag.
 //
-// The form of events and the level are global to the process. A logger may be used from any
-// goroutine if its writer may.
+// The format of events and the log level are global to the process. A logger is safe for
+// concurrent use if its writer is.
 package logs
 
 import (
@@ -14,9 +14,9 @@
 	"github.com/rs/zerolog"
 )
 
-// The keys that every event has. Operators' tools read them.
+// The keys that are present in every event. Operators' tools read them.
 const (
-	timeKey    = "ms" // Unix milliseconds, as everywhere in the program
+	timeKey    = "ms" // Unix milliseconds, the program's unit for all times
 	messageKey = "event"
 )
 
@@ -29,10 +29,10 @@
 	zerolog.MessageFieldName = messageKey
 }
 
-// Levels are the names of the levels, the most verbose first.
+// Levels are the names of the log levels, the most verbose first.
 var Levels = []string{"debug", "info", "warn", "error", "off"}
 
-// zerologLevels are the levels that Levels names, in the same order.
+// zerologLevels are the levels for the names in Levels, in the same order.
 var zerologLevels = []zerolog.Level{
 	zerolog.DebugLevel,
 	zerolog.InfoLevel,
@@ -41,24 +41,24 @@
 	zerolog.Disabled,
 }
 
-// ParseLevel returns the level of a name, or an error that lists the names there are.
+// ParseLevel returns the level with the given name, or an error that lists the valid names.
 func ParseLevel(name string) (zerolog.Level, error) {
 	index := slices.Index(Levels, name)
 	if index < 0 {
-		return zerolog.NoLevel, fmt.Errorf("%q is none of %v", name, Levels)
+		return zerolog.NoLevel, fmt.Errorf("expected one of %[2]v, got %[1]q", name, Levels)
 	}
 	return zerologLevels[index], nil
 }
 
-// New returns a logger that writes to w. It is safe for concurrent use if w is; a file is,
-// since each event is one write.
+// New returns a logger that writes to w. The logger is safe for concurrent use if w is. An
+// *os.File is, because each event is a single call of Write.
 func New(w io.Writer) *zerolog.Logger {
 	logger := zerolog.New(w).With().Timestamp().Logger()
 	return &logger
 }
 
-// SetLevel sets the least level of events that the process writes. If the name is unknown it
-// returns an error and changes nothing.
+// SetLevel sets the lowest level of events that the process writes. If the name is unknown,
+// SetLevel returns an error and the level stays unchanged.
 func SetLevel(name string) error {
 	level, err := ParseLevel(name)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// WriteCounters writes the values of counters as one event, in the order of their names.
+// WriteCounters writes the values of counters as one event of level info, sorted by name.
 func WriteCounters(logger *zerolog.Logger, values map[string]int64) {
 	event := logger.Info()
 	for _, name := range slices.Sorted(maps.Keys(values)) {
--- a/internal/metrics/names_test.go
+++ b/internal/metrics/names_test.go
@@ -16,12 +16,13 @@
 	"garnetline/internal/golden"
 )
 
-// counterName is what a counter may be called; a star stands for what is known at run time.
+// counterName matches a valid counter name. A star stands for a part that is known only at run
+// time.
 var counterName = regexp.MustCompile(`^[a-z][a-z0-9_*]*$`)
 
-// Guards the names of all counters, which operators read in the log and on /metrics: none may
-// change, come or go unnoticed. The names are those that the module's sources pass to
-// Registry.Add and Registry.Counter.
+// Guards the names of all counters, which operators read in the log and on /metrics: no name may
+// be changed, added or removed by accident. The test collects the names that the module's sources
+// pass to Registry.Add and Registry.Counter.
 func TestCounterNames(t *testing.T) {
 	found := map[string]bool{}
 	for _, files := range sources(t, "../..") {
@@ -31,12 +32,12 @@
 	golden.Compare(t, "counters.golden", []byte(got))
 }
 
-// sources parses the module's Go files but those of tests, by directory.
+// sources parses the module's Go files, except those of tests, and returns them by directory.
 func sources(t *testing.T, root string) map[string][]*ast.File {
 	t.Helper()
 	byDir := map[string][]*ast.File{}
-	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
-		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
 		file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
@@ -49,8 +50,8 @@
 	return byDir
 }
 
-// addCounterNames collects what a package passes as the first argument of Add(name, n) and
-// Counter(name).
+// addCounterNames adds the names that a package passes as the first argument of Add(name, n) and
+// Counter(name) to found.
 func addCounterNames(files []*ast.File, found map[string]bool) {
 	declared := declarations{}
 	for _, file := range files {
@@ -70,7 +71,8 @@
 	}
 }
 
-// counterArgument returns the name's expression if a node is a call of Add or Counter.
+// counterArgument returns the expression of the counter's name if node is a call of Add or
+// Counter, and nil otherwise.
 func counterArgument(node ast.Node) ast.Expr {
 	call, ok := node.(*ast.CallExpr)
 	if !ok {
@@ -88,8 +90,8 @@
 	return call.Args[0]
 }
 
-// declarations are the expressions that the names of a package stand for: of constants and
-// variables their values, of functions and methods what they return.
+// declarations maps each name that a package declares to expressions: a constant or variable to
+// its value, a function or method to the results that it returns.
 type declarations map[string][]ast.Expr
 
 func (d declarations) addFile(file *ast.File) {
@@ -128,13 +130,13 @@
 }
 
 const (
-	// unknown stands in a name for what is known only when the program runs.
+	// unknown replaces a part of a name that is known only at run time.
 	unknown = "*"
-	// maxDepth bounds how far names are followed, for those that lead back to themselves.
+	// maxDepth limits how many declarations are followed, since declarations can be recursive.
 	maxDepth = 8
 )
 
-// values returns the strings that an expression may be, as far as the source tells.
+// values returns the possible values of a string expression, as far as the source shows them.
 func (d declarations) values(expr ast.Expr, depth int) []string {
 	if depth == 0 {
 		return []string{unknown}
@@ -173,20 +175,20 @@
 	return all
 }
 
-// concatenations returns each of first followed by each of second.
+// concatenations returns each string of first followed by each string of second.
 func concatenations(first, second []string) []string {
 	var all []string
-	for _, head := range first {
-		for _, tail := range second {
-			all = append(all, head+tail)
+	for _, prefix := range first {
+		for _, suffix := range second {
+			all = append(all, prefix+suffix)
 		}
 	}
 	return all
 }
 
-// elements returns the elements of a list, or the values of a list with keys.
-func elements(list *ast.CompositeLit) []ast.Expr {
-	elements := slices.Clone(list.Elts)
+// elements returns the elements of a composite literal; for an element with a key, its value.
+func elements(literal *ast.CompositeLit) []ast.Expr {
+	elements := slices.Clone(literal.Elts)
 	for i, element := range elements {
 		if pair, ok := element.(*ast.KeyValueExpr); ok {
 			elements[i] = pair.Value
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -1,7 +1,8 @@
-// Package metrics counts what the program takes in, sends and answers. The counters are
-// written to the log as one event, and some of them are on the page /metrics.
+// Package metrics holds the program's counters, such as those of requests, attempts and
+// responses. The program writes all counters to the log as one event, and the HTTP path /metrics
+// shows some of them.
 //
-// A Registry owns its counters; all of its methods may be called from any goroutine.
+// A Registry owns its counters. All of its methods are safe for concurrent use.
 package metrics
 
 import (
@@ -20,8 +21,9 @@
 	return &Registry{counters: map[string]*atomic.Int64{}}
 }
 
-// Counter returns the counter of a name, and makes it at its first use. Names must come from
-// the program alone, never from a peer, so that the set stays small.
+// Counter returns the counter with the given name and creates it on first use. Names must be
+// chosen by the program, never by a peer, since a counter is never removed and the set must stay
+// small.
 func (r *Registry) Counter(name string) *atomic.Int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -33,10 +35,10 @@
 	return counter
 }
 
-// Add adds n to the counter of a name.
+// Add adds n to the counter with the given name.
 func (r *Registry) Add(name string, n int64) { r.Counter(name).Add(n) }
 
-// Snapshot returns the values of all counters by name.
+// Snapshot returns the current values of all counters, keyed by name.
 func (r *Registry) Snapshot() map[string]int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/metrics/registry_test.go
+++ b/internal/metrics/registry_test.go
@@ -6,18 +6,18 @@
 )
 
 func TestSnapshot(t *testing.T) {
-	s := New()
+	registry := New()
 	var wg sync.WaitGroup
 	for range 8 {
 		wg.Go(func() {
 			for range 100 {
-				s.Add("b", 1)
-				s.Add("a", 2)
+				registry.Add("b", 1)
+				registry.Add("a", 2)
 			}
 		})
 	}
 	wg.Wait()
-	if all := s.Snapshot(); len(all) != 2 || all["a"] != 1600 || all["b"] != 800 {
-		t.Errorf("%v", all)
+	if values := registry.Snapshot(); len(values) != 2 || values["a"] != 1600 || values["b"] != 800 {
+		t.Errorf("got %v, want a 1600 and b 800", values)
 	}
 }
