--- a/internal/platformconfig/config.go
+++ b/internal/platformconfig/config.go
@@ -1,7 +1,8 @@
 // Package platformconfig reads the platform's configuration of a router: a JSON file and a
-// few environment variables. A Config is not changed once it is read; a reload replaces it
-// whole, so that any goroutine may read one. The package also defines the events of the
-// change log, since the file holds those of before the router's start.
+// few environment variables. A Config is never modified after Load or Parse returned it: a
+// reload replaces the whole Config, so any goroutine may read one without a lock. The package
+// also defines the events of the change log, because the file lists the events that happened
+// before the router's start.
 package platformconfig
 
 import (
@@ -14,7 +15,7 @@
 	"garnetline/routing"
 )
 
-// Environment variables. Name, listen and admin address override those of the file.
+// Environment variables. EDGE_NAME, EDGE_LISTEN and EDGE_MGMT override the values in the file.
 const (
 	envConfig      = "EDGE_CONFIG"
 	envName        = "EDGE_NAME"
@@ -24,26 +25,26 @@
 	envStateDir    = "TMPDIR"
 )
 
-// Config is what the platform tells a router at its start.
+// Config is the configuration that the platform gives a router at its start.
 type Config struct {
 	Name             string
 	Listen           netip.AddrPort
-	ListenFD         int            // descriptor of an inherited listening socket; 0: none
-	AdminListen      netip.AddrPort // of the admin API; not valid: there is none
-	StateDir         string         // outlives the process, shared with its successor; "": none
-	Discovery        netip.AddrPort // of the change log
+	ListenFD         int            // descriptor of an inherited listening socket; 0 if there is none
+	AdminListen      netip.AddrPort // address of the admin API; the zero AddrPort if there is no admin API
+	StateDir         string         // directory that outlives the process and that its successor reads too; "" if there is none
+	Discovery        netip.AddrPort // address of the change log
 	Seed             uint64
 	Limits           Limits
 	Settings         routing.Settings
-	LoadReportFields []string // names of the values in a load report
+	LoadReportFields []string // names of the values in a server's load report, in order
 	Upstream         Upstream
-	KnownEvents      []WatchEvent // of before the start
-	KnownSeq         uint64       // number of the last known event
-	Zones            []string
-	Kinds            []string // of servers
+	KnownEvents      []WatchEvent // events of the change log before the router's start
+	KnownSeq         uint64       // sequence number of the last known event
+	Zones            []string     // names of the zones
+	Kinds            []string     // names of the kinds of servers
 }
 
-// Limits bound the process. Zero means no limit.
+// Limits are the resource limits of the process. Zero means no limit.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
@@ -52,18 +53,19 @@
 
 // Upstream configures connections to servers.
 type Upstream struct {
-	IdleTimeout    float64 // ms, after which an idle connection is closed
+	IdleTimeout    float64 // ms; a connection that stays idle for this long is closed
 	ConnectTimeout float64 // ms
-	MaxStreams     int     // requests open at once on a connection
-	BytesPerSecond float64 // of one transfer; 0: not known
+	MaxStreams     int     // maximum number of concurrent requests on one connection
+	BytesPerSecond float64 // throughput of one transfer; 0 if unknown
 }
 
-// FieldError reports a field, by its path in the file as in known.results[0].fleet, or an
-// environment variable that cannot be used.
+// FieldError reports an invalid value. Its Field is a path in the file, such as
+// known.results[0].fleet, or the name of an environment variable.
 type FieldError = fielderror.Error
 
-// Load reads a file; path "" stands for the one that EDGE_CONFIG names. env returns the value
-// of an environment variable.
+// Load reads the configuration from the file at path, or from the file that EDGE_CONFIG names
+// if path is "". env returns the value of an environment variable, and "" if it is not set. The
+// error is a FieldError for EDGE_CONFIG if there is no readable file, and otherwise one of Parse.
 func Load(path string, env func(string) string) (*Config, error) {
 	if path == "" {
 		path = env(envConfig)
@@ -78,9 +80,10 @@
 	return Parse(data, env)
 }
 
-// CheckReload returns a FieldError that names a field which differs in next but cannot change
-// while the program runs: addresses that it listens on, and what endpoint lists and open
-// requests refer to by index.
+// CheckReload returns a FieldError for the first field that differs between c and next and
+// that cannot change while the program runs. Such fields are the addresses that the program
+// listens on, and the zones, kinds and classes, which endpoint lists and open requests refer to
+// by index.
 func (c *Config) CheckReload(next *Config) error {
 	current, replacement := &c.Settings, &next.Settings
 	for _, fixed := range []struct {
@@ -94,16 +97,16 @@
 		{"settings.zone", current.Zone == replacement.Zone},
 		{"settings.family_info.second_tier_kind", current.ParentKind == replacement.ParentKind},
 		{"settings.family_info.root_kind", current.OriginKind == replacement.OriginKind},
-		{"settings.classes", slices.EqualFunc(current.Classes, replacement.Classes, sameRequests)},
+		{"settings.classes", slices.EqualFunc(current.Classes, replacement.Classes, sameSemantics)},
 	} {
 		if !fixed.same {
-			return &FieldError{Field: fixed.field, Err: errors.New("can change with a restart only")}
+			return &FieldError{Field: fixed.field, Err: errors.New("only a restart can change this field")}
 		}
 	}
 	return nil
 }
 
-// sameRequests reports whether a request of one class may go on as one of the other.
-func sameRequests(a, b routing.Class) bool {
+// sameSemantics reports whether an open request of class a can continue as one of class b.
+func sameSemantics(a, b routing.Class) bool {
 	return a.Name == b.Name && a.Idempotency == b.Idempotency && a.Write == b.Write
 }
--- a/internal/platformconfig/config_test.go
+++ b/internal/platformconfig/config_test.go
@@ -27,25 +27,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := config.KnownEvents[0].Endpoints[0]
-	if h.ID != 0xc41f7a || h.Zone != 1 || h.Cell != 2 || h.Phase != routing.Draining || h.Weight != 4 ||
-		h.StartedAt != 1764576000000*time.Millisecond || h.Addr.String() != "127.0.0.2:5050" || !config.KnownEvents[0].Snapshot {
-		t.Errorf("%+v", h)
+	endpoint := config.KnownEvents[0].Endpoints[0]
+	if endpoint.ID != 0xc41f7a || endpoint.Zone != 1 || endpoint.Cell != 2 || endpoint.Phase != routing.Draining || endpoint.Weight != 4 ||
+		endpoint.StartedAt != 1764576000000*time.Millisecond || endpoint.Addr.String() != "127.0.0.2:5050" || !config.KnownEvents[0].Snapshot {
+		t.Errorf("got endpoint %+v", endpoint)
 	}
-	if p := config.KnownEvents[1].Purge; p == nil || p.Group != 17 || p.Object != 0 || p.At != 1764576000480 {
-		t.Errorf("%+v", p)
+	if purge := config.KnownEvents[1].Purge; purge == nil || purge.Group != 17 || purge.Object != 0 || purge.At != 1764576000480 {
+		t.Errorf("got purge %+v", purge)
 	}
-	if s := config.Settings; s.MaxAttempts != 6 || len(s.Classes) != 1 || s.Classes[0].LatencyObjective != 280*time.Millisecond ||
-		s.PurgeRetention != 6*time.Second || len(config.LoadReportFields) != 2 || config.Upstream != (Upstream{IdleTimeout: 15000, ConnectTimeout: 400, MaxStreams: 100, BytesPerSecond: config.Settings.BodyBytesPerSecond}) || config.KnownSeq != 2 {
-		t.Errorf("%+v %+v", s, config)
+	if settings := config.Settings; settings.MaxAttempts != 6 || len(settings.Classes) != 1 || settings.Classes[0].LatencyObjective != 280*time.Millisecond ||
+		settings.PurgeRetention != 6*time.Second || len(config.LoadReportFields) != 2 || config.Upstream != (Upstream{IdleTimeout: 15000, ConnectTimeout: 400, MaxStreams: 100, BytesPerSecond: config.Settings.BodyBytesPerSecond}) || config.KnownSeq != 2 {
+		t.Errorf("got settings %+v and config %+v", settings, config)
 	}
 	env := func(k string) string { return map[string]string{"EDGE_NAME": "n7", "EDGE_LISTEN": "127.0.0.3:1"}[k] }
 	if config, err := Parse([]byte(validConfig), env); err != nil || config.Name != "n7" || config.Listen.String() != "127.0.0.3:1" {
-		t.Errorf("the environment does not go first: %v %v", config, err)
+		t.Errorf("the environment does not override the file: got config %v, error %v", config, err)
 	}
 }
 
-// What cannot be used is named by its field.
+// Guards that the error for an invalid value names the field that holds it.
 func TestParseErrorNamesField(t *testing.T) {
 	for _, test := range []struct{ text, replacement, field string }{
 		{`"127.0.0.1:5050"`, `"nowhere"`, "listen"},
@@ -77,22 +77,22 @@
 	} {
 		text := strings.Replace(validConfig, test.text, test.replacement, 1)
 		if text == validConfig {
-			t.Fatalf("%s is not in the text", test.text)
+			t.Fatalf("%s is not in validConfig", test.text)
 		}
 		if _, err := Parse([]byte(text), noEnvironment); err == nil || !strings.Contains(err.Error(), test.field) {
-			t.Errorf("%s: %v, want %s named", test.replacement, err, test.field)
+			t.Errorf("%s: got error %v, want one that names %s", test.replacement, err, test.field)
 		}
 	}
 }
 
-// The field of an error is to be had without its text, and so is the cause.
+// Guards that a caller can get the field and the cause of an error without parsing its text.
 func TestFieldError(t *testing.T) {
 	_, err := Parse([]byte(strings.Replace(validConfig, `"s-00c41f7a"`, `"s-1"`, 1)), noEnvironment)
 	var fieldError *FieldError
 	if !errors.As(err, &fieldError) || fieldError.Field != "known.results[0].fleet.hosts[0].host" || fieldError.Unwrap() == nil {
-		t.Errorf("%#v", err)
+		t.Errorf("got error %#v, want a FieldError with a field and a cause", err)
 	}
 	if _, err := Load("testdata/none.json", noEnvironment); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("a file that is not there: %v", err)
+		t.Errorf("missing file: got error %v, want fs.ErrNotExist", err)
 	}
 }
--- a/internal/platformconfig/document.go
+++ b/internal/platformconfig/document.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	firstInheritedFD = 3 // after the standard streams
+	firstInheritedFD = 3 // 0 to 2 are standard input, output and error
 	minSockets       = 32
 )
 
-// document is the file. The keys are the platform's.
+// document is the JSON document of the file. The platform defines its keys.
 type document struct {
 	Name               string          `json:"name"`
 	Listen             string          `json:"listen"`
@@ -28,8 +28,9 @@
 	Settings           json.RawMessage `json:"settings"`
 }
 
-// Parse reads the text of a file. env returns the value of an environment variable. An error
-// names the field, except for a text that is no JSON.
+// Parse reads a configuration from the content of a file. env returns the value of an
+// environment variable, and "" if it is not set. The text of an error begins with the name of
+// the invalid field, unless data is not valid JSON.
 func Parse(data []byte, env func(string) string) (*Config, error) {
 	doc, err := decodeDocument(data)
 	if err != nil {
@@ -49,7 +50,7 @@
 		return nil, err
 	}
 	if config.Seed, err = strconv.ParseUint(doc.Seed, 16, 64); err != nil {
-		return nil, fielderror.Errorf("seed", "%q is not up to 16 hex digits", doc.Seed)
+		return nil, fielderror.Errorf("seed", "expected 1 to 16 hex digits, got %q", doc.Seed)
 	}
 	if err := doc.Limits.validate(); err != nil {
 		return nil, err
@@ -58,7 +59,7 @@
 		return nil, err
 	}
 	if doc.FlowBytesPerSecond < 0 {
-		return nil, fielderror.Errorf("flow_bytes_per_s", "%v: negative", doc.FlowBytesPerSecond)
+		return nil, fielderror.Errorf("flow_bytes_per_s", "expected 0 or more, got %v", doc.FlowBytesPerSecond)
 	}
 	config.Settings.BodyBytesPerSecond = doc.FlowBytesPerSecond
 	config.Upstream.BytesPerSecond = doc.FlowBytesPerSecond
@@ -74,14 +75,14 @@
 	var wrongType *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &wrongType):
-		return nil, fielderror.Errorf(wrongType.Field, "is a %s", wrongType.Value)
+		return nil, fielderror.Errorf(wrongType.Field, "unexpected JSON %s", wrongType.Value)
 	case err != nil:
 		return nil, fmt.Errorf("config: %w", err)
 	}
 	return &doc, nil
 }
 
-// override replaces what the environment names.
+// override replaces the fields for which an environment variable is set.
 func (d *document) override(env func(string) string) {
 	for name, field := range map[string]*string{
 		envName:        &d.Name,
@@ -94,14 +95,14 @@
 	}
 }
 
-// parseListenFD reads the number of an inherited descriptor; "" is none.
+// parseListenFD returns the number of an inherited descriptor, or 0 if text is empty.
 func parseListenFD(text string) (int, error) {
 	if text == "" {
 		return 0, nil
 	}
 	fd, err := strconv.Atoi(text)
 	if err != nil || fd < firstInheritedFD {
-		return 0, fielderror.Errorf(envListenFD, "%q is not a descriptor from %d", text, firstInheritedFD)
+		return 0, fielderror.Errorf(envListenFD, "expected a descriptor number of at least %[2]d, got %[1]q", text, firstInheritedFD)
 	}
 	return fd, nil
 }
@@ -124,10 +125,10 @@
 
 func (l Limits) validate() error {
 	if l.MemoryMB < 0 || l.Sockets < 0 || l.Cores < 0 {
-		return fielderror.Errorf("limits", "%+v: negative", l)
+		return fielderror.Errorf("limits", "expected values of 0 or more, got %+v", l)
 	}
 	if l.Sockets > 0 && l.Sockets < minSockets {
-		return fielderror.Errorf("limits.sockets", "%d, want %d or more", l.Sockets, minSockets)
+		return fielderror.Errorf("limits.sockets", "expected at least %[2]d, got %[1]d", l.Sockets, minSockets)
 	}
 	return nil
 }
--- a/internal/platformconfig/events.go
+++ b/internal/platformconfig/events.go
@@ -13,17 +13,18 @@
 	"garnetline/routing"
 )
 
-// WatchEvent is one event of the change log: a change of the endpoint list, or a purge. A
-// purge of no object is neither.
+// WatchEvent is one event of the change log: a change of the endpoint list or a purge. An
+// event with ListUpdate false and Purge nil, such as the purge of object ID 0, changes
+// nothing.
 type WatchEvent struct {
-	Seq        uint64 // number of the event
-	ListUpdate bool   // Endpoints holds what changed
-	Snapshot   bool   // with ListUpdate: Endpoints holds the whole list
+	Seq        uint64 // sequence number of the event
+	ListUpdate bool   // the event changes the endpoint list; Endpoints holds the changed servers
+	Snapshot   bool   // set only with ListUpdate: Endpoints holds the whole list
 	Endpoints  []Endpoint
 	Purge      *Purge
 }
 
-// Endpoint is one server of the endpoint list, with its address.
+// Endpoint is one server of the endpoint list and its address.
 type Endpoint struct {
 	routing.Server
 	Addr netip.AddrPort
@@ -31,18 +32,18 @@
 
 // Purge is a purge of an object, or of a group of objects.
 type Purge struct {
-	Object routing.ObjectID // 0: of Group
+	Object routing.ObjectID // 0 if the purge is of Group
 	Group  int
-	At     float64 // Unix ms
+	At     float64 // time of the purge, Unix ms
 }
 
-// knownEvents are the events of before the router's start. The keys are the platform's.
+// knownEvents are the events before the router's start. The platform defines the keys.
 type knownEvents struct {
 	Seq     uint64          `json:"seq"`
 	Results []eventDocument `json:"results"`
 }
 
-// eventDocument is one event, either of the list or a purge.
+// eventDocument is one event: Fleet is set for a change of the endpoint list, Invalidate for a purge.
 type eventDocument struct {
 	Seq        uint64              `json:"seq"`
 	Fleet      *listUpdateDocument `json:"fleet"`
@@ -71,17 +72,18 @@
 	Time   float64 `json:"time"`
 }
 
-// objectIDLength is that of an object's id in text, in hex digits.
+// objectIDLength is the length of an object ID in text, in hex digits.
 const objectIDLength = 16
 
-// phasesByHealth are the platform's words for the phases of a server.
+// phasesByHealth maps the platform's health values to the phases of a server.
 var phasesByHealth = map[string]routing.Phase{
 	"ready":    routing.Ready,
 	"draining": routing.Draining,
 	"gone":     routing.Removed,
 }
 
-// parseKnownEvents reads the events of before the start, and the number of the last one.
+// parseKnownEvents appends the events to KnownEvents and raises KnownSeq to the largest of their
+// sequence numbers.
 func (c *Config) parseKnownEvents(known knownEvents) error {
 	for i, result := range known.Results {
 		event, err := c.parseEvent(result, fmt.Sprintf("known.results[%d]", i))
@@ -94,7 +96,7 @@
 	return nil
 }
 
-// parseEvent reads one event, which stands at a path of the file.
+// parseEvent converts one event. path is its position in the file, for errors.
 func (c *Config) parseEvent(doc eventDocument, path string) (WatchEvent, error) {
 	event := WatchEvent{Seq: doc.Seq}
 	switch {
@@ -115,7 +117,7 @@
 		}
 		event.Purge = purge
 	default:
-		return event, &FieldError{Field: path + ".fleet", Err: errors.New("missing, and no invalidate either")}
+		return event, &FieldError{Field: path + ".fleet", Err: errors.New("expected fleet or invalidate, got neither")}
 	}
 	return event, nil
 }
@@ -128,15 +130,15 @@
 	}
 	zone := indexOf(c.Zones, doc.Site)
 	if zone < 0 {
-		return endpoint, fielderror.Errorf(path+".site", "%q is not one of settings.areas", doc.Site)
+		return endpoint, fielderror.Errorf(path+".site", "expected one of settings.areas, got %q", doc.Site)
 	}
 	kind := indexOf(c.Kinds, doc.Class)
 	if kind < 0 {
-		return endpoint, fielderror.Errorf(path+".class", "%q is not one of settings.machine_types", doc.Class)
+		return endpoint, fielderror.Errorf(path+".class", "expected one of settings.machine_types, got %q", doc.Class)
 	}
 	phase, ok := phasesByHealth[doc.Health]
 	if !ok {
-		return endpoint, fielderror.Errorf(path+".health", "unknown word %q", doc.Health)
+		return endpoint, fielderror.Errorf(path+".health", "expected ready, draining or gone, got %q", doc.Health)
 	}
 	addr, err := netip.ParseAddrPort(doc.Dial)
 	if err != nil {
@@ -160,13 +162,13 @@
 	}
 	object, err := strconv.ParseUint(doc.Object, 16, 64)
 	if err != nil || len(doc.Object) != objectIDLength {
-		return nil, fielderror.Errorf(path+".object", "%q is not %d hex digits", doc.Object, objectIDLength)
+		return nil, fielderror.Errorf(path+".object", "expected %[2]d hex digits, got %[1]q", doc.Object, objectIDLength)
 	}
 	return &Purge{Object: routing.ObjectID(object), At: doc.Time}, nil
 }
 
-// StartTime converts the start of a server, in Unix milliseconds, for the routing module: 0
-// and less stand for long ago.
+// StartTime converts the start time of a server, in Unix milliseconds, to the form that the
+// routing module uses. It returns 0, which means a start long ago, if ms is 0 or negative.
 func StartTime(ms float64) time.Duration {
 	if ms <= 0 {
 		return 0
@@ -174,7 +176,7 @@
 	return clock.Duration(ms)
 }
 
-// indexOf returns the index of a name, or -1 also for an empty one.
+// indexOf returns the index of name in names, or -1 if name is missing or empty.
 func indexOf(names []string, name string) int {
 	if name == "" {
 		return -1
--- a/internal/platformconfig/golden_test.go
+++ b/internal/platformconfig/golden_test.go
@@ -10,7 +10,8 @@
 	"garnetline/routing"
 )
 
-// Pins what each key of the platform's JSON is read as; testdata/full.json has every key.
+// Guards the value that each key of the platform's JSON is parsed to. testdata/full.json has
+// every key.
 func TestGoldenConfig(t *testing.T) {
 	env := func(name string) string {
 		return map[string]string{"TMPDIR": "/state", "EDGE_LISTEN_FD": "7"}[name]
@@ -25,7 +26,7 @@
 	golden.Compare(t, "full.golden", []byte(text.String()))
 }
 
-// textLines is a text that is written line by line.
+// textLines builds a text line by line.
 type textLines struct{ strings.Builder }
 
 func (l *textLines) line(key string, values ...any) {
@@ -73,32 +74,33 @@
 	text.line("parent", s.ParentSlowStart.InitialCapacity, s.ParentSlowStart.Duration, s.ParentSlowStart.OverloadFactor, s.ParentSlowStart.OverloadWindow)
 }
 
-// jsonKeys writes the keys of a type that the platform's JSON is read into.
-func jsonKeys(out *strings.Builder, at string, v reflect.Type) {
+// writeJSONKeys writes the JSON path and the kind of each field of a type that the platform's
+// JSON is decoded into.
+func writeJSONKeys(out *strings.Builder, path string, typ reflect.Type) {
 	switch {
-	case v.Kind() == reflect.Pointer:
-		jsonKeys(out, at, v.Elem())
-	case v.Kind() == reflect.Slice && v.Elem().Kind() == reflect.Struct:
-		jsonKeys(out, at+"[]", v.Elem())
-	case v.Kind() == reflect.Struct:
-		for i := range v.NumField() {
-			jsonKeys(out, strings.TrimPrefix(at+"."+v.Field(i).Tag.Get("json"), "."), v.Field(i).Type)
+	case typ.Kind() == reflect.Pointer:
+		writeJSONKeys(out, path, typ.Elem())
+	case typ.Kind() == reflect.Slice && typ.Elem().Kind() == reflect.Struct:
+		writeJSONKeys(out, path+"[]", typ.Elem())
+	case typ.Kind() == reflect.Struct:
+		for i := range typ.NumField() {
+			writeJSONKeys(out, strings.TrimPrefix(path+"."+typ.Field(i).Tag.Get("json"), "."), typ.Field(i).Type)
 		}
 	default:
-		fmt.Fprintf(out, "%s %s\n", at, v.Kind())
+		fmt.Fprintf(out, "%s %s\n", path, typ.Kind())
 	}
 }
 
-// Pins the keys of the platform's JSON, the settings' own aside, which testdata/full.json
-// has.
+// Guards the names of the keys of the platform's JSON. The keys below settings are not part of
+// document; TestGoldenConfig guards them with testdata/full.json.
 func TestGoldenKeys(t *testing.T) {
 	var out strings.Builder
-	jsonKeys(&out, "", reflect.TypeOf(document{}))
+	writeJSONKeys(&out, "", reflect.TypeOf(document{}))
 	golden.Compare(t, "keys.golden", []byte(out.String()))
 }
 
-// unusableChanges are changes of validConfig that make it unusable.
-var unusableChanges = []struct{ text, replacement string }{
+// invalidChanges are replacements that each make validConfig invalid.
+var invalidChanges = []struct{ text, replacement string }{
 	{`{"name"`, `"name"`},
 	{`"127.0.0.1:5050"`, `"nowhere"`},
 	{`"127.0.0.1:5050"`, `17`},
@@ -133,21 +135,21 @@
 	{`"settings":{`, `"settings":[{`},
 }
 
-// Pins which field the error of a configuration that cannot be used names, up to its first
-// colon, and that it is one line.
+// Guards which field the error of an invalid configuration names, which is the text before its
+// first colon, and that the error is one line.
 func TestGoldenErrors(t *testing.T) {
 	var out strings.Builder
-	for _, change := range unusableChanges {
+	for _, change := range invalidChanges {
 		text := strings.Replace(validConfig, change.text, change.replacement, 1)
 		if text == validConfig {
-			t.Fatalf("%s is not in the text", change.text)
+			t.Fatalf("%s is not in validConfig", change.text)
 		}
 		if change.replacement == `"settings":[{` {
 			text = strings.TrimSuffix(text, "}") + "]}"
 		}
 		_, err := Parse([]byte(text), noEnvironment)
 		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Fatalf("%s: %v", change.replacement, err)
+			t.Fatalf("%s: got error %v, want one of a single line", change.replacement, err)
 		}
 		field, _, _ := strings.Cut(err.Error(), ": ")
 		fmt.Fprintf(&out, "%s -> %s\n", change.replacement, field)
@@ -171,7 +173,7 @@
 	golden.Compare(t, "errors.golden", []byte(out.String()))
 }
 
-// Pins which fields only a restart can change.
+// Guards which fields only a restart can change.
 func TestGoldenRestart(t *testing.T) {
 	config, err := Parse([]byte(validConfig), noEnvironment)
 	if err != nil {
@@ -200,7 +202,7 @@
 		}
 		next, err := Parse([]byte(text), noEnvironment)
 		if err != nil || text == validConfig {
-			t.Fatalf("%s: %v", change.replacement, err)
+			t.Fatalf("%s: got error %v, want a valid changed configuration", change.replacement, err)
 		}
 		fmt.Fprintf(&out, "%s -> %v\n", change.replacement, config.CheckReload(next))
 	}
--- a/internal/platformconfig/settings.go
+++ b/internal/platformconfig/settings.go
@@ -14,18 +14,19 @@
 	"garnetline/routing"
 )
 
-// Defaults of connections to servers.
+// Defaults for connections to servers.
 const (
 	defaultIdleTimeout    = 15_000.0 // ms
 	defaultConnectTimeout = 400.0    // ms
 	defaultMaxStreams     = 100
 )
 
-// absent is how the simulator's protocol writes a value that is not there.
-const absent = "-"
+// missingValue is the text of a missing value in the simulator's protocol.
+const missingValue = "-"
 
-// parseSettings reads the settings. They are nested JSON here; the simulator's protocol names
-// the same ones by path, and its reader is used for both.
+// parseSettings reads the settings from nested JSON. The simulator's protocol has the same
+// settings as pairs of path and value, so the JSON is flattened to such pairs and then parsed by
+// package simproto.
 func (c *Config) parseSettings(raw json.RawMessage) error {
 	if len(raw) == 0 {
 		return &FieldError{Field: "settings", Err: errors.New("missing")}
@@ -36,7 +37,7 @@
 	}
 	settings, reportFields, err := simproto.ParseSettings(values)
 	if err != nil {
-		return fmt.Errorf("settings.%w", err) // the error begins with the path
+		return fmt.Errorf("settings.%w", err) // the text of err begins with the path
 	}
 	if _, err := routing.New(settings, 0); err != nil {
 		return &FieldError{Field: "settings", Err: err}
@@ -49,7 +50,7 @@
 	return err
 }
 
-// parseUpstream reads what the settings say of connections to servers.
+// parseUpstream reads the settings for connections to servers.
 func parseUpstream(values map[string]string) (Upstream, error) {
 	upstream := Upstream{IdleTimeout: defaultIdleTimeout, ConnectTimeout: defaultConnectTimeout, MaxStreams: defaultMaxStreams}
 	if err := parseMicroseconds(values, "limits.conn_idle_us", &upstream.IdleTimeout); err != nil {
@@ -61,14 +62,15 @@
 	if text := values["limits.max_streams"]; text != "" {
 		streams, err := strconv.Atoi(text)
 		if err != nil || streams < 1 {
-			return upstream, fielderror.Errorf("settings.limits.max_streams", "%q is not a number from 1", text)
+			return upstream, fielderror.Errorf("settings.limits.max_streams", "expected a positive integer, got %q", text)
 		}
 		upstream.MaxStreams = streams
 	}
 	return upstream, nil
 }
 
-// parseMicroseconds reads the time of a path into milliseconds, if there is one.
+// parseMicroseconds converts the value at path from microseconds to milliseconds and stores it in
+// *milliseconds, which stays unchanged if there is no value.
 func parseMicroseconds(values map[string]string, path string, milliseconds *float64) error {
 	text := values[path]
 	if text == "" {
@@ -76,13 +78,13 @@
 	}
 	microseconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(microseconds > 0) || math.IsInf(microseconds, 0) {
-		return fielderror.Errorf("settings."+path, "%q is not a time in microseconds", text)
+		return fielderror.Errorf("settings."+path, "expected a positive number of microseconds, got %q", text)
 	}
 	*milliseconds = microseconds / 1000
 	return nil
 }
 
-// flattenSettings returns the values of a JSON object by path, in the form of the simulator's
+// flattenSettings returns the values of a JSON object by path, formatted as in the simulator's
 // protocol.
 func flattenSettings(raw json.RawMessage) (map[string]string, error) {
 	var tree map[string]any
@@ -96,8 +98,9 @@
 	return values, nil
 }
 
-// flatten adds a value and all below it. A list stands under its path with its plain
-// elements, and under path.count with the number of all.
+// flatten adds value and everything nested in it to values. For a list, the entry at path holds
+// the scalar elements, separated by commas, and the entry at path.count holds the number of all
+// elements.
 func flatten(values map[string]string, path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -105,26 +108,27 @@
 			flatten(values, strings.TrimPrefix(path+"."+key, "."), child)
 		}
 	case []any:
-		plain := make([]string, 0, len(value))
+		scalars := make([]string, 0, len(value))
 		for i, element := range value {
 			switch element.(type) {
 			case map[string]any, []any:
 				flatten(values, path+"."+strconv.Itoa(i), element)
 			default:
-				plain = append(plain, formatScalar(element))
+				scalars = append(scalars, formatScalar(element))
 			}
 		}
 		values[path+".count"] = strconv.Itoa(len(value))
-		values[path] = strings.Join(plain, ",")
+		values[path] = strings.Join(scalars, ",")
 	default:
 		values[path] = formatScalar(value)
 	}
 }
 
-// formatScalar writes a plain value without the characters that separate values.
+// formatScalar returns the text of a scalar with "_" for spaces and commas, which separate values
+// in the simulator's protocol.
 func formatScalar(value any) string {
 	if value == nil {
-		return absent
+		return missingValue
 	}
 	return strings.NewReplacer(" ", "_", ",", "_").Replace(fmt.Sprint(value))
 }
