--- a/internal/operatorconfig/config.go
+++ b/internal/operatorconfig/config.go
@@ -1,6 +1,7 @@
-// Package operatorconfig reads the operators' file, deploy/garnetline.hcl: one block for each
-// feature that the platform's configuration does not know. Without a file all of them are
-// off. A Config is read whole and then not changed; a reload replaces it.
+// Package operatorconfig reads the operators' file, for example deploy/garnetline.hcl. The file
+// has one block for each feature that the platform's configuration has no settings for. Without
+// a file, these features are off. A Config is not modified after Load returned it: a reload
+// replaces the whole Config.
 package operatorconfig
 
 import (
@@ -21,10 +22,10 @@
 	blockDNS    = "dns"
 	blockTrace  = "trace"
 	blockFleet  = "fleet"
-	blockLeases = "duties" // as it was called first
+	blockLeases = "duties" // original name of the leases, which the file keeps
 )
 
-// Config is the operators' file.
+// Config is the content of the operators' file.
 type Config struct {
 	Log    Log
 	DNS    dnsfront.Config
@@ -35,10 +36,10 @@
 
 // Log configures the program's log.
 type Log struct {
-	Level string `hcl:"level,optional"` // one of logs.Levels
+	Level string `hcl:"level,optional"` // name of the lowest level that is written, one of logs.Levels
 }
 
-// Default returns what holds without a file.
+// Default returns the configuration that applies without a file.
 func Default() Config {
 	return Config{
 		Log:    Log{Level: "info"},
@@ -49,8 +50,9 @@
 	}
 }
 
-// Load reads a file; path "" stands for none. It returns the defaults beside an error, which
-// is one line. For all but a file that cannot be opened, it is a ConfigError.
+// Load reads the file at path, or returns the defaults if path is "". If it returns an error,
+// the Config holds the defaults. The error is one line. It is a ConfigError unless the file
+// could not be read.
 func Load(path string) (Config, error) {
 	config := Default()
 	if path == "" {
@@ -73,7 +75,8 @@
 	return config, nil
 }
 
-// decode reads the blocks that are there over the values that config holds.
+// decode overwrites the values in c with those of the blocks in the file. Values that the file
+// does not set stay unchanged.
 func (c *Config) decode(body hcl.Body) hcl.Diagnostics {
 	blocks := struct {
 		Log    *Log             `hcl:"log,block"`
@@ -85,8 +88,8 @@
 	return gohcl.DecodeBody(body, nil, &blocks)
 }
 
-// validate checks each block, after it has completed it with defaults that depend on other
-// values. It returns the first block that cannot be used, and a fielderror.Error.
+// validate checks each block and fills in defaults that depend on other values. It returns the
+// name of the first invalid block and a fielderror.Error.
 func (c *Config) validate() (block string, err error) {
 	for _, check := range []struct {
 		block    string
@@ -112,5 +115,5 @@
 	return nil
 }
 
-// within reports whether a value lies in a range, which includes its ends. NaN does not.
-func within(value, least, most float64) bool { return value >= least && value <= most }
+// within reports whether low <= value <= high. It is false for NaN.
+func within(value, low, high float64) bool { return value >= low && value <= high }
--- a/internal/operatorconfig/config_test.go
+++ b/internal/operatorconfig/config_test.go
@@ -15,31 +15,33 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f, err := Load(path)
+	config, err := Load(path)
 	if err != nil {
-		err = &shortError{strings.ReplaceAll(err.Error(), path, "x.hcl")}
+		err = &relativePathError{strings.ReplaceAll(err.Error(), path, "x.hcl")}
 	}
-	return f, err
+	return config, err
 }
 
-type shortError struct{ s string }
+// relativePathError has the text of an error of Load with x.hcl for the path of the temporary file.
+type relativePathError struct{ text string }
 
-func (s *shortError) Error() string { return s.s }
+func (e *relativePathError) Error() string { return e.text }
 
-// The file that is shipped is the default, and what a file leaves out is too.
+// Guards that the shipped file has the default values, and that values missing in a file get
+// their defaults.
 func TestShippedFileMatchesDefault(t *testing.T) {
-	f, err := Load("../../deploy/garnetline.hcl")
-	if err != nil || f.DNS != Default().DNS || f.Log != Default().Log || f.Trace.Enabled || !reflect.DeepEqual(withoutNilLists(f.Fleet), withoutNilLists(Default().Fleet)) {
-		t.Errorf("%+v, %v", f, err)
+	config, err := Load("../../deploy/garnetline.hcl")
+	if err != nil || config.DNS != Default().DNS || config.Log != Default().Log || config.Trace.Enabled || !reflect.DeepEqual(withoutNilLists(config.Fleet), withoutNilLists(Default().Fleet)) {
+		t.Errorf("got config %+v and error %v, want the defaults", config, err)
 	}
-	f, err = loadText(t, `dns { enabled = true }`)
-	if err != nil || !f.DNS.Enabled || f.DNS.Zone != "garnetline.local." || f.Log.Level != "info" {
-		t.Errorf("%+v, %v", f, err)
+	config, err = loadText(t, `dns { enabled = true }`)
+	if err != nil || !config.DNS.Enabled || config.DNS.Zone != "garnetline.local." || config.Log.Level != "info" {
+		t.Errorf("got config %+v and error %v, want dns enabled and the defaults", config, err)
 	}
 }
 
-// What cannot be used is one line with file, line and field, and nothing of the file
-// holds.
+// Guards that the error for an invalid file is one line that names the file, line and field, and
+// that Load then returns the defaults instead of a part of the file.
 func TestErrorsNameFileLineAndField(t *testing.T) {
 	for text, want := range map[string]string{
 		"log {\n  level = \"loud\"\n}":                                                              "x.hcl:2: log: level: ",
@@ -47,7 +49,7 @@
 		"trace {\n enabled = true\n}":                                                               "x.hcl:2: trace: enabled: ",
 		"trace {\n folder = \"/x\"\n segment_mb = 0\n}":                                             "x.hcl:3: trace: segment_mb: ",
 		"trace {\n keep_mb = 9\n}":                                                                  "x.hcl:2: trace: keep_mb: ",
-		"trace {\n class \"a\" {}\n class \"a\" {}\n}":                                              "x.hcl:1: trace: class \"a\": named twice",
+		"trace {\n class \"a\" {}\n class \"a\" {}\n}":                                              "x.hcl:1: trace: class \"a\": duplicate name",
 		"trace {\n collector { url = \"ftp://x\" }\n}":                                              "x.hcl:1: trace: collector: url: ",
 		"dns {\n colour = 1\n}":                                                                     "x.hcl:2: Unsupported argument",
 		"fleet {\n enabled = true\n}":                                                               "x.hcl:1: fleet: keys: ",
@@ -64,54 +66,57 @@
 		"trace {\n class \"a\" { wanted_ms = -1 }\n}": "x.hcl:1: trace: class \"a\": ",
 		"trace {\n collector {\n url = \"http://127.0.0.1\"\n queue = -1\n}\n}": "x.hcl:1: trace: collector: ",
 	} {
-		f, err := loadText(t, text)
+		config, err := loadText(t, text)
 		if err == nil || !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v, want %s", text, err, want)
+			t.Errorf("%q: got error %v, want one line that begins with %s", text, err, want)
 		}
-		if f.Log != Default().Log || f.DNS != Default().DNS {
-			t.Errorf("%q: a part of it holds", text)
+		if config.Log != Default().Log || config.DNS != Default().DNS {
+			t.Errorf("%q: got values of the invalid file, want the defaults", text)
 		}
 	}
 }
 
-// What only a restart can change is named.
+// Guards that CheckReload names the block with a field that only a restart can change.
 func TestCheckReload(t *testing.T) {
-	f, next := Default(), Default()
+	current, next := Default(), Default()
 	next.Log.Level, next.Trace.OrdinaryPerSecond = "debug", 9
-	if err := f.CheckReload(next); err != nil {
+	if err := current.CheckReload(next); err != nil {
 		t.Error(err)
 	}
 	next.DNS.Listen = "127.0.0.1:1"
-	if err := f.CheckReload(next); err == nil || !strings.HasPrefix(err.Error(), "dns: ") {
+	if err := current.CheckReload(next); err == nil || !strings.HasPrefix(err.Error(), "dns: ") {
 		t.Error(err)
 	}
 	next = Default()
 	next.Trace.Dir = "/x"
-	if err := f.CheckReload(next); err == nil || !strings.HasPrefix(err.Error(), "trace: ") {
+	if err := current.CheckReload(next); err == nil || !strings.HasPrefix(err.Error(), "trace: ") {
 		t.Error(err)
 	}
 }
 
-// withoutNilLists is a fleet's block with lists that are there, if empty.
-func withoutNilLists(f Fleet) Fleet {
-	f.Join, f.Keys = append([]string{}, f.Join...), append([]string{}, f.Keys...)
-	return f
+// withoutNilLists returns the fleet block with empty lists in place of nil ones, so that
+// reflect.DeepEqual treats both alike.
+func withoutNilLists(fleet Fleet) Fleet {
+	fleet.Join, fleet.Keys = append([]string{}, fleet.Join...), append([]string{}, fleet.Keys...)
+	return fleet
 }
 
-// Keys and addresses to join at can be changed while a router runs, and nothing else.
+// Guards that keys and join are the only fields of the fleet block that can change while a router
+// runs.
 func TestFleetCheckReload(t *testing.T) {
-	a, b := Default(), Default()
-	b.Fleet.Keys, b.Fleet.Join = []string{"x"}, []string{"y"}
-	if err := a.CheckReload(b); err != nil {
+	current, next := Default(), Default()
+	next.Fleet.Keys, next.Fleet.Join = []string{"x"}, []string{"y"}
+	if err := current.CheckReload(next); err != nil {
 		t.Error(err)
 	}
-	b.Fleet.Listen = "127.0.0.1:1"
-	if err := a.CheckReload(b); err == nil || !strings.HasPrefix(err.Error(), "fleet: ") {
+	next.Fleet.Listen = "127.0.0.1:1"
+	if err := current.CheckReload(next); err == nil || !strings.HasPrefix(err.Error(), "fleet: ") {
 		t.Error(err)
 	}
 }
 
-// File, line, block and field of an error are to be had without its text.
+// Guards that a caller can get the file, line, block and field of an error without parsing its
+// text.
 func TestConfigError(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.hcl")
 	for text, want := range map[string]ConfigError{
@@ -125,11 +130,11 @@
 		_, err := Load(path)
 		var got *ConfigError
 		if !errors.As(err, &got) || got.Unwrap() == nil {
-			t.Fatalf("%q: %#v", text, err)
+			t.Fatalf("%q: got error %#v, want a ConfigError with a cause", text, err)
 		}
 		want.Err = got.Err
 		if *got != want {
-			t.Errorf("%q: %+v, want %+v", text, *got, want)
+			t.Errorf("%q: got %+v, want %+v", text, *got, want)
 		}
 	}
 	next := Default()
@@ -137,6 +142,6 @@
 	config := Default()
 	var got *ConfigError
 	if err := config.CheckReload(next); !errors.As(err, &got) || got.Block != "dns" {
-		t.Errorf("%#v", err)
+		t.Errorf("got error %#v, want a ConfigError of the block dns", err)
 	}
 }
--- a/internal/operatorconfig/error.go
+++ b/internal/operatorconfig/error.go
@@ -11,16 +11,16 @@
 	"garnetline/internal/fielderror"
 )
 
-// ConfigError reports the first thing in an operators' file that cannot be used.
+// ConfigError reports the first error in an operators' file.
 type ConfigError struct {
-	File  string // "" from CheckReload
-	Line  int    // of the field, or else of the block; 0: not known
-	Block string // "" where the file could not be parsed
-	Field string // where Err is a fielderror.Error, the field that it names
-	Err   error
+	File  string // path of the file; "" in an error of CheckReload
+	Line  int    // line of the field, or of the block if the field has none; 0 if unknown
+	Block string // name of the block; "" if the file could not be parsed or decoded
+	Field string // field that Err names if Err is a fielderror.Error; "" otherwise
+	Err   error  // cause
 }
 
-// Error returns file, line, block and cause in one line.
+// Error returns the file, line, block and cause in one line.
 func (e *ConfigError) Error() string {
 	text := e.Err.Error()
 	if e.Block != "" {
@@ -40,7 +40,7 @@
 
 var lineBreaks = regexp.MustCompile(`\s*\n\s*`)
 
-// parseError returns the first error among diagnostics.
+// parseError returns the first error in diagnostics as a ConfigError.
 func parseError(diagnostics hcl.Diagnostics) error {
 	for _, diagnostic := range diagnostics {
 		if diagnostic.Severity != hcl.DiagError {
@@ -57,8 +57,9 @@
 	return diagnostics
 }
 
-// blockError returns an error of a block with its position, or with that of the field where
-// err is a fielderror.Error.
+// blockError returns a ConfigError for err, which validate returned for block. Its line is that
+// of the field if err is a fielderror.Error and the block sets the field, and otherwise that of
+// the block.
 func blockError(file *hcl.File, path, block string, err error) error {
 	result := &ConfigError{File: path, Block: block, Err: err}
 	var invalid *fielderror.Error
--- a/internal/operatorconfig/fleet.go
+++ b/internal/operatorconfig/fleet.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	maxNameLength           = 64 // of a router, a fleet or a zone
+	maxNameLength           = 64 // bytes, for the name of a router, a fleet or a zone
 	defaultPacketsPerSecond = 500
 	defaultBytesPerSecond   = 100_000
 )
 
-// Fleet configures how a router knows the others of its installation. Times are milliseconds.
+// Fleet configures the membership protocol, by which a router finds the other routers of its
+// installation. Times are in milliseconds.
 type Fleet struct {
 	Enabled   bool     `hcl:"enabled,optional"`
-	Name      string   `hcl:"name,optional"`      // packets of a fleet of another name are dropped
-	Listen    string   `hcl:"listen,optional"`    // UDP; port 0: any
-	Advertise string   `hcl:"advertise,optional"` // where the others send to; "": Listen
-	Join      []string `hcl:"join,optional"`      // addresses at which others may be
-	Keys      []string `hcl:"keys,optional"`      // the first one encrypts, each decrypts
-	Zone      string   `hcl:"zone,optional"`      // "": that of the platform's configuration
+	Name      string   `hcl:"name,optional"`      // packets from a fleet with another name are dropped
+	Listen    string   `hcl:"listen,optional"`    // UDP address; the system chooses a port in place of port 0
+	Advertise string   `hcl:"advertise,optional"` // address that other routers send to; "" for Listen
+	Join      []string `hcl:"join,optional"`      // addresses at which other routers may be reachable
+	Keys      []string `hcl:"keys,optional"`      // the first key encrypts; all keys can decrypt
+	Zone      string   `hcl:"zone,optional"`      // "" for the zone in the platform's configuration
 
 	ProbeInterval       float64 `hcl:"probe_ms,optional"`
 	ProbeTimeout        float64 `hcl:"timeout_ms,optional"`
@@ -34,11 +35,11 @@
 	PacketsPerSecond    float64 `hcl:"packets_per_s,optional"`
 	BytesPerSecond      float64 `hcl:"bytes_per_s,optional"`
 
-	RecentWindow   float64 `hcl:"lately_ms,optional"`
-	TogetherShare  float64 `hcl:"together_share,optional"`
-	SilenceTimeout float64 `hcl:"alone_after_silence_ms,optional"`
-	DowngradeDelay float64 `hcl:"less_room_after_ms,optional"`
-	UpgradeDelay   float64 `hcl:"more_room_after_ms,optional"`
+	RecentWindow   float64 `hcl:"lately_ms,optional"`              // a router that was present within this time is expected to be present
+	TogetherShare  float64 `hcl:"together_share,optional"`         // least share of the expected routers for the state together
+	SilenceTimeout float64 `hcl:"alone_after_silence_ms,optional"` // the state is alone if no packet arrives for this long
+	DowngradeDelay float64 `hcl:"less_room_after_ms,optional"`     // time that the evidence for a state that permits less must last
+	UpgradeDelay   float64 `hcl:"more_room_after_ms,optional"`     // time that the evidence for a state that permits more must last
 }
 
 func defaultFleet() Fleet {
@@ -71,8 +72,8 @@
 	return err
 }
 
-// TransportSettings returns the settings of the transport, and of membership and connectivity
-// above it. Errors are fielderror.Error.
+// TransportSettings returns the settings of the transport, and those of membership and
+// connectivity, which use the transport. An error is a fielderror.Error.
 func (f *Fleet) TransportSettings() (transport.Settings, error) {
 	settings := transport.Settings{
 		FleetName:        f.Name,
@@ -84,7 +85,7 @@
 		return settings, err
 	}
 	if f.Name == "" || len(f.Name) > maxNameLength || len(f.Zone) > maxNameLength {
-		return settings, fielderror.Errorf("name", "want 1 to %[1]d bytes, and a zone of %[1]d at the most", maxNameLength)
+		return settings, fielderror.Errorf("name", "expected a name of 1 to %[1]d bytes and a zone of at most %[1]d bytes", maxNameLength)
 	}
 	if err := f.parseAddresses(&settings); err != nil {
 		return settings, err
@@ -94,11 +95,11 @@
 	return settings, err
 }
 
-// validateRanges checks the numbers.
+// validateRanges checks that each number is within its range.
 func (f *Fleet) validateRanges() error {
 	for _, field := range []struct {
-		name               string
-		value, least, most float64
+		name             string
+		value, low, high float64
 	}{
 		{"probe_ms", f.ProbeInterval, 20, 60_000},
 		{"timeout_ms", f.ProbeTimeout, 5, f.ProbeInterval / 2},
@@ -114,14 +115,14 @@
 		{"less_room_after_ms", f.DowngradeDelay, 0, 600_000},
 		{"more_room_after_ms", f.UpgradeDelay, f.DowngradeDelay, 600_000},
 	} {
-		if !within(field.value, field.least, field.most) {
-			return fielderror.Errorf(field.name, "want %v to %v", field.least, field.most)
+		if !within(field.value, field.low, field.high) {
+			return fielderror.Errorf(field.name, "expected a number from %v to %v", field.low, field.high)
 		}
 	}
 	return nil
 }
 
-// parseAddresses reads the addresses into settings.
+// parseAddresses parses the addresses and stores them in settings.
 func (f *Fleet) parseAddresses(settings *transport.Settings) error {
 	var err error
 	if settings.ListenAddr, err = netip.ParseAddrPort(f.Listen); err != nil {
@@ -134,12 +135,12 @@
 		}
 	}
 	if settings.AdvertiseAddr.Addr().IsUnspecified() {
-		return fielderror.Errorf("advertise", "wanted where listen names no address of its own")
+		return fielderror.Errorf("advertise", "expected a specific IP address in advertise or listen, got an unspecified one")
 	}
 	for i, text := range f.Join {
 		seed, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return fielderror.Errorf("join", "the one in place %d: %w", i+1, err)
+			return fielderror.Errorf("join", "address %d: %w", i+1, err)
 		}
 		settings.Seeds = append(settings.Seeds, seed)
 	}
--- a/internal/operatorconfig/golden_test.go
+++ b/internal/operatorconfig/golden_test.go
@@ -9,7 +9,7 @@
 	"garnetline/internal/golden"
 )
 
-// formatKeys writes each key that a block is read from with its value, by the tags.
+// formatKeys writes each key of a block, taken from the hcl tags, with its value.
 func formatKeys(out *strings.Builder, path string, value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Pointer:
@@ -35,54 +35,55 @@
 	}
 }
 
-func formatConfig(f *Config) string {
+func formatConfig(config *Config) string {
 	var out strings.Builder
 	for _, block := range []struct {
-		name string
-		of   any
-	}{{"log", f.Log}, {"dns", f.DNS}, {"trace", f.Trace}, {"fleet", f.Fleet}, {"duties", f.Leases}} {
-		formatKeys(&out, block.name, reflect.ValueOf(block.of))
+		name  string
+		value any
+	}{{"log", config.Log}, {"dns", config.DNS}, {"trace", config.Trace}, {"fleet", config.Fleet}, {"duties", config.Leases}} {
+		formatKeys(&out, block.name, reflect.ValueOf(block.value))
 	}
 	return out.String()
 }
 
-// Pins every block and key of the operators' file with the value that is read from it and
-// with its default; testdata/full.hcl has every key.
+// Guards the name of every block and key of the operators' file, the value that it is parsed to
+// and its default. testdata/full.hcl has every key.
 func TestGoldenKeys(t *testing.T) {
-	f, err := Load("testdata/full.hcl")
+	config, err := Load("testdata/full.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Compare(t, "full.golden", []byte(formatConfig(&f)))
-	f, err = loadText(t, "trace {\n class \"a\" {}\n collector { url = \"http://127.0.0.1\" }\n}\nduties {\n prober {}\n first_try {}\n bans {}\n}")
+	golden.Compare(t, "full.golden", []byte(formatConfig(&config)))
+	config, err = loadText(t, "trace {\n class \"a\" {}\n collector { url = \"http://127.0.0.1\" }\n}\nduties {\n prober {}\n first_try {}\n bans {}\n}")
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Compare(t, "default.golden", []byte(formatConfig(&f)))
+	golden.Compare(t, "default.golden", []byte(formatConfig(&config)))
 }
 
-// Pins what membership, connectivity, transport and leases are given for the keys of the file, by values.
+// Guards the settings of transport, membership, connectivity and leases that result from the
+// values in testdata/full.hcl.
 func TestGoldenTransport(t *testing.T) {
-	f, err := Load("testdata/full.hcl")
+	config, err := Load("testdata/full.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := f.Fleet.TransportSettings()
+	settings, err := config.Fleet.TransportSettings()
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	m, st := s.Node.Membership, s.Node.Connectivity
-	fmt.Fprintln(&out, s.FleetName, s.ListenAddr, s.AdvertiseAddr, s.Seeds, s.PacketsPerSecond, s.BytesPerSecond)
-	fmt.Fprintln(&out, m.ProbeInterval, m.ProbeTimeout, m.MinSuspicionTimeout, m.SyncInterval, m.ReconnectInterval, m.MaxMembers)
-	fmt.Fprintln(&out, st.RecentWindow, st.TogetherShare, st.SilenceTimeout, st.DowngradeDelay, st.UpgradeDelay, st.MaxUpgradeDelay)
-	a := f.Leases.ConsensusSettings()
-	fmt.Fprintln(&out, a.ElectionTicks, a.Lease.TTL, a.Lease.SafetyMargin, a.Lease.MaxClockDrift, a.Lease.RetryInterval)
+	membership, connectivity := settings.Node.Membership, settings.Node.Connectivity
+	fmt.Fprintln(&out, settings.FleetName, settings.ListenAddr, settings.AdvertiseAddr, settings.Seeds, settings.PacketsPerSecond, settings.BytesPerSecond)
+	fmt.Fprintln(&out, membership.ProbeInterval, membership.ProbeTimeout, membership.MinSuspicionTimeout, membership.SyncInterval, membership.ReconnectInterval, membership.MaxMembers)
+	fmt.Fprintln(&out, connectivity.RecentWindow, connectivity.TogetherShare, connectivity.SilenceTimeout, connectivity.DowngradeDelay, connectivity.UpgradeDelay, connectivity.MaxUpgradeDelay)
+	consensus := config.Leases.ConsensusSettings()
+	fmt.Fprintln(&out, consensus.ElectionTicks, consensus.Lease.TTL, consensus.Lease.SafetyMargin, consensus.Lease.MaxClockDrift, consensus.Lease.RetryInterval)
 	golden.Compare(t, "fleet.golden", []byte(out.String()))
 }
 
-// Pins where the error of a file that cannot be used points: file, line, block and field, or
-// what the reader of the language says; and that it is one line.
+// Guards that the error for an invalid file is one line, and which file, line, block and field it
+// names. For an HCL error, it guards the file, line and summary.
 func TestGoldenErrors(t *testing.T) {
 	const fleet = "fleet {\n enabled = true\n keys = [\"sixteen bytes or more\"]\n "
 	const duties = fleet + "}\nduties {\n enabled = true\n electors = [\"a\", \"b\", \"c\"]\n "
@@ -105,7 +106,7 @@
 	} {
 		_, err := loadText(t, text)
 		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Fatalf("%q: %v", text, err)
+			t.Fatalf("%q: got error %v, want one of a single line", text, err)
 		}
 		parts := strings.SplitN(err.Error(), ": ", 4)
 		fmt.Fprintf(&out, "%q -> %s\n", text, strings.Join(parts[:min(3, len(parts)-1)], ": "))
@@ -113,9 +114,9 @@
 	golden.Compare(t, "errors.golden", []byte(out.String()))
 }
 
-// Pins which blocks only a restart can change.
+// Guards which blocks and fields only a restart can change.
 func TestGoldenRestart(t *testing.T) {
-	f := Default()
+	current := Default()
 	var out strings.Builder
 	for _, text := range []string{"log {\n level = \"off\"\n}", "dns {\n patience_ms = 2\n}", "trace {\n enabled = true\n folder = \"x\"\n}",
 		"trace {\n folder = \"x\"\n}", "trace {\n secret = \"x\"\n}", "trace {\n peers = true\n}", "trace {\n collector { url = \"http://x\" }\n}",
@@ -124,7 +125,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&out, "%q -> %v\n", text, f.CheckReload(next))
+		fmt.Fprintf(&out, "%q -> %v\n", text, current.CheckReload(next))
 	}
 	golden.Compare(t, "restart.golden", []byte(out.String()))
 }
--- a/internal/operatorconfig/leases.go
+++ b/internal/operatorconfig/leases.go
@@ -8,14 +8,13 @@
 	"garnetline/internal/fleet/recoveryprobe"
 )
 
-// Bounds and defaults of leases and of the features that rest on them. Times are
-// milliseconds.
+// Bounds and defaults of leases and of the features that use them. Times are in milliseconds.
 const (
 	defaultElectionTimeout = 600.0
 	minElectionTimeout     = 200.0
 	maxElectionTimeout     = 60_000.0
 	minElectionTicks       = 4
-	maxReturnRate          = 10_000.0 // routers a second
+	maxReturnRate          = 10_000.0 // routers per second
 	minBanPollInterval     = 50.0
 	maxBanPollInterval     = 60_000.0
 	defaultBanReadyTimeout = 5000.0
@@ -24,22 +23,22 @@
 	defaultReportInterval  = 250.0
 	minReportInterval      = 20.0
 	maxReportInterval      = 60_000.0
-	defaultReportMultiple  = 4 // of the shortest interval between load reports, for the longest
+	defaultReportMultiple  = 4 // default ratio of the longest to the shortest interval between load reports
 	maxSlowReportInterval  = 600_000.0
 	minVoters              = 3
-	maxVoters              = 5 // and no number between
+	maxVoters              = 5 // a number between minVoters and maxVoters is invalid too
 )
 
-// Leases configures what one router does on behalf of all, as the voters of the lease
-// registry agree. Times are milliseconds.
+// Leases configures the leases by which the voters of the lease registry assign a task to a
+// single router, which does it on behalf of all. Times are in milliseconds.
 type Leases struct {
 	Enabled         bool     `hcl:"enabled,optional"`
-	Voters          []string `hcl:"electors,optional"` // names of the three or five routers that keep the registry
-	WALDir          string   `hcl:"folder,optional"`   // of a voter's write-ahead log
+	Voters          []string `hcl:"electors,optional"` // names of the three or five routers that replicate the registry
+	WALDir          string   `hcl:"folder,optional"`   // directory of a voter's write-ahead log
 	Duration        float64  `hcl:"lease_ms,optional"`
-	SafetyMargin    float64  `hcl:"margin_ms,optional"`
-	MaxClockDrift   float64  `hcl:"drift,optional"`
-	RetryInterval   float64  `hcl:"retry_ms,optional"`
+	SafetyMargin    float64  `hcl:"margin_ms,optional"` // the holder stops this much earlier, and the registry waits this much longer
+	MaxClockDrift   float64  `hcl:"drift,optional"`     // largest ratio by which the rates of two clocks may differ
+	RetryInterval   float64  `hcl:"retry_ms,optional"`  // a request without a response is repeated at another voter after this time
 	ElectionTimeout float64  `hcl:"election_ms,optional"`
 
 	LoadReport    *LoadReport    `hcl:"prober,block"`
@@ -47,21 +46,24 @@
 	Bans          *Bans          `hcl:"bans,block"`
 }
 
-// LoadReport has one router ask the servers of its zone for their load.
+// LoadReport configures the lease by which one router polls the servers of its zone for their
+// load. Times are in milliseconds.
 type LoadReport struct {
-	MinInterval float64 `hcl:"every_ms,optional"` // of one server, while its load changes
-	MaxInterval float64 `hcl:"most_ms,optional"`  // while it does not
+	MinInterval float64 `hcl:"every_ms,optional"` // between polls of one server while its load changes
+	MaxInterval float64 `hcl:"most_ms,optional"`  // between polls of one server while its load is steady
 }
 
-// RecoveryProbe has one router of a zone probe ejected servers first.
+// RecoveryProbe configures the lease by which one router of a zone probes ejected servers before
+// the others use them.
 type RecoveryProbe struct {
-	ReturnRate float64 `hcl:"routers_per_s,optional"` // that send again once the probe succeeded
+	ReturnRate float64 `hcl:"routers_per_s,optional"` // routers per second that resume sending to the server after the probe succeeded
 }
 
-// Bans has the lease registry keep which servers operators disabled.
+// Bans configures the ban list in the lease registry, which records the servers that operators
+// disabled. Times are in milliseconds.
 type Bans struct {
 	PollInterval float64 `hcl:"every_ms,optional"`      // between reads of the registry
-	ReadyTimeout float64 `hcl:"ready_wait_ms,optional"` // for the first read of a router that starts
+	ReadyTimeout float64 `hcl:"ready_wait_ms,optional"` // time that a starting router waits for its first read
 }
 
 func defaultLeases() Leases {
@@ -75,7 +77,7 @@
 	}
 }
 
-// ConsensusSettings returns the settings of the voters and of the lease holders.
+// ConsensusSettings returns the settings for the voters and the lease holders.
 func (l *Leases) ConsensusSettings() consensus.Settings {
 	settings := consensus.DefaultSettings()
 	settings.ElectionTicks = max(minElectionTicks, int(l.ElectionTimeout/settings.TickInterval))
@@ -86,8 +88,8 @@
 	return settings
 }
 
-// validate checks the block and completes the blocks in it. They are checked even if leases
-// are not enabled.
+// validate checks the block, and fills in the defaults of its nested blocks. It checks the nested
+// blocks even if leases are disabled.
 func (l *Leases) validate(fleetEnabled bool) error {
 	if l.RecoveryProbe != nil {
 		if err := l.RecoveryProbe.complete(); err != nil {
@@ -108,11 +110,11 @@
 	case !l.Enabled:
 		return nil
 	case !fleetEnabled:
-		return fielderror.Errorf("enabled", "wants a fleet that is enabled too")
+		return fielderror.Errorf("enabled", "expected the fleet block to be enabled too")
 	case len(l.Voters) != minVoters && len(l.Voters) != maxVoters:
-		return fielderror.Errorf("electors", "want %d or %d names, not %d", minVoters, maxVoters, len(l.Voters))
+		return fielderror.Errorf("electors", "expected %d or %d names, got %d", minVoters, maxVoters, len(l.Voters))
 	case !within(l.ElectionTimeout, minElectionTimeout, maxElectionTimeout):
-		return fielderror.Errorf("election_ms", "want %.0f to %.0f", minElectionTimeout, maxElectionTimeout)
+		return fielderror.Errorf("election_ms", "expected a time from %.0f to %.0f ms", minElectionTimeout, maxElectionTimeout)
 	}
 	if err := l.validateVoters(); err != nil {
 		return err
@@ -124,25 +126,25 @@
 	seen := map[string]bool{}
 	for _, name := range l.Voters {
 		if name == "" || len(name) > maxNameLength || seen[name] {
-			return fielderror.Errorf("electors", "%q is no name, or named twice", name)
+			return fielderror.Errorf("electors", "expected a unique name of valid length, got %q", name)
 		}
 		seen[name] = true
 	}
 	return nil
 }
 
-// complete fills in defaults and checks the result.
+// complete fills in the defaults of fields that are 0 and checks the result.
 func (p *RecoveryProbe) complete() error {
 	if p.ReturnRate == 0 {
 		p.ReturnRate = recoveryprobe.DefaultSettings().ReturnRate
 	}
 	if !within(p.ReturnRate, 1, maxReturnRate) {
-		return fielderror.Errorf("first_try", "%w", fielderror.Errorf("routers_per_s", "want 1 to %.0f", maxReturnRate))
+		return fielderror.Errorf("first_try", "%w", fielderror.Errorf("routers_per_s", "expected a rate from 1 to %.0f", maxReturnRate))
 	}
 	return nil
 }
 
-// complete fills in defaults and checks the result.
+// complete fills in the defaults of fields that are 0 and checks the result.
 func (b *Bans) complete() error {
 	if b.PollInterval == 0 {
 		b.PollInterval = bans.DefaultSettings().PollInterval
@@ -153,12 +155,12 @@
 	pollOK := within(b.PollInterval, minBanPollInterval, maxBanPollInterval)
 	readyOK := within(b.ReadyTimeout, minBanReadyTimeout, maxBanReadyTimeout)
 	if !pollOK || !readyOK {
-		return fielderror.Errorf("bans", "every_ms or ready_wait_ms out of range")
+		return fielderror.Errorf("bans", "every_ms or ready_wait_ms is out of range")
 	}
 	return nil
 }
 
-// complete fills in defaults and checks the result.
+// complete fills in the defaults of fields that are 0 and checks the result.
 func (r *LoadReport) complete() error {
 	if r.MinInterval == 0 {
 		r.MinInterval = defaultReportInterval
@@ -169,7 +171,7 @@
 	minOK := within(r.MinInterval, minReportInterval, maxReportInterval)
 	maxOK := within(r.MaxInterval, r.MinInterval, maxSlowReportInterval)
 	if !minOK || !maxOK {
-		return fielderror.Errorf("prober", "every_ms or most_ms out of range")
+		return fielderror.Errorf("prober", "every_ms or most_ms is out of range")
 	}
 	return nil
 }
--- a/internal/operatorconfig/reload.go
+++ b/internal/operatorconfig/reload.go
@@ -5,13 +5,14 @@
 	"reflect"
 )
 
-// This file says which settings only a restart can change.
+// This file defines which settings only a restart can change.
 
-// errRestartOnly is the cause of a CheckReload that fails for any change of a block.
-var errRestartOnly = errors.New("only a restart can change it")
+// errRestartOnly is the cause of a CheckReload error for a block in which no field can change
+// while the program runs.
+var errRestartOnly = errors.New("only a restart can change this block")
 
-// CheckReload returns a ConfigError that names a block in which next differs by what cannot
-// change while the program runs.
+// CheckReload returns a ConfigError for the first block in which c and next differ in a field
+// that cannot change while the program runs.
 func (c *Config) CheckReload(next Config) error {
 	if c.DNS != next.DNS {
 		return &ConfigError{Block: blockDNS, Err: errRestartOnly}
@@ -28,7 +29,7 @@
 	return nil
 }
 
-// checkReload returns an error if next differs by what only a restart can change.
+// checkReload returns an error if t and next differ in a field that only a restart can change.
 func (t *Trace) checkReload(next *Trace) error {
 	if t.Enabled != next.Enabled || t.Dir != next.Dir || t.Secret != next.Secret ||
 		t.PropagateToServers != next.PropagateToServers || !sameCollector(t.Collector, next.Collector) {
@@ -45,14 +46,14 @@
 	return *a == *b
 }
 
-// checkReload returns an error if next differs by more than keys and addresses to join at,
-// which alone can change while the program runs.
+// checkReload returns an error if f and next differ in a field other than Keys and Join, the only
+// ones that can change while the program runs.
 func (f *Fleet) checkReload(next *Fleet) error {
 	current, replacement := *f, *next
 	current.Keys, replacement.Keys = nil, nil
 	current.Join, replacement.Join = nil, nil
 	if !reflect.DeepEqual(current, replacement) {
-		return errors.New("only a restart can change it, but for keys and join")
+		return errors.New("only a restart can change fields other than keys and join")
 	}
 	return nil
 }
--- a/internal/operatorconfig/trace.go
+++ b/internal/operatorconfig/trace.go
@@ -6,7 +6,7 @@
 	"garnetline/internal/fielderror"
 )
 
-// Bounds and defaults of traces.
+// Bounds and defaults of the trace block.
 const (
 	maxSegmentMB         = 1024
 	maxKeepMB            = 1 << 20
@@ -17,39 +17,39 @@
 	maxSlowThreshold     = 600_000.0 // ms
 	defaultQueueLimit    = 1024
 	maxQueueLimit        = 1 << 20
-	defaultExportTimeout = 2000.0 // ms
-	minExportTimeout     = 10.0
-	maxExportTimeout     = 60_000.0
+	defaultExportTimeout = 2000.0   // ms
+	minExportTimeout     = 10.0     // ms
+	maxExportTimeout     = 60_000.0 // ms
 )
 
-// Trace configures traces of requests. Times are milliseconds.
+// Trace configures the recording of request traces. Times are in milliseconds.
 type Trace struct {
 	Enabled            bool         `hcl:"enabled,optional"`
-	Dir                string       `hcl:"folder,optional"`         // of the segments
-	Secret             string       `hcl:"secret,optional"`         // mixed into what names a client or a key; the same at all routers
-	SegmentMB          int          `hcl:"segment_mb,optional"`     // size at which a segment is closed
-	KeepMB             int          `hcl:"keep_mb,optional"`        // of all segments; the oldest are deleted first
+	Dir                string       `hcl:"folder,optional"`         // directory of the segments
+	Secret             string       `hcl:"secret,optional"`         // hashed with whatever identifies a client or a key; must be the same on all routers
+	SegmentMB          int          `hcl:"segment_mb,optional"`     // size of a segment at which it is closed
+	KeepMB             int          `hcl:"keep_mb,optional"`        // total size of all segments; the oldest are deleted first
 	UndecidedKB        int          `hcl:"undecided_kb,optional"`   // memory for traces without a sampling decision
-	OrdinaryPerSecond  float64      `hcl:"ordinary_per_s,optional"` // ordinary traces retained, of each class
+	OrdinaryPerSecond  float64      `hcl:"ordinary_per_s,optional"` // ordinary traces that are retained per second and class
 	RetryWindow        float64      `hcl:"retry_within_ms,optional"`
-	HonorSampled       bool         `hcl:"honour_sampled,optional"` // retain what a client's traceparent samples
-	PropagateToServers bool         `hcl:"peers,optional"`          // servers take the fields trace and kept
+	HonorSampled       bool         `hcl:"honour_sampled,optional"` // retain traces for which the client's traceparent has the sampled flag
+	PropagateToServers bool         `hcl:"peers,optional"`          // servers accept the request fields trace and kept
 	Classes            []TraceClass `hcl:"class,block"`
 	Collector          *Collector   `hcl:"collector,block"`
 }
 
-// TraceClass overrides values for one class.
+// TraceClass overrides values of Trace for one class.
 type TraceClass struct {
 	Name              string   `hcl:"name,label"`
-	OrdinaryPerSecond *float64 `hcl:"ordinary_per_s,optional"` // nil: that of all classes
-	SlowThreshold     float64  `hcl:"wanted_ms,optional"`      // slower requests are retained; 0: the class's latency objective
+	OrdinaryPerSecond *float64 `hcl:"ordinary_per_s,optional"` // nil for Trace.OrdinaryPerSecond
+	SlowThreshold     float64  `hcl:"wanted_ms,optional"`      // ms; slower requests are retained; 0 for the class's latency objective
 }
 
-// Collector configures the export of retained traces by OTLP over HTTP.
+// Collector configures the export of retained traces with OTLP over HTTP.
 type Collector struct {
 	URL        string  `hcl:"url"`
-	QueueLimit int     `hcl:"queue,optional"`      // traces that wait; more are dropped and counted
-	Timeout    float64 `hcl:"timeout_ms,optional"` // of one call
+	QueueLimit int     `hcl:"queue,optional"`      // traces that can wait for export; further ones are dropped and counted
+	Timeout    float64 `hcl:"timeout_ms,optional"` // ms, for one export request
 }
 
 func defaultTrace() Trace {
@@ -66,17 +66,17 @@
 func (t *Trace) validate() error {
 	switch {
 	case t.Enabled && t.Dir == "":
-		return fielderror.Errorf("enabled", "want a folder to keep traces in")
+		return fielderror.Errorf("enabled", "expected a folder for the traces, got none")
 	case t.SegmentMB < 1 || t.SegmentMB > maxSegmentMB:
-		return fielderror.Errorf("segment_mb", "want 1 to %d", maxSegmentMB)
+		return fielderror.Errorf("segment_mb", "expected a size from 1 to %d MB", maxSegmentMB)
 	case t.KeepMB < 2*t.SegmentMB || t.KeepMB > maxKeepMB:
-		return fielderror.Errorf("keep_mb", "want two segments or more, and %d at the most", maxKeepMB)
+		return fielderror.Errorf("keep_mb", "expected at least the size of two segments and at most %d MB", maxKeepMB)
 	case t.UndecidedKB < minUndecidedKB || t.UndecidedKB > maxUndecidedKB:
-		return fielderror.Errorf("undecided_kb", "want %d to %d", minUndecidedKB, maxUndecidedKB)
+		return fielderror.Errorf("undecided_kb", "expected a size from %d to %d KB", minUndecidedKB, maxUndecidedKB)
 	case !within(t.OrdinaryPerSecond, 0, maxOrdinaryPerSecond):
-		return fielderror.Errorf("ordinary_per_s", "want 0 to %.0f", maxOrdinaryPerSecond)
+		return fielderror.Errorf("ordinary_per_s", "expected a rate from 0 to %.0f", maxOrdinaryPerSecond)
 	case !within(t.RetryWindow, 0, maxRetryWindow):
-		return fielderror.Errorf("retry_within_ms", "want 0 to %.0f", maxRetryWindow)
+		return fielderror.Errorf("retry_within_ms", "expected a time from 0 to %.0f ms", maxRetryWindow)
 	}
 	if err := t.validateClasses(); err != nil {
 		return err
@@ -91,22 +91,22 @@
 	seen := map[string]bool{}
 	for _, class := range t.Classes {
 		if seen[class.Name] {
-			return fielderror.LabeledErrorf("class", class.Name, "named twice")
+			return fielderror.LabeledErrorf("class", class.Name, "duplicate name")
 		}
 		seen[class.Name] = true
 		rateOK := class.OrdinaryPerSecond == nil || within(*class.OrdinaryPerSecond, 0, maxOrdinaryPerSecond)
 		if !rateOK || !within(class.SlowThreshold, 0, maxSlowThreshold) {
-			return fielderror.LabeledErrorf("class", class.Name, "ordinary_per_s or wanted_ms out of range")
+			return fielderror.LabeledErrorf("class", class.Name, "ordinary_per_s or wanted_ms is out of range")
 		}
 	}
 	return nil
 }
 
-// complete fills in defaults and checks the result.
+// complete fills in the defaults of fields that are 0 and checks the result.
 func (c *Collector) complete() error {
 	address, err := url.Parse(c.URL)
 	if err != nil || address.Scheme != "http" || address.Host == "" {
-		return fielderror.Errorf("collector", "%w", fielderror.Errorf("url", "%q is not an http URL", c.URL))
+		return fielderror.Errorf("collector", "%w", fielderror.Errorf("url", "expected an http URL, got %q", c.URL))
 	}
 	if c.QueueLimit == 0 {
 		c.QueueLimit = defaultQueueLimit
@@ -115,7 +115,7 @@
 		c.Timeout = defaultExportTimeout
 	}
 	if c.QueueLimit < 1 || c.QueueLimit > maxQueueLimit || !within(c.Timeout, minExportTimeout, maxExportTimeout) {
-		return fielderror.Errorf("collector", "queue or timeout_ms out of range")
+		return fielderror.Errorf("collector", "queue or timeout_ms is out of range")
 	}
 	return nil
 }
