--- a/internal/admin/disabled/golden_test.go
+++ b/internal/admin/disabled/golden_test.go
@@ -12,8 +12,9 @@
 	"garnetline/routing"
 )
 
-// Pins the files of disabled servers: their folder, names, sizes and modes, as a process of
-// another version reads them. testdata/state is such a folder, written by an earlier version.
+// TestGoldenFiles compares the directory, names, sizes and modes of the stored files with a golden
+// file, because processes of other versions read them. testdata/state is a state directory that an
+// earlier version wrote.
 func TestGoldenFiles(t *testing.T) {
 	state := t.TempDir()
 	want := map[routing.ServerID]bool{7: true, 0xc41f7a: true, 0xffffffff: true}
@@ -23,17 +24,17 @@
 		}
 	}
 	var out strings.Builder
-	err := filepath.WalkDir(state, func(path string, e fs.DirEntry, err error) error {
+	err := filepath.WalkDir(state, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || path == state {
 			return err
 		}
-		info, err := e.Info()
+		info, err := entry.Info()
 		if err != nil {
 			return err
 		}
 		size := info.Size()
-		if e.IsDir() {
-			size = 0 // the file system's
+		if entry.IsDir() {
+			size = 0 // the size of a directory depends on the file system
 		}
 		fmt.Fprintf(&out, "%v %d %s\n", info.Mode(), size, strings.TrimPrefix(path, state+"/"))
 		return nil
@@ -43,6 +44,6 @@
 	}
 	golden.Compare(t, "files.golden", []byte(out.String()))
 	if got, err := NewStore("testdata/state").List(); err != nil || !maps.Equal(got, want) {
-		t.Errorf("the earlier version's: %v, %v", got, err)
+		t.Errorf("servers stored by an earlier version: got %v, error %v", got, err)
 	}
 }
--- a/internal/admin/disabled/store.go
+++ b/internal/admin/disabled/store.go
@@ -1,7 +1,7 @@
-// Package disabled stores which servers operators have disabled, for the next process of the
-// same router. Each is one empty file, so that a process and its successor, which share the
-// folder for a while, never overwrite each other. A Store holds no state of its own and may
-// be used from any goroutine.
+// Package disabled stores which servers operators have disabled, so that the next process of the
+// same router knows them. Each disabled server is one empty file, so that a process and its
+// successor, which use the same directory for a while, never overwrite each other's entries. A
+// Store has no state in memory and is safe for concurrent use.
 package disabled
 
 import (
@@ -19,11 +19,11 @@
 	fileMode = 0o600
 )
 
-// Store is the path of the folder. The empty Store keeps nothing.
+// Store is the path of the directory with the files. The empty Store stores nothing.
 type Store string
 
-// NewStore returns the store in a state folder; "" gives the empty Store. The folder is made
-// by the first Set.
+// NewStore returns the Store in a state directory, or the empty Store if stateDir is "". Set
+// creates the directory of the Store when it disables the first server.
 func NewStore(stateDir string) Store {
 	if stateDir == "" {
 		return ""
@@ -31,11 +31,10 @@
 	return Store(filepath.Join(stateDir, dirName))
 }
 
-// List returns the disabled servers. Other files are ignored, and a folder that is not there
-// is empty; one that cannot be read is an error.
-//
-// Symptom guarded against: a folder that could not be read for want of descriptors looked
-// empty, and every disabled server was enabled.
+// List returns the disabled servers. It ignores files whose names are not server ids, and returns
+// no servers if the directory does not exist. It returns an error if the directory cannot be
+// read, for example because the process has no free file descriptors: taking the directory for
+// empty would enable every disabled server.
 func (s Store) List() (map[routing.ServerID]bool, error) {
 	if s == "" {
 		return nil, nil
@@ -53,7 +52,7 @@
 	return servers, nil
 }
 
-// Set stores that a server is disabled, or that it is not.
+// Set stores whether a server is disabled.
 func (s Store) Set(id routing.ServerID, disabled bool) error {
 	if s == "" {
 		return nil
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -15,7 +15,7 @@
 	"garnetline/routing"
 )
 
-// fakeFleet has one call of its own and a figure.
+// fakeFleet answers /fleet and appends one metric.
 type fakeFleet struct{}
 
 func (fakeFleet) Handle(_ context.Context, method, path string) (int, []byte, bool) {
@@ -24,7 +24,8 @@
 
 func (fakeFleet) AppendMetrics(b []byte) []byte { return append(b, "app_fleet_figure 1\n"...) }
 
-// Pins paths, methods, statuses and texts of the admin API.
+// TestGoldenCalls compares the paths, methods, statuses and bodies of the admin API with a golden
+// file.
 func TestGoldenCalls(t *testing.T) {
 	ready := true
 	handler := &Handler{Ready: func() bool { return ready },
@@ -57,7 +58,7 @@
 	golden.Compare(t, "pages.golden", []byte(out.String()))
 }
 
-// jsonKeys writes the keys of a type as encoding/json names them, with their kinds.
+// jsonKeys writes the path and the kind of each JSON key that encoding/json produces for a type.
 func jsonKeys(out *strings.Builder, path string, value reflect.Type) {
 	switch value.Kind() {
 	case reflect.Pointer:
@@ -66,22 +67,22 @@
 		jsonKeys(out, path+"[]", value.Elem())
 	case reflect.Struct:
 		for i := range value.NumField() {
-			f := value.Field(i)
-			name, more, _ := strings.Cut(f.Tag.Get("json"), ",")
+			field := value.Field(i)
+			name, options, _ := strings.Cut(field.Tag.Get("json"), ",")
 			if name == "" {
-				name = f.Name
+				name = field.Name
 			}
-			if more != "" {
-				more = "," + more
+			if options != "" {
+				options = "," + options
 			}
-			jsonKeys(out, path+"."+name+more, f.Type)
+			jsonKeys(out, path+"."+name+options, field.Type)
 		}
 	default:
 		fmt.Fprintf(out, "%s %s\n", path, value.Kind())
 	}
 }
 
-// Pins the keys of the JSON that the calls below /fleet answer with.
+// TestGoldenJSON compares the keys of the JSON responses at and below /fleet with a golden file.
 func TestGoldenJSON(t *testing.T) {
 	var out strings.Builder
 	for _, page := range []struct {
--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -1,6 +1,7 @@
-// Package admin answers the calls of the admin API: whether the router is ready, its metrics,
-// and which servers operators disable. It opens no socket; a front carries the calls. A
-// Handler owns no state and may be called from any goroutine.
+// Package admin implements the admin API: it answers whether the router is ready, shows its
+// metrics, and lets operators disable and enable servers. The package opens no socket; an HTTP
+// front end passes the requests to a Handler. A Handler has no state of its own and is safe for
+// concurrent use.
 package admin
 
 import (
@@ -14,41 +15,42 @@
 	"garnetline/routing"
 )
 
-// callTimeout bounds how long a call waits for the watcher of the endpoint list; callers wait
-// for one second.
+// callTimeout bounds how long a request waits for the watcher of the endpoint list or for the
+// fleet. It is shorter than the one second that API clients wait.
 const callTimeout = 800 * time.Millisecond
 
-// Paths of the API. The id of a server follows the last two.
+// Paths of the API. A server id follows pathDisable and pathEnable.
 const (
-	pathFleet   = "/fleet" // and all below it
+	pathFleet   = "/fleet" // and all paths below it
 	pathReady   = "/ready"
 	pathMetrics = "/metrics"
 	pathDisable = "/caches/disable/"
 	pathEnable  = "/caches/enable/"
 )
 
-// Handler answers calls from what the rest of the router tells it.
+// Handler answers requests to the admin API. Its functions connect it to the rest of the router.
 type Handler struct {
-	// Ready reports whether requests can be served.
+	// Ready reports whether the router can serve requests.
 	Ready func() bool
-	// Metrics returns the current values.
+	// Metrics returns the current values of the metrics.
 	Metrics func() Metrics
-	// SetDisabled disables or enables a server. It returns discovery.ErrUnknownServer for
-	// one that there is not.
+	// SetDisabled disables or enables a server. It returns discovery.ErrUnknownServer if there is
+	// no such server.
 	SetDisabled func(ctx context.Context, server routing.ServerID, disabled bool) error
-	// Fleet answers the calls below /fleet. It is nil where the router knows no others.
+	// Fleet answers the requests at and below /fleet. It is nil if the router has no fleet.
 	Fleet Fleet
 }
 
-// Fleet is what the admin API needs of the part that knows the other routers.
+// Fleet is the part of the admin API that covers the fleet of routers.
 type Fleet interface {
-	// Handle answers a call below /fleet; ok is false if there is no such call.
+	// Handle answers a request at or below /fleet. It returns ok false if there is no such method
+	// and path.
 	Handle(ctx context.Context, method, path string) (status int, body []byte, ok bool)
 	// AppendMetrics appends further metrics in the text format of Prometheus.
 	AppendMetrics(metrics []byte) []byte
 }
 
-// Handle answers one call.
+// Handle answers one request with an HTTP status and a body.
 func (h *Handler) Handle(ctx context.Context, method, path string) (status int, body []byte) {
 	if h.Fleet != nil && strings.HasPrefix(path, pathFleet) {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -69,10 +71,10 @@
 	case pathMetrics:
 		return h.metrics(method)
 	}
-	return http.StatusNotFound, []byte("no such call\n")
+	return http.StatusNotFound, []byte("not found\n")
 }
 
-// ready answers whether the router is ready.
+// ready answers with status 200 if the router is ready, else with 503.
 func (h *Handler) ready(method string) (int, []byte) {
 	switch {
 	case method != http.MethodGet:
@@ -95,7 +97,7 @@
 	return http.StatusOK, body
 }
 
-// setDisabled disables or enables the server that a path names.
+// setDisabled disables or enables a server, whose id is the last segment of the path.
 func (h *Handler) setDisabled(ctx context.Context, method, server string, disabled bool) (int, []byte) {
 	if method != http.MethodPost {
 		return wrongMethod(http.MethodPost)
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// Metrics are the values that operators see at /metrics.
+// Metrics holds the values that GET /metrics shows, without those of the fleet.
 type Metrics struct {
 	Classes            []ClassMetrics
-	Relayed            int64 // attempts written whole to servers
-	OpenRequests       int64 // accepted and not ended
+	Relayed            int64 // attempts whose request was completely written to a server
+	OpenRequests       int64 // requests accepted and not yet ended
 	ListedServers      int64
-	UnavailableServers int64 // of those listed, the ones that are sent nothing new
+	UnavailableServers int64 // listed servers that get no new requests
 	ReloadsAccepted    int64
 	ReloadsRejected    int64
 }
 
-// ClassMetrics counts the requests of one class by how they ended.
+// ClassMetrics counts the requests of one class by outcome.
 type ClassMetrics struct {
 	Name                     string
 	Served, Rejected, Failed int64
