--- a/internal/daemontest/client.go
+++ b/internal/daemontest/client.go
@@ -14,7 +14,8 @@
 	"time"
 )
 
-// Request returns the text of a request without a body. Header lines are "Name: value".
+// Request returns the text of an HTTP request without a body. Each header line has the form
+// "Name: value".
 func Request(method, target string, header ...string) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\nHost: x\r\n", method, target)
@@ -25,37 +26,38 @@
 	return text.String()
 }
 
-// RequestWithBody is Request for a request with a body.
+// RequestWithBody returns the text of an HTTP request with a body and its length.
 func RequestWithBody(method, target, body string, header ...string) string {
 	length := fmt.Sprintf("Content-Length: %d", len(body))
 	return Request(method, target, append(slices.Clone(header), length)...) + body
 }
 
-// Transaction returns the header line of a request's transaction id.
+// Transaction returns the header line with a request's transaction id.
 func Transaction(id int) string { return fmt.Sprintf("X-Txn: %016x", id) }
 
-// ClientTimeout returns the header line of how long a request's client waits.
+// ClientTimeout returns the header line that says how long the client waits for the response.
 func ClientTimeout(timeout time.Duration) string {
 	return fmt.Sprintf("X-Ttl-Ms: %d", timeout.Milliseconds())
 }
 
-// CloseConnection is the header line by which a client asks for the connection to be closed.
+// CloseConnection is the header line with which a client asks the router to close the connection
+// after the response.
 const CloseConnection = "Connection: close"
 
-// Response is a whole response.
+// Response is a complete HTTP response.
 type Response struct {
 	Status int
 	Body   string
-	Close  bool // the connection ends with it
+	Close  bool // the router closes the connection after the response
 }
 
-// Client is one client connection. It belongs to one goroutine.
+// Client is one client connection. Only one goroutine may use it.
 type Client struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-// DialContext opens a connection, which the caller closes.
+// DialContext opens a connection. The caller closes it.
 func DialContext(ctx context.Context, addr string) (*Client, error) {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, "tcp", addr)
@@ -65,7 +67,7 @@
 	return &Client{Conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// Dial opens a connection that is closed when the test ends, if it is not closed before.
+// Dial opens a connection and closes it when the test ends, unless the test has closed it.
 func Dial(tb testing.TB, addr string) *Client {
 	tb.Helper()
 	client, err := DialContext(tb.Context(), addr)
@@ -110,7 +112,7 @@
 	return c.Read()
 }
 
-// Send sends a request.
+// Send sends a request. An error ends the test.
 func (c *Client) Send(tb testing.TB, request string) {
 	tb.Helper()
 	if err := c.Write(request); err != nil {
@@ -118,7 +120,7 @@
 	}
 }
 
-// Receive reads one response.
+// Receive reads one response. An error ends the test.
 func (c *Client) Receive(tb testing.TB) Response {
 	tb.Helper()
 	response, err := c.Read()
@@ -128,14 +130,14 @@
 	return response
 }
 
-// Exchange sends a request and reads its response.
+// Exchange sends a request and reads its response. An error ends the test.
 func (c *Client) Exchange(tb testing.TB, request string) Response {
 	tb.Helper()
 	c.Send(tb, request)
 	return c.Receive(tb)
 }
 
-// Exchange sends a request on a connection of its own and reads its response.
+// Exchange sends a request on a new connection, reads its response and closes the connection.
 func Exchange(tb testing.TB, addr, request string) Response {
 	tb.Helper()
 	client := Dial(tb, addr)
@@ -145,8 +147,8 @@
 
 func healthCheck() string { return Request(http.MethodGet, "/healthz", CloseConnection) }
 
-// WaitDraining waits until a router that is shutting down answers its health check with another
-// status than 200. It has to accept and answer connections until then.
+// WaitDraining waits until a router that is shutting down answers a health check with a status
+// other than 200. A connection that the router refuses or leaves unanswered ends the test.
 func WaitDraining(tb testing.TB, addr string) {
 	tb.Helper()
 	WaitUntil(tb, "the health check fails", func() bool {
@@ -154,8 +156,8 @@
 	})
 }
 
-// WaitHealthy waits until a router answers its health check with 200. Until it accepts
-// connections it is not healthy; one that it accepts it has to answer.
+// WaitHealthy waits until a router answers a health check with status 200. The router may refuse
+// connections until then, but a connection that it accepts and leaves unanswered ends the test.
 func WaitHealthy(tb testing.TB, addr string) {
 	tb.Helper()
 	WaitUntil(tb, "the router is healthy", func() bool {
--- a/internal/daemontest/config.go
+++ b/internal/daemontest/config.go
@@ -18,35 +18,35 @@
 	Origin = "origin"
 )
 
-// KnownSeq is the sequence number of the last event that a configuration holds. The router
-// asks its change log for what follows it.
+// KnownSeq is the sequence number of the last watch event that a configuration contains. The
+// router requests the events after it from its change log.
 const KnownSeq = 4
 
-// PlatformSettings are the settings of a platform configuration: one zone, a class of reads and
-// a class of keyed writes.
+// PlatformSettings are the default settings of a test's platform configuration: one zone, a class
+// of reads, and a class of writes with idempotency keys.
 const PlatformSettings = `{"areas":["edge"],"machine_types":["box","parent","origin"],"zone":0,"weights":"rough",
 "classes":[{"name":"part","effect":"read_like","aim_us":400000,"deadline_us":4000000,"value":2.0},
  {"name":"form","effect":"idempotency_key","group":"all","window_us":2000000,"aim_us":400000,"deadline_us":4000000,"value":3.0}],
 "family_info":{"class_write":[false,true],"root_kind":2,"second_tier_kind":1,"seats_by_zone":[1],"cleared_within_us":6000000,"one_flow_kb_per_s":5000,"can_join":true},
 "limits":{"try_limit":6,"cancel":true,"retry_after":true,"max_retry_after_us":2000000},"rules":{"cold_from":0.15,"cold_us":16000000,"fall_multiple":3.0,"overload_for_us":1500000}}`
 
-// Endpoint is a server of the endpoint list that a configuration holds. It is ready, and was
-// started long ago.
+// Endpoint is a server of the endpoint list in a configuration. It is ready, and was started
+// long ago.
 type Endpoint struct {
 	ID   int
 	Kind string
 	Addr net.Addr
 }
 
-// Config is what varies between the platform configurations of tests.
+// Config holds the values that differ between the platform configurations of tests.
 type Config struct {
-	Name       string // "" for n0
-	Seed       string // in hexadecimal; "" for 1
+	Name       string // default: n0
+	Seed       string // in hexadecimal; default: 1
 	ListenAddr string
 	ChangeLog  net.Addr
 	Endpoints  []Endpoint
-	Settings   string // "" for PlatformSettings
-	Limits     string // JSON; "" for none
+	Settings   string // default: PlatformSettings
+	Limits     string // JSON; default: no limits
 }
 
 // document is the JSON form of a configuration.
@@ -87,7 +87,7 @@
 	BornMs uint64  `json:"born_ms"`
 }
 
-// JSON returns the configuration as the platform writes it.
+// JSON returns the configuration in the format in which the platform writes it.
 func (c Config) JSON(tb testing.TB) []byte {
 	tb.Helper()
 	list := endpointList{Whole: true}
@@ -122,8 +122,8 @@
 	WriteFile(tb, path, string(c.JSON(tb)))
 }
 
-// Load writes the configuration to a temporary file and reads it, with environment variables by
-// their names.
+// Load writes the configuration to a temporary file and reads it with platformconfig.Load. env
+// maps the names of environment variables to their values.
 func (c Config) Load(tb testing.TB, env map[string]string) *platformconfig.Config {
 	tb.Helper()
 	path := filepath.Join(tb.TempDir(), "config.json")
--- a/internal/daemontest/process.go
+++ b/internal/daemontest/process.go
@@ -13,32 +13,33 @@
 	"garnetline/internal/fakeserver"
 )
 
-// programVariable is the environment variable by which a test binary is told to be the program.
+// programVariable is the environment variable that makes a test binary run the program instead of
+// its tests.
 const programVariable = "GARNETLINE_TEST_PROGRAM"
 
-// IsProgram reports whether this process was started by StartProcess, so that TestMain has to
-// run the program instead of the tests.
+// IsProgram reports whether TestMain has to run the program instead of the tests. It is true in a
+// process that was started with ProgramEnv, as StartProcess does.
 func IsProgram() bool { return os.Getenv(programVariable) != "" }
 
-// ProgramEnv is the environment of a test binary that is to be the program.
+// ProgramEnv returns the environment variables that make a test binary run the program.
 func ProgramEnv() []string { return []string{programVariable + "=1"} }
 
-// Process is the daemon in a process of its own.
+// Process is a daemon that runs in a separate process.
 type Process struct {
 	cmd    *exec.Cmd
 	log    fakeserver.Output
 	waited bool
 }
 
-// ProcessOptions say how a process is started.
+// ProcessOptions say how StartProcess starts a process.
 type ProcessOptions struct {
-	Program string   // "" for this test binary
-	Args    []string // of the program
-	Env     []string // beside that of the test
-	DropLog bool     // Log stays empty
+	Program string   // path of the program; default: this test binary
+	Args    []string // arguments of the program
+	Env     []string // variables added to the environment of the test
+	DropLog bool     // discard the log, so that Log returns ""
 }
 
-// StartProcess starts the program. It is killed at the test's end if it still runs then.
+// StartProcess starts the program. If the process still runs when the test ends, it is killed.
 func StartProcess(tb testing.TB, options ProcessOptions) *Process {
 	tb.Helper()
 	program := orDefault(options.Program, os.Args[0])
@@ -59,10 +60,10 @@
 	return process
 }
 
-// Pid is the number of the process.
+// Pid returns the process id.
 func (p *Process) Pid() int { return p.cmd.Process.Pid }
 
-// Log is what the process has logged so far.
+// Log returns the text that the process has logged so far.
 func (p *Process) Log() string { return p.log.String() }
 
 // Signal sends the process a signal.
@@ -73,13 +74,13 @@
 	}
 }
 
-// Stop sends SIGTERM and waits for the process, which has to end without an error.
+// Stop sends SIGTERM and waits for the process to exit. An exit status other than 0 ends the test.
 func (p *Process) Stop(tb testing.TB) *os.ProcessState {
 	tb.Helper()
 	p.Signal(tb, syscall.SIGTERM)
 	p.waited = true
 	if err := p.cmd.Wait(); err != nil {
-		tb.Fatalf("the process ended with %v: %s", err, p.Log())
+		tb.Fatalf("process exited with %v, want no error; log: %s", err, p.Log())
 	}
 	return p.cmd.ProcessState
 }
@@ -93,16 +94,16 @@
 	p.waited = true
 	var exit *exec.ExitError
 	err := p.cmd.Wait()
-	// The test's context may have ended, and with it the process, just before.
+	// The test's context may have been canceled just before, which kills the process too.
 	if err != nil && !errors.As(err, &exit) && !errors.Is(err, context.Canceled) {
 		tb.Error(err)
 	}
 }
 
-// WaitLogged waits until the log holds one of some texts.
+// WaitLogged waits until the log contains at least one of texts.
 func (p *Process) WaitLogged(tb testing.TB, texts ...string) {
 	tb.Helper()
-	WaitUntil(tb, "the log has "+strings.Join(texts, " or "), func() bool {
+	WaitUntil(tb, "the log contains "+strings.Join(texts, " or "), func() bool {
 		log := p.Log()
 		for _, text := range texts {
 			if strings.Contains(log, text) {
--- a/internal/daemontest/servers.go
+++ b/internal/daemontest/servers.go
@@ -1,6 +1,6 @@
-// Package daemontest is what the tests of cmd/garnetline have in common: platform
-// configurations, fake servers, requests over raw connections, and the daemon as a process of
-// its own. Everything is on loopback, and everything that a test starts ends with the test.
+// Package daemontest has helpers for the tests of cmd/garnetline: platform configurations, fake
+// servers, requests over raw connections, and daemons in separate processes. All sockets are on
+// loopback. Servers and processes that a test starts are stopped when the test ends.
 //
 // Only tests import the package.
 package daemontest
@@ -13,13 +13,13 @@
 	"garnetline/internal/fakeserver"
 )
 
-// Timeout bounds each wait for what another goroutine or process does.
+// Timeout bounds each wait for another goroutine or process.
 const Timeout = 20 * time.Second
 
-// pollInterval is the time between two looks at a condition.
+// pollInterval is the time between two checks of a condition.
 const pollInterval = time.Millisecond
 
-// NewServer starts a fake server.
+// NewServer starts a fake server and closes it when the test ends.
 func NewServer(tb testing.TB, reply fakeserver.Reply) *fakeserver.Server {
 	tb.Helper()
 	server, err := fakeserver.NewServer(reply)
@@ -30,7 +30,7 @@
 	return server
 }
 
-// NewIdleChangeLog starts a change log that sends no events.
+// NewIdleChangeLog starts a change log that sends no events, and closes it when the test ends.
 func NewIdleChangeLog(tb testing.TB) *fakeserver.IdleChangeLog {
 	tb.Helper()
 	changeLog, err := fakeserver.NewIdleChangeLog()
@@ -41,7 +41,7 @@
 	return changeLog
 }
 
-// FreeAddr returns a loopback address to which nothing was bound a moment ago.
+// FreeAddr returns a loopback address with a port that was free at the time of the call.
 func FreeAddr(tb testing.TB) string {
 	tb.Helper()
 	listener := Listen(tb)
@@ -60,30 +60,31 @@
 	return listener
 }
 
-// closer is what Close and CloseAtEnd take.
+// closer is the argument of Close and CloseAtEnd, such as a listener, a connection or a file.
 type closer interface{ Close() error }
 
-// Close closes a listener, a connection or a file.
-func Close(tb testing.TB, open closer) {
+// Close closes a resource and reports an error as a test failure.
+func Close(tb testing.TB, resource closer) {
 	tb.Helper()
-	if err := open.Close(); err != nil {
+	if err := resource.Close(); err != nil {
 		tb.Error(err)
 	}
 }
 
-// CloseAtEnd closes a server or a connection when the test ends.
-func CloseAtEnd(tb testing.TB, open closer) {
+// CloseAtEnd closes a resource when the test ends.
+func CloseAtEnd(tb testing.TB, resource closer) {
 	tb.Helper()
-	tb.Cleanup(func() { Close(tb, open) })
+	tb.Cleanup(func() { Close(tb, resource) })
 }
 
-// WaitUntil waits until ok returns true.
+// WaitUntil calls ok until it returns true. It ends the test if that takes longer than Timeout;
+// condition describes what it waits for.
 func WaitUntil(tb testing.TB, condition string, ok func() bool) {
 	tb.Helper()
 	deadline := time.Now().Add(Timeout)
 	for !ok() {
 		if time.Now().After(deadline) {
-			tb.Fatalf("%s: not so within %v", condition, Timeout)
+			tb.Fatalf("condition %q not met within %v", condition, Timeout)
 		}
 		time.Sleep(pollInterval)
 	}
