--- a/cmd/garnetline/admin.go
+++ b/cmd/garnetline/admin.go
@@ -5,7 +5,8 @@
 	"garnetline/internal/dispatch"
 )
 
-// adminHandler answers the calls of operators.
+// adminHandler returns the handler of the admin API. With a fleet that keeps bans in the lease
+// registry, it disables and enables servers through the registry.
 func (d *daemon) adminHandler() *admin.Handler {
 	handler := &admin.Handler{SetDisabled: d.watcher.SetDisabled, Ready: d.ready, Metrics: d.adminMetrics}
 	if d.fleet != nil {
@@ -17,13 +18,15 @@
 	return handler
 }
 
-// ready reports whether the router can answer requests well: it has an endpoint list that is
-// current or has had its time to be, does not shut down, and its fleet does not object.
+// ready reports whether the router can serve requests: the dispatcher has an endpoint list, the
+// watcher has synced or timed out, no shutdown has begun, and the fleet lets the router report
+// itself ready.
 func (d *daemon) ready() bool {
 	return d.listReceived.Load() && d.watcherSynced() && !d.stopping.Load() && d.fleet.Ready()
 }
 
-// watcherSynced reports whether the change log has spoken, or has had its time to.
+// watcherSynced reports whether the change log has sent a frame, or the watcher's timeout for the
+// first frame has passed.
 func (d *daemon) watcherSynced() bool {
 	select {
 	case <-d.watcher.Synced():
@@ -33,10 +36,10 @@
 	}
 }
 
-// adminMetrics returns what GET /metrics shows of this process.
+// adminMetrics returns the values that GET /metrics shows, without those of the fleet.
 func (d *daemon) adminMetrics() admin.Metrics {
 	listed, unavailable := d.watcher.ServerCounts()
-	shown := admin.Metrics{
+	values := admin.Metrics{
 		Relayed:            d.counter("attempts_relayed"),
 		OpenRequests:       d.counter("requests_open"),
 		ListedServers:      listed,
@@ -45,14 +48,14 @@
 		ReloadsRejected:    d.counter("reloads_refused"),
 	}
 	for _, class := range d.classes() {
-		shown.Classes = append(shown.Classes, admin.ClassMetrics{
+		values.Classes = append(values.Classes, admin.ClassMetrics{
 			Name:     class.Name,
 			Served:   d.counter(dispatch.ClassCounterName(class.Name, dispatch.Served)),
 			Rejected: d.counter(dispatch.ClassCounterName(class.Name, dispatch.Rejected)),
 			Failed:   d.counter(dispatch.ClassCounterName(class.Name, dispatch.Failed)),
 		})
 	}
-	return shown
+	return values
 }
 
 func (d *daemon) counter(name string) int64 { return d.metrics.Counter(name).Load() }
--- a/cmd/garnetline/admin_client.go
+++ b/cmd/garnetline/admin_client.go
@@ -19,11 +19,14 @@
 )
 
 const (
+	// adminCallTimeout bounds the dial, and then the request and its response together.
 	adminCallTimeout = 2 * time.Second
+	// maxAdminResponse is the number of bytes after which a response body is cut.
 	maxAdminResponse = 64 << 20
 )
 
-// callAdmin makes one call to the admin API of the router that the flags name.
+// callAdmin sends one request to the admin API of the router that the flags name, and returns
+// the body of the response. A status other than 200 is an error.
 func callAdmin(ctx context.Context, command *cli.Command, method, path string) ([]byte, error) {
 	address, err := adminAddress(command)
 	if err != nil {
@@ -32,7 +35,7 @@
 	return callAdminAt(ctx, address, method, path)
 }
 
-// postAdmin makes a call that changes something, and prints the response.
+// postAdmin sends a POST request to the admin API and writes the response body to out.
 func postAdmin(ctx context.Context, command *cli.Command, out io.Writer, path string) error {
 	text, err := callAdmin(ctx, command, http.MethodPost, path)
 	if err != nil {
@@ -42,7 +45,8 @@
 	return err
 }
 
-// adminAddress is the address that --mgmt, EDGE_MGMT or the configuration names, in this order.
+// adminAddress returns the address of the admin API: the first that is set of --mgmt, EDGE_MGMT
+// and the configuration's.
 func adminAddress(command *cli.Command) (string, error) {
 	if address := command.String("mgmt"); address != "" {
 		return address, nil
@@ -52,15 +56,15 @@
 	}
 	config, err := platformconfig.Load(command.String("config"), os.Getenv)
 	if err != nil {
-		return "", fmt.Errorf("mgmt: not given, and %w", err)
+		return "", fmt.Errorf("mgmt: no address in --mgmt or EDGE_MGMT, and %w", err)
 	}
 	if !config.AdminListen.IsValid() {
-		return "", errors.New("mgmt: not given, and the configuration names none")
+		return "", errors.New("mgmt: no address in --mgmt or EDGE_MGMT, and the configuration has none")
 	}
 	return config.AdminListen.String(), nil
 }
 
-// callAdminAt makes one call on a connection of its own.
+// callAdminAt sends one request to address on a new connection, and returns the response body.
 func callAdminAt(ctx context.Context, address, method, path string) ([]byte, error) {
 	dialer := net.Dialer{Timeout: adminCallTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -79,19 +83,19 @@
 	case err != nil:
 		return nil, err
 	case status == http.StatusNotFound && path == "/fleet":
-		return nil, fmt.Errorf("%s: that router knows no others: its file has no fleet block, or it is not enabled", address)
+		return nil, fmt.Errorf("%s: the router has no fleet: its settings file has no fleet block, or the block is not enabled", address)
 	case status == http.StatusNotFound && strings.HasPrefix(path, "/fleet/bans"):
-		return nil, fmt.Errorf("%s: that router keeps no bans in a lease registry: its file has no bans block in a duties block, or that is not enabled", address)
+		return nil, fmt.Errorf("%s: the router keeps no bans in a lease registry: its settings file has no bans block in a duties block, or the duties block is not enabled", address)
 	case status == http.StatusNotFound:
-		return nil, fmt.Errorf("%s: that router takes part in no duties: its file has no duties block, or it is not enabled", address)
+		return nil, fmt.Errorf("%s: the router takes part in no leases: its settings file has no duties block, or the block is not enabled", address)
 	case status != http.StatusOK:
 		return nil, fmt.Errorf("%s: %s", address, strings.TrimSpace(string(body)))
 	}
 	return body, nil
 }
 
-// readAdminResponse reads a response whose end is that of the connection. A status line that
-// cannot be read is status 0.
+// readAdminResponse reads a response up to the end of the connection. It returns status 0 if the
+// status line has no numeric status.
 func readAdminResponse(conn net.Conn) (status int, body []byte, err error) {
 	reader := textproto.NewConn(conn)
 	statusLine, err := reader.ReadLine()
@@ -102,7 +106,7 @@
 		return 0, nil, err
 	}
 	if fields := strings.Fields(statusLine); len(fields) > 1 {
-		status, _ = strconv.Atoi(fields[1]) // 0 where it is no number
+		status, _ = strconv.Atoi(fields[1]) // 0 if it is not a number
 	}
 	body, err = io.ReadAll(io.LimitReader(reader.R, maxAdminResponse))
 	return status, body, err
--- a/cmd/garnetline/bans_command.go
+++ b/cmd/garnetline/bans_command.go
@@ -16,25 +16,26 @@
 // newBansCommand returns the commands that show and change the bans in the lease registry.
 func newBansCommand(out io.Writer, flags []cli.Flag) *cli.Command {
 	changeFlags := append(slices.Clone(flags),
-		&cli.StringFlag{Name: "who", Usage: "`NAME` that is kept with it; without it, the user's"},
-		&cli.StringFlag{Name: "why", Usage: "`REASON` that is kept with it"},
-		&cli.Uint64Flag{Name: "version", Usage: "`VERSION` that must still hold; without it, whatever holds is replaced"})
+		&cli.StringFlag{Name: "who", Usage: "`NAME` of the operator, stored with the ban; default: the name of the current user"},
+		&cli.StringFlag{Name: "why", Usage: "`REASON`, stored with the ban"},
+		&cli.Uint64Flag{Name: "version", Usage: "change the ban only if its current version is `VERSION`; 0 changes any version"})
 	change := func(operation string) cli.ActionFunc {
 		return func(ctx context.Context, command *cli.Command) error { return changeBan(ctx, command, out, operation) }
 	}
-	return &cli.Command{Name: "bans", Usage: "the servers that operators disabled, as the lease registry keeps them, with who, when and why", Flags: flags,
+	return &cli.Command{Name: "bans", Usage: "list the servers that operators disabled according to the lease registry, with who, when and why", Flags: flags,
 		Action: func(ctx context.Context, command *cli.Command) error { return showBans(ctx, command, out) },
 		Commands: []*cli.Command{
-			{Name: "disable", ArgsUsage: "BOX", Flags: changeFlags, Usage: "disable a server: holds here at once, everywhere soon", Action: change("disable")},
-			{Name: "enable", ArgsUsage: "BOX", Flags: changeFlags, Usage: "enable a server again, once the voters agree", Action: change("enable")},
+			{Name: "disable", ArgsUsage: "BOX", Flags: changeFlags, Usage: "disable a server: at the called router at once, at the others soon after", Action: change("disable")},
+			{Name: "enable", ArgsUsage: "BOX", Flags: changeFlags, Usage: "enable a server again, once the voters have committed the change", Action: change("enable")},
 		}}
 }
 
-// changeBan disables or enables the server that the arguments name.
+// changeBan disables or enables the server that the first argument names. operation is
+// "disable" or "enable".
 func changeBan(ctx context.Context, command *cli.Command, out io.Writer, operation string) error {
 	server := command.Args().First()
 	if server == "" {
-		return fmt.Errorf("fleet bans %s: BOX: missing", operation)
+		return fmt.Errorf("fleet bans %s: missing argument BOX", operation)
 	}
 	setBy := command.String("who")
 	if setBy == "" {
@@ -47,7 +48,7 @@
 	return postAdmin(ctx, command, out, path)
 }
 
-// showBans prints the bans that a router knows of.
+// showBans prints the bans that the called router knows of.
 func showBans(ctx context.Context, command *cli.Command, out io.Writer) error {
 	return showPage(ctx, command, out, "/fleet/bans", printBans)
 }
@@ -74,7 +75,7 @@
 	return table.flush()
 }
 
-// inOrOut is how the table names a server that is enabled or disabled.
+// inOrOut returns the table's word for a server that is enabled (in) or disabled (out).
 func inOrOut(disabled bool) string {
 	if disabled {
 		return "out"
--- a/cmd/garnetline/bench_test.go
+++ b/cmd/garnetline/bench_test.go
@@ -14,19 +14,20 @@
 	"garnetline/internal/fakeserver"
 )
 
-// benchmarkClients is how many clients send requests at a time.
+// benchmarkClients is the number of clients that send requests concurrently.
 const benchmarkClients = 4
 
-// benchmarkTrace is a trace block that retains so many ordinary traces a second.
+// benchmarkTrace returns a trace block that retains ordinaryPerSecond ordinary traces a second.
+// more is appended to the block.
 func benchmarkTrace(dir, ordinaryPerSecond, more string) string {
 	return fmt.Sprintf("trace {\n enabled = true\n folder = %q\n ordinary_per_s = %s\n undecided_kb = 65536\n honour_sampled = false\n%s}\n",
 		dir, ordinaryPerSecond, more)
 }
 
-// BenchmarkDaemon measures the CPU time of a request of the whole daemon, in a process of its
-// own, with tracing off, with some of the ordinary requests retained and with all of them. Where
-// GARNETLINE_EARLIER names a program built from an earlier version, it is measured in the same
-// run, in turn with the others.
+// BenchmarkDaemon measures the CPU time per request of a daemon in a separate process: with tracing
+// off, with the traces of some ordinary requests retained, and with all traces retained. If
+// GARNETLINE_EARLIER names a program built from an earlier version, the same run measures that
+// program too, in turn with the others.
 func BenchmarkDaemon(b *testing.B) {
 	body := strings.Repeat("x", 2048)
 	server := daemontest.NewServer(b, func(id, _ string) string { return fakeserver.Answer(id, "DONE", "tag=t1,minted=1", body) })
@@ -64,7 +65,7 @@
 	}
 }
 
-// benchmarkProcess measures one daemon process.
+// benchmarkProcess measures one daemon process under the load of all clients.
 func benchmarkProcess(b *testing.B, program, dir string, config daemontest.Config, settings string) {
 	b.Helper()
 	config.ListenAddr = daemontest.FreeAddr(b)
@@ -97,13 +98,13 @@
 	b.ReportMetric(peakMemory/1024, "rss-MB")
 }
 
-// peakMemoryKB returns the most memory that a process held, by the kernel's own count: what wait
-// reports begins with the memory of the process that started it.
+// peakMemoryKB returns the peak resident memory of a process, in KB, from /proc. The peak that wait
+// reports is no use, because it includes the memory of the parent process before exec.
 func peakMemoryKB(b *testing.B, pid int) float64 {
 	b.Helper()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
-		b.Logf("no /proc: %v", err)
+		b.Logf("peak memory is not reported without /proc: %v", err)
 		return 0
 	}
 	_, after, ok := strings.Cut(string(status), "VmHWM:")
@@ -135,7 +136,7 @@
 			return
 		}
 		if response.Status != http.StatusOK {
-			b.Errorf("status %d", response.Status)
+			b.Errorf("got status %d, want 200", response.Status)
 		}
 	}
 }
--- a/cmd/garnetline/check_command.go
+++ b/cmd/garnetline/check_command.go
@@ -10,8 +10,8 @@
 	"garnetline/internal/operatorconfig"
 )
 
-// check reads a configuration and an operators' file and prints what they hold. Where no
-// configuration is named, an operators' file is checked by itself.
+// check validates the platform configuration and the operators' settings file and prints a
+// summary of both. It checks the settings file alone if no platform configuration is named.
 func check(command *cli.Command, out io.Writer) error {
 	lines := &printer{out: out}
 	operators, err := checkFiles(command, lines)
@@ -30,7 +30,7 @@
 	return printConnectivityBehavior(out)
 }
 
-// checkFiles prints a line on what was read, and returns the operators' file.
+// checkFiles reads the files, prints one line about them, and returns the operators' settings.
 func checkFiles(command *cli.Command, lines *printer) (operatorconfig.Config, error) {
 	if settingsAlone(command) {
 		operators, err := operatorconfig.Load(command.String("settings"))
@@ -39,7 +39,7 @@
 		}
 		return operators, err
 	}
-	loaded, err := loadSetup(command)
+	loaded, err := loadConfig(command)
 	if err != nil {
 		return operatorconfig.Config{}, err
 	}
@@ -49,7 +49,7 @@
 	return loaded.operators, nil
 }
 
-// settingsAlone reports whether --settings is the only file that is named.
+// settingsAlone reports whether the command line and EDGE_CONFIG name no file but --settings.
 func settingsAlone(command *cli.Command) bool {
 	return command.String("config") == "" && os.Getenv("EDGE_CONFIG") == "" &&
 		command.String("settings") != "" && command.String("dns") == ""
--- a/cmd/garnetline/daemon.go
+++ b/cmd/garnetline/daemon.go
@@ -23,39 +23,40 @@
 	"garnetline/routing"
 )
 
-// daemon is one running router: its parts, in the order in which they are started, and its
-// configuration. The goroutine that calls run owns active and drained; all other fields are
-// set before the parts start.
+// daemon is one running router: its configuration, and its parts in the order in which build
+// creates them. The goroutine that calls run owns active and drained; all other fields are set
+// before the parts start.
 type daemon struct {
 	log     *zerolog.Logger
 	metrics *metrics.Registry
 	clock   clock.System
 	signals chan os.Signal
 
-	startup  setup                                 // what the process was started with
-	active   setup                                 // what the last reload brought
-	platform atomic.Pointer[platformconfig.Config] // active.platform, which all parts read
-	load     func() (setup, error)                 // reads the files again
+	startup  daemonConfig                          // configuration at the start of the process
+	active   daemonConfig                          // configuration after the last reload
+	platform atomic.Pointer[platformconfig.Config] // active.platform, read by all parts
+	load     func() (daemonConfig, error)          // reads the configuration files again
 
 	dispatcher *dispatch.Dispatcher
 	watcher    *discovery.Watcher
 	upstreams  *upstream.Pool
-	recorder   *recorder.Recorder // nil unless traces are on
-	fleet      *fleetServices     // nil unless the fleet is on
+	recorder   *recorder.Recorder // nil if tracing is disabled
+	fleet      *fleetServices     // nil if the fleet is disabled
 	dns        *dnsfront.Server
 	front      *httpfront.Server
 
 	listReceived atomic.Bool   // the dispatcher has an endpoint list
-	stopping     atomic.Bool   // SIGTERM has come
-	serveErrors  chan error    // of the listeners
-	drained      chan struct{} // closed when all requests are answered; nil before SIGTERM
+	stopping     atomic.Bool   // the shutdown has begun
+	serveErrors  chan error    // errors of the listeners
+	drained      chan struct{} // closed when all requests are answered; nil before the shutdown
 
 	stopParts context.CancelFunc
-	cleanups  []func() // run by close, the last one first
+	cleanups  []func() // run by close in reverse order
 }
 
-// serve runs a router until a signal ends it. load reads its configuration again.
-func serve(ctx context.Context, initial setup, load func() (setup, error)) error {
+// serve runs a router until SIGTERM or SIGINT has shut it down, or a part fails. load reads the
+// configuration files again for a reload.
+func serve(ctx context.Context, initial daemonConfig, load func() (daemonConfig, error)) error {
 	log := logs.New(os.Stderr)
 	if err := logs.SetLevel(initial.operators.Log.Level); err != nil {
 		return err
@@ -78,20 +79,20 @@
 	return router.run()
 }
 
-// onClose has close call cleanup, before those that are registered already.
+// onClose registers cleanup, which close calls before the functions registered earlier.
 func (d *daemon) onClose(cleanup func()) {
 	d.cleanups = append(d.cleanups, cleanup)
 }
 
-// close stops the parts, the last started first, and waits for them.
+// close runs the registered cleanups in reverse order: the part started last stops first.
 func (d *daemon) close() {
 	for i := len(d.cleanups) - 1; i >= 0; i-- {
 		d.cleanups[i]()
 	}
 }
 
-// start builds the parts and starts them. What is started is stopped by close, also where
-// start returns an error.
+// start builds the parts and starts them. If it returns an error, close still stops the parts
+// that were started.
 func (d *daemon) start(ctx context.Context) error {
 	d.onClose(d.logCounters)
 	d.receiveSignals()
@@ -117,8 +118,8 @@
 	return nil
 }
 
-// receiveSignals takes signals before anything can be asked of the router: one that nobody
-// waits for would end the process at once.
+// receiveSignals registers the signal handlers. It runs before the router opens a socket: a
+// signal without a handler would terminate the process at once.
 func (d *daemon) receiveSignals() {
 	d.signals = make(chan os.Signal, 4)
 	signal.Notify(d.signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
@@ -147,8 +148,8 @@
 	case syscall.SIGUSR1:
 		d.logCounters()
 	case syscall.SIGHUP:
-		// It is handled during a shutdown too: requests that are open may need the new
-		// address of the change log.
+		// The configuration is reloaded during a shutdown too, because open requests may need
+		// the new address of the change log.
 		d.reload()
 	default:
 		if d.drained == nil {
@@ -161,7 +162,8 @@
 	logs.WriteCounters(d.log, d.metrics.Snapshot())
 }
 
-// classes are the request classes of the active configuration. Any goroutine may call it.
+// classes returns the request classes of the active configuration. It is safe for concurrent
+// use.
 func (d *daemon) classes() []routing.Class {
 	return d.platform.Load().Settings.Classes
 }
--- a/cmd/garnetline/setup.go
+++ b/cmd/garnetline/daemon_config.go
@@ -11,23 +11,24 @@
 	"garnetline/internal/platformconfig"
 )
 
-// setup is the configuration of one daemon: the platform's file and the operators' file.
-type setup struct {
+// daemonConfig is the configuration of a daemon: the platform's file and the operators' file.
+type daemonConfig struct {
 	platform  *platformconfig.Config
 	operators operatorconfig.Config
 }
 
-// checkReload returns why a running daemon cannot go over to next, or nil.
-func (s setup) checkReload(next setup) error {
-	if err := s.platform.CheckReload(next.platform); err != nil {
+// checkReload returns an error if a running daemon cannot change from c to next.
+func (c daemonConfig) checkReload(next daemonConfig) error {
+	if err := c.platform.CheckReload(next.platform); err != nil {
 		return err
 	}
-	return s.operators.CheckReload(next.operators)
+	return c.operators.CheckReload(next.operators)
 }
 
-// loadSetup reads the files that the flags and the environment name.
-func loadSetup(command *cli.Command) (setup, error) {
-	var loaded setup
+// loadConfig reads the configuration files that the flags and EDGE_CONFIG name. The deprecated
+// --dns file replaces the dns block of the operators' file.
+func loadConfig(command *cli.Command) (daemonConfig, error) {
+	var loaded daemonConfig
 	var err error
 	loaded.platform, err = platformconfig.Load(command.String("config"), os.Getenv)
 	if err != nil {
--- a/cmd/garnetline/daemon_parts.go
+++ b/cmd/garnetline/daemon_parts.go
@@ -15,10 +15,10 @@
 	"garnetline/internal/upstream"
 )
 
-// dnsShutdownTimeout is how long the DNS front has for lookups that are open at the end.
+// dnsShutdownTimeout is how long a shutdown waits for open lookups of the DNS front.
 const dnsShutdownTimeout = time.Second
 
-// build makes the parts and connects them to each other. Nothing runs before startParts.
+// build creates the parts and connects them to each other. startDNS and startParts start them.
 func (d *daemon) build(ctx context.Context) error {
 	platform, operators := d.startup.platform, d.startup.operators
 	var err error
@@ -70,13 +70,14 @@
 	return nil
 }
 
-// handleWatchEvent passes an event on from the watcher's goroutine.
+// handleWatchEvent passes a watch event on to the dispatcher. The watcher calls it from its own
+// goroutine.
 func (d *daemon) handleWatchEvent(event platformconfig.WatchEvent) {
 	d.dispatcher.HandleWatchEvent(event)
 	d.listReceived.Store(true)
 }
 
-// startDNS opens the sockets of the DNS front, where it is enabled.
+// startDNS starts the DNS front if it is enabled.
 func (d *daemon) startDNS(ctx context.Context) error {
 	if !d.startup.operators.DNS.Enabled {
 		return nil
@@ -85,21 +86,22 @@
 		return err
 	}
 	d.onClose(func() {
-		// ctx has ended by now.
+		// ctx may be canceled by now, which would end the shutdown at once.
 		shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), dnsShutdownTimeout)
 		defer cancel()
-		d.dns.Shutdown(shutdownCtx) //nolint:errcheck // lookups that are open after the timeout get no answer
+		d.dns.Shutdown(shutdownCtx) //nolint:errcheck // lookups still open after the timeout get no response
 	})
 	return nil
 }
 
-// startParts starts a goroutine for each part that has one.
+// startParts starts the goroutines of the dispatcher, the watcher, and the recorder and the fleet
+// if these are enabled.
 func (d *daemon) startParts(ctx context.Context) {
 	go d.dispatcher.Run(ctx)
 	if d.recorder != nil {
 		go d.recorder.Run()
 		d.onClose(func() {
-			// The dispatcher tells the recorder of the last requests.
+			// The recorder shuts down after the dispatcher, which reports the last requests to it.
 			d.stopParts()
 			<-d.dispatcher.Stopped()
 			d.recorder.Shutdown()
@@ -108,7 +110,7 @@
 	if d.fleet != nil {
 		go d.fleet.Run(ctx)
 		d.onClose(func() {
-			// A successor takes the fleet's socket from then on.
+			// When the fleet has stopped, its socket is closed and a successor process can bind it.
 			d.stopParts()
 			<-d.fleet.Stopped()
 		})
@@ -116,8 +118,9 @@
 	go d.watcher.Run(ctx)
 }
 
-// acceptClients serves the clients' listener. On an inherited socket it waits for the change
-// log first: the other process that holds the socket can answer until then.
+// acceptClients accepts and serves client connections. On an inherited socket it first waits
+// until the watcher has synced or timed out; until then the other process that holds the socket
+// accepts the connections.
 func (d *daemon) acceptClients(listener net.Listener) {
 	if d.startup.platform.ListenFD != 0 {
 		<-d.watcher.Synced()
@@ -125,7 +128,7 @@
 	d.serveErrors <- d.front.Serve(listener)
 }
 
-// startAdmin serves the admin API, where the configuration has an address for it.
+// startAdmin starts the admin API if the configuration has an address for it.
 func (d *daemon) startAdmin(ctx context.Context) error {
 	address := d.startup.platform.AdminListen
 	if !address.IsValid() {
--- a/cmd/garnetline/daemon_reload.go
+++ b/cmd/garnetline/daemon_reload.go
@@ -4,8 +4,9 @@
 	"garnetline/internal/logs"
 )
 
-// reload reads the configuration again and goes over to it as a whole, or keeps the active
-// one and logs the field that is at fault.
+// reload reads the configuration files again and applies all of them. If a file is invalid, or
+// changes a field that only a restart can change, reload applies none of them and logs an error
+// that names the field.
 func (d *daemon) reload() {
 	next, err := d.loadNext()
 	if err != nil {
@@ -18,9 +19,9 @@
 	d.log.Info().Msg("configuration reloaded")
 }
 
-// loadNext returns a configuration that a running router can go over to. The log level is
-// set, as the last of what can fail.
-func (d *daemon) loadNext() (setup, error) {
+// loadNext reads a configuration and checks that a running router can change to it. It sets the
+// log level last, when nothing else can fail, so that a rejected reload changes nothing.
+func (d *daemon) loadNext() (daemonConfig, error) {
 	next, err := d.load()
 	if err != nil {
 		return next, err
@@ -31,8 +32,8 @@
 	return next, logs.SetLevel(next.operators.Log.Level)
 }
 
-// apply has all parts go over to next.
-func (d *daemon) apply(next setup) {
+// apply makes next the active configuration of all parts.
+func (d *daemon) apply(next daemonConfig) {
 	d.active = next
 	applyRuntimeLimits(next.platform.Limits)
 	d.platform.Store(next.platform)
--- a/cmd/garnetline/daemon_shutdown.go
+++ b/cmd/garnetline/daemon_shutdown.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	// acceptAfterSignal is how long a router that is told to stop goes on taking requests:
-	// the platform's front end sends some for 0.6 s yet.
+	// acceptAfterSignal is how long a router accepts requests after the signal to shut down:
+	// the platform's front end goes on sending requests to it for 0.6 s.
 	acceptAfterSignal = 700 * time.Millisecond
-	// killDelay is how long after that, in ms, a process has at the least, or the longest
-	// deadline of a class where that is shorter.
+	// killDelay is the shortest time, in ms after acceptAfterSignal, until the platform kills
+	// the process. If the longest deadline of a class is shorter, that one applies instead.
 	killDelay = 3000.0
-	// killMargin is kept, in ms, for the answers' way to the clients.
+	// killMargin is the time, in ms before the kill, that is left for responses to reach the
+	// clients.
 	killMargin = 200.0
 )
 
-// beginShutdown starts the graceful shutdown: the router is not ready any more, goes on
-// taking requests for acceptAfterSignal, and closes drained when all are answered.
+// beginShutdown starts the graceful shutdown: the router reports itself not ready, accepts
+// requests for acceptAfterSignal, and closes drained when all requests are answered.
 func (d *daemon) beginShutdown() {
 	d.stopping.Store(true)
 	d.fleet.Leave()
 	d.front.FailHealthChecks()
 	if d.startup.platform.ListenFD != 0 {
-		d.front.StopAccepting() // the other process that holds the socket takes what comes
+		d.front.StopAccepting() // the other process that holds the socket accepts new connections
 	}
 	d.dispatcher.DrainBy(d.clock.Now() + drainTime(d.classes()))
 	drained := make(chan struct{})
@@ -37,10 +38,9 @@
 	}()
 }
 
-// drainTime is the time, in ms from the signal on, by which all open requests are answered.
-//
-// Symptom guarded against: a request of a class with a long deadline waited for a cache that
-// hung until the process was killed.
+// drainTime returns the time, in ms after the signal, by which all open requests are answered.
+// Without this bound, a request of a class with a long deadline would wait for a hanging cache
+// until the process is killed, and would get no response.
 func drainTime(classes []routing.Class) float64 {
 	untilKill := min(clock.Millis(routing.MaxDeadline(classes)), killDelay)
 	return clock.Millis(acceptAfterSignal) + max(untilKill-killMargin, 0)
--- a/cmd/garnetline/docs_test.go
+++ b/cmd/garnetline/docs_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// documentedCommand is a command of a documentation page and what stands under it.
+// documentedCommand is a command on a documentation page and the output shown below it.
 type documentedCommand struct {
 	args   []string
 	output string
 }
 
-// documentedTraceCommands returns the commands of a page: an indented block whose first line
-// begins with "$ bin/garnetline trace". The rest of the block is what the command prints.
+// documentedTraceCommands returns the trace commands of a page. Each is an indented block whose
+// first line begins with "$ bin/garnetline trace"; the other lines are the output of the command.
 func documentedTraceCommands(page string) []documentedCommand {
 	var found []documentedCommand
 	for block := range strings.SplitSeq(page, "\n\n") {
@@ -29,7 +29,8 @@
 	return found
 }
 
-// The commands of the operators' page run as they are printed, and print what stands there.
+// The commands on the operators' page about tracing succeed, and print the output that the page
+// shows.
 func TestTracingPageRunsAsPrinted(t *testing.T) {
 	page, err := os.ReadFile("../../docs/tracing.md")
 	if err != nil {
@@ -37,7 +38,7 @@
 	}
 	commands := documentedTraceCommands(string(page))
 	if len(commands) < 4 {
-		t.Errorf("%d commands were found, want 4 or more", len(commands))
+		t.Errorf("found %d commands on the page, want 4 or more", len(commands))
 	}
 	for _, command := range commands {
 		t.Run(strings.Join(command.args, " "), func(t *testing.T) {
@@ -46,7 +47,7 @@
 				got = append(got, strings.TrimRight(line, " \n"))
 			}
 			if printed := strings.Join(got, "\n"); printed != command.output {
-				t.Errorf("printed\n%s\nthe page has\n%s", printed, command.output)
+				t.Errorf("got output\n%s\nwant as on the page\n%s", printed, command.output)
 			}
 		})
 	}
--- a/cmd/garnetline/fleet.go
+++ b/cmd/garnetline/fleet.go
@@ -20,13 +20,13 @@
 	"garnetline/routing"
 )
 
-// maxEligibleHealthScore is the local health score from which on a router takes itself for
-// too slow to hold leases.
+// maxEligibleHealthScore is the highest local health score with which a router may hold leases.
+// With a higher score the router considers itself too slow.
 const maxEligibleHealthScore = 3
 
-// fleetServices are what a router does together with the others of its fleet, where the
-// operators' file has one. Without a fleet it is nil: no socket, no goroutine, and the
-// methods that the daemon calls on nil do nothing.
+// fleetServices holds the services that a router runs together with the other routers of its
+// fleet. It is nil if the operators' file enables no fleet: then there is no socket and no
+// goroutine, and Leave, Reload, Ready and ManagesBans may still be called.
 type fleetServices struct {
 	*transport.Transport
 	watcher    *discovery.Watcher
@@ -34,24 +34,26 @@
 	clock      clock.Clock
 	metrics    *metrics.Registry
 
-	leases        *leasemanager.Manager      // nil: this router takes part in no leases
-	loadReports   *loadreport.Collector      // nil: it polls no servers for others
-	recoveryProbe *recoveryprobe.Coordinator // nil: it probes ejected servers on its own schedule
-	bans          *bans.Manager              // nil: the lease registry keeps no bans
-	actors        []actor                    // of the last three, those that are there
+	leases        *leasemanager.Manager      // nil: the operators' file enables no leases
+	loadReports   *loadreport.Collector      // nil: this router polls no servers on behalf of the others
+	recoveryProbe *recoveryprobe.Coordinator // nil: this router probes ejected servers on its own schedule
+	bans          *bans.Manager              // nil: bans are not kept in the lease registry
+	background    []backgroundService        // those of loadReports, recoveryProbe and bans that are not nil
 
 	mu   sync.Mutex
 	stop context.CancelFunc // set by Run
 }
 
-// actor runs until its context ends, and says when it has.
-type actor interface {
+// backgroundService is a service with a goroutine of its own.
+type backgroundService interface {
+	// Run runs the service until ctx ends.
 	Run(ctx context.Context)
+	// Stopped returns a channel that is closed when Run has ended.
 	Stopped() <-chan struct{}
 }
 
-// joinFleet makes the transport to the other routers and connects the endpoint list to it. It
-// returns nil where the operators' file has no fleet.
+// joinFleet creates the services of the fleet and connects the endpoint list's watcher to the
+// transport between the routers. It returns nil if the operators' file enables no fleet.
 func joinFleet(router *daemon) (*fleetServices, error) {
 	platform, operators := router.startup.platform, router.startup.operators
 	if !operators.Fleet.Enabled {
@@ -65,7 +67,7 @@
 	if zone == "" {
 		zone = platform.Zones[platform.Settings.Zone]
 	}
-	link, err := transport.New(transport.Options{
+	fleetTransport, err := transport.New(transport.Options{
 		Settings:    settings,
 		Name:        platform.Name,
 		Zone:        zone,
@@ -79,8 +81,8 @@
 	if err != nil {
 		return nil, err
 	}
-	router.watcher.SetGossip(link)
-	services := &fleetServices{Transport: link, watcher: router.watcher, dispatcher: router.dispatcher, clock: router.clock, metrics: router.metrics}
+	router.watcher.SetGossip(fleetTransport)
+	services := &fleetServices{Transport: fleetTransport, watcher: router.watcher, dispatcher: router.dispatcher, clock: router.clock, metrics: router.metrics}
 	if operators.Leases.Enabled {
 		if err := services.startLeases(router, settings.FleetName, zone); err != nil {
 			return nil, fmt.Errorf("duties: %w", err)
@@ -89,11 +91,12 @@
 	return services, nil
 }
 
-// storedBans returns the servers that operators have disabled at this router.
-func (router *daemon) storedBans() []routing.ServerID {
-	stored, err := disabled.NewStore(router.startup.platform.StateDir).List()
+// storedBans returns the servers that operators have disabled at this router, as its state
+// directory stores them. It counts a directory that cannot be read as marks_unread.
+func (d *daemon) storedBans() []routing.ServerID {
+	stored, err := disabled.NewStore(d.startup.platform.StateDir).List()
 	if err != nil {
-		router.metrics.Add("marks_unread", 1)
+		d.metrics.Add("marks_unread", 1)
 	}
 	var servers []routing.ServerID
 	for server := range stored {
@@ -113,10 +116,10 @@
 		f.Transport.Run(ctx)
 		return
 	}
-	// Leases are transferred before the others are notified that this router leaves, so the
-	// transport ends after the lease manager.
+	// The transport stops after the lease manager, because the leases are transferred before
+	// the other routers are notified that this router leaves.
 	transportCtx, stopTransport := context.WithCancel(context.WithoutCancel(ctx))
-	for _, service := range f.actors {
+	for _, service := range f.background {
 		go service.Run(ctx)
 	}
 	go func() {
@@ -126,13 +129,13 @@
 	f.Transport.Run(transportCtx)
 	stop()
 	<-f.leases.Stopped()
-	for _, service := range f.actors {
+	for _, service := range f.background {
 		<-service.Stopped()
 	}
 }
 
-// Leave has Run release this router's leases, notify the others that it leaves, and give the
-// socket back. It does not wait for that.
+// Leave makes Run release this router's leases, notify the other routers that it leaves, and
+// close the socket. Leave does not wait for that.
 func (f *fleetServices) Leave() {
 	if f == nil {
 		return
@@ -144,8 +147,8 @@
 	}
 }
 
-// Reload goes over to the keys and addresses of another operators' file, which was checked
-// when it was read.
+// Reload applies the keys and addresses of a reloaded operators' file, which was validated when
+// it was read.
 func (f *fleetServices) Reload(fleet operatorconfig.Fleet) {
 	if f == nil {
 		return
@@ -155,8 +158,9 @@
 	}
 }
 
-// Ready reports whether the fleet lets this router call itself ready: not one that has lost
-// its peers, its servers and the change log.
+// Ready reports whether the fleet lets this router report itself ready. It is false until the
+// ban manager, if there is one, is ready, and while the router has lost all three of its peers, its
+// servers and the change log.
 func (f *fleetServices) Ready() bool {
 	if f == nil {
 		return true
@@ -174,8 +178,9 @@
 	return state.Ready(serversLost, f.watcher.Stale(f.clock.Now()))
 }
 
-// eligible reports whether this router may hold leases: not one that is cut off from its
-// servers, that takes itself for slow, or whose successor runs.
+// eligible reports whether this router may hold leases. It may not if a successor process runs,
+// if its local health score is too high, if no other router is present, if its fleet socket is
+// not bound, or if its endpoint list is stale.
 func (f *fleetServices) eligible() bool {
 	view := f.Members()
 	return !view.Superseded && view.HealthScore <= maxEligibleHealthScore && view.Present > 1 &&
@@ -185,8 +190,8 @@
 // ManagesBans reports whether the lease registry keeps the operators' bans.
 func (f *fleetServices) ManagesBans() bool { return f != nil && f.bans != nil }
 
-// SetServerDisabled disables a server by order of an operator, or enables it again, through
-// the lease registry.
+// SetServerDisabled disables a server for an operator, or enables it again, through the lease
+// registry.
 func (f *fleetServices) SetServerDisabled(ctx context.Context, server routing.ServerID, disable bool) error {
 	return f.bans.Apply(ctx, bans.Change{Server: server, Disable: disable})
 }
--- a/cmd/garnetline/fleet_admin.go
+++ b/cmd/garnetline/fleet_admin.go
@@ -14,14 +14,14 @@
 	"garnetline/routing"
 )
 
-// leasePage is what GET /fleet/duties shows.
+// leasePage is the response body of GET /fleet/duties.
 type leasePage struct {
 	Registry *leasemanager.Status `json:"register"`
-	Held     []leasemanager.Lease `json:"held"` // by this router
+	Held     []leasemanager.Lease `json:"held"` // leases that this router holds
 }
 
-// Handle answers the calls of the admin API at and below /fleet; ok is false where there is
-// no such call.
+// Handle answers a request to the admin API at or below /fleet. It returns ok false if there is
+// no such method and path.
 func (f *fleetServices) Handle(ctx context.Context, method, path string) (status int, body []byte, ok bool) {
 	switch method {
 	case http.MethodGet:
@@ -46,7 +46,7 @@
 	return 0, nil, false
 }
 
-// handlePost takes the parts of the path, of which the first is "fleet".
+// handlePost answers a POST request. parts are the segments of its path; the first is "fleet".
 func (f *fleetServices) handlePost(ctx context.Context, parts []string) (status int, body []byte, ok bool) {
 	if f.leases == nil || len(parts) < 2 {
 		return 0, nil, false
@@ -55,7 +55,8 @@
 	case parts[1] == "bans" && len(parts) == 7 && f.bans != nil && (parts[2] == "disable" || parts[2] == "enable"):
 		return resultPage(f.changeBan(ctx, parts[2:]))
 	case parts[1] == "duty" && len(parts) >= 4 && parts[2] == "move":
-		// The name of a lease has a slash in it; the router's name follows "to".
+		// The name of a lease contains a slash; the router's name, which may be left out, follows
+		// "/to/".
 		lease, router, _ := strings.Cut(strings.Join(parts[3:], "/"), "/to/")
 		return resultPage(f.leases.Transfer(ctx, lease, router))
 	case parts[1] == "elector" && len(parts) == 4 && (parts[2] == "add" || parts[2] == "remove"):
@@ -64,8 +65,9 @@
 	return 0, nil, false
 }
 
-// changeBan carries out a call about a ban. The parts of its path are: disable or enable, the
-// server, the version that the operator saw or 0, who, and why.
+// changeBan disables or enables a server in the lease registry. parts are path segments:
+// "disable" or "enable", the server's id, the ban's version that the operator saw or 0, the
+// operator's name, and the reason.
 func (f *fleetServices) changeBan(ctx context.Context, parts []string) error {
 	server, err := routing.ParseServerID(parts[1])
 	if err != nil {
@@ -73,7 +75,7 @@
 	}
 	knownVersion, err := strconv.ParseUint(parts[2], 10, 64)
 	if err != nil {
-		return fmt.Errorf("version: %q is none", parts[2])
+		return fmt.Errorf("version: expected a non-negative integer, got %q", parts[2])
 	}
 	setBy, err := url.PathUnescape(parts[3])
 	if err != nil {
@@ -92,16 +94,17 @@
 	})
 }
 
-// jsonPage answers with shown, which is plain data.
-func jsonPage(shown any) (status int, body []byte, ok bool) {
-	text, err := json.MarshalIndent(shown, "", " ")
+// jsonPage returns a response with content as indented JSON.
+func jsonPage(content any) (status int, body []byte, ok bool) {
+	text, err := json.MarshalIndent(content, "", " ")
 	if err != nil {
 		return http.StatusInternalServerError, []byte(err.Error()), true
 	}
 	return http.StatusOK, append(text, '\n'), true
 }
 
-// resultPage answers a call that changes something.
+// resultPage returns the response to a request that changes something: 200 if err is nil, else
+// 503 with the text of err.
 func resultPage(err error) (status int, body []byte, ok bool) {
 	if err != nil {
 		return http.StatusServiceUnavailable, []byte(err.Error() + "\n"), true
--- a/cmd/garnetline/fleet_command.go
+++ b/cmd/garnetline/fleet_command.go
@@ -15,33 +15,33 @@
 	"garnetline/internal/fleet"
 )
 
-// newFleetCommand returns the commands that show what a running router knows of its fleet, and
-// change it, through the router's admin API.
+// newFleetCommand returns the commands that show and change the fleet of a running router
+// through the router's admin API. They print to out.
 func newFleetCommand(out io.Writer) *cli.Command {
 	flags := []cli.Flag{
-		&cli.StringFlag{Name: "mgmt", Usage: "`ADDRESS` of the router's admin API; without it, EDGE_MGMT or the configuration's"},
-		&cli.StringFlag{Name: "config", Usage: "configuration `FILE` that names the admin API; without it, what EDGE_CONFIG names"},
+		&cli.StringFlag{Name: "mgmt", Usage: "`ADDRESS` of the router's admin API; default: EDGE_MGMT, else the address in the configuration"},
+		&cli.StringFlag{Name: "config", Usage: "configuration `FILE` with the address of the admin API; default: the file that EDGE_CONFIG names"},
 		&cli.BoolFlag{Name: "json", Usage: "print JSON"},
 	}
-	return &cli.Command{Name: "fleet", Usage: "show what a running router knows of the others", Commands: []*cli.Command{
-		{Name: "status", Usage: "the connectivity state, and how many routers there are", Flags: flags,
+	return &cli.Command{Name: "fleet", Usage: "show and change the fleet of a running router", Commands: []*cli.Command{
+		{Name: "status", Usage: "show the router's connectivity state, and how many routers are present", Flags: flags,
 			Action: func(ctx context.Context, command *cli.Command) error {
 				return showFleet(ctx, command, out, printFleetStatus)
 			}},
-		{Name: "members", Usage: "a line for each router", Flags: flags,
+		{Name: "members", Usage: "print a line for each router of the fleet", Flags: flags,
 			Action: func(ctx context.Context, command *cli.Command) error {
 				return showFleet(ctx, command, out, printMembers)
 			}},
-		{Name: "watch", Usage: "a line for each change, until it is ended", Flags: flags,
+		{Name: "watch", Usage: "print a line for each change in the fleet, until interrupted", Flags: flags,
 			Action: func(ctx context.Context, command *cli.Command) error {
 				ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 				defer stop()
 				return watchFleet(ctx, command, out)
 			}},
-		{Name: "duties", Usage: "who holds which lease, and the state of the lease registry at this router", Flags: flags,
+		{Name: "duties", Usage: "show who holds which lease, and the state of the lease registry at the called router", Flags: flags,
 			Action: func(ctx context.Context, command *cli.Command) error { return showLeases(ctx, command, out) }},
 		{Name: "duty", Usage: "transfer a lease", Commands: []*cli.Command{
-			{Name: "move", Usage: "from the router whose admin API is called to ROUTER, or to the one that ranks first", ArgsUsage: "DUTY [ROUTER]", Flags: flags,
+			{Name: "move", Usage: "transfer the lease DUTY from the called router to ROUTER; default: to the router that ranks first", ArgsUsage: "DUTY [ROUTER]", Flags: flags,
 				Action: func(ctx context.Context, command *cli.Command) error { return transferLease(ctx, command, out) }},
 		}},
 		newBansCommand(out, flags),
@@ -51,19 +51,19 @@
 
 // newElectorCommand returns the commands that change the voters of the lease registry.
 func newElectorCommand(out io.Writer, flags []cli.Flag) *cli.Command {
-	return &cli.Command{Name: "elector", Usage: "add a voter, or remove one, through the leader's admin API", Commands: []*cli.Command{
-		{Name: "add", ArgsUsage: "ROUTER", Flags: flags, Usage: "one whose file names it among the electors; it is a learner until it has caught up",
+	return &cli.Command{Name: "elector", Usage: "add or remove a voter of the lease registry; call the admin API of the leader", Commands: []*cli.Command{
+		{Name: "add", ArgsUsage: "ROUTER", Flags: flags, Usage: "add ROUTER, whose settings file must name it as an elector; it is a learner until it has caught up",
 			Action: func(ctx context.Context, command *cli.Command) error {
 				return postAdmin(ctx, command, out, "/fleet/elector/add/"+command.Args().First())
 			}},
-		{Name: "remove", ArgsUsage: "ROUTER", Flags: flags, Usage: "one at a time",
+		{Name: "remove", ArgsUsage: "ROUTER", Flags: flags, Usage: "remove ROUTER; remove one voter at a time",
 			Action: func(ctx context.Context, command *cli.Command) error {
 				return postAdmin(ctx, command, out, "/fleet/elector/remove/"+command.Args().First())
 			}},
 	}}
 }
 
-// showFleet prints a router's view of its fleet as a table, or as JSON.
+// showFleet prints a router's view of its fleet as a table, or as JSON with --json.
 func showFleet(ctx context.Context, command *cli.Command, out io.Writer, printTable func(io.Writer, *fleet.Status) error) error {
 	status, text, err := fleetStatus(ctx, command)
 	if err != nil {
@@ -76,7 +76,8 @@
 	return printTable(out, status)
 }
 
-// fleetStatus returns a router's view of its fleet, parsed and as it came.
+// fleetStatus fetches a router's view of its fleet. It returns the view both decoded and as the
+// JSON text received.
 func fleetStatus(ctx context.Context, command *cli.Command) (*fleet.Status, []byte, error) {
 	text, err := callAdmin(ctx, command, http.MethodGet, "/fleet")
 	if err != nil {
@@ -84,7 +85,7 @@
 	}
 	status := &fleet.Status{}
 	if err := json.Unmarshal(text, status); err != nil {
-		return nil, nil, fmt.Errorf("no status of a fleet: %w", err)
+		return nil, nil, fmt.Errorf("decode fleet status: %w", err)
 	}
 	return status, text, nil
 }
@@ -94,7 +95,7 @@
 	return showPage(ctx, command, out, "/fleet/duties", printLeases)
 }
 
-// showPage prints what the admin API answers at path as a table, or as JSON.
+// showPage prints the response of the admin API at path as a table, or as JSON with --json.
 func showPage[Page any](ctx context.Context, command *cli.Command, out io.Writer, path string, printTable func(io.Writer, *Page) error) error {
 	text, err := callAdmin(ctx, command, http.MethodGet, path)
 	if err != nil {
@@ -111,11 +112,11 @@
 	return printTable(out, &page)
 }
 
-// transferLease hands a lease of the router that is called to another one.
+// transferLease asks the called router to transfer a lease that it holds to another router.
 func transferLease(ctx context.Context, command *cli.Command, out io.Writer) error {
 	lease, router := command.Args().Get(0), command.Args().Get(1)
 	if lease == "" {
-		return errors.New("fleet duty move: DUTY: missing")
+		return errors.New("fleet duty move: missing argument DUTY")
 	}
 	path := "/fleet/duty/move/" + lease
 	if router != "" {
--- a/cmd/garnetline/fleet_leases.go
+++ b/cmd/garnetline/fleet_leases.go
@@ -19,10 +19,11 @@
 	"garnetline/internal/platformconfig"
 )
 
-// errVoterWithoutDir is returned for a voter whose write-ahead log has no place.
-var errVoterWithoutDir = errors.New("folder: an elector wants one that outlives it")
+// errVoterWithoutDir is returned for a voter that has no directory for its write-ahead log.
+var errVoterWithoutDir = errors.New("folder: an elector requires a directory that outlives the process, got none")
 
-// startLeases makes the lease manager and the services whose leases this router may hold.
+// startLeases creates the lease manager and the services that the operators' file enables.
+// fleetServices.Run starts them.
 func (f *fleetServices) startLeases(router *daemon, fleetName, zone string) error {
 	settings, platform := router.startup.operators.Leases, router.startup.platform
 	bootClock := clock.NewBoot()
@@ -62,7 +63,8 @@
 	return nil
 }
 
-// walDir is the folder of a voter's write-ahead log, or "" where it has no place.
+// walDir returns the directory of a voter's write-ahead log. It is "" if neither the operators'
+// file nor the platform configuration has a directory.
 func walDir(settings operatorconfig.Leases, platform *platformconfig.Config) string {
 	if settings.WALDir != "" || platform.StateDir == "" {
 		return settings.WALDir
@@ -70,7 +72,7 @@
 	return filepath.Join(platform.StateDir, "garnetline-elector-"+platform.Name)
 }
 
-// wantedLeases are the names of the leases that this router may hold.
+// wantedLeases returns the names of the leases that this router may hold.
 func wantedLeases(settings operatorconfig.Leases, zone string) []string {
 	var names []string
 	if settings.LoadReport != nil {
@@ -99,7 +101,7 @@
 		Log:                   router.log,
 		Metrics:               f.metrics,
 	})
-	f.actors = append(f.actors, f.bans)
+	f.background = append(f.background, f.bans)
 }
 
 func (f *fleetServices) sendBanRequest(requestID uint64, request consensus.BanRequest) {
@@ -119,7 +121,7 @@
 		ExtendEjection:  f.dispatcher.ExtendEjection,
 		RequireProbe:    f.dispatcher.RequireProbe,
 	})
-	f.actors = append(f.actors, f.recoveryProbe)
+	f.background = append(f.background, f.recoveryProbe)
 }
 
 func (f *fleetServices) addLoadReports(zone string, zoneIndex int, bootClock clock.Clock, settings operatorconfig.LoadReport) {
@@ -130,10 +132,11 @@
 		Servers:     func() []loadreport.Server { return f.polledServers(zoneIndex) },
 		ReportLoad:  f.dispatcher.ReportLoad,
 	})
-	f.actors = append(f.actors, f.loadReports)
+	f.background = append(f.background, f.loadReports)
 }
 
-// zoneOptions are what the services of a zone share that one router performs under a lease.
+// zoneOptions returns the options common to the services that the holder of a lease runs for a
+// whole zone.
 func (f *fleetServices) zoneOptions(zone string, bootClock clock.Clock) zonelease.Options {
 	return zonelease.Options{
 		Zone:      zone,
@@ -145,7 +148,7 @@
 	}
 }
 
-// polledServers are the caches of a zone that are ready.
+// polledServers returns the ready caches of a zone, whose load is polled.
 func (f *fleetServices) polledServers(zoneIndex int) []loadreport.Server {
 	var servers []loadreport.Server
 	for _, endpoint := range f.watcher.ReadyServers(zoneIndex, 0) {
@@ -154,7 +157,7 @@
 	return servers
 }
 
-// zonePeers are the other routers of a zone that are alive.
+// zonePeers returns the other routers of a zone that are alive.
 func (f *fleetServices) zonePeers(zone string) []membership.ID {
 	var peers []membership.ID
 	for _, member := range f.Members().Members {
@@ -165,7 +168,7 @@
 	return peers
 }
 
-// receive passes a message of another router on to the service that it is for.
+// receive passes a message from another router on to the service that handles its channel.
 func (f *fleetServices) receive(from membership.ID, incarnation uint64, channel fragment.Channel, message []byte) {
 	switch channel {
 	case fragment.LoadReport:
--- a/cmd/garnetline/fleet_metrics.go
+++ b/cmd/garnetline/fleet_metrics.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// fleetCounters are the counters that GET /metrics shows of the fleet.
+// fleetCounters are the names, without the prefix fleet_, of the counters that GET /metrics shows
+// of the fleet.
 var fleetCounters = []string{
 	"packets_in", "packets_out", "bytes_in", "bytes_out",
 	"failed", "refuted", "conflict", "strangers",
--- a/cmd/garnetline/fleet_tables.go
+++ b/cmd/garnetline/fleet_tables.go
@@ -9,7 +9,7 @@
 	"garnetline/internal/fleet"
 )
 
-// printFleetStatus prints how a router sees its fleet and itself.
+// printFleetStatus prints a router's own state and its view of the fleet.
 func printFleetStatus(out io.Writer, status *fleet.Status) error {
 	table := newTable(out)
 	table.linef("router\t%s, seat %s, life %d", status.Name, status.RouterID, status.Incarnation)
@@ -31,7 +31,7 @@
 	return table.flush()
 }
 
-// printMembers prints a line for each router of a fleet.
+// printMembers prints a line for each router of the fleet.
 func printMembers(out io.Writer, status *fleet.Status) error {
 	table := newTable(out)
 	table.linef("NAME\tSTATE\tSINCE\tBY\tWAY\tZONE\tVERSION\tLIFE\tADDRESS\tSEAT")
@@ -51,7 +51,7 @@
 	return table.flush()
 }
 
-// reachedHow says by which way a router hears of a member.
+// reachedHow says how a router receives news of a member: from itself, directly, or by others.
 func reachedHow(member *fleet.MemberStatus) string {
 	switch {
 	case member.Self:
@@ -93,7 +93,7 @@
 	return table.flush()
 }
 
-// formatTime writes a time of day from Unix milliseconds.
+// formatTime returns the local time of day of a time in Unix milliseconds.
 func formatTime(unixMillis float64) string {
 	return time.Unix(0, int64(clock.Duration(unixMillis))).Format("15:04:05.000")
 }
--- a/cmd/garnetline/fleet_test.go
+++ b/cmd/garnetline/fleet_test.go
@@ -17,10 +17,10 @@
 	"garnetline/internal/testcluster"
 )
 
-// clusterTimeout bounds each wait for a cluster.
+// clusterTimeout bounds each wait for a state of a cluster.
 const clusterTimeout = 30 * time.Second
 
-// startCluster starts routers that run this test binary as the program.
+// startCluster starts a cluster whose routers run this test binary as the program.
 func startCluster(t *testing.T, options testcluster.Options) *testcluster.Cluster {
 	t.Helper()
 	options.Program = os.Args[0]
@@ -34,7 +34,7 @@
 	return cluster
 }
 
-// lineWriter passes on what is written to it, as far as there is room.
+// lineWriter sends what is written to it on a channel, and drops it if the channel is full.
 type lineWriter chan string
 
 func (w lineWriter) Write(b []byte) (int, error) {
@@ -45,7 +45,7 @@
 	return len(b), nil
 }
 
-// waitFor waits until a line holds a text.
+// waitFor waits until a line contains text.
 func (w lineWriter) waitFor(t *testing.T, text string) {
 	t.Helper()
 	timeout := time.After(clusterTimeout)
@@ -56,13 +56,14 @@
 				return
 			}
 		case <-timeout:
-			t.Fatalf("no line with %q within %v", text, clusterTimeout)
+			t.Fatalf("got no line with %q within %v", text, clusterTimeout)
 		}
 	}
 }
 
-// The command line shows the view of a running router, as a table, as JSON, and as it changes.
-func TestFleetCommandShowsTheView(t *testing.T) {
+// The fleet commands show a running router's view of its fleet as a table and as JSON, and print
+// each change.
+func TestFleetCommandsShowRouterView(t *testing.T) {
 	cluster := startCluster(t, testcluster.Options{Routers: 3, Servers: 1, Fleet: true, Seed: 1})
 	if _, err := cluster.WaitForConvergence(clusterTimeout, cluster.Routers...); err != nil {
 		t.Fatal(err)
@@ -84,16 +85,16 @@
 			}
 			for _, want := range test.want {
 				if !strings.Contains(out.String(), want) {
-					t.Errorf("no %q in %s", want, out.String())
+					t.Errorf("want %q in the output: %s", want, out.String())
 				}
 			}
 		})
 	}
 
-	for page, want := range map[string]string{"duties": "takes part in no duties", "bans": "keeps no bans in a lease registry"} {
+	for page, want := range map[string]string{"duties": "takes part in no leases", "bans": "keeps no bans in a lease registry"} {
 		err := newFleetCommand(io.Discard).Run(t.Context(), []string{"fleet", page, "--mgmt", router.AdminAddr})
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("fleet %s without that block: got %v, want an error with %q", page, err, want)
+			t.Errorf("fleet %s without its block in the settings: got %v, want an error with %q", page, err, want)
 		}
 	}
 
@@ -115,20 +116,21 @@
 	}
 	for _, want := range []string{`app_fleet_members{state="failed"} 1`, "app_fleet_known 3\n"} {
 		if !strings.Contains(string(page), want) {
-			t.Errorf("no %q in %s", want, page)
+			t.Errorf("metrics: want %q in %s", want, page)
 		}
 	}
 }
 
-// footprint is what others notice of one router.
+// footprint is what can be observed of a router from outside.
 type footprint struct {
 	sockets     int
-	fleetStatus int    // of the admin API's fleet page
-	metricNames string // with their types
-	requests    []string
+	fleetStatus int      // status of GET /fleet of the admin API
+	metricNames string   // # TYPE lines of GET /metrics
+	requests    []string // received by the server, without client timeouts
 }
 
-// measureFootprint starts a cluster of one router and has it serve five requests.
+// measureFootprint starts a cluster of one router, which serves five requests, and returns the
+// router's footprint.
 func measureFootprint(t *testing.T, options testcluster.Options) footprint {
 	t.Helper()
 	options.Routers, options.Servers, options.Seed = 1, 1, 1
@@ -153,26 +155,27 @@
 		daemontest.Exchange(t, router.ListenAddr, readRequest(target, object, daemontest.CloseConnection))
 	}
 	return footprint{
-		sockets:     lastingSockets(t, cluster, router),
+		sockets:     permanentSockets(t, cluster, router),
 		fleetStatus: fleetStatus,
 		metricNames: metricTypes(string(page)),
 		requests:    withoutClientTimeouts(cluster.Servers[0].Requests()),
 	}
 }
 
-// lastingSockets returns the number of sockets of a router without those of clients and the
-// admin API, which come and go: the least number in 20 looks after which it is not undercut.
-func lastingSockets(t *testing.T, cluster *testcluster.Cluster, router *testcluster.Router) int {
+// permanentSockets returns the number of sockets of a router without its short-lived connections
+// to clients and the admin API. It counts the sockets until 20 counts in a row bring no lower
+// number, and returns the lowest.
+func permanentSockets(t *testing.T, cluster *testcluster.Cluster, router *testcluster.Router) int {
 	t.Helper()
-	const looks = 20
+	const polls = 20
 	least := countSockets(t, router.Pid())
-	same := 0
-	if _, err := cluster.WaitUntil("its own sockets alone", clusterTimeout, func() (bool, string) {
+	unchanged := 0 // counts since the lowest one
+	if _, err := cluster.WaitUntil("lowest number of sockets", clusterTimeout, func() (bool, string) {
 		if count := countSockets(t, router.Pid()); count < least {
-			least, same = count, 0
+			least, unchanged = count, 0
 		}
-		same++
-		return same > looks, ""
+		unchanged++
+		return unchanged > polls, ""
 	}); err != nil {
 		t.Fatal(err)
 	}
@@ -184,7 +187,7 @@
 	t.Helper()
 	descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
-		t.Skipf("no /proc: %v", err)
+		t.Skipf("sockets cannot be counted without /proc: %v", err)
 	}
 	count := 0
 	for _, descriptor := range descriptors {
@@ -207,7 +210,7 @@
 	return types.String()
 }
 
-// withoutClientTimeouts cuts each request before what is left of its client's time, which
+// withoutClientTimeouts cuts each request before the field with the client's remaining time, which
 // differs from run to run.
 func withoutClientTimeouts(requests []string) []string {
 	var cut []string
@@ -218,9 +221,10 @@
 	return cut
 }
 
-// Without a fleet block, and without any file, a router has the same sockets, no page and no
-// metric of a fleet, and writes the same bytes to its servers; with one it has a socket more.
-func TestFleetIsOffWithoutItsBlock(t *testing.T) {
+// A router without a fleet block behaves like one without an operators' file: same sockets, no page
+// and no metrics of a fleet, same requests to its servers. With a fleet block it has one more
+// socket, and sends the same requests.
+func TestFleetIsOffWithoutFleetBlock(t *testing.T) {
 	withoutFile := measureFootprint(t, testcluster.Options{NoSettingsFile: true})
 	withoutBlock := measureFootprint(t, testcluster.Options{})
 	withBlock := measureFootprint(t, testcluster.Options{Fleet: true})
@@ -228,25 +232,25 @@
 		t.Errorf("/fleet: %d without a file, %d without a block, %d with one; want 404, 404, 200", withoutFile.fleetStatus, withoutBlock.fleetStatus, withBlock.fleetStatus)
 	}
 	if withoutFile.sockets != withoutBlock.sockets {
-		t.Errorf("%d sockets without a file, %d without a block", withoutFile.sockets, withoutBlock.sockets)
+		t.Errorf("got %d sockets without a file and %d without a block, want the same number", withoutFile.sockets, withoutBlock.sockets)
 	}
 	if withBlock.sockets != withoutBlock.sockets+1 {
-		t.Errorf("%d sockets with a fleet, want one more than %d", withBlock.sockets, withoutBlock.sockets)
+		t.Errorf("got %d sockets with a fleet block, want one more than the %d without", withBlock.sockets, withoutBlock.sockets)
 	}
 	if withoutFile.metricNames != withoutBlock.metricNames {
-		t.Errorf("metrics without a file\n%s\nand without a block\n%s", withoutFile.metricNames, withoutBlock.metricNames)
+		t.Errorf("got metrics without a file\n%s\nand without a block\n%s\nwant the same", withoutFile.metricNames, withoutBlock.metricNames)
 	}
 	if strings.Contains(withoutBlock.metricNames, "fleet") || !strings.Contains(withBlock.metricNames, "fleet") {
-		t.Errorf("metrics of a fleet without a block\n%s\nand with one\n%s", withoutBlock.metricNames, withBlock.metricNames)
+		t.Errorf("want fleet metrics only with a fleet block; got without a block\n%s\nand with one\n%s", withoutBlock.metricNames, withBlock.metricNames)
 	}
 	if len(withoutFile.requests) != 5 || !slices.Equal(withoutFile.requests, withoutBlock.requests) || !slices.Equal(withoutBlock.requests, withBlock.requests) {
-		t.Errorf("sent to the server:\n%q\n%q\n%q", withoutFile.requests, withoutBlock.requests, withBlock.requests)
+		t.Errorf("want the same 5 requests to the server; got without a file\n%q\nwithout a block\n%q\nwith a block\n%q", withoutFile.requests, withoutBlock.requests, withBlock.requests)
 	}
 }
 
-// An operators' file is checked by itself where no configuration is named, and with a fleet the
-// table of what each state of connectivity permits is printed.
-func TestCheckOfAnOperatorsFileAlone(t *testing.T) {
+// check validates an operators' file alone if no platform configuration is named. With a fleet it
+// prints the table of what a router does in each connectivity state.
+func TestCheckSettingsFileAlone(t *testing.T) {
 	const keys = " keys = [\"sixteen bytes or more\"]\n"
 	for name, test := range map[string]struct {
 		text, wantOutput, wantError string
@@ -268,7 +272,7 @@
 				t.Errorf("got %v, want an error with %q", err, test.wantError)
 			}
 			if !strings.Contains(out.String(), test.wantOutput) {
-				t.Errorf("no %q in %q", test.wantOutput, out.String())
+				t.Errorf("want %q in the output %q", test.wantOutput, out.String())
 			}
 		})
 	}
--- a/cmd/garnetline/fleet_watch.go
+++ b/cmd/garnetline/fleet_watch.go
@@ -12,13 +12,15 @@
 	"garnetline/internal/fleet"
 )
 
+// watchInterval is the time between two requests for the fleet status.
 const watchInterval = 200 * time.Millisecond
 
-// fleetView is what watchFleet compares between two looks: what is said of each subject.
+// fleetView is what watchFleet compares between two polls: the description of each subject, such
+// as a router or a banned server, by the subject's name.
 type fleetView map[string]string
 
-// watchFleet prints what changes in a router's view of its fleet, until ctx ends. It returns
-// an error if the first call fails; later failures are changes.
+// watchFleet prints the changes in a router's view of its fleet until ctx ends. It returns an
+// error if the first request fails; it prints later failures as changes.
 func watchFleet(ctx context.Context, command *cli.Command, out io.Writer) error {
 	asJSON := command.Bool("json")
 	previous := fleetView{}
@@ -51,7 +53,7 @@
 	}
 }
 
-// fleetViewOf describes a status, or the error with which the call for it ended.
+// fleetViewOf returns the view of a status, or of the error if the request for the status failed.
 func fleetViewOf(status *fleet.Status, callErr error) fleetView {
 	view := fleetView{}
 	if callErr != nil {
@@ -69,8 +71,8 @@
 	return view
 }
 
-// changesTo returns a line for each subject of which next says something else. What next does
-// not have counts as gone only where next is complete.
+// changesTo returns a line for each subject that next describes differently. A subject that is
+// missing from next counts as removed only if next is complete.
 func (v fleetView) changesTo(next fleetView, complete bool) []string {
 	var lines []string
 	for subject, text := range next {
--- a/cmd/garnetline/golden_test.go
+++ b/cmd/garnetline/golden_test.go
@@ -13,14 +13,14 @@
 	"garnetline/internal/golden"
 )
 
-// Commands, their arguments and their flags are what scripts of the operators rest on.
+// Operators' scripts depend on the commands, their arguments and their flags.
 func TestCommandsAndFlags(t *testing.T) {
 	var text strings.Builder
 	describeCommand(&text, newCommand(io.Discard), "")
 	golden.Compare(t, "commands.golden", []byte(text.String()))
 }
 
-// The keys under which operators' scripts find the register and the leases held.
+// Operators' scripts depend on the JSON keys of the lease registry and of the leases held.
 func TestLeasePageKeys(t *testing.T) {
 	text, err := json.Marshal(leasePage{Registry: &leasemanager.Status{}, Held: []leasemanager.Lease{{}}})
 	if err != nil {
@@ -29,6 +29,7 @@
 	golden.Compare(t, "duties.golden", []byte(string(text)+"\n"))
 }
 
+// describeCommand writes the path, the arguments and the flags of a command and its subcommands.
 func describeCommand(out *strings.Builder, command *cli.Command, parent string) {
 	path := strings.TrimSpace(parent + " " + command.Name)
 	fmt.Fprintln(out, strings.TrimSpace(path+" "+command.ArgsUsage))
--- a/cmd/garnetline/helpers_test.go
+++ b/cmd/garnetline/helpers_test.go
@@ -14,7 +14,7 @@
 	"garnetline/internal/platformconfig"
 )
 
-// TestMain runs the program itself where a test started this binary for that.
+// TestMain runs the program instead of the tests if a test started this binary as the program.
 func TestMain(m *testing.M) {
 	if daemontest.IsProgram() {
 		main()
@@ -23,43 +23,45 @@
 	os.Exit(m.Run())
 }
 
-// The response body of the fake servers that serve everything.
+// servedBody is the response body of the fake servers that serve every request.
 const servedBody = "bytes"
 
-// inProcessDaemon is serve on a goroutine of the test.
+// inProcessDaemon is a daemon that runs on a goroutine of the test process.
 type inProcessDaemon struct {
-	result chan error
+	result chan error // receives the result of serve
 }
 
-// startServe runs serve with the default operators' configuration.
-func startServe(config *platformconfig.Config, loadNext func() (setup, error)) *inProcessDaemon {
+// startServe starts serve with the default operators' configuration. loadNext is called for each
+// reload.
+func startServe(config *platformconfig.Config, loadNext func() (daemonConfig, error)) *inProcessDaemon {
 	daemon := &inProcessDaemon{result: make(chan error, 1)}
 	go func() {
-		daemon.result <- serve(context.Background(), setup{config, operatorconfig.Default()}, loadNext)
+		daemon.result <- serve(context.Background(), daemonConfig{config, operatorconfig.Default()}, loadNext)
 	}()
 	return daemon
 }
 
-// loadSetupFrom reads a platform configuration without an environment, and has the default
-// operators' configuration.
-func loadSetupFrom(path string) (setup, error) {
+// loadConfigFrom reads a platform configuration with no environment variables, and combines it with
+// the default operators' configuration.
+func loadConfigFrom(path string) (daemonConfig, error) {
 	platform, err := platformconfig.Load(path, func(string) string { return "" })
-	return setup{platform, operatorconfig.Default()}, err
+	return daemonConfig{platform, operatorconfig.Default()}, err
 }
 
-// waitSubscribed waits until the daemon has asked its change log, and returns from which number.
+// waitSubscribed waits until the daemon has subscribed to its change log, and returns the sequence
+// number that it requested.
 func (d *inProcessDaemon) waitSubscribed(t *testing.T, requested <-chan uint64) uint64 {
 	t.Helper()
 	select {
 	case seq := <-requested:
 		return seq
 	case err := <-d.result:
-		t.Fatalf("serve returned: %v", err)
+		t.Fatalf("serve returned before it subscribed to the change log: %v", err)
 		return 0
 	}
 }
 
-// wait waits for serve to return, which has to be without an error.
+// wait waits for serve to return. An error of serve is a test failure.
 func (d *inProcessDaemon) wait(t *testing.T) {
 	t.Helper()
 	if err := <-d.result; err != nil {
@@ -67,7 +69,7 @@
 	}
 }
 
-// signalSelf sends this process a signal, which serve takes.
+// signalSelf sends a signal to this process, in which serve handles it.
 func signalSelf(t *testing.T, signal syscall.Signal) {
 	t.Helper()
 	if err := syscall.Kill(os.Getpid(), signal); err != nil {
@@ -75,8 +77,8 @@
 	}
 }
 
-// runDaemon runs serve until it is healthy and returns its address. shutDown, which the test's
-// end calls too, ends it by SIGTERM.
+// runDaemon starts serve, waits until the router is healthy, and returns its address. shutDown
+// sends SIGTERM and waits for serve to return; it is also called when the test ends.
 func runDaemon(t *testing.T, config daemontest.Config) (addr string, shutDown func()) {
 	t.Helper()
 	config.ListenAddr = daemontest.FreeAddr(t)
@@ -94,7 +96,7 @@
 	return config.ListenAddr, shutDown
 }
 
-// runTraceCommand runs a command of garnetline trace and returns what it prints.
+// runTraceCommand runs a subcommand of garnetline trace and returns its output.
 func runTraceCommand(t *testing.T, args ...string) string {
 	t.Helper()
 	var out bytes.Buffer
--- a/cmd/garnetline/limits.go
+++ b/cmd/garnetline/limits.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	// heapShare is the part of the memory limit that the runtime may use; the kernel counts
-	// more than it does.
+	// heapShare is the fraction of the memory limit that the Go runtime may use. It is below 1
+	// because the kernel counts more memory than the runtime does.
 	heapShare = 0.7
-	// clientConnectionShare and upstreamConnectionShare are parts of the limit on descriptors.
-	// Files, the admin API and the DNS front have the rest.
+	// clientConnectionShare and upstreamConnectionShare are fractions of the limit on file
+	// descriptors. The rest is for files, the admin API and the DNS front.
 	clientConnectionShare   = 0.6
 	upstreamConnectionShare = 0.3
-	// unlimitedClientConnections applies where the configuration has no limit on descriptors.
+	// unlimitedClientConnections is the limit on client connections if the configuration has no
+	// limit on file descriptors.
 	unlimitedClientConnections = 1024
-	// maxAdminConnections bounds the callers of the admin API at one time.
+	// maxAdminConnections is the limit on concurrent connections to the admin API.
 	maxAdminConnections = 12
 )
 
-// applyRuntimeLimits keeps the process within its limits on memory and processors.
+// applyRuntimeLimits sets the memory limit and the number of processors of the Go runtime.
 func applyRuntimeLimits(limits platformconfig.Limits) {
 	if limits.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(float64(limits.MemoryMB<<20) * heapShare))
@@ -31,7 +32,7 @@
 	}
 }
 
-// maxClientConnections is how many clients' connections may be open at one time.
+// maxClientConnections returns the limit on concurrent client connections.
 func maxClientConnections(limits platformconfig.Limits) int {
 	if limits.Sockets == 0 {
 		return unlimitedClientConnections
@@ -39,8 +40,8 @@
 	return max(1, int(float64(limits.Sockets)*clientConnectionShare))
 }
 
-// maxUpstreamConnections is how many connections to servers may be open at one time, or 0
-// where the configuration has no limit.
+// maxUpstreamConnections returns the limit on concurrent connections to servers, or 0 if the
+// configuration has no limit on file descriptors.
 func maxUpstreamConnections(limits platformconfig.Limits) int64 {
 	return int64(float64(limits.Sockets) * upstreamConnectionShare)
 }
--- a/cmd/garnetline/listener.go
+++ b/cmd/garnetline/listener.go
@@ -9,8 +9,8 @@
 	"garnetline/internal/platformconfig"
 )
 
-// openListener binds the clients' socket, or takes the one that the platform holds and passes
-// on from one process to the next as a descriptor.
+// openListener opens the listening socket for clients. It binds the configured address, or uses
+// the inherited descriptor of a socket that the platform passes on from one process to the next.
 func openListener(ctx context.Context, config *platformconfig.Config) (net.Listener, error) {
 	if config.ListenFD == 0 {
 		var listenConfig net.ListenConfig
@@ -21,7 +21,7 @@
 		return listener, nil
 	}
 	file := os.NewFile(uintptr(config.ListenFD), "listen")
-	defer file.Close() //nolint:errcheck // the listener has a descriptor of its own
+	defer file.Close() //nolint:errcheck // the listener uses a duplicate of the descriptor
 	listener, err := net.FileListener(file)
 	if err != nil {
 		return nil, fmt.Errorf("EDGE_LISTEN_FD: %w", err)
--- a/cmd/garnetline/main.go
+++ b/cmd/garnetline/main.go
@@ -1,6 +1,6 @@
-// Command garnetline is an edge router: it takes clients' requests, has the decision module
-// choose a cache for each, forwards them and answers. Its other commands check a
-// configuration and show what a running router knows.
+// Command garnetline is an edge router: it accepts clients' requests, selects a cache for each,
+// forwards the requests and answers them. Its other commands check a configuration, show recorded
+// traces, and show and change the fleet of a running router.
 package main
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// version is set by the linker where a release is built.
+// version is the version of the program, which the linker sets in release builds.
 var version = "devel"
 
 func main() {
@@ -22,20 +22,20 @@
 	}
 }
 
-// newCommand returns the command line. What its commands print goes to out.
+// newCommand returns the root command of the command line. Its commands print to out.
 func newCommand(out io.Writer) *cli.Command {
 	files := []cli.Flag{
-		&cli.StringFlag{Name: "config", Usage: "configuration `FILE`; without it, what EDGE_CONFIG names"},
-		&cli.StringFlag{Name: "settings", Usage: "operators' `FILE` in HCL; without it all that it could switch on is off"},
-		&cli.StringFlag{Name: "dns", Usage: "older `FILE` of the DNS front alone; its place is the dns block of --settings"},
+		&cli.StringFlag{Name: "config", Usage: "configuration `FILE`; default: the file that EDGE_CONFIG names"},
+		&cli.StringFlag{Name: "settings", Usage: "operators' settings `FILE` in HCL; without it, all features that it can enable are off"},
+		&cli.StringFlag{Name: "dns", Usage: "deprecated: `FILE` with the settings of the DNS front; use the dns block of the --settings file"},
 	}
 	return &cli.Command{
 		Name:  "garnetline",
 		Usage: "edge router for caches of large objects",
 		Commands: []*cli.Command{
-			{Name: "serve", Usage: "serve until SIGTERM; SIGHUP reads the configuration again, SIGUSR1 prints the counters", Flags: files,
+			{Name: "serve", Usage: "serve until SIGTERM; SIGHUP reloads the configuration, SIGUSR1 logs the counters", Flags: files,
 				Action: serveCommand},
-			{Name: "check", Usage: "check a configuration and say what it holds", Flags: files,
+			{Name: "check", Usage: "check a configuration and print a summary", Flags: files,
 				Action: func(_ context.Context, command *cli.Command) error { return check(command, out) }},
 			newTraceCommand(out),
 			newFleetCommand(out),
@@ -48,9 +48,9 @@
 	}
 }
 
-// serveCommand runs the daemon with the files that the flags name; SIGHUP reads them again.
+// serveCommand runs the daemon with the configuration files that the flags name.
 func serveCommand(ctx context.Context, command *cli.Command) error {
-	load := func() (setup, error) { return loadSetup(command) }
+	load := func() (daemonConfig, error) { return loadConfig(command) }
 	initial, err := load()
 	if err != nil {
 		return err
--- a/cmd/garnetline/metrics_test.go
+++ b/cmd/garnetline/metrics_test.go
@@ -15,23 +15,23 @@
 	"garnetline/internal/metrics"
 )
 
-// Guards the page /metrics, which operators' monitoring reads, to the byte: names, types and
-// labels. UPDATE_GOLDEN=1 writes it anew.
+// TestMetricsPage compares the body of GET /metrics, which operators' monitoring reads, byte by
+// byte with a golden file: names, types and labels. UPDATE_GOLDEN=1 rewrites the golden file.
 func TestMetricsPage(t *testing.T) {
 	ring, err := packetcrypto.NewKeyring("f", []string{"sixteen bytes or more"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	loopback := netip.MustParseAddrPort("127.0.0.1:0")
-	count := metrics.New()
-	count.Add("fleet_packets_in", 17)
-	l, err := transport.New(transport.Options{Settings: transport.Settings{FleetName: "f", ListenAddr: loopback, AdvertiseAddr: loopback, Keyring: ring, Node: fleet.DefaultSettings(),
-		PacketsPerSecond: 500, BytesPerSecond: 100_000}, Name: "r", Zone: "z", StateDir: t.TempDir(), Clock: clock.NewManual(1.7e12), Log: logs.New(&bytes.Buffer{}), Metrics: count})
+	registry := metrics.New()
+	registry.Add("fleet_packets_in", 17)
+	fleetTransport, err := transport.New(transport.Options{Settings: transport.Settings{FleetName: "f", ListenAddr: loopback, AdvertiseAddr: loopback, Keyring: ring, Node: fleet.DefaultSettings(),
+		PacketsPerSecond: 500, BytesPerSecond: 100_000}, Name: "r", Zone: "z", StateDir: t.TempDir(), Clock: clock.NewManual(1.7e12), Log: logs.New(&bytes.Buffer{}), Metrics: registry})
 	if err != nil {
 		t.Fatal(err)
 	}
 	page := admin.Metrics{Classes: []admin.ClassMetrics{{Name: "part", Served: 1, Rejected: 2, Failed: 3}, {Name: "form", Served: 4, Rejected: 5, Failed: 6}},
 		Relayed: 7, OpenRequests: 8, ListedServers: 9, UnavailableServers: 10, ReloadsAccepted: 11, ReloadsRejected: 12}.AppendPrometheus(nil)
-	page = (&fleetServices{Transport: l, metrics: count}).AppendMetrics(page)
+	page = (&fleetServices{Transport: fleetTransport, metrics: registry}).AppendMetrics(page)
 	golden.Compare(t, "metrics.golden", page)
 }
--- a/cmd/garnetline/printer.go
+++ b/cmd/garnetline/printer.go
@@ -6,20 +6,21 @@
 	"text/tabwriter"
 )
 
-// printer writes lines until a write fails, and keeps that error.
+// printer writes lines to out until a write fails, and keeps the error of that write in err.
 type printer struct {
 	out io.Writer
 	err error
 }
 
-// linef writes one line, unless an earlier write has failed.
+// linef writes one formatted line, unless an earlier write has failed.
 func (p *printer) linef(format string, args ...any) {
 	if p.err == nil {
 		_, p.err = fmt.Fprintf(p.out, format+"\n", args...)
 	}
 }
 
-// table is a printer of lines whose tab-separated cells are aligned in columns.
+// table prints lines whose tab-separated cells are aligned in columns. The caller calls flush
+// after the last line.
 type table struct {
 	printer
 	columns *tabwriter.Writer
@@ -30,7 +31,7 @@
 	return &table{printer: printer{out: columns}, columns: columns}
 }
 
-// flush writes the table out, and returns the first error of all writes.
+// flush writes the table to its writer. It returns the first error of all writes.
 func (t *table) flush() error {
 	if t.err != nil {
 		return t.err
--- a/cmd/garnetline/endings_test.go
+++ b/cmd/garnetline/request_lifecycle_test.go
@@ -15,7 +15,7 @@
 	"garnetline/routing"
 )
 
-// send sends a request on a connection of its own, which the router is to close.
+// send sends a request on a new connection, and asks the router to close it after the response.
 func send(t *testing.T, addr, method, target string, transaction int, header ...string) *daemontest.Client {
 	t.Helper()
 	client := daemontest.Dial(t, addr)
@@ -24,28 +24,28 @@
 	return client
 }
 
-// unsafeWriteTest is a daemon whose writes may not be repeated, before two caches that fail in
-// one way for each object.
+// unsafeWriteTest is a daemon whose writes are not idempotent, with two caches whose behavior
+// depends on the object of a write.
 type unsafeWriteTest struct {
 	t        *testing.T
 	addr     string
-	received chan string // the fields of each request that a cache received
-	rejected atomic.Bool // the object that is rejected first was rejected
+	received chan string // fields of each request that a cache received
+	rejected atomic.Bool // the first attempt of writeIsRejectedFirst was rejected
 	servers  []*fakeserver.Server
 }
 
-// What becomes of a write, by the last digit of its object.
+// Outcomes of a write. The last digit of the object's id selects one.
 const (
 	writeLosesConnection = iota + 1
 	writeFails
 	writeTimesOut
-	writeIsAbandoned // by its client
+	writeIsAbandoned // the client closes its connection
 	writeGetsMalformedReply
 	writeIsRejectedFirst
-	writeSharesConnection // with the one that gets a malformed reply
+	writeSharesConnection // shares the connection to the cache with writeGetsMalformedReply
 )
 
-// unsafeObject is the object of a write with an outcome.
+// unsafeObject returns the id of the object whose write has the given outcome.
 func unsafeObject(outcome int) string { return fmt.Sprintf("%016x", 0xa0+outcome) }
 
 func newUnsafeWriteTest(t *testing.T) *unsafeWriteTest {
@@ -81,16 +81,16 @@
 		}
 		return fakeserver.Answer(id, "DONE", "tag=w,minted=1", "written")
 	}
-	return "" // never a reply
+	return "" // no reply
 }
 
-// put sends a write and waits until a cache has received it.
+// put sends the write with the given outcome and waits until a cache has received it.
 func (u *unsafeWriteTest) put(outcome int, timeout time.Duration) *daemontest.Client {
 	u.t.Helper()
 	object := unsafeObject(outcome)
 	client := send(u.t, u.addr, "PUT", "/v1/form/"+object, outcome, daemontest.ClientTimeout(timeout), "Content-Length: 0")
 	if got := <-u.received; !strings.Contains(got, "asset="+object) {
-		u.t.Fatalf("request for %s: a cache received %s", object, got)
+		u.t.Fatalf("write for %s: a cache received the request %s", object, got)
 	}
 	return client
 }
@@ -98,11 +98,11 @@
 func (u *unsafeWriteTest) checkStatus(name string, client *daemontest.Client, want int) {
 	u.t.Helper()
 	if got := client.Receive(u.t).Status; got != want {
-		u.t.Errorf("%s: status %d, want %d", name, got, want)
+		u.t.Errorf("%s: got status %d, want %d", name, got, want)
 	}
 }
 
-// executions counts how often the caches received the write with an outcome.
+// executions returns how often the caches received the write with the given outcome.
 func (u *unsafeWriteTest) executions(outcome int) int {
 	count := 0
 	for _, server := range u.servers {
@@ -115,20 +115,21 @@
 	return count
 }
 
-// What must not run twice is never repeated once it may have run, however its attempt ended:
-// connection lost, an error, no reply in time, its client gone, a malformed reply to another
-// request on its connection. What provably did not run is repeated.
+// The router never retries a non-idempotent write that a cache may have executed, however the
+// attempt ended: connection lost, server error, no reply in time, client gone, or a malformed reply
+// to another request on the same connection. It retries a write that a cache rejected, which
+// therefore was not executed.
 func TestNonIdempotentWriteRunsOnce(t *testing.T) {
 	test := newUnsafeWriteTest(t)
-	const patient = 3 * time.Second
-	test.checkStatus("connection lost", test.put(writeLosesConnection, patient), http.StatusBadGateway)
-	test.checkStatus("server error", test.put(writeFails, patient), http.StatusBadGateway)
+	const longTimeout = 3 * time.Second
+	test.checkStatus("connection lost", test.put(writeLosesConnection, longTimeout), http.StatusBadGateway)
+	test.checkStatus("server error", test.put(writeFails, longTimeout), http.StatusBadGateway)
 	test.checkStatus("no reply in time", test.put(writeTimesOut, 400*time.Millisecond), http.StatusBadGateway)
-	daemontest.Close(t, test.put(writeIsAbandoned, patient))
-	sharing := test.put(writeSharesConnection, patient)
-	test.checkStatus("malformed reply", test.put(writeGetsMalformedReply, patient), http.StatusBadGateway)
+	daemontest.Close(t, test.put(writeIsAbandoned, longTimeout))
+	sharing := test.put(writeSharesConnection, longTimeout)
+	test.checkStatus("malformed reply", test.put(writeGetsMalformedReply, longTimeout), http.StatusBadGateway)
 	test.checkStatus("on the connection of a malformed reply", sharing, http.StatusBadGateway)
-	test.checkStatus("rejected first", test.put(writeIsRejectedFirst, patient), http.StatusOK)
+	test.checkStatus("rejected first", test.put(writeIsRejectedFirst, longTimeout), http.StatusOK)
 	for outcome := writeLosesConnection; outcome <= writeSharesConnection; outcome++ {
 		want := 1
 		if outcome == writeIsRejectedFirst {
@@ -140,7 +141,7 @@
 	}
 }
 
-// watchEventTest is a daemon before two caches whose change log sends events.
+// watchEventTest is a daemon with two caches and a change log that sends watch events.
 type watchEventTest struct {
 	t             *testing.T
 	addr          string
@@ -174,17 +175,17 @@
 	return test
 }
 
-// read has the router serve one object.
+// read requests the test's object from the router.
 func (w *watchEventTest) read() {
 	w.t.Helper()
 	w.transactions++
 	client := send(w.t, w.addr, "GET", "/v1/part/00000000000000aa", w.transactions, daemontest.ClientTimeout(3*time.Second))
 	if got := client.Receive(w.t).Status; got != http.StatusOK {
-		w.t.Errorf("status %d, want 200", got)
+		w.t.Errorf("read: got status %d, want 200", got)
 	}
 }
 
-// readUntil reads until a condition holds after a read.
+// readUntil reads until ok returns true after a read.
 func (w *watchEventTest) readUntil(condition string, ok func() bool) {
 	w.t.Helper()
 	daemontest.WaitUntil(w.t, condition, func() bool {
@@ -198,7 +199,7 @@
 	return strings.Join(append(w.first.Requests(), w.second.Requests()...), "\n")
 }
 
-// home returns the cache that serves the object, the other one, and the id of the former.
+// home returns the cache that serves the object, the other cache, and the server id of the first.
 func (w *watchEventTest) home() (home, other *fakeserver.Server, id uint32) {
 	if len(w.second.Requests()) > len(w.first.Requests()) {
 		return w.second, w.first, 2
@@ -206,9 +207,10 @@
 	return w.first, w.second, 1
 }
 
-// A purge, and a drain that is announced late, hold for what is sent next: no older copy is
-// requested, and nothing goes to the draining cache, nor is it a fill source.
-func TestWatchEventsHoldForWhatIsSentNext(t *testing.T) {
+// A purge, and a drain that is announced while requests are served, apply to the requests that are
+// sent next: each has a bound on the age of a copy, and no request goes to the draining cache or
+// names it as the fill source.
+func TestWatchEventsApplyToNextRequests(t *testing.T) {
 	test := newWatchEventTest(t)
 	test.changeLog.Purge(0xaa, uint64(time.Now().UnixMilli()-30))
 	test.read()
@@ -224,21 +226,21 @@
 		test.read()
 	}
 	if got := len(home.Requests()); got != before {
-		t.Errorf("%d requests went to a draining cache, want none", got-before)
+		t.Errorf("%d requests went to the draining cache, want none", got-before)
 	}
 	for _, fields := range other.Requests() {
 		if strings.Contains(fields, fmt.Sprintf("via=s-%08x", id)) {
 			t.Errorf("the draining cache is the fill source of %s", fields)
 		}
 		if !strings.Contains(fields, ",fresh=") {
-			t.Errorf("sent without a bound after a purge: %s", fields)
+			t.Errorf("request after a purge without a bound on the age of a copy: %s", fields)
 		}
 	}
 }
 
-// Symptom guarded against: requests waited for caches that hang until the process was killed.
-// At SIGTERM each one that is open at a cache, and each that is still accepted, is answered in
-// time, and a second SIGTERM changes nothing.
+// After SIGTERM, requests must not wait for hanging caches until the process is killed. Requests
+// that are open at a cache, and those that the router still accepts, are answered in time, and a
+// second SIGTERM changes nothing.
 func TestShutdownWhileCachesHang(t *testing.T) {
 	received := make(chan bool, 8)
 	server := daemontest.NewServer(t, func(string, string) string {
@@ -258,12 +260,13 @@
 	go shutDown() // the second signal
 	for name, client := range map[string]*daemontest.Client{"before": beforeSignal, "after": put(2)} {
 		if got := client.Receive(t).Status; got != http.StatusBadGateway { // within 20 s, not 50
-			t.Errorf("a request %s the signal: status %d, want 502", name, got)
+			t.Errorf("request sent %s the signal: got status %d, want 502", name, got)
 		}
 	}
 }
 
-func TestDrainTimeFollowsTheLongestDeadline(t *testing.T) {
+// The drain time depends on the longest deadline of all classes, up to killDelay.
+func TestDrainTimeFollowsLongestDeadline(t *testing.T) {
 	for _, test := range []struct {
 		deadline time.Duration
 		want     float64 // ms
@@ -274,7 +277,7 @@
 	} {
 		classes := []routing.Class{{Deadline: test.deadline}, {Deadline: time.Millisecond}}
 		if got := drainTime(classes); got != test.want {
-			t.Errorf("with a deadline of %v all ends after %v ms, want %v", test.deadline, got, test.want)
+			t.Errorf("longest deadline %v: got a drain time of %v ms, want %v", test.deadline, got, test.want)
 		}
 	}
 }
--- a/cmd/garnetline/serve_test.go
+++ b/cmd/garnetline/serve_test.go
@@ -13,11 +13,11 @@
 	"garnetline/internal/fakeserver"
 )
 
-// binaryBody is a response body that holds what ends a line and a string elsewhere.
+// binaryBody is a response body that contains a line break and a NUL byte.
 const binaryBody = "the\r\nbytes\x00"
 
-// failOnceServer replies like a cache that has everything, and fails the first request for one
-// object.
+// failOnceServer replies like a cache that has every object, and fails the first request for the
+// object bb.
 type failOnceServer struct {
 	mu     sync.Mutex
 	failed bool
@@ -38,8 +38,8 @@
 	return fakeserver.Answer(id, "DONE", "tag=t7,minted=1", binaryBody)
 }
 
-// One whole run on real sockets: requests are served, a failed attempt is retried, SIGTERM lets
-// new requests in for a while, and the shutdown is clean.
+// A daemon runs from start to shutdown on real sockets: it serves requests and retries a failed
+// attempt; after SIGTERM it accepts new requests for a while, and then ends without an error.
 func TestServeFromStartToShutdown(t *testing.T) {
 	server := &failOnceServer{}
 	first := daemontest.NewServer(t, server.reply)
@@ -59,7 +59,7 @@
 	}
 	daemon := startServe(config.Load(t, nil), nil)
 	if seq := daemon.waitSubscribed(t, changeLog.RequestedSeqs); seq != daemontest.KnownSeq {
-		t.Errorf("the change log was asked from %d, want %d", seq, daemontest.KnownSeq)
+		t.Errorf("subscribed to the change log from sequence number %d, want %d", seq, daemontest.KnownSeq)
 	}
 	daemontest.WaitHealthy(t, addr)
 	client := daemontest.Dial(t, addr)
@@ -67,7 +67,7 @@
 	sent := strings.Join(append(first.Requests(), second.Requests()...), "\n")
 	for _, want := range []string{"sort=part,asset=00000000000000aa,slice=2,patience=", ",via=s-00000008", ",op=k1,via=s-00000009"} {
 		if !strings.Contains(sent, want) {
-			t.Errorf("%q was never sent:\n%s", want, sent)
+			t.Errorf("no request with %q was sent to a server:\n%s", want, sent)
 		}
 	}
 
@@ -85,7 +85,8 @@
 	}
 }
 
-// checkServedRequests sends one request of each kind that the servers of failOnceServer serve.
+// checkServedRequests sends one request of each kind that failOnceServer serves, and checks the
+// responses.
 func checkServedRequests(t *testing.T, client *daemontest.Client) {
 	t.Helper()
 	for _, exchange := range []struct {
@@ -105,12 +106,12 @@
 	}
 }
 
-// servedHeader is the header of a request whose client waits 4 s.
+// servedHeader returns the header of a request whose client waits 4 s.
 func servedHeader(transaction int, more ...string) []string {
 	return append(more, daemontest.Transaction(transaction), daemontest.ClientTimeout(4*time.Second))
 }
 
-// readRequest is a read whose client waits 4 s.
+// readRequest returns a GET request whose client waits 4 s.
 func readRequest(target string, transaction int, header ...string) string {
 	return daemontest.Request("GET", target, servedHeader(transaction, header...)...)
 }
@@ -120,9 +121,9 @@
 	t        *testing.T
 	path     string
 	config   daemontest.Config
-	loaded   chan error // the result of each read of the file
-	received chan bool  // a request has arrived at the server
-	release  chan bool  // closed to let the server reply
+	loaded   chan error // result of each read of the file
+	received chan bool  // receives a value for each request that arrives at the server
+	release  chan bool  // closed when the server may reply
 }
 
 func newReloadTest(t *testing.T) *reloadTest {
@@ -149,37 +150,38 @@
 	return test
 }
 
-// load reads the file as the daemon does at SIGHUP.
-func (r *reloadTest) load() (setup, error) {
-	next, err := loadSetupFrom(r.path)
+// load reads the file when the daemon reloads, and reports the result on loaded.
+func (r *reloadTest) load() (daemonConfig, error) {
+	next, err := loadConfigFrom(r.path)
 	r.loaded <- err
 	return next, err
 }
 
-// write writes a file that names an address and a change log, and reads it.
-func (r *reloadTest) write(addr string, changeLog net.Addr) setup {
+// write writes a configuration file with an address and a change log, and returns what it reads
+// from that file.
+func (r *reloadTest) write(addr string, changeLog net.Addr) daemonConfig {
 	r.t.Helper()
 	config := r.config
 	config.ListenAddr = addr
 	config.ChangeLog = changeLog
 	config.Write(r.t, r.path)
-	next, err := loadSetupFrom(r.path)
+	next, err := loadConfigFrom(r.path)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	return next
 }
 
-// reload sends SIGHUP and returns the result of reading the file.
+// reload sends SIGHUP and returns the error with which the daemon read the file, if any.
 func (r *reloadTest) reload() error {
 	r.t.Helper()
 	signalSelf(r.t, syscall.SIGHUP)
 	return <-r.loaded
 }
 
-// SIGHUP goes over to the new file as a whole: the new change log is asked at once from the
-// last number, and a request that is open is answered all the same, also during a shutdown. A
-// file that cannot be used changes nothing and ends nothing.
+// SIGHUP applies a new configuration file: the daemon subscribes to the new change log at once, from
+// the last sequence number, and still answers the open request. A reload works during a shutdown
+// too. An invalid file changes nothing, and the daemon goes on.
 func TestReloadReplacesTheConfiguration(t *testing.T) {
 	test := newReloadTest(t)
 	first := daemontest.NewIdleChangeLog(t)
@@ -188,7 +190,7 @@
 	initial := test.write(addr, first.Addr())
 	moved := test.write(daemontest.FreeAddr(t), first.Addr())
 	if err := initial.platform.CheckReload(moved.platform); err == nil || !strings.HasPrefix(err.Error(), "listen: ") {
-		t.Errorf("another address: got %v, want an error of listen", err)
+		t.Errorf("reload with another listen address: got %v, want an error that starts with \"listen: \"", err)
 	}
 	daemon := startServe(initial.platform, test.load)
 	daemon.waitSubscribed(t, first.RequestedSeqs)
@@ -202,14 +204,14 @@
 
 	daemontest.WriteFile(t, test.path, `{"listen":1}`)
 	if err := test.reload(); err == nil {
-		t.Error("a broken file was read")
+		t.Error("reload of an invalid file: got no error, want one")
 	}
 	next := test.write(addr, second.Addr())
 	if err := test.reload(); err != nil {
-		t.Errorf("a good file: %v", err)
+		t.Errorf("reload of a valid file: %v", err)
 	}
 	if got, want := next.platform.Discovery.String(), second.Addr().String(); got != want {
-		t.Errorf("change log %s, want %s", got, want)
+		t.Errorf("got change log %s, want %s", got, want)
 	}
 	checkSubscription(t, "the new change log", second)
 
@@ -217,20 +219,21 @@
 	daemontest.WaitDraining(t, addr)
 	test.write(addr, first.Addr())
 	if err := test.reload(); err != nil {
-		t.Errorf("a good file during shutdown: %v", err)
+		t.Errorf("reload of a valid file during shutdown: %v", err)
 	}
 	checkSubscription(t, "the change log of a reload during shutdown", first)
 	close(test.release)
 	if got := open.Receive(t); got.Body != "kept" {
-		t.Errorf("the open request: got %q, want kept", got.Body)
+		t.Errorf("open request: got body %q, want \"kept\"", got.Body)
 	}
 	daemontest.Close(t, open)
 	daemon.wait(t)
 }
 
+// checkSubscription checks that the daemon subscribes to a change log from the last sequence number.
 func checkSubscription(t *testing.T, name string, changeLog *fakeserver.IdleChangeLog) {
 	t.Helper()
 	if seq := <-changeLog.RequestedSeqs; seq != daemontest.KnownSeq {
-		t.Errorf("%s was asked from %d, want %d", name, seq, daemontest.KnownSeq)
+		t.Errorf("subscribed to %s from sequence number %d, want %d", name, seq, daemontest.KnownSeq)
 	}
 }
--- a/cmd/garnetline/trace_command.go
+++ b/cmd/garnetline/trace_command.go
@@ -22,67 +22,67 @@
 )
 
 const (
-	// followInterval is how often the folders are read for new traces.
+	// followInterval is the time between two reads of the directories for new traces.
 	followInterval = 300 * time.Millisecond
-	// followLookBack is how long ago, in ms, a trace that is retained now may have begun: the
-	// longest wait of a client, and a window of ordinary traces.
+	// followLookBack is how long ago, in ms, a trace that is written now may have begun. It covers
+	// the longest wait of a client plus one sampling window of ordinary traces.
 	followLookBack = 120_000
-	// waterfallWidth is the width of the bars of trace show, in characters.
+	// waterfallWidth is the width of the waterfall's bars in trace show, in characters.
 	waterfallWidth = 40
-	// defaultMostTraces is what --most has without a value.
+	// defaultMostTraces is the default of --most.
 	defaultMostTraces = 50
 )
 
-// The forms of trace export.
+// The output formats of trace export.
 const (
 	exportOTLP = "otlp"
 	exportHTML = "html"
 )
 
-// newTraceCommand returns the commands that show retained traces. They write to out.
+// newTraceCommand returns the commands that show retained traces. They print to out.
 func newTraceCommand(out io.Writer) *cli.Command {
 	sources := []cli.Flag{
-		&cli.StringSliceFlag{Name: "folder", Usage: "`FOLDER` of segments; may be given for each of several routers"},
-		&cli.StringFlag{Name: "settings", Usage: "operators' `FILE` that names the folder"},
+		&cli.StringSliceFlag{Name: "folder", Usage: "`FOLDER` with trace segments; may be repeated, for the traces of several routers"},
+		&cli.StringFlag{Name: "settings", Usage: "operators' settings `FILE` that names the folder; used without --folder"},
 	}
 	filters := slices.Concat(sources, traceFilterFlags())
-	most := &cli.IntFlag{Name: "most", Usage: "so many at the most", Value: defaultMostTraces}
+	most := &cli.IntFlag{Name: "most", Usage: "maximum number of results", Value: defaultMostTraces}
 	limited := slices.Concat(filters, []cli.Flag{most})
 	export := slices.Concat(limited, []cli.Flag{
-		&cli.StringFlag{Name: "as", Usage: "otlp or html", Value: exportOTLP},
-		&cli.StringFlag{Name: "id", Usage: "this trace alone"},
+		&cli.StringFlag{Name: "as", Usage: "output format: otlp or html", Value: exportOTLP},
+		&cli.StringFlag{Name: "id", Usage: "export only the trace with this id"},
 	})
-	return &cli.Command{Name: "trace", Usage: "show what was kept of requests", Commands: []*cli.Command{
-		{Name: "list", Usage: "a line for each trace", Flags: limited,
+	return &cli.Command{Name: "trace", Usage: "show the retained traces of requests", Commands: []*cli.Command{
+		{Name: "list", Usage: "print a line for each trace", Flags: limited,
 			Action: func(_ context.Context, command *cli.Command) error { return listTraces(command, out) }},
-		{Name: "show", Usage: "one trace as a waterfall, all its tries at all routers", ArgsUsage: "ID", Flags: sources,
+		{Name: "show", Usage: "show one trace as a waterfall, with all attempts at all routers", ArgsUsage: "ID", Flags: sources,
 			Action: func(_ context.Context, command *cli.Command) error { return showTrace(command, out) }},
-		{Name: "follow", Usage: "a line for each trace as it is kept, until interrupted", Flags: filters,
+		{Name: "follow", Usage: "print a line for each trace when it is retained, until interrupted", Flags: filters,
 			Action: func(ctx context.Context, command *cli.Command) error {
 				ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 				defer stop()
 				return followTraces(ctx, command, out)
 			}},
-		{Name: "blame", Usage: "which server, source or router failed attempts have in common", Flags: limited,
+		{Name: "blame", Usage: "show which server, fill source or router failed attempts have in common", Flags: limited,
 			Action: func(_ context.Context, command *cli.Command) error { return blameTraces(command, out) }},
-		{Name: "export", Usage: "traces as OTLP JSON, one a line, or as a page", Flags: export,
+		{Name: "export", Usage: "export traces as OTLP JSON, one trace a line, or as an HTML page", Flags: export,
 			Action: func(_ context.Context, command *cli.Command) error { return exportTraces(command, out) }},
 	}}
 }
 
 func traceFilterFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.StringFlag{Name: "class", Usage: "of this `CLASS`"},
-		&cli.StringFlag{Name: "txn", Usage: "of the try with this X-Txn"},
-		&cli.StringSliceFlag{Name: "outcome", Usage: "that ended so: failed, refused, served, same or left"},
-		&cli.StringFlag{Name: "server", Usage: "in which this server or source had a part, as in s-0000002a"},
-		&cli.FloatFlag{Name: "slower", Usage: "that took `MS` or more"},
-		&cli.IntFlag{Name: "tries", Usage: "with `N` attempts or more"},
-		&cli.DurationFlag{Name: "since", Usage: "that began within this time until now, as in 15m"},
+		&cli.StringFlag{Name: "class", Usage: "only traces of requests of this `CLASS`"},
+		&cli.StringFlag{Name: "txn", Usage: "only the trace of the request with this X-Txn"},
+		&cli.StringSliceFlag{Name: "outcome", Usage: "only traces with this outcome: failed, refused, served, same or left; may be repeated"},
+		&cli.StringFlag{Name: "server", Usage: "only traces that involve this server or fill source, for example s-0000002a"},
+		&cli.FloatFlag{Name: "slower", Usage: "only traces that took `MS` milliseconds or more"},
+		&cli.IntFlag{Name: "tries", Usage: "only traces with `N` attempts or more"},
+		&cli.DurationFlag{Name: "since", Usage: "only traces that began within this time before now, for example 15m"},
 	}
 }
 
-// listTraces prints a line for each trace that the flags want.
+// listTraces prints a line for each trace that the flags select, up to --most lines.
 func listTraces(command *cli.Command, out io.Writer) error {
 	most := command.Int("most")
 	count := 0
@@ -102,11 +102,11 @@
 	return lines.err
 }
 
-// showTrace prints all pieces of one trace, of all routers, as a waterfall.
+// showTrace prints one trace as a waterfall, merged from the pieces that the routers retained.
 func showTrace(command *cli.Command, out io.Writer) error {
 	id, ok := trace.ParseID(command.Args().First())
 	if !ok {
-		return errors.New("trace show: ID: want 32 hex digits")
+		return errors.New("trace show: ID: expected 32 hex digits")
 	}
 	pieces, err := findTrace(command, id)
 	if err != nil {
@@ -127,7 +127,7 @@
 	return lines.err
 }
 
-// blameTraces prints which servers, sources and routers failed attempts have in common.
+// blameTraces prints which servers, fill sources and routers failed attempts have in common.
 func blameTraces(command *cli.Command, out io.Writer) error {
 	analysis, count := analysis.New(), 0
 	err := forEachTrace(command, func(found *trace.Trace) bool {
@@ -149,7 +149,7 @@
 	return lines.err
 }
 
-// traceFilter reads the flags that say which traces are wanted.
+// traceFilter returns the filter that the flags describe.
 func traceFilter(command *cli.Command) (store.Filter, error) {
 	filter := store.Filter{
 		TransactionID: command.String("txn"),
@@ -163,7 +163,7 @@
 	for _, name := range command.StringSlice("outcome") {
 		outcome, ok := trace.ParseOutcome(name)
 		if !ok {
-			return filter, fmt.Errorf("--outcome: %q is none", name)
+			return filter, fmt.Errorf("--outcome: unknown outcome %q", name)
 		}
 		filter.Outcome |= 1 << outcome
 	}
@@ -177,7 +177,7 @@
 	return filter, nil
 }
 
-// openIndexes reads the folders that the flags name.
+// openIndexes reads the trace directories that the flags name, or else the one in the settings.
 func openIndexes(command *cli.Command) ([]*store.Index, error) {
 	folders := command.StringSlice("folder")
 	if len(folders) == 0 {
@@ -186,7 +186,7 @@
 			return nil, err
 		}
 		if operators.Trace.Dir == "" {
-			return nil, errors.New("trace: --folder, or --settings with a trace block that names one, is wanted")
+			return nil, errors.New("trace: expected --folder, or --settings with a trace block that names a folder")
 		}
 		folders = []string{operators.Trace.Dir}
 	}
@@ -201,7 +201,7 @@
 	return indexes, nil
 }
 
-// forEachTrace calls visit with each trace that the flags want, until it returns false.
+// forEachTrace calls visit with each trace that the flags select, until visit returns false.
 func forEachTrace(command *cli.Command, visit func(*trace.Trace) bool) error {
 	filter, err := traceFilter(command)
 	if err != nil {
@@ -210,8 +210,9 @@
 	return queryTraces(command, filter, visit)
 }
 
-// queryTraces is forEachTrace for a filter. A folder that cannot be read whole does not keep
-// the others from being read; the first such error is returned.
+// queryTraces calls visit with each trace that filter selects, until visit returns false. If a
+// directory that was opened cannot be queried completely, queryTraces still queries the others,
+// and returns the first such error.
 func queryTraces(command *cli.Command, filter store.Filter, visit func(*trace.Trace) bool) error {
 	indexes, err := openIndexes(command)
 	for _, index := range indexes {
@@ -230,7 +231,7 @@
 	return err
 }
 
-// findTrace returns the pieces of one trace.
+// findTrace returns the pieces of one trace, or an error if there are none.
 func findTrace(command *cli.Command, id trace.ID) ([]*trace.Trace, error) {
 	var pieces []*trace.Trace
 	err := queryTraces(command, store.Filter{ID: id}, func(piece *trace.Trace) bool {
@@ -238,7 +239,7 @@
 		return true
 	})
 	if err == nil && len(pieces) == 0 {
-		err = fmt.Errorf("trace %v: not kept here", id)
+		err = fmt.Errorf("trace %v: not found", id)
 	}
 	return pieces, err
 }
@@ -268,7 +269,7 @@
 	if err != nil {
 		return err
 	}
-	var known map[trace.SpanID]bool // the first spans of the pieces of the look before
+	var known map[trace.SpanID]bool // the first span of each piece that the previous read found
 	ticker := time.NewTicker(followInterval)
 	defer ticker.Stop()
 	for first := true; ; first = false {
@@ -297,11 +298,11 @@
 	}
 }
 
-// exportTraces writes the traces that are wanted as OTLP or as a page.
+// exportTraces writes the traces that the flags select as OTLP JSON or as an HTML page.
 func exportTraces(command *cli.Command, out io.Writer) error {
-	form := command.String("as")
-	if form != exportOTLP && form != exportHTML {
-		return fmt.Errorf("--as: %q is neither otlp nor html", form)
+	format := command.String("as")
+	if format != exportOTLP && format != exportHTML {
+		return fmt.Errorf("--as: expected otlp or html, got %q", format)
 	}
 	ids, pieces, err := tracesToExport(command)
 	if err != nil {
@@ -310,7 +311,7 @@
 	var pages [][]trace.Span
 	for _, id := range ids {
 		spans := trace.Merge(id, pieces[id])
-		if form == exportHTML {
+		if format == exportHTML {
 			pages = append(pages, spans)
 			continue
 		}
@@ -318,19 +319,19 @@
 			return err
 		}
 	}
-	if form == exportHTML {
+	if format == exportHTML {
 		return render.Page(out, "garnetline traces", pages)
 	}
 	return nil
 }
 
-// tracesToExport returns the ids of the traces that are wanted, in the order in which they
-// were found, and the pieces of each.
+// tracesToExport returns the ids of the traces that the flags select, in the order in which they
+// are found, and the pieces of each.
 func tracesToExport(command *cli.Command) ([]trace.ID, map[trace.ID][]*trace.Trace, error) {
 	if text := command.String("id"); text != "" {
 		id, ok := trace.ParseID(text)
 		if !ok {
-			return nil, nil, errors.New("--id: want 32 hex digits")
+			return nil, nil, errors.New("--id: expected 32 hex digits")
 		}
 		found, err := findTrace(command, id)
 		return []trace.ID{id}, map[trace.ID][]*trace.Trace{id: found}, err
--- a/cmd/garnetline/trace_golden_test.go
+++ b/cmd/garnetline/trace_golden_test.go
@@ -11,19 +11,19 @@
 	"garnetline/internal/trace/store"
 )
 
-// What the commands of garnetline trace print of the traces that the documentation shows.
-// UPDATE_GOLDEN=1 rewrites testdata.
+// TestTraceCommandOutput compares what the trace commands print about the example traces of the
+// documentation with golden files. UPDATE_GOLDEN=1 rewrites the files in testdata.
 func TestTraceCommandOutput(t *testing.T) {
 	const folder = "../../docs/example-traces"
 	index, err := store.Read(filepath.FromSlash(folder))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var found trace.ID // of the trace with the most spans
+	var longest trace.ID // the trace with the most spans
 	spans := 0
 	if _, err := index.Query(store.Filter{}, func(piece *trace.Trace) bool {
 		if len(piece.Spans) > spans {
-			found, spans = piece.ID, len(piece.Spans)
+			longest, spans = piece.ID, len(piece.Spans)
 		}
 		return true
 	}); err != nil {
@@ -33,7 +33,7 @@
 		"list":        {"list", "--most", "100000"},
 		"list-first":  {"list", "--most", "5"},
 		"list-failed": {"list", "--outcome", "failed", "--outcome", "refused", "--tries", "2"},
-		"show":        {"show", found.String()},
+		"show":        {"show", longest.String()},
 		"blame":       {"blame", "--most", "4"},
 		"export":      {"export", "--most", "3"},
 		"export-html": {"export", "--as", "html", "--most", "3"},
--- a/cmd/garnetline/trace_peers_test.go
+++ b/cmd/garnetline/trace_propagation_test.go
@@ -15,23 +15,25 @@
 
 const (
 	propagationRequests = 400
-	// From this request on there are cache hits alone, with which the last verdicts are sent.
+	// firstPlainHit is the index from which on all requests are cache hits. The router sends the
+	// last verdicts with them.
 	firstPlainHit = 300
-	// Each of so many requests is sampled by its client.
+	// One of clientSampleInterval requests is sampled by its client.
 	clientSampleInterval = 50
 )
 
-// propagationTest is a router that passes traces on to two caches, and they to their parent.
+// propagationTest is a router that propagates trace contexts to two caches, which propagate them to
+// their parent.
 type propagationTest struct {
 	t       *testing.T
 	router  *tracedRouter
 	servers []*fakeserver.TracingServer // the first is the parent
-	dirs    []string                    // of their traces
+	dirs    []string                    // trace directories of the servers
 
 	routerTraces []*trace.Trace
-	byID         map[trace.ID][]*trace.Trace // of all processes
-	verdicts     int                         // that the caches received
-	retainedSelf int                         // by the caches, without a verdict
+	byID         map[trace.ID][]*trace.Trace // the traces of all processes
+	verdicts     int                         // number that the caches received
+	retainedSelf int                         // number of traces that the caches retained without a verdict
 }
 
 func newPropagationTest(t *testing.T) *propagationTest {
@@ -72,22 +74,22 @@
 	}
 }
 
-// propagationRequest is the i-th request. Objects that end in e fail now and then, those in f
-// are filled, once at each cache.
+// propagationRequest returns request i. Requests for objects whose ids end in e fail at times; an
+// object whose id ends in f is filled once at each cache.
 func propagationRequest(random *rand.Rand, i int) string {
 	object := fmt.Sprintf("%015x%c", 1+random.IntN(12), "0123e0123f"[random.IntN(10)])
 	header := []string{daemontest.Transaction(i + 1), daemontest.ClientTimeout(3 * time.Second)}
 	switch {
 	case i >= firstPlainHit:
 		object = fmt.Sprintf("%015x0", 1+i)
-	case i%clientSampleInterval == clientSampleInterval-1: // it may join a fill of which nothing is retained otherwise
+	case i%clientSampleInterval == clientSampleInterval-1: // it may join a fill whose own trace is not retained otherwise
 		object = fmt.Sprintf("%015xf", 1+i%3)
 		header = append(header, fmt.Sprintf("Traceparent: 00-%032x-%016x-01", 1<<30+i, 7))
 	}
 	return daemontest.Request("GET", "/v1/part/"+object, header...)
 }
 
-// stop ends all processes and collects what they retained.
+// stop stops the router and the servers, and collects the traces that they retained.
 func (p *propagationTest) stop() {
 	p.t.Helper()
 	p.routerTraces = p.router.stop(p.t)
@@ -105,14 +107,15 @@
 		}
 		for _, found := range readTraces(p.t, p.dirs[i]) {
 			if p.byID[found.ID] == nil && len(found.Spans) == 1 && found.Outcome != trace.Failed {
-				p.t.Errorf("%s retained the ordinary %v", server.Name, found.ID)
+				p.t.Errorf("%s retained the ordinary trace %v, want it dropped", server.Name, found.ID)
 			}
 			p.byID[found.ID] = append(p.byID[found.ID], found)
 		}
 	}
 }
 
-// propagationCounts is how much was checked, so that a test can see that it showed something.
+// propagationCounts counts the work spans of caches, the links to fills, and the work spans of the
+// parent that were checked, so that a test can fail if there were too few.
 type propagationCounts struct{ works, joinedFills, parentWorks int }
 
 // check checks the merged trace of each request that the router retained.
@@ -121,16 +124,16 @@
 	var counts propagationCounts
 	for _, found := range p.routerTraces {
 		spans := trace.Merge(found.ID, p.byID[found.ID])
-		worksOf, parentWorks := p.checkServerWork(spans)
-		counts.parentWorks += parentWorks
+		workByAttempt, parentWork := p.checkServerWork(spans)
+		counts.parentWorks += parentWork
 		for _, span := range spans {
 			sentToCache := span.Kind == trace.Attempt && span.Flags&trace.FlagSent != 0 && (span.Server == 1 || span.Server == 2)
 			if !sentToCache {
 				continue
 			}
 			counts.works++
-			if worksOf[span.ID] != 1 {
-				p.t.Errorf("attempt %v of %v has %d works of its cache, want 1", span.AttemptNumber, found.ID, worksOf[span.ID])
+			if workByAttempt[span.ID] != 1 {
+				p.t.Errorf("attempt %v of trace %v has %d work spans of its cache, want 1", span.AttemptNumber, found.ID, workByAttempt[span.ID])
 			}
 		}
 		counts.joinedFills += p.checkLinks(found.ID)
@@ -138,38 +141,39 @@
 	return counts
 }
 
-// checkServerWork checks that the work of a server lies within the attempt, or the work of a
-// parent within the fill, that it is a child of. It returns the number of works of each attempt,
-// and that of all works of the parent.
-func (p *propagationTest) checkServerWork(spans []trace.Span) (worksOf map[trace.SpanID]int, parentWorks int) {
+// checkServerWork checks that each work span of a cache lies within the attempt that is its parent
+// span, and each work span of the parent server within the fill that is its parent span. It returns
+// the number of work spans of each attempt, and the number of work spans of the parent server.
+func (p *propagationTest) checkServerWork(spans []trace.Span) (workByAttempt map[trace.SpanID]int, parentWork int) {
 	p.t.Helper()
 	byID := map[trace.SpanID]trace.Span{}
 	for _, span := range spans {
 		byID[span.ID] = span
 	}
-	worksOf = map[trace.SpanID]int{}
+	workByAttempt = map[trace.SpanID]int{}
 	for _, span := range spans {
 		if span.Kind != trace.ServerWork {
 			continue
 		}
 		cause := byID[span.Parent]
 		if cause.Kind == trace.Fill {
-			parentWorks++
+			parentWork++
 			if span.Start < cause.Start-0.01 || span.End > cause.End+0.01 {
-				p.t.Fatalf("the parent's work from %v to %v under a fill from %v to %v", span.Start, span.End, cause.Start, cause.End)
+				p.t.Fatalf("work span of the parent from %v to %v is not within its fill from %v to %v", span.Start, span.End, cause.Start, cause.End)
 			}
 			continue
 		}
-		worksOf[cause.ID]++
+		workByAttempt[cause.ID]++
 		beginsBefore := span.Start < cause.Start-0.01 && span.End-span.Start < cause.End-cause.Start
 		if cause.Kind != trace.Attempt || beginsBefore || span.Start-cause.Start > 1000 {
-			p.t.Fatalf("work from %v to %v under %v from %v to %v", span.Start, span.End, cause.Kind, cause.Start, cause.End)
+			p.t.Fatalf("work span of a cache from %v to %v does not fit its parent span, %v from %v to %v", span.Start, span.End, cause.Kind, cause.Start, cause.End)
 		}
 	}
-	return worksOf, parentWorks
+	return workByAttempt, parentWork
 }
 
-// checkLinks checks that each fill which a trace links to is retained, and returns their number.
+// checkLinks checks that each fill that a trace links to is retained, and returns the number of
+// links.
 func (p *propagationTest) checkLinks(id trace.ID) int {
 	p.t.Helper()
 	links := 0
@@ -177,7 +181,7 @@
 		for _, link := range part.Links {
 			links++
 			if !p.hasFill(link) {
-				p.t.Errorf("the fill that %v joined is not retained", id)
+				p.t.Errorf("trace %v joined a fill that is not retained", id)
 			}
 		}
 	}
@@ -195,7 +199,7 @@
 	return false
 }
 
-// traceWithLink returns a trace whose last part joined a fill of another trace.
+// traceWithLink returns the id of a trace whose last part joined a fill of another trace.
 func (p *propagationTest) traceWithLink() trace.ID {
 	var found trace.ID
 	for id, parts := range p.byID {
@@ -206,17 +210,18 @@
 	return found
 }
 
-// Where the operators' file says that servers take traces, a trace is continued there, and by
-// them at their parent: each attempt that arrived has the server's work under it, within its
-// time though the server's clock is an hour ahead; the server retains what the router retains
-// and what failed, and no more; and a verdict on a request that joined a fill retains that fill.
+// If the operators' file has peers = true, the servers continue the router's traces, and their
+// parent continues theirs. Each attempt that arrived has a work span of its cache as a child, within
+// the time of the attempt although the server's clock is an hour ahead. A server retains the traces
+// that the router retains and those that failed, and no others. A verdict to retain a request that
+// joined a fill also retains that fill.
 func TestServersContinueTraces(t *testing.T) {
 	test := newPropagationTest(t)
 	test.run()
 	test.stop()
 	counts := test.check()
 	if counts.works < 10 || counts.joinedFills < 2 || test.verdicts < 8 || counts.parentWorks < 1 {
-		t.Errorf("%+v, %d verdicts, %d retained without one: too few to show anything", counts, test.verdicts, test.retainedSelf)
+		t.Errorf("too few spans checked: %+v, %d verdicts, %d traces retained without a verdict", counts, test.verdicts, test.retainedSelf)
 	}
 	args := []string{"show", "--folder", test.router.traceDir}
 	for _, dir := range test.dirs {
@@ -225,7 +230,7 @@
 	out := runTraceCommand(t, append(args, test.traceWithLink().String())...)
 	for _, want := range []string{"work: joined a fill", "it rode a fill of trace"} {
 		if !strings.Contains(out, want) {
-			t.Errorf("trace show prints no %q: %s", want, out)
+			t.Errorf("trace show: want %q in the output: %s", want, out)
 		}
 	}
 }
--- a/cmd/garnetline/trace_test.go
+++ b/cmd/garnetline/trace_test.go
@@ -18,7 +18,7 @@
 	"garnetline/routing"
 )
 
-// What a server of the failure test does with a request.
+// serverBehavior says how a server of the failure test replies to a request.
 type serverBehavior int
 
 const (
@@ -32,34 +32,34 @@
 // slowReply is longer than the class's latency objective.
 const slowReply = 500 * time.Millisecond
 
-// The requests of the failure test: so many clients, and for each so many requests in turn of
-// four kinds.
+// The requests of the failure test. Each of failureClients clients sends requestsPerClient requests,
+// whose index modulo kinds selects the kind of the request.
 const (
 	failureClients    = 12
 	requestsPerClient = 25
 
 	kindTraced = 2 // the client sends a traceparent; a retry goes to the other router
 	kindKeyed  = 3 // a write with an idempotency key; a retry goes to the other router
-	kinds      = 4 // the others are reads whose retries go to the same router
+	kinds      = 4 // number of kinds; kinds 0 and 1 are reads whose retries go to the same router
 )
 
-// failureTest is two routers before servers that fail in several ways.
+// failureTest is two routers whose servers fail in several ways.
 type failureTest struct {
 	t       *testing.T
 	servers []*fakeserver.Server
 	routers []*tracedRouter
 
 	mu       sync.Mutex
-	arrivals map[string]int  // attempts that reached a server, by transaction id
-	slow     map[string]bool // requests of which one reply was slow
+	arrivals map[string]int  // number of attempts that reached a server, by transaction id
+	slow     map[string]bool // transaction ids of requests with a slow reply
 
-	results [failureClients][][]clientAttempt // by client and request
+	results [failureClients][][]clientAttempt // by client and index of the request
 }
 
-// clientAttempt is one sending of a request by its client.
+// clientAttempt is one transmission of a request by its client: the first one or a retry.
 type clientAttempt struct {
 	transaction string
-	status      int // 0: no response
+	status      int // of the response; 0 if there was none
 }
 
 func newFailureTest(t *testing.T) *failureTest {
@@ -89,6 +89,7 @@
 	return test
 }
 
+// choose returns yes if condition is true, else no.
 func choose(condition bool, yes, no serverBehavior) serverBehavior {
 	if condition {
 		return yes
@@ -96,7 +97,8 @@
 	return no
 }
 
-// replyBy returns the replies of a server whose n-th request, from 1 on, meets behavior(n).
+// replyBy returns the replies of a server that handles its n-th request, counted from 1, with
+// behavior(n).
 func (f *failureTest) replyBy(behavior func(n int) serverBehavior) fakeserver.Reply {
 	received := 0
 	return func(id, _ string) string {
@@ -122,7 +124,7 @@
 	}
 }
 
-// run has all clients send their requests.
+// run sends the requests of all clients, the clients concurrently, and waits until they are done.
 func (f *failureTest) run() {
 	var clients sync.WaitGroup
 	for client := range failureClients {
@@ -135,7 +137,7 @@
 	clients.Wait()
 }
 
-// sendRequest sends a request, and once more if it is not served.
+// sendRequest sends a request, and retries it once if the status of the response is not 200.
 func (f *failureTest) sendRequest(client, index int) []clientAttempt {
 	var attempts []clientAttempt
 	for n := range 2 {
@@ -159,7 +161,7 @@
 	return attempts
 }
 
-// request returns the n-th sending of a request, and the router that gets it.
+// request returns transmission n of a request, 0 or 1, and the router to which it goes.
 func (f *failureTest) request(client, index, n int, transaction string) (*tracedRouter, string) {
 	number := client*requestsPerClient + index
 	header := []string{"X-Txn: " + transaction, daemontest.ClientTimeout(900 * time.Millisecond)}
@@ -177,17 +179,17 @@
 	return router, daemontest.Request(method, target, header...)
 }
 
-// clientTraceID is the trace that a client names for one of its requests.
+// clientTraceID returns the id of the trace that a client starts for one of its requests.
 func clientTraceID(number int) string { return fmt.Sprintf("%032x", 1<<20+number) }
 
-// retainedTraces is what the routers of a failureTest retained.
+// retainedTraces holds the traces that the routers of a failureTest retained.
 type retainedTraces struct {
 	byTransaction map[string]*trace.Trace
 	byID          map[trace.ID][]*trace.Trace
 	lost          uint32
 }
 
-// withAttempts returns a trace with so many attempts or more, or nil.
+// withAttempts returns a trace with at least count attempts, or nil if there is none.
 func (r retainedTraces) withAttempts(count uint8) *trace.Trace {
 	for _, found := range r.byTransaction {
 		if found.Attempts >= count {
@@ -197,14 +199,14 @@
 	return nil
 }
 
-// stopRouters shuts the routers down and returns what they retained.
+// stopRouters shuts the routers down and returns the traces that they retained.
 func (f *failureTest) stopRouters() retainedTraces {
 	f.t.Helper()
 	retained := retainedTraces{byTransaction: map[string]*trace.Trace{}, byID: map[trace.ID][]*trace.Trace{}}
 	for _, router := range f.routers {
 		for _, found := range router.stop(f.t) {
 			if retained.byTransaction[found.TransactionID] != nil {
-				f.t.Errorf("%s is retained twice", found.TransactionID)
+				f.t.Errorf("request %s is retained twice, want once", found.TransactionID)
 			}
 			retained.byTransaction[found.TransactionID] = found
 			retained.byID[found.ID] = append(retained.byID[found.ID], found)
@@ -214,7 +216,7 @@
 	return retained
 }
 
-// checkCounts is how many traces were checked, so that a test can see that it showed something.
+// checkCounts counts the traces that were checked, so that a test can fail if there were too few.
 type checkCounts struct{ traces, retries, manyAttempts int }
 
 // checkRequests checks the traces of all requests.
@@ -243,11 +245,11 @@
 	return counts
 }
 
-// checkRetries checks that the retries of a request are in the trace of its first sending. It
-// returns the number of those that are traced.
+// checkRetries checks that the traced retries of a request belong to the trace of its first
+// transmission. It returns the number of traced retries.
 func (f *failureTest) checkRetries(retained retainedTraces, attempts []clientAttempt) int {
 	f.t.Helper()
-	if len(attempts) == 0 { // no connection, which was reported
+	if len(attempts) == 0 { // the connection failed, which sendRequest reported
 		return 0
 	}
 	first := retained.byTransaction[attempts[0].transaction]
@@ -259,13 +261,13 @@
 		}
 		traced++
 		if first == nil || first.ID != found.ID {
-			f.t.Errorf("%s is not in the trace of its first sending", retry.transaction)
+			f.t.Errorf("retry %s is not in the trace of its first transmission", retry.transaction)
 		}
 	}
 	return traced
 }
 
-// checkClientAttempt checks that a request is traced if it has to be, with all its attempts.
+// checkClientAttempt checks that a request that has to be traced is traced, with all its attempts.
 func (f *failureTest) checkClientAttempt(retained retainedTraces, attempt clientAttempt, isRetry bool) {
 	f.t.Helper()
 	id := attempt.transaction
@@ -273,21 +275,22 @@
 	found := retained.byTransaction[id]
 	if found == nil {
 		if !served || isRetry || f.arrivals[id] > 1 || f.slow[id] {
-			f.t.Errorf("%s ended with %d after %d attempts, slow %v, and is not traced", id, attempt.status, f.arrivals[id], f.slow[id])
+			f.t.Errorf("request %s is not traced, want a trace: status %d, %d attempts, slow %v", id, attempt.status, f.arrivals[id], f.slow[id])
 		}
 		return
 	}
 	sent, lost := countSent(found)
-	// What was written to a connection that was lost may not arrive.
+	// An attempt that was written to a connection that was then lost may not arrive.
 	if f.arrivals[id] > sent || f.arrivals[id] < sent-lost {
-		f.t.Errorf("%s: %d attempts are traced as sent, the connections of %d were lost, %d arrived", id, sent, lost, f.arrivals[id])
+		f.t.Errorf("request %s: %d attempts are traced as sent, of which %d lost their connections, but %d arrived at servers", id, sent, lost, f.arrivals[id])
 	}
 	if served != (found.Outcome == trace.Served) {
-		f.t.Errorf("%s: outcome %v, its client got status %d", id, found.Outcome, attempt.status)
+		f.t.Errorf("request %s: got trace outcome %v, but its client got status %d", id, found.Outcome, attempt.status)
 	}
 }
 
-// countSent counts the attempts that were written, and those of them whose connections were lost.
+// countSent returns the number of attempts that were written to a server, and the number of those
+// whose connections were lost.
 func countSent(found *trace.Trace) (sent, lost int) {
 	for _, span := range found.Spans {
 		if span.Kind != trace.Attempt || span.Flags&trace.FlagSent == 0 {
@@ -301,16 +304,17 @@
 	return sent, lost
 }
 
-// checkClientSpan checks that a request is in the trace that its client named.
+// checkClientSpan checks that the trace of a request continues the trace that its client started.
 func (f *failureTest) checkClientSpan(found *trace.Trace, client, index int) {
 	f.t.Helper()
 	want := clientTraceID(client*requestsPerClient + index)
 	if found.ID.String() != want || found.ClientSpan != trace.SpanID(client+1) {
-		f.t.Errorf("%s: trace %v under %x, want %s under %x", found.TransactionID, found.ID, found.ClientSpan, want, client+1)
+		f.t.Errorf("request %s: got trace %v with client span %x, want trace %s with client span %x", found.TransactionID, found.ID, found.ClientSpan, want, client+1)
 	}
 }
 
-// checkSpanTrees checks that each span of a trace has a parent, and that there is one root.
+// checkSpanTrees checks that the spans of each trace form one tree: the ids are unique, and each
+// parent is a span of the trace or its root.
 func checkSpanTrees(t *testing.T, byID map[trace.ID][]*trace.Trace) {
 	t.Helper()
 	for id, parts := range byID {
@@ -323,14 +327,14 @@
 		for _, part := range parts {
 			for _, span := range part.Spans {
 				if spans[span.ID] != 1 || spans[span.Parent] != 1 || span.End < span.Start {
-					t.Fatalf("trace %v: span %+v", id, span)
+					t.Fatalf("trace %v: want a unique id, one parent and an end not before the start, got span %+v", id, span)
 				}
 			}
 		}
 	}
 }
 
-// checkNoTraceFields checks that servers received the fields of the platform's protocol alone.
+// checkNoTraceFields checks that the servers received only fields of the platform's protocol.
 func (f *failureTest) checkNoTraceFields() {
 	f.t.Helper()
 	known := []string{"sort", "asset", "slice", "patience", "op", "via", "tier", "fresh", "opts", "known"}
@@ -338,14 +342,15 @@
 		for _, fields := range server.Requests() {
 			for field := range strings.SplitSeq(fields, ",") {
 				if name, _, _ := strings.Cut(field, "="); !slices.Contains(known, name) {
-					f.t.Fatalf("a server received the field %q", field)
+					f.t.Fatalf("a server received the unexpected field %q", field)
 				}
 			}
 		}
 	}
 }
 
-// command runs a command of garnetline trace over what both routers retained.
+// command runs a subcommand of garnetline trace on the traces of both routers, and returns its
+// output.
 func (f *failureTest) command(args ...string) string {
 	f.t.Helper()
 	for _, router := range f.routers {
@@ -354,48 +359,49 @@
 	return runTraceCommand(f.t, args...)
 }
 
-// checkCommands checks that the commands find the server that fails most, and show no key.
+// checkCommands checks that the trace commands find the server that fails most, and print no
+// idempotency key.
 func (f *failureTest) checkCommands(retained retainedTraces) {
 	f.t.Helper()
 	lines := strings.Split(f.command("blame", "--most", "3"), "\n")
 	if len(lines) < 2 || !strings.Contains(lines[1], "s-00000001") {
-		f.t.Errorf("blame does not begin with s-00000001: %q", lines)
+		f.t.Errorf("blame: want s-00000001 as the first suspect, got %q", lines)
 	}
 	retried := retained.withAttempts(2)
 	if retried == nil {
-		f.t.Fatal("no trace has two attempts")
+		f.t.Fatal("got no trace with two attempts, want one or more")
 	}
 	if out := f.command("list", "--txn", retried.TransactionID); !strings.Contains(out, retried.ID.String()) {
-		f.t.Errorf("list --txn %s has no %v: %q", retried.TransactionID, retried.ID, out)
+		f.t.Errorf("list --txn %s: want trace %v, got %q", retried.TransactionID, retried.ID, out)
 	}
 	for _, args := range [][]string{{"list", "--most", "1000"}, {"export", "--most", "1000"}, {"export", "--as", "html"}} {
 		if out := f.command(args...); strings.Contains(out, "secretkey") || len(out) < 500 {
-			f.t.Errorf("%v: %d bytes, or an idempotency key in them", args, len(out))
+			f.t.Errorf("%v: got %d bytes, want 500 or more without an idempotency key", args, len(out))
 		}
 	}
 }
 
-// Two routers before servers that fail fast, hang and close connections: every request that
-// failed, was rejected, was retried or was slow is traced with all its attempts, counted against
-// what the servers received; a client's retry at the other router belongs to its first sending;
-// and no idempotency key is retained.
+// Servers of two routers fail fast, hang and close connections. Every request that failed, was
+// rejected, was retried or was slow is traced with all its attempts, which are compared with the
+// attempts that the servers received. A client's retry at the other router is in the trace of its
+// first transmission. No idempotency key is retained.
 func TestEveryFailedRequestIsTraced(t *testing.T) {
 	test := newFailureTest(t)
 	test.run()
 	retained := test.stopRouters()
 	counts := test.checkRequests(retained)
 	if counts.traces < 50 || counts.retries < 5 || counts.manyAttempts < 20 || retained.lost > 0 {
-		t.Errorf("%+v, %d traces lost: too few to show anything", counts, retained.lost)
+		t.Errorf("too few traces checked, or traces lost: %+v, %d lost", counts, retained.lost)
 	}
 	checkSpanTrees(t, retained.byID)
 	test.checkNoTraceFields()
 	test.checkCommands(retained)
 }
 
-// A router that is killed leaves what it retained, in a folder that can be opened again. The
-// operators' file is read again on SIGHUP: one that cannot be used, or that changes what only a
-// restart can, is one event that names file, line and field.
-func TestTracesOutliveReloadAndKill(t *testing.T) {
+// The traces of a killed router remain, in a directory that can be opened again. SIGHUP reloads the
+// operators' file: a file that is invalid, or that changes a setting that only a restart can change,
+// is rejected with one log event that names the file, the line and the field.
+func TestTracesSurviveReloadAndKill(t *testing.T) {
 	server := daemontest.NewServer(t, func(id, _ string) string { return fakeserver.Answer(id, "BROKE", "-", "") })
 	config := oneCache(daemontest.NewIdleChangeLog(t), server)
 	config.Name = "a1"
@@ -405,7 +411,7 @@
 		request := daemontest.Request("GET", "/v1/part/00000000000000aa",
 			daemontest.Transaction(transaction), daemontest.ClientTimeout(900*time.Millisecond))
 		if got := daemontest.Exchange(t, router.addr, request).Status; got == http.StatusOK {
-			t.Error("served by a cache that fails")
+			t.Error("got status 200 from a failing cache, want a failure")
 		}
 	}
 	for transaction := 1; transaction <= 20; transaction++ {
@@ -427,19 +433,19 @@
 	daemontest.WaitUntil(t, "21 traces are on disk", func() bool { return len(router.retained(t)) == 21 })
 	router.Kill(t)
 	if _, err := store.Open(router.traceDir, 1<<20, 1<<30); err != nil {
-		t.Errorf("the folder of a killed router: %v", err)
+		t.Errorf("open the trace directory of a killed router: %v", err)
 	}
 	index, err := store.Read(router.traceDir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, traces, _ := index.Stat(); traces != 21 {
-		t.Errorf("%d traces are left, want 21", traces)
+		t.Errorf("got %d traces after the kill, want 21", traces)
 	}
 }
 
-// Without an operators' file no folder is made; a class block overrides what it names, and
-// nothing else.
+// Without an operators' file there is no recorder. A class block overrides only the settings that it
+// names.
 func TestTraceSettings(t *testing.T) {
 	if recorder, err := newRecorder(&daemon{}); recorder != nil || err != nil {
 		t.Errorf("without settings: got %v, %v, want no recorder", recorder, err)
@@ -457,7 +463,7 @@
 	for name, want := range map[string][2]float64{"part": {2, 9}, "form": {0, 1000}} {
 		class := settings.Classes[name]
 		if got := [2]float64{class.OrdinaryPerSecond, class.LatencyObjective}; got != want {
-			t.Errorf("%s: ordinary traces a second and latency objective %v, want %v", name, got, want)
+			t.Errorf("class %s: got [ordinary traces a second, latency objective in ms] %v, want %v", name, got, want)
 		}
 	}
 }
--- a/cmd/garnetline/traced_router_test.go
+++ b/cmd/garnetline/traced_router_test.go
@@ -10,16 +10,16 @@
 	"garnetline/internal/trace/store"
 )
 
-// tracedRouter is a router in a process of its own that records traces.
+// tracedRouter is a router with tracing enabled that runs in a separate process.
 type tracedRouter struct {
 	*daemontest.Process
 	addr         string
 	traceDir     string
-	settingsPath string // of the operators' file
+	settingsPath string // path of the operators' file
 }
 
-// startTracedRouter starts a router and waits until it is healthy. traceSettings are further
-// lines of its trace block.
+// startTracedRouter starts a router with tracing enabled and waits until it is healthy.
+// traceSettings are additional lines of its trace block.
 func startTracedRouter(t *testing.T, config daemontest.Config, traceSettings string) *tracedRouter {
 	t.Helper()
 	dir := t.TempDir()
@@ -41,20 +41,20 @@
 	return router
 }
 
-// stop shuts the router down and returns all that it retained.
+// stop shuts the router down and returns all traces that it retained.
 func (r *tracedRouter) stop(t *testing.T) []*trace.Trace {
 	t.Helper()
 	r.Stop(t)
 	return r.retained(t)
 }
 
-// retained returns what is on disk.
+// retained returns the traces that the router has written to disk.
 func (r *tracedRouter) retained(t *testing.T) []*trace.Trace {
 	t.Helper()
 	return readTraces(t, r.traceDir)
 }
 
-// readTraces returns all traces of a folder.
+// readTraces returns all traces in a directory.
 func readTraces(t *testing.T, dir string) []*trace.Trace {
 	t.Helper()
 	index, err := store.Read(dir)
--- a/cmd/garnetline/tracing.go
+++ b/cmd/garnetline/tracing.go
@@ -12,7 +12,8 @@
 	"garnetline/routing"
 )
 
-// newRecorder returns what traces requests, or nil where the operators' file has it off.
+// newRecorder returns the recorder of request traces, or nil if the operators' file does not
+// enable tracing.
 func newRecorder(router *daemon) (*recorder.Recorder, error) {
 	settings := router.startup.operators.Trace
 	if !settings.Enabled {
@@ -36,8 +37,8 @@
 	return recorder.New(options, recorderSettings(settings, platform.Settings.Classes)), nil
 }
 
-// openTraceSinks opens what traces go to: the folder of segments and, where one is named, a
-// collector.
+// openTraceSinks opens the destinations of traces: the directory of segment files and, if the
+// operators' file names one, a collector.
 func openTraceSinks(router *daemon, settings operatorconfig.Trace) (recorder.Sinks, error) {
 	segments, err := store.Open(settings.Dir, int64(settings.SegmentMB)<<20, int64(settings.KeepMB)<<20)
 	if err != nil {
@@ -61,11 +62,12 @@
 	return recorder.Sinks{segments, exporter}, nil
 }
 
-// recorderSettings says which traces of each class are retained: what the operators' file
-// has of the class, and else those slower than its latency objective and the ordinary ones
-// that the common budget allows.
+// recorderSettings returns which traces of each class are retained. By default these are traces
+// slower than the latency objective of the class, and ordinary traces at the rate of the trace
+// block. A class block of the operators' file overrides the two for its class. All traces of a
+// class with idempotency keys are retained.
 func recorderSettings(settings operatorconfig.Trace, classes []routing.Class) recorder.Settings {
-	recorder := recorder.Settings{
+	result := recorder.Settings{
 		UndecidedBytes:      settings.UndecidedKB << 10,
 		RetryWindow:         settings.RetryWindow,
 		RetainClientSampled: settings.HonorSampled,
@@ -73,14 +75,14 @@
 		Classes:             map[string]sampling.Class{},
 	}
 	for _, class := range classes {
-		recorder.Classes[class.Name] = sampling.Class{
+		result.Classes[class.Name] = sampling.Class{
 			LatencyObjective:  clock.Millis(class.LatencyObjective),
 			OrdinaryPerSecond: settings.OrdinaryPerSecond,
 			RetainAll:         class.Idempotency == routing.IdempotentWithKey,
 		}
 	}
 	for _, override := range settings.Classes {
-		class, known := recorder.Classes[override.Name]
+		class, known := result.Classes[override.Name]
 		if !known {
 			continue
 		}
@@ -90,7 +92,7 @@
 		if override.SlowThreshold > 0 {
 			class.LatencyObjective = override.SlowThreshold
 		}
-		recorder.Classes[override.Name] = class
+		result.Classes[override.Name] = class
 	}
-	return recorder
+	return result
 }
--- a/cmd/garnetline/upgrade_test.go
+++ b/cmd/garnetline/upgrade_test.go
@@ -12,12 +12,12 @@
 	"garnetline/internal/fakeserver"
 )
 
-// servesAll replies to each request with servedBody.
+// servesAll is the reply of a server that serves each request with servedBody.
 func servesAll(id, _ string) string {
 	return fakeserver.Answer(id, "DONE", "tag=t7,minted=1", servedBody)
 }
 
-// oneCache is a configuration of one cache and one origin, which are the same server.
+// oneCache returns a configuration with one cache and one origin, both at the address of server.
 func oneCache(changeLog *fakeserver.IdleChangeLog, server *fakeserver.Server) daemontest.Config {
 	return daemontest.Config{
 		ChangeLog: changeLog.Addr(),
@@ -28,8 +28,8 @@
 	}
 }
 
-// The admin API is ready once requests can be served, counts them, and a cache that an operator
-// disabled gets nothing until it is enabled again.
+// The admin API reports the router ready once it can serve requests, and counts the requests. A
+// cache that an operator disabled gets no requests until it is enabled again.
 func TestAdminAPI(t *testing.T) {
 	changeLog := daemontest.NewIdleChangeLog(t)
 	config := oneCache(changeLog, daemontest.NewServer(t, servesAll))
@@ -41,21 +41,21 @@
 		t.Helper()
 		response := daemontest.Exchange(t, adminAddr, daemontest.RequestWithBody(method, path, ""))
 		if !response.Close {
-			t.Errorf("%s: the connection stays open", path)
+			t.Errorf("%s: the connection stays open after the response, want it closed", path)
 		}
 		return response
 	}
 	checkCall := func(method, path string, want int) {
 		t.Helper()
 		if got := call(method, path).Status; got != want {
-			t.Errorf("%s %s: status %d, want %d", method, path, got, want)
+			t.Errorf("%s %s: got status %d, want %d", method, path, got, want)
 		}
 	}
 	checkRead := func(transaction, want int) {
 		t.Helper()
 		got := daemontest.Exchange(t, config.ListenAddr, readRequest("/v1/part/00000000000000aa", transaction))
 		if got.Status != want {
-			t.Errorf("request %x: status %d, want %d", transaction, got.Status, want)
+			t.Errorf("request %x: got status %d, want %d", transaction, got.Status, want)
 		}
 	}
 
@@ -71,8 +71,8 @@
 	daemon.wait(t)
 }
 
-// checkMetrics checks a metrics page after one request was served and one rejected, with one of
-// two servers disabled.
+// checkMetrics checks the body of GET /metrics after one request was served and one was rejected,
+// while one of two servers is disabled.
 func checkMetrics(t *testing.T, page string) {
 	t.Helper()
 	for _, want := range []string{
@@ -83,13 +83,13 @@
 		"app_out_of_rotation 1",
 	} {
 		if !strings.Contains(page, want+"\n") {
-			t.Errorf("no %q in\n%s", want, page)
+			t.Errorf("metrics: want %q in\n%s", want, page)
 		}
 	}
 }
 
-// An inherited socket is not bound again, which would end the program at once, and shutting
-// down leaves it to others.
+// The router does not bind the address of an inherited socket again, which would fail and end the
+// program at once. Its shutdown leaves the socket open for other processes.
 func TestInheritedSocketIsLeftOpen(t *testing.T) {
 	changeLog := daemontest.NewIdleChangeLog(t)
 	config := oneCache(changeLog, daemontest.NewServer(t, servesAll))
@@ -108,7 +108,7 @@
 	daemontest.Dial(t, config.ListenAddr) // the inherited socket still accepts
 }
 
-// duplicate returns another descriptor of a listener, which serve closes.
+// duplicate returns a duplicate of a listener's descriptor. serve closes it.
 func duplicate(t *testing.T, listener *net.TCPListener) int {
 	t.Helper()
 	file, err := listener.File()
