--- a/internal/trace/active.go
+++ b/internal/trace/active.go
@@ -7,38 +7,40 @@
 )
 
 const (
-	// minWait is how long, in ms, the time before an attempt must be to get a Wait span. What
-	// is shorter is the router's own work.
+	// minWait is the minimum duration, in ms, of a Wait span. A shorter time before an attempt
+	// is processing in the router, not waiting.
 	minWait = 0.2
-	// inlineSpans is how many spans an ActiveTrace has space for without an allocation: a
-	// request that is served by its second attempt, with connections, has no more.
+	// inlineSpans is the number of spans that an ActiveTrace holds without an allocation. It
+	// is enough for a request that is served by its second attempt, with a new connection for
+	// each attempt.
 	inlineSpans     = 6
 	millisPerSecond = 1000
-	// requestSpanIndex is the place of the Request span in Spans.
+	// requestSpanIndex is the index of the Request span in Spans.
 	requestSpanIndex = 0
 	// noAttempt is the value of attemptIndex while no attempt is in flight.
 	noAttempt = -1
-	// untracedAttempt is the value of attemptIndex while an attempt without a span is in flight.
+	// untracedAttempt is the value of attemptIndex while an attempt without a span is in
+	// flight. The Request span has this index, so no attempt with a span can have it.
 	untracedAttempt = requestSpanIndex
 )
 
 // ActiveTrace records the partial trace of one request at one router, until the request has
-// been answered and no attempt is in flight. It is not safe for concurrent use: it belongs to
-// the dispatcher's goroutine.
+// been answered and no attempt is in flight. It is not safe for concurrent use: only the
+// dispatcher's goroutine may use it.
 type ActiveTrace struct {
 	Trace
 	requestSpan  SpanID
-	spanSeed     uint64  // the last number that a span ID was derived from
-	idleSince    float64 // Unix ms, since when no attempt is in flight
-	attemptIndex int     // place in Spans of the attempt in flight, or noAttempt
+	spanSeed     uint64  // number from which the latest span ID was derived
+	idleSince    float64 // Unix ms, when the last attempt ended; before the first attempt, the trace's start
+	attemptIndex int     // index in Spans of the attempt in flight, noAttempt or untracedAttempt
 	responded    bool
-	untraced     bool // attempts were counted without a span
+	untraced     bool // at least one attempt was counted without recording a span
 	spanBuffer   [inlineSpans]Span
 }
 
-// Begin starts the partial trace of the request that the given trace describes; its Spans are
-// ignored. Span IDs are derived from the seed, which must differ between the partial traces
-// of one trace.
+// Begin starts the partial trace of the request that the given Trace describes. The Spans of
+// the given Trace are ignored. Span IDs are derived from the seed, which must differ between
+// the partial traces of one trace.
 func Begin(request Trace, seed uint64) *ActiveTrace {
 	active := &ActiveTrace{
 		Trace:        request,
@@ -63,7 +65,8 @@
 	return span.ID
 }
 
-// addWait records that the request waited since the last attempt, or since it was received.
+// addWait records a Wait span that ends at now, in Unix ms. It starts at the end of the last
+// attempt, or when the request was received if there was no attempt.
 func (a *ActiveTrace) addWait(now float64) {
 	a.addSpan(Span{
 		Parent:        a.requestSpan,
@@ -74,11 +77,12 @@
 	})
 }
 
-// waited reports whether the time since the last attempt is long enough for a Wait span.
+// waited reports whether the time from the last attempt until now, in Unix ms, is long enough
+// for a Wait span.
 func (a *ActiveTrace) waited(now float64) bool { return now-a.idleSince >= minWait }
 
-// AttemptStarted records the decision to send an attempt, at a time in Unix ms. It returns
-// the context that is passed on with the attempt.
+// AttemptStarted records the decision, made at now in Unix ms, to send an attempt. It returns
+// the span context to send to the server with the attempt.
 func (a *ActiveTrace) AttemptStarted(now float64, decision routing.SendAttempt) SpanContext {
 	if a.waited(now) {
 		a.addWait(now)
@@ -99,7 +103,8 @@
 	return SpanContext{Trace: a.ID, Span: attempt, Sampled: a.ClientSampled}
 }
 
-// attemptFlags returns the flags that follow from the decision alone.
+// attemptFlags returns the flags of an attempt that are known when the attempt is decided:
+// all but FlagSent.
 func attemptFlags(decision routing.SendAttempt) uint8 {
 	flags := uint8(0)
 	if decision.JoinFill {
@@ -114,17 +119,17 @@
 	return flags
 }
 
-// WireTimes is what the transport of an attempt knows about it. Times are Unix ms, and zero
-// for what did not happen.
+// WireTimes is what the transport reports about an attempt. Times are in Unix ms; the time of
+// an event that did not happen is zero.
 type WireTimes struct {
 	DialedAt    float64 // when a connection was requested because of the attempt
 	ConnectedAt float64 // when that connection was established
 	WrittenAt   float64 // when the command was written completely
-	MaxAge      float64 // ms, the oldest acceptable copy, as it was written
+	MaxAge      float64 // ms, maximum age of an acceptable copy, as sent in the command
 }
 
-// AttemptEnded records how the attempt in flight ended, at a time in Unix ms. It does nothing
-// if none is in flight.
+// AttemptEnded records the result of the attempt in flight, which ended at now in Unix ms. It
+// does nothing if no attempt is in flight.
 func (a *ActiveTrace) AttemptEnded(now float64, result routing.Result, bytes int, load routing.LoadReport, timing WireTimes) {
 	if a.attemptIndex < 0 {
 		return
@@ -146,8 +151,8 @@
 	a.attemptIndex = noAttempt
 }
 
-// addConnect records the connection that was established for an attempt. The request for it
-// may have been made for an earlier attempt; only the time since this one began counts.
+// addConnect records the connection that was established for an attempt. The connection may
+// have been requested for an earlier attempt; its span starts no earlier than this attempt.
 func (a *ActiveTrace) addConnect(attempt *Span, timing WireTimes) {
 	a.addSpan(Span{
 		Parent:        attempt.ID,
@@ -159,22 +164,22 @@
 	})
 }
 
-// UntracedAttemptStarted counts the start of an attempt without recording a span, for a request
-// whose spans have no memory.
+// UntracedAttemptStarted counts an attempt without recording a span. It is used for a request
+// for whose spans no memory could be reserved.
 func (a *ActiveTrace) UntracedAttemptStarted() {
 	a.untraced = true
 	a.Attempts++
 	a.attemptIndex = untracedAttempt
 }
 
-// UntracedAttemptEnded says that the attempt counted by UntracedAttemptStarted has ended.
+// UntracedAttemptEnded ends the attempt that UntracedAttemptStarted counted.
 func (a *ActiveTrace) UntracedAttemptEnded() {
 	a.untraced = true
 	a.attemptIndex = noAttempt
 }
 
-// Responded records the final answer, or that the client disconnected, at a time in Unix ms.
-// Only the first call counts.
+// Responded records the final response, or that the client disconnected, at now in Unix ms.
+// Calls after the first one have no effect.
 func (a *ActiveTrace) Responded(now float64, outcome Outcome) {
 	if a.responded {
 		return
@@ -189,11 +194,12 @@
 	}
 }
 
-// Done reports whether the partial trace is complete: the request was answered, and no
-// attempt is in flight.
+// Done reports whether the partial trace is complete: Responded was called, and no attempt is
+// in flight.
 func (a *ActiveTrace) Done() bool { return a.responded && a.attemptIndex == noAttempt }
 
-// Finished returns the complete partial trace. It must not be called before Done reports true.
+// Finished returns the complete partial trace. Callers must not call it before Done reports
+// true.
 func (a *ActiveTrace) Finished() *Trace {
 	request := &a.Spans[requestSpanIndex]
 	request.End = a.End
--- a/internal/trace/active_test.go
+++ b/internal/trace/active_test.go
@@ -24,13 +24,14 @@
 	return found
 }
 
-// sendAttempt records an attempt that was served.
+// sendAttempt records an attempt, from start to end in Unix ms, whose result is Served.
 func sendAttempt(active *ActiveTrace, start, end float64, timing WireTimes) {
 	active.AttemptStarted(start, routing.SendAttempt{Server: 5})
 	active.AttemptEnded(end, routing.Served, 10, routing.LoadReport{}, timing)
 }
 
-func TestWaitIsRecordedFromThresholdOn(t *testing.T) {
+// TestWaitSpanRequiresMinimumDuration checks which requests get a Wait span, and its times.
+func TestWaitSpanRequiresMinimumDuration(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		record  func(active *ActiveTrace)
@@ -52,42 +53,43 @@
 			test.record(active)
 			waits := spansOfKind(active, Wait)
 			if len(waits) != test.want {
-				t.Fatalf("%d wait spans, want %d: %+v", len(waits), test.want, waits)
+				t.Fatalf("got %d wait spans, want %d: %+v", len(waits), test.want, waits)
 			}
 			if test.want == 0 {
 				return
 			}
 			if wait := waits[0]; wait.Start != activeStart || wait.End != test.waitEnd {
-				t.Errorf("the wait lasts from %v to %v, want %v to %v", wait.Start, wait.End, activeStart, test.waitEnd)
+				t.Errorf("got a wait span from %v to %v, want %v to %v", wait.Start, wait.End, activeStart, test.waitEnd)
 			}
 		})
 	}
 }
 
-// Guards against a connection that seems to be older than its attempt: it may have been
-// requested for an earlier one.
+// TestConnectStartsWithinAttempt checks that a Connect span does not start before its attempt,
+// also when the connection was requested for an earlier attempt.
 func TestConnectStartsWithinAttempt(t *testing.T) {
 	active := beginTrace()
 	sendAttempt(active, activeStart+10, activeStart+30, WireTimes{DialedAt: activeStart + 2, ConnectedAt: activeStart + 12, WrittenAt: activeStart + 13})
 	connects := spansOfKind(active, Connect)
 	if len(connects) != 1 {
-		t.Fatalf("%d connect spans, want 1", len(connects))
+		t.Fatalf("got %d connect spans, want 1", len(connects))
 	}
 	attempt := spansOfKind(active, Attempt)[0]
 	connect := connects[0]
 	if connect.Parent != attempt.ID || connect.Start != attempt.Start || connect.End != activeStart+12 {
-		t.Errorf("connect is %+v, want it below %x from %v to %v", connect, attempt.ID, attempt.Start, activeStart+12)
+		t.Errorf("got connect span %+v, want parent %x and times from %v to %v", connect, attempt.ID, attempt.Start, activeStart+12)
 	}
 	if attempt.Flags&FlagSent == 0 {
-		t.Errorf("the attempt's flags are %b, want FlagSent among them", attempt.Flags)
+		t.Errorf("got attempt flags %b, want FlagSent set", attempt.Flags)
 	}
 	if !math.IsNaN(float64(connect.Inflight)) {
-		t.Errorf("the connection has a load report, %v", connect.Inflight)
+		t.Errorf("got a load of %v in the connect span, want NaN", connect.Inflight)
 	}
 }
 
-// Guards against a partial trace that is stored while an attempt is in flight, and against an
-// outcome that changes after the response.
+// TestDoneAfterResponseAndLastAttempt checks that a partial trace is not done, and so not
+// stored, while an attempt is in flight, and that its outcome does not change after the
+// response.
 func TestDoneAfterResponseAndLastAttempt(t *testing.T) {
 	active := beginTrace()
 	active.AttemptStarted(activeStart+1, routing.SendAttempt{Server: 5})
@@ -98,18 +100,19 @@
 	active.AttemptEnded(activeStart+3, routing.Served, 10, routing.LoadReport{}, WireTimes{})
 	active.Responded(activeStart+4, Served)
 	if !active.Done() {
-		t.Fatal("not done after the response and the end of the attempt")
+		t.Fatal("not done after the response and the end of the last attempt")
 	}
 	finished := active.Finished()
 	if finished.Outcome != ClientDisconnected || finished.End != activeStart+2 {
-		t.Errorf("ended as %v at %v, want %v at %v", finished.Outcome, finished.End, ClientDisconnected, activeStart+2)
+		t.Errorf("got outcome %v at %v, want %v at %v", finished.Outcome, finished.End, ClientDisconnected, activeStart+2)
 	}
 	if request := finished.Spans[0]; request.Kind != Request || request.End != finished.End || Outcome(request.Result) != finished.Outcome {
-		t.Errorf("the first span is %+v, want the request's with its end and outcome", request)
+		t.Errorf("got first span %+v, want the Request span with the trace's end and outcome", request)
 	}
 }
 
-// Guards against spans that are recorded for a request whose memory was not granted.
+// TestUntracedAttemptsAreCounted checks that attempts are counted but get no spans when no
+// memory could be reserved for the request's trace.
 func TestUntracedAttemptsAreCounted(t *testing.T) {
 	active := beginTrace()
 	active.UntracedAttemptStarted()
@@ -122,6 +125,6 @@
 		t.Error("not done after the end of the attempt")
 	}
 	if active.Attempts != 1 || len(active.Spans) != 1 {
-		t.Errorf("%d attempts and %d spans, want 1 attempt and the request's span alone", active.Attempts, len(active.Spans))
+		t.Errorf("got %d attempts and %d spans, want 1 attempt and only the Request span", active.Attempts, len(active.Spans))
 	}
 }
--- a/internal/trace/benchmark_test.go
+++ b/internal/trace/benchmark_test.go
@@ -6,10 +6,10 @@
 	"garnetline/routing"
 )
 
-// benchmarkStart is when the requests of benchmarks were received, in Unix ms.
+// benchmarkStart is the time, in Unix ms, at which benchmark requests are received.
 const benchmarkStart = 1.7e12
 
-// recordAttempts makes the trace of a request that was served by its second attempt.
+// recordAttempts records the trace of a request with two attempts.
 func recordAttempts(seed uint64) *ActiveTrace {
 	active := Begin(Trace{ID: ID{1, 2}, Router: "n1", TransactionID: "9b1f03aa5c7e2d41", Class: "part", Start: benchmarkStart, Weight: 1}, seed)
 	for n := range 2 {
@@ -21,7 +21,7 @@
 	return active
 }
 
-// BenchmarkActiveTrace measures recording a request of two attempts.
+// BenchmarkActiveTrace measures recording the trace of a request with two attempts.
 func BenchmarkActiveTrace(b *testing.B) {
 	b.ReportAllocs()
 	seed := uint64(0)
@@ -31,7 +31,7 @@
 	}
 }
 
-// BenchmarkAppend measures encoding a trace of five spans into a buffer that has the capacity.
+// BenchmarkAppend measures encoding a trace of five spans into a buffer of sufficient capacity.
 func BenchmarkAppend(b *testing.B) {
 	b.ReportAllocs()
 	finished := recordAttempts(1).Finished()
--- a/internal/trace/codec.go
+++ b/internal/trace/codec.go
@@ -9,18 +9,18 @@
 	"garnetline/routing"
 )
 
-// ErrCorruptRecord is returned for bytes that do not encode a trace.
-var ErrCorruptRecord = errors.New("trace: broken record")
+// ErrCorruptRecord is the error that Decode wraps for bytes that do not encode a trace.
+var ErrCorruptRecord = errors.New("trace: corrupt record")
 
-// Bounds of one record.
+// Limits and sizes of the parts of one record.
 const (
-	maxTextLength = math.MaxUint8 // bytes of a text: its length is stored in one byte
-	maxSpans      = 4096          // spans, and links too
+	maxTextLength = math.MaxUint8 // bytes of a string: its length is stored in one byte
+	maxSpans      = 4096          // maximum number of spans, and maximum number of links
 	spanHeadSize  = 5             // bytes of a span's one-byte fields
 )
 
-// Append appends the stored form of a trace to a buffer and returns it. Times are rounded to
-// the microsecond, and texts are cut after 255 bytes.
+// Append appends the stored form of a trace to dst and returns the extended buffer. Times are
+// rounded to the microsecond, and strings are truncated to 255 bytes.
 func Append(dst []byte, t *Trace) []byte {
 	dst = append(dst, t.ID[:]...)
 	dst = binary.AppendUvarint(dst, uint64(t.ClientSpan))
@@ -46,8 +46,8 @@
 	return appendLinks(dst, t.Links)
 }
 
-// appendSpan appends a span whose start is stored relative to the start of its trace, in
-// microseconds.
+// appendSpan appends a span. Its start is stored relative to traceStart, the start of its
+// trace in Unix microseconds.
 func appendSpan(dst []byte, span *Span, traceStart uint64) []byte {
 	dst = append(dst, byte(span.Kind), span.AttemptNumber, span.Result, span.Flags, span.CopyRank)
 	dst = binary.AppendUvarint(dst, uint64(span.ID))
@@ -63,7 +63,7 @@
 	return binary.AppendVarint(dst, int64(micros(span.End)-start))
 }
 
-// appendLinks appends links without their number: they extend to the end of the record.
+// appendLinks appends links without a count, because links extend to the end of the record.
 func appendLinks(dst []byte, links []Link) []byte {
 	for _, link := range links {
 		dst = binary.AppendUvarint(dst, uint64(link.From))
@@ -73,7 +73,8 @@
 	return dst
 }
 
-// appendText appends a text after its length in one byte.
+// appendText appends the length of a string as one byte, then the string, truncated to
+// maxTextLength bytes.
 func appendText(dst []byte, text string) []byte {
 	text = text[:min(len(text), maxTextLength)]
 	dst = append(dst, byte(len(text)))
@@ -82,47 +83,48 @@
 
 const microsPerMilli = 1000
 
-// micros converts milliseconds to microseconds. A negative time is its two's complement, so
-// that differences of two times are right.
+// micros converts milliseconds to microseconds. A negative time is converted to its two's
+// complement, so that the difference of two converted times is correct.
 func micros(ms float64) uint64 { return uint64(int64(math.Round(ms * microsPerMilli))) }
 
 // millis is the inverse of micros.
 func millis(us uint64) float64 { return float64(int64(us)) / microsPerMilli }
 
-// Decode decodes a record that Append wrote; it must be the whole of the bytes. Its errors
-// are ErrCorruptRecord.
+// Decode decodes a record that Append wrote. The argument must hold exactly one record, without
+// further bytes. All errors wrap ErrCorruptRecord.
 func Decode(record []byte) (*Trace, error) {
 	fields := decoder{remaining: record}
 	t := &Trace{}
 	start := fields.readHead(t)
 	spanCount := fields.uint(maxSpans)
-	// A span takes more than a byte, so a record cannot make Decode allocate more than it
-	// has the bytes for.
+	// A span takes more than one byte. A span count above the number of remaining bytes is
+	// rejected, so that a corrupt count cannot cause a large allocation.
 	if fields.failed || math.IsNaN(t.Weight) || spanCount > uint64(len(fields.remaining)) {
-		return nil, fmt.Errorf("%w: head", ErrCorruptRecord)
+		return nil, fmt.Errorf("%w: invalid or truncated fields before the spans", ErrCorruptRecord)
 	}
 	t.Spans = make([]Span, spanCount)
 	for i := range t.Spans {
 		fields.readSpan(&t.Spans[i], start)
 		if fields.failed || t.Spans[i].Kind >= kindCount {
-			return nil, fmt.Errorf("%w: span %d", ErrCorruptRecord, i)
+			return nil, fmt.Errorf("%w: invalid or truncated span %d", ErrCorruptRecord, i)
 		}
 	}
 	t.Links = fields.readLinks()
 	if fields.failed || len(fields.remaining) > 0 {
-		return nil, fmt.Errorf("%w: links", ErrCorruptRecord)
+		return nil, fmt.Errorf("%w: invalid links, more links than allowed, or trailing bytes", ErrCorruptRecord)
 	}
 	return t, nil
 }
 
-// decoder reads the fields of a record one after the other. Once a field was missing or out
-// of range it has failed, and all further fields are zero.
+// decoder reads the fields of a record in sequence. After a field that is missing or out of
+// range, failed is true and all further fields are read as zero.
 type decoder struct {
 	remaining []byte
 	failed    bool
 }
 
-// readHead reads all fields before the spans, and returns the start in microseconds.
+// readHead reads all fields before the spans into t. It returns the start of the trace in Unix
+// microseconds.
 func (d *decoder) readHead(t *Trace) uint64 {
 	t.ID = d.traceID()
 	t.ClientSpan = d.spanID()
@@ -145,7 +147,7 @@
 	return start
 }
 
-// readSpan reads a span of a trace that started at traceStart, in microseconds.
+// readSpan reads a span of a trace that started at traceStart, in Unix microseconds.
 func (d *decoder) readSpan(span *Span, traceStart uint64) {
 	head := d.take(spanHeadSize)
 	span.Kind = Kind(head[0])
@@ -167,7 +169,7 @@
 	span.End = millis(end)
 }
 
-// readLinks reads links up to the end of the record, or up to the most that one may have.
+// readLinks reads links until the end of the record, at most maxSpans of them.
 func (d *decoder) readLinks() []Link {
 	var links []Link
 	for len(d.remaining) > 0 && len(links) < maxSpans {
@@ -177,7 +179,8 @@
 	return links
 }
 
-// take reads a number of bytes; zeros if there are fewer.
+// take reads size bytes. If fewer bytes remain, the decoder fails and take returns size zero
+// bytes.
 func (d *decoder) take(size int) []byte {
 	if len(d.remaining) < size {
 		d.fail()
@@ -188,7 +191,7 @@
 	return taken
 }
 
-// uint reads an unsigned varint of at most limit.
+// uint reads an unsigned varint. A value above limit makes the decoder fail.
 func (d *decoder) uint(limit uint64) uint64 {
 	value, size := binary.Uvarint(d.remaining)
 	if size <= 0 || value > limit {
--- a/internal/trace/codec_test.go
+++ b/internal/trace/codec_test.go
@@ -11,7 +11,8 @@
 	"garnetline/routing"
 )
 
-// randomTrace records a partial trace by random steps that a router could take.
+// randomTrace records a partial trace with random attempts, outcome and links, in a sequence of
+// calls that a router could make.
 func randomTrace(tb testing.TB, id ID, rng *rand.Rand, start float64) *Trace {
 	tb.Helper()
 	active := Begin(Trace{
@@ -41,8 +42,8 @@
 	return finished
 }
 
-// randomAttempt records an attempt that starts now and returns when it ended. Its client may
-// disconnect meanwhile.
+// randomAttempt records an attempt that starts at now and returns the time of its end, both in
+// Unix ms. The client may disconnect before the attempt ends.
 func randomAttempt(active *ActiveTrace, rng *rand.Rand, now float64) float64 {
 	active.AttemptStarted(now, routing.SendAttempt{
 		Server:     routing.ServerID(rng.Uint32()),
@@ -65,8 +66,8 @@
 	return endedAt
 }
 
-// equalTraces compares traces. Times are stored to the microsecond, and a missing load report
-// is NaN, which is not equal to itself.
+// equalTraces reports whether two traces are equal, with tolerance for times, which are stored
+// rounded to the microsecond. Two missing load reports, which are NaN, are equal.
 func equalTraces(got, want *Trace) bool {
 	if len(got.Spans) != len(want.Spans) {
 		return false
@@ -105,7 +106,7 @@
 }
 
 func equalTimes(a, b float64) bool {
-	const tolerance = 0.002 // ms, twice the rounding of an end
+	const tolerance = 0.002 // ms, twice the rounding error of an end
 	return math.Abs(a-b) < tolerance
 }
 
@@ -113,12 +114,12 @@
 	return a == b || math.IsNaN(float64(a)) && math.IsNaN(float64(b))
 }
 
-// FuzzDecode checks that a trace is the same after it was encoded and decoded, that a
-// truncated record is not taken for a whole one, and that no bytes make Decode panic.
+// FuzzDecode checks that encoding and decoding a trace returns an equal trace, that Decode does
+// not return a complete trace for a truncated record, and that no input makes Decode panic.
 func FuzzDecode(f *testing.F) {
 	fuzzutil.AddRandomSeeds(f, 16, 200)
 	f.Fuzz(func(t *testing.T, input []byte) {
-		checkDecodedAgain(t, input)
+		checkReencoding(t, input)
 		seed := uint64(len(input))
 		for i, c := range input {
 			seed += uint64(c) << (i % 56)
@@ -133,14 +134,15 @@
 		for size := range record {
 			got, err := Decode(record[:size])
 			if err == nil && len(got.Links) >= len(want.Links) {
-				t.Fatalf("a record of %d bytes was decoded completely from %d", len(record), size)
+				t.Fatalf("a record of %d bytes was decoded completely from its first %d bytes", len(record), size)
 			}
 		}
 	})
 }
 
-// checkDecodedAgain checks that what was decoded from any bytes can be encoded and decoded.
-func checkDecodedAgain(t *testing.T, input []byte) {
+// checkReencoding checks that a trace that Decode returns for an arbitrary input can be encoded
+// and decoded again.
+func checkReencoding(t *testing.T, input []byte) {
 	t.Helper()
 	decoded, err := Decode(input)
 	if err != nil {
@@ -148,8 +150,8 @@
 	}
 	again, err := Decode(Append(nil, decoded))
 	if err != nil {
-		t.Errorf("decoded, but not a second time: %v", err)
+		t.Errorf("decoding the encoded trace again: %v", err)
 	} else if len(again.Spans) != len(decoded.Spans) {
-		t.Errorf("decoded %d spans, and %d a second time", len(decoded.Spans), len(again.Spans))
+		t.Errorf("got %d spans from the first decoding and %d from the second, want the same number", len(decoded.Spans), len(again.Spans))
 	}
 }
--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -48,8 +48,9 @@
 	return finished
 }
 
-// Guards against a record that routers of another version cannot read: retained traces stay
-// on disk over an update. UPDATE_GOLDEN=1 rewrites testdata.
+// TestRecordMatchesGolden checks that the stored form of a trace does not change: retained
+// traces stay on disk when a router is updated, and the new version must read them.
+// UPDATE_GOLDEN=1 rewrites testdata.
 func TestRecordMatchesGolden(t *testing.T) {
 	want := goldenTrace()
 	golden.Compare(t, "record.bin", Append(nil, want))
@@ -62,9 +63,10 @@
 	}
 }
 
-// Guards against numbers and names on which routers of several versions, collectors and
-// operators agree: the ID of a trace's root, its place in the order by which routers sample,
-// the header, and the names of kinds and outcomes. UPDATE_GOLDEN=1 rewrites testdata.
+// TestDerivedValuesMatchGolden checks that values which routers of different versions, collectors
+// and operators share do not change: the IDs of the root span and of other spans, the sampling
+// order, the traceparent header, and the names of kinds and outcomes. UPDATE_GOLDEN=1 rewrites
+// testdata.
 func TestDerivedValuesMatchGolden(t *testing.T) {
 	var text bytes.Buffer
 	for n := range byte(8) {
--- a/internal/trace/id.go
+++ b/internal/trace/id.go
@@ -9,19 +9,20 @@
 
 const (
 	idSize     = 16         // bytes of an ID
-	idTextSize = 2 * idSize // hex digits of an ID in text
-	// orderSteps is how many values Order can have: a float64 represents each of them exactly.
+	idTextSize = 2 * idSize // hex digits of an ID in text form
+	// orderSteps is the number of values that Order can return. A float64 represents each of
+	// them exactly.
 	orderSteps = 1 << 53
 )
 
-// ID identifies a trace, as the trace-id of W3C Trace Context does.
+// ID identifies a trace. It is the trace-id of W3C Trace Context.
 type ID [idSize]byte
 
 // String returns the ID as 32 lower-case hex digits.
 func (id ID) String() string { return hex.EncodeToString(id[:]) }
 
-// ParseID parses the form that String returns. It reports false for any other text, and for
-// the ID of zeros, which the specification forbids.
+// ParseID parses the text that ID.String returns. It reports false for any other text, and for
+// the all-zero ID, which W3C Trace Context forbids.
 func ParseID(text string) (ID, bool) {
 	if len(text) != idTextSize || !isLowerHex(text) {
 		return ID{}, false
@@ -31,17 +32,18 @@
 	return id, err == nil && id != ID{}
 }
 
-// Order returns a number in (0, 1] that depends on the ID alone and is uniformly distributed.
-// Routers sample traces by it, so that all of them choose the same ones.
+// Order returns a number in (0, 1] that depends only on the ID and is uniformly distributed.
+// Routers sample traces by Order, so that all routers choose the same traces.
 func (id ID) Order() float64 {
 	return (float64(xxhash.Sum64(id[:])>>11) + 1) / orderSteps
 }
 
-// Root returns the ID of the root span, which stands for the client's request with all its
-// retries. It depends on the trace's ID alone, so that routers agree on it without talking.
+// Root returns the ID of the root span, which represents the client's request with all its
+// retries. It depends only on the trace's ID, so that routers derive the same root span ID
+// without communication.
 func (id ID) Root() SpanID { return id.Span(0) }
 
-// Span returns the span ID that the trace's ID and a number determine. It is never zero.
+// Span returns a span ID that is derived from the trace's ID and n. It is never zero.
 func (id ID) Span(n uint64) SpanID {
 	var seed [idSize + 8]byte
 	copy(seed[:], id[:])
--- a/internal/trace/id_test.go
+++ b/internal/trace/id_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Guards against an order that favors some IDs: the weights of sampled traces assume that it
-// is uniform.
+// TestOrderIsUniform checks that Order is uniformly distributed over random IDs, which the
+// weights of sampled traces depend on.
 func TestOrderIsUniform(t *testing.T) {
 	const (
 		ids       = 100_000
@@ -22,14 +22,14 @@
 		}
 		order := id.Order()
 		if order <= 0 || order > 1 {
-			t.Fatalf("order of %v is %v, want a number in (0, 1]", id, order)
+			t.Fatalf("order of ID %v: got %v, want a number in (0, 1]", id, order)
 		}
 		counts[min(int(order*tenths), tenths-1)]++
 	}
 	const want = ids / tenths
 	for tenth, got := range counts {
 		if got < want*(1-tolerance) || got > want*(1+tolerance) {
-			t.Errorf("%d of %d orders are in tenth %d, want %d", got, ids, tenth, want)
+			t.Errorf("got %d of %d orders in tenth %d of the range, want about %d", got, ids, tenth, want)
 		}
 	}
 }
--- a/internal/trace/merge_test.go
+++ b/internal/trace/merge_test.go
@@ -8,8 +8,8 @@
 	"garnetline/routing"
 )
 
-// Guards against two roots, and spans without a parent, where a router was killed before it
-// stored the beginning of its partial trace.
+// TestMergeReturnsOneRoot checks that the merged spans have one root and that each other span has
+// a parent, also when a router was killed before it stored the first span of its partial trace.
 func TestMergeReturnsOneRoot(t *testing.T) {
 	id := ID{7}
 	for seed := range uint64(200) {
@@ -22,7 +22,7 @@
 		other := randomTrace(t, ID{8}, rng, 1)
 		merged := Merge(id, []*Trace{first, second, other, first})
 		if want := 1 + len(first.Spans) + len(second.Spans); len(merged) != want {
-			t.Fatalf("seed %d: %d spans, want %d", seed, len(merged), want)
+			t.Fatalf("seed %d: got %d spans, want %d", seed, len(merged), want)
 		}
 		if err := checkTree(merged); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
@@ -30,8 +30,8 @@
 	}
 }
 
-// checkTree checks that spans have one root, which is the first, and that each other span has
-// a parent, occurs once and does not end before it starts.
+// checkTree returns an error unless the first span is the only root and each other span has a
+// parent, occurs once and does not end before it starts.
 func checkTree(spans []Span) error {
 	ids := map[SpanID]bool{}
 	for _, span := range spans {
@@ -46,14 +46,14 @@
 		case span.Kind == Client:
 			roots++
 		case !ids[span.Parent]:
-			return fmt.Errorf("%+v has no parent", span)
+			return fmt.Errorf("span %+v has no parent", span)
 		}
 		if span.End < span.Start {
-			return fmt.Errorf("%+v ends before it starts", span)
+			return fmt.Errorf("span %+v ends before it starts", span)
 		}
 	}
 	if roots != 1 || spans[0].Kind != Client {
-		return fmt.Errorf("%d roots, and the first span is a %v, want one root first", roots, spans[0].Kind)
+		return fmt.Errorf("got %d roots and a first span of kind %v, want one root as the first span", roots, spans[0].Kind)
 	}
 	return nil
 }
@@ -65,7 +65,8 @@
 	parentWorkID
 )
 
-// cacheTrace is what a cache recorded of an attempt: 30 ms of work with a fill of 20 ms.
+// cacheTrace returns the partial trace that a cache recorded for an attempt: 30 ms of work that
+// includes a fill of 20 ms. The start is in Unix ms.
 func cacheTrace(id ID, attempt SpanID, start float64) *Trace {
 	return &Trace{ID: id, Router: "s-00000005", Start: start, End: start + 30, Spans: []Span{
 		{ID: cacheWorkID, Parent: attempt, Kind: ServerWork, Start: start, End: start + 30},
@@ -73,15 +74,16 @@
 	}}
 }
 
-// parentTrace is what a parent server recorded of the cache's fill: 10 ms of work.
+// parentTrace returns the partial trace that a parent server recorded for the cache's fill: 10 ms
+// of work. The start is in Unix ms.
 func parentTrace(id ID, start float64) *Trace {
 	return &Trace{ID: id, Router: "s-00000008", Start: start, End: start + 10, Spans: []Span{
 		{ID: parentWorkID, Parent: cacheFillID, Kind: ServerWork, Start: start, End: start + 10},
 	}}
 }
 
-// Guards against a server's spans outside the attempt that caused them, where its clock
-// differs from the router's by seconds.
+// TestMergeShiftsServerSpansIntoAttempt checks that a server's spans lie within the attempt that
+// caused them, also when the server's clock differs from the router's by seconds.
 func TestMergeShiftsServerSpansIntoAttempt(t *testing.T) {
 	id := ID{3}
 	active := Begin(Trace{ID: id, Router: "n1", Start: 1000}, 1)
@@ -104,30 +106,31 @@
 			checkWithinParent(t, fill, cacheWork, 20)
 			checkWithinParent(t, spans[parentWorkID], fill, 10)
 			if got := fill.Start - cacheWork.Start; got != 5 {
-				t.Errorf("the fill starts %v ms after the work, want 5", got)
+				t.Errorf("got the fill %v ms after the start of the work, want 5", got)
 			}
 			if withinAttempt := clockOffset >= 0 && clockOffset <= 3; withinAttempt && cacheWork.Start != cacheStart {
-				t.Errorf("the work starts at %v, want %v: it lay within the attempt", cacheWork.Start, cacheStart)
+				t.Errorf("got a work span that starts at %v, want %v, unshifted within the attempt", cacheWork.Start, cacheStart)
 			}
 		})
 	}
 }
 
-// checkWithinParent checks that a span lies within its parent and kept its duration, in ms.
+// checkWithinParent checks that a span lies within its parent and has the given duration, in ms.
 func checkWithinParent(t *testing.T, span, parent Span, duration float64) {
 	t.Helper()
 	if span.Parent != parent.ID {
-		t.Errorf("the parent of the %v span is %x, want %x", span.Kind, span.Parent, parent.ID)
+		t.Errorf("parent of the %v span: got %x, want %x", span.Kind, span.Parent, parent.ID)
 	}
 	if span.Start < parent.Start || span.End > parent.End {
-		t.Errorf("the %v span lasts from %v to %v, want within %v to %v", span.Kind, span.Start, span.End, parent.Start, parent.End)
+		t.Errorf("%v span: got times from %v to %v, want within %v to %v", span.Kind, span.Start, span.End, parent.Start, parent.End)
 	}
 	if got := span.End - span.Start; got != duration {
-		t.Errorf("the %v span lasts %v ms, want %v", span.Kind, got, duration)
+		t.Errorf("%v span: got a duration of %v ms, want %v ms", span.Kind, got, duration)
 	}
 }
 
-// Guards against a lost server trace where the partial trace of its router is lost.
+// TestMergePlacesServerSpansBelowRoot checks that a server's spans become children of the root
+// when the partial trace of the router that sent the attempt is lost.
 func TestMergePlacesServerSpansBelowRoot(t *testing.T) {
 	id := ID{3}
 	active := Begin(Trace{ID: id, Router: "n1", Start: 1000}, 1)
@@ -136,11 +139,11 @@
 		t.Run(fmt.Sprintf("offset of %v ms", clockOffset), func(t *testing.T) {
 			spans := Merge(id, []*Trace{cacheTrace(id, context.Span, 1010+clockOffset)})
 			if len(spans) != 3 {
-				t.Fatalf("%d spans, want 3: %+v", len(spans), spans)
+				t.Fatalf("got %d spans, want 3: %+v", len(spans), spans)
 			}
 			root, work := spans[0], spans[1]
 			if root.Kind != Client || work.Parent != root.ID {
-				t.Errorf("the first span is a %v, the parent of the second %x, want the client's request and %x", root.Kind, work.Parent, root.ID)
+				t.Errorf("got a first span of kind %v and parent %x of the second, want the client's request and %x", root.Kind, work.Parent, root.ID)
 			}
 		})
 	}
--- a/internal/trace/span.go
+++ b/internal/trace/span.go
@@ -2,18 +2,19 @@
 
 import "garnetline/routing"
 
-// Kind says what a span stands for. Its numbers are stored.
+// Kind is the activity that a span represents. Its numeric values are stored in records, so
+// they must not change.
 type Kind uint8
 
 // The kinds of spans.
 const (
-	Client     Kind = iota // the client's request with all its retries; the root span
-	Request                // one try of the client, at one router
-	Wait                   // time in the router before an attempt: queued, or in backoff
+	Client     Kind = iota // the root span: the client's request with all its retries
+	Request                // the request or one retry of it, as handled by one router
+	Wait                   // time in the router before an attempt, in the queue or in retry backoff
 	Attempt                // one attempt at a server
 	Connect                // establishing a connection for an attempt
-	ServerWork             // what a server did for an attempt; Span.Result is a routing.CacheStatus
-	Fill                   // a cache fill, child of the ServerWork that began it; others link to it
+	ServerWork             // processing of an attempt by a server; Span.Result is a routing.CacheStatus
+	Fill                   // a cache fill, child of the ServerWork that started it; spans that waited for it link to it
 	kindCount
 )
 
@@ -27,7 +28,7 @@
 	Fill:       "fill",
 }
 
-// String returns the name of the kind, as exports show it.
+// String returns the name of the kind, as shown in exported traces.
 func (k Kind) String() string {
 	if k >= kindCount {
 		return "unknown"
@@ -35,34 +36,34 @@
 	return kindNames[k]
 }
 
-// Bits of Span.Flags of an attempt. They are stored.
+// Bits of Span.Flags of an Attempt span. They are stored in records, so they must not change.
 const (
 	FlagJoinFill     = 1 << iota // the server was allowed to join a fill in progress
-	FlagRevalidate               // an aging copy was to be revalidated in the background
-	FlagOnlyIfCached             // the fill source was to send only what it has cached
-	FlagSent                     // the command was written completely
+	FlagRevalidate               // the server was asked to revalidate an aging copy in the background
+	FlagOnlyIfCached             // the fill source was asked to send only what it has cached
+	FlagSent                     // the command was written to the server completely
 )
 
-// Span is one interval of time in a trace.
+// Span is one timed activity in a trace.
 type Span struct {
 	ID, Parent      SpanID
 	Kind            Kind
-	AttemptNumber   uint8            // place among the attempts of the request, from zero
-	Result          uint8            // by Kind: routing.Result, Outcome or routing.CacheStatus
-	Flags           uint8            // of an attempt
-	CopyRank        uint8            // rank of the copy that the server was to retain
+	AttemptNumber   uint8            // index of the attempt among those of the request, from zero
+	Result          uint8            // depends on Kind: a routing.Result, an Outcome or a routing.CacheStatus
+	Flags           uint8            // of an Attempt span: FlagJoinFill and the other flag bits
+	CopyRank        uint8            // rank of the copy that the server was asked to retain
 	Start, End      float64          // Unix ms
-	Server          routing.ServerID // of an attempt, a connection or a server's work
-	FillSource      routing.ServerID // the server itself if there is no fill
+	Server          routing.ServerID // of an Attempt, Connect or ServerWork span
+	FillSource      routing.ServerID // equal to Server if there is no fill
 	Bytes           uint32           // bytes received from the server
-	MaxAge          float32          // ms, the oldest acceptable copy; zero: any
-	Inflight        float32          // from the server's load report; NaN if there was none
-	LinkUtilization float32          // from the server's load report; NaN if there was none
+	MaxAge          float32          // ms, maximum age of an acceptable copy; zero means any age
+	Inflight        float32          // from the server's load report; NaN without a report
+	LinkUtilization float32          // from the server's load report; NaN without a report
 }
 
-// Link says that a span waited for a fill whose span may belong to another trace.
+// Link records that a span waited for a fill, whose span may belong to another trace.
 type Link struct {
-	From  SpanID // a span of the trace that holds the link
-	Trace ID     // of the fill
+	From  SpanID // the waiting span, in the trace that contains the link
+	Trace ID     // the trace that contains the fill
 	To    SpanID // the fill's span
 }
--- a/internal/trace/spancontext.go
+++ b/internal/trace/spancontext.go
@@ -5,15 +5,16 @@
 	"strconv"
 )
 
-// SpanContext is the content of a W3C traceparent header: the span that caused a request.
+// SpanContext is the content of a W3C traceparent header. It identifies the span that caused a
+// request.
 type SpanContext struct {
 	Trace   ID
 	Span    SpanID
 	Sampled bool // the sender records the trace
 }
 
-// The layout of a traceparent header of version 00: version-traceid-spanid-flags. Each field
-// is followed by a dash, but for the last one.
+// Offsets in a traceparent header of version 00, which has the form
+// version-traceid-spanid-flags.
 const (
 	versionEnd        = 2
 	traceIDStart      = versionEnd + 1
@@ -23,18 +24,18 @@
 	flagsStart        = spanIDEnd + 1
 	traceparentLength = flagsStart + 2
 
-	// maxTraceparentLength bounds the header of a later version, which may have more fields.
+	// maxTraceparentLength is the maximum length, in bytes, that is accepted for a header of a
+	// later version, which may have more fields.
 	maxTraceparentLength = 256
 
 	traceparentVersion = "00"
-	invalidVersion     = "ff" // which the specification reserves
+	invalidVersion     = "ff" // the specification forbids it
 	sampledFlag        = 1
 )
 
-// ParseTraceparent parses a traceparent header. It reports false for one that the
-// specification has receivers ignore: malformed, longer than 256 bytes, of version ff, or with
-// an ID of zeros. The request then starts a new trace. Of a later version it reads the fields
-// of version 00.
+// ParseTraceparent parses a traceparent header. It reports false for a header that is malformed,
+// longer than 256 bytes, of version ff, or has an all-zero ID; the caller must then start a
+// new trace. In a header of a version after 00, it reads the fields that version 00 defines.
 func ParseTraceparent(header string) (SpanContext, bool) {
 	if !validTraceparentLayout(header) {
 		return SpanContext{}, false
@@ -48,7 +49,8 @@
 	return SpanContext{Trace: id, Span: SpanID(span), Sampled: flags&sampledFlag != 0}, true
 }
 
-// validTraceparentLayout checks the version, the length and the places of the dashes.
+// validTraceparentLayout reports whether the version, the length and the positions of the dashes
+// are valid.
 func validTraceparentLayout(header string) bool {
 	if len(header) < traceparentLength || len(header) > maxTraceparentLength {
 		return false
@@ -66,7 +68,7 @@
 	return version != traceparentVersion && header[traceparentLength] == '-'
 }
 
-// parseHex parses up to 16 lower-case hex digits.
+// parseHex parses a number of up to 16 lower-case hex digits. It reports false for other text.
 func parseHex(digits string) (uint64, bool) {
 	if !isLowerHex(digits) {
 		return 0, false
@@ -75,7 +77,7 @@
 	return value, err == nil
 }
 
-// String returns the traceparent header of version 00.
+// String returns the context as a traceparent header of version 00.
 func (c SpanContext) String() string {
 	flags := 0
 	if c.Sampled {
@@ -84,7 +86,7 @@
 	return fmt.Sprintf(traceparentVersion+"-%s-%016x-%02x", c.Trace.String(), uint64(c.Span), flags)
 }
 
-// isLowerHex reports whether the text consists of lower-case hex digits.
+// isLowerHex reports whether the text consists only of digits and the letters a to f.
 func isLowerHex(text string) bool {
 	for i := range len(text) {
 		c := text[i]
--- a/internal/trace/spancontext_test.go
+++ b/internal/trace/spancontext_test.go
@@ -7,6 +7,8 @@
 
 const validTraceparent = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
 
+// TestParseTraceparentReadsEachVersion checks that headers of version 00 and of a later version
+// are parsed.
 func TestParseTraceparentReadsEachVersion(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -24,8 +26,8 @@
 	}
 }
 
-// Guards against a header that the specification has receivers ignore, and that became the
-// parent of a request.
+// TestParseTraceparentRejectsMalformed checks that an invalid header does not become the parent
+// of a request. The specification requires receivers to ignore such headers.
 func TestParseTraceparentRejectsMalformed(t *testing.T) {
 	const good = validTraceparent
 	for _, test := range []struct {
@@ -48,13 +50,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got, ok := ParseTraceparent(test.header); ok {
-				t.Errorf("ParseTraceparent(%.80q) = %v, want none", test.header, got)
+				t.Errorf("ParseTraceparent(%.80q) = %v, want false", test.header, got)
 			}
 		})
 	}
 }
 
-// FuzzTraceparent checks that a header that was parsed is the same after it was written.
+// FuzzTraceparent checks that a parsed header is equal after it is written and parsed again.
 func FuzzTraceparent(f *testing.F) {
 	f.Add(validTraceparent)
 	f.Add("cc-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-03-more")
@@ -64,11 +66,11 @@
 			return
 		}
 		if parsed.Trace == (ID{}) || parsed.Span == 0 {
-			t.Errorf("ParseTraceparent(%q) = %v, want IDs that are not zero", header, parsed)
+			t.Errorf("ParseTraceparent(%q) = %v, want nonzero IDs", header, parsed)
 		}
 		again, ok := ParseTraceparent(parsed.String())
 		if !ok || again != parsed {
-			t.Errorf("ParseTraceparent(%q) = %v, and of its text %v, %v", header, parsed, again, ok)
+			t.Errorf("ParseTraceparent(%q) = %v, but parsing its String returned %v, %v", header, parsed, again, ok)
 		}
 	})
 }
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,11 +1,11 @@
-// Package trace is the data model of request traces: spans, the partial trace that one
-// router records, its stored form, and merging. It does no I/O and has no clock: times are
-// Unix milliseconds that callers pass in.
+// Package trace is the data model of request traces. It defines spans and the partial traces
+// that routers record, encodes partial traces for storage and merges them. It does no I/O and
+// reads no clock: callers pass times in Unix milliseconds.
 //
-// A trace covers all tries of one request of a client, which may reach several routers. Each
-// router records a partial trace, a Trace, with the spans of the try that it handled; Merge
-// combines them. The ID of the root span follows from the ID of the trace, so that routers
-// agree on it without sharing state.
+// A trace covers a client's request with all retries by the client, which may reach different
+// routers. For each of these, the router that handles it records a partial trace, a Trace.
+// Merge combines the partial traces. The ID of the root span is derived from the ID of the
+// trace, so that routers agree on the root span without sharing state.
 package trace
 
 import (
@@ -14,7 +14,8 @@
 	"garnetline/routing"
 )
 
-// Outcome is how a request ended at a router. Its numbers are stored.
+// Outcome is how a request ended at a router. Its numeric values are stored in records, so they
+// must not change.
 type Outcome uint8
 
 // The outcomes of a request.
@@ -22,8 +23,8 @@
 	Failed Outcome = iota
 	Rejected
 	Served
-	NotModified        // the client's own copy is still valid
-	ClientDisconnected // before it was answered
+	NotModified        // the copy that the client already has is still valid
+	ClientDisconnected // the client disconnected before the response
 	outcomeCount
 )
 
@@ -35,7 +36,7 @@
 	ClientDisconnected: "left",
 }
 
-// String returns the name of the outcome, as commands and exports show it.
+// String returns the name of the outcome, as shown by commands and in exported traces.
 func (o Outcome) String() string {
 	if o >= outcomeCount {
 		return "unknown"
@@ -43,68 +44,70 @@
 	return outcomeNames[o]
 }
 
-// ParseOutcome parses the form that String returns.
+// ParseOutcome parses a name that Outcome.String returns. It reports false for another name.
 func ParseOutcome(name string) (Outcome, bool) {
 	i := slices.Index(outcomeNames[:], name)
 	return Outcome(max(i, 0)), i >= 0
 }
 
-// Reason is a set of bits that say why a trace is retained. They are stored.
+// Reason is a set of bits, one for each reason why a trace is retained. The bits are stored in
+// records, so they must not change.
 type Reason uint8
 
 // The reasons.
 const (
-	ReasonFailed        Reason = 1 << iota // it failed, or its client disconnected
-	ReasonRejected                         // it was rejected
-	ReasonRetried                          // it took several attempts, or is a client's retry
-	ReasonSlow                             // it was slower than its class's latency objective
-	ReasonSampled                          // it is ordinary, and was sampled within the budget
-	ReasonIdempotent                       // its class has idempotency keys: all are retained
-	ReasonClientSampled                    // its client samples it, as its traceparent says
+	ReasonFailed        Reason = 1 << iota // the request failed, or its client disconnected
+	ReasonRejected                         // the request was rejected
+	ReasonRetried                          // the request took several attempts, or is a retry by the client
+	ReasonSlow                             // the request was slower than the latency objective of its class
+	ReasonSampled                          // no other reason applies, and the trace was sampled
+	ReasonIdempotent                       // the class has idempotency keys, so all its traces are retained
+	ReasonClientSampled                    // the sampled flag is set in the client's traceparent header
 )
 
-// Trace is what one router, or one server that takes part in tracing, recorded of one try
-// of a request: a partial trace.
+// Trace is a partial trace: what one router, or one server that supports tracing, recorded for
+// one request of a client. A retry by the client has a Trace of its own, with the same ID.
 type Trace struct {
 	ID            ID
-	ClientSpan    SpanID // the client's own span; zero if it sent none
+	ClientSpan    SpanID // the client's span from its traceparent header; zero if there is none
 	Router        string // name of the router or server
-	TransactionID string // the ID that the client gave this try
+	TransactionID string // ID that the client chose for this request or retry
 	Class         string
-	Object        uint64 // keyed hash
+	Object        uint64 // keyed hash of the object's ID
 	Chunk         uint32
 	PurgeGroup    uint16
-	Retry         uint8 // number of earlier tries that the router knows of
+	Retry         uint8 // number of earlier requests with the same trace that the router knows of
 	Outcome       Outcome
 	Start         float64 // Unix ms, when the request had been received completely
-	End           float64 // Unix ms, when it was answered
+	End           float64 // Unix ms, when the response was sent or the client disconnected
 	Reasons       Reason
-	Weight        float64 // how many traces of its class and kind it represents
-	LostBefore    uint32  // traces lost since the previous retained one
+	Weight        float64 // number of traces of its class that this trace represents; 1 unless it was sampled
+	LostBefore    uint32  // number of traces lost since the previous retained trace
 	Attempts      uint8
 	Spans         []Span
 	Links         []Link
-	SizeAllowance float64 // ms by which the latency objective grows with the response's size; not stored
-	ClientSampled bool    // the client samples the trace; not stored
+	SizeAllowance float64 // ms added to the latency objective for the size of the response; not stored
+	ClientSampled bool    // the client samples the trace, and such traces are to be retained; not stored
 }
 
 // Duration returns how long the request took at this router, in ms.
 func (t *Trace) Duration() float64 { return t.End - t.Start }
 
-// FromServer reports whether a server recorded the partial trace, by a clock of its own.
+// FromServer reports whether a server recorded the partial trace. Its times are then those of
+// the server's clock.
 func (t *Trace) FromServer() bool { return len(t.Spans) > 0 && t.Spans[0].Kind >= ServerWork }
 
 const (
-	traceMemory = 220 // bytes that a Trace takes without its strings and spans
-	spanMemory  = 80  // bytes that a Span takes
+	traceMemory = 220 // bytes of memory of a Trace without its strings and spans
+	spanMemory  = 80  // bytes of memory of a Span
 )
 
-// Size returns about how many bytes of memory the trace takes.
+// Size returns an estimate of the memory that the trace takes, in bytes.
 func (t *Trace) Size() int {
 	return traceMemory + len(t.Router) + len(t.Class) + len(t.TransactionID) + cap(t.Spans)*spanMemory
 }
 
-// Involves reports whether a server was the target or the fill source of an attempt.
+// Involves reports whether a server is the target or the fill source of one of the attempts.
 func (t *Trace) Involves(server routing.ServerID) bool {
 	return slices.ContainsFunc(t.Spans, func(span Span) bool {
 		return span.Kind == Attempt && (span.Server == server || span.FillSource == server)
