--- a/internal/trace/store/benchmark_test.go
+++ b/internal/trace/store/benchmark_test.go
@@ -7,8 +7,9 @@
 	"garnetline/internal/trace"
 )
 
-// BenchmarkQuery measures queries that use the headers of blocks (index) against ones that
-// look at each trace (scan), and reading the headers, at 10,000, 100,000 and 1,000,000 spans.
+// BenchmarkQuery compares queries that skip blocks by their headers (index) with queries that
+// decode and test each trace (scan), and measures reading the headers of all blocks (read), with
+// 10,000, 100,000 and 1,000,000 spans.
 func BenchmarkQuery(b *testing.B) {
 	const spansPerTrace = 3
 	for _, spanCount := range []int{10_000, 100_000, 1_000_000} {
--- a/internal/trace/store/block.go
+++ b/internal/trace/store/block.go
@@ -12,16 +12,17 @@
 	"garnetline/internal/trace"
 )
 
-// preambleSize is how many bytes the preamble of a block takes.
+// preambleSize is the size of a block's preamble, in bytes.
 const preambleSize = 16
 
-// preamble is the beginning of a block: lengths in bytes, and CRC-32C checksums.
+// preamble is the first part of a block: the sizes in bytes and the CRC-32C checksums of its
+// header and its body.
 type preamble struct {
 	headerSize, bodySize         uint32
 	headerChecksum, bodyChecksum uint32
 }
 
-// put writes the stored form of a preamble to the beginning of dst.
+// put writes the stored form of the preamble to the first preambleSize bytes of dst.
 func (p preamble) put(dst []byte) {
 	binary.BigEndian.PutUint32(dst[0:], p.headerSize)
 	binary.BigEndian.PutUint32(dst[4:], p.bodySize)
@@ -38,22 +39,22 @@
 	}
 }
 
-// plausible reports whether the lengths are such as a Writer makes.
-func (p preamble) plausible() bool {
+// validSizes reports whether the sizes are within the limits for a header and a body.
+func (p preamble) validSizes() bool {
 	return p.headerSize <= maxHeaderSize && p.bodySize >= 1 && p.bodySize <= maxBodySize
 }
 
 // blockBuilder collects the traces of one block.
 type blockBuilder struct {
-	records []byte // each after its length
+	records []byte // records, each preceded by its length
 	header  blockHeader
 }
 
-// empty reports whether there is nothing to write.
+// empty reports whether the block has no traces.
 func (b *blockBuilder) empty() bool { return b.header.traceCount == 0 }
 
-// full reports whether the block is to be written.
-func (b *blockBuilder) full() bool { return len(b.records) >= blockTarget }
+// full reports whether the block has reached its target size and is due to be written.
+func (b *blockBuilder) full() bool { return len(b.records) >= blockTargetSize }
 
 func (b *blockBuilder) add(t *trace.Trace) {
 	b.header.add(t)
@@ -64,7 +65,7 @@
 	binary.BigEndian.PutUint32(b.records[lengthOffset:], uint32(len(b.records)-recordOffset))
 }
 
-// finish returns the stored form of the block, and empties the builder.
+// finish returns the stored form of the block and resets the builder for the next block.
 func (b *blockBuilder) finish() []byte {
 	slices.Sort(b.header.fingerprints)
 	encoded := make([]byte, preambleSize, b.expectedSize())
@@ -84,52 +85,53 @@
 	return encoded
 }
 
-// expectedSize returns about how many bytes the block will take: records compress to less
-// than half.
+// expectedSize returns an estimate of the block's size in bytes. It allows for half of the size
+// of the records, which compress to less than that.
 func (b *blockBuilder) expectedSize() int {
 	const typicalHeaderSize = 1024
 	return preambleSize + typicalHeaderSize + len(b.records)/2
 }
 
-// blockRef is the place of a block in a segment, with its header.
+// blockRef is the location of a block in a segment, with the block's header. Offsets are in
+// bytes from the start of the segment.
 type blockRef struct {
-	offset       int64 // bytes, of the preamble
-	size         int64 // bytes, of the whole block
+	offset       int64 // of the preamble
+	size         int64 // bytes of the whole block
 	bodyOffset   int64
 	bodyChecksum uint32
 	header       blockHeader
 }
 
-// end returns the offset after the block.
+// end returns the offset of the first byte after the block.
 func (r *blockRef) end() int64 { return r.offset + r.size }
 
-// readBlockRef reads the preamble and the header of the block at an offset. It reports false
-// if they are damaged or the block is incomplete. The body's checksum is not checked until
-// the body is read.
+// readBlockRef reads the preamble and the header of the block at an offset. It reports false if
+// they are corrupt or the block is incomplete. It does not verify the checksum of the body;
+// readBody does.
 func readBlockRef(segment io.ReaderAt, offset int64) (blockRef, bool) {
 	var encoded [preambleSize]byte
 	if _, err := segment.ReadAt(encoded[:], offset); err != nil {
 		return blockRef{}, false
 	}
-	lead := parsePreamble(&encoded)
-	if !lead.plausible() {
+	parsedPreamble := parsePreamble(&encoded)
+	if !parsedPreamble.validSizes() {
 		return blockRef{}, false
 	}
-	header := make([]byte, lead.headerSize)
+	header := make([]byte, parsedPreamble.headerSize)
 	headerOffset := offset + preambleSize
 	if _, err := segment.ReadAt(header, headerOffset); err != nil {
 		return blockRef{}, false
 	}
-	if crc32.Checksum(header, castagnoli) != lead.headerChecksum {
+	if crc32.Checksum(header, castagnoli) != parsedPreamble.headerChecksum {
 		return blockRef{}, false
 	}
-	bodyOffset := headerOffset + int64(lead.headerSize)
-	end := bodyOffset + int64(lead.bodySize)
+	bodyOffset := headerOffset + int64(parsedPreamble.headerSize)
+	end := bodyOffset + int64(parsedPreamble.bodySize)
 	var lastByte [1]byte
 	if _, err := segment.ReadAt(lastByte[:], end-1); err != nil {
 		return blockRef{}, false
 	}
-	parsed, err := parseHeader(header)
+	parsedHeader, err := parseHeader(header)
 	if err != nil {
 		return blockRef{}, false
 	}
@@ -137,33 +139,34 @@
 		offset:       offset,
 		size:         end - offset,
 		bodyOffset:   bodyOffset,
-		bodyChecksum: lead.bodyChecksum,
-		header:       parsed,
+		bodyChecksum: parsedPreamble.bodyChecksum,
+		header:       parsedHeader,
 	}, true
 }
 
-// readBody reads the body of the block and checks it.
+// readBody reads the body of the block and verifies its checksum. It returns ErrCorruptBlock if
+// the checksum does not match.
 func (r *blockRef) readBody(segment io.ReaderAt) ([]byte, error) {
 	body := make([]byte, r.end()-r.bodyOffset)
 	if _, err := segment.ReadAt(body, r.bodyOffset); err != nil {
 		return nil, err
 	}
 	if crc32.Checksum(body, castagnoli) != r.bodyChecksum {
-		return nil, fmt.Errorf("%w: checksum", ErrCorruptBlock)
+		return nil, fmt.Errorf("%w: body checksum mismatch", ErrCorruptBlock)
 	}
 	return body, nil
 }
 
-// forEachTrace calls visit with each trace of a block's body until it returns false.
+// forEachTrace calls visit with each trace of a block's body until visit returns false.
 func forEachTrace(body []byte, visit func(*trace.Trace) bool) error {
 	records, err := decompress(body)
 	if err != nil {
 		return err
 	}
 	for len(records) > 0 {
-		record, rest, ok := cutRecord(records)
+		record, rest, ok := splitRecord(records)
 		if !ok {
-			return fmt.Errorf("%w: record", ErrCorruptBlock)
+			return fmt.Errorf("%w: truncated record", ErrCorruptBlock)
 		}
 		decoded, err := trace.Decode(record)
 		if err != nil {
@@ -177,22 +180,22 @@
 	return nil
 }
 
-// decompress returns the records of a block's body.
+// decompress returns the uncompressed records of a block's body.
 func decompress(body []byte) ([]byte, error) {
 	size, err := s2.DecodedLen(body)
 	if err != nil || size > maxBodySize {
-		return nil, fmt.Errorf("%w: body", ErrCorruptBlock)
+		return nil, fmt.Errorf("%w: invalid or too large uncompressed size of the body", ErrCorruptBlock)
 	}
 	records, err := s2.Decode(nil, body)
 	if err != nil {
-		return nil, fmt.Errorf("%w: body", ErrCorruptBlock)
+		return nil, fmt.Errorf("%w: invalid compressed data in the body", ErrCorruptBlock)
 	}
 	return records, nil
 }
 
-// cutRecord splits the first record, without its length, from the others. It reports false
-// if it is not complete.
-func cutRecord(records []byte) (record, rest []byte, ok bool) {
+// splitRecord returns the first of the records, without the length that precedes it, and the rest
+// of the records. It reports false if the first record is incomplete.
+func splitRecord(records []byte) (record, rest []byte, ok bool) {
 	if len(records) < recordLengthSize {
 		return nil, nil, false
 	}
--- a/internal/trace/store/filter.go
+++ b/internal/trace/store/filter.go
@@ -7,24 +7,25 @@
 	"garnetline/routing"
 )
 
-// Filter selects traces. A field with its zero value selects all, and so does the zero Filter.
+// Filter selects the traces that match all of its fields. A field with its zero value matches
+// every trace.
 type Filter struct {
 	ID            trace.ID
 	Class         string
 	TransactionID string
-	Outcome       uint8            // the sum of 1 << outcome for each trace.Outcome that is wanted
-	Server        routing.ServerID // target or fill source of an attempt
-	MinDuration   float64          // ms
+	Outcome       uint8            // bit set with the bit 1<<outcome for each trace.Outcome that matches
+	Server        routing.ServerID // target or fill source of at least one attempt
+	MinDuration   float64          // ms, inclusive
 	MinAttempts   int
-	Reasons       trace.Reason // at least one of them
-	From, To      float64      // Unix ms, bounds of the start, inclusive
+	Reasons       trace.Reason // a trace matches with at least one of these reasons
+	From, To      float64      // Unix ms, inclusive bounds of the trace's start
 }
 
-// durationTolerance is the relative error that is allowed for a duration that a header holds
-// as a float32.
+// durationTolerance is the relative error allowed for a header's maximum duration, which is
+// rounded to a float32.
 const durationTolerance = 1e-6
 
-// mayMatch reports whether a block can hold a trace that matches.
+// mayMatch reports whether a block with the given header can contain a matching trace.
 func (f *Filter) mayMatch(header *blockHeader) bool {
 	switch {
 	case f.Outcome != 0 && f.Outcome&header.outcomes == 0:
@@ -46,7 +47,7 @@
 }
 
 func (f *Filter) mayMatchServer(h *blockHeader) bool {
-	if f.Server == 0 || h.anyServer {
+	if f.Server == 0 || h.serversOmitted {
 		return true
 	}
 	_, found := slices.BinarySearch(h.servers, uint64(f.Server))
--- a/internal/trace/store/golden_test.go
+++ b/internal/trace/store/golden_test.go
@@ -11,7 +11,7 @@
 	"garnetline/internal/trace"
 )
 
-// writeGoldenSegment writes twelve traces in two blocks of one segment.
+// writeGoldenSegment writes twelve traces to two blocks of one segment and returns the traces.
 func writeGoldenSegment(t *testing.T, folder string) []*trace.Trace {
 	t.Helper()
 	const (
@@ -36,14 +36,15 @@
 	return written
 }
 
-// Guards against a segment that routers of another version cannot read: retained traces stay
-// on disk over an update. UPDATE_GOLDEN=1 rewrites testdata.
+// TestSegmentMatchesGolden checks that the segment format does not change: retained traces stay
+// on disk when a router is updated, and the new version must read them. UPDATE_GOLDEN=1 rewrites
+// testdata.
 func TestSegmentMatchesGolden(t *testing.T) {
 	folder := t.TempDir()
 	written := writeGoldenSegment(t, folder)
 	segments := listSegments(t, folder)
 	if len(segments) != 1 {
-		t.Fatalf("%d segments, want 1", len(segments))
+		t.Fatalf("got %d segments, want 1", len(segments))
 	}
 	content, err := os.ReadFile(segments[0])
 	if err != nil {
@@ -58,13 +59,13 @@
 	}
 	found, _ := queryFolder(t, goldenFolder, Filter{})
 	if len(found) != len(written) {
-		t.Fatalf("found %d traces, want %d", len(found), len(written))
+		t.Fatalf("got %d traces from the golden segment, want %d", len(found), len(written))
 	}
 	for i := range found {
 		got := trace.Append(nil, found[i])
 		want := trace.Append(nil, written[i])
 		if !bytes.Equal(got, want) {
-			t.Errorf("trace %d is %+v, want %+v", i, found[i], written[i])
+			t.Errorf("trace %d: got %+v, want %+v", i, found[i], written[i])
 		}
 	}
 }
--- a/internal/trace/store/header.go
+++ b/internal/trace/store/header.go
@@ -9,27 +9,29 @@
 	"garnetline/internal/trace"
 )
 
-// blockHeader summarizes the traces of a block, so that queries can skip most blocks.
+// blockHeader summarizes the traces of a block, so that queries can skip blocks without matching
+// traces.
 type blockHeader struct {
-	firstStart, lastStart float64 // Unix ms, the least and the greatest start
+	firstStart, lastStart float64 // Unix ms, the earliest and the latest start
 	maxDuration           float32 // ms
 	traceCount            uint32
 	spanCount             uint32
-	outcomes              uint8 // one bit for each trace.Outcome
+	outcomes              uint8 // bit set with the bit 1<<outcome for each trace.Outcome that occurs
 	reasons               trace.Reason
 	maxAttempts           uint8
-	anyServer             bool // too many servers to list
+	serversOmitted        bool // there are more than maxHeaderServers servers, and servers is empty
 	classes               []string
 	servers               []uint64 // servers and fill sources of attempts, ascending
 	fingerprints          []uint32 // of the traces' IDs, ascending
 }
 
-// fingerprint is what a header lists of an ID: its hash of 32 bits.
+// fingerprint returns the 32-bit hash by which a header lists a trace's ID.
 func fingerprint(id trace.ID) uint32 {
 	return binary.BigEndian.Uint32(id[4:8]) ^ binary.BigEndian.Uint32(id[12:16])
 }
 
-// add includes a trace in the summary. Fingerprints are not sorted until the block is complete.
+// add includes a trace in the summary. It leaves the fingerprints unsorted; blockBuilder.finish
+// sorts them.
 func (h *blockHeader) add(t *trace.Trace) {
 	if h.traceCount == 0 {
 		h.firstStart = t.Start
@@ -58,12 +60,13 @@
 		}
 	}
 	if len(h.servers) > maxHeaderServers {
-		h.anyServer = true
+		h.serversOmitted = true
 		h.servers = nil
 	}
 }
 
-// insertSorted inserts a value into an ascending set.
+// insertSorted inserts a value into a sorted slice without duplicates, unless the slice already
+// contains the value.
 func insertSorted(set []uint64, value uint64) []uint64 {
 	i, found := slices.BinarySearch(set, value)
 	if found {
@@ -72,36 +75,36 @@
 	return slices.Insert(set, i, value)
 }
 
-// The layout of a header before its lists, by the offsets of the fields.
+// Offsets, in bytes, of the fixed fields of a header. The lists follow at headerFixedSize.
 const (
-	firstStartOffset  = 0
-	lastStartOffset   = 8
-	maxDurationOffset = 16
-	traceCountOffset  = 20
-	spanCountOffset   = 24
-	outcomesOffset    = 28
-	reasonsOffset     = 29
-	maxAttemptsOffset = 30
-	anyServerOffset   = 31
-	headerFixedSize   = 32
+	firstStartOffset     = 0
+	lastStartOffset      = 8
+	maxDurationOffset    = 16
+	traceCountOffset     = 20
+	spanCountOffset      = 24
+	outcomesOffset       = 28
+	reasonsOffset        = 29
+	maxAttemptsOffset    = 30
+	serversOmittedOffset = 31
+	headerFixedSize      = 32
 
 	fingerprintSize = 4
 	maxClassLength  = math.MaxUint8 // bytes: the length is stored in one byte
 )
 
-// append appends the stored form of a header: the fixed fields, then the classes and the
-// servers, each after their number, and the fingerprints.
+// append appends the stored form of the header: the fixed fields, the number of classes and the
+// classes, the number of servers and the servers, and the fingerprints.
 func (h *blockHeader) append(dst []byte) []byte {
 	dst = binary.BigEndian.AppendUint64(dst, math.Float64bits(h.firstStart))
 	dst = binary.BigEndian.AppendUint64(dst, math.Float64bits(h.lastStart))
 	dst = binary.BigEndian.AppendUint32(dst, math.Float32bits(h.maxDuration))
 	dst = binary.BigEndian.AppendUint32(dst, h.traceCount)
 	dst = binary.BigEndian.AppendUint32(dst, h.spanCount)
-	anyServer := byte(0)
-	if h.anyServer {
-		anyServer = 1
+	serversOmitted := byte(0)
+	if h.serversOmitted {
+		serversOmitted = 1
 	}
-	dst = append(dst, h.outcomes, byte(h.reasons), h.maxAttempts, anyServer)
+	dst = append(dst, h.outcomes, byte(h.reasons), h.maxAttempts, serversOmitted)
 	dst = binary.AppendUvarint(dst, uint64(len(h.classes)))
 	for _, class := range h.classes {
 		class = class[:min(len(class), maxClassLength)]
@@ -120,7 +123,7 @@
 	return dst
 }
 
-// parseHeader parses the stored form of a header. Its errors are ErrCorruptBlock.
+// parseHeader parses the stored form of a header. All errors wrap ErrCorruptBlock.
 func parseHeader(encoded []byte) (blockHeader, error) {
 	if len(encoded) < headerFixedSize {
 		return blockHeader{}, errCorruptHeader()
@@ -136,25 +139,25 @@
 	return header, nil
 }
 
-func errCorruptHeader() error { return fmt.Errorf("%w: head", ErrCorruptBlock) }
+func errCorruptHeader() error { return fmt.Errorf("%w: invalid or truncated header", ErrCorruptBlock) }
 
 func parseFixedFields(encoded []byte) blockHeader {
 	order := binary.BigEndian
 	return blockHeader{
-		firstStart:  math.Float64frombits(order.Uint64(encoded[firstStartOffset:])),
-		lastStart:   math.Float64frombits(order.Uint64(encoded[lastStartOffset:])),
-		maxDuration: math.Float32frombits(order.Uint32(encoded[maxDurationOffset:])),
-		traceCount:  order.Uint32(encoded[traceCountOffset:]),
-		spanCount:   order.Uint32(encoded[spanCountOffset:]),
-		outcomes:    encoded[outcomesOffset],
-		reasons:     trace.Reason(encoded[reasonsOffset]),
-		maxAttempts: encoded[maxAttemptsOffset],
-		anyServer:   encoded[anyServerOffset] == 1,
+		firstStart:     math.Float64frombits(order.Uint64(encoded[firstStartOffset:])),
+		lastStart:      math.Float64frombits(order.Uint64(encoded[lastStartOffset:])),
+		maxDuration:    math.Float32frombits(order.Uint32(encoded[maxDurationOffset:])),
+		traceCount:     order.Uint32(encoded[traceCountOffset:]),
+		spanCount:      order.Uint32(encoded[spanCountOffset:]),
+		outcomes:       encoded[outcomesOffset],
+		reasons:        trace.Reason(encoded[reasonsOffset]),
+		maxAttempts:    encoded[maxAttemptsOffset],
+		serversOmitted: encoded[serversOmittedOffset] == 1,
 	}
 }
 
-// headerLists reads the lists of a header one after the other. Once one was damaged it has
-// failed, and what it reads must not be used.
+// headerLists reads the lists of a header in sequence. After a list that is corrupt, failed is
+// true and callers must discard everything that was read.
 type headerLists struct {
 	remaining []byte
 	failed    bool
@@ -165,7 +168,7 @@
 	l.remaining = nil
 }
 
-// uvarint reads a number; zero if there is none.
+// uvarint reads an unsigned varint. It fails and returns zero if there is no valid varint.
 func (l *headerLists) uvarint() uint64 {
 	value, size := binary.Uvarint(l.remaining)
 	if size <= 0 {
@@ -178,7 +181,7 @@
 
 func (l *headerLists) readClasses() []string {
 	count := l.uvarint()
-	if count > uint64(len(l.remaining)) { // each takes a byte or more
+	if count > uint64(len(l.remaining)) { // each class takes at least one byte
 		l.fail()
 	}
 	var classes []string
@@ -198,7 +201,8 @@
 	return classes
 }
 
-// readServers reads servers, each stored as the difference to the one before.
+// readServers reads the list of servers. Each server ID is stored as the difference from the
+// previous one.
 func (l *headerLists) readServers() []uint64 {
 	count := l.uvarint()
 	if count > maxHeaderServers+2 {
@@ -214,7 +218,8 @@
 	return servers
 }
 
-// readFingerprints reads one fingerprint for each trace. They must be all that remains.
+// readFingerprints reads count fingerprints, one for each trace. It fails unless they are exactly
+// the remaining bytes.
 func (l *headerLists) readFingerprints(count uint32) []uint32 {
 	if uint64(len(l.remaining)) != fingerprintSize*uint64(count) {
 		l.fail()
--- a/internal/trace/store/index.go
+++ b/internal/trace/store/index.go
@@ -6,20 +6,20 @@
 	"garnetline/internal/trace"
 )
 
-// Index holds the headers of all blocks of a folder, as they were when it was read. It is
-// safe for concurrent use.
+// Index holds the headers of all blocks in a folder's segments, as they were when Read returned
+// the Index. It is safe for concurrent use.
 type Index struct {
-	segments []indexedSegment // the oldest first
+	segments []indexedSegment // oldest first
 }
 
-// indexedSegment is a segment with its blocks.
+// indexedSegment is a segment with the locations and headers of its blocks.
 type indexedSegment struct {
 	path   string
 	blocks []blockRef
 }
 
-// Read reads the headers of a folder's segments. It ignores files that are not segments or
-// that cannot be read.
+// Read reads the block headers of a folder's segments. It ignores files that are not segments
+// and files that cannot be read.
 func Read(folder string) (*Index, error) {
 	paths, err := segmentPaths(folder)
 	if err != nil {
@@ -34,10 +34,12 @@
 	return index, nil
 }
 
+// indexSegment reads the headers of a segment's blocks. It reports false if the file cannot be
+// read or is not a segment.
 func indexSegment(path string) (indexedSegment, bool) {
 	file, err := os.Open(path)
 	if err != nil {
-		return indexedSegment{}, false // removed by a Writer
+		return indexedSegment{}, false // for example removed by a Writer
 	}
 	defer closeSegment(file)
 	segment := indexedSegment{path: path}
@@ -60,9 +62,9 @@
 	return blocks, traces, spans
 }
 
-// Query calls visit with each trace that the filter selects, in the order in which they were
-// added, until it returns false. It returns how many blocks it read, and the first error: a
-// block that cannot be read is skipped, and the others are still visited.
+// Query calls visit with each trace that the filter selects, in the order in which the traces
+// were added, until visit returns false. It returns the number of blocks that it read and the
+// first error. After an error in one block, Query continues with the next block.
 func (x *Index) Query(filter Filter, visit func(*trace.Trace) bool) (int, error) {
 	q := &query{filter: filter, visit: visit}
 	for i := range x.segments {
@@ -74,7 +76,7 @@
 	return q.blocksRead, q.firstErr
 }
 
-// query holds the state of one Query.
+// query holds the state of one call of Index.Query.
 type query struct {
 	filter     Filter
 	visit      func(*trace.Trace) bool
@@ -83,7 +85,8 @@
 	firstErr   error
 }
 
-// searchSegment visits the traces of a segment. It does not open the file if no header matches.
+// searchSegment visits the matching traces of a segment. It does not open the segment's file if
+// no block header matches the filter.
 func (q *query) searchSegment(segment *indexedSegment) {
 	i := q.nextMatch(segment.blocks, 0)
 	if i == len(segment.blocks) {
@@ -91,7 +94,7 @@
 	}
 	file, err := os.Open(segment.path)
 	if err != nil {
-		return // removed by a Writer
+		return // for example removed by a Writer
 	}
 	defer closeSegment(file)
 	for i < len(segment.blocks) && !q.stopped {
@@ -100,8 +103,8 @@
 	}
 }
 
-// nextMatch returns the place of the next block that may hold what the query looks for, or
-// the number of blocks if there is none.
+// nextMatch returns the index of the first block at or after from that may contain a matching
+// trace, or the number of blocks if there is none.
 func (q *query) nextMatch(blocks []blockRef, from int) int {
 	for i := from; i < len(blocks); i++ {
 		if q.filter.mayMatch(&blocks[i].header) {
@@ -122,7 +125,8 @@
 	}
 }
 
-// visitMatching visits a trace that the filter selects. It reports whether to go on.
+// visitMatching calls visit with the trace if the filter selects it. It reports whether the query
+// continues.
 func (q *query) visitMatching(t *trace.Trace) bool {
 	if q.filter.Matches(t) {
 		q.stopped = !q.visit(t)
--- a/internal/trace/store/index_test.go
+++ b/internal/trace/store/index_test.go
@@ -6,22 +6,22 @@
 	"garnetline/internal/trace"
 )
 
-// Guards against a query that misses traces since it skipped their block by its header, and
-// against one that reads all blocks for a few traces.
+// TestQueryFindsWhatScanFinds checks that a query does not miss traces by skipping their block,
+// and that it does not read all blocks for a few traces.
 func TestQueryFindsWhatScanFinds(t *testing.T) {
 	folder := t.TempDir()
 	written := writeTraces(t, folder, 20_000, 256<<10)
 	if segments := listSegments(t, folder); len(segments) < 3 {
-		t.Fatalf("%d segments, want 3 or more", len(segments))
+		t.Fatalf("got %d segments, want 3 or more", len(segments))
 	}
 	blocks, traces, spans := readIndex(t, folder).Stat()
 	if traces != len(written) || spans < 3*traces {
-		t.Errorf("Stat returned %d traces and %d spans, want %d and 3 or more each", traces, spans, len(written))
+		t.Errorf("Stat returned %d traces and %d spans, want %d traces with 3 or more spans each", traces, spans, len(written))
 	}
 	for _, test := range []struct {
 		name   string
 		filter Filter
-		rare   bool // the traces are in a fifth of the blocks or less
+		rare   bool // the matching traces are in at most a fifth of the blocks
 	}{
 		{"all", Filter{}, false},
 		{"by ID", Filter{ID: written[12_345].ID}, true},
@@ -44,13 +44,13 @@
 			}
 			found, blocksRead := queryFolder(t, folder, test.filter)
 			if len(found) != want {
-				t.Errorf("found %d traces, want %d", len(found), want)
+				t.Errorf("got %d traces, want %d", len(found), want)
 			}
 			if test.filter.ID != (trace.ID{}) && (len(found) != 1 || found[0].ID != test.filter.ID) {
-				t.Errorf("found %+v, want the trace %v alone", found, test.filter.ID)
+				t.Errorf("got traces %+v, want only the trace with ID %v", found, test.filter.ID)
 			}
 			if test.rare && blocksRead > blocks/5 {
-				t.Errorf("read %d of %d blocks, want a fifth or less", blocksRead, blocks)
+				t.Errorf("got %d of %d blocks read, want at most a fifth", blocksRead, blocks)
 			}
 		})
 	}
--- a/internal/trace/store/segment.go
+++ b/internal/trace/store/segment.go
@@ -17,7 +17,7 @@
 	segmentMode = 0o600
 )
 
-// segmentPaths returns the paths of a folder's segments, the oldest first.
+// segmentPaths returns the paths of a folder's segments, oldest first.
 func segmentPaths(folder string) ([]string, error) {
 	entries, err := os.ReadDir(folder)
 	if err != nil {
@@ -33,9 +33,9 @@
 	return paths, nil
 }
 
-// scanSegment calls visit with each complete block of a segment until it returns false. An
-// incomplete block ends the scan without an error. A file that is not a segment is
-// ErrCorruptBlock.
+// scanSegment calls visit with each complete block of a segment until visit returns false. An
+// incomplete block, or one with a corrupt header, ends the scan without an error. scanSegment
+// returns an error that wraps ErrCorruptBlock for a file that is not a segment.
 func scanSegment(segment io.ReaderAt, visit func(blockRef) bool) error {
 	if err := checkMagic(segment); err != nil {
 		return err
@@ -50,6 +50,7 @@
 	}
 }
 
+// checkMagic returns an error that wraps ErrCorruptBlock unless the file begins with segmentMagic.
 func checkMagic(segment io.ReaderAt) error {
 	magic := make([]byte, len(segmentMagic))
 	_, err := segment.ReadAt(magic, 0)
@@ -57,19 +58,19 @@
 		return err
 	}
 	if err != nil || string(magic) != segmentMagic {
-		return fmt.Errorf("%w: not a segment", ErrCorruptBlock)
+		return fmt.Errorf("%w: file is not a trace segment", ErrCorruptBlock)
 	}
 	return nil
 }
 
-// lockSegment locks a segment against other processes, without waiting. The lock lasts until
-// the file is closed.
+// lockSegment locks a segment against other processes. It returns an error at once if another
+// process holds the lock. The lock lasts until the file is closed.
 func lockSegment(segment *os.File) error {
 	return syscall.Flock(int(segment.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 }
 
-// repairSegment truncates a segment after its last intact block, and removes a file that is
-// not a segment. It does nothing while another process writes the segment.
+// repairSegment truncates a segment after its last intact block, and removes a file without the
+// magic line of a segment. It does nothing while another Writer holds the lock of the segment.
 func repairSegment(path string) error {
 	segment, err := os.OpenFile(path, os.O_RDWR, 0)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -80,7 +81,7 @@
 	}
 	defer closeSegment(segment)
 	if lockSegment(segment) != nil {
-		return nil // its writer is running
+		return nil // the Writer of the segment is still running
 	}
 	info, err := segment.Stat()
 	if err != nil {
@@ -88,7 +89,7 @@
 	}
 	intact, err := intactSize(segment)
 	if err != nil {
-		return os.Remove(path) // its writer was killed before it wrote the format's line
+		return os.Remove(path) // the writing process was killed before it wrote the magic line
 	}
 	if intact < info.Size() {
 		return segment.Truncate(intact)
@@ -96,7 +97,8 @@
 	return nil
 }
 
-// intactSize returns the offset after the last block before which all blocks are intact.
+// intactSize returns the size, in bytes, of the part of a segment before its first block that is
+// incomplete or corrupt.
 func intactSize(segment io.ReaderAt) (int64, error) {
 	size := int64(len(segmentMagic))
 	err := scanSegment(segment, func(block blockRef) bool {
@@ -109,6 +111,6 @@
 	return size, err
 }
 
-// closeSegment closes a segment. What was written is with the system already, and nothing
-// can be done about an error of closing.
+// closeSegment closes a segment and ignores errors. Written data has already been passed to the
+// operating system, and a caller could not recover from an error of Close.
 func closeSegment(segment *os.File) { _ = segment.Close() }
--- a/internal/trace/store/segment_test.go
+++ b/internal/trace/store/segment_test.go
@@ -12,7 +12,7 @@
 	"garnetline/internal/trace"
 )
 
-// blockEnds returns the offsets after each block of a segment.
+// blockEnds returns the end offset of each block of a segment.
 func blockEnds(t *testing.T, path string) []int64 {
 	t.Helper()
 	file, err := os.Open(path)
@@ -31,8 +31,8 @@
 	return ends
 }
 
-// truncations returns where segments are cut in TestOpenTruncatesIncompleteBlock: at nothing,
-// within the format's line, within the first block, and at random offsets.
+// truncations returns the sizes, in bytes, to which TestOpenTruncatesIncompleteBlock truncates a
+// segment: zero, within the magic line, within the first block, and random sizes.
 func truncations(segmentSize int, ends []int64) []int64 {
 	const count = 60
 	cuts := []int64{0, int64(len(segmentMagic)) - 1, ends[0] - 1}
@@ -43,8 +43,8 @@
 	return cuts
 }
 
-// Guards against traces that cannot be read, and blocks that are appended after damaged ones,
-// where a router was killed while it wrote.
+// TestOpenTruncatesIncompleteBlock checks that complete blocks stay readable and an incomplete
+// last block is removed when a router was killed while it wrote a segment.
 func TestOpenTruncatesIncompleteBlock(t *testing.T) {
 	folder := t.TempDir()
 	writeTraces(t, folder, 2000, 1<<30)
@@ -55,7 +55,7 @@
 	}
 	ends := blockEnds(t, path)
 	if len(ends) < 3 {
-		t.Fatalf("%d blocks, want 3 or more", len(ends))
+		t.Fatalf("got %d blocks, want 3 or more", len(ends))
 	}
 	for _, cut := range truncations(len(whole), ends) {
 		t.Run(fmt.Sprintf("after %d bytes", cut), func(t *testing.T) {
@@ -64,8 +64,9 @@
 	}
 }
 
-// checkRepaired opens and closes a Writer on an incomplete segment, and checks that its
-// complete blocks, which have the given ends, are readable before and after.
+// checkRepaired opens and closes a Writer on a folder with a truncated segment, and checks that
+// the complete blocks of the segment are readable before and after. The ends are the end offsets
+// of the blocks of the untruncated segment.
 func checkRepaired(t *testing.T, name string, incomplete []byte, ends []int64) {
 	t.Helper()
 	cut := int64(len(incomplete))
@@ -84,12 +85,12 @@
 	closeWriter(t, openWriter(t, folder, 1<<20, 1<<30), 1)
 	after, _ := queryFolder(t, folder, Filter{})
 	if len(before) != len(after) || (lastEnd > 0) != (len(after) > 0) {
-		t.Errorf("%d traces before the repair and %d after it, of blocks up to %d", len(before), len(after), lastEnd)
+		t.Errorf("got %d traces before the repair and %d after it, want all traces of the complete blocks, which end at %d, both times", len(before), len(after), lastEnd)
 	}
 	info, err := os.Stat(path)
 	if cut < int64(len(segmentMagic)) {
 		if err == nil {
-			t.Errorf("a file that is not a segment was left with %d bytes, want it removed", info.Size())
+			t.Errorf("got a file of %d bytes that is not a segment, want it removed", info.Size())
 		}
 		return
 	}
@@ -97,11 +98,12 @@
 		t.Fatal(err)
 	}
 	if want := max(lastEnd, int64(len(segmentMagic))); info.Size() != want {
-		t.Errorf("the segment has %d bytes after the repair, want %d", info.Size(), want)
+		t.Errorf("got a segment of %d bytes after the repair, want %d", info.Size(), want)
 	}
 }
 
-// Guards against a second process that truncates the segment that the first is writing.
+// TestOpenLeavesSegmentOfRunningWriter checks that opening a second Writer on a folder does not
+// truncate the segment that another Writer is writing.
 func TestOpenLeavesSegmentOfRunningWriter(t *testing.T) {
 	const incompleteBlock = "half a block"
 	const flushTime = testClose + 1e12 // Unix ms, after the finished segment
@@ -122,12 +124,12 @@
 		t.Fatal(err)
 	}
 	if !strings.HasSuffix(string(content), incompleteBlock) {
-		t.Errorf("the segment of a running writer was truncated to %d bytes", len(content))
+		t.Errorf("the segment of a running Writer was truncated to %d bytes, want it unchanged", len(content))
 	}
 	closeWriter(t, writer, flushTime)
 }
 
-// FuzzSegment checks that no bytes of a segment make reading or repairing it panic.
+// FuzzSegment checks that reading and repairing a segment with arbitrary content does not panic.
 func FuzzSegment(f *testing.F) {
 	fuzzutil.AddRandomSeeds(f, 8, 200)
 	folder := f.TempDir()
@@ -140,23 +142,23 @@
 	f.Fuzz(func(t *testing.T, input []byte) {
 		content := input
 		if len(input)%2 == 1 {
-			content = damage(whole, input)
+			content = corruptSegment(whole, input)
 		}
 		folder := t.TempDir()
 		if err := os.WriteFile(filepath.Join(folder, "1"+segmentSuffix), content, segmentMode); err != nil {
 			t.Fatal(err)
 		}
-		// The errors say that blocks are damaged, which is expected.
+		// Errors are expected, because blocks are corrupt.
 		_, _ = readIndex(t, folder).Query(Filter{}, func(*trace.Trace) bool { return true })
 		closeWriter(t, openWriter(t, folder, 1<<20, 1<<30), 1)
 	})
 }
 
-// damage returns a copy of a segment with some bytes changed, as the input says.
-func damage(segment, input []byte) []byte {
-	damaged := append([]byte(nil), segment...)
+// corruptSegment returns a copy of a segment in which the input determines the changed bytes.
+func corruptSegment(segment, input []byte) []byte {
+	corrupted := append([]byte(nil), segment...)
 	for i, c := range input {
-		damaged[(i*997+int(c)*31)%len(damaged)] ^= c
+		corrupted[(i*997+int(c)*31)%len(corrupted)] ^= c
 	}
-	return damaged
+	return corrupted
 }
--- a/internal/trace/store/store.go
+++ b/internal/trace/store/store.go
@@ -1,10 +1,10 @@
 // Package store keeps retained traces on disk, in segments: files of compressed blocks.
 //
-// A segment begins with a line that names its format. Each block has a preamble of lengths
-// and checksums, a header that summarizes its traces, and a body: the traces' records,
-// compressed. A query reads the headers and decompresses only the blocks that may hold what
-// it looks for. A process that is killed can leave its last block incomplete; the blocks
-// before it are readable, and Open truncates the segment after them.
+// A segment begins with a magic line that identifies the format. Each block has a preamble with
+// sizes and checksums, a header that summarizes its traces, and a body with the compressed
+// records of the traces. A query reads the headers and decompresses only the blocks that may
+// contain matching traces. If a process is killed, the last block of its segment may be
+// incomplete. The blocks before it stay readable, and Open removes the incomplete block.
 package store
 
 import (
@@ -13,25 +13,27 @@
 )
 
 const (
-	// segmentMagic is what each segment begins with.
+	// segmentMagic is the first line of each segment.
 	segmentMagic = "garnetline traces 1\n"
-	// segmentSuffix ends the name of each segment.
+	// segmentSuffix is the file name suffix of each segment.
 	segmentSuffix = ".traces"
 
-	// blockTarget is how many bytes of records, uncompressed, complete a block.
-	blockTarget = 64 << 10
-	// maxHeaderSize and maxBodySize bound, in bytes, what is read of a block. A length beyond
-	// them is taken for damage.
+	// blockTargetSize is the size of uncompressed records, in bytes, at which a block is
+	// written.
+	blockTargetSize = 64 << 10
+	// maxHeaderSize and maxBodySize limit, in bytes, the parts of a block that are read. A block
+	// with a larger size in its preamble is treated as corrupt.
 	maxHeaderSize = 1 << 20
 	maxBodySize   = 8 << 20
-	// maxHeaderServers is how many servers a header lists. A block with more of them is read
-	// by every query for a server.
+	// maxHeaderServers is the maximum number of servers that a header lists. Every query for a
+	// server reads the blocks that have more servers.
 	maxHeaderServers = 256
-	// recordLengthSize is how many bytes the length before each record takes.
+	// recordLengthSize is the size, in bytes, of the length that precedes each record.
 	recordLengthSize = 4
 )
 
-// ErrCorruptBlock is returned for a block, or a whole segment, that is damaged.
-var ErrCorruptBlock = errors.New("store: broken block")
+// ErrCorruptBlock is the error for a block with invalid content and for a file that is not a
+// segment.
+var ErrCorruptBlock = errors.New("store: corrupt block")
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
--- a/internal/trace/store/store_test.go
+++ b/internal/trace/store/store_test.go
@@ -10,31 +10,32 @@
 )
 
 const (
-	// testStart is when the first trace of a test started, in Unix ms, and testInterval the
-	// time between two, in ms.
+	// testStart is the start of the first trace of a test, in Unix ms. testInterval is the time
+	// between the starts of consecutive traces, in ms.
 	testStart    = 1.7e12
 	testInterval = 5
-	// testClose is when writers of tests are closed, in Unix ms: after all traces.
+	// testClose is the time, in Unix ms, at which tests close a Writer. It is after the end of
+	// all traces.
 	testClose = 2e12
-	// failingServer fails fast in some of the traces, and in no other.
+	// failingServer is the server of the failed attempts of newTrace. No other attempt uses it.
 	failingServer = 7
-	// slowDuration is how long, in ms, the slow attempts take, of which there are a few.
+	// slowDuration is the duration, in ms, of the few slow attempts of newTrace.
 	slowDuration = 3000
-	// noLimit is a folder's limit that is never reached, in bytes.
+	// noLimit is a limit of a folder's size, in bytes, that tests never reach.
 	noLimit = 1 << 40
 )
 
-// newTrace returns the trace at a place in a day on which failingServer fails at times. Each
-// trace has two attempts.
-func newTrace(rng *rand.Rand, place int) *trace.Trace {
+// newTrace returns the trace with the given index in a sequence of traces, in which attempts at
+// failingServer fail for 50 of every 5,000 traces. Each trace has two attempts.
+func newTrace(rng *rand.Rand, index int) *trace.Trace {
 	var id trace.ID
 	binary.BigEndian.PutUint64(id[:8], rng.Uint64())
 	binary.BigEndian.PutUint64(id[8:], rng.Uint64())
-	start := testStart + float64(place)*testInterval
+	start := testStart + float64(index)*testInterval
 	active := trace.Begin(trace.Trace{
 		ID:     id,
 		Router: "n1",
-		Class:  []string{"part", "sheet"}[place%2],
+		Class:  []string{"part", "sheet"}[index%2],
 		Object: rng.Uint64(),
 		Start:  start,
 		Weight: 1,
@@ -42,11 +43,11 @@
 	server := routing.ServerID(10 + rng.IntN(40))
 	duration := 5 + rng.Float64()*40
 	result, outcome := routing.Served, trace.Served
-	if place%5000 >= 4000 && place%5000 < 4050 {
+	if index%5000 >= 4000 && index%5000 < 4050 {
 		server = failingServer
 		result, outcome = routing.ServerError, trace.Failed
 	}
-	if place%10_000 == 77 {
+	if index%10_000 == 77 {
 		duration = slowDuration
 	}
 	for n := range 2 {
@@ -84,7 +85,7 @@
 	}
 }
 
-// writeTraces writes traces to a folder and returns the first 100,000 of them.
+// writeTraces writes count traces to a folder and returns the first 100,000 of them.
 func writeTraces(tb testing.TB, folder string, count int, segmentLimit int64) []*trace.Trace {
 	tb.Helper()
 	const maxReturned = 100_000
@@ -120,8 +121,8 @@
 	return index
 }
 
-// queryFolder returns the traces of a folder that a filter selects, and how many blocks were
-// read for them.
+// queryFolder returns the traces of a folder that a filter selects, and the number of blocks that
+// the query read.
 func queryFolder(tb testing.TB, folder string, filter Filter) (found []*trace.Trace, blocksRead int) {
 	tb.Helper()
 	blocksRead, err := readIndex(tb, folder).Query(filter, func(t *trace.Trace) bool {
--- a/internal/trace/store/writer.go
+++ b/internal/trace/store/writer.go
@@ -10,23 +10,24 @@
 	"garnetline/internal/trace"
 )
 
-// Writer appends traces to the segments of a folder. It is not safe for concurrent use.
-// Several processes may each have a Writer on the same folder.
+// Writer appends traces to the segments of a folder. It is not safe for concurrent use. Several
+// processes may each have a Writer on the same folder; each Writer creates segments of its own.
 type Writer struct {
 	folder       string
-	segmentLimit int64 // bytes of a segment
-	folderLimit  int64 // bytes of all segments
+	segmentLimit int64 // maximum size of a segment, in bytes
+	folderLimit  int64 // maximum size of all segments together, in bytes
 	builder      blockBuilder
 
-	segment      *os.File // nil: the next block begins one
+	segment      *os.File // open segment; nil if the next block begins a new segment
 	segmentSize  int64    // bytes
-	segmentCount int      // begun by this Writer
-	latestName   float64  // Unix ms, the time in the name of the latest segment
+	segmentCount int      // number of segments that this Writer has begun
+	latestName   float64  // time in the name of the latest segment, in Unix ms
 }
 
-// Open returns a Writer on a folder, which it creates if it does not exist. It truncates
-// segments that a killed process left incomplete. The limits are in bytes, of one segment and
-// of all of them; the oldest segments are removed to stay within the second.
+// Open returns a Writer on a folder and creates the folder if it does not exist. It removes the
+// incomplete blocks of segments whose process was killed. segmentLimit is the maximum size of one
+// segment, and folderLimit that of all segments together, in bytes. The Writer removes the
+// oldest segments to stay within folderLimit.
 func Open(folder string, segmentLimit, folderLimit int64) (*Writer, error) {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return nil, err
@@ -43,8 +44,8 @@
 	return &Writer{folder: folder, segmentLimit: segmentLimit, folderLimit: folderLimit}, nil
 }
 
-// Add adds a trace. It is on disk after the next Flush, or once its block is full. An error
-// means that the block with the trace is lost.
+// Add adds a trace to the current block and writes the block if it is full. A block that is not
+// full is written by the next Flush. After an error, all traces of the block are lost.
 func (w *Writer) Add(t *trace.Trace) error {
 	w.builder.add(t)
 	if w.builder.full() {
@@ -53,8 +54,9 @@
 	return nil
 }
 
-// Flush writes the traces that were added. A segment that it begins is named for the time, in
-// Unix ms. After an error those traces are lost, and the next block begins a segment.
+// Flush writes the added traces that are not written yet. If it begins a segment, the name of the
+// segment contains now, in Unix ms. After an error, these traces are lost, and the next block
+// begins a new segment.
 func (w *Writer) Flush(now float64) error {
 	if w.builder.empty() {
 		return nil
@@ -71,19 +73,20 @@
 	written, err := w.segment.Write(block)
 	w.segmentSize += int64(written)
 	if err != nil {
-		w.endSegment() // it ends in an incomplete block
+		w.endSegment() // the segment may end in an incomplete block
 	}
 	return err
 }
 
-// Close flushes, and ends the segment. The time is that of Flush.
+// Close writes the added traces as Flush does, and closes the segment. now is in Unix ms.
 func (w *Writer) Close(now float64) error {
 	err := w.Flush(now)
 	w.endSegment()
 	return err
 }
 
-// beginSegment creates a segment, after making space for it.
+// beginSegment removes old segments if the folder would exceed its limit, and creates a segment.
+// now is in Unix ms.
 func (w *Writer) beginSegment(now float64) error {
 	if err := w.removeOldest(); err != nil {
 		return err
@@ -105,8 +108,8 @@
 	return nil
 }
 
-// nextPath returns the path of the next segment. Names sort in the order of their segments,
-// also when the clock is set back.
+// nextPath returns the path of the next segment. now is in Unix ms. The names of a Writer's
+// segments sort in the order of their creation, even if the clock is set back.
 func (w *Writer) nextPath(now float64) string {
 	w.segmentCount++
 	w.latestName = max(now, w.latestName)
@@ -114,7 +117,8 @@
 	return filepath.Join(w.folder, name)
 }
 
-// removeOldest removes the oldest segments until one more fits into the folder.
+// removeOldest removes the oldest segments until one more segment of the maximum size fits within
+// the limit of the folder.
 func (w *Writer) removeOldest() error {
 	paths, err := segmentPaths(w.folder)
 	if err != nil {
@@ -125,7 +129,7 @@
 	for i, path := range paths {
 		info, err := os.Stat(path)
 		if err != nil {
-			continue // removed by another process
+			continue // for example removed by another process
 		}
 		sizes[i] = info.Size()
 		total += sizes[i]
@@ -142,7 +146,8 @@
 	return nil
 }
 
-// endSegment closes the segment, if there is one. No other method closes it.
+// endSegment closes the open segment, if there is one, so that the next block begins a new
+// segment.
 func (w *Writer) endSegment() {
 	if w.segment != nil {
 		closeSegment(w.segment)
--- a/internal/trace/store/writer_test.go
+++ b/internal/trace/store/writer_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Guards against a folder that grows without bound, and against one that loses its newest traces.
+// TestWriterRemovesOldestSegments checks that the segments of a folder stay within the limit, and
+// that the Writer removes the oldest traces and keeps the newest.
 func TestWriterRemovesOldestSegments(t *testing.T) {
 	const (
 		traces      = 8000
@@ -28,15 +29,15 @@
 		total += info.Size()
 	}
 	if total > folderLimit {
-		t.Errorf("the segments have %d bytes, want %d or less", total, folderLimit)
+		t.Errorf("got segments of %d bytes in total, want at most %d", total, folderLimit)
 	}
 	found, _ := queryFolder(t, folder, Filter{})
 	oldest := found[0].Start
 	newest := found[len(found)-1].Start
 	if want := testStart + 1000.0*testInterval; oldest < want {
-		t.Errorf("the oldest trace started at %v, want %v or later", oldest, want)
+		t.Errorf("got an oldest trace that started at %v, want %v or later", oldest, want)
 	}
 	if want := testStart + (traces-10.0)*testInterval; newest < want {
-		t.Errorf("the newest trace started at %v, want %v or later", newest, want)
+		t.Errorf("got a newest trace that started at %v, want %v or later", newest, want)
 	}
 }
