--- a/internal/trace/recorder/harness_test.go
+++ b/internal/trace/recorder/harness_test.go
@@ -19,7 +19,7 @@
 	testTimeout = 10 * time.Second
 )
 
-// The classes of test requests.
+// Request classes of the tests.
 var (
 	partClass = routing.Class{
 		Name:                    "part",
@@ -36,11 +36,11 @@
 	}
 )
 
-// fakeSink stores the traces that are added, and returns one error for every call.
+// fakeSink stores the added traces and returns err from each call.
 type fakeSink struct {
 	err   error
-	gate  chan bool     // Add waits until it is closed; nil: it does not wait
-	added chan struct{} // one for each Add that is done
+	gate  chan bool     // if not nil, Add blocks until gate is closed
+	added chan struct{} // receives a value after each Add
 
 	mu     sync.Mutex
 	traces []*trace.Trace
@@ -65,7 +65,7 @@
 	return s.err
 }
 
-// waitAdded waits until so many more traces have been added.
+// waitAdded waits until count traces have been added since the previous call of waitAdded.
 func (s *fakeSink) waitAdded(t *testing.T, count int64) {
 	t.Helper()
 	timeout := time.After(testTimeout)
@@ -73,12 +73,12 @@
 		select {
 		case <-s.added:
 		case <-timeout:
-			t.Fatalf("%d traces were added within %v, want %d", i, testTimeout, count)
+			t.Fatalf("got %d traces added within %v, want %d", i, testTimeout, count)
 		}
 	}
 }
 
-// harness is a running recorder with the parts that a test looks at.
+// harness is a running recorder with its sink, clock and log.
 type harness struct {
 	*Recorder
 	t     *testing.T
@@ -87,8 +87,8 @@
 	log   *fakeserver.Output
 }
 
-// newHarness starts a recorder, which the test must shut down. Its default class has a latency
-// objective of 400 ms, and clients receive 1000 bytes per second.
+// newHarness starts a recorder, which the test must shut down. The default class has a latency
+// objective of 400 ms, and the expected transfer rate to clients is 1000 bytes per second.
 func newHarness(t *testing.T, sink *fakeSink, settings Settings) *harness {
 	t.Helper()
 	if settings.UndecidedBytes == 0 {
@@ -112,31 +112,31 @@
 	return &harness{Recorder: recorder, t: t, sink: sink, clock: clk, log: log}
 }
 
-// playback is a request to be played, with attempts one after the other.
-type playback struct {
+// testRequest describes a request that a test records, with consecutive attempts.
+type testRequest struct {
 	request       Request
 	outcome       trace.Outcome
 	attempts      int
 	responseBytes int
-	duration      float64 // ms, of all attempts
+	duration      float64 // ms, of all attempts together
 }
 
-// play opens a request, plays its attempts, responds and closes it.
-func (h *harness) play(played playback) *RequestTrace {
+// record opens the trace of a request, records its attempts and its response, and closes the trace.
+func (h *harness) record(test testRequest) *RequestTrace {
 	h.t.Helper()
 	class := &partClass
-	if played.request.IdempotencyKey != "" {
+	if test.request.IdempotencyKey != "" {
 		class = &formClass
 	}
-	opened := h.Open(h.clock.Now(), played.request, class)
-	for range played.attempts {
+	opened := h.Open(h.clock.Now(), test.request, class)
+	for range test.attempts {
 		opened.AttemptStarted(h.clock.Now(), routing.SendAttempt{Server: 5, FillSource: 6})
-		h.clock.Advance(played.duration / float64(played.attempts))
-		opened.AttemptEnded(h.clock.Now(), routing.Served, played.responseBytes, routing.LoadReport{}, trace.WireTimes{WrittenAt: 1})
+		h.clock.Advance(test.duration / float64(test.attempts))
+		opened.AttemptEnded(h.clock.Now(), routing.Served, test.responseBytes, routing.LoadReport{}, trace.WireTimes{WrittenAt: 1})
 	}
-	opened.Responded(h.clock.Now(), played.outcome)
+	opened.Responded(h.clock.Now(), test.outcome)
 	if !opened.Done() {
-		h.t.Fatalf("request for object %d is not done after its response", played.request.Object)
+		h.t.Fatalf("trace of the request for object %d is not done after the response", test.request.Object)
 	}
 	h.Close(h.clock.Now(), opened)
 	return opened
@@ -145,5 +145,5 @@
 // counter returns the value of a counter.
 func (h *harness) counter(name string) int64 { return h.Metrics.Counter(name).Load() }
 
-// ordinaryPerSecond is a default class with a rate of ordinary traces to sample.
+// ordinaryPerSecond returns a sampling policy with the given rate of ordinary traces.
 func ordinaryPerSecond(rate float64) sampling.Class { return sampling.Class{OrdinaryPerSecond: rate} }
--- a/internal/trace/recorder/options.go
+++ b/internal/trace/recorder/options.go
@@ -10,29 +10,30 @@
 	"garnetline/routing"
 )
 
-// Options is what a Recorder is made with. All fields but NotifyRetained must be set.
+// Options holds the dependencies and the fixed settings of a Recorder. All fields except
+// NotifyRetained must be set.
 type Options struct {
 	Clock   clock.Clock
-	Router  string // this router's name in traces
-	Secret  string // the same at all routers; hashed with whatever identifies a key or an object
-	Seed    uint64 // must differ between routers and between starts, so that span ids do
+	Router  string // name of this router in traces
+	Secret  string // the same at all routers; key of the hashes of idempotency keys and objects
+	Seed    uint64 // must differ between routers and between starts, so that span IDs differ
 	Metrics *metrics.Registry
 	Log     *zerolog.Logger
 	Sink    Sink
-	// NotifyRetained notifies a server to which an attempt of the trace was sent that the
-	// trace is retained; nil: servers are not notified. It is called on the dispatcher's
-	// goroutine and must not block.
+	// NotifyRetained notifies a server that a trace is retained. It is called at most once for
+	// each server to which an attempt of the trace was sent, on the dispatcher's goroutine, and must
+	// not block. If it is nil, servers are not notified.
 	NotifyRetained func(server routing.ServerID, id trace.ID)
-	// ClientBytesPerSecond returns the transfer rate to a client that is expected now; 0: not
-	// known.
+	// ClientBytesPerSecond returns the current estimate of the transfer rate to a client, or 0
+	// if the rate is unknown.
 	ClientBytesPerSecond func() float64
 }
 
-// Settings is what may change while the program runs.
+// Settings holds the settings of a Recorder that may change while the program runs.
 type Settings struct {
-	UndecidedBytes      int     // for requests in flight and for ordinary traces not yet sampled
+	UndecidedBytes      int     // memory budget, in bytes, for traces of requests in flight and for sampling candidates
 	RetryWindow         float64 // ms, see propagation.Correlator.SetRetryWindow
-	RetainClientSampled bool    // retain the traces that clients sample
+	RetainClientSampled bool    // retain the traces whose client set the sampled flag in traceparent
 	DefaultClass        sampling.Class
-	Classes             map[string]sampling.Class // by name; others follow DefaultClass
+	Classes             map[string]sampling.Class // by class name; other classes have the policy DefaultClass
 }
--- a/internal/trace/recorder/recorder.go
+++ b/internal/trace/recorder/recorder.go
@@ -1,8 +1,8 @@
-// Package recorder records the traces of a dispatcher's requests and passes those that package
-// sampling retains to sinks.
+// Package recorder records the traces of a dispatcher's requests and passes the traces that package
+// sampling retains to a sink.
 //
-// What it does on the dispatcher's goroutine is bounded and never blocks: retained traces go
-// through a queue to a goroutine of their own, which calls the sinks.
+// The work on the dispatcher's goroutine is bounded and never blocks. Retained traces pass through
+// a bounded queue to a separate goroutine, which calls the sink.
 package recorder
 
 import (
@@ -17,20 +17,22 @@
 )
 
 const (
-	// queueCapacity is how many retained traces wait for the sinks at the most; those beyond it
-	// are lost, and counted.
+	// queueCapacity is the maximum number of retained traces that wait for the sink. Further
+	// traces are lost and counted.
 	queueCapacity = 1024
-	// flushInterval bounds which retained traces are lost when the process is killed.
+	// flushInterval is the interval at which Run flushes the sink. It limits the age of the
+	// retained traces that are lost when the process is killed.
 	flushInterval = 250 * time.Millisecond
-	// reservedBytes is reserved for the trace of a request in flight: its size with the spans of
-	// two attempts.
+	// reservedBytes is the number of bytes reserved for the trace of a request in flight. It is
+	// the size of a trace with the spans of two attempts.
 	reservedBytes = 760
 )
 
-// spanSeedShift leaves 2^20 span ids to each request before those of the next one follow.
+// spanSeedShift is the number of bits by which the request number is shifted in the seed of span
+// IDs, so that the 2^20 seeds of a request do not overlap with those of the next request.
 const spanSeedShift = 20
 
-// Names of the metrics, all of them counters.
+// Names of the metrics. All of them are counters.
 const (
 	metricRetained  = "traces_kept"
 	metricQueueFull = "traces_not_taken"
@@ -38,21 +40,21 @@
 	metricSinkError = "traces_failed"
 )
 
-// Recorder records the traces of requests. Open and Close belong to the dispatcher's goroutine,
-// Run to a goroutine of its own; UpdateSettings may be called from any.
+// Recorder records the traces of requests. Open and Close must be called on the dispatcher's
+// goroutine, and Run on a separate one. UpdateSettings may be called on any goroutine.
 type Recorder struct {
 	Options
 	pendingSettings     atomic.Pointer[Settings] // applied by the next Open
 	correlator          *propagation.Correlator
 	sampler             *sampling.Sampler
-	requests            uint64 // opened so far
+	requests            uint64 // number of traces opened
 	retainClientSampled bool
 	retained            chan *trace.Trace
 	shutdown            chan struct{}
 	stopped             chan struct{}
 }
 
-// New returns a Recorder. Run must be called for retained traces to reach the sink.
+// New returns a Recorder. The caller must start Run, which passes retained traces to the sink.
 func New(options Options, settings Settings) *Recorder {
 	return &Recorder{
 		Options:             options,
@@ -65,11 +67,11 @@
 	}
 }
 
-// UpdateSettings replaces the settings from the next request on. It may be called from any
+// UpdateSettings replaces the settings. The next call of Open applies them. It may be called on any
 // goroutine.
 func (r *Recorder) UpdateSettings(settings Settings) { r.pendingSettings.Store(&settings) }
 
-// applySettings applies the last settings that UpdateSettings was called with, once.
+// applySettings applies the latest settings of UpdateSettings, if they are not applied yet.
 func (r *Recorder) applySettings() {
 	settings := r.pendingSettings.Swap(nil)
 	if settings == nil {
@@ -111,14 +113,15 @@
 	return t
 }
 
-// Close ends the trace of a request that is done, see trace.ActiveTrace.Done, at now in Unix
-// ms. It must be called on the dispatcher's goroutine, once.
+// Close ends the trace of a request at now, in Unix ms, and passes it to the sampler. It must be
+// called once, on the dispatcher's goroutine, after trace.ActiveTrace.Done reports true.
 func (r *Recorder) Close(now float64, t *RequestTrace) {
 	finished := t.Finished()
 	if bytesPerSecond := r.ClientBytesPerSecond(); bytesPerSecond > 0 {
 		finished.SizeAllowance = t.transferFactor * float64(t.responseBytes) / bytesPerSecond * 1000
 	}
-	// Windows that are over are closed before this trace becomes a candidate of its own.
+	// Tick closes windows that have ended, so that this trace becomes a candidate of the current
+	// window.
 	r.enqueue(r.sampler.Tick(now)...)
 	if !t.spansReserved {
 		r.sampler.RecordUntraced(finished)
@@ -144,8 +147,9 @@
 		Msg("request " + t.Outcome.String())
 }
 
-// enqueue passes retained traces to Run. One for which the queue has no place is lost, and if
-// it had to be retained the next one reports it.
+// enqueue passes retained traces to Run through the queue and notifies their servers. If the queue
+// is full, a trace is lost, and RecordLost makes the next retained trace report it unless the
+// lost trace was only sampled.
 func (r *Recorder) enqueue(retained ...*trace.Trace) {
 	for _, t := range retained {
 		select {
@@ -159,9 +163,9 @@
 	}
 }
 
-// notifyServers notifies each server to which an attempt was sent that the trace is retained,
-// unless an earlier attempt at the same server was not sent. The trace belongs to Run by now,
-// and is only read.
+// notifyServers notifies each server to which an attempt was sent that the trace is retained. It
+// omits a server if the first attempt at that server was not sent. Run owns the trace by now, so
+// notifyServers must not modify it.
 func (r *Recorder) notifyServers(t *trace.Trace) {
 	if r.NotifyRetained == nil {
 		return
@@ -176,7 +180,7 @@
 	}
 }
 
-// hasAttemptAt reports whether one of the spans is an attempt at a server.
+// hasAttemptAt reports whether the spans contain an attempt at a server.
 func hasAttemptAt(spans []trace.Span, server routing.ServerID) bool {
 	return slices.ContainsFunc(spans, func(span trace.Span) bool {
 		return span.Kind == trace.Attempt && span.Server == server
@@ -201,7 +205,7 @@
 	}
 }
 
-// drain passes what is still queued to the sink and closes it.
+// drain passes the queued traces to the sink and closes the sink.
 func (r *Recorder) drain() {
 	for len(r.retained) > 0 {
 		r.reportSinkError(r.Sink.Add(<-r.retained))
@@ -209,8 +213,9 @@
 	r.reportSinkError(r.Sink.Close(r.Clock.Now()))
 }
 
-// reportSinkError counts an error of the sink, if there is one, and logs the 1st, 2nd, 4th, 8th
-// and so on, so that a full disk does not fill the log as well.
+// reportSinkError counts an error of the sink and does nothing if err is nil. It logs the 1st, 2nd,
+// 4th, 8th error and so on, so that repeated errors, for example of a full disk, do not flood the
+// log.
 func (r *Recorder) reportSinkError(err error) {
 	if err == nil {
 		return
@@ -222,9 +227,9 @@
 	}
 }
 
-// Shutdown samples the ordinary traces that are undecided and returns when the sink has been
-// given all retained traces and is closed. The dispatcher must have stopped, and Run must have
-// been called.
+// Shutdown closes the sampling windows, waits until Run has passed all retained traces to the sink
+// and has closed the sink, and then returns. The dispatcher must have stopped before, and Run must
+// have been started.
 func (r *Recorder) Shutdown() {
 	r.enqueue(r.sampler.Close()...)
 	close(r.shutdown)
--- a/internal/trace/recorder/recorder_test.go
+++ b/internal/trace/recorder/recorder_test.go
@@ -12,15 +12,16 @@
 	"garnetline/routing"
 )
 
-// A response later than the latency objective of its class is slow, unless its size allows for
-// the time; ordinary traces are sampled when their window is over.
+// TestSlowAllowsForResponseSize checks that a request that takes longer than the latency objective
+// of its class is retained as slow, unless the size of the response allows for the extra time, and
+// that ordinary traces are sampled.
 func TestSlowAllowsForResponseSize(t *testing.T) {
 	recorder := newHarness(t, &fakeSink{}, Settings{DefaultClass: ordinaryPerSecond(5)})
-	recorder.play(playback{request: Request{Object: 1}, outcome: trace.Served, attempts: 1, duration: 450})
+	recorder.record(testRequest{request: Request{Object: 1}, outcome: trace.Served, attempts: 1, duration: 450})
 	// 100 bytes are 100 ms of transfer, and the class allows twice that.
-	recorder.play(playback{request: Request{Object: 2}, outcome: trace.Served, attempts: 1, responseBytes: 100, duration: 450})
-	recorder.play(playback{request: Request{Object: 3}, outcome: trace.Failed})
-	recorder.play(playback{request: Request{Object: 4}, outcome: trace.Served, attempts: 2, duration: 10})
+	recorder.record(testRequest{request: Request{Object: 2}, outcome: trace.Served, attempts: 1, responseBytes: 100, duration: 450})
+	recorder.record(testRequest{request: Request{Object: 3}, outcome: trace.Failed})
+	recorder.record(testRequest{request: Request{Object: 4}, outcome: trace.Served, attempts: 2, duration: 10})
 	recorder.Shutdown()
 	got := map[uint64]trace.Reason{}
 	for _, retained := range recorder.sink.traces {
@@ -29,52 +30,53 @@
 	want := map[uint64]trace.Reason{1: trace.ReasonSlow, 2: trace.ReasonSampled, 3: trace.ReasonFailed, 4: trace.ReasonRetried}
 	for object, reasons := range want {
 		if got := got[recorder.correlator.HashObject(object)]; got != reasons {
-			t.Errorf("object %d is retained for reasons %b, want %b", object, got, reasons)
+			t.Errorf("object %d: got a trace retained for reasons %b, want %b", object, got, reasons)
 		}
 	}
 	if !recorder.sink.closed {
-		t.Error("the sink was not closed")
+		t.Error("the sink is not closed after Shutdown")
 	}
 }
 
-// A sink that blocks does not block the dispatcher: retained traces beyond the queue are lost
-// and counted, and the next one reports them. Errors of the sink are logged ever more rarely.
+// TestBlockedSinkLosesAndCountsTraces checks that a blocked sink does not block the dispatcher:
+// retained traces that do not fit into the queue are lost and counted, and the next retained trace
+// reports them. It also checks that the number of logged sink errors is limited.
 func TestBlockedSinkLosesAndCountsTraces(t *testing.T) {
 	const requests = queueCapacity + 200
 	sink := &fakeSink{gate: make(chan bool), err: errors.New("disk full")}
 	recorder := newHarness(t, sink, Settings{})
 	for i := range requests {
-		recorder.play(playback{request: Request{Object: routing.ObjectID(i + 1)}, outcome: trace.Failed, attempts: 1, duration: 1})
+		recorder.record(testRequest{request: Request{Object: routing.ObjectID(i + 1)}, outcome: trace.Failed, attempts: 1, duration: 1})
 	}
 	lost := recorder.counter(metricQueueFull)
 	if lost < requests-queueCapacity-2 || lost > requests-queueCapacity {
-		t.Errorf("%d of %d traces were lost, want those beyond a queue of %d", lost, requests, queueCapacity)
+		t.Errorf("got %d of %d traces lost, want only those that do not fit into a queue of %d", lost, requests, queueCapacity)
 	}
 	close(sink.gate)
 	sink.waitAdded(t, requests-lost)
-	recorder.play(playback{request: Request{Object: 9}, outcome: trace.Failed, attempts: 1, duration: 1})
+	recorder.record(testRequest{request: Request{Object: 9}, outcome: trace.Failed, attempts: 1, duration: 1})
 	recorder.Shutdown()
 	if got, want := int64(len(sink.traces)), requests-lost+1; got != want {
-		t.Errorf("%d traces were added, want %d", got, want)
+		t.Errorf("got %d traces added, want %d", got, want)
 	}
 	if last := sink.traces[len(sink.traces)-1]; int64(last.LostBefore) != lost {
-		t.Errorf("the next trace reports %d lost before it, want %d", last.LostBefore, lost)
+		t.Errorf("got %d lost traces reported by the next trace, want %d", last.LostBefore, lost)
 	}
 	if got := strings.Count(recorder.log.String(), "disk full"); got < 5 || got > 14 {
-		t.Errorf("%d errors logged for over a thousand, want 5 to 14", got)
+		t.Errorf("got %d logged errors for over a thousand failures, want 5 to 14", got)
 	}
 }
 
-// Without memory for its spans a request is not traced: if its trace would have been retained
-// it is counted as lost.
+// TestRequestsWithoutMemoryAreCounted checks that a request without memory for its spans is not
+// traced, and that its trace is counted as lost if it would have been retained.
 func TestRequestsWithoutMemoryAreCounted(t *testing.T) {
 	recorder := newHarness(t, &fakeSink{}, Settings{UndecidedBytes: 2*reservedBytes + 10, RetryWindow: 1000})
 	inFlight := recorder.Open(recorder.clock.Now(), Request{}, &partClass)
 	recorder.Open(recorder.clock.Now(), Request{}, &partClass)
 	for range 3 {
-		untraced := recorder.play(playback{request: Request{Object: 8}, outcome: trace.Rejected, attempts: 2, duration: 5})
+		untraced := recorder.record(testRequest{request: Request{Object: 8}, outcome: trace.Rejected, attempts: 2, duration: 5})
 		if got := len(untraced.Spans); got > 1 {
-			t.Errorf("%d spans without memory, want at most that of the request", got)
+			t.Errorf("got %d spans without memory, want at most the Request span", got)
 		}
 	}
 	inFlight.AttemptStarted(recorder.clock.Now(), routing.SendAttempt{Server: 1})
@@ -83,15 +85,16 @@
 	recorder.Close(recorder.clock.Now(), inFlight)
 	recorder.Shutdown()
 	if got := recorder.counter(metricUntraced); got != 3 {
-		t.Errorf("%d requests without memory are counted, want 3", got)
+		t.Errorf("got a count of %d requests without memory, want 3", got)
 	}
 	if got := recorder.sink.traces; len(got) != 1 || got[0].LostBefore != 3 {
-		t.Errorf("retained %+v, want one trace that reports 3 lost before it", got)
+		t.Errorf("got retained traces %+v, want one trace that reports 3 lost traces", got)
 	}
 }
 
-// A request whose client disconnected is not done while an attempt is in flight, but a retry of
-// the client is recognized at once, with memory for its spans or without.
+// TestDisconnectedRequestWaitsForItsAttempt checks that a request whose client disconnected is not
+// done while an attempt is in flight, and that a retry by the client is nevertheless recognized,
+// with and without memory for the spans.
 func TestDisconnectedRequestWaitsForItsAttempt(t *testing.T) {
 	const client = "1.1.1.1"
 	tests := map[string]struct {
@@ -109,11 +112,11 @@
 			opened.AttemptStarted(recorder.clock.Now(), routing.SendAttempt{Server: 1})
 			opened.Responded(recorder.clock.Now(), trace.ClientDisconnected)
 			if opened.Done() {
-				t.Error("the request is done with an attempt in flight")
+				t.Error("the request is done while an attempt is in flight")
 			}
 			retry := recorder.correlator.Correlate(recorder.clock.Now(), propagation.Request{Class: partClass.Name, ClientAddress: client})
 			if retry.ID != opened.ID {
-				t.Errorf("a retry while an attempt is in flight has trace %v, want %v", retry.ID, opened.ID)
+				t.Errorf("retry while an attempt is in flight: got trace ID %v, want %v", retry.ID, opened.ID)
 			}
 			opened.AttemptEnded(recorder.clock.Now(), routing.Canceled, 0, routing.LoadReport{}, trace.WireTimes{})
 			if !opened.Done() {
@@ -122,55 +125,57 @@
 			recorder.Close(recorder.clock.Now(), opened)
 			recorder.Shutdown()
 			if got := len(recorder.sink.traces); got != test.wantRetained {
-				t.Errorf("%d traces are retained, want %d", got, test.wantRetained)
+				t.Errorf("got %d retained traces, want %d", got, test.wantRetained)
 			}
 			if got := recorder.counter(metricUntraced); got != test.wantUntraced {
-				t.Errorf("%d requests without memory are counted, want %d", got, test.wantUntraced)
+				t.Errorf("got a count of %d requests without memory, want %d", got, test.wantUntraced)
 			}
 		})
 	}
 }
 
-// All traces of a class that retains all are retained, and two requests with one idempotency
-// key have one trace, which does not hold the key.
+// TestIdempotentRequestsShareTheirRetainedTrace checks that every trace of a class with RetainAll is
+// retained, that two requests with the same idempotency key have the same trace ID, and that the
+// traces do not contain the key.
 func TestIdempotentRequestsShareTheirRetainedTrace(t *testing.T) {
 	const key = "secretkey"
 	settings := Settings{Classes: map[string]sampling.Class{formClass.Name: {RetainAll: true}}}
 	recorder := newHarness(t, &fakeSink{}, settings)
 	for _, client := range []string{"1.1.1.1", "2.2.2.2"} {
 		request := Request{IdempotencyKey: key, Object: 5, ReceivedAt: startTime, ClientAddress: client}
-		recorder.play(playback{request: request, outcome: trace.Served, attempts: 1, duration: 1})
+		recorder.record(testRequest{request: request, outcome: trace.Served, attempts: 1, duration: 1})
 	}
 	recorder.Shutdown()
 	got := recorder.sink.traces
 	if len(got) != 2 {
-		t.Fatalf("%d traces are retained, want 2", len(got))
+		t.Fatalf("got %d retained traces, want 2", len(got))
 	}
 	if got[0].ID != got[1].ID {
-		t.Errorf("traces %v and %v, want one for one key", got[0].ID, got[1].ID)
+		t.Errorf("got trace IDs %v and %v, want the same for both requests with the key", got[0].ID, got[1].ID)
 	}
 	if got[0].Reasons != trace.ReasonIdempotent {
-		t.Errorf("retained for reasons %b, want %b", got[0].Reasons, trace.ReasonIdempotent)
+		t.Errorf("got a trace retained for reasons %b, want %b", got[0].Reasons, trace.ReasonIdempotent)
 	}
 	if text := fmt.Sprintf("%+v %+v", *got[0], *got[1]); strings.Contains(text, key) {
-		t.Errorf("the key is in a trace: %s", text)
+		t.Errorf("got traces that contain the idempotency key, want none: %s", text)
 	}
 }
 
-// A trace that its client samples is retained, until the settings say otherwise.
+// TestNewSettingsApplyToNextRequest checks that a trace that its client samples is retained only
+// until new settings turn this off.
 func TestNewSettingsApplyToNextRequest(t *testing.T) {
 	sampled := Request{Object: 6, ReceivedAt: startTime, TraceParent: "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"}
-	classes := map[string]sampling.Class{formClass.Name: {RetainAll: true}} // which the new settings do not name
+	classes := map[string]sampling.Class{formClass.Name: {RetainAll: true}} // the new settings do not contain this class
 	recorder := newHarness(t, &fakeSink{}, Settings{RetainClientSampled: true, Classes: classes})
-	recorder.play(playback{request: sampled, outcome: trace.Served, attempts: 1, duration: 1})
+	recorder.record(testRequest{request: sampled, outcome: trace.Served, attempts: 1, duration: 1})
 	recorder.UpdateSettings(Settings{UndecidedBytes: 1 << 20})
-	recorder.play(playback{request: sampled, outcome: trace.Served, attempts: 1, duration: 1})
+	recorder.record(testRequest{request: sampled, outcome: trace.Served, attempts: 1, duration: 1})
 	recorder.Shutdown()
 	got := recorder.sink.traces
 	if len(got) != 1 {
-		t.Fatalf("%d traces are retained, want that of the first request alone", len(got))
+		t.Fatalf("got %d retained traces, want only that of the first request", len(got))
 	}
 	if got[0].Reasons != trace.ReasonClientSampled || got[0].ClientSpan == 0 {
-		t.Errorf("retained for reasons %b under client span %v, want %b under the client's", got[0].Reasons, got[0].ClientSpan, trace.ReasonClientSampled)
+		t.Errorf("got a trace retained for reasons %b with client span %v, want reasons %b and the client's span", got[0].Reasons, got[0].ClientSpan, trace.ReasonClientSampled)
 	}
 }
--- a/internal/trace/recorder/request.go
+++ b/internal/trace/recorder/request.go
@@ -6,19 +6,19 @@
 	"garnetline/routing"
 )
 
-// Request describes a request to Recorder.Open.
+// Request describes a client's request for Recorder.Open.
 type Request struct {
 	TransactionID  string // chosen by the client
-	IdempotencyKey string // used only for classes with idempotency keys, and never stored
+	IdempotencyKey string // used only for classes with idempotency keys; never stored
 	Object         routing.ObjectID
 	Chunk          int
 	PurgeGroup     int
-	ReceivedAt     float64 // Unix ms, when its last byte was received; 0: when it is opened
+	ReceivedAt     float64 // Unix ms, when the last byte of the request was received; zero means the time of Open
 	TraceParent    string  // the traceparent header as received, not validated
-	ClientAddress  string  // without the port; empty: not known
+	ClientAddress  string  // without the port; empty if unknown
 }
 
-// propagationRequest returns what decides the trace of the request.
+// propagationRequest returns the parts of the request that determine which trace it belongs to.
 func (q *Request) propagationRequest(class *routing.Class) propagation.Request {
 	request := propagation.Request{
 		TraceParent:   q.TraceParent,
@@ -33,19 +33,19 @@
 	return request
 }
 
-// RequestTrace is the trace of one request in flight. Its methods belong to the dispatcher's
+// RequestTrace is the trace of one request in flight. Its methods must be called on the dispatcher's
 // goroutine and never block.
 type RequestTrace struct {
 	*trace.ActiveTrace
 	correlator     *propagation.Correlator
 	correlation    propagation.Correlation
-	spansReserved  bool    // there was memory for its spans; otherwise only attempts are counted
+	spansReserved  bool    // memory is reserved for the spans; without it, attempts are only counted
 	transferFactor float64 // routing.Class.ObjectiveTransferFactor
-	responseBytes  int     // received in the last attempt
+	responseBytes  int     // bytes received in the last attempt
 }
 
-// AttemptStarted records the start of an attempt at now, in Unix ms, and returns the context to
-// send with it, which is empty if the request is not traced.
+// AttemptStarted records the start of an attempt at now, in Unix ms. It returns the span context to
+// send with the attempt. The span context is empty if the request is not traced.
 func (t *RequestTrace) AttemptStarted(now float64, decision routing.SendAttempt) trace.SpanContext {
 	if t.spansReserved {
 		return t.ActiveTrace.AttemptStarted(now, decision)
@@ -54,8 +54,8 @@
 	return trace.SpanContext{}
 }
 
-// AttemptEnded records the end, at now in Unix ms, of the attempt in flight, which received so
-// many bytes.
+// AttemptEnded records the end, at now in Unix ms, of the attempt in flight. bytes is the number of
+// bytes received from the server.
 func (t *RequestTrace) AttemptEnded(now float64, result routing.Result, bytes int, load routing.LoadReport, timing trace.WireTimes) {
 	t.responseBytes = bytes
 	if t.spansReserved {
@@ -65,14 +65,16 @@
 	t.UntracedAttemptEnded()
 }
 
-// Responded records the response at now, in Unix ms, or that the client disconnected. From here
-// on the client may retry, although an attempt may still be in flight.
+// Responded records at now, in Unix ms, the response to the client or that the client disconnected.
+// It also tells the correlator that the request ended, because the client may retry from now on,
+// even while an attempt is still in flight.
 func (t *RequestTrace) Responded(now float64, outcome trace.Outcome) {
 	t.ActiveTrace.Responded(now, outcome)
 	t.correlator.RequestEnded(now, t.correlation, isServed(outcome))
 }
 
-// isServed reports whether the client got what it asked for.
+// isServed reports whether the client received the object, or was told that its copy is still
+// valid.
 func isServed(outcome trace.Outcome) bool {
 	return outcome == trace.Served || outcome == trace.NotModified
 }
--- a/internal/trace/recorder/sinks.go
+++ b/internal/trace/recorder/sinks.go
@@ -6,18 +6,19 @@
 	"garnetline/internal/trace"
 )
 
-// Sink stores or exports retained traces. A Recorder calls it from one goroutine only, the one
-// that runs Run, and logs its errors; it may block.
+// Sink stores or exports retained traces. A Recorder calls all methods on the goroutine of
+// Recorder.Run and logs their errors. The methods may block.
 type Sink interface {
+	// Add adds a trace. The sink may delay writing the trace until Flush or Close.
 	Add(t *trace.Trace) error
-	// Flush writes what has been added; now is in Unix ms.
+	// Flush writes the added traces. now is in Unix ms.
 	Flush(now float64) error
-	// Close writes what has been added and releases the sink; now is in Unix ms.
+	// Close writes the added traces and releases the resources of the sink. now is in Unix ms.
 	Close(now float64) error
 }
 
-// Sinks is a Sink that passes every call on to each of several sinks, whatever the others
-// return. Its errors are those of all of them, joined.
+// Sinks is a Sink that passes each call to all of its sinks, even if some of them return errors. It
+// returns the joined errors of all sinks.
 type Sinks []Sink
 
 // Add adds a trace to all sinks.
@@ -25,12 +26,12 @@
 	return s.forEach(func(sink Sink) error { return sink.Add(t) })
 }
 
-// Flush flushes all sinks; now is in Unix ms.
+// Flush flushes all sinks. now is in Unix ms.
 func (s Sinks) Flush(now float64) error {
 	return s.forEach(func(sink Sink) error { return sink.Flush(now) })
 }
 
-// Close closes all sinks; now is in Unix ms.
+// Close closes all sinks. now is in Unix ms.
 func (s Sinks) Close(now float64) error {
 	return s.forEach(func(sink Sink) error { return sink.Close(now) })
 }
--- a/internal/trace/recorder/sinks_test.go
+++ b/internal/trace/recorder/sinks_test.go
@@ -7,7 +7,8 @@
 	"garnetline/internal/trace"
 )
 
-// Every call reaches all sinks, also after one that fails, and returns the errors of all.
+// TestSinksCallAll checks that each call reaches all sinks, even after a sink that fails, and
+// returns the errors of all sinks.
 func TestSinksCallAll(t *testing.T) {
 	errFirst, errLast := errors.New("first"), errors.New("last")
 	first := &fakeSink{err: errFirst, added: make(chan struct{}, 1)}
@@ -21,12 +22,12 @@
 	}
 	for name, call := range calls {
 		if err := call(); !errors.Is(err, errFirst) || !errors.Is(err, errLast) {
-			t.Errorf("%s: got error %v, want both %v and %v", name, err, errFirst, errLast)
+			t.Errorf("%s: got error %v, want the errors %v and %v joined", name, err, errFirst, errLast)
 		}
 	}
 	for i, sink := range []*fakeSink{first, middle, last} {
 		if len(sink.traces) != 1 || !sink.closed {
-			t.Errorf("sink %d has %d traces, closed: %t; want one, and closed", i, len(sink.traces), sink.closed)
+			t.Errorf("sink %d: got %d traces and closed: %t, want 1 trace and closed: true", i, len(sink.traces), sink.closed)
 		}
 	}
 }
