--- a/internal/trace/sampling/benchmark_test.go
+++ b/internal/trace/sampling/benchmark_test.go
@@ -9,18 +9,19 @@
 
 const (
 	benchmarkRate     = 10_000 // requests per second
-	benchmarkOrdinary = 10     // traces sampled per second
+	benchmarkOrdinary = 10     // ordinary traces sampled per second
 )
 
-// benchmarkTrace is the trace of a request that ends at now, in Unix ms, with three spans.
+// benchmarkTrace returns the trace, with three spans, of a request that ended at now, in Unix ms.
 func benchmarkTrace(rng *rand.Rand, now float64) *trace.Trace {
 	finished := finishedTrace(rng, className, now, 5, trace.Served)
 	finished.Spans = append(finished.Spans, trace.Span{}, trace.Span{}, trace.Span{})
 	return finished
 }
 
-// BenchmarkSampler compares the sampler with a plain buffer of all traces of a window, at
-// 10,000 requests per second: time per trace and the most bytes held (heldB).
+// BenchmarkSampler compares the sampler (bound) with a buffer of all traces of a window (plain) at
+// 10,000 requests per second. It reports the time per trace and the maximum number of bytes held
+// (heldB).
 func BenchmarkSampler(b *testing.B) {
 	b.Run("bound", benchmarkBoundedSampler)
 	b.Run("plain", benchmarkWindowBuffer)
--- a/internal/trace/sampling/fuzz_test.go
+++ b/internal/trace/sampling/fuzz_test.go
@@ -9,49 +9,51 @@
 )
 
 const (
-	fuzzMaxBytes     = 4000
-	fuzzMaxSteps     = 1000
-	fuzzSlow         = 50.0 // ms, the latency objective
-	fuzzSlowStrict   = 10.0 // ms, that of class b
-	fuzzStrictClass  = "b"
-	fuzzDefaultClass = "a"
+	fuzzMaxBytes        = 4000
+	fuzzMaxSteps        = 1000
+	fuzzObjective       = 50.0 // ms, latency objective of fuzzDefaultClass
+	fuzzStrictObjective = 10.0 // ms, latency objective of fuzzStrictClass
+	fuzzStrictClass     = "b"
+	fuzzDefaultClass    = "a"
 )
 
-// samplerModel counts what a sampler must retain and what it returned.
+// samplerModel counts the traces that a sampler must retain and those that it returned.
 type samplerModel struct {
-	t        *testing.T
-	sampler  *Sampler
-	rng      *rand.Rand
-	now      float64 // Unix ms
-	inFlight int     // requests with a reservation
-	due      int64   // traces that had to be retained
-	retained int64   // of those, returned
-	lost     int64   // reported as lost by returned traces
+	t            *testing.T
+	sampler      *Sampler
+	rng          *rand.Rand
+	now          float64 // Unix ms
+	inFlight     int     // requests in flight with reserved memory
+	wantRetained int64   // traces that the sampler had to retain
+	retained     int64   // traces among wantRetained that the sampler returned
+	lost         int64   // traces that returned traces reported as lost
 }
 
-// FuzzSamplerAccounting checks by random steps that the memory limit holds, that every trace
-// that must be retained is returned or reported as lost, and that nothing is held in the end.
+// FuzzSamplerAccounting checks with random steps that the sampler stays within its memory limit,
+// that each trace that must be retained is either returned or reported as lost, and that no
+// memory is held after the end of all requests and windows.
 func FuzzSamplerAccounting(f *testing.F) {
 	fuzzutil.AddRandomSeeds(f, 16, 600)
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		strict := map[string]Class{fuzzStrictClass: {LatencyObjective: fuzzSlowStrict, OrdinaryPerSecond: 0.5}}
+		strict := map[string]Class{fuzzStrictClass: {LatencyObjective: fuzzStrictObjective, OrdinaryPerSecond: 0.5}}
 		model := &samplerModel{
 			t:       t,
-			sampler: New(fuzzMaxBytes, Class{LatencyObjective: fuzzSlow, OrdinaryPerSecond: 2}, strict),
+			sampler: New(fuzzMaxBytes, Class{LatencyObjective: fuzzObjective, OrdinaryPerSecond: 2}, strict),
 			rng:     rand.New(rand.NewPCG(uint64(len(steps)), 9)),
 			now:     startTime,
 		}
 		for i := 0; i+1 < len(steps) && i < 2*fuzzMaxSteps; i += 2 {
 			model.step(steps[i], int(steps[i+1]))
 			if got := model.sampler.Bytes(); got > fuzzMaxBytes {
-				t.Fatalf("%d bytes are held, want at most %d", got, fuzzMaxBytes)
+				t.Fatalf("got %d bytes held, want at most %d", got, fuzzMaxBytes)
 			}
 		}
 		model.finishAll()
 	})
 }
 
-// step reserves memory twice as often as it finishes a request or closes windows.
+// step begins a request, finishes a request or advances the time. It begins requests twice as
+// often as it takes one of the other steps.
 func (m *samplerModel) step(operation byte, argument int) {
 	class := fuzzDefaultClass
 	if argument%2 == 1 {
@@ -72,20 +74,22 @@
 	}
 }
 
-// mustRetain is the model's own rule.
+// mustRetain reports whether a sampler must retain the trace of a request with the given class,
+// duration in ms and outcome.
 func mustRetain(class string, duration float64, outcome trace.Outcome) bool {
-	slow := duration > fuzzSlow || class == fuzzStrictClass && duration > fuzzSlowStrict
+	slow := duration > fuzzObjective || class == fuzzStrictClass && duration > fuzzStrictObjective
 	return slow || outcome != trace.Served && outcome != trace.NotModified
 }
 
-// begin reserves memory for a request, which ends at once if there is none.
+// begin reserves memory for a request. If there is no memory, begin records the end of the request
+// as untraced.
 func (m *samplerModel) begin(class string, duration float64, outcome trace.Outcome) {
 	if m.sampler.Reserve(reservation) {
 		m.inFlight++
 		return
 	}
 	if mustRetain(class, duration, outcome) {
-		m.due++
+		m.wantRetained++
 	}
 	m.sampler.RecordUntraced(&trace.Trace{Class: class, End: duration, Outcome: outcome, Attempts: 1})
 }
@@ -93,12 +97,13 @@
 func (m *samplerModel) finish(class string, duration float64, outcome trace.Outcome) {
 	m.inFlight--
 	if mustRetain(class, duration, outcome) {
-		m.due++
+		m.wantRetained++
 	}
 	m.check(m.sampler.Finish(finishedTrace(m.rng, class, m.now, duration, outcome), reservation))
 }
 
-// check counts what the sampler returned; nil traces are passed over.
+// check counts the traces that the sampler returned, ignoring nil, and checks the weights of the
+// sampled ones.
 func (m *samplerModel) check(returned ...*trace.Trace) {
 	m.t.Helper()
 	for _, t := range returned {
@@ -109,12 +114,12 @@
 		if t.Reasons&^trace.ReasonSampled != 0 {
 			m.retained++
 		} else if t.Weight < 1 {
-			m.t.Fatalf("weight %v, want at least 1", t.Weight)
+			m.t.Fatalf("got a weight of %v for a sampled trace, want at least 1", t.Weight)
 		}
 	}
 }
 
-// finishAll ends the requests in flight and the windows, and compares the counts.
+// finishAll finishes the requests in flight, closes the windows and compares the counts.
 func (m *samplerModel) finishAll() {
 	m.t.Helper()
 	for m.inFlight > 0 {
@@ -122,10 +127,10 @@
 	}
 	m.check(m.sampler.Close()...)
 	if got := m.sampler.Bytes(); got != 0 {
-		m.t.Errorf("%d bytes are held in the end", got)
+		m.t.Errorf("got %d bytes held after closing the sampler, want 0", got)
 	}
 	m.lost += int64(m.sampler.unreportedLost)
-	if m.retained+m.lost != m.due {
-		m.t.Errorf("%d had to be retained: %d were, %d were reported as lost", m.due, m.retained, m.lost)
+	if m.retained+m.lost != m.wantRetained {
+		m.t.Errorf("want %d traces retained or reported as lost, got %d retained and %d reported as lost", m.wantRetained, m.retained, m.lost)
 	}
 }
--- a/internal/trace/sampling/sampler.go
+++ b/internal/trace/sampling/sampler.go
@@ -1,21 +1,23 @@
 // Package sampling decides, when a request has ended, whether its trace is retained (tail
-// sampling). It does no I/O and has no clock: the caller passes the time, in Unix
-// milliseconds.
+// sampling). It does no I/O and reads no clock: callers pass times in Unix milliseconds.
 //
-// A trace is retained at once if its request failed, was rejected, was retried or was slower
-// than the latency objective of its class. All other traces are ordinary, and each class has
-// a rate of ordinary traces to sample. The ordinary traces of one class and one window are
-// sampled by trace.ID.Order, which spreads ids evenly over (0, 1] (bottom-k sampling): those
-// of the lowest orders are the candidates, and the lowest order that was dropped is the
-// threshold below which every trace met is a candidate. So each sampled trace stands for
-// 1/threshold traces, in whatever sequence they came, and routers that meet the same trace
-// choose alike without talking to each other.
+// A trace is retained at once if there is a reason for it: its request failed, was rejected, was
+// retried or was slower than the latency objective of its class, its client disconnected or
+// samples the trace, or its class retains all traces. All other traces are ordinary, and each
+// class has a rate of ordinary traces to sample.
 //
-// Traces of requests in flight and candidates share one memory budget. Where it is exceeded,
-// the candidate of the highest order of all classes is evicted, which lowers the threshold of
-// its class and so keeps the weights right. If no candidate is left, the request is not
-// traced; one that would have been retained is counted as lost, and the next retained trace
-// carries the number of those lost before it.
+// The ordinary traces of one class and one time window are sampled together, by bottom-k
+// sampling: trace.ID.Order distributes IDs uniformly over (0, 1], and the traces with the lowest
+// orders are kept as candidates. The lowest order that was dropped is the threshold; every trace
+// of an order below it is a candidate. Therefore each sampled trace represents 1/threshold
+// traces, independent of the sequence in which traces end, and routers that record the same trace
+// make the same choice without communication.
+//
+// The traces of requests in flight and the candidates share one memory budget. If it is
+// exceeded, the candidate with the highest order of all classes is evicted. The eviction lowers
+// the threshold of the candidate's class, so that the weights stay correct. If no candidate is
+// left, new requests are not traced. An untraced request whose trace would have been retained is
+// counted as lost, and the next retained trace carries the number of traces lost before it.
 package sampling
 
 import (
@@ -27,22 +29,22 @@
 
 // Class is the sampling policy of one request class.
 type Class struct {
-	LatencyObjective  float64 // ms; slower traces are retained; 0: no objective
+	LatencyObjective  float64 // ms; slower traces are retained; zero means no objective
 	OrdinaryPerSecond float64 // ordinary traces sampled per second
-	// RetainAll retains every trace of the class: a router cannot know whether a request with
-	// an idempotency key was sent to another router before, and all partial traces of a
-	// retained trace are wanted.
+	// RetainAll retains every trace of the class. It is for classes with idempotency keys: a
+	// router cannot know whether a request with such a key was sent to another router before,
+	// and all partial traces of a retained trace are needed.
 	RetainAll bool
 }
 
-// Counts is what a Sampler has done since it was made, in traces.
+// Counts holds the numbers of traces that a Sampler has handled since New returned it.
 type Counts struct {
-	Retained int64 // retained at once, whatever the rate
-	Ordinary int64 // ordinary traces that finished
-	Sampled  int64 // ordinary traces that were retained as candidates of their window
-	Evicted  int64 // candidates that were dropped for lack of memory
-	Untraced int64 // requests that were not traced for lack of memory
-	Lost     int64 // traces to be retained that were untraced or that the caller could not accept
+	Retained int64 // retained at once, independent of the sampling rate
+	Ordinary int64 // ordinary traces of finished requests
+	Sampled  int64 // ordinary traces that were retained when their window was closed
+	Evicted  int64 // candidates that were dropped because the memory budget was exceeded
+	Untraced int64 // requests that were not traced because the memory budget was exceeded
+	Lost     int64 // traces to be retained that were not recorded, or that the caller passed to RecordLost
 }
 
 // Sampler decides which traces are retained. It is not safe for concurrent use.
@@ -51,22 +53,22 @@
 
 	windows        map[string]*classWindow // by class name
 	defaultClass   Class
-	maxBytes       int
-	openBytes      int    // reserved for the traces of requests in flight
-	candidateBytes int    // of ordinary traces whose windows are not over
-	unreportedLost uint32 // lost traces that no retained trace carries yet
+	maxBytes       int    // memory budget
+	reservedBytes  int    // reserved for the traces of requests in flight
+	candidateBytes int    // held by the candidates of all windows
+	unreportedLost uint32 // number of lost traces that no retained trace reports yet
 }
 
-// New returns a Sampler that holds at most maxBytes. Classes that the map does not name follow
-// defaultClass.
+// New returns a Sampler with a memory budget of maxBytes. The keys of classes are class names. A
+// class that is not in the map has the policy of defaultClass.
 func New(maxBytes int, defaultClass Class, classes map[string]Class) *Sampler {
 	s := &Sampler{windows: map[string]*classWindow{}}
 	s.UpdateSettings(maxBytes, defaultClass, classes)
 	return s
 }
 
-// UpdateSettings replaces the settings given to New. Candidates stay, and a memory budget that
-// shrank is met with the next trace.
+// UpdateSettings replaces the settings that were passed to New. Candidates stay. A smaller memory
+// budget applies from the next call that reserves memory or adds a candidate.
 func (s *Sampler) UpdateSettings(maxBytes int, defaultClass Class, classes map[string]Class) {
 	s.maxBytes = maxBytes
 	s.defaultClass = defaultClass
@@ -80,7 +82,7 @@
 	}
 }
 
-// window returns the window of a class, which is made when the class is first met.
+// window returns the window of a class and creates it if the class has none yet.
 func (s *Sampler) window(className string) *classWindow {
 	if window := s.windows[className]; window != nil {
 		return window
@@ -88,47 +90,50 @@
 	return s.addWindow(className)
 }
 
+// addWindow creates the window of a class, with the policy of the default class.
 func (s *Sampler) addWindow(className string) *classWindow {
 	window := newClassWindow(s.defaultClass)
 	s.windows[className] = window
 	return window
 }
 
-// Reserve reserves size bytes for the trace of a new request and evicts candidates for it. If
-// it reports false the request must not be traced, and its end is passed to RecordUntraced.
+// Reserve reserves size bytes for the trace of a new request and evicts candidates if necessary.
+// If Reserve returns false, the caller must not trace the request and must call RecordUntraced
+// when the request ends.
 func (s *Sampler) Reserve(size int) bool {
-	for s.openBytes+s.candidateBytes+size > s.maxBytes {
+	for s.reservedBytes+s.candidateBytes+size > s.maxBytes {
 		if !s.evictCandidate() {
 			s.Counts.Untraced++
 			return false
 		}
 	}
-	s.openBytes += size
+	s.reservedBytes += size
 	return true
 }
 
-// evictCandidate drops the candidate of the highest order of all classes and reports whether
-// there was one.
+// evictCandidate drops the candidate with the highest order of all classes. It reports false if
+// there is no candidate.
 func (s *Sampler) evictCandidate() bool {
-	var fullest *classWindow
+	var highest *classWindow // the window whose top candidate has the highest order
 	for _, window := range s.windows {
 		if len(window.candidates) == 0 {
 			continue
 		}
-		if fullest == nil || window.candidates[0].order > fullest.candidates[0].order {
-			fullest = window
+		if highest == nil || window.candidates[0].order > highest.candidates[0].order {
+			highest = window
 		}
 	}
-	if fullest == nil {
+	if highest == nil {
 		return false
 	}
-	s.candidateBytes -= fullest.dropHighest()
+	s.candidateBytes -= highest.dropHighest()
 	s.Counts.Evicted++
 	return true
 }
 
-// RecordUntraced handles the end of a request for which Reserve reported false. Of t only the
-// class, the times, the outcome and the numbers of attempts and retries are read.
+// RecordUntraced handles the end of a request for which Reserve returned false. If the request's
+// trace would have been retained, it is counted as lost. RecordUntraced reads only the class, the
+// times, the size allowance, the outcome and the numbers of attempts and retries of t.
 func (s *Sampler) RecordUntraced(t *trace.Trace) {
 	if retentionReasons(&s.window(t.Class).Class, t) != 0 {
 		s.unreportedLost++
@@ -136,7 +141,8 @@
 	}
 }
 
-// retentionReasons returns why a trace must be retained, or 0 if it is ordinary.
+// retentionReasons returns the reasons why a trace must be retained, apart from
+// ReasonClientSampled. It returns 0 if there are none.
 func retentionReasons(class *Class, t *trace.Trace) trace.Reason {
 	var reasons trace.Reason
 	switch t.Outcome {
@@ -157,13 +163,14 @@
 	return reasons
 }
 
-// Finish handles the end of a request for whose trace Reserve reserved size bytes. It returns t
-// with its reasons and weight if the trace is retained at once, and nil if it is ordinary: Tick
-// returns it when its window is over, if it is sampled. Tick must have been called with this
-// time or a later one of the same window.
+// Finish handles the end of a request for whose trace Reserve reserved size bytes, and releases
+// these bytes. If the trace is retained at once, Finish sets its reasons and weight and returns
+// it. If the trace is ordinary, Finish returns nil; if the trace is sampled, Tick or Close returns
+// it when its window is closed. Before Finish, the caller must have called Tick with the time of
+// the request's end or a later time in the same window.
 func (s *Sampler) Finish(t *trace.Trace, size int) *trace.Trace {
-	s.openBytes -= size
-	window := s.windows[t.Class] // not by window, a call that each trace would pay for
+	s.reservedBytes -= size
+	window := s.windows[t.Class] // does not call s.window, to save each trace a function call
 	if window == nil {
 		window = s.addWindow(t.Class)
 	}
@@ -183,11 +190,12 @@
 	return nil
 }
 
-// addCandidate adds an ordinary trace of an order below the threshold to the candidates of its
-// window, and drops what exceeds the number of candidates or the memory budget.
+// addCandidate adds an ordinary trace with an order below the threshold to the candidates of its
+// window. It then drops candidates that exceed the maximum number of candidates or the memory
+// budget.
 //
-// Known fault: where settings take a class's rate to 0 within a window that has candidates, the
-// threshold becomes 0 and they are sampled with an infinite weight.
+// Known fault: if new settings change the rate of a class to 0 while its window has candidates,
+// the threshold becomes 0 and these candidates are sampled with an infinite weight.
 func (s *Sampler) addCandidate(window *classWindow, t *trace.Trace, order float64) {
 	if window.maxCandidates == 0 {
 		window.threshold = 0
@@ -199,16 +207,16 @@
 	for len(window.candidates) > window.maxCandidates {
 		s.candidateBytes -= window.dropHighest()
 	}
-	for s.openBytes+s.candidateBytes > s.maxBytes {
+	for s.reservedBytes+s.candidateBytes > s.maxBytes {
 		if !s.evictCandidate() {
 			return
 		}
 	}
 }
 
-// RecordLost takes back a trace that Finish, Tick or Close returned and that the caller could
-// not accept. One that had to be retained is counted as lost, and what it would have reported
-// as lost before it is left for the next one.
+// RecordLost records that the caller dropped a trace that Finish, Tick or Close returned. The
+// trace is counted as lost unless it was only sampled. The next retained trace reports the number
+// of lost traces that the dropped trace carried.
 func (s *Sampler) RecordLost(t *trace.Trace) {
 	s.unreportedLost += t.LostBefore
 	if t.Reasons&^trace.ReasonSampled != 0 {
@@ -217,15 +225,15 @@
 	}
 }
 
-// attachLost makes a retained trace carry the number of traces that were lost before it.
+// attachLost sets the number of lost traces that a retained trace reports, and returns the trace.
 func (s *Sampler) attachLost(t *trace.Trace) *trace.Trace {
 	t.LostBefore = s.unreportedLost
 	s.unreportedLost = 0
 	return t
 }
 
-// Tick closes the windows that are over at now, in Unix ms, and returns the traces that were
-// sampled in them.
+// Tick closes the windows that have ended at now, in Unix ms, begins their successors and returns
+// the traces that were sampled in the closed windows.
 func (s *Sampler) Tick(now float64) []*trace.Trace {
 	var sampled []*trace.Trace
 	for _, window := range s.windows {
@@ -238,8 +246,8 @@
 	return sampled
 }
 
-// Close closes all windows, as at the end of the program, and returns the traces that were
-// sampled in them.
+// Close closes all windows and returns the traces that were sampled in them. It is called at the
+// end of the program.
 func (s *Sampler) Close() []*trace.Trace {
 	var sampled []*trace.Trace
 	for _, window := range s.windows {
@@ -248,7 +256,8 @@
 	return sampled
 }
 
-// closeWindow appends the candidates of a window, with their weights, to sampled.
+// closeWindow sets the reasons and weights of a window's candidates, appends the candidates to
+// sampled, resets the window and returns the extended slice.
 func (s *Sampler) closeWindow(window *classWindow, sampled []*trace.Trace) []*trace.Trace {
 	for _, candidate := range window.candidates {
 		candidate.trace.Reasons = trace.ReasonSampled
@@ -261,5 +270,6 @@
 	return sampled
 }
 
-// Bytes returns how many bytes are reserved for requests in flight or held by candidates.
-func (s *Sampler) Bytes() int { return s.openBytes + s.candidateBytes }
+// Bytes returns the number of bytes that are reserved for requests in flight or held by
+// candidates.
+func (s *Sampler) Bytes() int { return s.reservedBytes + s.candidateBytes }
--- a/internal/trace/sampling/sampler_test.go
+++ b/internal/trace/sampling/sampler_test.go
@@ -12,7 +12,7 @@
 const (
 	className   = "part"
 	startTime   = 1e6 // Unix ms
-	reservation = 300 // bytes reserved per request
+	reservation = 300 // bytes reserved for each request
 )
 
 func randomID(rng *rand.Rand) trace.ID {
@@ -22,8 +22,8 @@
 	return id
 }
 
-// finishedTrace is the trace of a request that ended at a time, in Unix ms, after a duration in
-// ms and one attempt.
+// finishedTrace returns the trace of a request with one attempt, an end in Unix ms and a duration
+// in ms.
 func finishedTrace(rng *rand.Rand, class string, endedAt, duration float64, outcome trace.Outcome) *trace.Trace {
 	return &trace.Trace{ID: randomID(rng), Class: class, Start: endedAt - duration, End: endedAt, Outcome: outcome, Attempts: 1}
 }
@@ -31,12 +31,12 @@
 func reserve(tb testing.TB, sampler *Sampler, size int) {
 	tb.Helper()
 	if !sampler.Reserve(size) {
-		tb.Fatalf("no memory for %d bytes, %d are held", size, sampler.Bytes())
+		tb.Fatalf("Reserve(%d) = false with %d bytes held, want true", size, sampler.Bytes())
 	}
 }
 
-// Traces of requests that failed, were rejected, were retried or were slow are retained at once,
-// each with its reasons.
+// TestRetentionReasons checks that traces of requests that failed, were rejected, were retried or
+// were slow are retained at once, each with its reasons, and that other traces are not.
 func TestRetentionReasons(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -67,20 +67,20 @@
 			got := sampler.Finish(finished, reservation)
 			switch {
 			case test.want == 0 && got != nil:
-				t.Errorf("retained at once for reasons %b, want an ordinary trace", got.Reasons)
+				t.Errorf("got a trace retained at once for reasons %b, want an ordinary trace", got.Reasons)
 			case test.want != 0 && got == nil:
-				t.Errorf("not retained at once, want reasons %b", test.want)
+				t.Errorf("got an ordinary trace, want one retained at once for reasons %b", test.want)
 			case got != nil && (got.Reasons != test.want || got.Weight != 1):
-				t.Errorf("reasons %b and weight %v, want %b and 1", got.Reasons, got.Weight, test.want)
+				t.Errorf("got reasons %b and weight %v, want %b and 1", got.Reasons, got.Weight, test.want)
 			}
 		})
 	}
 }
 
-// weightTest describes windows with so many ordinary traces each.
+// weightTest describes the load of one case of TestSampledWeightsAreUnbiased.
 type weightTest struct {
 	name              string
-	tracesPerWindow   int
+	tracesPerSecond   int // ordinary traces
 	maxBytes          int
 	ordinaryPerSecond float64
 	maxInLastWindow   int
@@ -88,8 +88,9 @@
 	seconds           int
 }
 
-// The weights of the sampled traces stand for the traces that were met, without a bias, in
-// windows that are quiet, busy and short of memory; and the rate holds in each window.
+// TestSampledWeightsAreUnbiased checks that the sum of the weights of the sampled traces is close to
+// the number of all traces, below and above the sampling rate and when memory is short. It also
+// checks the number of traces that are sampled in the last window.
 func TestSampledWeightsAreUnbiased(t *testing.T) {
 	const maxError = 0.04
 	tests := []weightTest{
@@ -101,26 +102,26 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			sampler := New(test.maxBytes, Class{LatencyObjective: 1e9, OrdinaryPerSecond: test.ordinaryPerSecond}, nil)
-			weights := test.play(t, sampler)
+			weights := test.run(t, sampler)
 			last := sampler.Close()
 			weights += sumOfWeights(last)
-			met := test.seconds * test.tracesPerWindow
-			if deviation := math.Abs(weights/float64(met) - 1); deviation > maxError {
-				t.Errorf("weights of %.0f stand for %d traces, %.1f%% off", weights, met, 100*deviation)
+			traceCount := test.seconds * test.tracesPerSecond
+			if deviation := math.Abs(weights/float64(traceCount) - 1); deviation > maxError {
+				t.Errorf("got weights with a sum of %.0f for %d traces, a relative error of %.1f%%", weights, traceCount, 100*deviation)
 			}
 			if len(last) > test.maxInLastWindow {
-				t.Errorf("%d sampled in the last window, want at most %d", len(last), test.maxInLastWindow)
+				t.Errorf("got %d traces sampled in the last window, want at most %d", len(last), test.maxInLastWindow)
 			}
 			if evicted := sampler.Counts.Evicted; (evicted > 0) != test.wantEvictions {
-				t.Errorf("%d evicted, want some: %t", evicted, test.wantEvictions)
+				t.Errorf("got %d evicted candidates, want evictions: %t", evicted, test.wantEvictions)
 			}
 		})
 	}
 }
 
-// play finishes the ordinary traces of all windows and returns the weights of those sampled
-// in all but the last one.
-func (w weightTest) play(t *testing.T, sampler *Sampler) float64 {
+// run passes the ordinary traces of all seconds to the sampler. It returns the sum of the weights
+// of the traces sampled in all windows but the last one.
+func (w weightTest) run(t *testing.T, sampler *Sampler) float64 {
 	t.Helper()
 	const size = 200
 	rng := rand.New(rand.NewPCG(7, 7))
@@ -128,14 +129,14 @@
 	for second := range w.seconds {
 		now := 1e9 + float64(second)*1000
 		weights += sumOfWeights(sampler.Tick(now))
-		for i := range w.tracesPerWindow {
+		for i := range w.tracesPerSecond {
 			reserve(t, sampler, size)
 			finished := finishedTrace(rng, className, now+float64(i), 5, trace.Served)
 			if sampler.Finish(finished, size) != nil {
-				t.Fatal("an ordinary trace is retained at once")
+				t.Fatal("got an ordinary trace retained at once, want nil from Finish")
 			}
 			if sampler.Bytes() > w.maxBytes {
-				t.Fatalf("%d bytes are held, want at most %d", sampler.Bytes(), w.maxBytes)
+				t.Fatalf("got %d bytes held, want at most %d", sampler.Bytes(), w.maxBytes)
 			}
 		}
 	}
@@ -150,7 +151,8 @@
 	return sum
 }
 
-// Two routers that meet the same traces sample the same ones.
+// TestRoutersSampleTheSameTraces checks that the samplers of two routers choose the same traces
+// when requests with the same trace IDs end at both.
 func TestRoutersSampleTheSameTraces(t *testing.T) {
 	const size, perSecond = 200, 4
 	rng := rand.New(rand.NewPCG(3, 3))
@@ -159,11 +161,11 @@
 	first.Tick(startTime)
 	second.Tick(startTime)
 	for range 300 {
-		met := finishedTrace(rng, className, startTime, 5, trace.Served)
-		same := *met
+		finished := finishedTrace(rng, className, startTime, 5, trace.Served)
+		same := *finished
 		reserve(t, first, size)
 		reserve(t, second, size)
-		first.Finish(met, size)
+		first.Finish(finished, size)
 		second.Finish(&same, size)
 	}
 	sampled := map[trace.ID]bool{}
@@ -172,16 +174,17 @@
 	}
 	for _, other := range second.Close() {
 		if !sampled[other.ID] {
-			t.Errorf("%v is sampled by the second router alone", other.ID)
+			t.Errorf("trace %v is sampled only by the second router, want it sampled by both", other.ID)
 		}
 	}
 	if len(sampled) != perSecond {
-		t.Errorf("%d sampled, want %d", len(sampled), perSecond)
+		t.Errorf("got %d sampled traces, want %d", len(sampled), perSecond)
 	}
 }
 
-// Where even the requests in flight fill the memory, further ones are not traced, and the next
-// retained trace says how many of those would have been retained.
+// TestLostTracesAreReportedOnce checks that further requests are not traced when requests in flight
+// fill the memory budget, and that only the next retained trace reports how many of their traces
+// would have been retained.
 func TestLostTracesAreReportedOnce(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
 	sampler := New(1000, Class{OrdinaryPerSecond: 5}, nil)
@@ -189,7 +192,7 @@
 		reserve(t, sampler, reservation)
 	}
 	if sampler.Reserve(reservation) {
-		t.Fatal("memory beyond the limit")
+		t.Fatal("Reserve returned true beyond the memory budget, want false")
 	}
 	sampler.RecordUntraced(&trace.Trace{Class: className, End: 10, Outcome: trace.Failed, Attempts: 1})
 	sampler.RecordUntraced(&trace.Trace{Class: className, End: 10, Outcome: trace.Served, Attempts: 1})
@@ -198,13 +201,13 @@
 		rejected := finishedTrace(rng, className, startTime, 5, trace.Rejected)
 		retained := sampler.Finish(rejected, reservation)
 		if retained == nil {
-			t.Fatal("the trace of a rejected request is not retained")
+			t.Fatal("got an ordinary trace for a rejected request, want it retained")
 		}
 		if retained.LostBefore != want {
-			t.Errorf("the retained trace reports %d lost before it, want %d", retained.LostBefore, want)
+			t.Errorf("got %d lost traces reported by the retained trace, want %d", retained.LostBefore, want)
 		}
 	}
 	if got := sampler.Counts; got.Lost != 2 || got.Untraced != 1 {
-		t.Errorf("%d lost and %d untraced, want 2 and 1", got.Lost, got.Untraced)
+		t.Errorf("got counts of %d lost and %d untraced, want 2 and 1", got.Lost, got.Untraced)
 	}
 }
--- a/internal/trace/sampling/window.go
+++ b/internal/trace/sampling/window.go
@@ -7,17 +7,18 @@
 	"garnetline/internal/trace"
 )
 
-// The length of a window, in which the ordinary traces of a class are sampled together. It is
-// minWindowLength, or longer until minTracesPerWindow are due: the weight of fewer traces is
-// right in the mean but varies without a bound. BenchmarkSampler and
-// TestSampledWeightsAreUnbiased measure the memory and the error of the weights.
+// The ordinary traces of a class are sampled together in windows of one length. The length is
+// minWindowLength, or more if the class's rate yields fewer than minTracesPerWindow in that time,
+// up to maxWindowLength. With fewer sampled traces per window, weights are still correct on
+// average, but their variance is unbounded. BenchmarkSampler reports the memory that a sampler
+// holds, and TestSampledWeightsAreUnbiased limits the error of the weights.
 const (
 	minWindowLength    = 1000.0   // ms
 	maxWindowLength    = 60_000.0 // ms
 	minTracesPerWindow = 3.0
 )
 
-// noThreshold is the threshold of a window in which no trace was dropped: no order is above it.
+// noThreshold is the threshold of a window in which no trace was dropped. No order is above it.
 const noThreshold = 1.0
 
 // classWindow is the current window of one class.
@@ -25,8 +26,8 @@
 	Class
 	startedAt     float64 // Unix ms
 	length        float64 // ms
-	threshold     float64 // lowest order that was dropped, or noThreshold
-	maxCandidates int
+	threshold     float64 // lowest order of a dropped trace, or noThreshold
+	maxCandidates int     // the sampling rate times the length, rounded up
 	candidates    candidateHeap
 }
 
@@ -36,14 +37,14 @@
 	return window
 }
 
-// configure sets the policy of the class. Candidates beyond a smaller maximum stay until the
-// next one is added.
+// configure sets the policy of the class. If the maximum number of candidates becomes smaller,
+// excess candidates stay until the next candidate is added.
 func (w *classWindow) configure(class Class) {
 	w.Class = class
 	w.length = minWindowLength
 	if class.OrdinaryPerSecond > 0 {
-		untilEnough := minTracesPerWindow * 1000 / class.OrdinaryPerSecond
-		w.length = min(max(minWindowLength, untilEnough), maxWindowLength)
+		lengthForMinTraces := minTracesPerWindow * 1000 / class.OrdinaryPerSecond
+		w.length = min(max(minWindowLength, lengthForMinTraces), maxWindowLength)
 	}
 	w.maxCandidates = int(math.Ceil(class.OrdinaryPerSecond * w.length / 1000))
 }
@@ -53,28 +54,29 @@
 	return now >= w.startedAt && now < w.startedAt+w.length
 }
 
-// dropHighest drops the candidate of the highest order, which lowers the threshold to it, and
-// returns how many bytes it held.
+// dropHighest drops the candidate with the highest order, lowers the threshold to that order and
+// returns the number of bytes that the candidate held.
 func (w *classWindow) dropHighest() int {
 	dropped := heap.Pop(&w.candidates).(candidate)
 	w.threshold = min(w.threshold, dropped.order)
 	return dropped.size
 }
 
-// reset empties the window. Its memory is used again by the next one.
+// reset removes all candidates and the threshold. The next window reuses the memory.
 func (w *classWindow) reset() {
 	w.candidates = w.candidates[:0]
 	w.threshold = noThreshold
 }
 
-// candidate is an ordinary trace that is retained unless one of a lower order displaces it.
+// candidate is an ordinary trace that is retained when its window is closed, unless it is dropped
+// because of its high order.
 type candidate struct {
 	order float64 // trace.ID.Order
 	size  int     // bytes
 	trace *trace.Trace
 }
 
-// candidateHeap is a heap with the highest order on top, the next candidate to be dropped.
+// candidateHeap is a heap with the candidate of the highest order, the next to be dropped, on top.
 type candidateHeap []candidate
 
 // Len implements heap.Interface.
@@ -89,8 +91,8 @@
 // Push implements heap.Interface.
 func (h *candidateHeap) Push(added any) { *h = append(*h, added.(candidate)) }
 
-// Pop implements heap.Interface. It clears the place that becomes free, so that the trace can
-// be collected.
+// Pop implements heap.Interface. It clears the slice element that becomes unused, so that the
+// trace can be garbage collected.
 func (h *candidateHeap) Pop() any {
 	last := len(*h) - 1
 	popped := (*h)[last]
