--- a/internal/trace/analysis/analysis.go
+++ b/internal/trace/analysis/analysis.go
@@ -1,5 +1,5 @@
-// Package analysis finds what failed attempts have in common: which server, fill source, pair
-// of both, or router took part in more of them than chance explains.
+// Package analysis finds the servers, fill sources, pairs of server and fill source, and routers
+// that took part in more failed attempts than chance explains.
 package analysis
 
 import (
@@ -11,7 +11,7 @@
 	"garnetline/routing"
 )
 
-// SuspectKind is what a Suspect is, as it is printed.
+// SuspectKind is the kind of a Suspect. Its value is the printed name of the kind.
 type SuspectKind string
 
 // The kinds of suspects.
@@ -22,38 +22,39 @@
 	KindRouter     SuspectKind = "router"
 )
 
-// Suspect is one thing that failed attempts have in common. Numbers of attempts are weighted: an
-// attempt counts as often as its trace stands for.
+// Suspect is a server, fill source, pair or router that took part in failed attempts. Numbers of
+// attempts are weighted: each attempt counts with the Weight of its trace, which is how many
+// traces the retained one represents.
 type Suspect struct {
 	Kind           SuspectKind
 	Name           string
-	Failed         float64 // failed attempts that it took part in
-	Total          float64 // attempts that it took part in
-	FailedWithout  float64 // failed attempts that it took no part in
-	TotalWithout   float64 // attempts that it took no part in
+	Failed         float64 // failed attempts that the suspect took part in
+	Total          float64 // attempts that the suspect took part in
+	FailedWithout  float64 // failed attempts without the suspect
+	TotalWithout   float64 // attempts without the suspect
 	Rate           float64 // Failed / Total
 	RateWithout    float64 // FailedWithout / TotalWithout
-	ConfidenceLow  float64 // of Rate - RateWithout, the lower bound at 95% confidence
-	ConfidenceHigh float64 // and the upper bound
+	ConfidenceLow  float64 // lower bound of Rate - RateWithout at 95% confidence
+	ConfidenceHigh float64 // upper bound of Rate - RateWithout at 95% confidence
 }
 
-// Line returns the suspect as a line of a table, without a newline.
+// Line returns the suspect as a line of a table, without a trailing newline.
 func (s Suspect) Line() string {
 	return fmt.Sprintf("%-6s  %-28s %6.1f%% of %-8.0f %6.1f%% of %-8.0f %+6.1f to %+.1f points",
 		s.Kind, s.Name, 100*s.Rate, s.Total, 100*s.RateWithout, s.TotalWithout, 100*s.ConfidenceLow, 100*s.ConfidenceHigh)
 }
 
-// attemptStatus is what an attempt says about those who took part in it.
+// attemptStatus is whether an attempt counts as a success or a failure of its participants.
 type attemptStatus uint8
 
 const (
-	statusUnknown attemptStatus = iota // canceled or not sent: it says nothing
+	statusUnknown attemptStatus = iota // canceled or not sent; the attempt is not counted
 	statusSucceeded
 	statusFailed
 )
 
-// statusOf returns the status of an attempt with a result. A rejection is no failure: a server
-// that sheds load works as it should.
+// statusOf returns the status of an attempt that ended with result. A rejection counts as a
+// success, because a server that sheds load works as intended.
 func statusOf(result routing.Result) attemptStatus {
 	switch result {
 	case routing.Served, routing.NotCached, routing.Rejected:
@@ -64,14 +65,14 @@
 	return statusFailed
 }
 
-// suspectKey identifies a suspect.
+// suspectKey identifies a suspect in Finder.counts.
 type suspectKey struct {
 	kind SuspectKind
 	name string
 }
 
-// attemptCounts counts attempts, weighted and as observed: an attempt of weight 100 is one
-// observation.
+// attemptCounts counts attempts, both weighted and unweighted. An attempt of weight 100 adds 100
+// to the weighted counts and 1 to the observed ones.
 type attemptCounts struct {
 	weightedFailed float64
 	weightedTotal  float64
@@ -79,6 +80,7 @@
 	observed       float64
 }
 
+// record counts one attempt.
 func (c *attemptCounts) record(weight float64, status attemptStatus) {
 	c.weightedTotal += weight
 	c.observed++
@@ -88,7 +90,7 @@
 	}
 }
 
-// without returns the counts of the attempts that are in c and not in part.
+// without returns c minus part, which must count a subset of the attempts in c.
 func (c *attemptCounts) without(part *attemptCounts) attemptCounts {
 	return attemptCounts{
 		weightedFailed: c.weightedFailed - part.weightedFailed,
@@ -98,8 +100,8 @@
 	}
 }
 
-// Finder counts the attempts of traces by who took part in them, and finds suspects. It is not
-// safe for concurrent use.
+// Finder counts the attempts of traces by server, fill source, pair and router, and finds
+// suspects among these. It is not safe for concurrent use.
 type Finder struct {
 	counts map[suspectKey]*attemptCounts
 	total  attemptCounts
@@ -109,7 +111,7 @@
 func New() *Finder { return &Finder{counts: map[suspectKey]*attemptCounts{}} }
 
 // Add counts the attempts of a trace, each with the trace's weight. Attempts that were canceled
-// or not sent are passed over.
+// or not sent are skipped.
 func (f *Finder) Add(t *trace.Trace) {
 	for _, span := range t.Spans {
 		if span.Kind != trace.Attempt {
@@ -121,6 +123,8 @@
 	}
 }
 
+// addAttempt counts an attempt for each of its participants. An attempt without a fill, whose
+// fill source is the server itself, has no fill source and no pair.
 func (f *Finder) addAttempt(t *trace.Trace, attempt trace.Span, status attemptStatus) {
 	server := attempt.Server.String()
 	f.total.record(t.Weight, status)
@@ -133,7 +137,7 @@
 	}
 }
 
-// countsOf returns the counts of a suspect, which are made when it is first met.
+// countsOf returns the counts of a suspect, and creates them on first use.
 func (f *Finder) countsOf(kind SuspectKind, name string) *attemptCounts {
 	key := suspectKey{kind, name}
 	counts := f.counts[key]
@@ -144,9 +148,9 @@
 	return counts
 }
 
-// Suspects returns all that took part in failed attempts, except what took part in every
-// attempt. The one that most surely raises the failure rate, that is with the highest
-// ConfidenceLow, comes first.
+// Suspects returns the participants of failed attempts in descending order of ConfidenceLow, so
+// that the first one raises the failure rate most surely. Participants of all attempts are left
+// out, because there is no failure rate without them to compare with.
 func (f *Finder) Suspects() []Suspect {
 	var suspects []Suspect
 	for key, counts := range f.counts {
@@ -166,8 +170,9 @@
 	return suspects
 }
 
+// newSuspect compares the attempts with a suspect and those without it.
 func newSuspect(key suspectKey, with, without *attemptCounts) Suspect {
-	// A difference of sums of weights may be just below zero.
+	// Rounding can make the difference of two sums of weights slightly negative.
 	failedWithout := max(without.weightedFailed, 0)
 	suspect := Suspect{
 		Kind:          key.kind,
--- a/internal/trace/analysis/analysis_test.go
+++ b/internal/trace/analysis/analysis_test.go
@@ -9,12 +9,12 @@
 	"garnetline/routing"
 )
 
-// failureModel decides whether an attempt at a server, with a fill source, fails.
+// failureModel decides whether an attempt fails, from its server and its fill source.
 type failureModel func(server, source routing.ServerID, rng *rand.Rand) bool
 
-// simulateFailures returns a finder that was given the traces of so many attempts at eight
-// servers, from three fill sources and through two routers. All failed ones are retained, and
-// one in ten of the others.
+// simulateFailures simulates attempts at eight servers with three fill sources and two routers,
+// and returns a Finder with their traces. All traces of failed attempts are retained, and one in
+// ten of the others, with weight 10.
 func simulateFailures(seed uint64, attempts int, fails failureModel) *Finder {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	finder := New()
@@ -39,13 +39,13 @@
 	return finder
 }
 
-// A faulty server, or a pair with it, ranks first, with an interval that holds the true
-// difference and lies well above zero; nothing without a part in its failures stands out.
+// The faulty server, or a pair with it, ranks first. The server's confidence interval contains
+// the true difference and lies well above zero. No other server, source or router stands out.
 func TestFaultyServerRanksFirst(t *testing.T) {
 	const (
 		faultyServer = 3
 		faultyName   = "s-00000003"
-		// All attempts fail at 2%, those at the faulty server at 60% before that.
+		// The faulty server fails 60% of its attempts, and 2% of all remaining attempts fail.
 		trueDifference = 0.6 + 0.4*0.02 - 0.02
 	)
 	faulty := func(server, _ routing.ServerID, rng *rand.Rand) bool {
@@ -53,25 +53,26 @@
 	}
 	suspects := simulateFailures(1, 20_000, faulty).Suspects()
 	if first := suspects[0]; first.Kind != KindServer && first.Kind != KindPair || first.ConfidenceLow < 0.3 {
-		t.Errorf("first is %+v, want the server or a pair, at least 0.3 above the others", first)
+		t.Errorf("first suspect: got %+v, want a server or a pair with ConfidenceLow of at least 0.3", first)
 	}
 	found := false
 	for _, suspect := range suspects {
 		if suspect.Kind == KindServer && suspect.Name == faultyName {
 			found = true
 			if trueDifference < suspect.ConfidenceLow || trueDifference > suspect.ConfidenceHigh {
-				t.Errorf("%+v: want %.3f within its interval", suspect, trueDifference)
+				t.Errorf("suspect %+v: want the true difference %.3f in its confidence interval", suspect, trueDifference)
 			}
 		} else if suspect.Kind != KindPair && suspect.ConfidenceLow > 0.02 {
-			t.Errorf("%+v stands out, and is not faulty", suspect)
+			t.Errorf("suspect %+v is not faulty, want ConfidenceLow of at most 0.02", suspect)
 		}
 	}
 	if !found {
-		t.Errorf("%s is not among %d suspects", faultyName, len(suspects))
+		t.Errorf("faulty server %s is not among the %d suspects", faultyName, len(suspects))
 	}
 }
 
-// A faulty fill source ranks among the first, beside its pairs with the eight servers.
+// A faulty fill source is among the first nine suspects: the source and its pairs with the eight
+// servers.
 func TestFaultyFillSourceRanksAmongFirst(t *testing.T) {
 	const (
 		faultySource = 101
@@ -86,32 +87,33 @@
 			return
 		}
 	}
-	t.Errorf("%s is not among the first suspects: %+v", faultyName, first)
+	t.Errorf("faulty source %s is not among the first suspects with ConfidenceLow above 0.2: %+v", faultyName, first)
 }
 
-// Where all servers fail alike, few of them stand out: 2.5% by the interval's confidence, with
-// some more allowed since its weights are estimates.
+// If all servers fail at the same rate, about 2.5% of them stand out by chance, since the lower
+// bound of a 95% interval is above zero that often. The limit is higher because the weighted
+// rates are estimates.
 func TestEqualServersRarelyStandOut(t *testing.T) {
 	const (
-		days    = 40
-		servers = 8
-		most    = 32
+		simulations  = 40
+		servers      = 8
+		maxStandOuts = 32
 	)
-	alike := func(_, _ routing.ServerID, rng *rand.Rand) bool { return rng.IntN(20) == 0 }
-	standOut := 0
-	for day := range uint64(days) {
-		for _, suspect := range simulateFailures(10+day, 4000, alike).Suspects() {
+	equalFailures := func(_, _ routing.ServerID, rng *rand.Rand) bool { return rng.IntN(20) == 0 }
+	standOuts := 0
+	for simulation := range uint64(simulations) {
+		for _, suspect := range simulateFailures(10+simulation, 4000, equalFailures).Suspects() {
 			if suspect.Kind == KindServer && suspect.ConfidenceLow > 0 {
-				standOut++
+				standOuts++
 			}
 		}
 	}
-	if standOut > most {
-		t.Errorf("%d of %d equal servers stand out, want at most %d", standOut, days*servers, most)
+	if standOuts > maxStandOuts {
+		t.Errorf("%d of %d equal servers stand out, want at most %d", standOuts, simulations*servers, maxStandOuts)
 	}
 }
 
-// A rejection is no failure, and canceled or unsent attempts say nothing.
+// A rejection counts as a success. Attempts that were canceled or not sent do not count.
 func TestStatusOfResults(t *testing.T) {
 	tests := map[routing.Result]attemptStatus{
 		routing.Served:         statusSucceeded,
@@ -126,12 +128,12 @@
 	}
 	for result, want := range tests {
 		if got := statusOf(result); got != want {
-			t.Errorf("result %v has status %v, want %v", result, got, want)
+			t.Errorf("status of result %v: got %v, want %v", result, got, want)
 		}
 	}
 }
 
-// The score interval has its textbook values.
+// The expected Wilson intervals are textbook values.
 func TestWilsonInterval(t *testing.T) {
 	const tolerance = 1e-3
 	tests := []struct{ rate, observations, wantLow, wantHigh float64 }{
@@ -142,7 +144,7 @@
 	for _, test := range tests {
 		low, high := wilsonInterval(test.rate, test.observations)
 		if math.Abs(low-test.wantLow) > tolerance || math.Abs(high-test.wantHigh) > tolerance {
-			t.Errorf("rate %v of %v: %.4f to %.4f, want %.4f to %.4f", test.rate, test.observations, low, high, test.wantLow, test.wantHigh)
+			t.Errorf("interval of rate %v in %v observations: got %.4f to %.4f, want %.4f to %.4f", test.rate, test.observations, low, high, test.wantLow, test.wantHigh)
 		}
 	}
 }
--- a/internal/trace/analysis/confidence.go
+++ b/internal/trace/analysis/confidence.go
@@ -6,8 +6,8 @@
 // intervals at 95% confidence.
 const normalQuantile = 1.959964
 
-// differenceInterval returns Newcombe's 95% confidence interval of rate1 - rate2, which is made
-// of the Wilson intervals of two independent rates with so many observations each.
+// differenceInterval returns Newcombe's 95% confidence interval of rate1 - rate2. It combines the
+// Wilson intervals of the two rates, which must come from independent observations.
 func differenceInterval(rate1, observations1, rate2, observations2 float64) (low, high float64) {
 	low1, high1 := wilsonInterval(rate1, observations1)
 	low2, high2 := wilsonInterval(rate2, observations2)
@@ -17,7 +17,8 @@
 	return low, high
 }
 
-// wilsonInterval returns the Wilson score interval of a rate at 95% confidence.
+// wilsonInterval returns the Wilson score interval at 95% confidence of a rate, from 0 to 1, among
+// a number of observations.
 func wilsonInterval(rate, observations float64) (low, high float64) {
 	const z = normalQuantile
 	center := rate + z*z/(2*observations)
