--- a/internal/trace/export/backoff.go
+++ b/internal/trace/export/backoff.go
@@ -3,15 +3,15 @@
 import "math/rand/v2"
 
 const (
-	minBackoff = 200.0    // ms, the upper bound after the first failure
-	maxBackoff = 30_000.0 // ms, also for what a collector asks for
+	minBackoff = 200.0    // ms, the longest wait after the first failure
+	maxBackoff = 30_000.0 // ms, also limits the wait that a collector asks for
 )
 
-// backoff is the wait after failed calls. Its upper bound doubles with each failure, and each
-// wait is random in the upper half, so that routers do not return at the same time.
+// backoff computes the waits after failed calls. The bound doubles with each failure. Each wait
+// is random between half the bound and the bound, so that routers do not retry at the same time.
 type backoff struct {
 	random *rand.Rand
-	bound  float64 // ms; zero: the last call succeeded
+	bound  float64 // ms; 0 if the last call did not fail
 }
 
 // active reports whether the last call failed.
@@ -20,7 +20,8 @@
 // reset ends the backoff after a call that succeeded.
 func (b *backoff) reset() { b.bound = 0 }
 
-// next returns the next wait in ms, at least what the collector asked for.
+// next returns the wait after a further failure, in ms. It is at least retryAfter, the wait in ms
+// that the collector asked for.
 func (b *backoff) next(retryAfter float64) float64 {
 	b.bound = min(max(2*b.bound, minBackoff), maxBackoff)
 	wait := b.bound * (1 + b.random.Float64()) / 2
--- a/internal/trace/export/backoff_test.go
+++ b/internal/trace/export/backoff_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Guards against routers that return to a failing collector at the same time, or after a wait
-// that has no bound.
+// The waits grow up to maxBackoff, and differ between routers, so that routers do not retry at a
+// failing collector at the same time.
 func TestBackoffGrowsWithJitter(t *testing.T) {
 	first := backoff{random: rand.New(rand.NewPCG(1, backoffStream))}
 	second := backoff{random: rand.New(rand.NewPCG(2, backoffStream))}
@@ -15,16 +15,16 @@
 		wait := first.next(0)
 		otherWait := second.next(0)
 		if wait == otherWait {
-			t.Errorf("failure %d: two routers wait %v ms, want different times", failure, wait)
+			t.Errorf("failure %d: both routers wait %v ms, want different waits", failure, wait)
 		}
 		if wait > maxBackoff {
-			t.Errorf("failure %d: the wait is %v ms, want %v or less", failure, wait, maxBackoff)
+			t.Errorf("failure %d: got a wait of %v ms, want at most %v", failure, wait, maxBackoff)
 		}
 		if wait < previous/4 {
-			t.Errorf("failure %d: the wait is %v ms after %v, want a quarter or more", failure, wait, previous)
+			t.Errorf("failure %d: got a wait of %v ms after one of %v ms, want at least a quarter of it", failure, wait, previous)
 		}
 		if failure == 0 && wait > minBackoff {
-			t.Errorf("the first wait is %v ms, want %v or less", wait, minBackoff)
+			t.Errorf("first failure: got a wait of %v ms, want at most %v", wait, minBackoff)
 		}
 		previous = wait
 	}
@@ -37,7 +37,7 @@
 			failing.next(0)
 		}
 		if got := failing.next(maxBackoff); got != maxBackoff {
-			t.Errorf("after %d failures the wait is %v ms, want the %v that the collector asked for", failuresBefore, got, maxBackoff)
+			t.Errorf("after %d failures: got a wait of %v ms, want the %v ms that the collector asked for", failuresBefore, got, maxBackoff)
 		}
 	}
 }
--- a/internal/trace/export/call.go
+++ b/internal/trace/export/call.go
@@ -17,9 +17,11 @@
 	"garnetline/internal/trace/render"
 )
 
-// maxResponseSize is how many bytes of a response are read.
+// maxResponseSize is the largest number of bytes that are read of a response.
 const maxResponseSize = 64 << 10
 
+// requestFormat is the format of a call's request line and header. Its values are the path with
+// the query, the host and the length of the body in bytes.
 const requestFormat = "POST %s HTTP/1.1\r\n" +
 	"Host: %s\r\n" +
 	"Content-Type: application/json\r\n" +
@@ -27,11 +29,11 @@
 	"Connection: close\r\n" +
 	"\r\n"
 
-// errPermanent is returned for a call that would fail with the same batch again.
-var errPermanent = errors.New("refused for good")
+// errPermanent is returned if a further call with the same batch would fail too.
+var errPermanent = errors.New("permanent export failure")
 
-// send sends a batch in one call. After an error, retryAfter is how long the collector asks
-// to wait, in ms. The error is errPermanent if the batch must not be sent again.
+// send sends a batch in one call. With an error it returns how long the collector asked to wait
+// before the next call, in ms, or 0. The error wraps errPermanent if the batch must not be resent.
 func (x *Exporter) send(batch []*trace.Trace) (retryAfter float64, err error) {
 	body, err := render.Batch(batch)
 	if err != nil {
@@ -50,7 +52,8 @@
 	return readResponse(conn)
 }
 
-// dial connects to the collector. The time for the response begins when it is connected.
+// dial connects to the collector. The timeout for the response starts once the connection is
+// established.
 func (x *Exporter) dial() (*textconn.Conn, error) {
 	timeout := clock.Duration(x.Timeout)
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -66,7 +69,7 @@
 	return textconn.New(netConn), nil
 }
 
-// readResponse reads the collector's response. Its results are those of send.
+// readResponse reads the collector's response to a call, and returns the results of send.
 func readResponse(conn *textconn.Conn) (retryAfter float64, err error) {
 	line, err := conn.ReadLine()
 	if err != nil {
@@ -89,26 +92,29 @@
 	return 0, fmt.Errorf("%w: %w", errPermanent, statusError(status))
 }
 
-// statusError is a response with a status other than success.
+// statusError is the HTTP status of a response that does not report success.
 type statusError int
 
-// Error returns the status in words.
-func (e statusError) Error() string { return fmt.Sprintf("status %d", int(e)) }
+// Error returns a message with the status.
+func (e statusError) Error() string {
+	return fmt.Sprintf("collector responded with HTTP status %d", int(e))
+}
 
-// parseStatusLine returns the status of a response's first line.
+// parseStatusLine returns the HTTP status in the first line of a response.
 func parseStatusLine(line string) (int, error) {
 	const statusDigits = 3
 	_, rest, _ := strings.Cut(line, " ")
 	status, err := strconv.Atoi(rest[:min(len(rest), statusDigits)])
 	if err != nil || !strings.HasPrefix(line, "HTTP/1.") {
-		return 0, fmt.Errorf("answer %.40q", line)
+		return 0, fmt.Errorf("expected an HTTP/1.x status line from the collector, got %.40q", line)
 	}
 	return status, nil
 }
 
+// successful reports whether an HTTP status is one of success.
 func successful(status int) bool { return status/100 == 2 }
 
-// retryable reports whether OTLP has clients send the same batch again after a status.
+// retryable reports whether OTLP lets a client resend the same batch after an HTTP status.
 func retryable(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
@@ -117,16 +123,16 @@
 	return false
 }
 
-// parseRetryAfter converts a Retry-After header of seconds to ms, up to the longest backoff.
-// It returns zero for a header that is missing or a date.
+// parseRetryAfter converts a Retry-After header in seconds to ms, and limits it to maxBackoff.
+// It returns 0 if the header is missing or holds a date.
 func parseRetryAfter(header string) float64 {
 	const millisPerSecond = 1000
 	seconds, _ := strconv.ParseFloat(header, 64)
 	return min(max(seconds, 0)*millisPerSecond, maxBackoff)
 }
 
-// discardBody reads the response to its end, or as far as it may be read: closing a connection
-// with unread bytes resets it, and the collector could lose the call.
+// discardBody reads the response to its end or to maxResponseSize. A connection that is closed
+// with unread bytes is reset, which could make the collector discard the call.
 func discardBody(conn *textconn.Conn) error {
 	_, err := io.Copy(io.Discard, conn.R)
 	if errors.Is(err, textconn.ErrMessageTooLong) {
--- a/internal/trace/export/call_test.go
+++ b/internal/trace/export/call_test.go
@@ -11,8 +11,8 @@
 	"garnetline/internal/trace/render"
 )
 
-// Guards against a request that collectors read differently: its bytes are what they were in
-// earlier versions.
+// The bytes of a request stay the same across versions, since collectors could interpret other
+// bytes differently.
 func TestSendWritesRequest(t *testing.T) {
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,7 +36,7 @@
 	defer func() { _ = conn.Close() }()
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(conn, got); err != nil {
-		t.Fatalf("%v after %q", err, got)
+		t.Fatalf("reading the request: %v; the buffer holds %q", err, got)
 	}
 	if _, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\n{}"); err != nil {
 		t.Fatal(err)
@@ -46,7 +46,7 @@
 	}
 	closeExporter(t, exporter)
 	if !bytes.Equal(got, want) {
-		t.Errorf("the request is\n%q, want\n%q", got, want)
+		t.Errorf("got request\n%q, want\n%q", got, want)
 	}
 	checkCounter(t, registry, metricExported, 1)
 	checkCounter(t, registry, metricFailures, 0)
--- a/internal/trace/export/collector_test.go
+++ b/internal/trace/export/collector_test.go
@@ -11,20 +11,21 @@
 	"go.opentelemetry.io/collector/pdata/ptrace"
 )
 
-// receiveTimeout is how long a test waits for what a collector receives.
+// receiveTimeout is how long a test waits for messages of a fakeCollector.
 const receiveTimeout = 30 * time.Second
 
-// fakeCollector reads OTLP by OpenTelemetry's own library.
+// fakeCollector is a collector that decodes OTLP with OpenTelemetry's own library.
 type fakeCollector struct {
 	t *testing.T
-	// respond returns the status of a call, by its number from 1, and a Retry-After header.
+	// respond returns the HTTP status and the Retry-After header for a call. Calls are numbered
+	// from 1.
 	respond func(call int) (status int, retryAfter string)
-	called  chan struct{} // a message for each call, before its response
-	stored  chan struct{} // a message for each partial trace that was stored
+	called  chan struct{} // receives a message for each call, before the response
+	stored  chan struct{} // receives a message for each stored partial trace
 
 	mutex sync.Mutex
 	calls int
-	spans map[string]int // how often each was received, by trace and span ID
+	spans map[string]int // how often each span was received, by trace ID and span ID
 }
 
 func newFakeCollector(t *testing.T, respond func(call int) (status int, retryAfter string)) *fakeCollector {
@@ -39,13 +40,13 @@
 	}
 }
 
-// ServeHTTP handles one call.
+// ServeHTTP responds to a call with the result of respond, and stores the spans of a successful one.
 func (c *fakeCollector) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
-		c.t.Errorf("reading the body: %v", err)
+		c.t.Errorf("reading the request body: %v", err)
 	}
 	c.calls++
 	c.called <- struct{}{}
@@ -55,10 +56,10 @@
 		return
 	}
 	if got := request.Header.Get("Content-Type"); got != "application/json" {
-		c.t.Errorf("the content type is %q, want application/json", got)
+		c.t.Errorf("got content type %q, want application/json", got)
 	}
 	if got := request.URL.Path; got != defaultPath {
-		c.t.Errorf("the path is %q, want %q", got, defaultPath)
+		c.t.Errorf("got path %q, want %q", got, defaultPath)
 	}
 	c.storeBody(body)
 	if _, err := io.WriteString(w, "{}"); err != nil {
@@ -66,11 +67,12 @@
 	}
 }
 
+// storeBody decodes the body of a call and stores its spans.
 func (c *fakeCollector) storeBody(body []byte) {
 	c.t.Helper()
 	request, err := (&ptrace.JSONUnmarshaler{}).UnmarshalTraces(body)
 	if err != nil {
-		c.t.Errorf("%v in %.200s", err, body)
+		c.t.Errorf("decoding OTLP: %v in %.200s", err, body)
 	}
 	for _, resourceSpans := range request.ResourceSpans().All() {
 		c.storeSpans(resourceSpans.ScopeSpans().At(0).Spans())
@@ -78,8 +80,8 @@
 	}
 }
 
-// storeSpans stores the spans of one partial trace, and checks that all but one have a parent
-// among them.
+// storeSpans stores the spans of one partial trace. It checks that no span ends before it starts,
+// and that all spans but one have their parent in the partial trace.
 func (c *fakeCollector) storeSpans(spans ptrace.SpanSlice) {
 	c.t.Helper()
 	ids := map[string]bool{}
@@ -97,18 +99,18 @@
 		}
 	}
 	if roots != 1 {
-		c.t.Errorf("%d spans have no parent in the partial trace, want 1", roots)
+		c.t.Errorf("got %d spans without a parent in the partial trace, want 1", roots)
 	}
 }
 
-// receivedSpans returns how often each span was received, by trace and span ID.
+// receivedSpans returns how often each span was received, by trace ID and span ID.
 func (c *fakeCollector) receivedSpans() map[string]int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return maps.Clone(c.spans)
 }
 
-// receive waits for a number of messages.
+// receive waits until count messages were received, for at most receiveTimeout.
 func receive(t *testing.T, messages <-chan struct{}, count int) {
 	t.Helper()
 	timeout := time.After(receiveTimeout)
--- a/internal/trace/export/export.go
+++ b/internal/trace/export/export.go
@@ -1,7 +1,8 @@
-// Package export sends retained traces to a collector, as OTLP in JSON over HTTP.
+// Package export sends retained traces to a collector as OTLP JSON over HTTP.
 //
-// An Exporter has a bounded queue and a goroutine of its own: a collector that is down, slow
-// or answers errors delays no request. Traces that do not fit into the queue are counted.
+// An Exporter has a bounded queue and its own goroutine, so that a collector that is down, is
+// slow or returns errors does not delay the router's requests. Traces that do not fit into the
+// queue are dropped and counted. An HTTP request to the collector is a call in this package.
 package export
 
 import (
@@ -19,33 +20,34 @@
 )
 
 const (
-	// maxBatch is how many traces one call takes.
+	// maxBatch is the largest number of traces in one call.
 	maxBatch = 64
-	// defaultPort and defaultPath complete a collector's URL. The path is OTLP's.
+	// defaultPort and defaultPath complete a collector's URL. OTLP specifies the path.
 	defaultPort = ":80"
 	defaultPath = "/v1/traces"
-	// backoffStream separates the random numbers of the backoff from others of the same seed.
+	// backoffStream is the stream of the random generator for the backoff. It makes the random
+	// numbers independent of those of other generators with the same seed.
 	backoffStream = 3
 )
 
-// The metrics that an Exporter counts.
+// The names of the counters that an Exporter increments.
 const (
 	metricExported    = "traces_exported"
 	metricNotExported = "traces_not_exported"
-	metricFailures    = "export_failures" // calls
+	metricFailures    = "export_failures" // counts failed calls, not traces
 )
 
-// ErrInvalidURL is returned by New for a collector's URL that is not an http URL with a host.
-var ErrInvalidURL = errors.New("not an http URL")
+// ErrInvalidURL is returned by New if the collector's URL is not an http URL with a host.
+var ErrInvalidURL = errors.New("not an http URL with a host")
 
 // Options configure an Exporter.
 type Options struct {
 	URL       string  // of the collector; http only
-	QueueSize int     // traces
-	Timeout   float64 // ms, for connecting, and from then on for writing and for the response
+	QueueSize int     // most traces that wait in the queue
+	Timeout   float64 // ms, for connecting, and again after that for the request and the response
 	Metrics   *metrics.Registry
 	Log       *zerolog.Logger
-	Seed      uint64 // of the backoff's jitter; differs from router to router
+	Seed      uint64 // of the backoff's jitter; must differ between routers
 }
 
 // Exporter is a recorder.Sink that sends traces to a collector.
@@ -57,11 +59,12 @@
 	stopped   chan struct{} // closed when run has returned
 
 	// Owned by the goroutine of run.
-	batch   []*trace.Trace // taken from the queue and not yet exported
+	batch   []*trace.Trace // traces taken from the queue and not yet exported
 	backoff backoff
 }
 
-// New returns an Exporter whose goroutine runs until Close. Its errors are ErrInvalidURL.
+// New returns an Exporter whose goroutine runs until Close. It returns ErrInvalidURL for an
+// invalid URL, and no other error.
 func New(options Options) (*Exporter, error) {
 	collector, err := parseCollectorURL(options.URL)
 	if err != nil {
@@ -79,7 +82,8 @@
 	return x, nil
 }
 
-// parseCollectorURL parses a URL and completes its port and path.
+// parseCollectorURL parses the URL of a collector and adds the default port and path where they
+// are missing.
 func parseCollectorURL(text string) (*url.URL, error) {
 	collector, err := url.Parse(text)
 	if err != nil || collector.Scheme != "http" || collector.Host == "" {
@@ -105,19 +109,20 @@
 	return nil
 }
 
-// Flush does nothing: queued traces are sent without delay.
+// Flush does nothing, since the goroutine sends queued traces without delay.
 func (x *Exporter) Flush(float64) error { return nil }
 
-// Close stops the Exporter and waits until its goroutine has returned. If the collector is
-// failing, one last call is made, with one batch; what remains is counted as not exported.
-// Close must be called once, and Add not after it.
+// Close stops the Exporter and waits until its goroutine has returned. If the last call failed,
+// the Exporter makes one more call, with one batch, and counts the remaining traces as not
+// exported. Close must be called only once, and Add must not be called after it.
 func (x *Exporter) Close(float64) error {
 	close(x.quit)
 	<-x.stopped
 	return nil
 }
 
-// run sends batches until Close. A batch whose call failed is sent again after a backoff.
+// run sends batches until Close. It resends a batch after a backoff if the call failed, unless
+// the failure is permanent.
 func (x *Exporter) run() {
 	defer close(x.stopped)
 	for x.waitForBatch() {
@@ -135,8 +140,8 @@
 	}
 }
 
-// waitForBatch waits until there is a batch to send, and reports false on Close. A batch from
-// before is filled up and sent again.
+// waitForBatch waits until there is a batch to send, and returns false on Close. A batch that is
+// left from a failed call is filled up with queued traces.
 func (x *Exporter) waitForBatch() bool {
 	if len(x.batch) == 0 {
 		select {
@@ -150,7 +155,7 @@
 	return true
 }
 
-// fillBatch adds to the batch what is queued, without waiting.
+// fillBatch moves queued traces to the batch until it is full, without waiting.
 func (x *Exporter) fillBatch() {
 	for len(x.batch) < maxBatch {
 		select {
@@ -162,14 +167,14 @@
 	}
 }
 
-// recordExported counts the batch as exported.
+// recordExported counts the batch as exported, and empties it.
 func (x *Exporter) recordExported() {
 	x.Metrics.Add(metricExported, int64(len(x.batch)))
 	x.batch = nil
 }
 
-// recordFailure counts a call that failed, and drops the batch if the collector will not take
-// it later either. It logs the first failure after a success.
+// recordFailure counts a failed call, and drops the batch if the failure is permanent. It logs
+// only the first failure after a success, so that a long outage does not fill the log.
 func (x *Exporter) recordFailure(err error) {
 	if errors.Is(err, errPermanent) {
 		x.Metrics.Add(metricNotExported, int64(len(x.batch)))
@@ -181,7 +186,8 @@
 	x.Metrics.Add(metricFailures, 1)
 }
 
-// waitForBackoff waits until the next call may be made, and reports false on Close.
+// waitForBackoff waits until the next call may be made, and returns false on Close. retryAfter is
+// the shortest wait that the collector asked for, in ms.
 func (x *Exporter) waitForBackoff(retryAfter float64) bool {
 	select {
 	case <-time.After(clock.Duration(x.backoff.next(retryAfter))):
@@ -191,7 +197,7 @@
 	}
 }
 
-// sendLast sends one more batch, and counts what remains as not exported.
+// sendLast sends one more batch, and counts all traces that are left as not exported.
 func (x *Exporter) sendLast() {
 	x.fillBatch()
 	if len(x.batch) > 0 {
--- a/internal/trace/export/export_test.go
+++ b/internal/trace/export/export_test.go
@@ -15,8 +15,8 @@
 	"garnetline/routing"
 )
 
-// failedTrace returns the partial trace of a request that failed with its one attempt: a
-// request, an attempt, a connection and a wait.
+// failedTrace returns the partial trace of a request that failed with its only attempt. Its spans
+// are the request, the attempt, the connection and the wait. n makes the trace ID unique.
 func failedTrace(n byte) *trace.Trace {
 	const start = 1.7e12
 	active := trace.Begin(trace.Trace{
@@ -34,7 +34,7 @@
 	return active.Finished()
 }
 
-// newExporter returns an exporter and its metrics. The timeout is in ms.
+// newExporter returns an exporter and the registry of its metrics. The timeout is in ms.
 func newExporter(t *testing.T, url string, queueSize int, timeout float64) (*Exporter, *metrics.Registry) {
 	t.Helper()
 	registry := metrics.New()
@@ -71,7 +71,7 @@
 func checkCounter(t *testing.T, registry *metrics.Registry, name string, want int64) {
 	t.Helper()
 	if got := registry.Counter(name).Load(); got != want {
-		t.Errorf("%s is %d, want %d", name, got, want)
+		t.Errorf("counter %s: got %d, want %d", name, got, want)
 	}
 }
 
@@ -79,7 +79,7 @@
 	for _, text := range []string{"", "collector:4318", "https://collector:4318", "http://", "http://%zz"} {
 		t.Run(text, func(t *testing.T) {
 			if _, err := New(Options{URL: text}); !errors.Is(err, ErrInvalidURL) {
-				t.Errorf("New returned %v for %q, want %v", err, text, ErrInvalidURL)
+				t.Errorf("New: got error %v for URL %q, want %v", err, text, ErrInvalidURL)
 			}
 		})
 	}
@@ -95,14 +95,14 @@
 			exporter, _ := newExporter(t, test.text, 1, 100)
 			closeExporter(t, exporter)
 			if got := exporter.collector.String(); got != test.want {
-				t.Errorf("the collector's URL is %s, want %s", got, test.want)
+				t.Errorf("got collector URL %s, want %s", got, test.want)
 			}
 		})
 	}
 }
 
-// Guards against traces that are lost, or sent twice, where the collector fails for a time,
-// and against a batch that the collector will never take and that holds up all others.
+// Each span arrives exactly once after the collector failed for a time, and a batch that the
+// collector rejects permanently does not block later batches.
 func TestExporterDeliversEachSpanOnce(t *testing.T) {
 	statuses := []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusBadRequest}
 	collector := newFakeCollector(t, func(call int) (int, string) {
@@ -115,7 +115,7 @@
 	defer server.Close()
 	exporter, registry := newExporter(t, server.URL, 100, 2000)
 	addTraces(t, exporter, failedTrace(1))
-	receive(t, collector.called, len(statuses)) // the batch with it is dropped by the last of them
+	receive(t, collector.called, len(statuses)) // the last status, 400, makes the exporter drop the batch
 
 	withClientSpan := failedTrace(2)
 	withClientSpan.ClientSpan = 0x77
@@ -127,17 +127,17 @@
 	checkCounter(t, registry, metricNotExported, 1)
 	checkCounter(t, registry, metricFailures, int64(len(statuses)))
 	spans := collector.receivedSpans()
-	if want := 5 + 6 + 6; len(spans) != want { // a trace with a client's span goes without the root
+	if want := 5 + 6 + 6; len(spans) != want { // a trace with a client's span is sent without its root span
 		t.Errorf("received %d spans, want %d", len(spans), want)
 	}
 	for id, count := range spans {
 		if count != 1 {
-			t.Errorf("received span %s %d times, want once", id, count)
+			t.Errorf("received span %s %d times, want 1", id, count)
 		}
 	}
 }
 
-// listen returns the address of a server that accepts connections and never responds.
+// listen returns the address of a listener that lets clients connect and never responds.
 func listen(t *testing.T) string {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -161,12 +161,12 @@
 	return listener.Addr().String()
 }
 
-// Guards against a collector that holds up requests, or the end of the program, and against
-// lost traces that are not counted.
+// A failing collector does not block Add, which would delay requests, or Close, which would delay
+// the end of the program. All traces that are lost are counted.
 func TestExporterDoesNotBlockOnFailingCollector(t *testing.T) {
 	const (
 		traces     = 10_000
-		maxAddTime = 5 * time.Second // for all of them
+		maxAddTime = 5 * time.Second // for all traces together
 	)
 	for _, test := range []struct {
 		name    string
@@ -182,7 +182,7 @@
 				addTraces(t, exporter, failedTrace(byte(i)))
 			}
 			if elapsed := time.Since(started); elapsed > maxAddTime {
-				t.Errorf("adding %d traces took %v, want %v or less", traces, elapsed, maxAddTime)
+				t.Errorf("adding %d traces took %v, want at most %v", traces, elapsed, maxAddTime)
 			}
 			closeExporter(t, exporter)
 			checkCounter(t, registry, metricNotExported, traces)
