--- a/internal/trace/instrument/instrument.go
+++ b/internal/trace/instrument/instrument.go
@@ -1,5 +1,5 @@
-// Package instrument connects a trace recorder to a dispatcher, so that neither of the two
-// imports the other.
+// Package instrument adapts a trace recorder to a dispatcher, so that the recorder and dispatch
+// packages do not import each other.
 package instrument
 
 import (
@@ -8,13 +8,14 @@
 	"garnetline/routing"
 )
 
-// Dispatcher returns a recorder as the tracer of a dispatcher, for dispatch.Dispatcher.SetTracer.
+// Dispatcher returns a tracer for dispatch.Dispatcher.SetTracer that records traces with r.
 func Dispatcher(r *recorder.Recorder) dispatch.Tracer { return dispatchTracer{r} }
 
-// dispatchTracer implements dispatch.Tracer.
+// dispatchTracer implements dispatch.Tracer by a trace recorder.
 type dispatchTracer struct{ recorder *recorder.Recorder }
 
-// Open begins the trace of a request.
+// Open begins the trace of a request at now, in Unix ms. For a request with a client, the trace
+// starts when the router received the request.
 func (t dispatchTracer) Open(now float64, request *dispatch.Request, class *routing.Class) dispatch.RequestTrace {
 	traced := recorder.Request{
 		TransactionID:  request.TransactionID,
@@ -32,7 +33,7 @@
 	return t.recorder.Open(now, traced, class)
 }
 
-// Close ends the trace of a request that is done, which Open returned.
+// Close ends the trace of a request at now, in Unix ms. done must come from Open.
 func (t dispatchTracer) Close(now float64, done dispatch.RequestTrace) {
 	t.recorder.Close(now, done.(*recorder.RequestTrace))
 }
--- a/internal/trace/instrument/instrument_test.go
+++ b/internal/trace/instrument/instrument_test.go
@@ -34,7 +34,7 @@
 	))
 }
 
-// The fields of a dispatcher's request reach the trace.
+// Open copies the fields of the dispatcher's request to the trace.
 func TestRequestFieldsReachTrace(t *testing.T) {
 	const clientTrace = "4bf92f3577b34da6a3ce929d0e0e4736"
 	client := &dispatch.ClientInfo{ReceivedAt: now - 5, TraceParent: "00-" + clientTrace + "-00f067aa0ba902b7-01", Address: "1.1.1.1"}
@@ -42,7 +42,7 @@
 		name      string
 		client    *dispatch.ClientInfo
 		wantStart float64
-		wantTrace string // empty: a new one
+		wantTrace string // empty if a new trace is expected
 	}{
 		{"with client", client, now - 5, clientTrace},
 		{"without client", nil, now, ""},
@@ -56,16 +56,16 @@
 				t.Errorf("got %+v, want the request's transaction, class, chunk and purge group", opened.Trace)
 			}
 			if opened.Start != test.wantStart {
-				t.Errorf("starts at %v, want %v", opened.Start, test.wantStart)
+				t.Errorf("got start %v, want %v", opened.Start, test.wantStart)
 			}
 			if test.wantTrace != "" && opened.ID.String() != test.wantTrace {
-				t.Errorf("trace %v, want %s", opened.ID, test.wantTrace)
+				t.Errorf("got trace ID %v, want %s", opened.ID, test.wantTrace)
 			}
 		})
 	}
 }
 
-// A request that the dispatcher closes is closed at the recorder, which retains its trace.
+// Close passes the request on to the recorder, which retains the trace.
 func TestClosedRequestIsRetained(t *testing.T) {
 	counters := metrics.New()
 	tracer := newTracer(counters)
@@ -73,6 +73,6 @@
 	opened.Responded(now+1, trace.Served)
 	tracer.Close(now+1, opened)
 	if got := counters.Counter("traces_kept").Load(); got != 1 {
-		t.Errorf("%d traces are retained, want 1", got)
+		t.Errorf("got %d retained traces, want 1", got)
 	}
 }
