--- a/internal/trace/propagation/benchmark_test.go
+++ b/internal/trace/propagation/benchmark_test.go
@@ -8,10 +8,11 @@
 	"garnetline/internal/trace"
 )
 
-// BenchmarkRetryGuess measures the guess for requests without a traceparent or a key: clients
-// behind so many addresses, a tenth of the requests rejected, of which half are retried after a
-// second; objects by a skewed distribution. wrong: first requests that are taken for retries;
-// missed: retries that are not recognized.
+// BenchmarkRetryGuess measures the errors of the retry heuristic for requests without a traceparent
+// and without an idempotency key. Clients share a number of addresses and request objects from a
+// Zipf distribution. A tenth of the requests is rejected, and half of the rejected requests are
+// retried after a second. "wrong%" is the share of first requests that are taken for retries, and
+// "missed%" the share of retries that are not recognized.
 func BenchmarkRetryGuess(b *testing.B) {
 	for _, addresses := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("addresses=%d", addresses), func(b *testing.B) {
@@ -20,7 +21,7 @@
 	}
 }
 
-// pendingRetry is a retry that a client will send.
+// pendingRetry is a retry that a client sends at a later time.
 type pendingRetry struct {
 	at      float64 // ms
 	request Request
--- a/internal/trace/propagation/correlator.go
+++ b/internal/trace/propagation/correlator.go
@@ -1,14 +1,18 @@
 // Package propagation decides which trace a request belongs to. It does no I/O and has no
 // clock.
 //
-// The first rule that applies decides: the trace named by the client's traceparent header; for
-// classes with idempotency keys the trace derived from the key, at whatever router the retry
-// arrives; the trace of an earlier request of the same client for the same chunk that this
-// router did not serve within the retry window; else a new trace.
+// The first rule that applies to a request selects its trace:
 //
-// The third rule is a guess. It errs where two clients share an address and one is rejected
-// while the other sends a request, and misses a retry that arrives at another router.
-// BenchmarkRetryGuess measures how often.
+//  1. The client's traceparent header names the trace.
+//  2. For classes with idempotency keys, the trace is derived from the key. It is the same at
+//     all routers, so that a retry at another router joins the trace.
+//  3. An earlier request of the same client for the same chunk ended within the retry window
+//     without being served by this router. The request is taken for its retry and joins its trace.
+//  4. Otherwise the request begins a new trace.
+//
+// Rule 3 is a heuristic. It is wrong if two clients share an address and one of them requests the
+// same chunk after the other was rejected. It misses retries that arrive at another router.
+// BenchmarkRetryGuess reports the rates of both errors.
 package propagation
 
 import (
@@ -21,11 +25,11 @@
 	"garnetline/internal/trace"
 )
 
-// Request is what decides the trace of a request.
+// Request holds the properties of a request that select its trace.
 type Request struct {
 	TraceParent    string // the traceparent header as received, not validated
 	IdempotencyKey string // empty unless the class has idempotency keys
-	ClientAddress  string // without the port; empty: not known
+	ClientAddress  string // without the port; empty if unknown
 	Class          string
 	Object         uint64
 	Chunk          int
@@ -34,10 +38,10 @@
 // Correlation is the trace that a request belongs to.
 type Correlation struct {
 	ID            trace.ID
-	ClientSpan    trace.SpanID // the client's own span; 0: none
-	ClientSampled bool         // the client samples the trace
-	Retry         uint8        // 0: the first request of its trace, as far as this router knows
-	unservedKey   uint64       // in the table of unserved requests; 0: not in it
+	ClientSpan    trace.SpanID // span that the client sent; 0 if none
+	ClientSampled bool         // whether the client samples the trace
+	Retry         uint8        // number of earlier tries of the request that this router knows of
+	unservedKey   uint64       // key in the table of unserved requests; 0 if the request has no key
 }
 
 // Correlator assigns requests to traces. It is not safe for concurrent use.
@@ -46,13 +50,13 @@
 	retryWindow float64 // ms
 	seed        uint64
 	objectSeed  uint64
-	newTraces   uint64 // number of traces begun, from which their ids are derived
+	newTraces   uint64 // number of new traces; the trace IDs are derived from it
 	unserved    unservedTable
 }
 
-// New returns a Correlator. Routers with the same secret derive the same trace from an
+// New returns a Correlator. Routers with the same secret derive the same trace ID from an
 // idempotency key. retryWindow is in ms, see SetRetryWindow. The seed must differ between
-// routers and between starts of a router.
+// routers and between restarts of a router, since the IDs of new traces are derived from it.
 func New(secret string, retryWindow float64, seed uint64) *Correlator {
 	return &Correlator{
 		secret:      []byte(secret),
@@ -63,8 +67,8 @@
 	}
 }
 
-// SetRetryWindow sets for how long, in ms, a request after one that was not served is taken for
-// its retry.
+// SetRetryWindow sets how long, in ms, after the end of an unserved request an equal request is
+// taken for its retry.
 func (c *Correlator) SetRetryWindow(ms float64) { c.retryWindow = ms }
 
 // Correlate returns the trace of a request that arrived at now, in Unix ms.
@@ -91,8 +95,9 @@
 	return correlation
 }
 
-// RequestEnded handles the end, at now in Unix ms, of a request that Correlate was called for.
-// served reports whether the client got a usable response and so will not retry.
+// RequestEnded records that a request ended at now, in Unix ms. Correlate must have returned
+// correlation for it. served tells whether the client received a usable response, after which it
+// does not retry.
 func (c *Correlator) RequestEnded(now float64, correlation Correlation, served bool) {
 	if correlation.unservedKey == 0 {
 		return
@@ -108,11 +113,11 @@
 	})
 }
 
-// HashObject returns a number that stands for an object in stored traces. It is the same at all
-// routers with the same secret, and without the secret it does not disclose the object.
+// HashObject returns the hash that identifies an object in stored traces. The hash is the same at
+// all routers with the same secret, and does not disclose the object to readers without the secret.
 func (c *Correlator) HashObject(object uint64) uint64 { return hashUint64(c.objectSeed, object) }
 
-// newTraceID derives the id of the next new trace.
+// newTraceID returns the ID of the next new trace.
 func (c *Correlator) newTraceID() trace.ID {
 	c.newTraces++
 	var id trace.ID
@@ -121,7 +126,8 @@
 	return id
 }
 
-// idempotentTraceID derives the trace of an idempotency key, which cannot be got back from it.
+// idempotentTraceID derives a trace ID from an idempotency key. The key cannot be recovered from
+// the ID.
 func (c *Correlator) idempotentTraceID(key string) trace.ID {
 	mac := hmac.New(sha256.New, c.secret)
 	mac.Write([]byte(key))
@@ -130,9 +136,10 @@
 	return id
 }
 
-// unservedKey returns the key of a request in the table of unserved requests: a hash of its
-// idempotency key or else of the client and what it asks for, so that nothing that identifies
-// a client is retained in clear. It is 0 where neither is known.
+// unservedKey returns the key of a request in the table of unserved requests. The key is a hash of
+// the idempotency key or, without one, of the object, chunk, class and client address, so that the
+// table stores no client data in plain text. It is 0 if the request has neither an idempotency key
+// nor a client address.
 func (c *Correlator) unservedKey(request Request) uint64 {
 	if request.ClientAddress == "" && request.IdempotencyKey == "" {
 		return 0
@@ -152,7 +159,7 @@
 	return nonZeroSum(digest)
 }
 
-// hashUint64 returns a seeded hash that is never 0.
+// hashUint64 returns a seeded hash of a number. The hash is never 0.
 func hashUint64(seed, number uint64) uint64 {
 	var encoded [8]byte
 	binary.BigEndian.PutUint64(encoded[:], number)
@@ -161,11 +168,12 @@
 	return nonZeroSum(digest)
 }
 
-// hashBytes adds bytes to a digest, which never fails.
+// hashBytes adds bytes to a digest. Writing to a digest never fails.
 func hashBytes(digest *xxhash.Digest, added []byte) { _, _ = digest.Write(added) }
 
-// hashString adds a string to a digest, which never fails.
+// hashString adds a string to a digest. Writing to a digest never fails.
 func hashString(digest *xxhash.Digest, added string) { _, _ = digest.WriteString(added) }
 
-// nonZeroSum returns the hash of a digest, with 1 for 0, which stands for none.
+// nonZeroSum returns the hash of a digest. It replaces 0 by 1, because 0 means that there is no
+// hash.
 func nonZeroSum(digest *xxhash.Digest) uint64 { return max(digest.Sum64(), 1) }
--- a/internal/trace/propagation/correlator_test.go
+++ b/internal/trace/propagation/correlator_test.go
@@ -14,33 +14,33 @@
 	retryWindow       = 1000.0 // ms
 )
 
-// chunkRequest is a request without a traceparent and without an idempotency key.
+// chunkRequest returns a request without a traceparent and without an idempotency key.
 func chunkRequest() Request {
 	return Request{ClientAddress: "1.1.1.1", Class: "part", Object: 7, Chunk: 3}
 }
 
-// unservedFirst returns a correlator and the correlation of a chunkRequest that ended at 10 ms
-// and was not served.
-func unservedFirst(t *testing.T) (*Correlator, Correlation) {
+// newCorrelatorWithUnserved returns a correlator, and the correlation of a chunkRequest that ended
+// unserved at 10 ms.
+func newCorrelatorWithUnserved(t *testing.T) (*Correlator, Correlation) {
 	t.Helper()
 	correlator := New("s", retryWindow, 1)
 	first := correlator.Correlate(0, chunkRequest())
 	if first.ID == (trace.ID{}) || first.Retry != 0 {
-		t.Fatalf("the first request has trace %v and retry %d, want a new trace and 0", first.ID, first.Retry)
+		t.Fatalf("first request: got trace %v and retry %d, want a new trace and 0", first.ID, first.Retry)
 	}
 	correlator.RequestEnded(10, first, false)
 	return correlator, first
 }
 
-// The client's traceparent decides, whatever else is known.
-func TestTraceparentDecides(t *testing.T) {
+// The client's traceparent takes precedence over an idempotency key.
+func TestTraceparentTakesPrecedence(t *testing.T) {
 	got := New("s", retryWindow, 1).Correlate(0, Request{TraceParent: clientTraceparent, IdempotencyKey: "k"})
 	if got.ID.String() != clientTraceID || got.ClientSpan != clientSpan || !got.ClientSampled || got.Retry != 0 {
-		t.Errorf("got %+v, want the client's trace, sampled, and its span", got)
+		t.Errorf("got %+v, want the client's trace and span, sampled, and retry 0", got)
 	}
 }
 
-// A traceparent of zeros is passed over.
+// A traceparent whose trace ID is zero is ignored.
 func TestZeroTraceparentBeginsNewTrace(t *testing.T) {
 	zero := "00-" + strings.Repeat("0", 32) + clientTraceparent[35:]
 	got := New("s", retryWindow, 1).Correlate(0, Request{TraceParent: zero})
@@ -49,25 +49,26 @@
 	}
 }
 
-// An idempotency key has one trace at all routers of a secret, which does not disclose it.
+// All routers with the same secret derive the same trace ID from an idempotency key, and the trace
+// ID does not disclose the key.
 func TestIdempotencyKeyHasOneTraceAtAllRouters(t *testing.T) {
 	const key = "secret-key"
 	first := New("s", retryWindow, 1).Correlate(0, Request{IdempotencyKey: key, ClientAddress: "1.1.1.1"})
 	second := New("s", retryWindow, 2).Correlate(5e6, Request{IdempotencyKey: key, ClientAddress: "2.2.2.2"})
 	if first.ID != second.ID || first.ID == (trace.ID{}) {
-		t.Errorf("traces %v and %v, want one for one key", first.ID, second.ID)
+		t.Errorf("got traces %v and %v for one key, want equal and nonzero trace IDs", first.ID, second.ID)
 	}
 	if strings.Contains(string(first.ID[:]), "secret") {
-		t.Errorf("the trace %q discloses the key", first.ID[:])
+		t.Errorf("trace ID %q discloses the idempotency key", first.ID[:])
 	}
 	if other := New("other", retryWindow, 1).Correlate(0, Request{IdempotencyKey: key}); other.ID == first.ID {
-		t.Errorf("trace %v for two secrets, want two traces", other.ID)
+		t.Errorf("got trace %v for two secrets, want two traces", other.ID)
 	}
 }
 
-// A request is a retry of an equal one that ended unserved, until the retry window is over.
+// A request within the retry window of an equal unserved request is its retry, and joins its trace.
 func TestRetryJoinsTraceWithinWindow(t *testing.T) {
-	correlator, first := unservedFirst(t)
+	correlator, first := newCorrelatorWithUnserved(t)
 	if got := correlator.Correlate(10+retryWindow, chunkRequest()); got.ID != first.ID || got.Retry != 1 {
 		t.Errorf("got trace %v and retry %d, want %v and 1", got.ID, got.Retry, first.ID)
 	}
@@ -76,7 +77,7 @@
 	}
 }
 
-// A request beside an equal one that is still open is not its retry.
+// A request is not a retry of an equal request that has not ended yet.
 func TestConcurrentRequestIsNoRetry(t *testing.T) {
 	correlator := New("s", retryWindow, 1)
 	first := correlator.Correlate(0, chunkRequest())
@@ -85,9 +86,9 @@
 	}
 }
 
-// A request after one that was served is not its retry.
+// A request is not a retry of an equal request that was served.
 func TestRequestAfterServedOneIsNoRetry(t *testing.T) {
-	correlator, first := unservedFirst(t)
+	correlator, first := newCorrelatorWithUnserved(t)
 	correlator.RequestEnded(1012, first, false)
 	correlator.RequestEnded(1013, first, true)
 	if got := correlator.Correlate(1014, chunkRequest()); got.ID == first.ID {
@@ -95,7 +96,7 @@
 	}
 }
 
-// Client, chunk, class and object must all be equal for a retry.
+// A request is a retry only if its client, chunk, class and object are those of the unserved one.
 func TestDifferentRequestIsNoRetry(t *testing.T) {
 	tests := map[string]func(*Request){
 		"client": func(r *Request) { r.ClientAddress = "1.1.1.2" },
@@ -105,7 +106,7 @@
 	}
 	for name, change := range tests {
 		t.Run(name, func(t *testing.T) {
-			correlator, first := unservedFirst(t)
+			correlator, first := newCorrelatorWithUnserved(t)
 			request := chunkRequest()
 			change(&request)
 			if got := correlator.Correlate(11, request); got.ID == first.ID || got.Retry != 0 {
@@ -115,7 +116,7 @@
 	}
 }
 
-// The table stays within its limit, however many requests are not served.
+// The table of unserved requests does not grow beyond two generations.
 func TestUnservedTableIsBounded(t *testing.T) {
 	const limit = 2 * generationCapacity
 	correlator := New("", 1e9, 1)
@@ -126,6 +127,6 @@
 	}
 	table := &correlator.unserved
 	if got := len(table.current) + len(table.previous); got > limit {
-		t.Errorf("%d entries, want at most %d", got, limit)
+		t.Errorf("got %d unserved requests in the table, want at most %d", got, limit)
 	}
 }
--- a/internal/trace/propagation/golden_test.go
+++ b/internal/trace/propagation/golden_test.go
@@ -8,8 +8,8 @@
 	"garnetline/internal/golden"
 )
 
-// Routers of several releases with one secret agree on the trace of an idempotency key and on
-// the number that stands for an object. UPDATE_GOLDEN=1 rewrites testdata.
+// Routers of different releases that share a secret must derive the same trace ID from an
+// idempotency key, and the same hash from an object. UPDATE_GOLDEN=1 rewrites testdata.
 func TestGoldenDerivedIDs(t *testing.T) {
 	const (
 		client      = "127.0.0.9"
--- a/internal/trace/propagation/unserved.go
+++ b/internal/trace/propagation/unserved.go
@@ -2,19 +2,19 @@
 
 import "garnetline/internal/trace"
 
-// generationCapacity is how many unserved requests one generation of an unservedTable holds.
+// generationCapacity is the largest number of requests in one generation of an unservedTable.
 const generationCapacity = 1 << 14
 
-// unservedRequest is a request that ended without being served, and may be retried.
+// unservedRequest is a request that ended without being served, so that its client may retry it.
 type unservedRequest struct {
 	traceID trace.ID
 	endedAt float64 // Unix ms
-	retry   uint8   // of this request; wraps to 0 after 255
+	retry   uint8   // Correlation.Retry of the request; wraps to 0 after 255
 }
 
-// unservedTable holds the most recent unserved requests in two generations: when the current
-// one is full it becomes the previous one, which is dropped. So the table stays bounded
-// without a timer or a list in order of age.
+// unservedTable holds the most recent unserved requests in two generations. When the current
+// generation is full, it replaces the previous one, whose requests are dropped. This bounds the
+// table without a timer or a list in order of age.
 type unservedTable struct {
 	current  map[uint64]unservedRequest
 	previous map[uint64]unservedRequest
@@ -24,7 +24,7 @@
 	return unservedTable{current: map[uint64]unservedRequest{}}
 }
 
-// lookup returns the request under a key; there is none under 0.
+// lookup returns the request under a key, and whether there is one. Key 0 has none.
 func (t *unservedTable) lookup(key uint64) (unservedRequest, bool) {
 	if key == 0 {
 		return unservedRequest{}, false
