--- a/internal/trace/render/golden_test.go
+++ b/internal/trace/render/golden_test.go
@@ -11,11 +11,11 @@
 	"garnetline/routing"
 )
 
-// goldenStart is when the requests of the golden traces were received, in Unix ms.
+// goldenStart is the time when the requests of the golden traces were received, in Unix ms.
 const goldenStart = 1_700_000_000_000.0
 
-// routerTrace returns the partial trace of a router: an attempt with all flags and a
-// connection, and an attempt with each result.
+// routerTrace returns the partial trace of a router. It has one attempt with all flags and a new
+// connection, and one more attempt for each result.
 func routerTrace(id trace.ID) *trace.Trace {
 	active := trace.Begin(trace.Trace{
 		ID:            id,
@@ -53,7 +53,8 @@
 	return active.Finished()
 }
 
-// serverTrace returns the partial trace of the server of an attempt, with a fill that failed.
+// serverTrace returns the partial trace of a server for the span of an attempt. It has a fill that
+// failed.
 func serverTrace(id trace.ID, attempt trace.SpanID) *trace.Trace {
 	const (
 		workID trace.SpanID = 1001
@@ -72,8 +73,8 @@
 	}
 }
 
-// rejectedTrace returns the partial trace of another router, of a request without an attempt
-// whose client sent a span of its own.
+// rejectedTrace returns the partial trace of a second router for a rejected request without an
+// attempt. The client of the request sent a span of its own.
 func rejectedTrace() *trace.Trace {
 	active := trace.Begin(trace.Trace{
 		ID:         trace.ID{9},
@@ -88,8 +89,8 @@
 	return active.Finished()
 }
 
-// Guards against a changed form: collectors, and operators' scripts that read the waterfall,
-// depend on it. UPDATE_GOLDEN=1 rewrites testdata.
+// The formats must not change, because collectors and operators' scripts that read the waterfall
+// depend on them. UPDATE_GOLDEN=1 rewrites testdata.
 func TestFormatsMatchGolden(t *testing.T) {
 	id := trace.ID{1, 2, 3, 15: 16}
 	fromRouter := routerTrace(id)
--- a/internal/trace/render/otlp.go
+++ b/internal/trace/render/otlp.go
@@ -11,35 +11,36 @@
 	"garnetline/routing"
 )
 
-// serviceName is the name of the resource and of the scope of exported spans.
+// serviceName is the service.name of the OTLP resource, and the name of the OTLP scope.
 const serviceName = "garnetline"
 
-// OTLP writes the spans of one trace as a line of OTLP JSON. The partial traces are those
-// that the spans were merged from; request spans have their attributes.
+// OTLP writes the spans of one trace as a line of OTLP JSON. partials are the partial traces that
+// the spans were merged from; the attributes of the request spans are taken from them.
 func OTLP(w io.Writer, id trace.ID, spans []trace.Span, partials []*trace.Trace) error {
 	request := otlpRequest{ResourceSpans: []otlpResourceSpans{newResourceSpans(id, spans, partials)}}
 	return json.NewEncoder(w).Encode(request)
 }
 
-// Batch returns one OTLP request in JSON with the partial traces that one router retained.
+// Batch returns one OTLP JSON request with partial traces that one router retained.
 //
-// If the client sent a span of its own, the router's spans are children of it. Otherwise the
-// root span is sent along. Its ID is the same at all routers, so that a collector that
-// receives it from several of them has one span.
+// If the client sent a span of its own, that span is the parent of the router's topmost spans.
+// Otherwise the root span is included. All routers give the root span of a trace the same ID, so
+// that a collector that receives it from several routers has only one root span.
 func Batch(partials []*trace.Trace) ([]byte, error) {
 	var request otlpRequest
 	for _, partial := range partials {
-		own := []*trace.Trace{partial}
-		spans := trace.Merge(partial.ID, own)
+		sources := []*trace.Trace{partial}
+		spans := trace.Merge(partial.ID, sources)
 		if partial.ClientSpan != 0 {
 			spans = replaceRoot(partial, spans)
 		}
-		request.ResourceSpans = append(request.ResourceSpans, newResourceSpans(partial.ID, spans, own))
+		request.ResourceSpans = append(request.ResourceSpans, newResourceSpans(partial.ID, spans, sources))
 	}
 	return json.Marshal(request)
 }
 
-// replaceRoot drops the root span and makes its children those of the client's span.
+// replaceRoot removes the root span, which must be the first one, and makes the client's span the
+// parent of its children.
 func replaceRoot(partial *trace.Trace, spans []trace.Span) []trace.Span {
 	root := partial.ID.Root()
 	spans = spans[1:]
@@ -66,7 +67,8 @@
 	}
 }
 
-// newOTLPSpan converts a span, with the attributes that it has itself.
+// newOTLPSpan converts a span to OTLP. Attempts have attributes and a status; the attributes of
+// request spans are added by addRequestAttributes.
 func newOTLPSpan(id trace.ID, span *trace.Span) otlpSpan {
 	converted := otlpSpan{
 		TraceID: id.String(),
@@ -113,7 +115,8 @@
 	return attributes
 }
 
-// addRequestAttributes adds to a request span what the partial trace that begins with it has.
+// addRequestAttributes sets the attributes and the status of a request span from the partial trace
+// whose first span has this ID.
 func addRequestAttributes(span *otlpSpan, id trace.SpanID, partials []*trace.Trace) {
 	for _, partial := range partials {
 		if len(partial.Spans) == 0 || partial.Spans[0].ID != id {
@@ -141,7 +144,7 @@
 
 func formatSpanID(id trace.SpanID) string { return fmt.Sprintf("%016x", uint64(id)) }
 
-// formatNanos converts milliseconds to nanoseconds as text, rounded to the microsecond.
+// formatNanos returns a time in ms as a decimal number of nanoseconds, rounded to a microsecond.
 func formatNanos(ms float64) string {
 	const (
 		microsPerMilli = 1000
--- a/internal/trace/render/otlp_messages.go
+++ b/internal/trace/render/otlp_messages.go
@@ -2,7 +2,8 @@
 
 import "strconv"
 
-// The messages of OTLP's JSON, as far as they are used. OTLP writes numbers of 64 bits as text.
+// The parts of OTLP's JSON messages that this package writes. OTLP JSON encodes 64-bit integers as
+// strings.
 type (
 	otlpRequest struct {
 		ResourceSpans []otlpResourceSpans `json:"resourceSpans"`
@@ -47,14 +48,14 @@
 	}
 )
 
-// The span kinds of OTLP that are used.
+// The OTLP span kinds that this package writes.
 const (
 	otlpKindInternal = 1
 	otlpKindServer   = 2
 	otlpKindClient   = 3
 )
 
-// otlpStatusError is the status code of a span that failed.
+// otlpStatusError is the OTLP status code of a failed span.
 const otlpStatusError = 2
 
 func stringAttribute(key, value string) otlpAttribute {
--- a/internal/trace/render/page.go
+++ b/internal/trace/render/page.go
@@ -9,21 +9,22 @@
 	"garnetline/routing"
 )
 
-// The measures of a page's drawings, in pixels.
+// The dimensions of a page's drawings, in pixels.
 const (
 	drawingWidth  = 900.0
 	drawingMargin = 20
 	rowHeight     = 20
 	rowGap        = 4
-	barTop        = 2  // from the top of the row
-	textBaseline  = 14 // from the top of the row
+	barTop        = 2  // below the top of the row
+	textBaseline  = 14 // below the top of the row
 	textIndent    = 3
 	minBarWidth   = 1
-	// maxTextStart keeps the descriptions of late spans within the drawing.
+	// maxTextStart limits where a description starts, so that those of late spans stay within the
+	// drawing.
 	maxTextStart = drawingWidth * 0.6
 )
 
-// The colors of spans, as the last line of a page explains them.
+// The colors of spans. The last line of a page explains them.
 const (
 	colorWait          = "#cccccc"
 	colorRequest       = "#bfe0bf"
@@ -31,9 +32,8 @@
 	colorFailedAttempt = "#f2a9a0"
 )
 
-// Page writes traces as one HTML page with a drawing of each. The spans of each trace are
-// those that trace.Merge returns; a trace without spans is left out. It returns the first
-// error of writing.
+// Page writes one HTML page with a drawing of each trace. The spans of each trace must come from
+// trace.Merge. Traces without spans are skipped. Page returns the first write error.
 func Page(w io.Writer, title string, traces [][]trace.Span) error {
 	page := &pageWriter{out: w}
 	page.writef("<!doctype html><meta charset=utf-8><title>%s</title>"+
@@ -47,7 +47,7 @@
 	return page.err
 }
 
-// pageWriter writes a page, and keeps the first error.
+// pageWriter writes a page. It keeps the first write error and writes nothing after it.
 type pageWriter struct {
 	out io.Writer
 	err error
@@ -59,7 +59,7 @@
 	}
 }
 
-// writeDrawing draws a trace, with one row for each span.
+// writeDrawing writes an SVG drawing of a trace, with one row for each span.
 func (p *pageWriter) writeDrawing(spans []trace.Span) {
 	root := &spans[0]
 	duration := max(root.End-root.Start, minDuration)
--- a/internal/trace/render/render.go
+++ b/internal/trace/render/render.go
@@ -1,5 +1,5 @@
-// Package render formats traces: as a waterfall for a terminal, as an HTML page without
-// external resources, and as OTLP in JSON.
+// Package render formats traces as a waterfall for a terminal, as an HTML page without external
+// resources, and as OTLP JSON.
 package render
 
 import (
@@ -11,14 +11,15 @@
 	"garnetline/routing"
 )
 
-// unknownName is shown for a number that this version has no name for.
+// unknownName is shown for a result that has no name, for example one of a newer version.
 const unknownName = "unknown"
 
-// minDuration is the shortest duration of a trace, in ms, that drawings are scaled to.
+// minDuration is the shortest duration, in ms, that a drawing is scaled to. It prevents a division
+// by zero for a trace that ends when it starts.
 const minDuration = 1e-3
 
-// resultNames are the names of the results of attempts. Operators and collectors search for
-// them.
+// resultNames are the displayed names of the results of attempts. They must not change, because
+// operators and collectors search for them.
 var resultNames = [...]string{
 	routing.Served:         "served",
 	routing.ServerError:    "error",
@@ -31,7 +32,7 @@
 	routing.NotCached:      "miss",
 }
 
-// cacheStatusNames are the names of what a server did.
+// cacheStatusNames are the displayed names of the cache statuses that servers report.
 var cacheStatusNames = [...]string{
 	routing.CacheStatusUnknown: "not told",
 	routing.Hit:                "hit",
@@ -46,14 +47,14 @@
 	routing.OriginFailed:       "the archive failed",
 }
 
-// reasonNames are the names of the bits of a trace.Reason, from the lowest.
+// reasonNames are the displayed names of the bits of a trace.Reason, from the lowest bit.
 var reasonNames = [...]string{"failed", "refused", "retried", "slow", "ordinary", "keyed", "asked"}
 
-// flagNames are the names of the bits of an attempt's flags, from the lowest. FlagSent has
-// none: its absence is shown.
+// flagNames are the displayed names of the bits of an attempt's flags, from the lowest bit.
+// trace.FlagSent has no name here, because attemptLabel shows when it is not set.
 var flagNames = [...]string{"join", "renew", "held only"}
 
-// resultName returns the name of an attempt's result.
+// resultName returns the displayed name of an attempt's result.
 func resultName(result uint8) string {
 	if int(result) < len(resultNames) {
 		return resultNames[result]
@@ -61,8 +62,8 @@
 	return unknownName
 }
 
-// ReasonNames returns the names of the reasons for which a trace is retained, separated by
-// commas.
+// ReasonNames returns the displayed names of the reasons for which a trace is retained, separated
+// by commas.
 func ReasonNames(reasons trace.Reason) string {
 	var names []string
 	for bit, name := range reasonNames {
@@ -73,7 +74,7 @@
 	return strings.Join(names, ",")
 }
 
-// label describes a span in a line of text.
+// label returns a one-line description of a span.
 func label(span *trace.Span) string {
 	switch span.Kind {
 	case trace.Request:
@@ -90,7 +91,8 @@
 	return "client's request"
 }
 
-// attemptLabel describes an attempt: its servers, its result and, if known, more about it.
+// attemptLabel returns a description of an attempt: its server, fill source, result, flags and, if
+// known, the number of bytes and the server's inflight requests.
 func attemptLabel(span *trace.Span) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "attempt %d to %v", span.AttemptNumber+1, span.Server)
@@ -115,7 +117,7 @@
 	return text.String()
 }
 
-// serverLabel describes what a server did.
+// serverLabel returns a description of a server's work or fill.
 func serverLabel(span *trace.Span) string {
 	text := span.Kind.String()
 	if span.Server != 0 {
--- a/internal/trace/render/render_test.go
+++ b/internal/trace/render/render_test.go
@@ -10,12 +10,12 @@
 
 var errWrite = errors.New("no space")
 
-// failingWriter fails each write.
+// failingWriter returns errWrite from each Write.
 type failingWriter struct{}
 
 func (failingWriter) Write([]byte) (int, error) { return 0, errWrite }
 
-// Guards against an output that was cut short without an error, as on a full disk.
+// A write error, for example on a full disk, is returned, so that a truncated output is noticed.
 func TestWriteErrorIsReturned(t *testing.T) {
 	id := trace.ID{1, 2, 3, 15: 16}
 	spans := trace.Merge(id, []*trace.Trace{routerTrace(id)})
@@ -29,14 +29,14 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if err := test.write(failingWriter{}); !errors.Is(err, errWrite) {
-				t.Errorf("the error is %v, want %v", err, errWrite)
+				t.Errorf("got error %v, want %v", err, errWrite)
 			}
 		})
 	}
 }
 
-// Guards against an index out of range where a newer router stored a number that this version
-// has no name for.
+// label does not panic with an index out of range for a number without a name, which a router of a
+// newer version can have stored.
 func TestLabelOfUnknownNumbers(t *testing.T) {
 	const unknown = 255
 	for _, test := range []struct {
@@ -49,7 +49,7 @@
 	} {
 		t.Run(test.span.Kind.String(), func(t *testing.T) {
 			if got := label(&test.span); got != test.want {
-				t.Errorf("the label is %q, want %q", got, test.want)
+				t.Errorf("got label %q, want %q", got, test.want)
 			}
 		})
 	}
--- a/internal/trace/render/waterfall.go
+++ b/internal/trace/render/waterfall.go
@@ -9,9 +9,9 @@
 	"garnetline/internal/trace"
 )
 
-// Waterfall writes a trace as lines of text, each with the start and the duration of a span
-// in ms, a bar of the given number of columns, and a description. The spans are those that
-// trace.Merge returns. It returns the first error of writing.
+// Waterfall writes a trace as text with one line per span: its start and its duration in ms, a bar
+// in a field of the given number of columns, and a description. The spans must come from
+// trace.Merge. Waterfall returns the first write error.
 func Waterfall(w io.Writer, spans []trace.Span, columns int) error {
 	if len(spans) == 0 {
 		return nil
@@ -32,16 +32,16 @@
 	return drawing.err
 }
 
-// waterfall holds the state of one Waterfall.
+// waterfall is the state of one call of Waterfall.
 type waterfall struct {
 	out             io.Writer
 	columns         int
 	start, duration float64 // ms, of the whole trace
 	children        map[trace.SpanID][]*trace.Span
-	err             error // the first one
+	err             error // the first write error
 }
 
-// writeTree writes a span and, indented, those below it.
+// writeTree writes a span and then, indented by one more level, its descendants.
 func (d *waterfall) writeTree(span *trace.Span, depth int) {
 	const indent = "  "
 	_, err := fmt.Fprintf(d.out, "%9.1f %9.1f |%s| %s%s\n",
@@ -54,7 +54,7 @@
 	}
 }
 
-// bar draws when the span was, with one column at least.
+// bar returns the bar of a span, at least one column long, padded with spaces to all columns.
 func (d *waterfall) bar(span *trace.Span) string {
 	from := int(d.column(span.Start))
 	from = min(max(from, 0), d.columns-1)
@@ -63,12 +63,12 @@
 	return strings.Repeat(" ", from) + strings.Repeat(barMark(span.Kind), to-from) + strings.Repeat(" ", d.columns-to)
 }
 
-// column converts a time in Unix ms to columns from the start of the trace.
+// column converts a time in Unix ms to a number of columns after the start of the trace.
 func (d *waterfall) column(at float64) float64 {
 	return float64(d.columns) * (at - d.start) / d.duration
 }
 
-// barMark returns the character that a bar is drawn with.
+// barMark returns the character that the bars of a span kind consist of.
 func barMark(kind trace.Kind) string {
 	switch kind {
 	case trace.Wait:
