--- a/internal/trace/serverspans/buffer.go
+++ b/internal/trace/serverspans/buffer.go
@@ -1,32 +1,31 @@
-// Package serverspans is the part of a tracing cache server that holds its spans until the
-// router decides whether their trace is retained. It does no I/O and has no clock; times are in
-// ms of any one clock.
+// Package serverspans buffers the spans of a cache server until the router decides to retain their
+// trace. It does no I/O and has no clock. Callers pass times in ms, all from the same clock.
 //
-// A router sends a decision only for a trace that is retained, since one for every other trace
-// would be a message per ordinary request. A partial trace without a decision at the timeout is
-// retained if the server's own part failed, since its router may have been killed, and
-// discarded otherwise. A fill that several requests joined is held once, in the trace of the
-// request that began it; a decision on the trace of any joined request retains it, also when
-// the first client has disconnected.
+// A router sends a decision only for a trace that is retained, because decisions on discarded
+// traces would cost a message for each ordinary request. If no decision arrives before the
+// timeout, a partial trace is retained if the server's own part failed, since the router may have
+// been killed, and is discarded otherwise. A fill that several requests joined is stored once, in
+// the trace of the request that began it. A decision to retain the trace of any joined request
+// retains the fill too, even if the client of the first request has disconnected.
 package serverspans
 
 import "garnetline/internal/trace"
 
-// partialTrace is a server's spans of one trace that wait for a decision.
+// partialTrace holds the spans of a server in one trace while they wait for a decision.
 type partialTrace struct {
 	trace       *trace.Trace
 	expiresAt   float64         // ms
-	failed      bool            // the server's own part did
-	joinedFills []*partialTrace // of other traces
-	released    bool            // retained, discarded or evicted
+	failed      bool            // whether the server's own part failed
+	joinedFills []*partialTrace // partial traces with the fills that this one joined
+	released    bool            // whether it was retained, discarded or evicted
 }
 
-// Counts is what a Buffer has done since it was made, in partial traces.
+// Counts holds the numbers of partial traces that a Buffer has released since it was created.
 type Counts struct {
-	Retained       int64 // by a decision
-	RetainedFailed int64 // without a decision, since the server's own part failed
-	Discarded      int64 // at the timeout
-	Evicted        int64 // for lack of memory, those that were retained since they failed included
+	Retained       int64 // retained by a decision
+	RetainedFailed int64 // retained without a decision, because the server's own part failed
+	Discarded      int64 // discarded at the timeout
+	Evicted        int64 // evicted to meet the memory limit, including failed ones, which are retained
 }
 
 // Buffer holds partial traces until a decision or a timeout. It is not safe for concurrent use.
@@ -38,11 +37,11 @@
 	bytes           int
 	byTrace         map[trace.ID][]*partialTrace
 	byFill          map[trace.SpanID]*partialTrace
-	byArrival       []*partialTrace // oldest first; released ones are passed over
+	byArrival       []*partialTrace // oldest first; may contain released ones, which are skipped
 }
 
-// New returns a Buffer that holds partial traces for decisionTimeout, in ms, and at most maxBytes
-// of them.
+// New returns a Buffer that holds partial traces for up to decisionTimeout, in ms. maxBytes limits
+// the total size of the partial traces.
 func New(decisionTimeout float64, maxBytes int) *Buffer {
 	return &Buffer{
 		decisionTimeout: decisionTimeout,
@@ -52,9 +51,9 @@
 	}
 }
 
-// Add holds a partial trace from now, in ms, on; failed reports that the server's own part
-// failed. It returns the failed ones that were evicted to meet the memory limit and are to be
-// retained. The oldest are evicted first, those that did not fail before all others.
+// Add adds a partial trace at now, in ms. failed tells whether the server's own part failed. To
+// meet the memory limit, Add evicts the oldest partial traces that did not fail, and then the
+// oldest failed ones. It returns the evicted partial traces that failed; the caller retains them.
 func (b *Buffer) Add(now float64, t *trace.Trace, failed bool) []*trace.Trace {
 	added := &partialTrace{trace: t, expiresAt: now + b.decisionTimeout, failed: failed}
 	for _, link := range t.Links {
@@ -73,7 +72,8 @@
 	return b.evict()
 }
 
-// evict drops partial traces until the memory limit is met, and returns those that failed.
+// evict releases partial traces until the memory limit is met, and returns the failed ones among
+// them.
 func (b *Buffer) evict() []*trace.Trace {
 	var retained []*trace.Trace
 	for b.bytes > b.maxBytes {
@@ -88,7 +88,8 @@
 	return retained
 }
 
-// evictionCandidate returns the oldest partial trace that did not fail, or else the oldest.
+// evictionCandidate returns the oldest partial trace that did not fail or, if all failed, the
+// oldest one.
 func (b *Buffer) evictionCandidate() *partialTrace {
 	var oldest *partialTrace
 	for _, partial := range b.byArrival {
@@ -105,11 +106,11 @@
 	return oldest
 }
 
-// Retain handles the router's decision that a trace is retained, and returns what the server
-// holds of it, with the fills that it joined.
+// Retain handles the router's decision to retain a trace. It releases and returns the server's
+// partial traces of this trace, and those with the fills that they joined.
 //
-// Known fault: release moves the entries of byTrace that are iterated here, so of three or more
-// partial traces with one id some are only found by a further decision.
+// Known defect: release compacts the slice in byTrace that Retain iterates over. With three or more
+// partial traces of one trace, Retain may miss some of them until a further decision on the trace.
 func (b *Buffer) Retain(id trace.ID) []*trace.Trace {
 	var retained []*trace.Trace
 	for _, partial := range b.byTrace[id] {
@@ -125,8 +126,8 @@
 	return retained
 }
 
-// Tick handles the timeouts up to now, in ms, and returns the partial traces that are retained
-// without a decision.
+// Tick releases the partial traces whose timeout is at or before now, in ms. It returns the failed
+// ones, which are retained without a decision.
 func (b *Buffer) Tick(now float64) []*trace.Trace {
 	var retained []*trace.Trace
 	for len(b.byArrival) > 0 {
@@ -150,7 +151,8 @@
 	return retained
 }
 
-// release releases what a partial trace holds. Every one is released here, once.
+// release removes a partial trace from the maps and from the memory in use. Each partial trace must
+// be released only once. The entry in byArrival stays until Tick reaches it.
 func (b *Buffer) release(partial *partialTrace) {
 	partial.released = true
 	b.bytes -= partial.trace.Size()
@@ -173,5 +175,5 @@
 	b.byTrace[id] = remaining
 }
 
-// Bytes returns how many bytes the partial traces hold that wait for a decision.
+// Bytes returns the total size, in bytes, of the partial traces that wait for a decision.
 func (b *Buffer) Bytes() int { return b.bytes }
--- a/internal/trace/serverspans/buffer_test.go
+++ b/internal/trace/serverspans/buffer_test.go
@@ -8,11 +8,11 @@
 
 const decisionTimeout = 1000.0 // ms
 
-// noFill is passed for a server that did not fill.
+// noFill is the fill argument of serverTrace for a server that began no fill.
 const noFill trace.SpanID = 0
 
-// serverTrace is a server's partial trace: its work, the fill that it began, and links to fills
-// that it joined.
+// serverTrace returns the partial trace of a server, with a span of its work, a span of the fill
+// that it began, and links to the fills that it joined.
 func serverTrace(id byte, work, fill trace.SpanID, joined ...trace.Link) *trace.Trace {
 	t := &trace.Trace{
 		ID:     trace.ID{id},
@@ -26,30 +26,30 @@
 	return t
 }
 
-// add adds a partial trace, for which there is memory.
+// add adds a partial trace, and expects no eviction.
 func add(t *testing.T, buffer *Buffer, now float64, added *trace.Trace, failed bool) {
 	t.Helper()
 	if evicted := buffer.Add(now, added, failed); len(evicted) != 0 {
-		t.Fatalf("%d traces were evicted below the memory limit", len(evicted))
+		t.Fatalf("Add evicted %d traces below the memory limit, want 0", len(evicted))
 	}
 }
 
-// checkTraces compares traces that a buffer returned.
-func checkTraces(t *testing.T, what string, got []*trace.Trace, want ...*trace.Trace) {
+// checkTraces compares the traces that a buffer returned with the expected ones, by identity.
+func checkTraces(t *testing.T, event string, got []*trace.Trace, want ...*trace.Trace) {
 	t.Helper()
 	if len(got) != len(want) {
-		t.Errorf("%s: %d traces, want %d", what, len(got), len(want))
+		t.Errorf("%s: got %d traces, want %d", event, len(got), len(want))
 		return
 	}
 	for i := range got {
 		if got[i] != want[i] {
-			t.Errorf("%s: trace %d is %v of span %v, want %v of span %v", what, i, got[i].ID, got[i].Spans[0].ID, want[i].ID, want[i].Spans[0].ID)
+			t.Errorf("%s: trace at index %d: got %v with span %v, want %v with span %v", event, i, got[i].ID, got[i].Spans[0].ID, want[i].ID, want[i].Spans[0].ID)
 		}
 	}
 }
 
-// A decision retains its trace and the fill that it joined, which belongs to another trace that
-// is not retained itself; both are returned once.
+// A decision on a trace also retains a fill that the trace joined, although the fill belongs to
+// another trace without a decision. Both partial traces are returned only once.
 func TestDecisionRetainsJoinedFill(t *testing.T) {
 	buffer := New(decisionTimeout, 1<<20)
 	filling := serverTrace(1, 10, 11)
@@ -60,11 +60,11 @@
 	checkTraces(t, "the same decision again", buffer.Retain(trace.ID{2}))
 	checkTraces(t, "a decision on the trace of the fill", buffer.Retain(trace.ID{1}))
 	if got := buffer.Bytes(); got != 0 {
-		t.Errorf("%d bytes are held in the end", got)
+		t.Errorf("buffer holds %d bytes at the end, want 0", got)
 	}
 }
 
-// At the timeout what failed is retained without a decision, and all else is discarded.
+// At the timeout, failed partial traces are retained without a decision and others are discarded.
 func TestTimeoutRetainsFailedTraces(t *testing.T) {
 	buffer := New(decisionTimeout, 1<<20)
 	filling := serverTrace(1, 10, 11)
@@ -79,6 +79,6 @@
 	checkTraces(t, "at the timeout", buffer.Tick(decisionTimeout+3), failed)
 	checkTraces(t, "a decision after the timeout", buffer.Retain(trace.ID{3}))
 	if got := buffer.Bytes(); got != 0 {
-		t.Errorf("%d bytes are held in the end", got)
+		t.Errorf("buffer holds %d bytes at the end, want 0", got)
 	}
 }
--- a/internal/trace/serverspans/fuzz_test.go
+++ b/internal/trace/serverspans/fuzz_test.go
@@ -14,20 +14,21 @@
 	fuzzTimeout  = 100.0 // ms
 )
 
-// bufferModel knows what a buffer was given and has returned.
+// bufferModel applies random operations to a buffer, and tracks the traces that the buffer received
+// and returned.
 type bufferModel struct {
 	t        *testing.T
 	buffer   *Buffer
 	rng      *rand.Rand
 	now      float64 // ms
 	nextSpan trace.SpanID
-	fills    []trace.Link
+	fills    []trace.Link // links to the fills of added traces
 	returned map[*trace.Trace]bool
-	failed   []*trace.Trace
+	failed   []*trace.Trace // added traces that failed
 }
 
-// FuzzBufferAccounting checks by random steps that the memory limit holds, that no trace is
-// returned twice, that every failed one is returned in the end, and that nothing is held then.
+// FuzzBufferAccounting applies random steps to a buffer. It checks that the buffer stays within the
+// memory limit, returns no trace twice, returns each failed trace by the end, and is empty then.
 func FuzzBufferAccounting(f *testing.F) {
 	fuzzutil.AddRandomSeeds(f, 16, 500)
 	f.Fuzz(func(t *testing.T, steps []byte) {
@@ -41,14 +42,15 @@
 		for i := 0; i+1 < len(steps) && i < 2*fuzzMaxSteps; i += 2 {
 			model.step(steps[i], steps[i+1])
 			if got := model.buffer.Bytes(); got > fuzzMaxBytes {
-				t.Fatalf("%d bytes are held, want at most %d", got, fuzzMaxBytes)
+				t.Fatalf("buffer holds %d bytes, want at most %d", got, fuzzMaxBytes)
 			}
 		}
 		model.finish()
 	})
 }
 
-// step adds a trace twice as often as it decides on one or lets time pass.
+// step applies one operation: adding a trace, a decision on a trace, or the passing of time. Adding
+// is twice as frequent as each of the others.
 func (m *bufferModel) step(operation, argument byte) {
 	switch operation % 4 {
 	case 0, 1:
@@ -61,7 +63,8 @@
 	}
 }
 
-// add adds one of 16 traces: a third of them fill, a fifth join a fill, a seventh failed.
+// add adds a partial trace of one of 16 trace IDs. By the argument, one in three begins a fill, one
+// in five joins a fill, and one in seven failed.
 func (m *bufferModel) add(argument byte) {
 	fill := noFill
 	if argument%3 == 0 {
@@ -82,30 +85,31 @@
 	m.check(m.buffer.Add(m.now, added, failed))
 }
 
-// check notes what the buffer returned.
+// check records the traces that the buffer returned, and fails if one was returned before.
 func (m *bufferModel) check(returned []*trace.Trace) {
 	m.t.Helper()
 	for _, t := range returned {
 		if m.returned[t] {
-			m.t.Fatalf("trace %v of span %v is returned twice", t.ID, t.Spans[0].ID)
+			m.t.Fatalf("trace %v with span %v was returned twice, want once", t.ID, t.Spans[0].ID)
 		}
 		m.returned[t] = true
 	}
 }
 
-// finish lets all timeouts pass.
+// finish advances the time beyond all timeouts, and checks that the buffer has returned all failed
+// traces and is empty.
 func (m *bufferModel) finish() {
 	m.t.Helper()
 	m.check(m.buffer.Tick(m.now + fuzzTimeout + 1))
 	for _, failed := range m.failed {
 		if !m.returned[failed] {
-			m.t.Errorf("trace %v of span %v failed and is not returned", failed.ID, failed.Spans[0].ID)
+			m.t.Errorf("failed trace %v with span %v was not returned, want once", failed.ID, failed.Spans[0].ID)
 		}
 	}
 	if got := m.buffer.Bytes(); got != 0 {
-		m.t.Errorf("%d bytes are held in the end", got)
+		m.t.Errorf("buffer holds %d bytes after all timeouts, want 0", got)
 	}
 	if traces, fills := len(m.buffer.byTrace), len(m.buffer.byFill); traces != 0 || fills != 0 {
-		m.t.Errorf("%d traces and %d fills are held in the end", traces, fills)
+		m.t.Errorf("buffer holds %d traces and %d fills after all timeouts, want 0 and 0", traces, fills)
 	}
 }
