--- a/plugin/asyncapi.go
+++ b/plugin/asyncapi.go
@@ -8,29 +8,30 @@
 	"gopkg.in/yaml.v3"
 )
 
-// AsyncAPI reads an AsyncAPI document of version 2 or 3, in JSON or YAML, whose operations
-// have one of classes. An operation that receives is Idempotent; one that sends is
-// IdempotentWithKey if the headers of each of its messages have an Idempotency-Key, and
-// NonIdempotent otherwise; the extension x-garnetline-effect (safe, keyed or unsafe)
-// overrides that. An error names the place in the document.
+// AsyncAPI reads the operations of an AsyncAPI document of version 2 or 3, in JSON or YAML.
+// The class of each operation must be one of classes. An operation that receives messages is
+// Idempotent. An operation that sends messages is IdempotentWithKey if the headers of each of
+// its messages declare an Idempotency-Key, and NonIdempotent otherwise. The extension
+// x-garnetline-effect (safe, keyed or unsafe) overrides this default. An error names its
+// location in the document.
 func AsyncAPI(doc []byte, classes []string) (Operations, error) {
 	var root yaml.Node
 	if err := yaml.Unmarshal(doc, &root); err != nil {
-		return nil, fmt.Errorf("asyncapi: %w", err)
+		return nil, fmt.Errorf("asyncapi: parse document: %w", err)
 	}
 	if len(root.Content) == 0 || root.Content[0].Kind != yaml.MappingNode {
-		return nil, errors.New("asyncapi: not a document")
+		return nil, errors.New("asyncapi: expected a mapping at the top level of the document, got an empty document or a value of another type")
 	}
 	document := &asyncAPIDocument{root: root.Content[0], classes: classes, operations: Operations{}}
 	err := document.read()
 	return document.operations, err
 }
 
-// asyncAPIDocument is an AsyncAPI document that is being read.
+// asyncAPIDocument holds an AsyncAPI document and the operations that are read from it.
 type asyncAPIDocument struct {
 	root       *yaml.Node
 	classes    []string
-	operations Operations // read so far
+	operations Operations // the operations read so far
 }
 
 func (d *asyncAPIDocument) read() error {
@@ -41,11 +42,12 @@
 	case strings.HasPrefix(version, "3."):
 		return d.readVersion3()
 	}
-	return fmt.Errorf("asyncapi: asyncapi: version %q is neither 2 nor 3", version)
+	return fmt.Errorf("asyncapi: field asyncapi: expected version 2.x or 3.x, got %q", version)
 }
 
-// version2Operations are the operations of a channel in version 2, whose names are seen from
-// the client: it publishes what the application receives.
+// version2Operations lists the operations of a channel in AsyncAPI 2. AsyncAPI 2 names them
+// from the client's side: in a "publish" operation the client sends messages to the described
+// application, and in a "subscribe" operation it receives messages.
 var version2Operations = []struct {
 	name     string
 	receives bool
@@ -62,7 +64,7 @@
 				continue
 			}
 			described := asyncAPIOperation{
-				place:    fmt.Sprintf("asyncapi: channels.%s.%s", channel, kind.name),
+				location: fmt.Sprintf("asyncapi: channels.%s.%s", channel, kind.name),
 				id:       scalarText(mappingValue(node, "operationId")),
 				node:     node,
 				receives: kind.receives,
@@ -78,15 +80,15 @@
 
 func (d *asyncAPIDocument) readVersion3() error {
 	for id, node := range mappingEntries(mappingValue(d.root, "operations")) {
-		described := asyncAPIOperation{place: "asyncapi: operations." + id, id: id, node: node}
+		described := asyncAPIOperation{location: "asyncapi: operations." + id, id: id, node: node}
 		action := scalarText(mappingValue(node, "action"))
 		if action != "send" && action != "receive" {
-			return fmt.Errorf("%s.action: %q is neither send nor receive", described.place, action)
+			return fmt.Errorf("%s.action: expected \"send\" or \"receive\", got %q", described.location, action)
 		}
 		described.receives = action == "receive"
 		described.messages = mappingValue(node, "messages")
 		if described.messages == nil {
-			channel, err := d.followReference(described.place+".channel", mappingValue(node, "channel"))
+			channel, err := d.followReference(described.location+".channel", mappingValue(node, "channel"))
 			if err != nil {
 				return err
 			}
@@ -99,35 +101,35 @@
 	return nil
 }
 
-// asyncAPIOperation is an operation as a document of either version describes it.
+// asyncAPIOperation is an operation as described by a document of AsyncAPI version 2 or 3.
 type asyncAPIOperation struct {
-	place    string // in the document
+	location string // where the document describes the operation, for error texts
 	id       string
 	node     *yaml.Node
 	receives bool
-	messages *yaml.Node // one message, a list or a mapping; nil: none
+	messages *yaml.Node // one message, a list or a mapping of messages; nil if the operation has none
 }
 
-// addOperation adds an operation to those of the document.
+// addOperation converts a described operation and adds it to d.operations.
 func (d *asyncAPIDocument) addOperation(described asyncAPIOperation) error {
 	idempotency, err := d.idempotencyOf(described)
 	if err != nil {
 		return err
 	}
 	operation := Operation{ID: described.id, Effect: idempotency}
-	if err := operation.applyExtensions(described.place, described.tags(), described.extension); err != nil {
+	if err := operation.applyExtensions(described.location, described.tags(), described.extension); err != nil {
 		return err
 	}
-	return d.operations.add(described.place, operation, d.classes)
+	return d.operations.add(described.location, operation, d.classes)
 }
 
-// idempotencyOf returns the idempotency of an operation without extensions.
+// idempotencyOf returns the idempotency that an operation has unless an extension overrides it.
 func (d *asyncAPIDocument) idempotencyOf(described asyncAPIOperation) (Idempotency, error) {
 	if described.receives {
 		return Idempotent, nil
 	}
-	keyed, err := d.allCarryKey(described.place+".messages", described.messages)
-	if keyed {
+	allKeyed, err := d.allHaveIdempotencyKey(described.location+".messages", described.messages)
+	if allKeyed {
 		return IdempotentWithKey, err
 	}
 	return NonIdempotent, err
@@ -142,40 +144,40 @@
 	return names
 }
 
-// extension is an extensionReader.
+// extension returns the text of an extension of the operation. It is an extensionReader.
 func (o asyncAPIOperation) extension(name string) (string, bool, error) {
 	value := mappingValue(o.node, name)
 	if value == nil {
 		return "", false, nil
 	}
 	if value.Kind != yaml.ScalarNode || value.Tag != "!!str" {
-		return "", true, fmt.Errorf("%s.%s: line %d: not a text", o.place, name, value.Line)
+		return "", true, fmt.Errorf("%s.%s: line %d: expected a string, got a value of another type", o.location, name, value.Line)
 	}
 	return scalarText(value), true, nil
 }
 
-// allCarryKey reports whether there are messages and all have an idempotency key in their
-// headers.
-func (d *asyncAPIDocument) allCarryKey(place string, messages *yaml.Node) (bool, error) {
+// allHaveIdempotencyKey reports whether there is at least one message and the headers of every
+// message declare an idempotency key.
+func (d *asyncAPIDocument) allHaveIdempotencyKey(location string, messages *yaml.Node) (bool, error) {
 	if messages == nil {
 		return false, nil
 	}
-	messages, err := d.followReference(place, messages)
+	messages, err := d.followReference(location, messages)
 	if err != nil {
 		return false, err
 	}
 	list := messageList(messages)
 	for _, message := range list {
-		carriesKey, err := d.carriesKey(place, message)
-		if err != nil || !carriesKey {
+		hasKey, err := d.hasIdempotencyKey(location, message)
+		if err != nil || !hasKey {
 			return false, err
 		}
 	}
 	return len(list) > 0, nil
 }
 
-// messageList returns the messages of a node that is a message, a choice of messages, a list
-// or a mapping of messages by name.
+// messageList returns the messages of a node, which is one message, a oneOf list of messages,
+// a list of messages or a mapping of names to messages.
 func messageList(node *yaml.Node) []*yaml.Node {
 	if alternatives := mappingValue(node, "oneOf"); alternatives != nil {
 		return childNodes(alternatives)
@@ -187,13 +189,13 @@
 	return []*yaml.Node{node}
 }
 
-// carriesKey reports whether a message has an idempotency key in its headers.
-func (d *asyncAPIDocument) carriesKey(place string, message *yaml.Node) (bool, error) {
-	message, err := d.followReference(place, message)
+// hasIdempotencyKey reports whether the headers of a message declare an idempotency key.
+func (d *asyncAPIDocument) hasIdempotencyKey(location string, message *yaml.Node) (bool, error) {
+	message, err := d.followReference(location, message)
 	if err != nil {
 		return false, err
 	}
-	headers, err := d.followReference(place+".headers", mappingValue(message, "headers"))
+	headers, err := d.followReference(location+".headers", mappingValue(message, "headers"))
 	if err != nil {
 		return false, err
 	}
@@ -205,12 +207,13 @@
 	return false, nil
 }
 
-// maxReferences is how many references are followed in a row: a circle of them ends.
+// maxReferences limits the length of a chain of references, so that following a circular chain
+// ends with an error.
 const maxReferences = 16
 
-// followReference returns the node that a node refers to within the document, or the node
-// itself if it is no reference.
-func (d *asyncAPIDocument) followReference(place string, node *yaml.Node) (*yaml.Node, error) {
+// followReference returns the node that a node refers to by $ref within the document, or the
+// node itself if it has no $ref. It follows a chain of references to its end.
+func (d *asyncAPIDocument) followReference(location string, node *yaml.Node) (*yaml.Node, error) {
 	for range maxReferences {
 		reference := mappingValue(node, "$ref")
 		if reference == nil {
@@ -219,20 +222,21 @@
 		target := scalarText(reference)
 		path, ok := strings.CutPrefix(target, "#/")
 		if !ok {
-			return nil, fmt.Errorf("%s: line %d: $ref %q leads out of the document", place, reference.Line, target)
+			return nil, fmt.Errorf("%s: line %d: expected a $ref within the document, starting with \"#/\", got %q", location, reference.Line, target)
 		}
 		if node = d.resolvePointer(path); node == nil {
-			return nil, fmt.Errorf("%s: line %d: $ref %q leads nowhere", place, reference.Line, target)
+			return nil, fmt.Errorf("%s: line %d: target of $ref %q not found in the document", location, reference.Line, target)
 		}
 	}
-	return nil, fmt.Errorf("%s: $ref goes round in a circle", place)
+	return nil, fmt.Errorf("%s: chain of $ref references is circular or too long", location)
 }
 
-// pointerEscapes are the escapes of a JSON pointer (RFC 6901), in the order in which they are
-// undone.
+// pointerEscapes lists the escape sequences of a JSON pointer (RFC 6901), in the order in which
+// resolvePointer decodes them.
 var pointerEscapes = []struct{ escaped, plain string }{{"~1", "/"}, {"~0", "~"}}
 
-// resolvePointer returns the node at a JSON pointer, given without its leading "/", or nil.
+// resolvePointer returns the node at a JSON pointer, or nil if there is none. The pointer is
+// given without its leading "/".
 func (d *asyncAPIDocument) resolvePointer(pointer string) *yaml.Node {
 	node := d.root
 	for key := range strings.SplitSeq(pointer, "/") {
--- a/plugin/balancer.go
+++ b/plugin/balancer.go
@@ -10,29 +10,31 @@
 	"google.golang.org/grpc/status"
 )
 
-// balancerName is the name of the balancer in gRPC's registry and in the service config.
+// balancerName is the name of the balancer in gRPC's registry of balancers and in the service
+// config.
 const balancerName = "garnetline"
 
 func init() {
 	balancer.Register(base.NewBalancerBuilder(balancerName, pickerBuilder{}, base.Config{}))
 }
 
-// selectedServer is the server that the dispatcher chose for an RPC. It travels from the
-// interceptors to the picker in the RPC's context.
+// selectedServer is the server that the dispatcher selected for an RPC. The interceptors pass
+// it to the picker in the RPC's context.
 type selectedServer struct {
 	address string
-	picked  atomic.Bool // the picker found a connection to it
+	picked  atomic.Bool // whether the picker found a connection to the server
 }
 
 type selectedServerKey struct{}
 
-// withSelectedServer returns a context whose RPC goes to the server at an address.
+// withSelectedServer returns a context that makes the picker send an RPC to the server at an
+// address, and the record of that selection.
 func withSelectedServer(ctx context.Context, address string) (context.Context, *selectedServer) {
 	server := &selectedServer{address: address}
 	return context.WithValue(ctx, selectedServerKey{}, server), server
 }
 
-// pickerBuilder makes pickers for the servers that are connected.
+// pickerBuilder builds pickers for the servers with ready connections.
 type pickerBuilder struct{}
 
 // Build implements base.PickerBuilder.
@@ -44,18 +46,19 @@
 	return connections
 }
 
-// picker finds the connection to the selected server. It holds connections by address.
+// picker maps the address of each connected server to its connection. It picks the connection
+// to the selected server of an RPC.
 type picker map[string]balancer.SubConn
 
 // Pick implements balancer.Picker.
 func (p picker) Pick(info balancer.PickInfo) (balancer.PickResult, error) {
 	server, ok := info.Ctx.Value(selectedServerKey{}).(*selectedServer)
 	if !ok {
-		return balancer.PickResult{}, status.Error(codes.Internal, "garnetline: the plugin's interceptors are not in use")
+		return balancer.PickResult{}, status.Error(codes.Internal, "garnetline: no server selected for the RPC: expected a ClientConn that uses the interceptors of Plugin.DialOptions")
 	}
 	connection, ok := p[server.address]
 	if !ok {
-		return balancer.PickResult{}, status.Errorf(codes.Unavailable, "garnetline: %s is not connected", server.address)
+		return balancer.PickResult{}, status.Errorf(codes.Unavailable, "garnetline: no ready connection to the selected server %s", server.address)
 	}
 	server.picked.Store(true)
 	return balancer.PickResult{SubConn: connection}, nil
--- a/plugin/balancer_test.go
+++ b/plugin/balancer_test.go
@@ -9,7 +9,7 @@
 	"google.golang.org/grpc/status"
 )
 
-// fakeSubConn stands for a connection to a server.
+// fakeSubConn is a stand-in for a connection to a server.
 type fakeSubConn struct{ balancer.SubConn }
 
 func TestPickerFindsTheSelectedServer(t *testing.T) {
@@ -21,10 +21,10 @@
 		t.Fatal(err)
 	}
 	if got.SubConn != want {
-		t.Errorf("picked %p, want %p", got.SubConn, want)
+		t.Errorf("got connection %p, want %p", got.SubConn, want)
 	}
 	if !server.picked.Load() {
-		t.Error("the server is not marked as picked")
+		t.Error("got picked false for a connected server, want true")
 	}
 }
 
@@ -36,17 +36,17 @@
 		code codes.Code
 		text string
 	}{
-		{"no server is selected", t.Context(), codes.Internal, "garnetline: the plugin's interceptors are not in use"},
-		{"not connected", selected, codes.Unavailable, "garnetline: 192.0.2.1:80 is not connected"},
+		{"no server is selected", t.Context(), codes.Internal, "garnetline: no server selected for the RPC: expected a ClientConn that uses the interceptors of Plugin.DialOptions"},
+		{"not connected", selected, codes.Unavailable, "garnetline: no ready connection to the selected server 192.0.2.1:80"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := picker{"192.0.2.2:80": &fakeSubConn{}}.Pick(balancer.PickInfo{Ctx: test.ctx})
 			if got := status.Convert(err); got.Code() != test.code || got.Message() != test.text {
-				t.Errorf("%v %q, want %v %q", got.Code(), got.Message(), test.code, test.text)
+				t.Errorf("got status %v %q, want %v %q", got.Code(), got.Message(), test.code, test.text)
 			}
 		})
 	}
 	if server.picked.Load() {
-		t.Error("a server without a connection is marked as picked")
+		t.Error("got picked true for a server without a connection, want false")
 	}
 }
--- a/plugin/call.go
+++ b/plugin/call.go
@@ -13,8 +13,8 @@
 	"garnetline/routing"
 )
 
-// interceptUnary carries out a unary RPC: the dispatcher decides which attempts are made,
-// and at which servers.
+// interceptUnary executes a unary RPC. The dispatcher decides how many attempts are made and
+// to which servers they go.
 func (p *Plugin) interceptUnary(
 	ctx context.Context, fullMethod string, message, reply any,
 	conn *grpc.ClientConn, invoker grpc.UnaryInvoker, options ...grpc.CallOption,
@@ -35,20 +35,21 @@
 	return call.result(response)
 }
 
-// unaryCall is one unary RPC, and the transport that carries out its attempts.
+// unaryCall is one unary RPC. It is also the dispatch.Transport that executes the attempts of
+// that RPC.
 type unaryCall struct {
 	plugin *Plugin
-	ctx    context.Context                 // of the caller
-	invoke func(ctx context.Context) error // makes one attempt, which writes to the caller's reply
+	ctx    context.Context                 // the caller's context
+	invoke func(ctx context.Context) error // makes one attempt and writes its response to the caller's reply
 
 	mu       sync.Mutex
-	finished bool // no further attempt begins
-	lastErr  error
-	inFlight sync.WaitGroup // attempts
+	finished bool           // if true, no further attempt is started
+	lastErr  error          // the error of the attempt that completed last; nil if it succeeded
+	inFlight sync.WaitGroup // the running attempts
 }
 
-// finish lets no further attempt begin and waits for the one in flight, which still writes
-// to the caller's reply.
+// finish prevents further attempts and waits for those in flight, because they still write to
+// the caller's reply.
 func (c *unaryCall) finish() {
 	c.mu.Lock()
 	c.finished = true
@@ -56,8 +57,8 @@
 	c.inFlight.Wait()
 }
 
-// result returns the error that the caller gets for the dispatcher's response. The call must
-// be finished.
+// result returns the error that the caller receives for the dispatcher's response, or nil if
+// the RPC succeeded. finish must have returned before.
 func (c *unaryCall) result(response dispatch.Response) error {
 	switch response.Kind {
 	case dispatch.Served, dispatch.NotModified:
@@ -68,11 +69,11 @@
 	if c.lastErr != nil {
 		return c.lastErr
 	}
-	return status.Error(codes.DeadlineExceeded, "garnetline: no answer in time")
+	return status.Error(codes.DeadlineExceeded, "garnetline: no response from any server before the deadline")
 }
 
-// Send implements dispatch.Transport: it begins an attempt in a goroutine that finish waits
-// for.
+// Send implements dispatch.Transport. It starts an attempt in a goroutine, and finish waits for
+// that goroutine.
 func (c *unaryCall) Send(attempt *dispatch.Attempt) *dispatch.Completion {
 	address, listed := c.plugin.serverAddress(attempt.Decision.Server)
 	c.mu.Lock()
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// runAttempt carries out an attempt and reports its end to the dispatcher.
+// runAttempt executes an attempt and reports its result to the dispatcher.
 func (c *unaryCall) runAttempt(ctx context.Context, attempt *dispatch.Attempt, address string) {
 	ctx = withAttemptTraceparent(ctx, attempt.Trace)
 	ctx, server := withSelectedServer(ctx, address)
@@ -108,18 +109,21 @@
 	})
 }
 
-// cancelRPC cancels the RPC of an attempt: gRPC resets its stream, and the invoker returns.
+// cancelRPC cancels the RPC of an attempt. gRPC then resets the RPC's stream, and the invoker
+// returns.
 type cancelRPC context.CancelFunc
 
 // Cancel implements dispatch.TransportState.
 func (c cancelRPC) Cancel(*dispatch.Attempt) { c() }
 
-// Release implements dispatch.TransportState. The attempt's goroutine releases its context.
+// Release implements dispatch.TransportState. It does nothing, because the attempt's goroutine
+// releases the context itself.
 func (c cancelRPC) Release(*dispatch.Attempt) {}
 
-// attemptResult returns what the status of an RPC says of its attempt. A code that neither
-// gRPC nor an overloaded or broken server returns is the application's, and a response.
-// picked tells whether there was a connection to write to.
+// attemptResult converts the status code of an attempt's RPC to the result that the dispatcher
+// is told. Codes that gRPC itself or an overloaded or broken server returns are failures. Any
+// other code comes from the application and counts as a response. picked tells whether there
+// was a connection to the server.
 func attemptResult(code codes.Code, picked bool, idempotency routing.Idempotency) routing.Result {
 	switch code {
 	case codes.Unavailable:
@@ -132,7 +136,8 @@
 	case codes.DeadlineExceeded:
 		return routing.TimedOut
 	case codes.ResourceExhausted:
-		// The server may have executed a part: only an idempotent RPC counts as rejected.
+		// The server may have executed part of the RPC, so only an idempotent RPC counts as
+		// rejected, which permits a retry.
 		if idempotency == routing.Idempotent {
 			return routing.Rejected
 		}
--- a/plugin/call_test.go
+++ b/plugin/call_test.go
@@ -15,8 +15,8 @@
 	"garnetline/routing"
 )
 
-// RPCs for one object meet at its server; the test client has seen that objects spread over all
-// servers.
+// All RPCs for one object go to the same server. newTestClient has already checked that different
+// objects reach all servers.
 func TestRPCsOfAnObjectGoToOneServer(t *testing.T) {
 	client := newTestClient(t, "get", 3)
 	const repeats = 3
@@ -26,12 +26,13 @@
 			client.mustCheck(service)
 		}
 		if calls := client.calls(service); !slices.Contains(calls, repeats) {
-			t.Errorf("%s: servers have %v calls, want %d at one of them", service, calls, repeats)
+			t.Errorf("%s: got %v calls by server, want %d calls to one server", service, calls, repeats)
 		}
 	}
 }
 
-// What may have been executed is retried only if the description allows it.
+// An RPC that the server may have executed is retried only if the description says that its
+// operation is idempotent.
 func TestOnlyIdempotentRPCsAreRetried(t *testing.T) {
 	for _, test := range []struct {
 		method    string
@@ -52,28 +53,28 @@
 			})
 			err := client.check("x")
 			if calls := sum(client.calls("x")); calls != test.wantCalls {
-				t.Errorf("%d calls, want %d", calls, test.wantCalls)
+				t.Errorf("got %d calls, want %d", calls, test.wantCalls)
 			}
 			if code := status.Code(err); code != test.wantCode {
-				t.Errorf("error %v, want code %v", err, test.wantCode)
+				t.Errorf("got error %v, want code %v", err, test.wantCode)
 			}
 		})
 	}
 }
 
-// The application's own errors are responses: they are passed on and not retried.
+// An error of the application counts as a response: the caller receives it without a retry.
 func TestApplicationErrorsAreNotRetried(t *testing.T) {
 	client := newTestClient(t, "get", 2)
 	client.setRespond(func(context.Context) error { return status.Error(codes.NotFound, "no such part") })
 	if err := client.check("x"); status.Code(err) != codes.NotFound {
-		t.Errorf("error %v, want code %v", err, codes.NotFound)
+		t.Errorf("got error %v, want code %v", err, codes.NotFound)
 	}
 	if calls := sum(client.calls("x")); calls != 1 {
-		t.Errorf("%d calls, want 1", calls)
+		t.Errorf("got %d calls, want 1", calls)
 	}
 }
 
-// The cancellation of a caller reaches the server.
+// When the caller cancels an RPC, the RPC is canceled at the server too.
 func TestCanceledRPCIsCanceledAtItsServer(t *testing.T) {
 	client := newTestClient(t, "get", 1)
 	began, ended := make(chan struct{}), make(chan struct{})
@@ -91,7 +92,7 @@
 	}()
 	_, err := client.health.Check(ctx, &health.HealthCheckRequest{Service: "x"})
 	if status.Code(err) != codes.Canceled {
-		t.Errorf("error %v, want code %v", err, codes.Canceled)
+		t.Errorf("got error %v, want code %v", err, codes.Canceled)
 	}
 	<-ended
 }
@@ -120,13 +121,13 @@
 	} {
 		t.Run(fmt.Sprintf("%v, picked %v, idempotency %d", test.code, test.picked, test.idempotency), func(t *testing.T) {
 			if got := attemptResult(test.code, test.picked, test.idempotency); got != test.want {
-				t.Errorf("result %v, want %v", got, test.want)
+				t.Errorf("got result %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-func TestResultOfAResponse(t *testing.T) {
+func TestUnaryCallResult(t *testing.T) {
 	lost := status.Error(codes.Unavailable, "going down")
 	for _, test := range []struct {
 		name    string
@@ -137,15 +138,15 @@
 	}{
 		{"served", nil, dispatch.Served, codes.OK, ""},
 		{"served with the application's error", status.Error(codes.NotFound, "no such part"), dispatch.Served, codes.NotFound, "no such part"},
-		{"rejected", lost, dispatch.Rejected, codes.Unavailable, "garnetline: refused, a retry is harmless"},
+		{"rejected", lost, dispatch.Rejected, codes.Unavailable, "garnetline: RPC not served; a retry is safe"},
 		{"failed after an attempt", lost, dispatch.Failed, codes.Unavailable, "going down"},
-		{"failed without an attempt", nil, dispatch.Failed, codes.DeadlineExceeded, "garnetline: no answer in time"},
+		{"failed without an attempt", nil, dispatch.Failed, codes.DeadlineExceeded, "garnetline: no response from any server before the deadline"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			call := &unaryCall{lastErr: test.lastErr}
 			got := status.Convert(call.result(dispatch.Response{Kind: test.kind}))
 			if got.Code() != test.code || got.Message() != test.text {
-				t.Errorf("%v %q, want %v %q", got.Code(), got.Message(), test.code, test.text)
+				t.Errorf("got status %v %q, want %v %q", got.Code(), got.Message(), test.code, test.text)
 			}
 		})
 	}
@@ -162,7 +163,7 @@
 		t.Fatal(err)
 	}
 	if response.Status != health.HealthCheckResponse_SERVING {
-		t.Errorf("status %v, want %v", response.Status, health.HealthCheckResponse_SERVING)
+		t.Errorf("got status %v, want %v", response.Status, health.HealthCheckResponse_SERVING)
 	}
 }
 
@@ -170,6 +171,6 @@
 	client := newTestClient(t, "get", 1)
 	err := client.plugin.interceptUnary(t.Context(), "/a.B/Other", nil, nil, nil, nil)
 	if status.Code(err) != codes.FailedPrecondition {
-		t.Errorf("error %v, want code %v", err, codes.FailedPrecondition)
+		t.Errorf("got error %v, want code %v", err, codes.FailedPrecondition)
 	}
 }
--- a/plugin/classes.go
+++ b/plugin/classes.go
@@ -7,12 +7,13 @@
 	"garnetline/routing"
 )
 
-// classTable holds the classes of Options as the routing package knows them. There the
-// idempotency is a property of the class, so that each class is held once for each
-// idempotency that an operation of it may have.
+// classTable holds the classes of Options as classes of the routing package. In the routing
+// package the idempotency is a property of the class, but here it is a property of the
+// operation. The table therefore holds one routing class for each combination of a class and
+// an idempotency.
 type classTable struct {
 	routing []routing.Class
-	index   map[classKey]int // into routing
+	index   map[classKey]int // index of each class in routing
 }
 
 type classKey struct {
@@ -20,12 +21,13 @@
 	idempotency Idempotency
 }
 
-// newClassTable returns the table of classes whose defaults are set.
+// newClassTable returns the table for classes to which withDefaults has been applied. It returns
+// an error for a class that lacks a name, a latency objective or a deadline.
 func newClassTable(classes []Class) (*classTable, error) {
 	table := &classTable{index: map[classKey]int{}}
 	for i, class := range classes {
 		if class.Name == "" || class.LatencyObjective <= 0 || class.Deadline <= 0 {
-			return nil, fmt.Errorf("plugin: Classes[%d]: want a Name, an Aim and a Deadline", i)
+			return nil, fmt.Errorf("plugin: Classes[%d]: expected a non-empty Name, a positive LatencyObjective and a positive Deadline; at least one is not set or negative", i)
 		}
 		for idempotency := Idempotent; idempotency <= NonIdempotent; idempotency++ {
 			table.add(class, idempotency)
@@ -46,7 +48,7 @@
 	})
 }
 
-// indexOf returns the index of an operation's class in routing.
+// indexOf returns the index in t.routing of an operation's class.
 func (t *classTable) indexOf(operation Operation) int {
 	return t.index[classKey{operation.Class, operation.Effect}]
 }
@@ -55,17 +57,17 @@
 func (t *classTable) checkOperations(operations Operations) error {
 	for id, operation := range operations {
 		if _, ok := t.index[classKey{operation.Class, operation.Effect}]; !ok {
-			return fmt.Errorf("plugin: Operations[%q]: class %q is not one of Classes", id, operation.Class)
+			return fmt.Errorf("plugin: Operations[%q]: expected the Name of a class in Options.Classes, got class %q", id, operation.Class)
 		}
 	}
 	return nil
 }
 
-// maxRetryAfter is the longest time that a rejected caller is told to wait.
+// maxRetryAfter is the longest retry delay that a rejected caller is told.
 const maxRetryAfter = time.Second
 
-// routingSettings returns the settings of a router that is alone in its zone and whose
-// servers are all of one kind, without a parent cache or an origin.
+// routingSettings returns the settings of a single router in a single zone. All its servers are
+// of one kind, and there is neither a parent cache nor an origin.
 func routingSettings(maxAttempts int, classes []routing.Class) routing.Settings {
 	return routing.Settings{
 		Zones:            1,
@@ -77,7 +79,7 @@
 		MaxAttempts:      maxAttempts,
 		MaxRetryAfter:    maxRetryAfter,
 		CanCancel:        true,
-		WeightIsCapacity: true, // the weight of an SRV record
+		WeightIsCapacity: true, // the weight of an SRV record stands for the server's capacity
 		CacheSlowStart:   routing.SlowStart{InitialCapacity: 1},
 		Classes:          classes,
 	}
--- a/plugin/compatibility_test.go
+++ b/plugin/compatibility_test.go
@@ -17,7 +17,7 @@
 	"garnetline/plugin"
 )
 
-// The texts of errors are part of what users see: they stay to the byte.
+// Users see the error texts of New, so the test compares them exactly.
 func TestOptionErrorTexts(t *testing.T) {
 	valid := plugin.Class{Name: "part", Aim: time.Second, Deadline: time.Second}
 	notDirectory := filepath.Join(t.TempDir(), "file")
@@ -30,28 +30,28 @@
 		want    string
 	}{
 		{"no class", plugin.Options{}, "plugin: routing: Classes: there is none"},
-		{"class without a name", plugin.Options{Classes: []plugin.Class{{Aim: 1, Deadline: 1}}}, "plugin: Classes[0]: want a Name, an Aim and a Deadline"},
-		{"second class without an objective", plugin.Options{Classes: []plugin.Class{valid, {Name: "form", Deadline: 1}}}, "plugin: Classes[1]: want a Name, an Aim and a Deadline"},
-		{"class without a deadline", plugin.Options{Classes: []plugin.Class{{Name: "part", Aim: 1}}}, "plugin: Classes[0]: want a Name, an Aim and a Deadline"},
-		{"class of an operation", plugin.Options{Classes: []plugin.Class{valid}, Operations: plugin.Operations{"Get": {ID: "Get", Class: "form"}}}, `plugin: Operations["Get"]: class "form" is not one of Classes`},
-		{"negative interval", plugin.Options{Classes: []plugin.Class{valid}, Refresh: -1}, "plugin: Refresh, Attempts: want more than 0"},
-		{"negative attempts", plugin.Options{Classes: []plugin.Class{valid}, Attempts: -1}, "plugin: Refresh, Attempts: want more than 0"},
-		{"trace directory", plugin.Options{Classes: []plugin.Class{valid}, Trace: &plugin.Trace{Folder: notDirectory}}, "plugin: Trace: mkdir FILE: not a directory"},
+		{"class without a name", plugin.Options{Classes: []plugin.Class{{Aim: 1, Deadline: 1}}}, "plugin: Classes[0]: expected a non-empty Name, a positive LatencyObjective and a positive Deadline; at least one is not set or negative"},
+		{"second class without an objective", plugin.Options{Classes: []plugin.Class{valid, {Name: "form", Deadline: 1}}}, "plugin: Classes[1]: expected a non-empty Name, a positive LatencyObjective and a positive Deadline; at least one is not set or negative"},
+		{"class without a deadline", plugin.Options{Classes: []plugin.Class{{Name: "part", Aim: 1}}}, "plugin: Classes[0]: expected a non-empty Name, a positive LatencyObjective and a positive Deadline; at least one is not set or negative"},
+		{"class of an operation", plugin.Options{Classes: []plugin.Class{valid}, Operations: plugin.Operations{"Get": {ID: "Get", Class: "form"}}}, `plugin: Operations["Get"]: expected the Name of a class in Options.Classes, got class "form"`},
+		{"negative interval", plugin.Options{Classes: []plugin.Class{valid}, Refresh: -1}, "plugin: Options: expected RefreshInterval and MaxAttempts of at least 0 (0 selects the default), got a negative value"},
+		{"negative attempts", plugin.Options{Classes: []plugin.Class{valid}, Attempts: -1}, "plugin: Options: expected RefreshInterval and MaxAttempts of at least 0 (0 selects the default), got a negative value"},
+		{"trace directory", plugin.Options{Classes: []plugin.Class{valid}, Trace: &plugin.Trace{Folder: notDirectory}}, "plugin: Trace: open trace store: mkdir FILE: not a directory"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			accepted, err := plugin.New(test.options)
 			if err == nil {
 				accepted.Close()
-				t.Fatal("New accepted the options")
+				t.Fatal("New returned no error for invalid options")
 			}
 			if got := strings.ReplaceAll(err.Error(), notDirectory, "FILE"); got != test.want {
-				t.Errorf("error %q, want %q", got, test.want)
+				t.Errorf("got error %q, want %q", got, test.want)
 			}
 		})
 	}
 }
 
-// The texts of errors in descriptions stay to the byte.
+// Users see the error texts of OpenAPI and AsyncAPI, so the test compares them exactly.
 func TestDescriptionErrorTexts(t *testing.T) {
 	openAPI := func(operation string) string {
 		return "openapi: 3.0.3\ninfo: {title: x, version: \"1\"}\npaths:\n  /a:\n    get: {" + operation + "responses: {\"200\": {description: ok}}}\n"
@@ -63,35 +63,36 @@
 		doc  string
 		want string
 	}{
-		{"no id", plugin.OpenAPI, openAPI("tags: [part], "), "openapi: paths./a.get: operationId: missing"},
-		{"no class", plugin.OpenAPI, openAPI("operationId: Get, tags: [part, form], "), "openapi: paths./a.get: no class: want x-garnetline-class or one tag"},
-		{"unknown class", plugin.OpenAPI, openAPI("operationId: Get, tags: [other], "), `openapi: paths./a.get: class "other" is not one of part, form`},
-		{"class of another type", plugin.OpenAPI, openAPI("operationId: Get, x-garnetline-class: 7, "), "openapi: paths./a.get.x-garnetline-class: not a text"},
-		{"unknown effect", plugin.OpenAPI, openAPI("operationId: Get, tags: [part], x-garnetline-effect: maybe, "), `openapi: paths./a.get.x-garnetline-effect: "maybe" is not safe, keyed or unsafe`},
-		{"malformed method", plugin.OpenAPI, openAPI("operationId: Get, tags: [part], x-garnetline-rpc: Get, "), `openapi: paths./a.get.x-garnetline-rpc: "Get" is not /package.Service/Method`},
+		{"no id", plugin.OpenAPI, openAPI("tags: [part], "), "openapi: paths./a.get: operationId is missing or empty"},
+		{"no class", plugin.OpenAPI, openAPI("operationId: Get, tags: [part, form], "), "openapi: paths./a.get: no class: expected the extension x-garnetline-class or exactly one tag"},
+		{"unknown class", plugin.OpenAPI, openAPI("operationId: Get, tags: [other], "), `openapi: paths./a.get: unknown class "other": expected one of part, form`},
+		{"class of another type", plugin.OpenAPI, openAPI("operationId: Get, x-garnetline-class: 7, "), "openapi: paths./a.get.x-garnetline-class: expected a string, got a value of another type"},
+		{"unknown effect", plugin.OpenAPI, openAPI("operationId: Get, tags: [part], x-garnetline-effect: maybe, "), `openapi: paths./a.get.x-garnetline-effect: expected "safe", "keyed" or "unsafe", got "maybe"`},
+		{"malformed method", plugin.OpenAPI, openAPI("operationId: Get, tags: [part], x-garnetline-rpc: Get, "), `openapi: paths./a.get.x-garnetline-rpc: expected the form /package.Service/Method, got "Get"`},
 		{"two of one id", plugin.AsyncAPI, "asyncapi: 2.6.0\nchannels:\n  a: {publish: {operationId: Get, tags: [{name: part}]}}\n" +
-			"  b: {publish: {operationId: Get, tags: [{name: part}]}}\n", `asyncapi: channels.b.publish: operationId: "Get" stands for two operations`},
-		{"not a document", plugin.AsyncAPI, "[]", "asyncapi: not a document"},
-		{"version", plugin.AsyncAPI, "asyncapi: 1.2.0", `asyncapi: asyncapi: version "1.2.0" is neither 2 nor 3`},
-		{"action", plugin.AsyncAPI, asyncAPI("action: wait"), `asyncapi: operations.get.action: "wait" is neither send nor receive`},
-		{"class of another type, AsyncAPI", plugin.AsyncAPI, asyncAPI("action: receive, x-garnetline-class: 7"), "asyncapi: operations.get.x-garnetline-class: line 3: not a text"},
-		{"reference to another document", plugin.AsyncAPI, asyncAPI(`action: send, messages: {$ref: other.yaml}`), `asyncapi: operations.get.messages: line 3: $ref "other.yaml" leads out of the document`},
-		{"reference to nothing", plugin.AsyncAPI, asyncAPI(`action: send, messages: {$ref: "#/a~1b"}`), `asyncapi: operations.get.messages: line 3: $ref "#/a~1b" leads nowhere`},
-		{"reference to itself", plugin.AsyncAPI, asyncAPI(`action: send, messages: {$ref: "#/operations/get/messages"}`), "asyncapi: operations.get.messages: $ref goes round in a circle"},
+			"  b: {publish: {operationId: Get, tags: [{name: part}]}}\n", `asyncapi: channels.b.publish: duplicate operationId "Get": another operation already has it`},
+		{"not a document", plugin.AsyncAPI, "[]", "asyncapi: expected a mapping at the top level of the document, got an empty document or a value of another type"},
+		{"version", plugin.AsyncAPI, "asyncapi: 1.2.0", `asyncapi: field asyncapi: expected version 2.x or 3.x, got "1.2.0"`},
+		{"action", plugin.AsyncAPI, asyncAPI("action: wait"), `asyncapi: operations.get.action: expected "send" or "receive", got "wait"`},
+		{"class of another type, AsyncAPI", plugin.AsyncAPI, asyncAPI("action: receive, x-garnetline-class: 7"), "asyncapi: operations.get.x-garnetline-class: line 3: expected a string, got a value of another type"},
+		{"reference to another document", plugin.AsyncAPI, asyncAPI(`action: send, messages: {$ref: other.yaml}`), `asyncapi: operations.get.messages: line 3: expected a $ref within the document, starting with "#/", got "other.yaml"`},
+		{"reference to nothing", plugin.AsyncAPI, asyncAPI(`action: send, messages: {$ref: "#/a~1b"}`), `asyncapi: operations.get.messages: line 3: target of $ref "#/a~1b" not found in the document`},
+		{"reference to itself", plugin.AsyncAPI, asyncAPI(`action: send, messages: {$ref: "#/operations/get/messages"}`), "asyncapi: operations.get.messages: chain of $ref references is circular or too long"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := test.read([]byte(test.doc), []string{"part", "form"})
 			if err == nil {
-				t.Fatal("the description was accepted")
+				t.Fatal("got no error for an invalid description")
 			}
 			if err.Error() != test.want {
-				t.Errorf("error %q, want %q", err, test.want)
+				t.Errorf("got error %q, want %q", err, test.want)
 			}
 		})
 	}
 }
 
-// The codes and texts with which RPCs fail without a server stay as they are.
+// Callers see the status codes and texts of RPCs that fail without a server, so the test compares
+// them exactly.
 func TestRPCErrorTexts(t *testing.T) {
 	router, err := plugin.New(plugin.Options{
 		Classes:    []plugin.Class{{Name: "part", Aim: 10 * time.Millisecond, Deadline: 20 * time.Millisecond}},
@@ -117,25 +118,26 @@
 	check := func(got *status.Status, code codes.Code, text string) {
 		t.Helper()
 		if got.Code() != code || got.Message() != text {
-			t.Errorf("%v %q, want %v %q", got.Code(), got.Message(), code, text)
+			t.Errorf("got status %v %q, want %v %q", got.Code(), got.Message(), code, text)
 		}
 	}
-	check(call("/a.B/Other"), codes.FailedPrecondition, "garnetline: /a.B/Other is not in the description")
+	check(call("/a.B/Other"), codes.FailedPrecondition, "garnetline: no operation for RPC /a.B/Other in Options.Operations")
 	rejected := call("/a.B/Get")
-	check(rejected, codes.Unavailable, "garnetline: refused, a retry is harmless")
+	check(rejected, codes.Unavailable, "garnetline: RPC not served; a retry is safe")
 	if details := rejected.Details(); len(details) != 1 {
-		t.Errorf("details %v, want one", details)
+		t.Errorf("got status details %v, want one", details)
 	} else if _, ok := details[0].(*errdetails.RetryInfo); !ok {
-		t.Errorf("details %T, want a RetryInfo", details[0])
+		t.Errorf("got status detail of type %T, want a RetryInfo", details[0])
 	}
 	_, err = client.NewStream(t.Context(), &grpc.StreamDesc{ServerStreams: true}, "/a.B/Get")
-	check(status.Convert(err), codes.Unavailable, "garnetline: refused, a retry is harmless")
+	check(status.Convert(err), codes.Unavailable, "garnetline: RPC not served; a retry is safe")
 	router.Close()
 	check(call("/a.B/Get"), codes.Canceled, "garnetline: the plugin is closed")
 }
 
-// The older names are the new ones, so that users' code compiles and behaves as before.
-func TestDeprecatedNamesAreTheSame(t *testing.T) {
+// The deprecated constants equal the current ones, so that users' code still compiles and behaves
+// the same.
+func TestDeprecatedNamesEqualCurrentNames(t *testing.T) {
 	for name, pair := range map[string]struct {
 		deprecated plugin.Effect
 		current    plugin.Idempotency
@@ -145,10 +147,10 @@
 		"Unsafe": {plugin.Unsafe, plugin.NonIdempotent},
 	} {
 		if pair.deprecated != pair.current {
-			t.Errorf("%s is %d, want %d", name, pair.deprecated, pair.current)
+			t.Errorf("%s: got %d, want %d", name, pair.deprecated, pair.current)
 		}
 	}
 	if got := int(plugin.Unsafe); got != 2 {
-		t.Errorf("Unsafe is %d, want 2", got)
+		t.Errorf("Unsafe: got %d, want 2", got)
 	}
 }
--- a/plugin/operations.go
+++ b/plugin/operations.go
@@ -6,27 +6,27 @@
 	"strings"
 )
 
-// Idempotency tells what executing an operation twice may do. Its values are those of
-// routing.Idempotency.
+// Idempotency tells whether an operation may be executed more than once. Its values equal those
+// of routing.Idempotency.
 type Idempotency int
 
 // The kinds of idempotency.
 const (
-	// Idempotent operations may be repeated at will, as reads.
+	// Idempotent operations, such as reads, may be executed any number of times.
 	Idempotent Idempotency = iota
-	// IdempotentWithKey operations carry an idempotency key: servers discard repeats of a key
-	// for a while (Class.KeyWindow).
+	// IdempotentWithKey operations carry an idempotency key. For the duration Class.KeyWindow,
+	// servers discard repeated operations with the same key.
 	IdempotentWithKey
 	// NonIdempotent operations must not be executed twice.
 	NonIdempotent
 )
 
-// Effect is the older name of Idempotency.
+// Effect is the former name of Idempotency.
 //
 // Deprecated: use Idempotency.
 type Effect = Idempotency
 
-// Older names of the kinds of idempotency.
+// Former names of the kinds of idempotency.
 const (
 	// Safe is Idempotent.
 	//
@@ -42,42 +42,46 @@
 	Unsafe = NonIdempotent
 )
 
-// Extensions that a description may use.
+// Names of the extensions that an operation in a description may have.
 const (
-	// classExtension names the class; without it, the operation's only tag does.
+	// classExtension holds the class. If it is absent, the class is the operation's only tag.
 	classExtension = "x-garnetline-class"
-	// effectExtension is a key of idempotencyByEffect; without it, see OpenAPI and AsyncAPI.
+	// effectExtension holds a key of idempotencyByEffect. If it is absent, the idempotency is the
+	// default that the comments on OpenAPI and AsyncAPI describe.
 	effectExtension = "x-garnetline-effect"
-	// rpcExtension is the RPC's full name; without it, operationId is the method's name.
+	// rpcExtension holds the RPC's full name. If it is absent, the operationId is the name of the
+	// RPC's method.
 	rpcExtension = "x-garnetline-rpc"
 )
 
-// idempotencyByEffect holds the values of effectExtension.
+// idempotencyByEffect maps each valid value of effectExtension to its idempotency.
 var idempotencyByEffect = map[string]Idempotency{
 	"safe":   Idempotent,
 	"keyed":  IdempotentWithKey,
 	"unsafe": NonIdempotent,
 }
 
-// idempotencyKeyHeader is the header by which a description shows that an operation carries
-// an idempotency key. Its case does not matter.
+// idempotencyKeyHeader is the header that an operation declares in the description if it
+// carries an idempotency key. The name is compared without regard to case.
 const idempotencyKeyHeader = "Idempotency-Key"
 
-// Operation tells how one operation of a description is treated.
+// Operation is one operation of a description, with the properties that decide how it is routed
+// and whether it is retried.
 type Operation struct {
 	ID    string
-	RPC   string // full name of the RPC, as /package.Service/Method; empty: its method is ID
-	Class string
-	// Effect is the operation's idempotency. It is named for the extension
+	RPC   string // full name of the RPC, as /package.Service/Method; if empty, any RPC whose method name is ID
+	Class string // name of a class in Options.Classes
+	// Effect is the operation's idempotency. It has the name of the extension
 	// x-garnetline-effect, which sets it.
 	Effect Idempotency
 }
 
-// Operations are the operations of a description by id.
+// Operations maps the id of each operation of a description to the operation.
 type Operations map[string]Operation
 
-// Find returns the operation of an RPC, by its full name or, if no operation has that, by
-// the name of its method. It reports whether there is one.
+// Find returns the operation of an RPC and reports whether there is one. It prefers the
+// operation whose RPC field equals fullMethod. Otherwise it returns the operation whose RPC
+// field is empty and whose ID is the method name at the end of fullMethod.
 func (o Operations) Find(fullMethod string) (Operation, bool) {
 	for _, operation := range o {
 		if operation.RPC != "" && operation.RPC == fullMethod {
@@ -89,30 +93,31 @@
 	return operation, ok && operation.RPC == ""
 }
 
-// add adds an operation that stands at a place of its document. Its class must be one of
-// classes.
-func (o Operations) add(place string, operation Operation, classes []string) error {
+// add adds an operation. It returns an error if the operation has no id, if its id is already in
+// use, or if its class is not one of classes. location says where the document describes the
+// operation, for error texts.
+func (o Operations) add(location string, operation Operation, classes []string) error {
 	switch _, duplicate := o[operation.ID]; {
 	case operation.ID == "":
-		return fmt.Errorf("%s: operationId: missing", place)
+		return fmt.Errorf("%s: operationId is missing or empty", location)
 	case duplicate:
-		return fmt.Errorf("%s: operationId: %q stands for two operations", place, operation.ID)
+		return fmt.Errorf("%s: duplicate operationId %q: another operation already has it", location, operation.ID)
 	case operation.Class == "":
-		return fmt.Errorf("%s: no class: want %s or one tag", place, classExtension)
+		return fmt.Errorf("%s: no class: expected the extension %s or exactly one tag", location, classExtension)
 	case !slices.Contains(classes, operation.Class):
-		return fmt.Errorf("%s: class %q is not one of %s", place, operation.Class, strings.Join(classes, ", "))
+		return fmt.Errorf("%s: unknown class %q: expected one of %s", location, operation.Class, strings.Join(classes, ", "))
 	}
 	o[operation.ID] = operation
 	return nil
 }
 
-// extensionReader returns the text of an operation's extension, and whether the operation
-// has the extension.
+// extensionReader returns the text of the named extension of an operation and whether the
+// operation has that extension. It returns an error if the extension's value is not a string.
 type extensionReader func(name string) (value string, found bool, err error)
 
-// applyExtensions sets the class, the RPC and the idempotency by the operation's extensions,
-// and the class by its tags where no extension does.
-func (o *Operation) applyExtensions(place string, tags []string, extension extensionReader) error {
+// applyExtensions sets the class, the RPC and the idempotency from the operation's extensions.
+// If there is no class extension and exactly one tag, the tag is the class.
+func (o *Operation) applyExtensions(location string, tags []string, extension extensionReader) error {
 	class, found, err := extension(classExtension)
 	if err != nil {
 		return err
@@ -121,32 +126,32 @@
 	if !found && len(tags) == 1 {
 		o.Class = tags[0]
 	}
-	if err := o.applyRPCExtension(place, extension); err != nil {
+	if err := o.applyRPCExtension(location, extension); err != nil {
 		return err
 	}
-	return o.applyEffectExtension(place, extension)
+	return o.applyEffectExtension(location, extension)
 }
 
-func (o *Operation) applyRPCExtension(place string, extension extensionReader) error {
+func (o *Operation) applyRPCExtension(location string, extension extensionReader) error {
 	rpc, found, err := extension(rpcExtension)
 	if err != nil || !found {
 		return err
 	}
 	if !strings.HasPrefix(rpc, "/") || strings.Count(rpc, "/") != 2 {
-		return fmt.Errorf("%s.%s: %q is not /package.Service/Method", place, rpcExtension, rpc)
+		return fmt.Errorf("%s.%s: expected the form /package.Service/Method, got %q", location, rpcExtension, rpc)
 	}
 	o.RPC = rpc
 	return nil
 }
 
-func (o *Operation) applyEffectExtension(place string, extension extensionReader) error {
+func (o *Operation) applyEffectExtension(location string, extension extensionReader) error {
 	effect, found, err := extension(effectExtension)
 	if err != nil || !found {
 		return err
 	}
 	idempotency, ok := idempotencyByEffect[effect]
 	if !ok {
-		return fmt.Errorf("%s.%s: %q is not safe, keyed or unsafe", place, effectExtension, effect)
+		return fmt.Errorf("%s.%s: expected \"safe\", \"keyed\" or \"unsafe\", got %q", location, effectExtension, effect)
 	}
 	o.Effect = idempotency
 	return nil
--- a/plugin/operations_test.go
+++ b/plugin/operations_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// testClasses are the classes of the descriptions of these tests.
+// testClasses lists the classes that the descriptions in these tests may use.
 var testClasses = []string{"part", "form"}
 
 const openAPIDocument = `openapi: 3.0.3
@@ -76,10 +76,10 @@
       message: {oneOf: [{headers: {properties: {idempotency-key: {}}}}]}
 `
 
-// readFunc reads a description.
+// readFunc is the type of OpenAPI and AsyncAPI, which read a description.
 type readFunc func(doc []byte, classes []string) (Operations, error)
 
-func TestDescriptionsGiveOperations(t *testing.T) {
+func TestReadOperationsFromDescriptions(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		read readFunc
@@ -112,7 +112,7 @@
 				t.Fatal(err)
 			}
 			if !maps.Equal(got, want) {
-				t.Errorf("operations %+v, want %+v", got, want)
+				t.Errorf("got operations %+v, want %+v", got, want)
 			}
 		})
 	}
@@ -126,37 +126,37 @@
 	for fullMethod, wantID := range map[string]string{
 		"/a.B/GetPart":              "GetPart",
 		"/puzzles.Solutions/Remove": "Forget",
-		"/a.B/Forget":               "", // has another full name
+		"/a.B/Forget":               "", // the operation Forget has another full name
 		"/a.B/Other":                "",
 	} {
 		t.Run(fullMethod, func(t *testing.T) {
 			operation, found := operations.Find(fullMethod)
 			if found != (wantID != "") || found && operation.ID != wantID {
-				t.Errorf("found %v %+v, want id %q", found, operation, wantID)
+				t.Errorf("got found %v, operation %+v; want id %q", found, operation, wantID)
 			}
 		})
 	}
 }
 
-func TestDescriptionErrorsNameThePlace(t *testing.T) {
+func TestDescriptionErrorsNameTheLocation(t *testing.T) {
 	for _, test := range []struct {
 		read             readFunc
 		doc              string
-		old, replacement string   // what is replaced in the document
-		want             []string // parts of the error
+		old, replacement string   // the first occurrence of old in doc is replaced
+		want             []string // substrings of the error text
 	}{
 		{OpenAPI, openAPIDocument, "tags: [part]", "tags: [part, other]", []string{"paths./parts/{id}.get", "no class"}},
 		{OpenAPI, openAPIDocument, "tags: [part]", "tags: [cat]", []string{"paths./parts/{id}.get", `"cat"`}},
 		{OpenAPI, openAPIDocument, "effect: safe", "effect: maybe", []string{"paths./solutions.put.x-garnetline-effect", "maybe"}},
 		{OpenAPI, openAPIDocument, "/puzzles.Solutions/Remove", "Remove", []string{"paths./solutions.delete.x-garnetline-rpc", "Remove"}},
 		{OpenAPI, openAPIDocument, "operationId: GetPart", "summary: x", []string{"paths./parts/{id}.get", "operationId"}},
-		{OpenAPI, openAPIDocument, "x-garnetline-class: form", "x-garnetline-class: 7", []string{"x-garnetline-class", "not a text"}},
+		{OpenAPI, openAPIDocument, "x-garnetline-class: form", "x-garnetline-class: 7", []string{"x-garnetline-class", "expected a string"}},
 		{OpenAPI, openAPIDocument, "openapi: 3.0.3", "openapi: [", []string{"openapi"}},
 		{AsyncAPI, asyncAPI3Document, "action: receive", "action: wait", []string{"operations.receivePart.action", "wait"}},
-		{AsyncAPI, asyncAPI3Document, "messages/note\"", "messages/nothing\"", []string{"operations.sendNote.messages", "nowhere"}},
-		{AsyncAPI, asyncAPI3Document, "\"#/channels/solutions\"", "other.yaml", []string{"operations.sendSolution.channel", "out of the document"}},
+		{AsyncAPI, asyncAPI3Document, "messages/note\"", "messages/nothing\"", []string{"operations.sendNote.messages", "not found in the document"}},
+		{AsyncAPI, asyncAPI3Document, "\"#/channels/solutions\"", "other.yaml", []string{"operations.sendSolution.channel", "expected a $ref within the document"}},
 		{AsyncAPI, asyncAPI3Document, "tags: [{name: part}]", "", []string{"operations.receivePart", "no class"}},
-		{AsyncAPI, asyncAPI3Document, "payload: {type: string}", "$ref: \"#/components/messages/note\"", []string{"operations.sendNote.messages", "circle"}},
+		{AsyncAPI, asyncAPI3Document, "payload: {type: string}", "$ref: \"#/components/messages/note\"", []string{"operations.sendNote.messages", "circular"}},
 		{AsyncAPI, asyncAPI2Document, "operationId: receivePart", "summary: x", []string{"channels.parts.subscribe", "operationId"}},
 		{AsyncAPI, asyncAPI2Document, "asyncapi: 2.6.0", "asyncapi: 1.2.0", []string{"asyncapi", "version"}},
 	} {
@@ -167,18 +167,19 @@
 			}
 			_, err := test.read([]byte(doc), testClasses)
 			if err == nil {
-				t.Fatal("the description was accepted")
+				t.Fatal("got no error for an invalid description")
 			}
 			for _, want := range test.want {
 				if !strings.Contains(err.Error(), want) {
-					t.Errorf("error %q, want %q in it", err, want)
+					t.Errorf("got error %q, want it to contain %q", err, want)
 				}
 			}
 		})
 	}
 }
 
-// FuzzAsyncAPI: any text is a description or an error.
+// FuzzAsyncAPI checks that AsyncAPI returns, for any input, either an error or operations that all
+// have a consistent id, a known class and a known idempotency.
 func FuzzAsyncAPI(f *testing.F) {
 	f.Add([]byte(asyncAPI2Document))
 	f.Add([]byte(asyncAPI3Document))
@@ -190,7 +191,7 @@
 		}
 		for id, operation := range operations {
 			if operation.ID != id || !slices.Contains(testClasses, operation.Class) || operation.Effect > NonIdempotent {
-				t.Errorf("%s: %+v", id, operation)
+				t.Errorf("operation %q: got %+v, want the same id, a known class and a known idempotency", id, operation)
 			}
 		}
 	})
--- a/plugin/options.go
+++ b/plugin/options.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Class describes a class of RPCs. A deprecated field is used where the field that replaces
-// it is zero.
+// Class describes a class of RPCs. The value of a deprecated field applies only if the field
+// that replaces it is zero.
 type Class struct {
 	Name             string
-	LatencyObjective time.Duration // a response within it is in time
-	Deadline         time.Duration // of RPCs whose context has none
-	KeyWindow        time.Duration // IdempotentWithKey: how long servers discard repeats of a key
-	PriorityWeight   float64       // of a response in time, relative to other classes; 0: 1
+	LatencyObjective time.Duration // a response that takes no longer is in time; must be positive
+	Deadline         time.Duration // timeout of RPCs whose context has no deadline; must be positive
+	KeyWindow        time.Duration // how long servers discard repeated IdempotentWithKey operations with the same key
+	PriorityWeight   float64       // weight of a response in time, relative to other classes; 0 selects 1
 
 	// Deprecated: use LatencyObjective.
 	Aim time.Duration
@@ -23,8 +23,8 @@
 	Worth float64
 }
 
-// withDefaults returns the class with the values of deprecated fields and defaults in the
-// fields that are zero.
+// withDefaults returns the class with each zero field set from the deprecated field that it
+// replaces or else from its default.
 func (c Class) withDefaults() Class {
 	c.LatencyObjective = cmp.Or(c.LatencyObjective, c.Aim)
 	c.KeyWindow = cmp.Or(c.KeyWindow, c.Window)
@@ -32,20 +32,20 @@
 	return c
 }
 
-// Key names what an RPC asks for. RPCs for the same object and chunk go to the same server
-// as long as that server is healthy. A deprecated field is used where the field that replaces
-// it is zero.
+// Key identifies the object that an RPC requests. RPCs for the same object and chunk go to the
+// same server as long as that server is healthy. The value of a deprecated field applies only if
+// the field that replaces it is zero.
 type Key struct {
-	Object uint64 // 0: one that stands for the method
-	Chunk  int    // of the object
-	Group  int    // of objects
+	Object uint64 // id of the object; 0 selects an id derived from the method name
+	Chunk  int    // index of the chunk within the object
+	Group  int    // group that the object belongs to
 
 	// Deprecated: use Chunk.
 	Part int
 }
 
-// withDefaults returns the key with the values of deprecated fields and defaults in the
-// fields that are zero.
+// withDefaults returns the key with a zero Chunk set from the deprecated Part and a zero Object
+// set from the full name of the method.
 func (k Key) withDefaults(fullMethod string) Key {
 	k.Chunk = cmp.Or(k.Chunk, k.Part)
 	if k.Object == 0 {
@@ -54,19 +54,19 @@
 	return k
 }
 
-// Options configure a Plugin. A deprecated field is used where the field that replaces it is
-// zero.
+// Options configures a Plugin. The value of a deprecated field applies only if the field that
+// replaces it is zero.
 type Options struct {
 	Classes    []Class
 	Operations Operations // the RPCs that may be called
 
-	// Key returns the key of an RPC; req is nil for a stream. It may be called from any
-	// goroutine. Nil: the key is that of the method.
+	// Key returns the key of an RPC; req is the request message, or nil for a stream. It must be
+	// safe for concurrent use. If Key is nil, all RPCs of a method have the same key.
 	Key func(fullMethod string, req any) Key
 
-	RefreshInterval time.Duration // between DNS lookups; 0: 500 ms
-	MaxAttempts     int           // of one RPC; 0: 4
-	Trace           *Trace        // nil: nothing is traced, and no metadata is added
+	RefreshInterval time.Duration // time between DNS lookups; 0 selects 500 ms
+	MaxAttempts     int           // most attempts for one RPC; 0 selects 4
+	Trace           *Trace        // if nil, no RPC is traced and no metadata is added
 
 	// Deprecated: use RefreshInterval.
 	Refresh time.Duration
@@ -74,7 +74,7 @@
 	Attempts int
 }
 
-// Defaults of Class, Options and Trace.
+// Default values of fields of Class, Options and Trace.
 const (
 	defaultPriorityWeight  = 1.0
 	defaultRefreshInterval = 500 * time.Millisecond
@@ -82,8 +82,9 @@
 	defaultMaxSizeMB       = 64
 )
 
-// withDefaults returns the options with the values of deprecated fields and defaults in the
-// fields that are zero. What the options of the caller refer to is not changed.
+// withDefaults returns the options with each zero field set from the deprecated field that it
+// replaces or else from its default. It copies Classes and Trace before it changes them, so that
+// the caller's values stay unchanged.
 func (o Options) withDefaults() Options {
 	o.RefreshInterval = cmp.Or(o.RefreshInterval, o.Refresh, defaultRefreshInterval)
 	o.MaxAttempts = cmp.Or(o.MaxAttempts, o.Attempts, defaultMaxAttempts)
--- a/plugin/options_test.go
+++ b/plugin/options_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// sameOptions are options in pairs: with the deprecated fields, and with those that replace
-// them.
-func sameOptions() map[string]struct{ deprecated, current Options } {
+// equivalentOptions returns pairs of options that must have the same effect: one with the
+// deprecated fields, and one with the fields that replace them.
+func equivalentOptions() map[string]struct{ deprecated, current Options } {
 	oneClass := func(class Class) Options { return Options{Classes: []Class{class}} }
 	return map[string]struct{ deprecated, current Options }{
 		"nothing is set": {Options{}, Options{}},
@@ -49,30 +49,30 @@
 	return options
 }
 
-func TestDeprecatedOptionsAreTheSame(t *testing.T) {
-	for name, same := range sameOptions() {
+func TestDeprecatedOptionsAreEquivalent(t *testing.T) {
+	for name, pair := range equivalentOptions() {
 		t.Run(name, func(t *testing.T) {
-			got := clearDeprecated(same.deprecated.withDefaults())
-			want := clearDeprecated(same.current.withDefaults())
+			got := clearDeprecated(pair.deprecated.withDefaults())
+			want := clearDeprecated(pair.current.withDefaults())
 			if !reflect.DeepEqual(got, want) {
-				t.Errorf("the deprecated fields give %+v, the new ones %+v", got, want)
+				t.Errorf("got %+v from the deprecated fields, want %+v as from the current fields", got, want)
 			}
 		})
 	}
 }
 
-func TestDeprecatedKeyIsTheSame(t *testing.T) {
+func TestDeprecatedKeyIsEquivalent(t *testing.T) {
 	const method = "/puzzles.Parts/GetPart"
-	for name, same := range map[string]struct{ deprecated, current Key }{
+	for name, pair := range map[string]struct{ deprecated, current Key }{
 		"nothing is set": {Key{}, Key{}},
 		"Chunk":          {Key{Object: 1, Part: 5, Group: 2}, Key{Object: 1, Chunk: 5, Group: 2}},
 		"both":           {Key{Object: 1, Part: 5, Chunk: 4}, Key{Object: 1, Chunk: 4}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got, want := same.deprecated.withDefaults(method), same.current.withDefaults(method)
+			got, want := pair.deprecated.withDefaults(method), pair.current.withDefaults(method)
 			got.Part = 0
 			if got != want {
-				t.Errorf("the deprecated field gives %+v, the new one %+v", got, want)
+				t.Errorf("got %+v from the deprecated field, want %+v as from the current field", got, want)
 			}
 		})
 	}
@@ -87,19 +87,19 @@
 		Trace:           &Trace{MaxSizeMB: 64},
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("defaults %+v, want %+v", got, want)
+		t.Errorf("got defaults %+v, want %+v", got, want)
 	}
 	if key, want := (Key{}).withDefaults("/a.B/Get"), (Key{Object: hashString("/a.B/Get")}); key != want {
-		t.Errorf("key %+v, want %+v", key, want)
+		t.Errorf("got key %+v, want %+v", key, want)
 	}
 }
 
-func TestOptionsOfTheCallerAreNotChanged(t *testing.T) {
+func TestWithDefaultsKeepsCallerOptions(t *testing.T) {
 	options := Options{Classes: []Class{{Name: "part", Aim: time.Second}}, Trace: &Trace{Ordinary: 1}}
 	options.withDefaults()
 	want := Options{Classes: []Class{{Name: "part", Aim: time.Second}}, Trace: &Trace{Ordinary: 1}}
 	if !reflect.DeepEqual(options, want) {
-		t.Errorf("options are %+v now, were %+v", options, want)
+		t.Errorf("got options %+v after withDefaults, want them unchanged: %+v", options, want)
 	}
 }
 
@@ -115,7 +115,7 @@
 			plugin, err := New(options)
 			if err == nil {
 				plugin.Close()
-				t.Errorf("New accepted %+v", options)
+				t.Errorf("New returned no error for invalid options %+v", options)
 			}
 		})
 	}
--- a/plugin/plugin.go
+++ b/plugin/plugin.go
@@ -1,16 +1,16 @@
-// Package plugin brings the edge router's decisions into a gRPC client: which
+// Package plugin makes the edge router's decisions within a gRPC client: which
 // server an RPC goes to, how long to wait, when to retry and when to give up.
-// Servers are found by DNS, and an OpenAPI or AsyncAPI description tells what
-// may be retried.
+// The plugin finds the servers by DNS. An OpenAPI or AsyncAPI description tells
+// it which operations may be retried.
 //
 //	operations, err := plugin.OpenAPI(doc, []string{"part", "form"})
 //	p, err := plugin.New(plugin.Options{Classes: classes, Operations: operations, Key: key})
 //	defer p.Close()
 //	conn, err := grpc.NewClient("garnetline://127.0.0.1:53/_puzzles._tcp.example.org", append(p.DialOptions(), credentials)...)
 //
-// A Plugin serves one ClientConn. It is the resolver of the connection's target, chooses
-// the server of each RPC in its interceptors, and its balancer picks the connection to
-// that server.
+// A Plugin serves one ClientConn. It resolves the target of the ClientConn, its
+// interceptors select the server of each RPC, and its balancer picks the
+// connection to that server.
 package plugin
 
 import (
@@ -31,31 +31,33 @@
 	"garnetline/routing"
 )
 
-// Plugin makes the decisions for one ClientConn. All its methods may be called from any
-// goroutine.
+// Plugin routes and retries the RPCs of one ClientConn. Its methods are safe for concurrent use.
 type Plugin struct {
-	options    Options // with defaults
+	options    Options // after withDefaults
 	clock      clock.Clock
 	dispatcher *dispatch.Dispatcher
 	classes    *classTable
 	metrics    *metrics.Registry
-	servers    atomic.Pointer[serverAddresses] // of the latest endpoint list
-	recorder   *recorder.Recorder              // nil: nothing is traced
-	cancel     context.CancelFunc              // ends the dispatcher
-	stopped    chan struct{}                   // closed when the dispatcher has ended
+	servers    atomic.Pointer[serverAddresses] // servers on the latest endpoint list
+	recorder   *recorder.Recorder              // nil if RPCs are not traced
+	cancel     context.CancelFunc              // stops the dispatcher
+	stopped    chan struct{}                   // closed once the dispatcher has stopped
 	closeOnce  sync.Once
 }
 
-// serverAddresses are the addresses of listed servers, as HOST:PORT.
+// serverAddresses maps the id of each server on the endpoint list to its address, as HOST:PORT.
 type serverAddresses map[routing.ServerID]string
 
-// New returns a Plugin that has no servers yet. Close releases what it uses.
+// New returns a Plugin for a new ClientConn. It finds its servers once the ClientConn resolves its
+// target. The caller must call Close to release the plugin's resources. New returns an error if
+// the options are invalid or if the folder for traces cannot be opened.
 func New(options Options) (*Plugin, error) { return newPlugin(options, clock.NewSystem()) }
 
+// newPlugin is New with a given clock.
 func newPlugin(options Options, clk clock.Clock) (*Plugin, error) {
 	options = options.withDefaults()
 	if options.RefreshInterval < 0 || options.MaxAttempts < 0 {
-		return nil, errors.New("plugin: Refresh, Attempts: want more than 0")
+		return nil, errors.New("plugin: Options: expected RefreshInterval and MaxAttempts of at least 0 (0 selects the default), got a negative value")
 	}
 	classes, err := newClassTable(options.Classes)
 	if err != nil {
@@ -77,13 +79,13 @@
 		return nil, fmt.Errorf("plugin: %w", err)
 	}
 	if plugin.recorder, err = newRecorder(options.Trace, clk, plugin.metrics, options.Classes); err != nil {
-		return nil, fmt.Errorf("plugin: Trace: %w", err)
+		return nil, fmt.Errorf("plugin: Trace: open trace store: %w", err)
 	}
 	plugin.start()
 	return plugin, nil
 }
 
-// start runs the dispatcher and, if calls are traced, the recorder. Close waits for both.
+// start starts the dispatcher and, if RPCs are traced, the recorder. Close stops both.
 func (p *Plugin) start() {
 	if p.recorder != nil {
 		p.dispatcher.SetTracer(instrument.Dispatcher(p.recorder))
@@ -97,8 +99,9 @@
 	}()
 }
 
-// Close ends the plugin's goroutines and waits for them, but for those of the ClientConn's
-// resolver, which the ClientConn ends. RPCs begun after it fail with codes.Canceled.
+// Close stops the plugin's goroutines and waits for them. It does not stop the goroutine of the
+// resolver, which the ClientConn stops when it is closed. RPCs that begin after Close fail with
+// codes.Canceled.
 func (p *Plugin) Close() {
 	p.closeOnce.Do(func() {
 		p.cancel()
@@ -109,19 +112,20 @@
 	})
 }
 
-// DialOptions returns the options that the ClientConn must be made with.
+// DialOptions returns the options with which the caller must create the ClientConn.
 func (p *Plugin) DialOptions() []grpc.DialOption {
 	return []grpc.DialOption{
 		grpc.WithResolvers(p),
 		grpc.WithDefaultServiceConfig(fmt.Sprintf(`{"loadBalancingConfig":[{%q:{}}]}`, balancerName)),
 		grpc.WithDisableServiceConfig(),
-		grpc.WithDisableRetry(), // the plugin decides what is retried
+		grpc.WithDisableRetry(), // the plugin itself decides which RPCs are retried
 		grpc.WithChainUnaryInterceptor(p.interceptUnary),
 		grpc.WithChainStreamInterceptor(p.interceptStream),
 	}
 }
 
-// serverAddress returns the address of a server that is listed now, and whether it is.
+// serverAddress returns the address of a server and whether the server is on the latest endpoint
+// list.
 func (p *Plugin) serverAddress(id routing.ServerID) (string, bool) {
 	address, ok := (*p.servers.Load())[id]
 	return address, ok
--- a/plugin/request.go
+++ b/plugin/request.go
@@ -15,11 +15,12 @@
 	"garnetline/routing"
 )
 
-// newRequest returns the dispatcher's request for an RPC. message is nil for a stream.
+// newRequest returns the request that the dispatcher gets for an RPC. message is nil for a stream.
+// The error has codes.FailedPrecondition if Options.Operations has no operation for the RPC.
 func (p *Plugin) newRequest(ctx context.Context, fullMethod string, message any) (*dispatch.Request, error) {
 	operation, ok := p.options.Operations.Find(fullMethod)
 	if !ok {
-		return nil, status.Errorf(codes.FailedPrecondition, "garnetline: %s is not in the description", fullMethod)
+		return nil, status.Errorf(codes.FailedPrecondition, "garnetline: no operation for RPC %s in Options.Operations", fullMethod)
 	}
 	var key Key
 	if p.options.Key != nil {
@@ -41,8 +42,7 @@
 	return request, nil
 }
 
-// remainingTime returns how long the caller waits: until the deadline of its context or,
-// where it has none, for a default.
+// remainingTime returns the time until the deadline of ctx, or defaultTime if ctx has no deadline.
 func remainingTime(ctx context.Context, defaultTime time.Duration) time.Duration {
 	if deadline, ok := ctx.Deadline(); ok {
 		return time.Until(deadline)
@@ -50,8 +50,8 @@
 	return defaultTime
 }
 
-// submit hands a request to the dispatcher and waits for its response, for the caller to
-// give up, or for the plugin to be closed.
+// submit submits a request to the dispatcher and waits until the dispatcher responds, ctx is done
+// or the plugin is closed. It returns an error in the last two cases.
 func (p *Plugin) submit(ctx context.Context, request *dispatch.Request, transport dispatch.Transport) (dispatch.Response, error) {
 	responses := make(chan dispatch.Response, 1)
 	request.Transport = transport
@@ -70,12 +70,14 @@
 	}
 }
 
+// errClosed returns the error of an RPC that begins, or has no response yet, when the plugin is
+// closed.
 func errClosed() error { return status.Error(codes.Canceled, "garnetline: the plugin is closed") }
 
-// rejectedError returns the error of an RPC that was not executed. It tells the caller, in a
-// RetryInfo, when to retry.
+// rejectedError returns the error of an RPC that was not served and that the caller may safely
+// retry. Its RetryInfo tells the caller how long to wait before a retry.
 func rejectedError(retryAfterMs float64) error {
-	rejected := status.New(codes.Unavailable, "garnetline: refused, a retry is harmless")
+	rejected := status.New(codes.Unavailable, "garnetline: RPC not served; a retry is safe")
 	retryInfo := &errdetails.RetryInfo{RetryDelay: durationpb.New(clock.Duration(retryAfterMs))}
 	if detailed, err := rejected.WithDetails(retryInfo); err == nil {
 		rejected = detailed
@@ -83,7 +85,8 @@
 	return rejected.Err()
 }
 
-// hashString returns a hash that is not 0: the key 0 means that there is none.
+// hashString returns a hash of text that is never 0, because an Object of 0 in a Key means that the
+// key is not set.
 func hashString(text string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(text)) // never fails
--- a/plugin/request_test.go
+++ b/plugin/request_test.go
@@ -12,19 +12,19 @@
 	"garnetline/internal/clock"
 )
 
-func TestCallerDeadlineReplacesThatOfTheClass(t *testing.T) {
+func TestCallerDeadlineOverridesClassDeadline(t *testing.T) {
 	const classDeadline, callerDeadline = time.Minute, time.Hour
 	if got := remainingTime(t.Context(), classDeadline); got != classDeadline {
-		t.Errorf("without a deadline %v remain, want %v", got, classDeadline)
+		t.Errorf("without a deadline of the caller: got remaining time %v, want %v", got, classDeadline)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), callerDeadline)
 	defer cancel()
 	if got := remainingTime(ctx, classDeadline); got <= classDeadline || got > callerDeadline {
-		t.Errorf("%v remain, want the caller's %v", got, callerDeadline)
+		t.Errorf("with a deadline of the caller: got remaining time %v, want at most %v and more than the deadline of the class", got, callerDeadline)
 	}
 }
 
-func TestRequestOfAnRPC(t *testing.T) {
+func TestNewRequest(t *testing.T) {
 	options := Options{
 		Classes: []Class{
 			{Name: "part", LatencyObjective: time.Second, Deadline: 2 * time.Second},
@@ -53,25 +53,25 @@
 		"traced":   {request.Client != nil, false},
 	} {
 		if field.got != field.want {
-			t.Errorf("%s %v, want %v", name, field.got, field.want)
+			t.Errorf("%s: got %v, want %v", name, field.got, field.want)
 		}
 	}
 }
 
 func TestRejectedErrorTellsWhenToRetry(t *testing.T) {
 	got := status.Convert(rejectedError(250))
-	if want := "garnetline: refused, a retry is harmless"; got.Code() != codes.Unavailable || got.Message() != want {
-		t.Errorf("%v %q, want %v %q", got.Code(), got.Message(), codes.Unavailable, want)
+	if want := "garnetline: RPC not served; a retry is safe"; got.Code() != codes.Unavailable || got.Message() != want {
+		t.Errorf("got status %v %q, want %v %q", got.Code(), got.Message(), codes.Unavailable, want)
 	}
 	details := got.Details()
 	if len(details) != 1 {
-		t.Fatalf("details %v, want one", details)
+		t.Fatalf("got status details %v, want one", details)
 	}
 	retry, ok := details[0].(*errdetails.RetryInfo)
 	if !ok {
-		t.Fatalf("details %T, want %T", details[0], retry)
+		t.Fatalf("got status detail of type %T, want %T", details[0], retry)
 	}
 	if delay := retry.RetryDelay.AsDuration(); delay != 250*time.Millisecond {
-		t.Errorf("retry after %v, want 250ms", delay)
+		t.Errorf("got retry delay %v, want 250ms", delay)
 	}
 }
--- a/plugin/resolver.go
+++ b/plugin/resolver.go
@@ -20,27 +20,28 @@
 
 	defaultDNSPort = "53"
 
-	// lookupTimeout bounds one lookup: the SRV query and the queries for its targets.
+	// lookupTimeout limits the duration of one lookup, which consists of the SRV query and the
+	// address queries for the targets of the SRV records.
 	lookupTimeout = 2 * time.Second
 
-	// maxLookupsPerInterval bounds how often lookups are made in a refresh interval, however
-	// often gRPC requests one.
+	// maxLookupsPerInterval limits the number of lookups in a refresh interval when gRPC requests
+	// extra lookups.
 	maxLookupsPerInterval = 10
 )
 
 // Names of counters.
 const (
-	lookupsFailedCounter = "lookups_failed"
-	listsNotTakenCounter = "lists_not_taken"
+	lookupsFailedCounter = "lookups_failed"  // DNS lookups that failed
+	listsRejectedCounter = "lists_not_taken" // endpoint lists that gRPC rejected
 )
 
 // Scheme returns the scheme of the targets that the plugin resolves. Targets have the form
-// garnetline://DNSSERVER/NAME; without a DNS server the system's resolver is used. It is part
-// of gRPC's resolver.Builder.
+// garnetline://DNSSERVER/NAME. If DNSSERVER is empty, the plugin uses the system's resolver.
+// Scheme implements resolver.Builder of gRPC.
 func (p *Plugin) Scheme() string { return targetScheme }
 
-// Build starts to follow the SRV records of the target's name. It is part of gRPC's
-// resolver.Builder.
+// Build returns a resolver that looks up the SRV records of the target's name periodically. Build
+// implements resolver.Builder of gRPC.
 func (p *Plugin) Build(target resolver.Target, conn resolver.ClientConn, _ resolver.BuildOptions) (resolver.Resolver, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &srvResolver{
@@ -59,8 +60,8 @@
 	return r, nil
 }
 
-// dnsResolver returns a resolver that asks a DNS server, given as HOST or HOST:PORT, or the
-// system's resolver if server is empty.
+// dnsResolver returns a resolver that queries a DNS server, given as HOST or HOST:PORT. If server
+// is empty, it returns the system's resolver.
 func dnsResolver(server string) *net.Resolver {
 	if server == "" {
 		return net.DefaultResolver
@@ -76,19 +77,19 @@
 	}
 }
 
-// srvResolver follows the endpoint list of a ClientConn in DNS.
+// srvResolver looks up the endpoint list of a ClientConn in DNS periodically.
 type srvResolver struct {
 	plugin          *Plugin
 	conn            resolver.ClientConn
 	dns             *net.Resolver
-	name            string        // of the SRV records
-	lookupRequested chan struct{} // by gRPC, before the next lookup is due
+	name            string        // name of the SRV records
+	lookupRequested chan struct{} // receives a value when gRPC requests a lookup before the next one is due
 	cancel          context.CancelFunc
 	running         sync.WaitGroup
 }
 
-// ResolveNow requests a lookup before the next one is due. It is part of gRPC's
-// resolver.Resolver.
+// ResolveNow requests a lookup before the next one is due. It implements resolver.Resolver of
+// gRPC.
 func (r *srvResolver) ResolveNow(resolver.ResolveNowOptions) {
 	select {
 	case r.lookupRequested <- struct{}{}:
@@ -96,14 +97,15 @@
 	}
 }
 
-// Close ends the lookups and waits for the one in progress. It is part of gRPC's
-// resolver.Resolver.
+// Close stops the periodic lookups. It cancels a lookup in progress and waits for it to end. It
+// implements resolver.Resolver of gRPC.
 func (r *srvResolver) Close() {
 	r.cancel()
 	r.running.Wait()
 }
 
-// run looks the endpoints up until ctx ends.
+// run looks up and publishes the endpoints, periodically and when gRPC requests it, until ctx is
+// canceled.
 func (r *srvResolver) run(ctx context.Context) {
 	interval := r.plugin.options.RefreshInterval
 	ticker := time.NewTicker(interval)
@@ -123,8 +125,8 @@
 	}
 }
 
-// refresh looks the endpoints up and publishes them. If the lookup fails, the latest list
-// stays in use.
+// refresh looks up the endpoints and publishes them. If the lookup fails, the previous endpoint
+// list stays in use.
 func (r *srvResolver) refresh(ctx context.Context) {
 	endpoints, err := r.lookup(ctx)
 	if err == nil {
@@ -137,8 +139,8 @@
 	}
 }
 
-// lookup returns the endpoints of the name: the addresses of the SRV records that have the
-// lowest priority value. The records come sorted by it.
+// lookup returns the endpoints of r.name, which are the addresses of the SRV records with the
+// lowest priority value. LookupSRV returns the records sorted by that value.
 func (r *srvResolver) lookup(ctx context.Context) ([]platformconfig.Endpoint, error) {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
@@ -151,7 +153,7 @@
 		if record.Priority != records[0].Priority {
 			break
 		}
-		host := strings.TrimSuffix(record.Target, ".") + "." // no search domains
+		host := strings.TrimSuffix(record.Target, ".") + "." // a trailing dot prevents the use of search domains
 		addresses, err := r.dns.LookupNetIP(ctx, "ip", host)
 		if err != nil {
 			return nil, err
@@ -163,7 +165,7 @@
 	return endpoints, nil
 }
 
-// newEndpoint returns a server that is known by its address.
+// newEndpoint returns the endpoint of a server. The id of the server is a hash of its address.
 func newEndpoint(address netip.AddrPort, weight uint16) platformconfig.Endpoint {
 	return platformconfig.Endpoint{
 		Addr: address,
@@ -175,9 +177,9 @@
 	}
 }
 
-// publish hands a list of endpoints to gRPC, which connects to them, and to the dispatcher.
-// From then on a server that is not on it gets no further attempt, whatever the dispatcher
-// has decided before.
+// publish passes an endpoint list to the dispatcher and to gRPC, which connects to the endpoints.
+// After publish stores the list, no attempt is sent to a server that is not on it, even if the
+// dispatcher selected that server earlier.
 func (r *srvResolver) publish(endpoints []platformconfig.Endpoint) {
 	servers := serverAddresses{}
 	state := resolver.State{}
@@ -189,6 +191,6 @@
 	r.plugin.servers.Store(&servers)
 	r.plugin.dispatcher.HandleWatchEvent(platformconfig.WatchEvent{ListUpdate: true, Snapshot: true, Endpoints: endpoints})
 	if err := r.conn.UpdateState(state); err != nil {
-		r.plugin.metrics.Add(listsNotTakenCounter, 1)
+		r.plugin.metrics.Add(listsRejectedCounter, 1)
 	}
 }
--- a/plugin/resolver_test.go
+++ b/plugin/resolver_test.go
@@ -12,7 +12,7 @@
 	"garnetline/internal/platformconfig"
 )
 
-// A server that is no longer in DNS gets no call once the list has been read again.
+// A server that was removed from DNS gets no calls after the next lookup.
 func TestServerNoLongerInDNSGetsNoCalls(t *testing.T) {
 	client := newTestClient(t, "get", 3)
 	removed := client.servers[0]
@@ -23,12 +23,12 @@
 		client.mustCheck(fmt.Sprintf("late-%d", i))
 	}
 	if after := removed.totalCalls(); after != before {
-		t.Errorf("%d calls went to a server that is no longer listed, want none", after-before)
+		t.Errorf("got %d calls to a server that is no longer listed, want none", after-before)
 	}
 }
 
-// waitUntilUnlisted waits until the plugin does not list a server any more, for a thousand
-// lookups at most.
+// waitUntilUnlisted waits until the plugin's endpoint list no longer has a server. The test fails
+// if the list still has the server after 1000 lookups.
 func (c *testClient) waitUntilUnlisted(server *fakeServer) {
 	c.t.Helper()
 	for range 1000 {
@@ -37,10 +37,10 @@
 		}
 		<-c.dns.lookedUp
 	}
-	c.t.Fatal("the list was read a thousand times and still has the server")
+	c.t.Fatal("the endpoint list still has the server after 1000 lookups")
 }
 
-// fakeClientConn is what a resolver reports to.
+// fakeClientConn is the ClientConn to which a resolver reports its endpoint lists and errors.
 type fakeClientConn struct {
 	resolver.ClientConn
 	updateErr error
@@ -58,7 +58,8 @@
 	}
 }
 
-// newIdlePlugin returns a plugin without a client, which looks servers up once an hour.
+// newIdlePlugin returns a plugin without a ClientConn. Its refresh interval is an hour, so that a
+// resolver makes only its first lookup during a test.
 func newIdlePlugin(t *testing.T) *Plugin {
 	t.Helper()
 	plugin, err := New(Options{
@@ -72,32 +73,32 @@
 	return plugin
 }
 
-func TestListStaysWhenALookupFails(t *testing.T) {
+func TestEndpointListIsKeptWhenLookupFails(t *testing.T) {
 	plugin := newIdlePlugin(t)
 	plugin.servers.Store(&serverAddresses{1: "192.0.2.1:80"})
 	conn := &fakeClientConn{reported: make(chan error, 1)}
 	noServer := resolver.Target{URL: url.URL{Scheme: plugin.Scheme(), Host: "127.0.0.1:1", Path: "/" + serviceName}}
-	following, err := plugin.Build(noServer, conn, resolver.BuildOptions{})
+	listResolver, err := plugin.Build(noServer, conn, resolver.BuildOptions{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := <-conn.reported; err == nil {
-		t.Error("no error is reported to gRPC")
+		t.Error("got a nil error reported to gRPC, want an error")
 	}
-	following.Close()
+	listResolver.Close()
 	if got := plugin.metrics.Counter("lookups_failed").Load(); got != 1 {
-		t.Errorf("lookups_failed is %d, want 1", got)
+		t.Errorf("lookups_failed: got %d, want 1", got)
 	}
 	if address, listed := plugin.serverAddress(1); !listed || address != "192.0.2.1:80" {
-		t.Errorf("server 1 is listed: %v, %q; want 192.0.2.1:80", listed, address)
+		t.Errorf("server 1: got listed %v, address %q; want it listed with address 192.0.2.1:80", listed, address)
 	}
 }
 
-func TestListThatGRPCDoesNotTakeIsCounted(t *testing.T) {
+func TestEndpointListRejectedByGRPCIsCounted(t *testing.T) {
 	plugin := newIdlePlugin(t)
-	following := &srvResolver{plugin: plugin, conn: &fakeClientConn{updateErr: errors.New("bad state")}}
-	following.publish([]platformconfig.Endpoint{})
+	listResolver := &srvResolver{plugin: plugin, conn: &fakeClientConn{updateErr: errors.New("bad state")}}
+	listResolver.publish([]platformconfig.Endpoint{})
 	if got := plugin.metrics.Counter("lists_not_taken").Load(); got != 1 {
-		t.Errorf("lists_not_taken is %d, want 1", got)
+		t.Errorf("lists_not_taken: got %d, want 1", got)
 	}
 }
--- a/plugin/stream.go
+++ b/plugin/stream.go
@@ -9,8 +9,8 @@
 	"garnetline/routing"
 )
 
-// interceptStream opens a stream at the server that the dispatcher chooses. A stream is not
-// retried: what was sent on it cannot be sent again.
+// interceptStream opens a stream to the server that the dispatcher selects. A stream is not
+// retried, because the messages that were sent on it cannot be sent again.
 func (p *Plugin) interceptStream(
 	ctx context.Context, desc *grpc.StreamDesc, conn *grpc.ClientConn,
 	fullMethod string, streamer grpc.Streamer, options ...grpc.CallOption,
@@ -31,8 +31,9 @@
 	return streamer(ctx, desc, conn, fullMethod, options...)
 }
 
-// resolveOnlyTransport carries out the attempts of a stream. An attempt ends as soon as its
-// server is known; the dispatcher does not learn how the stream fares.
+// resolveOnlyTransport is the dispatch.Transport of a stream. It sends nothing: an attempt
+// completes as soon as its server is selected, and the dispatcher is not told whether the stream
+// succeeds.
 type resolveOnlyTransport struct{ plugin *Plugin }
 
 // Send implements dispatch.Transport.
--- a/plugin/testclient_test.go
+++ b/plugin/testclient_test.go
@@ -17,8 +17,8 @@
 	"garnetline/routing"
 )
 
-// healthDescription describes the RPCs of gRPC's own health service, which the tests call. It
-// lacks the HTTP method of Check.
+// healthDescription is a format for the description of gRPC's standard health service, whose RPCs
+// the tests call. Its argument is the HTTP method of Check.
 const healthDescription = `openapi: 3.0.3
 info: {title: health, version: "1"}
 paths:
@@ -36,7 +36,7 @@
 // serviceName is the name of the SRV records that list the servers.
 const serviceName = "_health._tcp.example.test"
 
-// connectTimeout bounds how long a client waits until all its servers are connected.
+// connectTimeout limits how long newTestClient waits until all servers are connected.
 const connectTimeout = time.Minute
 
 // fakeServer is an RPC server that counts its calls.
@@ -46,7 +46,7 @@
 	port int
 
 	mu      sync.Mutex
-	calls   map[string]int // by the service asked for
+	calls   map[string]int // number of calls by requested service
 	respond func(ctx context.Context) error
 }
 
@@ -69,7 +69,7 @@
 	t.Cleanup(func() {
 		grpcServer.Stop()
 		if err := <-ended; err != nil {
-			t.Errorf("server %d: %v", index, err)
+			t.Errorf("server %d: Serve: %v", index, err)
 		}
 	})
 	return server
@@ -98,7 +98,8 @@
 	return stream.Send(response)
 }
 
-// setRespond sets what the server does in a call before it responds.
+// setRespond sets a function that the server calls before it responds to a call. If the function
+// returns an error, the error is the response.
 func (s *fakeServer) setRespond(respond func(context.Context) error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,12 +124,13 @@
 	return total
 }
 
-// serverID returns the id by which the plugin knows the server.
+// serverID returns the id that the plugin gives to the server.
 func (s *fakeServer) serverID() routing.ServerID {
 	return routing.ServerID(hashString(fmt.Sprintf("127.0.0.1:%d", s.port)))
 }
 
-// testClient is a client with a plugin, servers, and the DNS server that lists them.
+// testClient is a gRPC client with a plugin. It comes with the servers that it calls and with the
+// DNS server that lists them.
 type testClient struct {
 	t       *testing.T
 	plugin  *Plugin
@@ -138,7 +140,7 @@
 }
 
 // newTestClient starts servers and a client that is connected to all of them. method is the
-// HTTP method of Check in the description; change may alter the plugin's options.
+// HTTP method of Check in the description. The functions in change may modify the plugin's options.
 func newTestClient(t *testing.T, method string, serverCount int, change ...func(*Options)) *testClient {
 	t.Helper()
 	client := &testClient{t: t}
@@ -159,7 +161,8 @@
 	return client
 }
 
-// testOptions returns the options of newTestClient, whose keys are the services asked for.
+// testOptions returns the options of newTestClient. The key of an RPC is a hash of the requested
+// service.
 func testOptions(t *testing.T, method string) Options {
 	t.Helper()
 	operations, err := OpenAPI(fmt.Appendf(nil, healthDescription, method), []string{"part"})
@@ -180,8 +183,8 @@
 	}
 }
 
-// connect makes the client and calls until each server has been called: one that is not
-// connected yet is passed over.
+// connect creates the client and calls services until each server has been called. Servers that
+// are not connected yet are not picked, so that after connect all servers are connected.
 func (c *testClient) connect() {
 	c.t.Helper()
 	options := append(c.plugin.DialOptions(), grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -200,7 +203,7 @@
 	for i := 0; c.calledServers() < len(c.servers); i++ {
 		err := c.check(strconv.Itoa(i))
 		if time.Now().After(deadline) {
-			c.t.Fatalf("%d of %d servers are connected after %v, last error: %v", c.calledServers(), len(c.servers), connectTimeout, err)
+			c.t.Fatalf("got %d of %d servers connected after %v, want all; last error: %v", c.calledServers(), len(c.servers), connectTimeout, err)
 		}
 	}
 }
@@ -216,7 +219,8 @@
 	return called
 }
 
-// setRespond sets what all servers do in a call before they respond.
+// setRespond sets a function that every server calls before it responds to a call. If the function
+// returns an error, the error is the response.
 func (c *testClient) setRespond(respond func(context.Context) error) {
 	for _, server := range c.servers {
 		server.setRespond(respond)
@@ -229,7 +233,7 @@
 	return err
 }
 
-// mustCheck calls the unary RPC for a service, which must be served.
+// mustCheck calls the unary RPC for a service and ends the test if the call fails.
 func (c *testClient) mustCheck(service string) {
 	c.t.Helper()
 	if err := c.check(service); err != nil {
@@ -255,11 +259,11 @@
 	return total
 }
 
-// fakeDNS is a DNS server with the SRV and A records of servers.
+// fakeDNS is a DNS server with SRV and A records for test servers.
 type fakeDNS struct {
 	t        *testing.T
 	address  string
-	lookedUp chan struct{} // an SRV query has been answered
+	lookedUp chan struct{} // receives a value when an SRV query has been answered
 
 	mu     sync.Mutex
 	listed []*fakeServer
@@ -280,7 +284,7 @@
 	select {
 	case <-started:
 	case err := <-ended:
-		t.Fatalf("the DNS server ended at once: %v", err)
+		t.Fatalf("the DNS server stopped before it was ready: %v", err)
 	}
 	t.Cleanup(func() {
 		if err := server.Shutdown(); err != nil {
@@ -312,7 +316,7 @@
 	}
 	d.mu.Unlock()
 	if err := w.WriteMsg(response); err != nil {
-		d.t.Errorf("DNS response: %v", err)
+		d.t.Errorf("write DNS response: %v", err)
 	}
 	if question.Qtype == dns.TypeSRV {
 		select {
@@ -322,7 +326,7 @@
 	}
 }
 
-// record returns the server's answer to a question, or nil.
+// record returns the DNS record of the server that answers a question, or nil if there is none.
 func (s *fakeServer) record(question dns.Question) dns.RR {
 	header := dns.RR_Header{Name: question.Name, Rrtype: question.Qtype, Class: dns.ClassINET}
 	switch {
--- a/plugin/trace.go
+++ b/plugin/trace.go
@@ -20,26 +20,30 @@
 	"garnetline/internal/trace/store"
 )
 
-// traceparentKey is the key of the metadata that carries W3C Trace Context.
+// traceparentKey is the metadata key of the traceparent of W3C Trace Context.
 const traceparentKey = "traceparent"
 
-// Sizes of what is traced.
+// Limits of the stored and buffered traces.
 const (
 	bytesPerMB       = 1 << 20
-	segmentsPerStore = 16             // the oldest segment is deleted to make room
-	undecidedBytes   = 4 * bytesPerMB // memory for traces that may still be retained
+	segmentsPerStore = 16             // at the limit, the oldest segment is deleted to make room
+	undecidedBytes   = 4 * bytesPerMB // memory for traces before the decision whether to retain them
 )
 
-// Trace tells where traces of RPCs are stored: a span for each call, under the caller's own
-// span, and one for each attempt, whose id goes to the server as traceparent. The command
-// `garnetline trace --folder Folder` shows them. A deprecated field is used where the field
-// that replaces it is zero.
+// Trace configures the tracing of RPCs. A trace has a span for each call, which is a child of the
+// caller's own span, and a span for each attempt, whose id goes to the server as traceparent. The
+// command `garnetline trace --folder Folder` shows the stored traces. The value of a deprecated
+// field applies only if the field that replaces it is zero.
+//
+// Calls that failed, were rejected, were retried or took longer than the latency objective of
+// their class are always selected for retention. All other calls are ordinary, and
+// OrdinaryPerSecond limits how many of them are retained.
 type Trace struct {
-	Folder            string  // of the segments; the process must be able to write there
-	Name              string  // of this client in its traces
-	Secret            string  // mixed into the hashes that stand for calls; the same as at the routers
-	OrdinaryPerSecond float64 // calls without a fault that are retained, in each class; others always are
-	MaxSizeMB         int     // of all segments, the oldest are deleted first; 0: 64
+	Folder            string  // folder of the trace segments; the process must be able to write to it
+	Name              string  // name of this client in its traces
+	Secret            string  // mixed into the hashes that identify calls; must be the same as on the routers
+	OrdinaryPerSecond float64 // ordinary calls that are retained per second, in each class
+	MaxSizeMB         int     // limit of the size of all segments, in MB; the oldest segments are deleted first; 0 selects 64
 
 	// Deprecated: use OrdinaryPerSecond.
 	Ordinary float64
@@ -47,16 +51,16 @@
 	KeepMB int
 }
 
-// withDefaults returns the settings with the values of deprecated fields and defaults in the
-// fields that are zero.
+// withDefaults returns the settings with each zero field set from the deprecated field that it
+// replaces or else from its default.
 func (t Trace) withDefaults() Trace {
 	t.OrdinaryPerSecond = cmp.Or(t.OrdinaryPerSecond, t.Ordinary)
 	t.MaxSizeMB = cmp.Or(t.MaxSizeMB, t.KeepMB, defaultMaxSizeMB)
 	return t
 }
 
-// newRecorder returns the recorder of calls, or nil if settings is nil. Defaults of settings
-// and classes are set.
+// newRecorder returns the recorder of calls, or nil if settings is nil. withDefaults must have been
+// applied to settings and classes. The error is that of opening the trace store.
 func newRecorder(settings *Trace, clk clock.Clock, registry *metrics.Registry, classes []Class) (*recorder.Recorder, error) {
 	if settings == nil {
 		return nil, nil
@@ -66,9 +70,9 @@
 	if err != nil {
 		return nil, err
 	}
-	sampled := map[string]sampling.Class{}
+	samplingClasses := map[string]sampling.Class{}
 	for _, class := range classes {
-		sampled[class.Name] = sampling.Class{
+		samplingClasses[class.Name] = sampling.Class{
 			LatencyObjective:  clock.Millis(class.LatencyObjective),
 			OrdinaryPerSecond: settings.OrdinaryPerSecond,
 		}
@@ -79,18 +83,19 @@
 		Secret:               settings.Secret,
 		Seed:                 rand.Uint64(),
 		Metrics:              registry,
-		Log:                  logs.New(io.Discard), // the application's log is its own
+		Log:                  logs.New(io.Discard), // the plugin writes nothing to the application's log
 		Sink:                 segments,
 		ClientBytesPerSecond: func() float64 { return 0 },
 	}, recorder.Settings{
 		UndecidedBytes:      undecidedBytes,
 		RetainClientSampled: true,
-		Classes:             sampled,
+		Classes:             samplingClasses,
 	}), nil
 }
 
-// callerTraceparent returns the traceparent of the caller's own span: of the span in its
-// context or, where it has none, of the metadata that it sends. It is empty if there is none.
+// callerTraceparent returns the traceparent of the caller's own span. It takes the span from ctx
+// or, if ctx has no valid span, the traceparent from the outgoing metadata. It returns "" if there
+// is neither, or if the metadata has several traceparents.
 func callerTraceparent(ctx context.Context) string {
 	if span := oteltrace.SpanContextFromContext(ctx); span.IsValid() {
 		spanID := span.SpanID()
@@ -107,8 +112,8 @@
 	return ""
 }
 
-// withAttemptTraceparent returns a context whose metadata carries the span of an attempt, in
-// place of the caller's own traceparent. If the attempt is not traced, it returns ctx itself.
+// withAttemptTraceparent returns a context whose outgoing metadata has the traceparent of an
+// attempt's span instead of the caller's own. If the attempt is not traced, it returns ctx itself.
 func withAttemptTraceparent(ctx context.Context, attempt *dispatch.AttemptTrace) context.Context {
 	if attempt == nil || attempt.Context.Span == 0 {
 		return ctx
--- a/plugin/trace_test.go
+++ b/plugin/trace_test.go
@@ -16,39 +16,40 @@
 	"garnetline/internal/trace/store"
 )
 
-// A call is a span under its caller's own, and each of its attempts is a span under that,
-// whose id reaches the server: what the servers saw and what is stored are the same.
+// The span of a call is a child of the caller's span, and the span of each attempt is a child of
+// the span of the call. The server of an attempt receives the id of the attempt's span. The test
+// compares the span ids that the servers received with those that are stored.
 func TestCallsAreTraced(t *testing.T) {
 	folder := t.TempDir()
 	client := newTestClient(t, "get", 3, func(options *Options) {
 		options.Trace = &Trace{Folder: folder, Name: "page", OrdinaryPerSecond: 1}
 	})
-	seen := &seenSpans{t: t}
+	received := &receivedSpans{t: t}
 	for i, server := range client.servers {
 		server.setRespond(func(ctx context.Context) error {
-			seen.record(ctx)
+			received.record(ctx)
 			return status.Errorf(codes.Internal, "server %d is broken", i)
 		})
 	}
 	caller := callerSpan()
 	if _, err := client.health.Check(callerContext(t, caller), &health.HealthCheckRequest{Service: "traced"}); err == nil {
-		t.Error("served though all servers are broken")
+		t.Error("got no error though all servers return errors")
 	}
 	client.plugin.Close()
 
 	stored := readTraces(t, folder, trace.ID(caller.TraceID()))
 	if len(stored) != 1 || stored[0].ClientSpan != 0x102 || stored[0].Router != "page" {
-		t.Fatalf("%+v: want one trace of page under the caller's span", stored)
+		t.Fatalf("got traces %+v, want one trace of router \"page\" under the caller's span", stored)
 	}
 	attempts := attemptSpans(stored[0])
-	spans := seen.all()
+	spans := received.all()
 	if len(spans) < 3 || len(attempts) != len(spans) {
-		t.Fatalf("%d attempts are stored, servers saw %d; want as many, and at least 3", len(attempts), len(spans))
+		t.Fatalf("got %d stored attempts and %d attempts at the servers, want equal numbers of at least 3", len(attempts), len(spans))
 	}
 	for i, span := range spans {
 		want := trace.SpanContext{Trace: trace.ID(caller.TraceID()), Span: attempts[i], Sampled: true}
 		if span.Trace != want.Trace || span.Span != want.Span || !span.Sampled {
-			t.Errorf("attempt %d reached its server as %v, want %v", i, span, want)
+			t.Errorf("attempt %d: got span context %v at the server, want %v", i, span, want)
 		}
 	}
 }
@@ -56,7 +57,7 @@
 func TestContextIsUnchangedWithoutTracing(t *testing.T) {
 	ctx := callerContext(t, callerSpan())
 	if got := withAttemptTraceparent(ctx, nil); got != ctx {
-		t.Errorf("context %v, want %v", got, ctx)
+		t.Errorf("got context %v, want %v", got, ctx)
 	}
 }
 
@@ -78,13 +79,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := callerTraceparent(test.ctx); got != test.want {
-				t.Errorf("traceparent %q, want %q", got, test.want)
+				t.Errorf("got traceparent %q, want %q", got, test.want)
 			}
 		})
 	}
 }
 
-// callerSpan returns the span of a caller, whose id is 0x102.
+// callerSpan returns the span context of a caller. The id of the span is 0x102.
 func callerSpan() oteltrace.SpanContext {
 	return oteltrace.NewSpanContext(oteltrace.SpanContextConfig{
 		TraceID:    oteltrace.TraceID{1, 2, 3},
@@ -93,23 +94,24 @@
 	})
 }
 
-// callerContext returns a context with a span, metadata of the caller and a traceparent that
-// is replaced.
+// callerContext returns a context with a span, other metadata of the caller, and a traceparent in
+// the metadata that the plugin must replace.
 func callerContext(t *testing.T, span oteltrace.SpanContext) context.Context {
 	t.Helper()
 	ctx := oteltrace.ContextWithSpanContext(t.Context(), span)
 	return metadata.AppendToOutgoingContext(ctx, "kept", "as it is", traceparentKey, "another")
 }
 
-// seenSpans collects the spans under which servers were called.
-type seenSpans struct {
+// receivedSpans collects the span contexts that servers received with their calls.
+type receivedSpans struct {
 	t     *testing.T
 	mu    sync.Mutex
 	spans []trace.SpanContext
 }
 
-// record collects the span of a call that has one traceparent and the caller's metadata.
-func (s *seenSpans) record(ctx context.Context) {
+// record collects the span context of a call. It ignores a call that lacks the caller's other
+// metadata or does not have exactly one traceparent.
+func (s *receivedSpans) record(ctx context.Context) {
 	incoming, _ := metadata.FromIncomingContext(ctx)
 	values := incoming.Get(traceparentKey)
 	if len(values) != 1 || !slices.Equal(incoming.Get("kept"), []string{"as it is"}) {
@@ -117,20 +119,20 @@
 	}
 	span, ok := trace.ParseTraceparent(values[0])
 	if !ok {
-		s.t.Errorf("traceparent %q is malformed", values[0])
+		s.t.Errorf("got malformed traceparent %q", values[0])
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.spans = append(s.spans, span)
 }
 
-func (s *seenSpans) all() []trace.SpanContext {
+func (s *receivedSpans) all() []trace.SpanContext {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.spans)
 }
 
-// readTraces returns the stored traces that have an id.
+// readTraces returns the stored traces with the given id.
 func readTraces(t *testing.T, folder string, id trace.ID) []*trace.Trace {
 	t.Helper()
 	index, err := store.Read(folder)
@@ -148,7 +150,7 @@
 	return traces
 }
 
-// attemptSpans returns the ids of the spans of attempts.
+// attemptSpans returns the ids of the attempt spans of a trace.
 func attemptSpans(stored *trace.Trace) []trace.SpanID {
 	var ids []trace.SpanID
 	for _, span := range stored.Spans {
--- a/plugin/yaml.go
+++ b/plugin/yaml.go
@@ -6,8 +6,8 @@
 	"gopkg.in/yaml.v3"
 )
 
-// mappingEntries returns the entries of a mapping in their order. It has none for a node that
-// is nil or of another kind.
+// mappingEntries returns an iterator over the keys and values of a mapping, in the order of the
+// document. The iterator is empty if node is nil or not a mapping.
 func mappingEntries(node *yaml.Node) iter.Seq2[string, *yaml.Node] {
 	return func(yield func(string, *yaml.Node) bool) {
 		if node == nil || node.Kind != yaml.MappingNode {
@@ -21,7 +21,8 @@
 	}
 }
 
-// mappingValue returns the value of a key in a mapping, or nil.
+// mappingValue returns the value of a key in a mapping. It returns nil if the mapping lacks the key
+// or if node is nil or not a mapping.
 func mappingValue(node *yaml.Node, key string) *yaml.Node {
 	for name, value := range mappingEntries(node) {
 		if name == key {
@@ -31,7 +32,7 @@
 	return nil
 }
 
-// childNodes returns the values of a list or mapping.
+// childNodes returns the values of a list or mapping. It returns nil for other nodes.
 func childNodes(node *yaml.Node) []*yaml.Node {
 	if node != nil && node.Kind == yaml.SequenceNode {
 		return node.Content
@@ -43,7 +44,7 @@
 	return values
 }
 
-// scalarText returns the text of a scalar, or nothing for a node that is nil or of another kind.
+// scalarText returns the text of a scalar. It returns "" if node is nil or not a scalar.
 func scalarText(node *yaml.Node) string {
 	if node == nil || node.Kind != yaml.ScalarNode {
 		return ""
