--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -10,22 +10,22 @@
 	"garnetline/routing"
 )
 
-// outputBufferSize is in bytes.
+// outputBufferSize is the size of the write buffer in bytes.
 const outputBufferSize = 1 << 16
 
-// noInstance is the instance of a reply that has no actions yet.
+// noInstance is the value of adapter.replyTo while the reply has no actions.
 const noInstance = -1
 
 // adapter runs the routers of all instances in this process.
 type adapter struct {
 	routers map[int]*routing.Router // by instance
-	reply   []byte                  // to the current batch
-	replyTo int                     // instance of the latest action in reply, or noInstance
-	actions []routing.Action        // of the current event, kept for its capacity
+	reply   []byte                  // reply to the current batch
+	replyTo int                     // instance of the last action in reply, or noInstance
+	actions []routing.Action        // actions of the current event; the slice is reused
 }
 
-// run answers one batch after the other until the input ends. The simulator waits for each reply,
-// so it is flushed at once.
+// run reads batches from input and writes their replies to output until the input ends. It flushes
+// each reply at once, because the simulator waits for it.
 func run(input io.Reader, output io.Writer) error {
 	reader := simproto.NewReader(input)
 	writer := bufio.NewWriterSize(output, outputBufferSize)
@@ -43,16 +43,16 @@
 			return err
 		}
 		if _, err := writer.Write(reply); err != nil {
-			return fmt.Errorf("write: %w", err)
+			return fmt.Errorf("write reply: %w", err)
 		}
 		if err := writer.Flush(); err != nil {
-			return fmt.Errorf("write: %w", err)
+			return fmt.Errorf("write reply: %w", err)
 		}
 	}
 }
 
 // answer handles the messages of a batch and returns the reply, which is valid until the next
-// call. An error means that the settings of an instance cannot be used.
+// call. It returns an error if the settings of an instance are invalid.
 func (a *adapter) answer(batch *simproto.Batch) ([]byte, error) {
 	a.reply = a.reply[:0]
 	a.replyTo = noInstance
@@ -75,8 +75,8 @@
 	return a.reply, nil
 }
 
-// handleEvent passes an event to the router of its instance and appends the actions to the reply.
-// An event for an instance that does not run is ignored.
+// handleEvent passes an event to the router of its instance and appends the router's actions to the
+// reply. Events for an instance that is not running are ignored.
 func (a *adapter) handleEvent(batch *simproto.Batch, message *simproto.Message) {
 	router := a.routers[message.Instance]
 	if router == nil {
--- a/cmd/simadapter/adapter_test.go
+++ b/cmd/simadapter/adapter_test.go
@@ -7,17 +7,17 @@
 	"testing"
 )
 
-// startedInstance begins a batch, without its end, in which instance 3 starts and gets its
-// endpoint list: cache 11 and parent 31.
+// startedInstance is a batch without its last line. Instance 3 starts in it and receives an endpoint
+// list with cache 11 and parent 31.
 const startedInstance = "TURN 1000000\nCATALOG 0 2\nITEM 11 1 0 0 1 1 -\nITEM 31 0 1 0 1 1 -\nSELECT 3\n" +
 	"BEGIN 7 areas=hub,edge zone=1 machine_types=a,parent,origin family_info.second_tier_kind=1 " +
 	"family_info.root_kind=2 classes.count=1 classes.0.aim_us=600000 classes.0.deadline_us=6000000 " +
 	"family_info.one_flow_kb_per_s=1000 limits.try_limit=6\nDIRECTORY_UPDATE 2 1 0\n"
 
-// requestLine is a client's request.
+// requestLine is the line of a client's request.
 const requestLine = "INGRESS 5 1 6000000 0 0 0 91f03b7c55d20a64 100 0\n"
 
-// runInput returns what run writes for an input.
+// runInput returns the output of run for an input.
 func runInput(t *testing.T, input string) string {
 	t.Helper()
 	var output bytes.Buffer
@@ -35,7 +35,7 @@
 	}
 }
 
-// Events can follow the stop of their instance in the same batch.
+// A batch can contain events for an instance after the message that stops this instance.
 func TestEventsOfStoppedInstanceAreIgnored(t *testing.T) {
 	got := runInput(t, startedInstance+"TEARDOWN\n"+requestLine+"END\n")
 	if want := "NEXT\n"; got != want {
@@ -58,13 +58,13 @@
 		t.Run(test.name, func(t *testing.T) {
 			err := run(strings.NewReader(test.input), &bytes.Buffer{})
 			if err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("got error %v, want one with %q", err, test.want)
+				t.Errorf("got error %v, want one that contains %q", err, test.want)
 			}
 		})
 	}
 }
 
-// failingOutput fails each write.
+// failingOutput is a writer whose writes all fail with err.
 type failingOutput struct{ err error }
 
 func (f failingOutput) Write([]byte) (int, error) { return 0, f.err }
@@ -72,7 +72,7 @@
 func TestWriteErrorIsReported(t *testing.T) {
 	broken := errors.New("broken pipe")
 	err := run(strings.NewReader("TURN 1\nEND\n"), failingOutput{broken})
-	if !errors.Is(err, broken) || err.Error() != "write: broken pipe" {
-		t.Errorf("got error %v, want write: broken pipe", err)
+	if !errors.Is(err, broken) || err.Error() != "write reply: broken pipe" {
+		t.Errorf("got error %v, want write reply: broken pipe", err)
 	}
 }
--- a/cmd/simadapter/benchmark_test.go
+++ b/cmd/simadapter/benchmark_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// BenchmarkRun answers 1000 batches, in each of which a client sends a request and disconnects.
+// BenchmarkRun answers 1000 batches. In each batch a client sends a request and disconnects.
 func BenchmarkRun(b *testing.B) {
 	var input strings.Builder
 	input.WriteString(startedInstance + "END\n")
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,9 +1,9 @@
-// Command simadapter runs router instances in the simulator's line protocol, which package
-// simproto describes: it reads batches of events from standard input and writes one reply for
-// each to standard output. Instances share nothing; each has a routing.Router of its own.
+// Command simadapter connects router instances to the simulator over the line protocol that package
+// simproto describes. It reads batches of events from standard input and writes one reply for each
+// batch to standard output. Instances share no state; each has its own routing.Router.
 //
-// It exits with 0 when the input ends between two batches. Any other end is an error: it is
-// printed to standard error, and the exit code is 1.
+// It exits with code 0 when the input ends between two batches. Otherwise it prints an error to
+// standard error and exits with code 1.
 package main
 
 import (
--- a/internal/simproto/batch.go
+++ b/internal/simproto/batch.go
@@ -6,17 +6,17 @@
 	"garnetline/routing"
 )
 
-// MessageKind is what a Message is about.
+// MessageKind tells what a Message reports about its instance.
 type MessageKind int
 
 // The kinds of messages in a batch.
 const (
 	InstanceEvent MessageKind = iota // an event for a running instance
-	InstanceStart                    // an instance starts and knows only its settings
-	InstanceStop                     // an instance was killed; what it knew is lost
+	InstanceStart                    // an instance starts, with its settings and no other state
+	InstanceStop                     // an instance was killed and its state is lost
 )
 
-// String returns the kind in lower case, for test failures.
+// String returns the kind in lower case, for test failure messages.
 func (k MessageKind) String() string {
 	switch k {
 	case InstanceEvent:
@@ -30,17 +30,17 @@
 	}
 }
 
-// Message is one message of a batch, for one instance.
+// Message is one message of a batch. It is addressed to one instance.
 type Message struct {
 	Instance int
 	Kind     MessageKind
-	Event    routing.Event    // with InstanceEvent, never nil
-	Seed     uint64           // with InstanceStart, of the instance's random numbers
-	Settings routing.Settings // with InstanceStart
+	Event    routing.Event    // only for InstanceEvent, where it is never nil
+	Seed     uint64           // only for InstanceStart: seeds the instance's random numbers
+	Settings routing.Settings // only for InstanceStart
 }
 
-// Batch is what happened at one time, in the order in which it is to be handled.
+// Batch holds the messages of one point in time, in the order in which they must be handled.
 type Batch struct {
-	Now      time.Duration // on the simulator's clock, which has no particular start
+	Now      time.Duration // time on the simulator's clock, whose zero point is arbitrary
 	Messages []Message
 }
--- a/internal/simproto/benchmark_test.go
+++ b/internal/simproto/benchmark_test.go
@@ -11,10 +11,10 @@
 	"garnetline/routing"
 )
 
-// invalidBatch is the batch that ends testdata/session.txt; it cannot be read.
+// invalidBatch is the start of the last batch in testdata/session.txt, which has an invalid line.
 const invalidBatch = "TURN 8412252\n"
 
-// readSession returns the batches of testdata/session.txt that can be read, and their number.
+// readSession returns the valid batches of testdata/session.txt and their number.
 func readSession(tb testing.TB) ([]byte, int) {
 	tb.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "session.txt"))
@@ -23,15 +23,15 @@
 	}
 	session, _, found := bytes.Cut(text, []byte(invalidBatch))
 	if !found {
-		tb.Fatalf("session.txt holds no batch %q", invalidBatch)
+		tb.Fatalf("session.txt does not contain the batch start %q", invalidBatch)
 	}
 	return session, bytes.Count(session, []byte("TURN "))
 }
 
-// repeatedInput brings the same text again and again, without an end.
+// repeatedInput is an endless reader that repeats the same text.
 type repeatedInput struct {
 	text []byte
-	read int // bytes of text read in this round
+	read int // bytes of the current repetition that were read
 }
 
 func (r *repeatedInput) Read(p []byte) (int, error) {
@@ -40,7 +40,7 @@
 	return n, nil
 }
 
-// benchmarkReader reads all batches of text in each operation.
+// benchmarkReader measures reading text, which holds the given number of batches.
 func benchmarkReader(b *testing.B, text []byte, batches int) {
 	b.Helper()
 	reader := NewReader(&repeatedInput{text: text})
@@ -55,13 +55,15 @@
 	}
 }
 
-// BenchmarkReaderNext reads one session with every message: most of its time goes to settings.
+// BenchmarkReaderNext reads a session that contains every message. Parsing settings takes most of
+// the time.
 func BenchmarkReaderNext(b *testing.B) {
 	session, batches := readSession(b)
 	benchmarkReader(b, session, batches)
 }
 
-// BenchmarkReaderNextEvents reads a batch of 100 requests with their outcomes, as most batches are.
+// BenchmarkReaderNextEvents reads a batch of 100 requests with their outcomes. Most batches hold
+// only such events.
 func BenchmarkReaderNextEvents(b *testing.B) {
 	text := []byte("TURN 8412250\nSELECT 3\n")
 	for range 100 {
--- a/internal/simproto/classes.go
+++ b/internal/simproto/classes.go
@@ -6,11 +6,12 @@
 	"garnetline/routing"
 )
 
-// maxClasses limits the classes of settings, whose number is told before they are read.
+// maxClasses limits the number of classes in settings. The settings state that number in one value,
+// so an unlimited value could make the reader allocate any amount of memory.
 const maxClasses = 1000
 
-// The paths of settings about classes that are read in more than one place. Those of family_info
-// are lists with a value for each class.
+// Paths of class settings that are used in more than one place. The paths below family_info hold
+// lists with one value for each class.
 const (
 	pathClasses        = "classes"
 	pathClassCount     = "classes.count"
@@ -19,23 +20,23 @@
 	pathClassMaxStale  = "family_info.older_by_us"
 )
 
-// idempotencyWords and keyScopeWords are the words of the protocol in the order of the constants of
-// package routing.
+// idempotencyNames and keyScopeNames hold the protocol's names of idempotency kinds and key scopes,
+// indexed by the constants of package routing.
 var (
-	idempotencyWords = []string{
+	idempotencyNames = []string{
 		routing.Idempotent:        "read_like",
 		routing.IdempotentWithKey: "idempotency_key",
 		routing.NonIdempotent:     "non_idempotent",
 	}
-	keyScopeWords = []string{
+	keyScopeNames = []string{
 		routing.KeyScopeAll:  "all",
 		routing.KeyScopeZone: "zone",
 		routing.KeyScopeCell: "cell",
 	}
 )
 
-// classes returns the classes of requests, or nil if there are too many or a list does not have a
-// value for each.
+// classes returns the request classes. It records an error and returns nil if there are more than
+// maxClasses, or if a list does not have one value for each class.
 func (s settingReader) classes() []routing.Class {
 	writes := s.list(pathClassWrite)
 	freshness := s.list(pathClassFreshness)
@@ -67,23 +68,24 @@
 	return classes
 }
 
-// checkClassList reports whether a list is absent or has a value for each class, and fails
-// otherwise.
+// checkClassList reports whether a list is absent or has one value for each class. If neither
+// holds, it records an error.
 func (s settingReader) checkClassList(path string, values []string, classes int) bool {
 	if len(values) == 0 || len(values) == classes {
 		return true
 	}
-	s.fields.failf(path, "%d values for %d classes", len(values), classes)
+	s.fields.failf(path, "got %d values for %d classes, expected one for each class", len(values), classes)
 	return false
 }
 
-// class returns what the settings of one class say by themselves.
+// class returns the class with the given index, without the values that come from the lists in
+// family_info.
 func (s settingReader) class(i int) routing.Class {
 	prefix := fmt.Sprintf("%s.%d.", pathClasses, i)
 	return routing.Class{
 		Name:                    s.values[prefix+"name"],
-		Idempotency:             routing.Idempotency(s.word(prefix+"effect", idempotencyWords)),
-		KeyScope:                routing.KeyScope(s.word(prefix+"group", keyScopeWords)),
+		Idempotency:             routing.Idempotency(s.enum(prefix+"effect", idempotencyNames)),
+		KeyScope:                routing.KeyScope(s.enum(prefix+"group", keyScopeNames)),
 		KeyWindow:               s.duration(prefix + "window_us"),
 		LatencyObjective:        s.duration(prefix + "aim_us"),
 		ObjectiveTransferFactor: s.float(prefix + "aim_stretch"),
--- a/internal/simproto/consistency.go
+++ b/internal/simproto/consistency.go
@@ -6,16 +6,16 @@
 	"garnetline/routing"
 )
 
-// checkConsistency fails if settings contradict each other. A value that only makes a rule
-// stricter than necessary, such as a latency objective beyond the deadline, is no contradiction.
+// checkConsistency records an error if settings contradict each other. A value that only makes a
+// rule stricter than necessary, such as a latency objective beyond the deadline, is accepted.
 //
-// Symptom guarded against: of two classes, zones or kinds with the same name the first stood for
-// both, and a write without an origin was sent to a cache, which cannot execute it.
+// Without these checks, the first of two classes, zones or kinds with the same name would be used
+// for both, and a write without an origin would be sent to a cache, which cannot execute it.
 func (s settingReader) checkConsistency(settings *routing.Settings) {
 	s.requireDistinct(pathZones, s.list(pathZones))
 	s.requireDistinct(pathKinds, s.list(pathKinds))
 	if settings.ParentKind >= 0 && settings.ParentKind == settings.OriginKind {
-		s.fields.failf(pathParentKind, "kind %d is the origin's, as %s says", settings.ParentKind, pathOriginKind)
+		s.fields.failf(pathParentKind, "kind %d is also the origin's kind in %s", settings.ParentKind, pathOriginKind)
 	}
 	s.checkInitialCapacity(pathCacheInitial, settings.CacheSlowStart)
 	s.checkInitialCapacity(pathParentInitial, settings.ParentSlowStart)
@@ -27,31 +27,31 @@
 	s.requireDistinct(pathClasses, names)
 }
 
-// checkInitialCapacity fails if a server would start with more than its capacity.
+// checkInitialCapacity records an error if a server would start with more than its full capacity.
 func (s settingReader) checkInitialCapacity(path string, slowStart routing.SlowStart) {
 	if slowStart.InitialCapacity > 1 {
-		s.fields.failf(path, "%v is more than all of a server's capacity", slowStart.InitialCapacity)
+		s.fields.failf(path, "expected a fraction of a server's capacity of at most 1, got %v", slowStart.InitialCapacity)
 	}
 }
 
-// checkWritesHaveOrigin fails if a class is executed by an origin that there is not.
+// checkWritesHaveOrigin records an error if there is a class of writes, which only an origin can
+// execute, but no origin.
 func (s settingReader) checkWritesHaveOrigin(settings *routing.Settings) {
 	if settings.OriginKind >= 0 {
 		return
 	}
 	for i := range settings.Classes {
 		if class := &settings.Classes[i]; class.Write {
-			s.fields.failf(pathClassWrite, "class %q runs at the origin, and %s names none", class.Name, pathOriginKind)
+			s.fields.failf(pathClassWrite, "writes of class %q need an origin, but %s does not name one", class.Name, pathOriginKind)
 		}
 	}
 }
 
-// requireDistinct fails if a name occurs twice. The simulator does not always name its classes, so
-// empty names are not compared.
+// requireDistinct records an error if a name occurs more than once. Empty names are not compared, because the simulator does not always name its classes.
 func (s settingReader) requireDistinct(path string, names []string) {
 	for i, name := range names {
 		if name != "" && slices.Contains(names[:i], name) {
-			s.fields.failf(path, "%q stands twice", name)
+			s.fields.failf(path, "duplicate name %q", name)
 		}
 	}
 }
--- a/internal/simproto/errors.go
+++ b/internal/simproto/errors.go
@@ -2,17 +2,17 @@
 
 import "fmt"
 
-// messageField is the Field of a ParseError about a whole line rather than one of its values.
+// messageField is the Field of a ParseError that concerns a whole line and no single value.
 const messageField = "message"
 
-// ParseError reports input that does not follow the protocol. Reader returns it as a pointer.
+// ParseError reports input that does not follow the protocol. Reader returns a *ParseError.
 type ParseError struct {
-	Line   int    // number of the line, counted from 1
-	Field  string // name of the value on the line, or path of the setting
-	Reason string
+	Line   int    // line number, starting at 1
+	Field  string // name of the field, or path of the setting
+	Reason string // what is wrong with the value of Field
 }
 
-// Error returns the line, the field and what is wrong with it.
+// Error returns the line, the field and the reason.
 func (e *ParseError) Error() string {
 	return fmt.Sprintf("line %d: field %s: %s", e.Line, e.Field, e.Reason)
 }
--- a/internal/simproto/errors_golden_test.go
+++ b/internal/simproto/errors_golden_test.go
@@ -9,25 +9,26 @@
 )
 
 const (
-	// runningInstance is the start of a batch in which instance 3 runs: its settings end on line 3.
+	// runningInstance is the start of a batch, lines 1 to 3, in which instance 3 starts.
 	runningInstance = "TURN 1\nSELECT 3\nBEGIN 7 telemetry.fields=cpu,x0\n"
 
-	// twoClasses begins settings of two classes; the pairs that follow are separated by spaces.
+	// twoClasses holds the first settings of an instance with two classes. More settings can be
+	// appended.
 	twoClasses = "classes.count=2 classes.0.name=a classes.1.name=b "
 )
 
-// invalidLine returns a batch whose line 4, sent to a running instance, is the given one.
+// invalidLine returns a batch that sends the given line, as line 4, to a running instance.
 func invalidLine(line string) string { return runningInstance + line + "\nEND\n" }
 
-// invalidSettings returns a batch whose line 3 begins an instance with the given settings.
+// invalidSettings returns a batch that starts an instance on line 3 with the given path=value pairs.
 func invalidSettings(pairs string) string {
 	return "TURN 1\nSELECT 3\nBEGIN 7 " + pairs + "\nEND\n"
 }
 
-// invalidCatalog returns a batch whose line 2 begins a list of servers.
+// invalidCatalog returns a batch with a server list that begins on line 2.
 func invalidCatalog(lines string) string { return "TURN 1\nCATALOG " + lines + "\nEND\n" }
 
-// invalidInputs are inputs with an error each, one for each text of an error and each limit.
+// invalidInputs holds inputs with one error each. They cover each error text and each limit.
 var invalidInputs = []string{
 	"END\n",
 	"TURN\n",
@@ -113,26 +114,28 @@
 	invalidSettings(twoClasses + "family_info.older_by_us=x,1"),
 }
 
-// TestGoldenErrors pins the text of each error, which simadapter and the platform's configuration print.
+// TestGoldenErrors checks the text of each error against testdata/errors.txt. Operators see these
+// texts in the output of simadapter and in errors of the platform's configuration.
 func TestGoldenErrors(t *testing.T) {
 	var text strings.Builder
 	for _, input := range invalidInputs {
 		_, err := readAll(input)
 		if err == nil {
-			t.Errorf("%q: no error", input)
+			t.Errorf("%q: got no error, want one", input)
 			continue
 		}
 		fmt.Fprintf(&text, "%s\n\t%v\n", strings.TrimSpace(distinctPart(input)), err)
 	}
 	_, _, err := ParseSettings(map[string]string{"zone": "x"})
 	if err == nil {
-		t.Error("settings by path: no error for zone=x")
+		t.Error("settings by path: got no error for zone=x, want one")
 	}
 	fmt.Fprintf(&text, "settings by path: zone=x\n\t%v\n", err)
 	golden.Compare(t, "errors.txt", []byte(text.String()))
 }
 
-// distinctPart returns an input without what all that invalidLine returns have in common.
+// distinctPart returns an input on one line, without the lines that all results of invalidLine
+// share.
 func distinctPart(input string) string {
 	input = strings.TrimPrefix(input, runningInstance)
 	return strings.ReplaceAll(strings.TrimSuffix(input, "\nEND\n"), "\n", `\n`)
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -8,7 +8,7 @@
 	"garnetline/routing"
 )
 
-// resultsByStatus are the results of attempts by their status on the wire.
+// resultsByStatus maps the status of an attempt or a probe in the protocol to its result.
 var resultsByStatus = map[string]routing.Result{
 	"served":          routing.Served,
 	"server_error":    routing.ServerError,
@@ -21,8 +21,8 @@
 	"not_stored":      routing.NotCached,
 }
 
-// readEvent reads the current line, of the given message, as an event. The event is nil if no
-// decision uses it; its line must be valid all the same.
+// readEvent parses the current line as the event with the given message name. It returns a nil
+// event for messages that no routing decision uses; their lines must be valid too.
 func (r *Reader) readEvent(name string) (routing.Event, error) {
 	fields := &r.fields
 	var event routing.Event
@@ -51,8 +51,8 @@
 	return event, fields.end()
 }
 
-// endpointUpdate reads an update of the endpoint list, whose servers came as a numbered list
-// before.
+// endpointUpdate reads an update of the endpoint list. The update refers to its servers by the
+// number of a server list that was read earlier.
 func (r *Reader) endpointUpdate() routing.EndpointUpdate {
 	fields := &r.fields
 	form := updateForm(fields.unsigned("form", uint64(formFailed)))
@@ -63,12 +63,12 @@
 	}
 	servers, known := r.serverLists[fields.unsigned("roster_id", maxServerList)]
 	if !known {
-		fields.failf("roster_id", "no CATALOG with this number")
+		fields.failf("roster_id", "no earlier CATALOG has this number")
 	}
 	return routing.EndpointUpdate{Snapshot: form != formDelta, Servers: servers}
 }
 
-// server reads the line of one server of a list.
+// server reads the line of one server in a server list.
 func (f *fieldReader) server() (routing.Server, error) {
 	server := routing.Server{
 		ID:        f.serverID(),
@@ -82,7 +82,7 @@
 	return server, f.end()
 }
 
-// request reads a client's request.
+// request reads the line of a client's request.
 func (f *fieldReader) request() routing.Request {
 	request := routing.Request{
 		ID:         f.requestID(),
@@ -98,7 +98,8 @@
 	return request
 }
 
-// outcome reads the end of an attempt. The names are those of the values in a load report.
+// outcome reads the line that reports the end of an attempt. loadFields are the names of the values
+// in its load report.
 func (f *fieldReader) outcome(loadFields []string) routing.Outcome {
 	return routing.Outcome{
 		ID:          f.requestID(),
@@ -113,7 +114,7 @@
 	}
 }
 
-// purge reads the purge of an object or a group.
+// purge reads the line that purges an object or a group of objects.
 func (f *fieldReader) purge() routing.Purge {
 	return routing.Purge{
 		Group:  f.index("set_no"),
@@ -122,7 +123,7 @@
 	}
 }
 
-// skipFirstByte checks the line that tells of the first byte of a streamed response.
+// skipFirstByte validates the line that reports the first byte of a streamed response.
 func (f *fieldReader) skipFirstByte() {
 	f.requestID()
 	f.duration("cost_time_us")
@@ -130,8 +131,8 @@
 	f.index("leg")
 }
 
-// skipProbeResult checks the line of a probe's result. The names are those of the values in a
-// load report.
+// skipProbeResult validates the line that reports the result of a probe. loadFields are the names
+// of the values in its load report.
 func (f *fieldReader) skipProbeResult(loadFields []string) {
 	f.duration("cost_time_us")
 	f.result()
@@ -139,13 +140,13 @@
 	f.loadReport(loadFields)
 }
 
-// skipPeerMessage checks the line of a message from another instance.
+// skipPeerMessage validates the line of a message from another instance.
 func (f *fieldReader) skipPeerMessage() {
 	f.index("author")
 	f.next("msg")
 }
 
-// result reads the status with which an attempt or a probe ended.
+// result reads the status of a finished attempt or probe and returns the matching result.
 func (f *fieldReader) result() routing.Result {
 	status := f.next("status")
 	result, known := resultsByStatus[status]
@@ -155,8 +156,8 @@
 	return result
 }
 
-// loadReport reads the load of a server, whose values come in the order of the names. A value
-// that was not reported is NaN.
+// loadReport reads the load of a server. The values are in the order of names. A value that was
+// not reported is NaN.
 func (f *fieldReader) loadReport(names []string) routing.LoadReport {
 	const field = "pressure"
 	report := routing.LoadReport{
@@ -171,7 +172,7 @@
 	}
 	values := strings.Split(text, ",")
 	if len(values) != len(names) {
-		f.failf(field, "%d values, want %d", len(values), len(names))
+		f.failf(field, "got %d values, expected %d", len(values), len(names))
 		return report
 	}
 	for i, value := range values {
@@ -180,7 +181,7 @@
 		}
 		number, err := strconv.ParseFloat(value, 64)
 		if err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
-			f.failf(field, "%q is not a number", value)
+			f.failf(field, "expected a finite number, got %q", value)
 			return report
 		}
 		setLoad(&report, names[i], number)
@@ -188,7 +189,7 @@
 	return report
 }
 
-// setLoad sets the value of the given name in a load report.
+// setLoad sets the field of a load report that the protocol calls name. Other names are ignored.
 func setLoad(report *routing.LoadReport, name string, value float64) {
 	switch name {
 	case loadInflight:
--- a/internal/simproto/fields.go
+++ b/internal/simproto/fields.go
@@ -10,29 +10,29 @@
 	"garnetline/routing"
 )
 
-// objectDigits is the number of hexadecimal digits of an object.
+// objectDigits is the number of hexadecimal digits in an object ID.
 const objectDigits = 16
 
-// noObject is how the protocol writes an object that is none, besides absentValue.
+// noObject marks an absent object in the protocol, as absentValue does.
 const noObject = "0"
 
-// fieldReader reads the values of one line in turn. Its first error is kept until end returns
-// it; the values read after that mean nothing.
+// fieldReader reads the values of one line in order. It keeps the first error until end returns
+// it; values that are read after an error must not be used.
 type fieldReader struct {
-	line    int    // number of the line, for errors
-	rest    string // what was not read yet
-	hasMore bool   // there is a further value, perhaps an empty one
+	line    int    // line number, for errors
+	rest    string // unread part of the line
+	hasMore bool   // whether rest holds another value, possibly empty
 	err     *ParseError
 }
 
-// failf records an error about a field, unless there is an earlier one.
+// failf records an error about a field, unless an error was recorded before.
 func (f *fieldReader) failf(field, format string, values ...any) {
 	if f.err == nil {
 		f.err = &ParseError{Line: f.line, Field: field, Reason: fmt.Sprintf(format, values...)}
 	}
 }
 
-// end returns the first error, among them that the line has more values than were read.
+// end returns the first error of the line. Unread values at the end of the line are an error too.
 func (f *fieldReader) end() error {
 	if f.hasMore {
 		f.failf("end of line", "too many values")
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// next reads a value as it is written. It fails if the value is missing or empty.
+// next returns the next value as text. It records an error if the value is missing or empty.
 func (f *fieldReader) next(field string) string {
 	if !f.hasMore {
 		f.failf(field, "missing")
@@ -57,7 +57,7 @@
 	return value
 }
 
-// unsigned reads a whole number up to a limit; an absent one is 0.
+// unsigned reads an unsigned integer of at most limit. An absent value is 0.
 func (f *fieldReader) unsigned(field string, limit uint64) uint64 {
 	text := f.next(field)
 	if text == absentValue {
@@ -71,28 +71,28 @@
 	return number
 }
 
-// index reads a place in a list, a count or a sum of bits; an absent one is 0.
+// index reads a list index, a count or a bit set. An absent value is 0.
 func (f *fieldReader) index(field string) int { return int(f.unsigned(field, maxIndex)) }
 
-// flag reads a true or false value; an absent one is false.
+// flag reads a boolean, written as 0 or 1. An absent value is false.
 func (f *fieldReader) flag(field string) bool { return f.unsigned(field, 1) == 1 }
 
-// duration reads a time in microseconds; an absent one is 0.
+// duration reads a duration or a time, written in microseconds. An absent value is 0.
 func (f *fieldReader) duration(field string) time.Duration {
 	return time.Duration(f.unsigned(field, maxMicroseconds)) * time.Microsecond
 }
 
-// requestID reads the id of a request.
+// requestID reads the ID of a request.
 func (f *fieldReader) requestID() routing.RequestID {
 	return routing.RequestID(f.unsigned("id", maxRequestID))
 }
 
-// serverID reads the id of a server.
+// serverID reads the ID of a server.
 func (f *fieldReader) serverID() routing.ServerID {
 	return routing.ServerID(f.unsigned("server", maxServerID))
 }
 
-// float reads a number that is not negative; an absent one is 0.
+// float reads a finite non-negative number. An absent value is 0.
 func (f *fieldReader) float(field string) float64 {
 	text := f.next(field)
 	if text == absentValue {
@@ -105,7 +105,7 @@
 	return number
 }
 
-// object reads the id of an object, in hexadecimal; an absent one is 0.
+// object reads the ID of an object, written in hexadecimal. An absent value is 0.
 func (f *fieldReader) object(field string) routing.ObjectID {
 	text := f.next(field)
 	if text == absentValue || text == noObject {
@@ -113,16 +113,16 @@
 	}
 	number, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != objectDigits {
-		f.failf(field, "%q is not %d hex digits", text, objectDigits)
+		f.failf(field, "%q does not consist of %d hexadecimal digits", text, objectDigits)
 	}
 	return routing.ObjectID(number)
 }
 
-// parseNonNegative parses a finite number that is not negative. With an error it returns 0.
+// parseNonNegative parses a finite non-negative number. It returns 0 with an error.
 func parseNonNegative(text string) (float64, error) {
 	number, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(number) || math.IsInf(number, 0) || number < 0 {
-		return 0, fmt.Errorf("%q is not a number from 0", text)
+		return 0, fmt.Errorf("expected a finite non-negative number, got %q", text)
 	}
 	return number, nil
 }
--- a/internal/simproto/golden_test.go
+++ b/internal/simproto/golden_test.go
@@ -14,11 +14,11 @@
 	"garnetline/routing"
 )
 
-// The files in testdata hold what the simulator sends and gets, see package golden. They were
-// written before the identifiers of this package were renamed and use the words of that time.
+// The golden files in testdata (see package golden) hold what the simulator sends and receives.
+// Some labels in them are older terms that differ from the identifiers of this package.
 
-// TestGoldenSession pins how each line of the simulator is read: testdata/session.txt has every
-// message, status, note and setting, session.read.txt what was understood of it, field by field.
+// TestGoldenSession checks how each line from the simulator is parsed: testdata/session.txt contains
+// every message, status, cache status and setting, and session.read.txt the parsed fields.
 func TestGoldenSession(t *testing.T) {
 	session, err := os.ReadFile(filepath.Join("testdata", "session.txt"))
 	if err != nil {
@@ -30,7 +30,7 @@
 		batch, err := reader.Next()
 		if err != nil {
 			if errors.Is(err, io.EOF) {
-				t.Error("the session does not end with its invalid batch")
+				t.Error("got io.EOF, want the error of the invalid last batch")
 			}
 			fmt.Fprintln(&text, err)
 			break
@@ -106,7 +106,7 @@
 	}
 }
 
-// TestGoldenReply pins the line of each action.
+// TestGoldenReply checks the line of each action against testdata/reply.txt.
 func TestGoldenReply(t *testing.T) {
 	const microsecond = time.Microsecond
 	reply := AppendInstance(nil, 12)
--- a/internal/simproto/protocol.go
+++ b/internal/simproto/protocol.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// The names of messages in a batch.
+// Names of the messages in a batch.
 const (
 	messageBatchStart         = "TURN"
 	messageBatchEnd           = "END"
@@ -22,7 +22,7 @@
 	messageFromPeer           = "MEMO"
 )
 
-// The names of lines in a reply.
+// Names of the lines in a reply.
 const (
 	replyInstance      = "BY"
 	replyEnd           = "NEXT"
@@ -34,44 +34,45 @@
 	replySubscribe     = "FOLLOW"
 )
 
-// subscriptionOn is the value of replySubscribe that starts a subscription, or renews it.
+// subscriptionOn is the value of a replySubscribe line that starts or renews a subscription.
 const subscriptionOn = 1
 
-// absentValue is how the protocol writes a value that is absent.
+// absentValue marks an absent value in the protocol.
 const absentValue = "-"
 
-// The largest values that the protocol allows.
+// Largest values that the protocol allows.
 const (
 	maxRequestID    = 1<<52 - 1
 	maxServerID     = 1<<32 - 1
 	maxTimerToken   = 1 << 63
 	maxServerList   = 15                   // number of a server list
-	maxIndex        = 1 << 31              // places in lists, numbers of instances, counts and sums of bits
-	maxMicroseconds = math.MaxInt64 / 1000 // microseconds that fit a time.Duration
+	maxIndex        = 1 << 31              // list indexes, instance numbers, counts and bit sets
+	maxMicroseconds = math.MaxInt64 / 1000 // largest number of microseconds in a time.Duration
 )
 
-// updateForm is the form of an endpoint update on the wire.
+// updateForm is the protocol's code for the kind of an endpoint update.
 type updateForm uint64
 
-// The forms of an endpoint update.
+// Kinds of endpoint updates.
 const (
 	formSnapshot       updateForm = iota
 	formDelta                     // only the entries that changed
-	formCachedSnapshot            // the whole list as the instance had it last
-	formFailed                    // a subscription failed; there is no list
+	formCachedSnapshot            // the whole list as the instance last received it
+	formFailed                    // the subscription failed; the update has no list
 )
 
-// requestOptionClientRetry is the bit of a request's options that marks a client's retry.
+// requestOptionClientRetry is the bit in a request's options that marks a retry by the client.
 const requestOptionClientRetry = 2
 
-// The bits of an attempt's switches. Bit 4, which leaves no copy at the parent, is never set.
+// Bits of an attempt's flags. The protocol also defines the bit with the value 4, which keeps no
+// copy at the parent; this package never sets it.
 const (
-	switchJoinFill     = 1
-	switchOnlyIfCached = 2
-	switchRevalidate   = 8
+	flagJoinFill     = 1
+	flagOnlyIfCached = 2
+	flagRevalidate   = 8
 )
 
-// The values of a load report that are used; those of other names are skipped.
+// Names of the load report values that are used. Values with other names are ignored.
 const (
 	loadInflight        = "active"
 	loadCPUUtilization  = "cpu"
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -11,27 +11,28 @@
 	"garnetline/routing"
 )
 
-// inputBufferSize is in bytes. A batch can be megabytes long.
+// inputBufferSize is the size of the read buffer in bytes. A batch can be several megabytes long.
 const inputBufferSize = 1 << 20
 
-// noInstance is the instance of a Reader before a batch has selected one.
+// noInstance is the value of Reader.instance before a batch has selected an instance.
 const noInstance = -1
 
 // Reader reads batches. It is not safe for concurrent use.
 type Reader struct {
 	input    *bufio.Reader
-	line     int         // number of the current line, counted from 1
-	fields   fieldReader // of the current line
-	instance int         // that the following messages are for, or noInstance
+	line     int         // number of the current line, starting at 1
+	fields   fieldReader // values of the current line
+	instance int         // instance of the following messages, or noInstance
 
-	// serverLists are kept by number after their batch, since later updates may name them.
+	// serverLists holds server lists by number. They outlive their batch, because updates in
+	// later batches may refer to them.
 	serverLists map[uint64][]routing.Server
-	// loadFields are the names of the values in a load report, by instance.
+	// loadFields holds the names of the values in a load report, by instance.
 	loadFields map[int][]string
 }
 
-// NewReader returns a Reader that reads batches from input. It reads ahead of what Next has
-// returned.
+// NewReader returns a Reader that reads batches from input. The Reader buffers its input, so it
+// may read past the end of the batch that Next returned last.
 func NewReader(input io.Reader) *Reader {
 	return &Reader{
 		input:       bufio.NewReaderSize(input, inputBufferSize),
@@ -41,7 +42,7 @@
 }
 
 // Next reads one batch. It returns io.EOF if the input ends between two batches, a *ParseError
-// for input that does not follow the protocol, and the wrapped error of a read that failed.
+// for input that does not follow the protocol, and the wrapped error of a failed read.
 // After an error the Reader must not be used any more.
 func (r *Reader) Next() (Batch, error) {
 	var batch Batch
@@ -65,26 +66,26 @@
 	}
 }
 
-// readBatchStart reads the line that begins a batch.
+// readBatchStart reads the first line of a batch.
 func (r *Reader) readBatchStart(batch *Batch) error {
 	name, err := r.readLine()
 	if err != nil {
 		return err
 	}
 	if name != messageBatchStart {
-		return r.errorf("want TURN, got %q", name)
+		return r.errorf("expected TURN, got %q", name)
 	}
 	batch.Now = r.fields.duration("clock_us")
 	return r.fields.end()
 }
 
-// errorf returns an error about the whole current line.
+// errorf returns a *ParseError about the current line as a whole.
 func (r *Reader) errorf(format string, values ...any) error {
 	return &ParseError{Line: r.line, Field: messageField, Reason: fmt.Sprintf(format, values...)}
 }
 
-// readLine reads the next line, makes its values the current fields and returns the name of its
-// message. It returns io.EOF if there is no further line.
+// readLine reads the next line, stores its values in r.fields and returns the name of its message.
+// It returns io.EOF if there is no further line.
 func (r *Reader) readLine() (string, error) {
 	text, err := r.input.ReadString('\n')
 	if err != nil {
@@ -96,21 +97,21 @@
 	return name, nil
 }
 
-// incompleteLine returns what it means that a read ended with an error after the given text and
-// before the end of the line: io.EOF if the input ends between two lines.
+// incompleteLine returns the error for a line that was not read to its end: text is the part that
+// was read, err the error of the read. The result is io.EOF if the input ends between two lines.
 func (r *Reader) incompleteLine(text string, err error) error {
 	if !errors.Is(err, io.EOF) {
-		return fmt.Errorf("read: %w", err)
+		return fmt.Errorf("read input: %w", err)
 	}
 	if text == "" {
 		return io.EOF
 	}
 	r.line++
-	return r.errorf("line is cut short")
+	return r.errorf("input ends in the middle of a line")
 }
 
-// readMessage reads the current line, of the given message, and appends to the batch what it means
-// for an instance, if anything.
+// readMessage parses the current line as the message with the given name. It appends the message to
+// the batch if it concerns an instance and is used by routing decisions.
 func (r *Reader) readMessage(name string, batch *Batch) error {
 	switch name {
 	case messageSelectInstance:
@@ -120,7 +121,7 @@
 		return r.readServerList()
 	}
 	if r.instance == noInstance {
-		return r.errorf("%q before any SELECT, or unknown", name)
+		return r.errorf("message %q is unknown or precedes the first SELECT of its batch", name)
 	}
 	switch name {
 	case messageInstanceStart:
@@ -139,7 +140,7 @@
 	return nil
 }
 
-// readInstanceStart reads the settings with which an instance starts.
+// readInstanceStart reads the seed and the settings of an instance that starts.
 func (r *Reader) readInstanceStart(batch *Batch) error {
 	message := Message{Instance: r.instance, Kind: InstanceStart}
 	message.Seed = r.fields.unsigned("random_seed", math.MaxUint64)
@@ -151,8 +152,8 @@
 	return nil
 }
 
-// readServerList reads a numbered list of servers and its lines. It takes the place of an earlier
-// list with the same number.
+// readServerList reads the header of a numbered server list and the line of each server. The list
+// replaces an earlier list with the same number.
 func (r *Reader) readServerList() error {
 	number := r.fields.unsigned("roster_id", maxServerList)
 	count := r.fields.unsigned("rows_in", maxIndex)
@@ -166,7 +167,7 @@
 			return err
 		}
 		if name != messageServer {
-			return r.errorf("want ITEM, got %q", name)
+			return r.errorf("expected ITEM, got %q", name)
 		}
 		server, err := r.fields.server()
 		if err != nil {
--- a/internal/simproto/reader_test.go
+++ b/internal/simproto/reader_test.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// startLines start instance 3 on lines 2 and 3 of a batch.
+	// startLines holds the lines that start instance 3, as lines 2 and 3 of a batch.
 	startLines = "SELECT 3\nBEGIN 7 areas=hub,edge zone=1 machine_types=a,parent,origin family_info.second_tier_kind=1 " +
 		"family_info.root_kind=2 classes.count=2 classes.0.aim_us=600000 classes.0.deadline_us=6000000 " +
 		"classes.1.effect=idempotency_key classes.1.group=zone classes.1.deadline_us=3000000 " +
 		"family_info.class_write=false,true family_info.seats_by_zone=0,1 telemetry.fields=cpu,x0,x1 " +
 		"limits.try_limit=6 limits.retry_after=true limits.max_retry_after_us=500000 new_key=x weights=rough\n"
 
-	// serverListLines are the list with number 0.
+	// serverListLines holds the lines of server list 0.
 	serverListLines = "CATALOG 0 2\nITEM 51530247 0 0 0 1 1 -\nITEM 747639282 1 2 5 2 1.5 6100000\n"
 )
 
-// batchOf returns a batch of the given lines, the first of which is line 2.
+// batchOf returns a batch with the given lines, which begin on line 2.
 func batchOf(lines string) string { return "TURN 8412250\n" + lines + "END\n" }
 
-// readAll returns the messages of all batches before the first error.
+// readAll returns the messages of all batches up to the first error, and that error.
 func readAll(input string) ([]Message, error) {
 	reader := NewReader(strings.NewReader(input))
 	var messages []Message
@@ -93,7 +93,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			messages, err := readAll(batchOf(serverListLines + startLines + test.line + "\n"))
 			if err != nil || len(messages) != 2 {
-				t.Fatalf("%s: messages %v, error %v; want two messages", test.line, messages, err)
+				t.Fatalf("%s: got messages %v, error %v; want two messages", test.line, messages, err)
 			}
 			message := messages[1]
 			got := withoutNaN(message.Event)
@@ -105,8 +105,8 @@
 	}
 }
 
-// withoutNaN replaces the number of requests in flight that a load report does not have, since NaN
-// does not equal itself.
+// withoutNaN replaces NaN, the number of requests in flight in a load report that lacks it, by -1,
+// because NaN does not equal itself.
 func withoutNaN(event routing.Event) routing.Event {
 	outcome, ok := event.(routing.Outcome)
 	if !ok || !math.IsNaN(outcome.Load.Inflight) {
@@ -116,7 +116,7 @@
 	return outcome
 }
 
-// Guards against an event that no decision uses and that a router would have to handle.
+// A router handles only events that its decisions use, so the Reader must not return the others.
 func TestReaderSkipsUnusedEvents(t *testing.T) {
 	for _, line := range []string{
 		"FIRST_BYTE 5 300 51530247 1",
@@ -125,7 +125,7 @@
 	} {
 		messages, err := readAll(batchOf(startLines + line + "\n"))
 		if err != nil || len(messages) != 1 {
-			t.Errorf("%s: messages %v, error %v; want the start alone", line, messages, err)
+			t.Errorf("%s: got messages %v, error %v; want only the start", line, messages, err)
 		}
 	}
 }
@@ -133,7 +133,7 @@
 func TestReaderReadsStartAndStop(t *testing.T) {
 	messages, err := readAll(batchOf(startLines + "TEARDOWN\n"))
 	if err != nil || len(messages) != 2 {
-		t.Fatalf("messages %v, error %v; want two messages", messages, err)
+		t.Fatalf("got messages %v, error %v; want two messages", messages, err)
 	}
 	start, stop := messages[0], messages[1]
 	if start.Kind != InstanceStart || start.Instance != 3 || start.Seed != 7 {
@@ -174,17 +174,17 @@
 		t.Run(test.name, func(t *testing.T) {
 			_, err := readAll(test.input)
 			if err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Fatalf("got error %v, want one with %q", err, test.want)
+				t.Fatalf("got error %v, want one that contains %q", err, test.want)
 			}
 			var parseError *ParseError
 			if !errors.As(err, &parseError) {
-				t.Errorf("got an error of type %T, want a *ParseError", err)
+				t.Errorf("got error of type %T, want *ParseError", err)
 			}
 		})
 	}
 }
 
-// failingInput fails each read.
+// failingInput is a reader whose reads all fail with err.
 type failingInput struct{ err error }
 
 func (f failingInput) Read([]byte) (int, error) { return 0, f.err }
@@ -192,8 +192,8 @@
 func TestReaderWrapsReadErrors(t *testing.T) {
 	broken := errors.New("broken pipe")
 	_, err := NewReader(failingInput{broken}).Next()
-	if !errors.Is(err, broken) || err.Error() != "read: broken pipe" {
-		t.Errorf("got error %v, want read: broken pipe", err)
+	if !errors.Is(err, broken) || err.Error() != "read input: broken pipe" {
+		t.Errorf("got error %v, want read input: broken pipe", err)
 	}
 }
 
@@ -208,7 +208,7 @@
 		}
 		var parseError *ParseError
 		if !errors.As(err, &parseError) || parseError.Line < 1 || parseError.Field == "" {
-			t.Errorf("got an error without line or field: %v", err)
+			t.Errorf("got error %v, want a *ParseError with a line and a field", err)
 		}
 	})
 }
--- a/internal/simproto/setting_reader.go
+++ b/internal/simproto/setting_reader.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// settingReader reads settings by their paths. Its first error is kept in fields, with the path as
-// the field.
+// settingReader reads settings by their paths. It records the first error in fields and uses the
+// path as the error's field.
 type settingReader struct {
 	values map[string]string
 	fields *fieldReader
 }
 
-// value returns the value of a path, and whether there is one.
+// value returns the value at a path, and whether it is present.
 func (s settingReader) value(path string) (value string, present bool) {
 	value = s.values[path]
 	return value, value != "" && value != absentValue
 }
 
-// list returns the values of a list; an absent one is nil.
+// list returns the elements of a comma-separated list. An absent list is nil.
 func (s settingReader) list(path string) []string {
 	value, present := s.value(path)
 	if !present {
@@ -29,30 +29,30 @@
 	return strings.Split(value, ",")
 }
 
-// word returns the place of a value among words; an absent one is the first.
-func (s settingReader) word(path string, words []string) int {
+// enum returns the index of a value in names. An absent value has the index 0.
+func (s settingReader) enum(path string, names []string) int {
 	value, present := s.value(path)
 	if !present {
 		return 0
 	}
-	place := slices.Index(words, value)
-	if place < 0 {
-		s.fields.failf(path, "unknown word %q", value)
+	index := slices.Index(names, value)
+	if index < 0 {
+		s.fields.failf(path, "unknown value %q", value)
 		return 0
 	}
-	return place
+	return index
 }
 
-// integer returns a whole number from -1, or the default if it is absent.
-func (s settingReader) integer(path string, absent int) int {
+// integer returns an integer of at least -1, or defaultValue if the setting is absent.
+func (s settingReader) integer(path string, defaultValue int) int {
 	value, present := s.value(path)
 	if !present {
-		return absent
+		return defaultValue
 	}
 	return s.parseInteger(path, value)
 }
 
-// float returns a number that is not negative; an absent one is 0.
+// float returns a finite non-negative number. An absent value is 0.
 func (s settingReader) float(path string) float64 {
 	value, present := s.value(path)
 	if !present {
@@ -65,7 +65,7 @@
 	return number
 }
 
-// duration returns a time that the settings give in microseconds; an absent one is 0.
+// duration returns a duration, which the settings give in microseconds. An absent value is 0.
 func (s settingReader) duration(path string) time.Duration {
 	value, present := s.value(path)
 	if !present {
@@ -74,33 +74,34 @@
 	return s.parseDuration(path, value)
 }
 
-// boolean returns true or false; an absent value is false.
+// boolean returns a boolean. An absent value is false.
 func (s settingReader) boolean(path string) bool {
 	value, present := s.value(path)
 	return present && s.parseBoolean(path, value)
 }
 
-// parseInteger parses a whole number from -1, the mark of a place that there is not.
+// parseInteger parses an integer of at least -1. The value -1 means that there is no such
+// kind.
 func (s settingReader) parseInteger(path, value string) int {
 	number, err := strconv.ParseInt(value, 10, 32)
 	if err != nil || number < -1 {
-		s.fields.failf(path, "%q is not a whole number", value)
+		s.fields.failf(path, "expected a 32-bit integer of at least -1, got %q", value)
 		return 0
 	}
 	return int(number)
 }
 
-// parseDuration parses a time in microseconds.
+// parseDuration parses a duration in whole microseconds.
 func (s settingReader) parseDuration(path, value string) time.Duration {
 	number, err := strconv.ParseUint(value, 10, 64)
 	if err != nil || number > maxMicroseconds {
-		s.fields.failf(path, "%q is not a time in microseconds", value)
+		s.fields.failf(path, "expected a duration in whole microseconds, got %q", value)
 		return 0
 	}
 	return time.Duration(number) * time.Microsecond
 }
 
-// parseBoolean parses one of the two forms of true and false.
+// parseBoolean parses a boolean, written as a word or as a digit.
 func (s settingReader) parseBoolean(path, value string) bool {
 	switch value {
 	case "true", "1":
@@ -108,6 +109,6 @@
 	case "false", "0":
 		return false
 	}
-	s.fields.failf(path, "%q is not true or false", value)
+	s.fields.failf(path, "expected true, false, 1 or 0, got %q", value)
 	return false
 }
--- a/internal/simproto/settings.go
+++ b/internal/simproto/settings.go
@@ -7,14 +7,14 @@
 	"garnetline/routing"
 )
 
-// Settings that are absent.
+// Defaults of absent settings.
 const (
 	defaultRouters     = 1
 	defaultMaxAttempts = 1
-	noKind             = -1 // there are no parents, or there is no origin
+	noKind             = -1 // no server kind: there are no parents, or there is no origin
 )
 
-// The paths of settings that are read in more than one place.
+// Paths of settings that are used in more than one place.
 const (
 	pathZones         = "areas"
 	pathKinds         = "machine_types"
@@ -25,17 +25,17 @@
 	pathParentInitial = "family_info.parent_starts_at"
 )
 
-// The words of settings that are one of several.
+// Values of settings that select one of several options.
 const (
-	weightsNominal     = "nominal" // a server's weight is its registered size
-	weightsRough       = "rough"   // a server's weight is about its size
-	cacheStatusOfHits  = "hit"     // outcomes tell hits and fills, and nothing of failures
-	discoveryOnRequest = "on_request"
+	weightsNominal      = "nominal" // a server's weight is its registered size
+	weightsApproximate  = "rough"   // a server's weight is approximately its size
+	cacheStatusHitsOnly = "hit"     // cache statuses report hits and fills, but no failures
+	discoveryOnRequest  = "on_request"
 )
 
-// ParseSettings reads settings by their paths in the simulator's protocol. It returns them with
-// the names of the values in a load report, in their order. Unknown paths are ignored, and an
-// absent or empty setting has its default. The text of an error begins with the path.
+// ParseSettings parses settings given by their paths in the simulator's protocol. It also returns
+// the names of the values in a load report, in the order of the values. Unknown paths are ignored,
+// and an absent or empty setting has its default. The text of an error begins with the path.
 func ParseSettings(values map[string]string) (routing.Settings, []string, error) {
 	var fields fieldReader
 	settings, loadFields := settingReader{values: values, fields: &fields}.settings()
@@ -45,22 +45,22 @@
 	return settings, loadFields, nil
 }
 
-// settings reads the path=value pairs at the end of a line. It returns the settings and the names
-// of the values in a load report.
+// settings reads the path=value pairs that make up the rest of the line. It returns the settings
+// and the names of the values in a load report.
 func (f *fieldReader) settings() (routing.Settings, []string) {
 	values := map[string]string{}
 	for f.hasMore {
 		pair := f.next("info")
 		path, value, found := strings.Cut(pair, "=")
 		if !found {
-			f.failf("info", "%q is not path=value", pair)
+			f.failf("info", "expected path=value, got %q", pair)
 		}
 		values[path] = value
 	}
 	return settingReader{values: values, fields: f}.settings()
 }
 
-// settings returns all settings, and the names of the values in a load report.
+// settings returns all settings and the names of the values in a load report.
 func (s settingReader) settings() (routing.Settings, []string) {
 	settings := routing.Settings{
 		Zones:                 len(s.list(pathZones)),
@@ -76,7 +76,7 @@
 		AllowBypass:           s.boolean("family_info.bypass_allowed"),
 		TransferKBPerSecond:   s.float("family_info.one_flow_kb_per_s"),
 		WeightIsCapacity:      s.weightIsCapacity(),
-		HitStatusOnly:         s.values["family_info.note_level"] == cacheStatusOfHits,
+		HitStatusOnly:         s.values["family_info.note_level"] == cacheStatusHitsOnly,
 		OriginStopsOnOverload: s.float("family_info.origin_limit_factor") > 0,
 		MustSubscribe:         s.values["discovery"] == discoveryOnRequest,
 		DrainGrace:            s.duration("rules.drain_grace_us"),
@@ -96,14 +96,14 @@
 	return settings, s.list("telemetry.fields")
 }
 
-// weightIsCapacity reports whether the weight of a server is its capacity, exactly or about.
+// weightIsCapacity reports whether the weight of a server is its exact or approximate capacity.
 func (s settingReader) weightIsCapacity() bool {
 	meaning := s.values["weights"]
-	return meaning == weightsNominal || meaning == weightsRough
+	return meaning == weightsNominal || meaning == weightsApproximate
 }
 
-// slowStart returns how a server that has just started gains capacity. The window of an overload
-// is the same for caches and parents.
+// slowStart returns the slow start settings of caches or parents. The overload window is the same
+// for both.
 func (s settingReader) slowStart(initialPath, durationPath, overloadPath string) routing.SlowStart {
 	return routing.SlowStart{
 		InitialCapacity: s.float(initialPath),
--- a/internal/simproto/settings_test.go
+++ b/internal/simproto/settings_test.go
@@ -8,7 +8,7 @@
 	"garnetline/routing"
 )
 
-// readSettings returns the settings of the instance that the given lines start.
+// readSettings returns the settings of the instance that is started by the given lines.
 func readSettings(t *testing.T, lines string) routing.Settings {
 	t.Helper()
 	messages, err := readAll(batchOf(lines))
@@ -27,7 +27,7 @@
 		t.Errorf("got kinds %d of parents and %d of the origin, want 1 and 2", settings.ParentKind, settings.OriginKind)
 	}
 	if !settings.WeightIsCapacity {
-		t.Error("a rough weight is not a capacity")
+		t.Error("got WeightIsCapacity false with weights=rough, want true")
 	}
 	if settings.MaxRetryAfter != 500*time.Millisecond {
 		t.Errorf("got MaxRetryAfter %v, want 500ms", settings.MaxRetryAfter)
@@ -37,7 +37,7 @@
 	}
 	class := settings.Classes[1]
 	if class.Idempotency != routing.IdempotentWithKey || class.KeyScope != routing.KeyScopeZone || !class.Write {
-		t.Errorf("got class %+v, want a write with a key in the scope of a zone", class)
+		t.Errorf("got class %+v, want a write that is idempotent with a key, in the scope of a zone", class)
 	}
 }
 
@@ -51,7 +51,7 @@
 			settings.AllowBypass, settings.HitStatusOnly, settings.OriginStopsOnOverload)
 	}
 	if got := settings.Classes[0].Idempotency; got != routing.Idempotent {
-		t.Errorf("got idempotency %v of a class that names none, want %v", got, routing.Idempotent)
+		t.Errorf("got idempotency %v for a class without the setting, want %v", got, routing.Idempotent)
 	}
 }
 
@@ -63,12 +63,12 @@
 	}
 }
 
-// Guards against one of two errors being reported at random: both were looked for in the order
-// of a map.
+// With two invalid settings the reported error must always be the same. Checks in the iteration
+// order of a map would report either of them.
 func TestFirstContradictionIsReported(t *testing.T) {
 	for range 20 {
 		_, _, err := ParseSettings(map[string]string{pathParentInitial: "2", pathCacheInitial: "3"})
-		want := "rules.cold_from: 3 is more than all of a server's capacity"
+		want := "rules.cold_from: expected a fraction of a server's capacity of at most 1, got 3"
 		if err == nil || err.Error() != want {
 			t.Fatalf("got error %v, want %s", err, want)
 		}
--- a/internal/simproto/writer.go
+++ b/internal/simproto/writer.go
@@ -8,7 +8,7 @@
 	"garnetline/routing"
 )
 
-// AppendInstance appends to a reply the line that names the instance of the actions after it.
+// AppendInstance appends to a reply the line that names the instance of the actions that follow.
 func AppendInstance(dst []byte, instance int) []byte {
 	return appendLine(dst, replyInstance, int64(instance))
 }
@@ -18,8 +18,9 @@
 	return appendLine(dst, replyEnd)
 }
 
-// AppendAction appends the line of one action to a reply, after the line of its instance. It
-// panics on an action that the protocol has no line for, since the set of actions is closed.
+// AppendAction appends the line of one action to a reply. The caller appends the line of the
+// action's instance first. AppendAction panics on an unknown type of action, because the protocol
+// has a line for every type that package routing defines.
 func AppendAction(dst []byte, action routing.Action) []byte {
 	switch action := action.(type) {
 	case routing.SendAttempt:
@@ -39,12 +40,13 @@
 	}
 }
 
-// appendSendAttempt appends the line of an attempt. A time of 0 is none on the wire too.
+// appendSendAttempt appends the line of an attempt. In the protocol, as in routing.SendAttempt, a
+// deadline or maximum age of 0 means that there is none.
 func appendSendAttempt(dst []byte, attempt routing.SendAttempt) []byte {
 	return appendLine(dst, replySendAttempt,
 		int64(attempt.ID),
 		int64(attempt.CopyRank),
-		attemptSwitches(attempt),
+		attemptFlags(attempt),
 		microseconds(attempt.Deadline),
 		int64(attempt.Server),
 		int64(attempt.FillSource),
@@ -52,22 +54,23 @@
 	)
 }
 
-// attemptSwitches returns the sum of the switches of an attempt.
-func attemptSwitches(attempt routing.SendAttempt) int64 {
-	switches := int64(0)
+// attemptFlags returns the flags of an attempt as a bit set.
+func attemptFlags(attempt routing.SendAttempt) int64 {
+	flags := int64(0)
 	if attempt.JoinFill {
-		switches |= switchJoinFill
+		flags |= flagJoinFill
 	}
 	if attempt.OnlyIfCached {
-		switches |= switchOnlyIfCached
+		flags |= flagOnlyIfCached
 	}
 	if attempt.Revalidate {
-		switches |= switchRevalidate
+		flags |= flagRevalidate
 	}
-	return switches
+	return flags
 }
 
-// appendSetTimer appends the line of a timer. Its token can be too large for appendLine.
+// appendSetTimer appends the line of a timer. It does not use appendLine, because a token can
+// exceed the int64 range.
 func appendSetTimer(dst []byte, timer routing.SetTimer) []byte {
 	dst = append(dst, replySetTimer...)
 	dst = append(dst, ' ')
@@ -77,7 +80,7 @@
 	return append(dst, '\n')
 }
 
-// appendLine appends a name and its values.
+// appendLine appends a line with a name and its values.
 func appendLine(dst []byte, name string, values ...int64) []byte {
 	dst = append(dst, name...)
 	for _, value := range values {
@@ -87,5 +90,5 @@
 	return append(dst, '\n')
 }
 
-// microseconds returns a duration in whole microseconds, rounded toward zero.
+// microseconds converts a duration to whole microseconds, rounding toward zero.
 func microseconds(d time.Duration) int64 { return int64(d / time.Microsecond) }
