--- a/internal/bodies/allocator.go
+++ b/internal/bodies/allocator.go
@@ -1,22 +1,22 @@
-// Package bodies is not called by anything yet: it decides which request bodies are retained, in
-// memory or on disk, so that a further attempt can send them again. It does no I/O and has no
-// clock; times are Unix milliseconds that the caller passes.
+// Package bodies decides which request bodies are retained, in memory or on disk, so that another
+// attempt can send them again. No other package uses it yet. It does no I/O and has no clock; the
+// caller passes times as Unix milliseconds.
 //
-// A body that is not retained whole from its first byte on can be sent only once. So what is
-// decided here bounds which requests can be retried, and it is decided before the first byte is
-// sent: see Body.Repeatable.
+// A body that is not retained completely from its first byte on can be sent only once. The
+// decisions of this package therefore determine which requests can be retried (see
+// Body.Repeatable), and they are made before the first byte is sent.
 package bodies
 
 import "fmt"
 
-// Usage is what is reserved for all open bodies together.
+// Usage is the capacity reserved for all open bodies together.
 type Usage struct {
 	MemoryBytes int64
 	DiskBytes   int64
 	DiskBodies  int64
 }
 
-// Allocator decides where bodies are retained, within a Budget that classes share. It is not
+// Allocator decides where bodies are retained, within a Budget that all classes share. It is not
 // safe for concurrent use.
 type Allocator struct {
 	Counts Counts
@@ -28,8 +28,8 @@
 	diskWrites tokenBucket // bytes
 }
 
-// New returns an Allocator. It fails where the classes cannot share a budget, or the budget is
-// below zero.
+// New returns an Allocator. It returns an error if the classes cannot share a budget or a limit of
+// the budget is negative.
 func New(budget Budget, classes []Class) (*Allocator, error) {
 	if err := validateClasses(classes); err != nil {
 		return nil, fmt.Errorf("bodies: %w", err)
@@ -43,8 +43,8 @@
 	return allocator, allocator.UpdateBudget(budget)
 }
 
-// UpdateBudget replaces the budget. Bodies stay where they are while they do not grow; what no
-// longer fits is found as they do. A budget below zero is an error and changes nothing.
+// UpdateBudget replaces the budget. Bodies that no longer fit into it keep their location until
+// they grow. UpdateBudget returns an error and changes nothing if a limit is negative.
 func (a *Allocator) UpdateBudget(budget Budget) error {
 	if err := budget.validate(); err != nil {
 		return fmt.Errorf("bodies: %w", err)
@@ -56,9 +56,10 @@
 	return nil
 }
 
-// Admit decides on a body of a class, by its index in those given to New, before any of it has
-// been received. size is the announced one in bytes; -1: not known. The action is Continue, or
-// Reject with a nil body: then none of it need be read, and there is nothing to close.
+// Admit decides about a body before any of its bytes has been received. class is an index into the
+// classes given to New, size the announced size in bytes, or -1 if the size is unknown. The action
+// is Continue or Reject. With Reject the returned body is nil: the owner need not read any of it and
+// has nothing to close.
 func (a *Allocator) Admit(now float64, class int, size int64) (*Body, Action) {
 	if size > a.classes[class].MaxBytes {
 		a.Counts.Rejected++
@@ -72,7 +73,8 @@
 	return body, Continue
 }
 
-// allocate reserves size bytes for a body that has none, at the first location with capacity.
+// allocate reserves size bytes for a body without a reservation, in memory or else on disk. If
+// neither has the capacity, the body is not retained.
 func (a *Allocator) allocate(now float64, body *Body, size int64) {
 	class := &a.classes[body.class]
 	switch {
@@ -85,8 +87,8 @@
 	}
 }
 
-// reserveOnDisk reserves bytes for one more body on disk, and their writing. It reports false
-// and reserves nothing if one of the quotas or the write rate does not allow it.
+// reserveOnDisk reserves one more body on disk, size bytes of disk, and the writing of these bytes.
+// It reports false and reserves nothing if a quota or the write rate does not allow it.
 func (a *Allocator) reserveOnDisk(now float64, class int, size int64) bool {
 	if !a.diskBodies.reserve(class, 1) {
 		return false
@@ -98,8 +100,8 @@
 	return true
 }
 
-// growOnDisk reserves more bytes for a body on disk, and their writing. It reports false and
-// reserves nothing if the quota or the write rate does not allow it.
+// growOnDisk reserves more bytes of disk for a body, and the writing of these bytes. It reports
+// false and reserves nothing if the quota or the write rate does not allow it.
 func (a *Allocator) growOnDisk(now float64, class int, more int64) bool {
 	if !a.disk.reserve(class, more) {
 		return false
@@ -111,8 +113,8 @@
 	return true
 }
 
-// Grow handles more bytes of a body that are received, before the owner stores them, and returns
-// what the owner must do.
+// Grow accounts for more bytes that were received of a body and returns the action that the owner
+// must take. The owner calls it before it stores these bytes.
 func (a *Allocator) Grow(now float64, body *Body, more int64) Action {
 	if body.closed || more <= 0 {
 		return Continue
@@ -128,7 +130,7 @@
 	return a.grow(now, body, size)
 }
 
-// endTooLong ends a body that exceeds its class's maximum.
+// endTooLong ends a body that exceeds the MaxBytes of its class.
 func (a *Allocator) endTooLong(body *Body) Action {
 	a.release(body)
 	if body.FirstByteSent {
@@ -139,7 +141,8 @@
 	return Reject
 }
 
-// grow reserves what a body of size lacks, where it is or on disk, or stops retaining it.
+// grow extends the reservation of a body to size bytes. It moves the body to disk if memory has no
+// capacity, and stops retaining the body if disk has none either.
 func (a *Allocator) grow(now float64, body *Body, size int64) Action {
 	class := &a.classes[body.class]
 	more := size - body.reserved
@@ -161,8 +164,9 @@
 	return StopRetaining
 }
 
-// DiskFailed handles that the files of a body cannot be used, since the disk is full or failed.
-// What has been sent of the body cannot be sent again.
+// DiskFailed tells the Allocator that the files of a body cannot be used because the disk is full or
+// failed, and returns the action that the owner must take. Bytes of the body that have been sent
+// cannot be sent again.
 func (a *Allocator) DiskFailed(body *Body) Action {
 	if body.closed || body.Location != OnDisk {
 		return Continue
@@ -176,7 +180,7 @@
 	a.Counts.StoppedRetaining++
 }
 
-// Close ends a body and releases all that is reserved for it. Further calls have no effect.
+// Close ends a body and releases its reservation. Further calls have no effect.
 func (a *Allocator) Close(body *Body) {
 	if body.closed {
 		return
@@ -185,8 +189,9 @@
 	body.closed = true
 }
 
-// release releases what is reserved for a body, which is not retained from then on. Every
-// reservation is released here, or by grow as it moves.
+// release releases the reservation of a body and marks the body as not retained. Apart from grow,
+// which releases the memory of a body that it moves to disk, only release frees the reservation of
+// an admitted body.
 func (a *Allocator) release(body *Body) {
 	switch body.Location {
 	case InMemory:
@@ -200,7 +205,7 @@
 	body.reserved = 0
 }
 
-// Usage returns what is reserved of each budget.
+// Usage returns the capacity that is reserved of each budget.
 func (a *Allocator) Usage() Usage {
 	return Usage{
 		MemoryBytes: a.memory.usedByAll(),
--- a/internal/bodies/allocator_test.go
+++ b/internal/bodies/allocator_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Indices of the classes of testClasses.
+// Indexes of the classes that testClasses returns.
 const (
 	solutionClass = iota
 	uploadClass
@@ -29,7 +29,7 @@
 	return allocator
 }
 
-// bodyState is all that decides what can happen to a body.
+// bodyState holds everything that later decisions about a body depend on.
 type bodyState struct {
 	location           Location
 	received, reserved int64
@@ -37,7 +37,7 @@
 	closed             bool
 }
 
-// The steps of a body's owner in stateSearch.
+// Steps that the owner of a body takes in a stateSearch.
 const (
 	stepGrowByOne = iota
 	stepGrowByTwo
@@ -47,13 +47,14 @@
 	stepCount
 )
 
-// stateSearch visits every state of one body that steps of its owner can reach.
+// stateSearch visits every state of one body that its owner can reach by a sequence of steps.
 type stateSearch struct {
 	t    *testing.T
 	seen map[bodyState]bool
 }
 
-// visit replays the steps after an announced size, and goes on from a state that is new.
+// visit replays the steps for a body with the given announced size. If they lead to a new state, it
+// continues from there with every possible step.
 func (s *stateSearch) visit(announced int64, steps []int) {
 	s.t.Helper()
 	state := s.replay(announced, steps)
@@ -66,7 +67,9 @@
 	}
 }
 
-// replay applies the steps to a new body, checks it after each, and returns its state.
+// replay applies the steps to a new body and returns its final state. It checks after each step that
+// a body that was sent without being retained is not repeatable, and at the end that a closed or
+// not retained body has no reservation.
 func (s *stateSearch) replay(announced int64, steps []int) bodyState {
 	s.t.Helper()
 	const now = 1000.0
@@ -74,9 +77,9 @@
 	allocator := newAllocator(s.t, Budget{MemoryBytes: 4, DiskBytes: 8, DiskBodies: 1, DiskBytesPerSecond: 1e9}, classes)
 	body, action := allocator.Admit(now, 0, announced)
 	if body == nil {
-		s.t.Fatalf("%d bytes announced: %v, want to be admitted", announced, action)
+		s.t.Fatalf("%d bytes announced: got action %v, want an admitted body", announced, action)
 	}
-	sentUnretained := false // its first byte was sent while, or before, it was not retained
+	sentUnretained := false // the first byte was sent, and the body was not retained then or later
 	for _, step := range steps {
 		switch step {
 		case stepGrowByOne, stepGrowByTwo:
@@ -92,18 +95,18 @@
 		}
 		sentUnretained = sentUnretained || body.FirstByteSent && body.Location == NotRetained
 		if sentUnretained && body.Repeatable() {
-			s.t.Fatalf("%d bytes announced, steps %v: repeatable, want not", announced, steps)
+			s.t.Fatalf("%d bytes announced, steps %v: got a repeatable body, want one that is not", announced, steps)
 		}
 	}
 	usage := allocator.Usage()
 	if (body.closed || body.Location == NotRetained) && usage != (Usage{}) {
-		s.t.Fatalf("%d bytes announced, steps %v: %+v is reserved for a body that is not retained", announced, steps, usage)
+		s.t.Fatalf("%d bytes announced, steps %v: got %+v reserved for a body that is not retained, want nothing", announced, steps, usage)
 	}
 	return bodyState{body.Location, body.Received, body.reserved, body.FirstByteSent, body.closed}
 }
 
-// No state of one body, at small sizes, lets a body be sent again that was sent without being
-// retained, and none loses a reservation.
+// In no reachable state of a small body can the body be sent again after it was sent without being
+// retained, and no state leaks a reservation.
 func TestReachableStatesOfOneBody(t *testing.T) {
 	const wantStates = 54
 	search := &stateSearch{t: t, seen: map[bodyState]bool{}}
@@ -111,16 +114,16 @@
 		search.visit(announced, nil)
 	}
 	if got := len(search.seen); got != wantStates {
-		t.Errorf("%d states, want %d", got, wantStates)
+		t.Errorf("got %d states, want %d", got, wantStates)
 	}
 }
 
-// What is lent goes to the highest priority weight when all classes want it, also if others come
-// first, and leaves the guarantees.
+// When all classes want to borrow, the class with the highest priority weight gets the largest part
+// even if other classes come first, and the guaranteed capacity of each class stays free for it.
 func TestHighestPriorityWeightBorrowsMost(t *testing.T) {
 	const (
 		total              = 1000
-		guaranteed         = 350 // to solutions and notes
+		guaranteed         = 350 // guaranteed to solutions and notes together
 		guaranteedSolution = 250
 		lentToSolutions    = 300
 	)
@@ -129,7 +132,7 @@
 		allocator.Admit(0, uploadClass, 20)
 	}
 	if got := allocator.Usage().MemoryBytes; got == 0 || got > total-guaranteed {
-		t.Errorf("uploads use %d of %d bytes, want some, and %d left", got, total, guaranteed)
+		t.Errorf("uploads use %d of %d bytes, want more than 0 and at least %d left", got, total, guaranteed)
 	}
 	for range 100 {
 		allocator.Admit(0, solutionClass, 40)
--- a/internal/bodies/body.go
+++ b/internal/bodies/body.go
@@ -7,60 +7,60 @@
 const (
 	InMemory Location = iota
 	OnDisk
-	NotRetained // it is passed through, and can be sent only once
+	NotRetained // the body is passed through and can be sent only once
 )
 
 var locationNames = [...]string{"memory", "files", "nowhere"}
 
-// String returns the location's name in tables for operators.
+// String returns the name of the location in tables for operators.
 func (l Location) String() string { return locationNames[l] }
 
 // Action is what the owner of a body must do after a decision.
 type Action uint8
 
-// The actions. Reject and Abort end the request without a further attempt. After StopRetaining
-// what has been received goes into the attempt in flight or, if nothing has been sent, into the
-// only attempt there will be; if an attempt has ended already there is none.
+// The actions. Reject and Abort end the request without another attempt. After StopRetaining the
+// received bytes go into the attempt in flight. If nothing has been sent yet, they go into the next
+// attempt, which is the last one. If an attempt has already ended, there is no other attempt.
 const (
 	Continue      Action = iota // the body stays where it is
-	MoveToDisk                  // move what has been received to disk, and continue there
-	StopRetaining               // pass on what has been received, and retain nothing
-	Reject                      // too long, and nothing of it has been sent: HTTP status 413
-	Abort                       // too long, and some of it has been sent: cancel the attempt
+	MoveToDisk                  // move the received bytes to disk and store the following ones there
+	StopRetaining               // pass the received bytes on and retain nothing
+	Reject                      // the body is too long and none of it has been sent: answer with HTTP status 413
+	Abort                       // the body is too long and part of it has been sent: cancel the attempt
 )
 
 var actionNames = [...]string{"go on", "move to files", "stop keeping", "refuse", "give up"}
 
-// String returns the action's name.
+// String returns the name of the action.
 func (a Action) String() string { return actionNames[a] }
 
-// endsRequest reports whether the request ends without a further attempt.
+// endsRequest reports whether the action ends the request without another attempt.
 func (a Action) endsRequest() bool { return a >= Reject }
 
-// Body is one body from the admission of its request to its end. All fields but FirstByteSent
-// belong to the Allocator, and its owner only reads them.
+// Body is the body of one request, from its admission to the end of the request. The owner of the
+// body sets FirstByteSent; only the Allocator changes the other fields.
 type Body struct {
 	Location      Location
-	Received      int64 // bytes
-	FirstByteSent bool  // set by the owner before it sends the first byte in an attempt
+	Received      int64 // bytes received so far
+	FirstByteSent bool  // set by the owner before an attempt sends the first byte
 
 	class    int
-	reserved int64 // bytes, at its location
+	reserved int64 // bytes reserved at Location
 	closed   bool
 }
 
-// Repeatable reports whether another attempt may send the body: it is retained from its first
-// byte on, or nothing of it has been sent. The rest of it may still be being received. Whether
-// and until when the class allows a retry is decided elsewhere.
+// Repeatable reports whether another attempt can send the body: either the body is retained from
+// its first byte on, or none of it has been sent. The end of the body may not have been received
+// yet. Repeatable does not check whether the class allows a retry, or until when.
 func (b *Body) Repeatable() bool {
 	return !b.closed && (b.Location != NotRetained || !b.FirstByteSent)
 }
 
-// Counts is what an Allocator has decided since it was made, in bodies.
+// Counts holds the numbers of bodies by decision since the Allocator was created.
 type Counts struct {
-	InMemory         int64 // admitted, to be retained in memory
-	OnDisk           int64 // admitted, to be retained on disk
-	NotRetained      int64 // admitted, to be passed through
+	InMemory         int64 // admitted and first located in memory
+	OnDisk           int64 // admitted and first located on disk
+	NotRetained      int64 // admitted and passed through
 	MovedToDisk      int64
 	StoppedRetaining int64
 	Rejected         int64
--- a/internal/bodies/budget_test.go
+++ b/internal/bodies/budget_test.go
@@ -5,22 +5,22 @@
 	"testing"
 )
 
-// Classes that cannot share a budget are rejected, with an error that names class and field.
+// New rejects classes that cannot share a budget. The error names the class and the field.
 func TestInvalidClasses(t *testing.T) {
 	tests := []struct {
 		name    string
 		classes []Class
 		want    string
 	}{
-		{"size", []Class{{Name: "a", PriorityWeight: 1, MaxMemoryBytes: 9}}, `bodies: class "a": most: want no less than memory and disk`},
-		{"no weight", []Class{{Name: "a"}}, `bodies: class "a": worth: want more than 0`},
-		{"infinite weight", []Class{{Name: "a", PriorityWeight: math.Inf(1)}}, `bodies: class "a": worth: want more than 0`},
-		{"guarantee", []Class{{Name: "a", PriorityWeight: 1, GuaranteedFraction: math.NaN()}}, `bodies: class "a": guarantee: want 0 to 1`},
+		{"size", []Class{{Name: "a", PriorityWeight: 1, MaxMemoryBytes: 9}}, `bodies: class "a": most: expected at least 0 and no less than memory and disk`},
+		{"no weight", []Class{{Name: "a"}}, `bodies: class "a": worth: expected a finite number above 0`},
+		{"infinite weight", []Class{{Name: "a", PriorityWeight: math.Inf(1)}}, `bodies: class "a": worth: expected a finite number above 0`},
+		{"guarantee", []Class{{Name: "a", PriorityWeight: 1, GuaranteedFraction: math.NaN()}}, `bodies: class "a": guarantee: expected a number from 0 to 1`},
 		{"guarantees together", []Class{
 			{Name: "a", PriorityWeight: 1, GuaranteedFraction: 0.6},
 			{Name: "b", PriorityWeight: 1, GuaranteedFraction: 0.6},
-		}, "bodies: guarantee: all classes together have more than 1"},
-		{"name twice", []Class{{Name: "a", PriorityWeight: 1}, {Name: "a", PriorityWeight: 1}}, `bodies: class "a": named twice, or not at all`},
+		}, "bodies: guarantee: expected a sum of at most 1 over all classes"},
+		{"name twice", []Class{{Name: "a", PriorityWeight: 1}, {Name: "a", PriorityWeight: 1}}, `bodies: class "a": expected a unique and non-empty name`},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -31,15 +31,15 @@
 	}
 }
 
-// A budget below zero is rejected, and the one before it stays.
+// UpdateBudget rejects a negative limit and keeps the previous budget.
 func TestInvalidBudget(t *testing.T) {
-	const want = "bodies: budget: {Memory:5 Disk:6 Files:-1 Write:2.5}: want no less than 0"
+	const want = "bodies: budget: {Memory:5 Disk:6 Files:-1 Write:2.5}: expected no negative number"
 	allocator := newAllocator(t, Budget{MemoryBytes: 100}, testClasses())
 	err := allocator.UpdateBudget(Budget{MemoryBytes: 5, DiskBytes: 6, DiskBodies: -1, DiskBytesPerSecond: 2.5})
 	if err == nil || err.Error() != want {
 		t.Errorf("got error %v, want %s", err, want)
 	}
 	if got := allocator.memory.total; got != 100 {
-		t.Errorf("the memory budget is %d bytes after the error, want 100", got)
+		t.Errorf("got a memory budget of %d bytes after the error, want 100", got)
 	}
 }
--- a/internal/bodies/fuzz_test.go
+++ b/internal/bodies/fuzz_test.go
@@ -8,7 +8,7 @@
 
 const fuzzMaxSteps = 1500
 
-// allocatorModel knows the bodies of an allocator and what must hold of them.
+// allocatorModel tracks the bodies of an allocator and checks the invariants of its accounting.
 type allocatorModel struct {
 	t         *testing.T
 	allocator *Allocator
@@ -18,10 +18,10 @@
 	sentOnce  map[*Body]bool
 }
 
-// FuzzAllocatorAccounting checks by random steps, also with budgets that shrink, that what is
-// reserved is what open bodies hold, that nothing new exceeds a budget, that a class has its
-// guarantee whatever others use, that a body that cannot be repeated stays so, and that nothing
-// is reserved in the end.
+// FuzzAllocatorAccounting applies random steps, some of which shrink the budget, and checks that
+// the reserved capacity is the sum of what open bodies hold, that new reservations do not exceed a
+// budget, that each class gets its guarantee whatever other classes use, that a body that is not
+// repeatable never becomes repeatable, and that nothing is reserved after all bodies are closed.
 func FuzzAllocatorAccounting(f *testing.F) {
 	fuzzutil.AddRandomSeeds(f, 24, 800)
 	f.Fuzz(func(t *testing.T, steps []byte) {
@@ -57,7 +57,7 @@
 	}
 }
 
-// admit admits a body of unknown, small or any size.
+// admit admits a body whose size is unknown, small or arbitrary.
 func (m *allocatorModel) admit(argument int64) {
 	m.t.Helper()
 	class := int(argument % 3)
@@ -67,10 +67,10 @@
 	fitsGuarantee := memory.guaranteed(class)-memory.used[class] >= size && memory.usedByAll()+size <= m.budget.MemoryBytes
 	body, action := m.allocator.Admit(m.now, class, size)
 	if rejected := action == Reject; rejected != (size > policy.MaxBytes) || (body == nil) != rejected {
-		m.t.Fatalf("%d bytes of class %s: %v, want them rejected above %d", size, policy.Name, action, policy.MaxBytes)
+		m.t.Fatalf("%d bytes of class %s: got action %v, want Reject only above %d bytes", size, policy.Name, action, policy.MaxBytes)
 	}
 	if size > 0 && fitsGuarantee && size <= policy.MaxMemoryBytes && body.Location != InMemory {
-		m.t.Fatalf("%d bytes of class %s within its guarantee are in %v, want memory", size, policy.Name, body.Location)
+		m.t.Fatalf("%d bytes of class %s within its guarantee: got location %v, want memory", size, policy.Name, body.Location)
 	}
 	if body != nil {
 		m.bodies = append(m.bodies, body)
@@ -89,11 +89,12 @@
 		m.allocator.Close(body)
 	}
 	if body.Repeatable() && (m.sentOnce[body] || !repeatable) {
-		m.t.Fatal("a body that could be sent once is repeatable")
+		m.t.Fatal("got a repeatable body that was not repeatable before")
 	}
 }
 
-// allowedAction reports whether an action agrees with where a body was and what became of it.
+// allowedAction reports whether an action is consistent with a body's location before the action and
+// with its state after it.
 func allowedAction(action Action, before Location, body *Body) bool {
 	switch action {
 	case Continue:
@@ -110,14 +111,15 @@
 	return false
 }
 
-// sendFailOrClose sends a body's first byte, or has its disk fail and closes it, or closes it.
+// sendFailOrClose sends the first byte of a body (operation 0), reports a failed disk and closes the
+// body (1), or only closes the body (2).
 func (m *allocatorModel) sendFailOrClose(body *Body, operation int64) {
 	m.t.Helper()
 	if operation == 0 {
 		body.FirstByteSent = true
 	} else {
 		if operation == 1 && m.allocator.DiskFailed(body) == StopRetaining && body.Location != NotRetained {
-			m.t.Fatalf("a body whose files cannot be used is in %v", body.Location)
+			m.t.Fatalf("got location %v for a body after its disk failed, want not retained", body.Location)
 		}
 		m.allocator.Close(body)
 		m.allocator.Close(body)
@@ -138,15 +140,15 @@
 	}
 }
 
-// checkUsage compares what is reserved with the budget and with what bodies hold. Only what was
-// reserved before a budget shrank may exceed it.
+// checkUsage compares the reserved capacity with the budget and with the reservations of the bodies.
+// Only capacity that was reserved before the budget shrank may exceed the budget.
 func (m *allocatorModel) checkUsage(before Usage) {
 	m.t.Helper()
 	got := m.allocator.Usage()
 	if got.MemoryBytes > max(before.MemoryBytes, m.budget.MemoryBytes) ||
 		got.DiskBytes > max(before.DiskBytes, m.budget.DiskBytes) ||
 		got.DiskBodies > max(before.DiskBodies, m.budget.DiskBodies) {
-		m.t.Fatalf("%+v is reserved after %+v, of %+v", got, before, m.budget)
+		m.t.Fatalf("got %+v reserved after %+v, want no more than that or the budget %+v", got, before, m.budget)
 	}
 	var want Usage
 	for _, body := range m.bodies {
@@ -160,7 +162,7 @@
 		}
 	}
 	if got != want {
-		m.t.Fatalf("%+v is reserved, bodies hold %+v", got, want)
+		m.t.Fatalf("got %+v reserved, want the %+v that bodies hold", got, want)
 	}
 }
 
@@ -170,11 +172,11 @@
 		m.allocator.Close(body)
 	}
 	if got := m.allocator.Usage(); got != (Usage{}) {
-		m.t.Errorf("%+v is reserved in the end", got)
+		m.t.Errorf("got %+v reserved after all bodies were closed, want nothing", got)
 	}
 	for name, quota := range map[string]quota{"memory": m.allocator.memory, "disk": m.allocator.disk, "disk bodies": m.allocator.diskBodies} {
 		if quota.borrowed != 0 {
-			m.t.Errorf("%d of %s is borrowed in the end", quota.borrowed, name)
+			m.t.Errorf("got %d of %s borrowed after all bodies were closed, want 0", quota.borrowed, name)
 		}
 	}
 }
--- a/internal/bodies/policytable.go
+++ b/internal/bodies/policytable.go
@@ -6,8 +6,8 @@
 	"text/tabwriter"
 )
 
-// Idempotency is whether a request of a class may be repeated after an attempt that may have
-// been executed.
+// Idempotency tells whether a request of a class may be retried after an attempt that a server may
+// have executed.
 type Idempotency uint8
 
 // The kinds of idempotency.
@@ -17,15 +17,15 @@
 	NonIdempotent
 )
 
-// What the table says about a retry.
+// Texts of the table about retries.
 const (
-	textRetried         = "sent again"
-	textRetriedInWindow = "sent again within the key's window"
+	textRetried         = "retried"
+	textRetriedInWindow = "retried within the key's window"
 	textFailed          = "failed"
-	textRetriedIfUnsent = "failed, unless nothing of it had left"
+	textRetriedIfUnsent = "failed, unless none of it was sent"
 )
 
-// retryText returns what happens to a retained body after an attempt that may have been executed.
+// retryText returns the text for a retained body after an attempt that may have been executed.
 func (i Idempotency) retryText() string {
 	switch i {
 	case Idempotent:
@@ -38,12 +38,13 @@
 	return ""
 }
 
-// WritePolicyTable writes, for operators, what happens to the bodies of each class by their size.
-// Classes that the map does not name are Idempotent.
+// WritePolicyTable writes a table for operators that shows, for each class and each range of body
+// sizes, where bodies are retained and when they are retried. Classes that are missing from
+// idempotency are Idempotent.
 func WritePolicyTable(w io.Writer, classes []Class, idempotency map[string]Idempotency) error {
 	table := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	lines := &lineWriter{w: table}
-	lines.printf("class\tbody of\tis kept in\tafter an attempt that may have run\tafter one that proved not to\n")
+	lines.printf("class\tbody size\tretained in\tafter an attempt that may have been executed\tafter an attempt known not to have been executed\n")
 	for _, class := range classes {
 		writeClass(lines, class, idempotency[class.Name])
 	}
@@ -53,7 +54,8 @@
 	return table.Flush()
 }
 
-// writeClass writes a line for each range of sizes that has its own location.
+// writeClass writes one line for each location that a body of the class can have, with the range of
+// sizes, and one for bodies that are too long.
 func writeClass(lines *lineWriter, class Class, idempotency Idempotency) {
 	ranges := []struct {
 		to       int64 // bytes
@@ -75,10 +77,10 @@
 		lines.printf("%s\t%d to %d bytes\t%v\t%s\t%s\n", class.Name, from, sizes.to, sizes.location, maybeExecuted, notExecuted)
 		from = sizes.to + 1
 	}
-	lines.printf("%s\tmore\t-\trefused, 413; given up if some of it had left\t\n", class.Name)
+	lines.printf("%s\tmore\t-\trejected with status 413; aborted if part of it was sent\t\n", class.Name)
 }
 
-// lineWriter writes formatted lines until the first error, which it retains.
+// lineWriter writes formatted lines until the first error and keeps that error.
 type lineWriter struct {
 	w   io.Writer
 	err error
--- a/internal/bodies/quota.go
+++ b/internal/bodies/quota.go
@@ -1,15 +1,16 @@
 package bodies
 
-// quota is one budget, of bytes or of bodies, that classes share. Each class has its guaranteed
-// fraction. What is guaranteed to none is lent: to the class of the highest priority weight up
-// to the last unit, to others only while less of it is lent, so that the highest weight finds
-// capacity when all want it (trunk reservation, as in telephone networks).
+// quota is one budget, of bytes or of a number of bodies, that classes share. Each class has a
+// guaranteed fraction of the budget; the rest can be borrowed by any class. The class with the
+// highest priority weight may borrow all of the rest. The other classes may borrow only until a
+// smaller part of it is lent, so that the class with the highest weight still finds capacity when
+// all classes want it (trunk reservation, as in telephone networks).
 type quota struct {
 	total               int64
-	guaranteedFractions []float64 // of total, by class
-	borrowableFractions []float64 // of what is lent, by class; 1 for the highest weight
+	guaranteedFractions []float64 // fractions of total, by class
+	borrowableFractions []float64 // fractions of borrowable, by class; 1 for the highest weight
 	used                []int64   // by class
-	borrowed            int64     // by all classes beyond their guarantees
+	borrowed            int64     // used by all classes beyond their guarantees
 }
 
 func newQuota(classes []Class) quota {
@@ -20,8 +21,8 @@
 	}
 }
 
-// resize sets the total and the policy of the classes. What is used stays, and nothing new is
-// reserved until it fits.
+// resize sets the total and the fractions of the classes. Existing reservations stay, and no new one
+// is granted until all of them fit the total.
 func (q *quota) resize(total int64, classes []Class) {
 	q.total = total
 	q.borrowed = 0
@@ -32,8 +33,8 @@
 	}
 }
 
-// borrowableFraction returns how much of what is lent a class may fill: the priority weights that
-// are no higher than its own, as a fraction of all.
+// borrowableFraction returns up to which fraction of the borrowable capacity a class may borrow: the
+// sum of the priority weights that are no higher than its own, divided by the sum of all.
 func borrowableFraction(classes []Class, class int) float64 {
 	sum, upToOwn := 0.0, 0.0
 	for i := range classes {
@@ -46,15 +47,15 @@
 	return upToOwn / sum
 }
 
-// guaranteed returns what is guaranteed to a class.
+// guaranteed returns the capacity that is guaranteed to a class.
 func (q *quota) guaranteed(class int) int64 {
 	return int64(float64(q.total) * q.guaranteedFractions[class])
 }
 
-// borrowedOf returns how much of what a class uses is beyond its guarantee.
+// borrowedOf returns how much of the used capacity exceeds the guarantee of a class.
 func (q *quota) borrowedOf(class int, used int64) int64 { return max(0, used-q.guaranteed(class)) }
 
-// borrowable returns what is guaranteed to no class.
+// borrowable returns the capacity that is not guaranteed to any class.
 func (q *quota) borrowable() int64 {
 	remaining := q.total
 	for class := range q.guaranteedFractions {
@@ -63,7 +64,7 @@
 	return max(remaining, 0)
 }
 
-// usedByAll returns what all classes use.
+// usedByAll returns the capacity that all classes use together.
 func (q *quota) usedByAll() int64 {
 	sum := int64(0)
 	for _, used := range q.used {
@@ -72,8 +73,8 @@
 	return sum
 }
 
-// reserve reserves n for a class and reports whether there was capacity. After the total shrank
-// there is none for any class, guaranteed or not, until what is used fits.
+// reserve reserves n units for a class and reports whether there was capacity. While more is used
+// than a reduced total, it fails for every class, even within a guarantee.
 func (q *quota) reserve(class int, n int64) bool {
 	if q.usedByAll()+n > q.total {
 		return false
@@ -88,17 +89,17 @@
 	return true
 }
 
-// release releases n that a class has reserved.
+// release releases n units that a class has reserved.
 func (q *quota) release(class int, n int64) {
 	q.borrowed -= q.borrowedOf(class, q.used[class]) - q.borrowedOf(class, q.used[class]-n)
 	q.used[class] -= n
 }
 
-// tokenBucket bounds a rate: what was not used within the last second may be used at once.
+// tokenBucket limits a rate. It allows bursts of up to the tokens of one second.
 type tokenBucket struct {
 	rate      float64 // tokens per second
 	tokens    float64
-	updatedAt float64 // Unix ms
+	updatedAt float64 // time of the last update of tokens, in Unix ms
 }
 
 // setRate sets the rate, in tokens per second.
@@ -107,7 +108,8 @@
 	b.tokens = min(b.tokens, rate)
 }
 
-// allow takes n tokens at now, in Unix ms, and reports whether there were as many.
+// allow takes n tokens at the time now, in Unix ms, and reports whether there were enough. If not, it
+// takes none.
 func (b *tokenBucket) allow(now, n float64) bool {
 	added := b.rate * max(0, now-b.updatedAt) / 1000
 	b.tokens = min(b.rate, b.tokens+added)
--- a/internal/bodies/spool/benchmark_test.go
+++ b/internal/bodies/spool/benchmark_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// benchmarkPart is how many bytes of a body are received at a time.
+// benchmarkPart is the number of bytes of a body that are written at a time.
 const benchmarkPart = 16 << 10
 
 // BenchmarkWriteAndReadBack measures storing a body and reading it back, in a spool and, for
@@ -58,6 +58,6 @@
 		body = append(body, benchmarkData[:min(left, benchmarkPart)]...)
 	}
 	if len(body) != size {
-		b.Fatalf("%d bytes, want %d", len(body), size)
+		b.Fatalf("got %d bytes, want %d", len(body), size)
 	}
 }
--- a/internal/bodies/spool/body.go
+++ b/internal/bodies/spool/body.go
@@ -5,29 +5,29 @@
 	"sync"
 )
 
-// sealedBlock is a block of a body that has been written.
+// sealedBlock is a block of a body that has been encrypted and written.
 type sealedBlock struct {
 	blockAddress
-	counter uint64 // for its nonce
-	size    int    // bytes of the body
+	counter uint64 // from which its nonce is made
+	size    int    // number of plaintext bytes
 }
 
-// Body is one body in a spool. It has one writer, and may be read while it is written, up to what
-// Size returns. It must be closed.
+// Body is one body in a spool. It has a single writer. The bytes up to Size may be read while more
+// are written. A Body must be closed.
 type Body struct {
 	spool *Spool
 
 	mu      sync.Mutex
 	blocks  []sealedBlock
-	pending []byte // less than a block, not written yet
+	pending []byte // last bytes of the body, less than a block, which are not written yet
 	size    int64
-	err     error // once set, the body cannot be used
+	err     error // if not nil, the body cannot be used any more
 }
 
-// NewBody begins a body.
+// NewBody returns a new, empty body.
 func (s *Spool) NewBody() *Body { return &Body{spool: s} }
 
-// Write appends to the body. After an error none of it can be read.
+// Write appends data to the body. After an error no part of the body can be read.
 func (b *Body) Write(data []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -47,8 +47,8 @@
 	return len(data), nil
 }
 
-// sealPending writes what is pending as a block. The block belongs to the body even if it could
-// not be written, so that it is freed.
+// sealPending encrypts the pending bytes and writes them as a block. The block is added to the body
+// even if the write fails, so that Close frees it.
 func (b *Body) sealPending() error {
 	block, err := b.spool.allocateBlock()
 	if err != nil {
@@ -60,15 +60,15 @@
 	return writeSealed(block, sealed)
 }
 
-// Size returns how many bytes of the body have been written so far.
+// Size returns the number of bytes that have been passed to Write so far.
 func (b *Body) Size() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.size
 }
 
-// ReadAt implements io.ReaderAt for what has been written so far, whose end is io.EOF. After a
-// block that cannot be read or opened the body cannot be used any more.
+// ReadAt implements io.ReaderAt for the bytes that have been written so far and returns io.EOF at
+// their end. After a block could not be read or decrypted, the body cannot be used any more.
 func (b *Body) ReadAt(buffer []byte, offset int64) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -92,7 +92,7 @@
 	return n, nil
 }
 
-// block returns the bytes of a block, written or pending.
+// block returns the plaintext of the block with the given index, which may be the pending one.
 func (b *Body) block(index int) ([]byte, error) {
 	if index == len(b.blocks) {
 		return b.pending, nil
--- a/internal/bodies/spool/faulty_test.go
+++ b/internal/bodies/spool/faulty_test.go
@@ -5,20 +5,21 @@
 	"syscall"
 )
 
-// writeFault is what happens to a write that fails.
+// writeFault is the way in which a write fails.
 type writeFault int
 
 const (
-	writeNothing  writeFault = iota // and return an error
-	writeHalf                       // and return no error
-	writeFlipped                    // one bit, and return no error
+	writeNothing  writeFault = iota // write nothing and return an error
+	writeHalf                       // write the first half of the data and return no error
+	writeFlipped                    // flip one bit of the data and return no error
 	writeFaultEnd                   // number of write faults
 )
 
-// faultyFileSystem fails at one call, which every call of it and of its files counts towards.
+// faultyFileSystem is a file system that fails one call. It counts its own calls and those of its
+// files, and fails the call with the number failingCall.
 type faultyFileSystem struct {
 	OSFileSystem
-	failingCall int // 0: none
+	failingCall int // starting at 1; 0 means that no call fails
 	calls       int
 	writeFault  writeFault
 }
--- a/internal/bodies/spool/filesystem.go
+++ b/internal/bodies/spool/filesystem.go
@@ -8,37 +8,39 @@
 	"syscall"
 )
 
-// Permissions of what a spool makes: for its owner alone.
+// Permissions of the files and directories that a spool creates. Only their owner has access.
 const (
 	filePermissions      = 0o600
 	directoryPermissions = 0o700
 )
 
-// File is what a spool needs of a file.
+// File is the set of file operations that a spool needs.
 type File interface {
 	io.ReaderAt
 	io.WriterAt
 	io.Closer
-	// Truncate sets the size in bytes and allocates as much on disk, as far as possible.
+	// Truncate sets the size in bytes. If the file system can preallocate, it also allocates that
+	// much disk space.
 	Truncate(size int64) error
 }
 
-// FileSystem is what a spool needs of a file system. Its errors are passed on.
+// FileSystem is the set of file system operations that a spool needs. The spool returns its errors
+// to the caller.
 type FileSystem interface {
-	// Create makes a file that is in use by this process until it is closed.
+	// Create creates a file. The file is in use by this process until it is closed.
 	Create(path string) (File, error)
 	Remove(path string) error
-	// List returns the names of the files in a directory, which it makes if there is none.
+	// List returns the names of the files in a directory. It creates a missing directory.
 	List(directory string) ([]string, error)
-	// InUse reports whether a running process uses a file.
+	// InUse reports whether a running process uses the file.
 	InUse(path string) (bool, error)
 }
 
 // OSFileSystem is the FileSystem of the operating system. A file is in use while a process holds
-// its lock, which ends with the process.
+// its lock. The operating system releases the lock when the process ends.
 type OSFileSystem struct{}
 
-// Create makes a file for its owner alone, or empties it, and locks it.
+// Create creates a file that only its owner can access, or truncates an existing one, and locks it.
 func (OSFileSystem) Create(path string) (File, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_RDWR, filePermissions)
 	if err != nil {
@@ -50,17 +52,18 @@
 	return preallocatedFile{file}, nil
 }
 
-// lock locks a file until it is closed, or fails at once if another process has it locked.
+// lock locks a file until it is closed. It returns an error at once if another process holds the
+// lock.
 func lock(file *os.File) error {
 	return syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 }
 
-// preallocatedFile is a file whose disk space is allocated when its size is set, not when it is
-// written.
+// preallocatedFile is a file whose disk space is allocated when its size is set rather than when its
+// bytes are written.
 type preallocatedFile struct{ *os.File }
 
-// Truncate sets the size and allocates the disk space. Where the file system cannot allocate it
-// ahead, a full disk is met when blocks are written.
+// Truncate sets the size and allocates the disk space. If the file system cannot preallocate, a full
+// disk is noticed only when blocks are written.
 func (f preallocatedFile) Truncate(size int64) error {
 	err := syscall.Fallocate(int(f.Fd()), 0, 0, size)
 	if errors.Is(err, syscall.EOPNOTSUPP) || errors.Is(err, syscall.ENOSYS) {
@@ -72,7 +75,7 @@
 // Remove removes a file.
 func (OSFileSystem) Remove(path string) error { return os.Remove(path) }
 
-// List returns the names of the regular files in a directory, which it makes if there is none.
+// List returns the names of the regular files in a directory. It creates a missing directory.
 func (OSFileSystem) List(directory string) ([]string, error) {
 	if err := os.MkdirAll(directory, directoryPermissions); err != nil {
 		return nil, err
@@ -87,7 +90,7 @@
 	return names, err
 }
 
-// InUse reports whether a process has the file locked. A file that does not exist is not in use.
+// InUse reports whether a process holds the lock of the file. A missing file is not in use.
 func (OSFileSystem) InUse(path string) (bool, error) {
 	file, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -96,6 +99,6 @@
 	if err != nil {
 		return false, err
 	}
-	defer func() { _ = file.Close() }() // only read, so that nothing can be lost
+	defer func() { _ = file.Close() }() // nothing was written, so a failed close loses no data
 	return lock(file) != nil, nil
 }
--- a/internal/bodies/spool/seal.go
+++ b/internal/bodies/spool/seal.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	sealOverhead  = 16 // bytes that sealing adds to a block, the tag of AES-GCM
+	sealOverhead  = 16 // bytes that encryption adds to a block: the AES-GCM tag
 	sealedSize    = BlockSize + sealOverhead
 	keySize       = 32 // bytes, AES-256
-	nonceSize     = 12 // bytes, as AES-GCM wants
-	counterOffset = 4  // of the block counter in a nonce; the bytes before it are zero
+	nonceSize     = 12 // bytes, the standard nonce size of AES-GCM
+	counterOffset = 4  // offset of the block counter in a nonce; the bytes before it are zero
 )
 
-// newCipher returns a cipher with a new random key, which is stored nowhere.
+// newCipher returns an AES-256-GCM cipher with a new random key. The key is never stored.
 func newCipher() (cipher.AEAD, error) {
 	key := make([]byte, keySize)
 	if _, err := rand.Read(key); err != nil {
@@ -29,12 +29,13 @@
 	return cipher.NewGCM(block)
 }
 
-// seal returns the sealed form of a block, which is bound to its index in the body.
+// seal encrypts a block and authenticates it together with its index in the body. counter must be
+// unique within the spool.
 func (s *Spool) seal(plain []byte, counter uint64, index int) []byte {
 	return s.aead.Seal(nil, encodeNonce(counter), plain, additionalData(index))
 }
 
-// unseal opens a sealed block in place, or returns ErrCorruptBlock.
+// unseal decrypts a sealed block in place. It returns ErrCorruptBlock if the authentication fails.
 func (s *Spool) unseal(sealed []byte, counter uint64, index int) ([]byte, error) {
 	plain, err := s.aead.Open(sealed[:0], encodeNonce(counter), sealed, additionalData(index))
 	if err != nil {
@@ -49,12 +50,13 @@
 	return nonce
 }
 
-// additionalData binds a block to its index in the body, so that blocks cannot be swapped.
+// additionalData returns the additional authenticated data of the block with the given index in its
+// body. Including the index makes unseal fail for a block that was moved to another position.
 func additionalData(index int) []byte {
 	return binary.BigEndian.AppendUint64(nil, uint64(index))
 }
 
-// readSealed reads a sealed block of so many plain bytes.
+// readSealed reads a sealed block from its segment file.
 func readSealed(file File, block sealedBlock) ([]byte, error) {
 	sealed := make([]byte, block.size+sealOverhead)
 	if _, err := file.ReadAt(sealed, block.offset()); err != nil {
@@ -63,7 +65,7 @@
 	return sealed, nil
 }
 
-// writeSealed writes a sealed block. A short write is an error.
+// writeSealed writes a sealed block to its segment file. A short write is an error.
 func writeSealed(block allocatedBlock, sealed []byte) error {
 	written, err := block.file.WriteAt(sealed, block.offset())
 	if err == nil && written != len(sealed) {
--- a/internal/bodies/spool/spool.go
+++ b/internal/bodies/spool/spool.go
@@ -1,10 +1,11 @@
-// Package spool stores request bodies in files; like package bodies it is not called by anything
-// yet. Bodies are cut into blocks of a fixed size, in segment files that are preallocated and
-// reused, and each block is sealed with a key that exists only in memory.
+// Package spool stores request bodies in files. Like package bodies, it is not used by other
+// packages yet. Bodies are split into blocks of a fixed size. The blocks are stored in segment files
+// that are preallocated and reused, and each block is sealed, that is, encrypted and authenticated,
+// with a key that exists only in memory.
 //
-// So a stolen disk discloses nothing, and a block that was torn, changed, or is another body's
-// does not open. Nothing is read back after the process has ended: the files that an ended
-// process left behind are removed at the next start.
+// A stolen disk therefore discloses nothing, and a block that was partially written, was modified,
+// or belongs to another body fails authentication. No process reads the files of an ended process:
+// a later process lists them when it opens its spool and removes them.
 package spool
 
 import (
@@ -17,29 +18,29 @@
 	"sync"
 )
 
-// BlockSize is how many bytes of a body a block holds; the last one of a body may hold fewer.
+// BlockSize is the number of bytes of a body in a block. The last block of a body may be smaller.
 const BlockSize = 32 << 10
 
-// fileSuffix is that of all segment files, also of other processes.
+// fileSuffix is the file name suffix of the segment files of all processes.
 const fileSuffix = ".spool"
 
-// Errors of a spool. Those of the file system are passed on besides.
+// Errors of a spool. Methods also return the errors of the FileSystem.
 var (
-	// ErrFull reports that the spool has as many segments as it may, and no free block.
+	// ErrFull reports that the spool has no free block and may not add another segment.
 	ErrFull = errors.New("spool: full")
-	// ErrCorruptBlock reports a block that is not as it was written.
-	ErrCorruptBlock = errors.New("spool: block does not open")
+	// ErrCorruptBlock reports a stored block that differs from the block that was written.
+	ErrCorruptBlock = errors.New("spool: stored block failed authentication")
 	// ErrClosed reports that a body, or its spool, has been closed.
-	ErrClosed = errors.New("spool: body has ended")
+	ErrClosed = errors.New("spool: body or spool is closed")
 )
 
-// Options is what a Spool is made with. All fields must be set.
+// Options configures a Spool. All fields must be set.
 type Options struct {
 	FileSystem       FileSystem
 	Directory        string
-	Name             string // prefix of this process's files; no other process's may begin with it
+	Name             string // prefix of this process's file names; files of other processes must not have it
 	BlocksPerSegment int
-	MaxSegments      int
+	MaxSegments      int // limit of the number of segment files
 }
 
 // Spool owns the files of one process. It is safe for concurrent use.
@@ -50,30 +51,31 @@
 	mu           sync.Mutex
 	segments     []File
 	free         []blockAddress
-	sealedBlocks uint64 // so far, from which nonces are made: none is used twice
+	sealedBlocks uint64 // number of blocks allocated so far; nonces are made from it, so that each is unique
 	usedBlocks   int
-	staleFiles   []string // paths of files of ended processes
+	staleFiles   []string // paths of the files of ended processes
 	closed       bool
 }
 
-// Usage is what a Spool holds.
+// Usage reports the blocks and files of a Spool.
 type Usage struct {
-	Blocks     int // held by open bodies
-	StaleFiles int // of ended processes, not removed yet
+	Blocks     int // blocks of open bodies
+	StaleFiles int // files of ended processes that are not removed yet
 }
 
-// blockAddress is where a block is stored.
+// blockAddress is the location of a block.
 type blockAddress struct {
 	segment int // index of the segment file
-	block   int // index within it
+	block   int // index of the block within the segment
 }
 
 func (a blockAddress) offset() int64 { return int64(a.block) * sealedSize }
 
-// Open makes a Spool and lists the files of ended processes, which RemoveStaleFile removes.
+// Open returns a new Spool. It also lists the files of ended processes, which RemoveStaleFile
+// removes.
 func Open(options Options) (*Spool, error) {
 	if options.BlocksPerSegment < 1 || options.MaxSegments < 1 || options.Name == "" {
-		return nil, fmt.Errorf("spool: BlocksPerSegment %d, MaxSegments %d, Name %q: want some of each",
+		return nil, fmt.Errorf("spool: BlocksPerSegment %d, MaxSegments %d, Name %q: expected positive numbers and a non-empty name",
 			options.BlocksPerSegment, options.MaxSegments, options.Name)
 	}
 	staleFiles, err := listStaleFiles(options)
@@ -87,7 +89,7 @@
 	return &Spool{Options: options, aead: aead, staleFiles: staleFiles}, nil
 }
 
-// listStaleFiles returns the paths of the directory's spool files that no process uses.
+// listStaleFiles returns the paths of the spool files in the directory that no process uses.
 func listStaleFiles(options Options) ([]string, error) {
 	names, err := options.FileSystem.List(options.Directory)
 	if err != nil {
@@ -110,8 +112,8 @@
 	return stale, nil
 }
 
-// RemoveStaleFile removes one file of an ended process, and reports whether more are left. It is
-// background work: the caller decides when.
+// RemoveStaleFile removes one file of an ended process and reports whether more files are left. The
+// spool does not call it itself: it is background work that the caller schedules.
 func (s *Spool) RemoveStaleFile() (more bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,16 +128,16 @@
 	return len(s.staleFiles) > 0, err
 }
 
-// Preallocate adds a segment ahead of need. It returns ErrFull if there are as many as there may
-// be. It is background work: the caller decides when.
+// Preallocate adds a segment before its blocks are needed. It returns ErrFull if the spool is closed
+// or has MaxSegments segments. It is background work that the caller schedules.
 func (s *Spool) Preallocate() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.addSegment()
 }
 
-// addSegment preallocates a segment, so that a full disk is met here and not in the middle of a
-// body. The caller holds mu.
+// addSegment creates and preallocates a segment, so that a full disk causes an error here and not in
+// the middle of a body. The caller holds mu.
 func (s *Spool) addSegment() error {
 	if s.closed || len(s.segments) >= s.MaxSegments {
 		return ErrFull
@@ -151,7 +153,8 @@
 	}
 	s.segments = append(s.segments, file)
 	for i := range s.BlocksPerSegment {
-		// The last free block is used first, so that a segment fills from its start.
+		// Blocks are taken from the end of free. The descending order makes a segment fill from its
+		// start.
 		s.free = append(s.free, blockAddress{segment: segment, block: s.BlocksPerSegment - 1 - i})
 	}
 	return nil
@@ -161,14 +164,14 @@
 	return filepath.Join(s.Directory, fmt.Sprintf("%s-%d%s", s.Name, segment, fileSuffix))
 }
 
-// allocatedBlock is a block that is to be written.
+// allocatedBlock is a block that is allocated to a body but not written yet.
 type allocatedBlock struct {
 	blockAddress
 	file    File
-	counter uint64 // unique within the spool
+	counter uint64 // from which its nonce is made; unique within the spool
 }
 
-// allocateBlock returns a free block, in a new segment if need be.
+// allocateBlock returns a free block. It adds a segment if there is no free block.
 func (s *Spool) allocateBlock() (allocatedBlock, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,7 +191,7 @@
 	return allocatedBlock{blockAddress: address, file: s.segments[address.segment], counter: s.sealedBlocks}, nil
 }
 
-// freeBlocks frees the blocks of a body. Every block is freed here.
+// freeBlocks returns the blocks of a body to the free list. No other function frees blocks.
 func (s *Spool) freeBlocks(blocks []sealedBlock) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -198,7 +201,7 @@
 	}
 }
 
-// segmentFile returns the file of a segment, or ErrClosed.
+// segmentFile returns the file of a segment. It returns ErrClosed after the spool is closed.
 func (s *Spool) segmentFile(segment int) (File, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -208,14 +211,15 @@
 	return s.segments[segment], nil
 }
 
-// Usage returns what the spool holds now.
+// Usage returns the current numbers of used blocks and stale files.
 func (s *Spool) Usage() Usage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Usage{Blocks: s.usedBlocks, StaleFiles: len(s.staleFiles)}
 }
 
-// Close removes the spool's own files. Bodies that are open fail from then on.
+// Close closes and removes the spool's own files. After Close, methods of open bodies that need a
+// file return ErrClosed.
 func (s *Spool) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/bodies/spool/spool_test.go
+++ b/internal/bodies/spool/spool_test.go
@@ -22,38 +22,39 @@
 	return spool
 }
 
-// write writes to a body, which must succeed.
+// write writes data to a body and fails the test on an error.
 func write(tb testing.TB, body *Body, data []byte) {
 	tb.Helper()
 	if n, err := body.Write(data); err != nil || n != len(data) {
-		tb.Fatalf("wrote %d of %d bytes: %v", n, len(data), err)
+		tb.Fatalf("wrote %d of %d bytes, error %v", n, len(data), err)
 	}
 }
 
 func checkUsage(tb testing.TB, spool *Spool, want Usage) {
 	tb.Helper()
 	if got := spool.Usage(); got != want {
-		tb.Errorf("usage is %+v, want %+v", got, want)
+		tb.Errorf("got usage %+v, want %+v", got, want)
 	}
 }
 
-// With each call of the file system failing in turn, in each way: what is read is what was
-// written or an error, never a part of it or another body, and all blocks are freed.
+// Each file system call fails in turn, in each way that a write can fail. A read must return either
+// the bytes that were written or an error, never part of the body or another body, and all blocks
+// must be freed.
 func TestEachFailingCallLosesNoBlock(t *testing.T) {
 	for fault := range writeFaultEnd {
 		t.Run(fmt.Sprintf("write fault %d", fault), func(t *testing.T) {
-			calls := playRounds(t, &faultyFileSystem{writeFault: fault})
+			calls := runRounds(t, &faultyFileSystem{writeFault: fault})
 			for failing := 1; failing <= calls; failing++ {
-				playRounds(t, &faultyFileSystem{writeFault: fault, failingCall: failing})
+				runRounds(t, &faultyFileSystem{writeFault: fault, failingCall: failing})
 			}
 		})
 	}
 }
 
-// playRounds writes and reads two bodies at a time, three times so that blocks are reused, and
-// returns how many calls of the file system that took. One failing call fails at most the two
-// bodies of a round.
-func playRounds(t *testing.T, fileSystem *faultyFileSystem) int {
+// runRounds writes and reads two bodies in each of three rounds, so that blocks are reused. It
+// returns the number of file system calls. One failing call may fail at most the two bodies of a
+// round.
+func runRounds(t *testing.T, fileSystem *faultyFileSystem) int {
 	t.Helper()
 	const maxFailedBodies = 2
 	spool, err := Open(Options{FileSystem: fileSystem, Directory: t.TempDir(), Name: "n1", BlocksPerSegment: 2, MaxSegments: 3})
@@ -66,13 +67,13 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	failed := 0
 	for round := range 3 {
-		failed += playRound(t, spool, fileSystem, rng, round)
+		failed += runRound(t, spool, fileSystem, rng, round)
 	}
 	if failed > maxFailedBodies || fileSystem.failingCall == 0 && failed > 0 {
-		t.Fatalf("call %d: %d bodies failed", fileSystem.failingCall, failed)
+		t.Fatalf("failing call %d: got %d failed bodies, want at most two, and none without a failing call", fileSystem.failingCall, failed)
 	}
 	if got := spool.Usage().Blocks; got != 0 {
-		t.Fatalf("call %d: %d blocks are in use in the end", fileSystem.failingCall, got)
+		t.Fatalf("failing call %d: got %d used blocks after all bodies were closed, want 0", fileSystem.failingCall, got)
 	}
 	if err := spool.Close(); err != nil && fileSystem.failingCall == 0 {
 		t.Error(err)
@@ -80,8 +81,8 @@
 	return fileSystem.calls
 }
 
-// playRound writes two bodies by turns, reads and closes them, and returns how many failed.
-func playRound(t *testing.T, spool *Spool, fileSystem *faultyFileSystem, rng *rand.Rand, round int) int {
+// runRound writes to two bodies alternately, reads and closes them, and returns how many failed.
+func runRound(t *testing.T, spool *Spool, fileSystem *faultyFileSystem, rng *rand.Rand, round int) int {
 	t.Helper()
 	var want [2][]byte
 	bodies := [2]*Body{spool.NewBody(), spool.NewBody()}
@@ -97,12 +98,12 @@
 	for i, body := range bodies {
 		got, err := io.ReadAll(io.NewSectionReader(body, 0, body.Size()))
 		if err == nil && !bytes.Equal(got, want[i]) {
-			t.Fatalf("call %d: read %d bytes, want the %d that were written", fileSystem.failingCall, len(got), len(want[i]))
+			t.Fatalf("failing call %d: read %d bytes, want the %d bytes that were written", fileSystem.failingCall, len(got), len(want[i]))
 		}
 		if err != nil {
 			failed++
 			if _, again := body.ReadAt(make([]byte, 1), 0); again == nil {
-				t.Fatalf("call %d: the body can be read after %v", fileSystem.failingCall, err)
+				t.Fatalf("failing call %d: the body can still be read after error %v", fileSystem.failingCall, err)
 			}
 		}
 		body.Close()
@@ -111,8 +112,8 @@
 	return failed
 }
 
-// The files of ended processes are found and removed one by one, and those of a running one stay
-// and can be read.
+// Open finds the files of ended processes, and RemoveStaleFile removes them one by one. The files
+// of a running process stay and can be read.
 func TestStaleFilesAreRemoved(t *testing.T) {
 	directory := t.TempDir()
 	options := Options{FileSystem: OSFileSystem{}, Directory: directory, Name: "old", BlocksPerSegment: 4, MaxSegments: 2}
@@ -133,21 +134,21 @@
 			t.Fatal(err)
 		}
 		if more != (left > 0) {
-			t.Errorf("more to remove: %t, want %t", more, left > 0)
+			t.Errorf("got more files left %t, want %t", more, left > 0)
 		}
 		checkUsage(t, spool, Usage{StaleFiles: left})
 	}
 	checkFiles(t, directory, "old-0.spool")
 	got := make([]byte, len(written))
 	if _, err := body.ReadAt(got, 0); err != nil || !bytes.Equal(got, written) {
-		t.Errorf("the running process read back other bytes than written: %v", err)
+		t.Errorf("the running process read bytes that differ from those written, error %v", err)
 	}
 	closeSpool(t, running)
 	closeSpool(t, spool)
 	checkFiles(t, directory)
 }
 
-// Preallocate adds segments up to the limit, and the blocks of none are in use.
+// Preallocate adds segments up to the limit and leaves their blocks unused.
 func TestPreallocateUpToLimit(t *testing.T) {
 	directory := t.TempDir()
 	spool := openSpool(t, Options{FileSystem: OSFileSystem{}, Directory: directory, Name: "n", BlocksPerSegment: 1, MaxSegments: 2})
@@ -176,12 +177,12 @@
 		t.Fatal(err)
 	}
 	if !slices.Equal(got, want) {
-		t.Errorf("files are %v, want %v", got, want)
+		t.Errorf("got files %v, want %v", got, want)
 	}
 }
 
-// What a body holds is not on disk in clear, is read back through its spool, and cannot be read
-// after the spool is closed.
+// The bytes of a body are not on disk as plaintext. They can be read through the spool, but not after
+// the spool is closed.
 func TestBodyIsSealedOnDisk(t *testing.T) {
 	const (
 		blocksPerSegment = 4
@@ -198,23 +199,23 @@
 		t.Fatal(err)
 	}
 	if got, want := len(onDisk), blocksPerSegment*(BlockSize+sealOverhead); got != want {
-		t.Errorf("%d bytes on disk, want %d", got, want)
+		t.Errorf("got %d bytes on disk, want %d", got, want)
 	}
 	if bytes.Contains(onDisk, []byte(plainText)) {
-		t.Errorf("the file holds %q", plainText)
+		t.Errorf("the file contains the plaintext %q", plainText)
 	}
 	got := make([]byte, len(secret))
 	if _, err := body.ReadAt(got, 0); err != nil || !bytes.Equal(got, secret) {
-		t.Errorf("read back other bytes than written: %v", err)
+		t.Errorf("read bytes that differ from those written, error %v", err)
 	}
 	closeSpool(t, spool)
 	if _, err := body.ReadAt(got, 0); !errors.Is(err, ErrClosed) {
-		t.Errorf("reading after the spool is closed: %v, want %v", err, ErrClosed)
+		t.Errorf("read after the spool was closed: got error %v, want %v", err, ErrClosed)
 	}
 }
 
-// Bodies of many writers at once are read back whole, also while they are written, and a writer
-// that finds the spool full gets an error.
+// Concurrent writers can read their bodies completely, even before a body has its last bytes, and a
+// writer that finds the spool full gets ErrFull.
 func TestConcurrentBodies(t *testing.T) {
 	spool := openSpool(t, Options{FileSystem: OSFileSystem{}, Directory: t.TempDir(), Name: "n", BlocksPerSegment: 8, MaxSegments: 4})
 	defer closeSpool(t, spool)
@@ -232,8 +233,8 @@
 	checkTooLarge(t, spool)
 }
 
-// writeAndReadBack writes a body of up to five parts and reads all of it back after each. It runs
-// on a goroutine of its own.
+// writeAndReadBack writes a body of up to five parts and reads the whole body after each part. It
+// runs on its own goroutine and therefore does not call Fatal.
 func writeAndReadBack(t *testing.T, spool *Spool, rng *rand.Rand, fill byte) {
 	t.Helper()
 	body := spool.NewBody()
@@ -243,33 +244,33 @@
 		part := bytes.Repeat([]byte{fill}, 1+rng.IntN(2*BlockSize))
 		if _, err := body.Write(part); err != nil {
 			if !errors.Is(err, ErrFull) {
-				t.Errorf("write: %v, want success or %v", err, ErrFull)
+				t.Errorf("write: got error %v, want none or %v", err, ErrFull)
 			}
 			return
 		}
 		want = append(want, part...)
 		got := make([]byte, len(want))
 		if n, err := body.ReadAt(got, 0); err != nil || n != len(want) || !bytes.Equal(got, want) {
-			t.Errorf("read %d bytes: %v, want the %d that were written", n, err, len(want))
+			t.Errorf("read %d bytes, error %v, want the %d bytes that were written", n, err, len(want))
 		}
 	}
 }
 
-// A body that is larger than the spool is not retained.
+// Writing a body that is larger than the spool fails.
 func TestBodyLargerThanSpool(t *testing.T) {
 	spool := openSpool(t, Options{FileSystem: OSFileSystem{}, Directory: t.TempDir(), Name: "n", BlocksPerSegment: 8, MaxSegments: 4})
 	defer closeSpool(t, spool)
 	checkTooLarge(t, spool)
 }
 
-// checkTooLarge checks that an empty spool of four segments of eight blocks takes as much of a
-// larger body as it has room for.
+// checkTooLarge writes a body that is too large for an empty spool with four segments of eight blocks.
+// It checks that the write fails with ErrFull, uses all blocks, and that Close frees them.
 func checkTooLarge(t *testing.T, spool *Spool) {
 	t.Helper()
 	const blocks = 8 * 4
 	body := spool.NewBody()
 	if _, err := body.Write(make([]byte, (blocks+8)*BlockSize)); !errors.Is(err, ErrFull) {
-		t.Errorf("write: %v, want %v", err, ErrFull)
+		t.Errorf("write: got error %v, want %v", err, ErrFull)
 	}
 	checkUsage(t, spool, Usage{Blocks: blocks})
 	body.Close()
