--- a/cmd/fleetlab/cluster.go
+++ b/cmd/fleetlab/cluster.go
@@ -12,19 +12,21 @@
 	"garnetline/internal/testcluster"
 )
 
-// convergenceTimeout is how long routers may take to see each other, and to grant a lease.
+// convergenceTimeout is the maximum time for routers to see each other, to elect a lease holder,
+// or to use a recovered server again.
 const convergenceTimeout = time.Minute
 
-// shortConnectivityDelay is a line of the operators' fleet block. It shortens the time after
-// which a router trusts that it can reach more of the fleet than before, so that a run of many
-// faults does not consist of waiting.
+// shortConnectivityDelay is a line of the fleet block of the settings file. It shortens the delay
+// after which a router that reaches more of the fleet again raises its connectivity, so that
+// runs with many faults do not spend most of their time waiting.
 const shortConnectivityDelay = " more_room_after_ms = 1000\n"
 
 func programFlag() cli.Flag {
-	return &cli.StringFlag{Name: "program", Usage: "the daemon; without it, garnetline beside this program"}
+	return &cli.StringFlag{Name: "program", Usage: "`FILE` of the daemon; default: garnetline in the folder of this program"}
 }
 
-// programPath returns the path of the daemon.
+// programPath returns the path of the daemon: the flag program or, without it, garnetline in the
+// folder of this program.
 func programPath(command *cli.Command) (string, error) {
 	if path := command.String("program"); path != "" {
 		return path, nil
@@ -36,14 +38,13 @@
 	return filepath.Join(filepath.Dir(self), "garnetline"), nil
 }
 
-// withCluster starts a cluster with a temporary folder of its own, calls use and ends the
-// cluster.
+// withCluster starts a cluster in a new temporary folder, calls use and stops the cluster.
 func withCluster(options testcluster.Options, use func(*testcluster.Cluster) error) error {
 	folder, err := os.MkdirTemp("", "fleetlab")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(folder) }() // what is left is the system's to clean up
+	defer func() { _ = os.RemoveAll(folder) }() // the operating system cleans up what remains
 	options.Dir = folder
 	cluster, err := testcluster.Start(options)
 	if err != nil {
@@ -53,7 +54,7 @@
 	return use(cluster)
 }
 
-// adminError is a response of a router's admin API other than 200.
+// adminError is a response of a router's admin API with a status other than 200.
 type adminError struct {
 	path   string
 	status int
@@ -61,11 +62,11 @@
 }
 
 func (e *adminError) Error() string {
-	return fmt.Sprintf("POST %s: status %d: %s", e.path, e.status, e.body)
+	return fmt.Sprintf("POST %s: expected status 200, got %d: %s", e.path, e.status, e.body)
 }
 
-// postAdmin sends a POST to a router's admin API. The error is an *adminError if the router
-// responds with another status than 200.
+// postAdmin sends a POST request to a router's admin API. The error is an *adminError if the
+// status of the response is not 200.
 func postAdmin(router *testcluster.Router, path string) error {
 	status, body, err := router.CallAdmin(http.MethodPost, path)
 	if err != nil {
@@ -77,7 +78,7 @@
 	return nil
 }
 
-// milliseconds converts a duration for tables.
+// milliseconds converts a duration to milliseconds, for tables.
 func milliseconds(duration time.Duration) float64 {
 	return float64(duration.Microseconds()) / 1000
 }
--- a/cmd/fleetlab/fleet.go
+++ b/cmd/fleetlab/fleet.go
@@ -12,7 +12,8 @@
 	"garnetline/internal/testcluster"
 )
 
-// tour is the scenario that is played if no file is given.
+// tour is the example scenario that runs if no file is given. Its text is the output of the flag
+// print.
 const tour = `# seconds, then what is done
 0    routers 5
 6    kill r03
@@ -25,29 +26,29 @@
 48   end
 `
 
-// fleetCommand plays a scenario of faults on real routers and prints what they see.
+// fleetCommand runs a scenario of faults on real routers and prints their views of the fleet.
 func fleetCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "fleet",
-		Usage:     "start routers and put faults between them; print the views as they change",
+		Usage:     "start routers, inject faults and print the routers' views of the fleet as they change",
 		ArgsUsage: "[FILE]",
-		Description: "FILE has a line for each thing done: seconds, then routers N, kill R, start R, stop R, stall R, wake R,\n" +
+		Description: "FILE has a line for each operation: seconds since the start, then routers N, kill R, start R, stop R, stall R, wake R,\n" +
 			"cut A B, oneway A B, loss A B SHARE, split A.. / B.., heal, disable ID at R, enable ID at R, end.\n" +
-			"ID is a server's, such as s-00000001. Without FILE a short tour is given, which --print prints.",
+			"ID is the ID of a server, such as s-00000001. Without FILE, an example scenario runs; --print prints it.",
 		Flags: []cli.Flag{
 			programFlag(),
-			&cli.BoolFlag{Name: "print", Usage: "print the tour's file and end"},
+			&cli.BoolFlag{Name: "print", Usage: "print the example scenario and exit"},
 		},
-		Action: playFleet,
+		Action: runFleet,
 	}
 }
 
-func playFleet(ctx context.Context, command *cli.Command) error {
+func runFleet(ctx context.Context, command *cli.Command) error {
 	if command.Bool("print") {
 		fmt.Print(tour)
 		return nil
 	}
-	played, err := loadScenario(command.Args().First())
+	parsed, err := loadScenario(command.Args().First())
 	if err != nil {
 		return err
 	}
@@ -59,17 +60,17 @@
 	defer stop()
 	options := testcluster.Options{
 		Program: program,
-		Routers: played.routers,
+		Routers: parsed.routers,
 		Servers: 3,
 		Fleet:   true,
 		Seed:    1,
 	}
 	return withCluster(options, func(cluster *testcluster.Cluster) error {
-		return newScenarioRun(cluster, played).play(ctx)
+		return newScenarioRun(cluster, parsed).execute(ctx)
 	})
 }
 
-// loadScenario reads a scenario from a file. Without a file it is the tour.
+// loadScenario reads a scenario from a file. An empty file name selects the example scenario.
 func loadScenario(fileName string) (scenario, error) {
 	if fileName == "" {
 		return parseScenario("the tour", tour)
--- a/cmd/fleetlab/handover_kinds.go
+++ b/cmd/fleetlab/handover_kinds.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// handoverTimeout is how long a handover may take.
+	// handoverTimeout is the maximum time for a handover.
 	handoverTimeout = 15 * time.Second
 
-	// optionalHandoverTimeout is how long a run waits for a handover that need not happen.
+	// optionalHandoverTimeout is the time for which a run waits for a handover that may not happen.
 	optionalHandoverTimeout = 3 * time.Second
 )
 
-// errNotHolder is returned for a router that has lost the lease before it could be disturbed.
-var errNotHolder = errors.New("the router does not hold the lease any more")
+// errNotHolder means that a router lost the lease before its handover was caused.
+var errNotHolder = errors.New("router no longer holds the lease")
 
 // handoverKind is a way to make a router lose its lease.
 type handoverKind struct {
-	name     string // in tables, charts and the flag kind
+	name     string // used in tables, charts and the flag kind
 	planned  bool   // the holder itself transfers the lease
 	optional bool   // the holder may keep its lease
 	timeout  time.Duration
 
-	// disturb makes the holder lose its lease and returns what repairs it.
+	// disturb makes the holder lose its lease, and returns a function that repairs the fault.
 	disturb func(run *handoverRun, holder *testcluster.Router) (repair func() error, err error)
 }
 
@@ -38,7 +38,7 @@
 	{name: "killed", timeout: handoverTimeout, disturb: (*handoverRun).killHolder},
 	{name: "stopped past its end", timeout: handoverTimeout, disturb: (*handoverRun).pauseHolder},
 	{name: "cut off from all but the boxes", timeout: handoverTimeout, disturb: (*handoverRun).isolateHolder},
-	// Other routers may relay what the holder cannot send to the leader.
+	// The handover is optional, because other routers may relay the holder's packets to the leader.
 	{name: "cut off one way from the leader", optional: true, timeout: optionalHandoverTimeout, disturb: (*handoverRun).cutOffFromLeader},
 }
 
@@ -50,7 +50,7 @@
 	return names
 }
 
-// findHandoverKinds returns the kinds with these names, in the order of the names.
+// findHandoverKinds returns the kinds with the given names, in the same order.
 func findHandoverKinds(names []string) ([]handoverKind, error) {
 	byName := map[string]handoverKind{}
 	for _, kind := range handoverKinds {
@@ -60,17 +60,18 @@
 	for _, name := range names {
 		kind, known := byName[name]
 		if !known {
-			return nil, fmt.Errorf("%q is not a kind of handover; want one of %q", name, handoverKindNames())
+			return nil, fmt.Errorf("unknown kind of handover %q, expected one of %q", name, handoverKindNames())
 		}
 		found = append(found, kind)
 	}
 	return found, nil
 }
 
-// noRepair is for disturbances that leave nothing to repair.
+// noRepair is the repair function of a kind that leaves no fault.
 func noRepair() error { return nil }
 
-// transferLease has an operator move the lease to another router.
+// transferLease moves the lease to another router through the admin API, as an operator does. The
+// error is errNotHolder if the router no longer holds the lease.
 func (r *handoverRun) transferLease(holder *testcluster.Router) (func() error, error) {
 	err := postAdmin(holder, "/fleet/duty/move/"+probeLease)
 	var rejected *adminError
@@ -107,7 +108,7 @@
 	return r.healLinks, nil
 }
 
-// cutOffFromLeader drops what the holder sends to the leader of the lease registry.
+// cutOffFromLeader drops the holder's packets to the leader of the lease registry.
 func (r *handoverRun) cutOffFromLeader(holder *testcluster.Router) (func() error, error) {
 	for _, router := range r.cluster.Routers {
 		if router != holder && leadsRegistry(router) {
@@ -117,13 +118,13 @@
 	return r.healLinks, nil
 }
 
-// leadsRegistry reports whether a router responds that it is the leader.
+// leadsRegistry reports whether a router's status says that it is the registry's leader.
 func leadsRegistry(router *testcluster.Router) bool {
 	status, err := router.Leases()
 	return err == nil && status.Registry.Leading
 }
 
-// cut drops all packets of one router to another.
+// cut drops all packets from one router to another.
 func (r *handoverRun) cut(from, to *testcluster.Router) {
 	r.cluster.Proxy.Set(from.ProxyName(), to.ProxyName(), faultproxy.Fault{Partitioned: true})
 }
--- a/cmd/fleetlab/handovers.go
+++ b/cmd/fleetlab/handovers.go
@@ -20,40 +20,40 @@
 )
 
 const (
-	// probeLease is the lease that is handed over: its holder sends probes to the servers of
-	// the cluster's zone, and a router without it sends none.
+	// probeLease is the lease that is handed over. Only its holder sends probes to the servers of
+	// the cluster's zone.
 	probeLease = "probe/edge"
 
-	// shortLeases are lines of the operators' block of leases, so that a handover after a crash
-	// takes about a second.
-	shortLeases = " lease_ms = 1000\n margin_ms = 100\n retry_ms = 100\n"
+	// shortLeaseSettings are lines of the lease block of the settings file. With them, a handover
+	// after a crash takes about a second.
+	shortLeaseSettings = " lease_ms = 1000\n margin_ms = 100\n retry_ms = 100\n"
 
-	// handoverLoadInterval is the time between two requests of a client; each router has one.
+	// handoverLoadInterval is the time between two requests of a client; each router has one client.
 	handoverLoadInterval = 50 * time.Millisecond
 
-	// maxHandoverPause bounds the random time between a holder's first sight and its fault, so
-	// that faults come at any phase of a lease.
+	// maxHandoverPause bounds the random delay between finding the holder and injecting a fault.
+	// The delay lets faults occur at any phase of a lease.
 	maxHandoverPause = 400 * time.Millisecond
 
-	// handoverRandomStream selects the stream of the generator; the flag seed is the other half
-	// of its state.
+	// handoverRandomStream is the second half of the seed of the random number generator. The flag
+	// seed is the first half.
 	handoverRandomStream = 9
 
-	// loggedLines is how many lines of each router's log are printed for a slow handover.
+	// loggedLines is the number of lines of each router's log that are printed for a slow handover.
 	loggedLines = 6
 )
 
-// handoversCommand measures handovers of a lease between real processes.
+// handoversCommand measures handovers of a lease between real router processes.
 func handoversCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "handovers",
-		Usage: "a lease handed over between real processes under faults, as the servers see it",
+		Usage: "measure handovers of a lease between real processes under faults, as the servers see them",
 		Flags: []cli.Flag{
 			outFlag("handovers.md and the chart"),
 			&cli.IntFlag{Name: "handovers", Value: 200},
 			&cli.IntFlag{Name: "seed", Value: 1},
-			&cli.StringSliceFlag{Name: "kind", Usage: "only handovers of this kind; may be given several times", Value: handoverKindNames()},
-			&cli.FloatFlag{Name: "tell", Usage: "print the routers' logs after a planned handover during which nobody probed for longer, `ms`", Value: 300},
+			&cli.StringSliceFlag{Name: "kind", Usage: "kind of handover to cause; may be given several times", Value: handoverKindNames()},
+			&cli.FloatFlag{Name: "tell", Usage: "print the routers' logs after a planned handover in which no router probed for more than `ms`", Value: 300},
 			programFlag(),
 		},
 		Action: measureHandovers,
@@ -78,7 +78,7 @@
 		Voters:        5,
 		Seed:          seed,
 		FleetSettings: shortConnectivityDelay,
-		LeaseSettings: shortLeases,
+		LeaseSettings: shortLeaseSettings,
 	}
 	return withCluster(options, func(cluster *testcluster.Cluster) error {
 		run := &handoverRun{
@@ -89,38 +89,39 @@
 			slowPlanned: command.Float("tell"),
 			gaps:        map[string][]float64{},
 		}
-		if err := run.play(); err != nil {
+		if err := run.execute(); err != nil {
 			return err
 		}
 		return run.writeResults(command.String("out"))
 	})
 }
 
-// handoverRun causes handovers of a lease, and measures from the probes that a server received
-// for how long nobody held it.
+// handoverRun causes handovers of a lease, and measures for how long no router held the lease:
+// the time between the probes of two holders at a server.
 type handoverRun struct {
 	cluster     *testcluster.Cluster
 	rng         *rand.Rand
-	kinds       []handoverKind // each handover is of one of these, by chance
-	handovers   int            // wanted
-	slowPlanned float64        // ms without a probe from which a planned handover is explained
+	kinds       []handoverKind // the kind of each handover is drawn from these
+	handovers   int            // number of handovers to cause
+	slowPlanned float64        // ms; the logs are printed for planned handovers with a longer gap
 
 	load    *testcluster.Load
-	done    int                  // handovers seen
-	gaps    map[string][]float64 // ms between the probes of two holders, by name of the kind
-	clients testcluster.Result
+	done    int                  // handovers observed so far
+	gaps    map[string][]float64 // ms between the probes of two consecutive holders, by name of the kind
+	clients testcluster.Result   // of the requests during the run
 }
 
-// probes returns what the server at which handovers are measured received so far.
+// probes returns the probes that the first server received so far; handovers are measured from
+// them.
 func (r *handoverRun) probes() []testcluster.Probe { return r.cluster.Servers[0].Probes() }
 
-func (r *handoverRun) play() error {
+func (r *handoverRun) execute() error {
 	if err := r.awaitConvergence(); err != nil {
 		return err
 	}
 	r.load = r.cluster.StartLoad(handoverLoadInterval, r.cluster.Routers...)
 	for r.done < r.handovers {
-		if err := r.playHandover(); err != nil {
+		if err := r.causeHandover(); err != nil {
 			return err
 		}
 	}
@@ -133,8 +134,9 @@
 	return err
 }
 
-// playHandover disturbs the lease holder, waits for the next one and repairs what it did.
-func (r *handoverRun) playHandover() error {
+// causeHandover injects a fault at the lease holder, waits for the next holder and repairs the
+// fault.
+func (r *handoverRun) causeHandover() error {
 	holder, token, err := r.cluster.WaitForHolder(convergenceTimeout, probeLease, r.cluster.Running()...)
 	if err != nil {
 		return err
@@ -145,7 +147,7 @@
 	probesBefore := len(r.probes())
 	repair, err := kind.disturb(r, holder)
 	if errors.Is(err, errNotHolder) {
-		return nil // the lease moved by itself in the meantime: the next call finds its new holder
+		return nil // the lease has moved in the meantime; the next call finds the new holder
 	}
 	if err != nil {
 		return err
@@ -165,20 +167,22 @@
 	return nil
 }
 
-// awaitNextHolder waits for a probe with a later fencing token.
+// awaitNextHolder waits for a probe with a later fencing token. A timeout is not an error if the
+// handover is optional.
 func (r *handoverRun) awaitNextHolder(kind handoverKind, probesBefore int, token uint64) error {
 	laterToken := func() (bool, string) {
 		probes := r.probes()
 		return len(probes) > probesBefore && probes[len(probes)-1].FencingToken > token, kind.name
 	}
-	_, err := r.cluster.WaitUntil("another router probes", kind.timeout, laterToken)
+	_, err := r.cluster.WaitUntil("another router sends probes", kind.timeout, laterToken)
 	if kind.optional {
 		return nil
 	}
 	return err
 }
 
-// recordGaps records the handovers among the probes since a fault, and explains slow ones.
+// recordGaps records the handovers among the probes since a fault, and prints the logs of slow
+// planned ones.
 func (r *handoverRun) recordGaps(kind handoverKind, probesBefore int) {
 	probes := r.probes()
 	for i := max(1, probesBefore); i < len(probes); i++ {
@@ -195,9 +199,9 @@
 	}
 }
 
-// printSlowHandover prints the routers' logs after a handover that took long.
+// printSlowHandover prints a slow handover and the routers' logs to standard error.
 func (r *handoverRun) printSlowHandover(kind handoverKind, last, first testcluster.Probe) {
-	fmt.Fprintf(os.Stderr, "%s: from token %d at %v to %d at %v, %.0f ms\n%s\n", kind.name,
+	fmt.Fprintf(os.Stderr, "%s: from fencing token %d at %v to %d at %v, %.0f ms\n%s\n", kind.name,
 		last.FencingToken, last.ReceivedAt.UnixMilli(), first.FencingToken, first.ReceivedAt.UnixMilli(),
 		milliseconds(first.ReceivedAt.Sub(last.ReceivedAt)), r.cluster.Logs(loggedLines))
 }
@@ -217,27 +221,27 @@
 }
 
 func (r *handoverRun) writeTable(table *report) error {
-	table.printf("Made by `fleetlab handovers`: 8 processes, 5 electors, lease 1 s, margin 0.1 s; acts as a box saw them, a probe each 20 ms.\n\n")
-	table.println("| the holder | handovers | nobody acted, ms: median | p90 | most |")
+	table.printf("Made by `fleetlab handovers`: 8 processes, 5 voters, lease 1 s, margin 0.1 s; a server observes the holders by their probes, one each 20 ms.\n\n")
+	table.println("| kind | handovers | no holder probed, ms: median | p90 | maximum |")
 	table.println("| --- | --- | --- | --- | --- |")
 	for _, kind := range r.kinds {
 		gaps := r.gaps[kind.name]
 		table.printf("| %s | %d | %.0f | %.0f | %.0f |\n", kind.name, len(gaps),
 			experiment.Quantile(gaps, 0.5), experiment.Quantile(gaps, 0.9), experiment.Quantile(gaps, 1))
 	}
-	table.printf("\n%d handovers, acts after one of a later token: %s. %d requests of clients meanwhile, %d without one whole answer, %d served, p50 %.1f ms, p99 %.1f ms.\n",
+	table.printf("\n%d handovers, probes received after one with a later fencing token: %s. %d requests of clients in this time, %d without a complete response, %d served, p50 %.1f ms, p99 %.1f ms.\n",
 		r.done, r.describeViolation(), r.clients.Requests, len(r.clients.Lost), r.clients.Statuses[http.StatusOK],
 		milliseconds(r.clients.P50), milliseconds(r.clients.P99))
 	overBudget, overBudgetErr := sumFleetCounter(r.cluster, "over_budget")
 	refuted, refutedErr := sumFleetCounter(r.cluster, "refuted")
 	sent, sentErr := sumFleetCounter(r.cluster, "packets_out")
-	table.printf("\nAt the routers that ran to the end: %d packets dropped for the bounds of a second, %d suspicions of them refuted, of %d packets.\n",
+	table.printf("\nAt the routers that ran to the end: %d packets dropped by the rate limit, %d suspicions of these routers refuted, %d packets sent.\n",
 		overBudget, refuted, sent)
 	return errors.Join(overBudgetErr, refutedErr, sentErr)
 }
 
-// describeViolation describes a probe that a server received after one with a later fencing
-// token.
+// describeViolation describes a probe that a server received after a probe with a later fencing
+// token. It returns "none" if there is no such probe.
 func (r *handoverRun) describeViolation() string {
 	violation := "none"
 	for _, server := range r.cluster.Servers {
@@ -248,14 +252,14 @@
 	return violation
 }
 
-// sumFleetCounter returns the sum of one of the fleet's metrics over the routers that run.
+// sumFleetCounter returns the sum of a fleet counter over the running routers.
 func sumFleetCounter(cluster *testcluster.Cluster, name string) (int, error) {
 	sum := 0
 	prefix := "app_fleet_" + name + "_total "
 	for _, router := range cluster.Running() {
 		_, metrics, err := router.CallAdmin(http.MethodGet, "/metrics")
 		if err != nil {
-			return 0, fmt.Errorf("metrics of %s: %w", router.Name, err)
+			return 0, fmt.Errorf("reading metrics of router %s: %w", router.Name, err)
 		}
 		for line := range strings.Lines(string(metrics)) {
 			text, found := strings.CutPrefix(line, prefix)
@@ -264,7 +268,7 @@
 			}
 			value, err := strconv.Atoi(strings.TrimSpace(text))
 			if err != nil {
-				return 0, fmt.Errorf("metrics of %s: %s: %w", router.Name, name, err)
+				return 0, fmt.Errorf("parsing metrics of router %s: %s: %w", router.Name, name, err)
 			}
 			sum += value
 		}
--- a/cmd/fleetlab/lease_registry.go
+++ b/cmd/fleetlab/lease_registry.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// shortRegistryRun is the simulated time of the runs with the default settings, ms.
+	// shortRegistryRun is the simulated time in ms of a run with the default settings.
 	shortRegistryRun = 60_000
 
-	// shortTransferInterval is how often a lease is transferred in those runs, ms.
+	// shortTransferInterval is the mean time in ms between two transfers of a lease in those runs.
 	shortTransferInterval = 500
 
 	millisecondsPerDay = 24 * millisecondsPerHour
 )
 
-// leaseRegistryCommand measures voters and routers with some leases and with many, and, over a
-// month of simulated time, with long leases.
+// leaseRegistryCommand measures the voters of a lease registry with few and with many leases and,
+// over a month of simulated time, with long leases.
 func leaseRegistryCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "lease-registry",
-		Usage: "what leases cost the voters: requests, bytes, memory, disk",
+		Usage: "measure the cost of leases for the voters: requests, bytes, memory, disk",
 		Flags: []cli.Flag{
 			outFlag("register.md"),
-			&cli.FloatFlag{Name: "days", Usage: "of the long run", Value: 30},
+			&cli.FloatFlag{Name: "days", Usage: "simulated days of the long run", Value: 30},
 		},
 		Action: measureLeaseRegistry,
 	}
@@ -36,8 +36,8 @@
 func measureLeaseRegistry(_ context.Context, command *cli.Command) error {
 	days := command.Float("days")
 	return writeReport(command.String("out"), "register.md", func(table *report) error {
-		table.printf("Made by `fleetlab lease-registry --days %g`: electors, routers and their register on one virtual clock, a message takes 0.3 ms and 0.3 on average on top; a duty is handed on twice a second, and in the last run, whose tick is 1 s and lease 60 s, once a minute, while a router is deaf for two leases every hour.\n\n", days)
-		table.println("| electors, routers, duties | hours | held at the end | from ask to grant, ms: median, p99 | handed on, ms: median, p99 | questions/s | between electors: messages/s, bytes/s | questions and answers: bytes/s | commands | syncs of a disk | its most, KB | heap of all after each eighth, MB |")
+		table.printf("Made by `fleetlab lease-registry --days %g`: voters and routers on one virtual clock; the delay of a message is 0.3 ms plus 0.3 ms on average; a lease is transferred twice a second. The last run has a tick of 1 s and leases of 60 s: a lease is transferred once a minute, and once an hour a router receives no responses for two lease periods.\n\n", days)
+		table.println("| voters, routers, leases | hours | held at the end | from request to grant, ms: median, p99 | transfers, ms: median, p99 | requests/s | between voters: messages/s, bytes/s | requests and responses: bytes/s | commands | syncs of the leader's disk | its maximum size, KB | heap of the process after each eighth, MB |")
 		table.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 		for _, run := range registryRuns(days) {
 			result, err := run.registry.Run(run.duration)
@@ -50,7 +50,7 @@
 	})
 }
 
-// registryRun is one row of the table.
+// registryRun is a run of one row of the table.
 type registryRun struct {
 	registry experiment.Registry
 	duration float64 // ms of simulated time
@@ -65,7 +65,7 @@
 	}
 }
 
-// shortRegistry returns a registry with the default settings.
+// shortRegistry returns a run of a registry with the default settings.
 func shortRegistry(routers, leases int) experiment.Registry {
 	return experiment.Registry{
 		Seed:             1,
@@ -77,8 +77,8 @@
 	}
 }
 
-// longRegistry returns a registry whose times are long enough for a month to be simulated in
-// minutes.
+// longRegistry returns a run of a registry with long ticks and leases, so that a month can be
+// simulated in minutes.
 func longRegistry() experiment.Registry {
 	settings := consensus.DefaultSettings()
 	settings.TickInterval = 1000
@@ -88,12 +88,12 @@
 	settings.Lease.SafetyMargin = 2000
 	settings.Lease.RetryInterval = 5000
 	return experiment.Registry{
-		Seed:               1,
-		Voters:             5,
-		Routers:            10,
-		Leases:             10,
-		Settings:           settings,
-		TransferInterval:   60_000,
-		AnswerLossInterval: millisecondsPerHour,
+		Seed:                 1,
+		Voters:               5,
+		Routers:              10,
+		Leases:               10,
+		Settings:             settings,
+		TransferInterval:     60_000,
+		ResponseLossInterval: millisecondsPerHour,
 	}
 }
--- a/cmd/fleetlab/leases.go
+++ b/cmd/fleetlab/leases.go
@@ -11,25 +11,26 @@
 )
 
 const (
-	// handoversPerRun is how many handovers one simulated run of leases plays.
+	// handoversPerRun is the number of handovers in a simulated run with all safeguards.
 	handoversPerRun = 20_000
 
-	// handoversPerSearch bounds a run that looks for a violation with a safeguard off.
+	// handoversPerSearch is the maximum number of handovers in a run that looks for a violation
+	// with a safeguard off.
 	handoversPerSearch = 2000
 
 	millisecondsPerHour = 3_600_000
 )
 
-// leasesCommand plays many handovers of a lease on the simulated network, and then looks for
-// violations with one safeguard off at a time.
+// leasesCommand simulates many handovers of a lease, and then looks for violations with one
+// safeguard off at a time.
 func leasesCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "leases",
-		Usage: "play leases on the simulated network, then with each safeguard off in turn",
+		Usage: "simulate handovers of a lease, with all safeguards and then with each one off in turn",
 		Flags: []cli.Flag{
 			outFlag("leases.md"),
 			&cli.IntFlag{Name: "handovers", Value: 1_000_000},
-			&cli.IntFlag{Name: "seeds", Usage: "tried with a safeguard off", Value: 200},
+			&cli.IntFlag{Name: "seeds", Usage: "seeds tried with each safeguard off", Value: 200},
 		},
 		Action: measureLeases,
 	}
@@ -43,20 +44,20 @@
 		runs := (handovers + handoversPerRun - 1) / handoversPerRun
 		totals := totalLeaseRuns(runs)
 		table.printf("Made by `fleetlab leases --handovers %d --seeds %d`, %v.\n\n", handovers, seeds, time.Since(startedAt).Round(time.Second))
-		table.printf("%d handovers (%d planned) in %.0f virtual hours and %d runs, %d acts written, %d stopped by the check at the write, %d refused by their token at the receiver. Two that acted at once: %s.\n\n",
+		table.printf("%d handovers (%d planned) in %.0f virtual hours and %d runs, %d writes sent, %d stopped by the check at the write, %d rejected by the receiver because of their fencing token. Two routers that acted at once: %s.\n\n",
 			totals.Handovers, totals.PlannedHandovers, totals.SimulatedTime/millisecondsPerHour, runs, totals.Writes, totals.StoppedAtWrite, totals.Rejected, totals.Violation)
-		table.println("| off | seeds that show it | smallest schedule: faults and moves | handovers until then | what is seen there |")
+		table.println("| safeguard off | seeds with a violation | smallest schedule: faults and transfers | handovers in it | violation in it |")
 		table.println("| --- | --- | --- | --- | --- |")
 		for _, weakened := range weakenedLeases() {
 			found := weakened.searchViolations(seeds)
 			table.printf("| %s | %d of %d | %d | %d | %s |\n", weakened.name, found.seeds, seeds,
-				found.smallest.FaultsAndMoves, found.smallest.Handovers, found.smallest.Violation)
+				found.smallest.FaultsAndTransfers, found.smallest.Handovers, found.smallest.Violation)
 		}
 		return nil
 	})
 }
 
-// totalLeaseRuns plays runs with all safeguards and adds up their results.
+// totalLeaseRuns simulates runs with all safeguards and adds up their results.
 func totalLeaseRuns(runs int) experiment.LeaseResult {
 	results := collectParallel(runs, func(index int) experiment.LeaseResult {
 		return experiment.LeaseHandovers{
@@ -84,15 +85,16 @@
 	return totals
 }
 
-// weakenedLease is a simulation of leases in which two routers may act at once.
+// weakenedLease is a simulation with a safeguard off or with too much clock drift, in which two
+// routers may act at once.
 type weakenedLease struct {
-	name       string // in the table
+	name       string // printed in the table
 	without    experiment.Safeguard
-	clockDrift float64 // 1: within the bounds of the settings
+	clockDrift float64 // as a multiple of the drift that the settings allow
 }
 
-// weakenedLeases returns a simulation without each safeguard, and one with clocks that drift
-// more than the settings allow for.
+// weakenedLeases returns one simulation for each safeguard, with this safeguard off, and one in
+// which clocks drift more than the settings allow.
 func weakenedLeases() []weakenedLease {
 	var all []weakenedLease
 	for _, safeguard := range experiment.Safeguards {
@@ -101,13 +103,13 @@
 	return append(all, weakenedLease{name: "ten times the drift", without: experiment.NoSafeguard, clockDrift: 10})
 }
 
-// violations are what a search found.
+// violations is the result of searchViolations.
 type violations struct {
-	seeds    int                    // that show a violation
-	smallest experiment.LeaseResult // the run with the fewest faults and moves among them
+	seeds    int                    // number of seeds with a violation
+	smallest experiment.LeaseResult // of the run with a violation and the fewest faults and transfers
 }
 
-// searchViolations runs the simulation with each seed.
+// searchViolations runs the simulation with seeds from 1 to seeds.
 func (w weakenedLease) searchViolations(seeds int) violations {
 	results := collectParallel(seeds, func(index int) experiment.LeaseResult {
 		return experiment.LeaseHandovers{
@@ -124,7 +126,7 @@
 			continue
 		}
 		found.seeds++
-		if found.seeds == 1 || result.FaultsAndMoves < found.smallest.FaultsAndMoves {
+		if found.seeds == 1 || result.FaultsAndTransfers < found.smallest.FaultsAndTransfers {
 			found.smallest = result
 			found.smallest.Violation = fmt.Sprintf("seed %d: %s", index+1, result.Violation)
 		}
@@ -132,14 +134,14 @@
 	return found
 }
 
-// leaseStatesCommand searches the states of a lease one by one.
+// leaseStatesCommand searches the reachable states of two routers and a lease registry.
 func leaseStatesCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "lease-states",
-		Usage: "visit the states of two routers and a lease registry one by one",
+		Usage: "search the reachable states of two routers and a lease registry for violations",
 		Flags: []cli.Flag{
 			outFlag("states.md"),
-			&cli.IntFlag{Name: "most", Usage: "states visited in the larger bounds", Value: 300_000},
+			&cli.IntFlag{Name: "most", Usage: "maximum number of states that a search visits", Value: 300_000},
 		},
 		Action: searchLeaseStates,
 	}
@@ -149,7 +151,7 @@
 	maxStates := command.Int("most")
 	return writeReport(command.String("out"), "states.md", func(table *report) error {
 		table.printf("Made by `fleetlab lease-states --most %d`.\n\n", maxStates)
-		table.println("| off | on their way, faults, crashes, handings on, grants at the most | states | moves | deepest | whole | found |")
+		table.println("| safeguard off | maximum of messages in flight, faults, crashes, transfers, grants | states | moves | depth | complete | found |")
 		table.println("| --- | --- | --- | --- | --- | --- | --- |")
 		searches := leaseSearches(maxStates)
 		rows := collectParallel(len(searches), func(index int) string {
@@ -163,8 +165,8 @@
 	})
 }
 
-// leaseSearches returns the searches: with all safeguards in bounds of several sizes, then
-// without each safeguard.
+// leaseSearches returns the searches: first with all safeguards and several bounds, then without
+// each safeguard in turn.
 func leaseSearches(maxStates int) []experiment.LeaseSearch {
 	searches := []experiment.LeaseSearch{
 		{MaxInFlight: 1, MaxGrants: 1},
--- a/cmd/fleetlab/load_reporting.go
+++ b/cmd/fleetlab/load_reporting.go
@@ -8,12 +8,12 @@
 	"garnetline/internal/experiment"
 )
 
-// loadReportingCommand compares which routers of a zone probe its servers for their load, and
-// how often.
+// loadReportingCommand compares strategies that select which routers of a zone probe its servers
+// for their load, and how often.
 func loadReportingCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "load-reporting",
-		Usage:  "who probes servers for their load: nobody, everybody, one by hash, one by lease",
+		Usage:  "compare which routers probe servers for their load: none, all, one by hash, one by lease",
 		Flags:  []cli.Flag{outFlag("worth.md")},
 		Action: measureLoadReporting,
 	}
@@ -21,7 +21,7 @@
 
 func measureLoadReporting(_ context.Context, command *cli.Command) error {
 	return writeReport(command.String("out"), "worth.md", func(table *report) error {
-		table.printf("Made by `fleetlab load-reporting`: 90 virtual seconds, 20 boxes in one location, which is cut in two from 30 to 60 s; six in ten routers are on the register's side.\n\n")
+		table.printf("Made by `fleetlab load-reporting`: 90 s of virtual time, 20 servers in one zone, which is partitioned from 30 to 60 s; six in ten routers are on the lease registry's side.\n\n")
 		return experiment.LoadReportingTable(table)
 	})
 }
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -1,5 +1,5 @@
-// Command fleetlab shows and measures fleets of routers under faults: as real processes, with
-// fault proxies between them, and as state machines on a simulated network.
+// Command fleetlab runs and measures fleets of routers under faults. The routers are real
+// processes with fault proxies between them, or state machines on a simulated network.
 package main
 
 import (
@@ -32,12 +32,12 @@
 	}
 	return &cli.Command{
 		Name:     "fleetlab",
-		Usage:    "several routers together: shown, and measured",
+		Usage:    "run and measure fleets of routers under faults",
 		Commands: append(commands, deprecatedCommands()...),
 	}
 }
 
-// renamedCommands are the commands that had another name in the version before.
+// renamedCommands are the commands that had another name in the previous version.
 var renamedCommands = []struct {
 	oldName    string
 	newCommand func() *cli.Command
@@ -49,8 +49,9 @@
 	{"day", falsePositivesCommand},
 }
 
-// deprecatedCommands returns the renamed commands under their old names. They work for one
-// more version and are not listed in the help. cli.Command.Aliases would be.
+// deprecatedCommands returns the renamed commands under their old names, which stay available
+// for one more version. They are hidden commands, because the help would list
+// cli.Command.Aliases.
 func deprecatedCommands() []*cli.Command {
 	var commands []*cli.Command
 	for _, renamed := range renamedCommands {
--- a/cmd/fleetlab/main_test.go
+++ b/cmd/fleetlab/main_test.go
@@ -20,7 +20,7 @@
 	return output.String()
 }
 
-// Commands work under the names that they had in the version before.
+// Renamed commands still work under the names that they had in the previous version.
 func TestOldCommandNamesWork(t *testing.T) {
 	names := map[string]string{
 		"returns":  "recovery-probe",
@@ -34,12 +34,12 @@
 			want := strings.ReplaceAll(runHelp(t, newName, "--help"), "fleetlab "+newName, "fleetlab "+oldName)
 			got := runHelp(t, oldName, "--help")
 			if got != want || !strings.Contains(got, "fleetlab "+oldName+" - ") {
-				t.Errorf("help of %s:\n%s\nwant that of %s:\n%s", oldName, got, newName, want)
+				t.Errorf("got help of %s:\n%s\nwant that of %s:\n%s", oldName, got, newName, want)
 			}
 		})
 	}
 	if got, want := len(renamedCommands), len(names); got != want {
-		t.Errorf("%d commands have an old name, want %d", got, want)
+		t.Errorf("got %d commands with an old name, want %d", got, want)
 	}
 }
 
@@ -57,10 +57,10 @@
 
 func TestUnknownHandoverKindIsRejected(t *testing.T) {
 	if _, err := findHandoverKinds([]string{"killed", "burnt"}); err == nil || !strings.Contains(err.Error(), `"burnt"`) {
-		t.Errorf("error %v, want one that names the kind", err)
+		t.Errorf("got error %v, want one that names the unknown kind", err)
 	}
 	kinds, err := findHandoverKinds(handoverKindNames())
 	if err != nil || len(kinds) != len(handoverKinds) {
-		t.Errorf("%d kinds, error %v, want all %d", len(kinds), err, len(handoverKinds))
+		t.Errorf("got %d kinds and error %v, want all %d and no error", len(kinds), err, len(handoverKinds))
 	}
 }
--- a/cmd/fleetlab/membership.go
+++ b/cmd/fleetlab/membership.go
@@ -11,22 +11,22 @@
 	"garnetline/internal/experiment"
 )
 
-// quietPeriod is how long a fleet without faults runs to measure its traffic, in ms of
-// simulated time.
+// quietPeriod is the simulated time in ms for which a fleet runs without faults to measure its
+// traffic.
 const quietPeriod = 20_000
 
-// membershipCommand measures how fast failures are detected, what the protocol costs, and how
-// often it is wrong.
+// membershipCommand measures how fast failures are detected, how much traffic and memory the
+// protocol needs, and how often live routers are suspected.
 func membershipCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "membership",
-		Usage: "measure membership on the simulated network: a table and charts",
+		Usage: "measure failure detection on the simulated network; writes a table and charts",
 		Flags: []cli.Flag{
 			outFlag("members.md and the charts"),
-			&cli.IntSliceFlag{Name: "sizes", Usage: "numbers of routers", Value: []int{3, 30, 300, 1000}},
-			&cli.IntFlag{Name: "seeds", Usage: "runs of each", Value: 10},
-			&cli.IntFlag{Name: "kills", Usage: "routers killed in each run, fewer where there are over 30", Value: 20},
-			&cli.DurationFlag{Name: "rough", Usage: "simulated time under each fault, less where there are over 30", Value: 10 * time.Minute},
+			&cli.IntSliceFlag{Name: "sizes", Usage: "fleet sizes, in routers", Value: []int{3, 30, 300, 1000}},
+			&cli.IntFlag{Name: "seeds", Usage: "runs of each variant and size", Value: 10},
+			&cli.IntFlag{Name: "kills", Usage: "routers killed in each run; fewer in fleets of over 30", Value: 20},
+			&cli.DurationFlag{Name: "rough", Usage: "simulated time under each fault; less in fleets of over 30", Value: 10 * time.Minute},
 		},
 		Action: measureMembership,
 	}
@@ -59,11 +59,11 @@
 	return experiment.MembershipCharts(folder, results)
 }
 
-// falsePositivesCommand counts how often routers that are alive are suspected or failed.
+// falsePositivesCommand counts how often live routers are suspected or marked as failed.
 func falsePositivesCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "false-positives",
-		Usage: "a simulated day of a fleet under loss: which live routers are suspected or failed",
+		Usage: "count suspicions and failures of live routers in a simulated day under packet loss",
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "routers", Value: 30},
 			&cli.IntFlag{Name: "seeds", Value: 10},
@@ -81,13 +81,13 @@
 	forEachParallel(command.Int("seeds"), func(index int) {
 		seed := index + 1
 		result := experiment.MeasureFalsePositives(routers, uint64(seed), loss, duration)
-		fmt.Printf("%d routers, seed %d, %s, %.0f hours: %d suspicions, %d failures of routers that lived\n",
+		fmt.Printf("%d routers, seed %d, %s, %.0f hours: %d suspicions, %d failures of live routers\n",
 			routers, seed, result.Fault, result.Hours, result.Suspicions, result.Failures)
 	})
 	return nil
 }
 
-// wholeMilliseconds converts a duration for an experiment's clock.
+// wholeMilliseconds converts a duration to whole milliseconds of an experiment's clock.
 func wholeMilliseconds(duration time.Duration) float64 {
 	return float64(duration.Milliseconds())
 }
--- a/cmd/fleetlab/parallel.go
+++ b/cmd/fleetlab/parallel.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// forEachParallel calls run with the indexes from 0 to count-1, as many at once as there are
-// processors, and waits for all calls.
+// forEachParallel calls run with the indexes from 0 to count-1, up to GOMAXPROCS calls at a time,
+// and waits for all calls.
 func forEachParallel(count int, run func(index int)) {
 	var calls sync.WaitGroup
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
@@ -20,7 +20,7 @@
 	calls.Wait()
 }
 
-// collectParallel is forEachParallel for calls with results, which it returns by index.
+// collectParallel is like forEachParallel, and returns the results of the calls by index.
 func collectParallel[T any](count int, run func(index int) T) []T {
 	results := make([]T, count)
 	forEachParallel(count, func(index int) { results[index] = run(index) })
--- a/cmd/fleetlab/recovery_probe.go
+++ b/cmd/fleetlab/recovery_probe.go
@@ -17,34 +17,34 @@
 	// recoveryProbeLease is the lease whose holder probes ejected servers of the cluster's zone.
 	recoveryProbeLease = "first/edge"
 
-	// recoveryRequestRate is the rate of requests of all clients together, a second.
+	// recoveryRequestRate is the number of requests per second of all clients together.
 	recoveryRequestRate = 160
 
-	// fullServerRate is the number of requests in one second from which on a server counts as
-	// used by all routers: clearly more than half of its third of the rate.
-	fullServerRate = 30
+	// minServerRate is the number of requests in one second from which a server counts as used
+	// by all routers. With three servers, it is well above half of a server's part of the rate.
+	minServerRate = 30
 
-	// serverFailure is how long the server fails.
+	// serverFailure is the time for which the server fails.
 	serverFailure = 4 * time.Second
 
-	// shortestRecovery is longer than the window in which requests are counted, so that none
-	// from before the failure are in it.
-	shortestRecovery = 1100 * time.Millisecond
+	// minRecoveryTime is the time after a recovery before requests are counted. It is longer than
+	// the counting window of one second, so that only requests after the recovery are counted.
+	minRecoveryTime = 1100 * time.Millisecond
 
-	// firstRequestStep is the resolution with which the first request after a failure is found.
+	// firstRequestStep is the resolution of the time of the first request after a failure.
 	firstRequestStep = 5 * time.Millisecond
 )
 
-// recoveryProbeCommand has a server fail and recover, before routers that probe it each by
-// itself, and before routers that leave the first probe to the holder of a lease.
+// recoveryProbeCommand makes a server fail and recover, and compares routers that each probe the
+// server themselves with routers that leave the first probe to the holder of a lease.
 func recoveryProbeCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "recovery-probe",
-		Usage: "a server that recovers, with one router that probes it for all and without",
+		Usage: "measure the load on a recovering server, with and without one router that probes it for all",
 		Flags: []cli.Flag{
 			outFlag("returns.md"),
 			&cli.IntSliceFlag{Name: "routers", Value: []int{8, 30}},
-			&cli.IntFlag{Name: "times", Usage: "the server fails and recovers", Value: 3},
+			&cli.IntFlag{Name: "times", Usage: "number of times that the server fails and recovers", Value: 3},
 			programFlag(),
 		},
 		Action: measureRecoveryProbe,
@@ -58,13 +58,13 @@
 	}
 	failures := command.Int("times")
 	return writeReport(command.String("out"), "returns.md", func(table *report) error {
-		table.printf("Made by `fleetlab recovery-probe --times %d`: processes on one machine, 3 boxes, 160 requests a second in all, one box fails for 4 s; `routers_per_s = 10`.\n\n", failures)
-		table.println("| routers | the duty | requests at the box in the first 0.1 s, 1 s from the first try | all in again after, s | without one whole answer |")
+		table.printf("Made by `fleetlab recovery-probe --times %d`: processes on one machine, 3 servers, 160 requests/s in total, one server fails for 4 s; `routers_per_s = 10`.\n\n", failures)
+		table.println("| routers | lease | requests at the server in the first 0.1 s, 1 s from the first request | used by all routers again after, s | without a complete response |")
 		table.println("| --- | --- | --- | --- | --- |")
 		for _, routers := range command.IntSlice("routers") {
 			for _, coordinated := range []bool{false, true} {
 				run := recoveryRun{routers: routers, failures: failures, coordinated: coordinated}
-				if err := run.play(program); err != nil {
+				if err := run.execute(program); err != nil {
 					return err
 				}
 				table.println(run.row())
@@ -75,17 +75,17 @@
 	})
 }
 
-// recoveryRun measures one cluster, a server of which fails several times.
+// recoveryRun measures one cluster, in which one server fails several times.
 type recoveryRun struct {
 	routers     int
 	failures    int
 	coordinated bool // the holder of a lease probes first
 
 	cluster *testcluster.Cluster
-	server  *testcluster.Server // that fails
+	server  *testcluster.Server // the server that fails
 
-	// One of each failure: requests in the first 0.1 s and in the first second from the first
-	// request after it, and seconds until all routers use the server again.
+	// One value per failure: the requests within 0.1 s and within 1 s of the first request after
+	// the failure, and the seconds until all routers use the server again.
 	firstTenth  []float64
 	firstSecond []float64
 	recovery    []float64
@@ -93,7 +93,7 @@
 	clients testcluster.Result
 }
 
-func (r *recoveryRun) play(program string) error {
+func (r *recoveryRun) execute(program string) error {
 	options := testcluster.Options{
 		Program:       program,
 		Routers:       r.routers,
@@ -131,8 +131,8 @@
 	return nil
 }
 
-// awaitFleet waits until the routers see each other and, if one is to probe first, until one
-// holds the lease for it.
+// awaitFleet waits until the routers see each other and, in a coordinated run, until a router
+// holds recoveryProbeLease.
 func (r *recoveryRun) awaitFleet() error {
 	if _, err := r.cluster.WaitForConvergence(convergenceTimeout, r.cluster.Routers...); err != nil {
 		return err
@@ -144,21 +144,22 @@
 	return err
 }
 
-// usedByAll reports whether the server gets its part of the requests, and how many they are.
+// usedByAll reports whether the server received minServerRate requests in the last second, and
+// returns their number as text.
 func (r *recoveryRun) usedByAll() (ok bool, seen string) {
 	now := time.Now()
 	rate := r.server.RequestsBetween(now.Add(-time.Second), now)
-	return rate >= fullServerRate, fmt.Sprint(rate)
+	return rate >= minServerRate, fmt.Sprint(rate)
 }
 
-// failAndRecover has the server fail and records how the routers return to it.
+// failAndRecover makes the server fail and recover, and records how fast the routers use it again.
 func (r *recoveryRun) failAndRecover() error {
 	r.server.SetFailing(true)
 	time.Sleep(serverFailure)
 	recoveredAt := time.Now()
 	r.server.SetFailing(false)
 	usedAgain := func() (bool, string) {
-		if time.Since(recoveredAt) < shortestRecovery {
+		if time.Since(recoveredAt) < minRecoveryTime {
 			return false, ""
 		}
 		return r.usedByAll()
@@ -180,7 +181,7 @@
 	return nil
 }
 
-// row returns the result as a row of the table.
+// row formats the result as a row of the table.
 func (r *recoveryRun) row() string {
 	lease := "off"
 	if r.coordinated {
--- a/cmd/fleetlab/report.go
+++ b/cmd/fleetlab/report.go
@@ -9,15 +9,15 @@
 	"github.com/urfave/cli/v3"
 )
 
-// report is a Markdown file of results. The first error of writing is kept, and returned when
-// the file is closed.
+// report is a Markdown file of results. It keeps the first write error and returns it when the
+// file is closed.
 type report struct {
 	file *os.File
 	err  error
 }
 
-// writeReport creates a file in a folder and calls write to fill it. Rows are in the file as
-// soon as they are written, so that a long run shows what it has so far.
+// writeReport creates a file in a folder and calls write to fill it. Writes are not buffered, so
+// that the file shows the results of a long run so far.
 func writeReport(folder, name string, write func(*report) error) error {
 	file, err := os.Create(filepath.Join(folder, name))
 	if err != nil {
@@ -28,7 +28,8 @@
 	return errors.Join(writeErr, results.close())
 }
 
-// Write appends to the file. It is an io.Writer for tables that other packages format.
+// Write appends to the file. It implements io.Writer for tables that other packages format. After
+// a failed write, it writes nothing and returns the error of that write.
 func (r *report) Write(text []byte) (int, error) {
 	if r.err != nil {
 		return 0, r.err
@@ -39,14 +40,15 @@
 }
 
 func (r *report) printf(format string, args ...any) {
-	_, _ = fmt.Fprintf(r, format, args...) // r keeps the error
+	_, _ = fmt.Fprintf(r, format, args...) // r keeps the error until close
 }
 
 func (r *report) println(line string) { r.printf("%s\n", line) }
 
 func (r *report) close() error { return errors.Join(r.err, r.file.Close()) }
 
-// outFlag is the flag for the folder of a command's results.
+// outFlag returns the flag for the folder of a command's results. The text files describes them
+// in the help.
 func outFlag(files string) cli.Flag {
 	return &cli.StringFlag{Name: "out", Usage: "`FOLDER` for " + files, Value: "."}
 }
--- a/cmd/fleetlab/requests.go
+++ b/cmd/fleetlab/requests.go
@@ -14,27 +14,28 @@
 )
 
 const (
-	// readyTimeout is how long all routers together may take to be ready.
+	// readyTimeout is the maximum time until all routers are ready.
 	readyTimeout = 30 * time.Second
 
-	// settleTime is how long routers that are ready run before clients start.
+	// settleTime is the time from when all routers are ready until clients start.
 	settleTime = 2 * time.Second
 
-	// faultDuration is how long each fault lasts.
+	// faultDuration is the duration of each fault.
 	faultDuration = 3 * time.Second
 
-	// resumeGrace is how long requests at a router that was paused may still be lost.
+	// resumeGrace is the time after a paused router resumes in which its requests may still be lost.
 	resumeGrace = 500 * time.Millisecond
 
 	// requestInterval is the time between two requests of a client; each router has one client.
 	requestInterval = 20 * time.Millisecond
 )
 
-// requestsCommand measures what clients see, with the fleet on and off in turn.
+// requestsCommand measures the results of clients' requests under faults, with the fleet off and
+// on in turn.
 func requestsCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "requests",
-		Usage: "what clients of real routers see under faults, with the fleet on and off in turn",
+		Usage: "measure requests of clients to real routers under faults, with the fleet off and on in turn",
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "routers", Value: 8},
 			&cli.IntFlag{Name: "rounds", Value: 3},
@@ -49,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Println("| round | fleet | requests | without one whole answer | served | p50, ms | p99, ms | most attempts |")
+	fmt.Println("| round | fleet | requests | without a complete response | served | p50, ms | p99, ms | maximum of attempts |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- |")
 	for round := 1; round <= command.Int("rounds"); round++ {
 		for _, fleet := range []bool{false, true} {
@@ -71,15 +72,15 @@
 	return nil
 }
 
-// printLost lists the requests without a whole answer on standard error.
+// printLost prints the requests without a complete response to standard error.
 func printLost(result testcluster.Result) {
 	for _, lost := range result.Lost {
 		fmt.Fprintln(os.Stderr, lost)
 	}
 }
 
-// runRequests starts a cluster, injects the same faults each time and returns what its clients
-// saw.
+// runRequests starts a cluster, injects the same faults as in every run, and returns the results
+// of its clients' requests.
 func runRequests(options testcluster.Options) (testcluster.Result, error) {
 	var result testcluster.Result
 	err := withCluster(options, func(cluster *testcluster.Cluster) error {
@@ -96,14 +97,14 @@
 	return result, err
 }
 
-// requestRun is a cluster with clients. The requests that a router owes while its process is
-// down or paused are not counted as lost.
+// requestRun is a cluster with clients. Requests at a router whose process is down or paused do
+// not count as lost.
 type requestRun struct {
 	cluster *testcluster.Cluster
 	load    *testcluster.Load
 }
 
-// newRequestRun starts the clients once all routers are ready.
+// newRequestRun waits until all routers are ready, and starts the clients.
 func newRequestRun(cluster *testcluster.Cluster) (*requestRun, error) {
 	allReady := func() (bool, string) {
 		for _, router := range cluster.Routers {
@@ -113,16 +114,16 @@
 		}
 		return true, ""
 	}
-	if _, err := cluster.WaitUntil("all ready", readyTimeout, allReady); err != nil {
+	if _, err := cluster.WaitUntil("all routers are ready", readyTimeout, allReady); err != nil {
 		return nil, err
 	}
 	time.Sleep(settleTime)
 	return &requestRun{cluster: cluster, load: cluster.StartLoad(requestInterval, cluster.Routers...)}, nil
 }
 
-// injectFaults plays all faults: a crash, a pause, bad links, and then a failing server on top.
+// injectFaults injects a crash, a pause, bad links and, while the links are bad, a failing server.
 func (r *requestRun) injectFaults() error {
-	time.Sleep(faultDuration) // without a fault, to compare with
+	time.Sleep(faultDuration) // a period without faults, for comparison
 	if err := r.crashAndPause(r.cluster.Routers[1], r.cluster.Routers[2]); err != nil {
 		return err
 	}
@@ -134,8 +135,8 @@
 	return nil
 }
 
-// crashAndPause kills one router and restarts it while another is paused. The restarted router
-// is excused until the other has resumed.
+// crashAndPause kills and restarts one router, and then pauses and resumes another. The lost
+// requests at the restarted router do not count until the other router has resumed.
 func (r *requestRun) crashAndPause(crashed, paused *testcluster.Router) error {
 	r.load.SetExcused(crashed, true)
 	crashed.Kill()
@@ -157,8 +158,8 @@
 	return nil
 }
 
-// degradeLinks cuts the routers in halves, by even and odd indexes, and makes the links within
-// each half lose and corrupt packets.
+// degradeLinks partitions the routers with even indexes from those with odd indexes, and makes
+// the links within each half lose, corrupt and delay packets.
 func (r *requestRun) degradeLinks() {
 	cut := faultproxy.Fault{Partitioned: true}
 	lossy := faultproxy.Fault{Loss: 0.2, Corrupt: 0.05, Jitter: 20}
@@ -174,12 +175,12 @@
 	}
 }
 
-// failServer has a server fail for a while.
+// failServer makes a server fail for faultDuration.
 func (r *requestRun) failServer(server *testcluster.Server) {
 	server.SetFailing(true)
 	time.Sleep(faultDuration)
 	server.SetFailing(false)
 }
 
-// result ends the load and returns what the clients saw.
+// result stops the load and returns the results of the clients' requests.
 func (r *requestRun) result() testcluster.Result { return r.load.Stop() }
--- a/cmd/fleetlab/scenario.go
+++ b/cmd/fleetlab/scenario.go
@@ -8,29 +8,30 @@
 )
 
 const (
-	// maxRouters is how many routers a scenario may start.
+	// maxRouters is the maximum number of routers of a scenario.
 	maxRouters = 60
 
-	// maxScenarioSeconds is the latest time of an operation.
+	// maxScenarioSeconds is the latest time of an operation, in seconds.
 	maxScenarioSeconds = 3600
 )
 
-// scenario is a list of faults, and of their repairs, by time.
+// scenario is a list of timed operations: faults and their repairs.
 type scenario struct {
 	routers    int
-	operations []operation // in order of time; the first starts the routers
+	operations []operation // ordered by time; the first starts the routers
 }
 
 // operation is one line of a scenario.
 type operation struct {
-	at        time.Duration // since the routers' start
+	at        time.Duration // since the start of the routers
 	verb      verb
 	arguments []string
-	text      string // verb and arguments as they are in the file
+	text      string // verb and arguments as written in the file
 }
 
-// parseScenario reads the text of a scenario: a line for each operation, with the time in
-// seconds, a verb and its arguments; # begins a comment. Errors name the file and the line.
+// parseScenario parses the text of a scenario. Each line is an operation: the time in seconds, a
+// verb and its arguments. A # begins a comment. Errors contain the file name and, if one line is
+// at fault, its number.
 func parseScenario(fileName, text string) (scenario, error) {
 	var parsed scenario
 	for index, line := range strings.Split(text, "\n") {
@@ -43,7 +44,7 @@
 		}
 	}
 	if len(parsed.operations) == 0 {
-		return scenario{}, fmt.Errorf("%s: there is nothing to do", fileName)
+		return scenario{}, fmt.Errorf("%s: expected at least one operation, got none", fileName)
 	}
 	return parsed, nil
 }
@@ -56,29 +57,29 @@
 	}
 	if len(s.operations) > 0 {
 		if added.at < s.operations[len(s.operations)-1].at {
-			return fmt.Errorf("%s: comes before the line above", added.verb)
+			return fmt.Errorf("%s: time is earlier than that of the previous operation", added.verb)
 		}
 		s.operations = append(s.operations, added)
 		return nil
 	}
 	if added.verb != verbRouters {
-		return fmt.Errorf("%s: has to come first", verbRouters)
+		return fmt.Errorf("%s: expected as the first operation", verbRouters)
 	}
 	s.routers, err = strconv.Atoi(added.arguments[0])
 	if err != nil || s.routers < 1 || s.routers > maxRouters {
-		return fmt.Errorf("%s: want 1 to %d", verbRouters, maxRouters)
+		return fmt.Errorf("%s: expected a number from 1 to %d", verbRouters, maxRouters)
 	}
 	s.operations = append(s.operations, added)
 	return nil
 }
 
-// parseOperation parses a line that is not empty.
+// parseOperation parses a line, which must not be blank.
 func parseOperation(line string) (operation, error) {
 	fields := strings.Fields(line)
 	seconds, err := strconv.ParseFloat(fields[0], 64)
 	inRange := seconds >= 0 && seconds <= maxScenarioSeconds // false for NaN
 	if err != nil || !inRange || len(fields) < 2 {
-		return operation{}, fmt.Errorf("want seconds up to %d and what is done then", maxScenarioSeconds)
+		return operation{}, fmt.Errorf("expected a time from 0 to %d seconds and a verb", maxScenarioSeconds)
 	}
 	parsed := operation{
 		at:        time.Duration(seconds * float64(time.Second)),
@@ -89,9 +90,9 @@
 	entry, known := actions[parsed.verb]
 	switch {
 	case !known:
-		return operation{}, fmt.Errorf("%s: no such thing can be done", parsed.verb)
+		return operation{}, fmt.Errorf("%s: unknown verb", parsed.verb)
 	case entry.arguments != anyNumber && len(parsed.arguments) != entry.arguments:
-		return operation{}, fmt.Errorf("%s: want %d words after it", parsed.verb, entry.arguments)
+		return operation{}, fmt.Errorf("%s: expected %d arguments", parsed.verb, entry.arguments)
 	}
 	return parsed, nil
 }
--- a/cmd/fleetlab/scenario_actions.go
+++ b/cmd/fleetlab/scenario_actions.go
@@ -8,7 +8,7 @@
 	"garnetline/internal/testcluster"
 )
 
-// verb is the word of a scenario that says what to do.
+// verb is the word of a scenario line that selects an action.
 type verb string
 
 // The verbs of a scenario.
@@ -29,18 +29,18 @@
 	verbEnable  verb = "enable"
 )
 
-// anyNumber is the number of arguments of an action that takes any.
+// anyNumber, as the arguments of an action, permits any number of arguments.
 const anyNumber = -1
 
-// action is what a verb does.
+// action is the implementation of a verb.
 type action struct {
-	arguments int
+	arguments int // number of arguments, or anyNumber
 	apply     func(cluster *testcluster.Cluster, arguments []string) error
 }
 
 var actions = map[verb]action{
-	verbRouters: {1, doNothing}, // the routers run already
-	verbEnd:     {0, doNothing}, // the run sees to it
+	verbRouters: {1, doNothing}, // the routers are already running
+	verbEnd:     {0, doNothing}, // scenarioRun handles it
 	verbKill:    {1, onRouter(killRouter)},
 	verbStart:   {1, onRouter((*testcluster.Router).Start)},
 	verbStop:    {1, onRouter((*testcluster.Router).Stop)},
@@ -55,12 +55,12 @@
 	verbEnable:  {3, enableServer},
 }
 
-// sideSeparator stands between the two sides of a split.
+// sideSeparator separates the two sides in the arguments of a split.
 const sideSeparator = "/"
 
 func doNothing(*testcluster.Cluster, []string) error { return nil }
 
-// onRouter is an action on the router that the first argument names.
+// onRouter returns the function of an action on the router that the first argument names.
 func onRouter(act func(*testcluster.Router) error) func(*testcluster.Cluster, []string) error {
 	return func(cluster *testcluster.Cluster, arguments []string) error {
 		router, err := findRouter(cluster, arguments[0])
@@ -77,7 +77,7 @@
 			return router, nil
 		}
 	}
-	return nil, fmt.Errorf("%s: no such router", name)
+	return nil, fmt.Errorf("%s: unknown router", name)
 }
 
 func killRouter(router *testcluster.Router) error {
@@ -90,12 +90,12 @@
 	return setLinkFault(cluster, arguments[0], arguments[1], faultproxy.Fault{Partitioned: true})
 }
 
-// cutOneDirection drops all packets of the first router to the second.
+// cutOneDirection drops all packets from the first router to the second.
 func cutOneDirection(cluster *testcluster.Cluster, arguments []string) error {
 	return setFault(cluster, arguments[0], arguments[1], faultproxy.Fault{Partitioned: true})
 }
 
-// setLoss drops a share of the packets between two routers.
+// setLoss drops a share, from 0 to 1, of the packets between two routers.
 func setLoss(cluster *testcluster.Cluster, arguments []string) error {
 	share, err := strconv.ParseFloat(arguments[2], 64)
 	if err != nil {
@@ -112,7 +112,7 @@
 	return setFault(cluster, b, a, fault)
 }
 
-// setFault sets a fault for the packets of one router to another.
+// setFault sets a fault for the packets from one router to another.
 func setFault(cluster *testcluster.Cluster, from, to string, fault faultproxy.Fault) error {
 	sender, err := findRouter(cluster, from)
 	if err != nil {
@@ -158,8 +158,8 @@
 	return postServer(cluster, "/caches/enable/", arguments)
 }
 
-// postServer posts an order for a server to a router's admin API. The arguments are the
-// server, the word "at" and the router.
+// postServer sends a POST request about a server to a router's admin API. The arguments are the
+// server's ID, the word "at" and the router's name.
 func postServer(cluster *testcluster.Cluster, path string, arguments []string) error {
 	server := arguments[0]
 	router, err := findRouter(cluster, arguments[2])
--- a/cmd/fleetlab/scenario_run.go
+++ b/cmd/fleetlab/scenario_run.go
@@ -12,37 +12,37 @@
 )
 
 const (
-	// pollInterval is the time between two looks at the routers' views.
+	// pollInterval is the time between two reads of the routers' views.
 	pollInterval = 100 * time.Millisecond
 
-	// lastViewTime is how long views are printed after the last operation.
+	// lastViewTime is the time for which views are still printed after the last operation.
 	lastViewTime = 5 * time.Second
 )
 
-// scenarioRun plays a scenario on a cluster and prints what its routers see.
+// scenarioRun runs a scenario on a cluster and prints the routers' views of the fleet.
 type scenarioRun struct {
 	cluster   *testcluster.Cluster
 	remaining []operation
 	startedAt time.Time
-	endAt     time.Duration     // since the start, unless an operation ends the run before
-	ended     bool              // by an operation
-	printed   map[string]string // the latest view that was printed of a router, by its proxy name
+	endAt     time.Duration     // end of the run, since startedAt; an end operation may end it earlier
+	ended     bool              // an end operation has ended the run
+	printed   map[string]string // the last printed view of each router, by proxy name
 }
 
-func newScenarioRun(cluster *testcluster.Cluster, played scenario) *scenarioRun {
-	last := played.operations[len(played.operations)-1]
+func newScenarioRun(cluster *testcluster.Cluster, parsed scenario) *scenarioRun {
+	last := parsed.operations[len(parsed.operations)-1]
 	return &scenarioRun{
 		cluster:   cluster,
-		remaining: played.operations[1:], // the first starts the routers, which run
+		remaining: parsed.operations[1:], // the first operation starts the routers, which are already running
 		startedAt: time.Now(),
 		endAt:     last.at + lastViewTime,
 		printed:   map[string]string{},
 	}
 }
 
-// play runs until the scenario has ended or ctx is canceled, which is not an error.
-func (r *scenarioRun) play(ctx context.Context) error {
-	fmt.Printf("%d routers started; the admin API of the first is http://%s/fleet\n", len(r.cluster.Routers), r.cluster.Routers[0].AdminAddr)
+// execute runs the scenario until it has ended or ctx is canceled. Cancellation is not an error.
+func (r *scenarioRun) execute(ctx context.Context) error {
+	fmt.Printf("%d routers started; fleet status of the first: http://%s/fleet\n", len(r.cluster.Routers), r.cluster.Routers[0].AdminAddr)
 	for !r.finished() {
 		select {
 		case <-ctx.Done():
@@ -63,7 +63,7 @@
 	return r.ended || len(r.remaining) == 0 && r.elapsed() > r.endAt
 }
 
-// applyDueOperations carries out the operations whose time has come.
+// applyDueOperations applies the operations that are due.
 func (r *scenarioRun) applyDueOperations() error {
 	for len(r.remaining) > 0 && r.remaining[0].at <= r.elapsed() {
 		due := r.remaining[0]
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// printChangedViews prints the views that are not as they were printed before.
+// printChangedViews prints the views that differ from those printed last.
 func (r *scenarioRun) printChangedViews() {
 	at := r.elapsed()
 	for _, router := range r.cluster.Routers {
@@ -93,14 +93,14 @@
 	}
 }
 
-// describeView describes how a router sees the fleet.
+// describeView describes a router's view of the fleet in one line.
 func describeView(router *testcluster.Router) string {
 	if !router.Running() {
 		return "is not running"
 	}
 	status, err := router.Status()
 	if err != nil {
-		return "does not answer"
+		return "does not respond"
 	}
 	return describeStatus(status)
 }
--- a/cmd/fleetlab/scenario_test.go
+++ b/cmd/fleetlab/scenario_test.go
@@ -9,7 +9,8 @@
 	"garnetline/internal/golden"
 )
 
-// Users change the tour and play it as a file of their own. UPDATE_GOLDEN=1 rewrites testdata.
+// Users print the example scenario, change it and run it as a file. UPDATE_GOLDEN=1 rewrites
+// testdata.
 func TestTourIsUnchanged(t *testing.T) {
 	golden.Compare(t, "tour.golden", []byte(tour))
 }
@@ -40,12 +41,12 @@
 		t.Fatal(err)
 	}
 	seen := map[verb]bool{}
-	for _, played := range parsed.operations {
-		seen[played.verb] = true
+	for _, op := range parsed.operations {
+		seen[op.verb] = true
 	}
 	for known := range actions {
 		if !seen[known] {
-			t.Errorf("no operation %q, want each verb", known)
+			t.Errorf("no operation with verb %q, want one for each verb", known)
 		}
 	}
 	if got := parsed.operations[1]; got.at != 1500*time.Millisecond || got.text != "cut r00 r01" {
@@ -55,24 +56,24 @@
 
 func TestParseScenarioRejects(t *testing.T) {
 	tests := []struct{ name, text, want string }{
-		{"nothing", "# only this\n", "f: there is nothing to do"},
-		{"no routers", "0 heal\n", "f:1: routers: has to come first"},
-		{"too many routers", "0 routers 61\n", "f:1: routers: want 1 to 60"},
-		{"no number of routers", "0 routers many\n", "f:1: routers: want 1 to 60"},
-		{"no time", "routers 5\n", "f:1: want seconds up to 3600"},
-		{"time not a number", "NaN routers 5\n", "f:1: want seconds up to 3600"},
-		{"negative time", "-1 routers 5\n", "f:1: want seconds up to 3600"},
-		{"late time", "3601 routers 5\n", "f:1: want seconds up to 3600"},
-		{"no verb", "0 routers 5\n1\n", "f:2: want seconds up to 3600"},
-		{"unknown verb", "0 routers 5\n1 burn r00\n", "f:2: burn: no such thing can be done"},
-		{"too few words", "0 routers 5\n1 cut r00\n", "f:2: cut: want 2 words after it"},
-		{"back in time", "0 routers 5\n\n2 heal\n1 heal\n", "f:4: heal: comes before the line above"},
+		{"nothing", "# only this\n", "f: expected at least one operation, got none"},
+		{"no routers", "0 heal\n", "f:1: routers: expected as the first operation"},
+		{"too many routers", "0 routers 61\n", "f:1: routers: expected a number from 1 to 60"},
+		{"no number of routers", "0 routers many\n", "f:1: routers: expected a number from 1 to 60"},
+		{"no time", "routers 5\n", "f:1: expected a time from 0 to 3600 seconds and a verb"},
+		{"time not a number", "NaN routers 5\n", "f:1: expected a time from 0 to 3600 seconds and a verb"},
+		{"negative time", "-1 routers 5\n", "f:1: expected a time from 0 to 3600 seconds and a verb"},
+		{"late time", "3601 routers 5\n", "f:1: expected a time from 0 to 3600 seconds and a verb"},
+		{"no verb", "0 routers 5\n1\n", "f:2: expected a time from 0 to 3600 seconds and a verb"},
+		{"unknown verb", "0 routers 5\n1 burn r00\n", "f:2: burn: unknown verb"},
+		{"too few words", "0 routers 5\n1 cut r00\n", "f:2: cut: expected 2 arguments"},
+		{"back in time", "0 routers 5\n\n2 heal\n1 heal\n", "f:4: heal: time is earlier than that of the previous operation"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := parseScenario("f", test.text)
 			if err == nil || !strings.HasPrefix(err.Error(), test.want) {
-				t.Errorf("error %v, want %q", err, test.want)
+				t.Errorf("got error %v, want one that begins with %q", err, test.want)
 			}
 		})
 	}
--- a/internal/experiment/all_pairs_detector.go
+++ b/internal/experiment/all_pairs_detector.go
@@ -9,12 +9,12 @@
 	"garnetline/internal/netsim"
 )
 
-// allPairsDetector is the simplest failure detector, as a baseline: each router pings each
-// other once a period, holds one for failed that has not been heard from for long enough, and
-// reports that to nobody. All routers are known from the start.
+// allPairsDetector is the baseline failure detector: each router pings every other router once
+// per allPairsPingInterval, and marks a router as failed if no packet from it arrived within
+// allPairsTimeout. Routers do not exchange their findings. All routers are known from the start.
 type allPairsDetector struct {
 	self         membership.Update
-	peers        []membership.Update // with this router, in the order of the network's hosts
+	peers        []membership.Update // includes this router; in the order of the network's hosts
 	indexes      map[membership.ID]int
 	lastSeenAt   []float64 // ms, by index
 	failed       []bool    // by index
@@ -22,19 +22,19 @@
 	lastSequence uint64
 }
 
-// Times in ms. A killed router is held for failed after 1.5 to 2 s, about as quickly as with
-// the other variants; under loss seven packets in a row must be lost.
+// Times in ms. A killed router is marked as failed after 1.5 to 2 s, about as quickly as with
+// the other variants. A live router is wrongly marked only if seven consecutive packets are lost.
 const (
 	allPairsPingInterval = 250.0
 	allPairsTimeout      = 7 * allPairsPingInterval
 
-	// No router is held for failed before all have had time to answer.
+	// No router is marked as failed before this time, so that all have had time to respond.
 	allPairsStartTime = 2 * allPairsTimeout
 )
 
-// startAllPairs adds routers that all know each other.
+// startAllPairs adds size routers that run an allPairsDetector and all know each other.
 func startAllPairs(network *netsim.Network, size int) {
-	network.StartFleet(size, fleet.DefaultSettings(), netsim.MembershipAlone) // for names, identities and addresses
+	network.StartFleet(size, fleet.DefaultSettings(), netsim.MembershipAlone) // assigns names, identities and addresses
 	rng := rand.New(rand.NewPCG(network.Rng.Uint64(), allPairsStream))
 	var peers []membership.Update
 	for _, host := range network.Hosts {
@@ -44,7 +44,7 @@
 		host.Machine = &allPairsDetector{
 			self:       host.Self,
 			peers:      peers,
-			indexes:    indexByID(peers), // each its own, as the memory of a router is measured
+			indexes:    indexByID(peers), // a separate map for each router, because the memory of a router is measured
 			lastSeenAt: make([]float64, size),
 			failed:     make([]bool, size),
 			nextPingAt: rng.Float64() * allPairsPingInterval,
@@ -60,8 +60,8 @@
 	return indexes
 }
 
-// Step answers a packet, if there is one, and pings and judges the other routers when it is
-// time.
+// Step handles a received packet, if packet is not nil. When a ping is due, it also checks the
+// timeout of every other router and pings it.
 func (d *allPairsDetector) Step(now float64, packet *membership.Packet) fleet.Output {
 	var out fleet.Output
 	if packet != nil {
@@ -71,7 +71,7 @@
 		d.nextPingAt = now + allPairsPingInterval
 		for index, peer := range d.peers {
 			if peer.ID != d.self.ID {
-				d.judge(now, index, &out)
+				d.checkTimeout(now, index, &out)
 				d.send(peer, membership.Ping, &out)
 			}
 		}
@@ -92,8 +92,8 @@
 	}
 }
 
-// judge holds a router for failed that has not been heard from for long enough.
-func (d *allPairsDetector) judge(now float64, index int, out *fleet.Output) {
+// checkTimeout marks a router as failed if no packet from it arrived within allPairsTimeout.
+func (d *allPairsDetector) checkTimeout(now float64, index int, out *fleet.Output) {
 	silent := now-d.lastSeenAt[index] > allPairsTimeout
 	if d.failed[index] || !silent || now <= allPairsStartTime {
 		return
@@ -110,12 +110,12 @@
 	out.Packets = append(out.Packets, membership.OutgoingPacket{To: to.Addr, Packet: packet})
 }
 
-// Leave sends nothing.
+// Leave sends no packets: this detector does not announce departures.
 func (d *allPairsDetector) Leave(float64) membership.Output {
 	return membership.Output{WakeAt: math.Inf(1)}
 }
 
-// State returns how this router sees another.
+// State returns the state of a router as this router sees it: Failed or Alive.
 func (d *allPairsDetector) State(id membership.ID) (membership.State, bool) {
 	if index, ok := d.indexes[id]; ok && d.failed[index] {
 		return membership.Failed, true
--- a/internal/experiment/charts.go
+++ b/internal/experiment/charts.go
@@ -7,13 +7,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Sizes of all charts.
+// Width and height of every chart.
 const (
 	chartWidth  = 16 * vg.Centimeter
 	chartHeight = 10 * vg.Centimeter
 )
 
-// dashStyleGroup is how many lines of a chart have the same dashes: their colors differ.
+// dashStyleGroup is the number of consecutive lines of a chart that share a dash pattern and
+// differ in color.
 const dashStyleGroup = 3
 
 // newChart returns an empty chart with a grid.
@@ -26,7 +27,7 @@
 	return chart
 }
 
-// addLinePoints adds a line with its points, in the style of an index.
+// addLinePoints adds a line with markers at its points. The index selects color and shape.
 func addLinePoints(chart *plot.Plot, name string, index int, values plotter.XYs) error {
 	line, points, err := plotter.NewLinePoints(values)
 	if err != nil {
@@ -40,7 +41,7 @@
 	return nil
 }
 
-// addLine adds a line, in the style of an index.
+// addLine adds a line. The index selects color and dash pattern.
 func addLine(chart *plot.Plot, name string, index int, values plotter.XYs) error {
 	line, err := plotter.NewLine(values)
 	if err != nil {
@@ -53,13 +54,13 @@
 	return nil
 }
 
-// saveChart writes a chart to a file, in the format of its extension.
+// saveChart writes a chart to a file, in the format that the file's extension names.
 func saveChart(chart *plot.Plot, file string) error {
 	return chart.Save(chartWidth, chartHeight, file)
 }
 
-// GapChart draws, for each kind of handover, which share of its gaps in ms was at most how
-// long, as an SVG file. The gaps are sorted; a kind without gaps has no line.
+// GapChart draws the cumulative distribution of the gaps of each kind of handover as an SVG
+// file. The gaps are in ms and sorted, by name of the kind. A kind without gaps has no line.
 func GapChart(file string, kinds []string, gaps map[string][]float64) error {
 	chart := newChart("Time in which nobody acted", "ms", "share of handovers")
 	chart.Legend.Top = false
@@ -75,7 +76,8 @@
 	return saveChart(chart, file)
 }
 
-// cumulativeShares returns, for each of some sorted values, the share that is at most as high.
+// cumulativeShares returns a point for each sorted value: the value, and the share of all values
+// that are not above it.
 func cumulativeShares(sorted []float64) plotter.XYs {
 	var shares plotter.XYs
 	for index, value := range sorted {
--- a/internal/experiment/charts_test.go
+++ b/internal/experiment/charts_test.go
@@ -57,7 +57,7 @@
 		}
 		for _, text := range texts {
 			if !strings.Contains(string(content), text) {
-				t.Errorf("%s lacks %q", file, text)
+				t.Errorf("%s does not contain %q", file, text)
 			}
 		}
 	}
--- a/internal/experiment/doc.go
+++ b/internal/experiment/doc.go
@@ -1,12 +1,13 @@
 // Package experiment measures the fleet's state machines on virtual clocks, and draws charts
 // and tables of the results:
 //
-//   - Membership: how fast and how wrongly routers detect failures, and what that costs;
+//   - Membership: how fast routers detect failures, how often they are wrong, and the traffic and
+//     memory that detection costs;
 //   - LeaseHandovers: handovers of a lease under faults, with each safeguard switched off in turn;
-//   - LeaseSearch: all states that two routers and a registry can reach, one by one;
-//   - Registry: what leases cost the voters of the lease registry;
-//   - LoadReporting: ways in which routers learn the load of servers.
+//   - LeaseSearch: an exhaustive search of the states that two routers and a registry can reach;
+//   - Registry: the cost of leases for the voters of the lease registry;
+//   - LoadReporting: strategies by which routers learn the load of servers.
 //
-// What a run measures follows from its seed alone, except for memory. It is for cmd/fleetlab;
-// the daemon links none of it.
+// The seed of a run determines all of its results except memory. The package is for
+// cmd/fleetlab; the daemon does not import it.
 package experiment
--- a/internal/experiment/event_queue.go
+++ b/internal/experiment/event_queue.go
@@ -2,31 +2,32 @@
 
 import "container/heap"
 
-// eventQueue runs functions at times of a virtual clock, those of the same time in the order
-// in which they were scheduled. It is not safe for concurrent use.
+// eventQueue runs functions at scheduled times of a virtual clock. Functions with the same time
+// run in the order in which they were scheduled. It is not safe for concurrent use.
 type eventQueue struct {
 	now       float64 // ms
-	scheduled int     // events so far
+	scheduled int     // number of events scheduled so far
 	pending   eventHeap
 }
 
-// event is a function that runs at a time.
+// event is a function with the time at which it runs.
 type event struct {
-	at       float64
-	sequence int // order of scheduling
+	at       float64 // ms
+	sequence int     // order of scheduling
 	run      func()
 }
 
-// after schedules a function after a delay in ms, which is 0 if it is negative.
+// after schedules a function to run after a delay in ms. A negative delay counts as 0.
 func (q *eventQueue) after(delay float64, run func()) {
 	q.scheduled++
 	heap.Push(&q.pending, event{at: q.now + max(0, delay), sequence: q.scheduled, run: run})
 }
 
-// empty tells whether nothing is scheduled any more.
+// empty reports whether no events are pending.
 func (q *eventQueue) empty() bool { return len(q.pending) == 0 }
 
-// advance sets the clock to the time of the next event, and returns its function.
+// advance removes the next event, sets the clock to its time, and returns its function. The
+// queue must not be empty.
 func (q *eventQueue) advance() (run func()) {
 	next := heap.Pop(&q.pending).(event)
 	q.now = next.at
--- a/internal/experiment/false_positives.go
+++ b/internal/experiment/false_positives.go
@@ -6,21 +6,21 @@
 	"garnetline/internal/netsim"
 )
 
-// Pauses of routers that pause now and then.
+// Pauses of the routers that pause at random.
 const (
-	pauseInterval    = 1000.0 // ms between draws whether a pause begins
-	pauseProbability = 0.2    // of each draw
+	pauseInterval    = 1000.0 // ms between two random draws of whether a pause begins
+	pauseProbability = 0.2    // that a draw begins a pause
 	maxPause         = 3000.0 // ms
 )
 
 const msPerHour = 3_600_000
 
-// falsePositiveCounts counts routers that were wrongly suspected or held for failed.
+// falsePositiveCounts counts live routers that were suspected or marked as failed.
 type falsePositiveCounts struct {
-	suspicions      int // of routers that did not pause
-	failures        int // of routers that did not pause
-	pausingFailures int // of routers that paused
-	hours           float64
+	suspicions      int     // of routers that did not pause
+	failures        int     // of routers that did not pause
+	pausingFailures int     // of routers that paused
+	hours           float64 // of virtual time
 }
 
 // add adds the counts of another fleet.
@@ -31,21 +31,21 @@
 	c.hours += other.hours
 }
 
-// perHour returns the counts under one kind of fault with their rates.
+// perHour returns the counts under one kind of fault together with their rates per hour.
 func (c *falsePositiveCounts) perHour(fault string) FalsePositives {
 	return FalsePositives{
-		Fault:                fault,
-		SuspectedPerHour:     float64(c.suspicions) / c.hours,
-		FailedPerHour:        float64(c.failures) / c.hours,
-		StalledFailedPerHour: float64(c.pausingFailures) / c.hours,
-		Hours:                c.hours,
-		Suspicions:           c.suspicions,
-		Failures:             c.failures,
+		Fault:               fault,
+		SuspectedPerHour:    float64(c.suspicions) / c.hours,
+		FailedPerHour:       float64(c.failures) / c.hours,
+		PausedFailedPerHour: float64(c.pausingFailures) / c.hours,
+		Hours:               c.hours,
+		Suspicions:          c.suspicions,
+		Failures:            c.failures,
 	}
 }
 
-// MeasureFalsePositives runs one fleet of the first variant for some virtual ms, in which a
-// share of the packets is lost and no router fails.
+// MeasureFalsePositives runs one fleet of the first variant for ms of virtual time. The network
+// loses the share loss of the packets, and no router fails.
 func MeasureFalsePositives(size int, seed uint64, loss, ms float64) FalsePositives {
 	network := newSettledFleet(Variants()[0], size, seed)
 	network.Link.Loss = loss
@@ -53,9 +53,9 @@
 	return counts.perHour(lossName(loss))
 }
 
-// countFalsePositives runs a fleet for a period in virtual ms, in which no router fails and
-// some pause now and then. It counts what is reported of routers by those that detected it
-// first.
+// countFalsePositives runs a fleet for a period in ms of virtual time, in which no router fails
+// and the routers in pausing pause at random. It counts suspicions and failures as reported by
+// the routers that detected them first.
 func countFalsePositives(network *netsim.Network, period float64, pausing map[*netsim.Host]bool) falsePositiveCounts {
 	counts := falsePositiveCounts{hours: period / msPerHour}
 	hosts := map[membership.ID]*netsim.Host{}
@@ -73,13 +73,13 @@
 		}
 	}
 	for end := network.Now + period; network.Now < end; {
-		pauseSome(network, pausing)
+		pauseAtRandom(network, pausing)
 		network.Run(min(end, network.Now+pauseInterval))
 	}
 	return counts
 }
 
-// record counts an event about a router that lives.
+// record counts an event about a live router.
 func (c *falsePositiveCounts) record(kind string, pausing bool) {
 	switch {
 	case kind == membership.EventSuspect && !pausing:
@@ -91,8 +91,8 @@
 	}
 }
 
-// pauseSome draws which of the routers that pause now and then do so now.
-func pauseSome(network *netsim.Network, pausing map[*netsim.Host]bool) {
+// pauseAtRandom draws for each router in pausing whether it pauses now.
+func pauseAtRandom(network *netsim.Network, pausing map[*netsim.Host]bool) {
 	for _, host := range network.Hosts {
 		if pausing[host] && network.Rng.Float64() < pauseProbability {
 			network.Pause(host, maxPause*network.Rng.Float64())
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -10,8 +10,8 @@
 	"garnetline/internal/golden"
 )
 
-// The tests of this file compare what runs with a seed print with testdata, to the byte, so
-// that figures of several releases can be compared. UPDATE_GOLDEN=1 rewrites testdata.
+// The tests of this file compare the output of runs with fixed seeds byte for byte with
+// testdata, so that results stay comparable between releases. UPDATE_GOLDEN=1 rewrites testdata.
 
 func TestResultsMatchGoldenFile(t *testing.T) {
 	var text bytes.Buffer
@@ -28,7 +28,7 @@
 		result := LeaseHandovers{Seed: 3, Without: without, ClockDrift: 1, Routers: 3, MaxHandovers: 60}.Run()
 		fmt.Fprintf(text, "leases, %q off: %d handovers, %d planned, %d acts, %d refused, %d dropped, %.3f ms, %d faults and moves, %d gaps, %q\n",
 			without, result.Handovers, result.PlannedHandovers, result.Writes, result.Rejected, result.StoppedAtWrite,
-			result.SimulatedTime, result.FaultsAndMoves, len(result.Gaps), result.Violation)
+			result.SimulatedTime, result.FaultsAndTransfers, len(result.Gaps), result.Violation)
 	}
 }
 
@@ -44,11 +44,11 @@
 		result := LoadReporting{Seed: 1, Routers: 3, Servers: 4, Strategy: strategy, IntervalPolicy: AdaptiveInterval}.Run()
 		fmt.Fprintf(text, "load, %s: %.3f probes, %.3f at one, %.3f packets, %.3f bytes, %.3f ms old, off by %.5f, %.5f stale, %d twice, %.2f s nobody\n",
 			strategy, result.ProbesPerSecond, result.ProbesPerServer, result.PacketsPerSecond, result.BytesPerSecond,
-			result.MeanAge, result.MeanError, result.StaleShare, result.ConcurrentProbes, result.Uncovered)
+			result.MeanAge, result.MeanError, result.StaleShare, result.ConcurrentProbes, result.UnprobedSeconds)
 	}
 }
 
-// The memory of the process, which does not follow from the seed, is left out of the tables.
+// The tables omit the memory of the process, which the seed does not determine.
 func TestTablesMatchGoldenFiles(t *testing.T) {
 	for name, printTable := range map[string]func(testing.TB, *bytes.Buffer){
 		"register.md": printRegistryRows,
@@ -70,7 +70,7 @@
 	settings := consensus.DefaultSettings()
 	for _, run := range []Registry{
 		{Seed: 1, Voters: 3, Routers: 6, Leases: 4, Settings: settings, TransferInterval: 20},
-		{Seed: 2, Voters: 5, Routers: 10, Leases: 40, Settings: settings, TransferInterval: 50, AnswerLossInterval: 2000},
+		{Seed: 2, Voters: 5, Routers: 10, Leases: 40, Settings: settings, TransferInterval: 50, ResponseLossInterval: 2000},
 	} {
 		result, err := run.Run(15_000)
 		if err != nil {
@@ -95,7 +95,7 @@
 				result := LoadReporting{Seed: 4, Routers: 5, Servers: 6, Strategy: strategy, IntervalPolicy: policy, Unbatched: unbatched}.Run()
 				fmt.Fprintf(text, "%s, %s, %t: %v %v %v %v %v %v %v %v %v\n", strategy, policy, unbatched,
 					result.ProbesPerSecond, result.ProbesPerServer, result.PacketsPerSecond, result.BytesPerSecond,
-					result.MeanAge, result.MeanError, result.StaleShare, result.ConcurrentProbes, result.Uncovered)
+					result.MeanAge, result.MeanError, result.StaleShare, result.ConcurrentProbes, result.UnprobedSeconds)
 			}
 		}
 	}
--- a/internal/experiment/lease_handovers.go
+++ b/internal/experiment/lease_handovers.go
@@ -9,48 +9,48 @@
 	"garnetline/internal/fleet/leaseregistry"
 )
 
-// LeaseHandovers is one run of routers that hold one lease in turn. Clocks drift, packets are
-// delayed, lost and duplicated, routers pause or are partitioned from the registry, and its
-// leader changes. The registry is a single process here: that its voters agree is shown by
-// the tests of package consensus.
+// LeaseHandovers is one run in which routers hold one lease in turn. Clocks drift; packets are
+// delayed, lost and duplicated; routers pause or are partitioned from the registry; and the
+// registry's leader changes. The registry is a single process in this run: the tests of package
+// consensus check that its voters agree.
 type LeaseHandovers struct {
 	Seed         uint64
-	Without      Safeguard // switched off in this run
+	Without      Safeguard // the safeguard that is switched off in this run
 	ClockDrift   float64   // as a multiple of the drift that the settings allow
 	Routers      int
-	MaxHandovers int // the run ends after so many
+	MaxHandovers int // the run ends after this many handovers
 }
 
-// LeaseResult is what a run of LeaseHandovers saw.
+// LeaseResult is the result of a run of LeaseHandovers.
 type LeaseResult struct {
-	Handovers        int
-	PlannedHandovers int       // those in which the holder before had released the lease
-	Writes           int       // under the lease, by any router
-	Rejected         int       // writes that the receiver rejected by their fencing token
-	StoppedAtWrite   int       // writes that the check just before them stopped
-	SimulatedTime    float64   // ms
-	Violation        string    // the latest time that two routers acted at once; empty: never
-	FaultsAndMoves   int       // faults injected and transfers requested
-	Gaps             []float64 // ms between two holders in which no router held the lease
+	Handovers          int
+	PlannedHandovers   int       // handovers in which the previous holder had released the lease
+	Writes             int       // sent under the lease, by any router
+	Rejected           int       // writes that the receiver rejected because of their fencing token
+	StoppedAtWrite     int       // writes that the check just before the write stopped
+	SimulatedTime      float64   // ms
+	Violation          string    // describes the last time that two routers acted at once; empty: never
+	FaultsAndTransfers int       // faults injected and transfers requested
+	Gaps               []float64 // ms between two consecutive holders in which no router held the lease
 }
 
-// leaseName is the name of the only lease of a run. Ranks are hashed from it.
+// leaseName is the name of the only lease of a run. The routers' ranks are hashed from it.
 const leaseName = "d"
 
 const (
-	handoverStep    = 2.0 // ms of true time
+	handoverStep    = 2.0 // ms of true time that pass in a step
 	maxHandoverTime = 1e9 // ms of true time, after which a run ends
 
-	// A leader change is drawn in each step.
+	// In each step the registry's leader changes with a probability of 1 in this number.
 	leaderChangeOneIn = 1500
 )
 
-// handoverSettings are shorter than those of a fleet, and allow clocks to drift more, so that
-// a run has many handovers in which the safeguards matter.
+// handoverSettings have shorter periods than the settings of a fleet, and allow clocks to drift
+// more, so that a run has many handovers in which the safeguards matter.
 var handoverSettings = lease.Settings{TTL: 1000, SafetyMargin: 60, RetryInterval: 60, MaxBackoff: 1200, MaxClockDrift: 0.05}
 
-// handoverRun is the state of one run of LeaseHandovers. Times are in ms of true time, which
-// no clock of a router or of the registry's leader shows.
+// handoverRun is the state of one run of LeaseHandovers. Times are in ms of true time; the
+// clocks of the routers and of the registry's leader deviate from it.
 type handoverRun struct {
 	options  LeaseHandovers
 	settings lease.Settings
@@ -60,23 +60,23 @@
 
 	routers  []*handoverRouter
 	inFlight []handoverMessage
-	receiver lease.Fence // of the writes, at the server that they are sent to
+	receiver lease.Fence // checks the fencing tokens of writes at the server that receives them
 
-	// The registry, and its leader's part of it.
+	// The registry's replicated state and the state of its leader.
 
 	registry         *leaseregistry.State
-	lastIndex        uint64 // of the commands that were applied
+	lastIndex        uint64 // of the last command applied
 	expiry           *lease.ExpiryTracker
 	leaderClockRate  float64
-	maxRateDeviation float64 // of any clock from true time
+	maxRateDeviation float64 // largest deviation of a clock's rate from that of true time
 
-	latestToken uint64  // of the latest grant that a holder learned of
-	lastHeldAt  float64 // when a router held the lease last
+	latestToken uint64  // fencing token of the latest grant that a holder learned of
+	lastHeldAt  float64 // the last time that a router held the lease
 }
 
 func newHandoverRun(options LeaseHandovers) *handoverRun {
 	settings := handoverSettings
-	maxRateDeviation := settings.MaxClockDrift / 2 * options.ClockDrift // two clocks differ by twice that
+	maxRateDeviation := settings.MaxClockDrift / 2 * options.ClockDrift // the rates of two clocks differ by up to twice this value
 	if options.Without == LeaseMargin {
 		settings.SafetyMargin = 0
 		settings.MaxClockDrift = 0
@@ -99,12 +99,13 @@
 	return run
 }
 
-// clockRate returns the rate of a clock: at position 0 the slowest, at 1 the fastest.
+// clockRate returns the rate of a clock: the slowest for position 0, the fastest for position 1.
 func (r *handoverRun) clockRate(position float64) float64 {
 	return 1 + r.maxRateDeviation*(2*position-1)
 }
 
-// Run runs until there were MaxHandovers, or until two routers acted at once.
+// Run simulates until MaxHandovers handovers have happened, two routers have acted at once, or
+// maxHandoverTime has passed.
 func (o LeaseHandovers) Run() LeaseResult {
 	run := newHandoverRun(o)
 	for !run.finished() {
@@ -122,7 +123,8 @@
 	return r.outcome
 }
 
-// step delivers what has arrived, runs each router that is not paused, and advances the time.
+// step delivers the messages that have arrived, runs each router that is not paused, and
+// advances the time.
 func (r *handoverRun) step() {
 	for _, message := range r.takeArrived() {
 		r.deliver(message)
--- a/internal/experiment/lease_handovers_network.go
+++ b/internal/experiment/lease_handovers_network.go
@@ -6,34 +6,35 @@
 	"garnetline/internal/fleet/lease"
 )
 
-// The network of a run of LeaseHandovers. Times are in ms.
+// The network of a run of LeaseHandovers. Times are in ms. A name that ends in
+// OneIn is a probability: 1 in that number.
 const (
-	handoverLoss        = 0.03 // share of the messages that is lost
+	handoverLoss        = 0.03 // share of the messages that are lost
 	handoverMinDelay    = 0.5
-	handoverMeanJitter  = 2 // on top
+	handoverMeanJitter  = 2 // added to the delay
 	handoverLateOneIn   = 50
-	handoverMaxLateness = 200 // on top, of those that are late
+	handoverMaxLateness = 200 // added to the delay of late messages
 
 	handoverDuplicateOneIn = 30
 	handoverDuplicateDelay = 20 // after the first copy
 )
 
-// handoverMessage is a packet on its way. Exactly one of request, response and write is set.
+// handoverMessage is a packet in flight. Exactly one of request, response and write is set.
 type handoverMessage struct {
 	arrivesAt float64
-	router    int // index of the router that sent it or, of a response, that receives it
+	router    int // index of the sender, or of the receiver if it is a response
 	request   *lease.Request
 	response  *lease.Response
 	write     *fencedWrite
 }
 
-// fencedWrite is what a router sends to a server under the lease.
+// fencedWrite is a write that a router sends to a server under the lease.
 type fencedWrite struct {
-	token uint64
-	dueAt float64 // true time at which it is written, unless the router is paused then
+	token uint64  // fencing token
+	dueAt float64 // true time at which it is sent, or later if the router is paused
 }
 
-// send puts a message on its way, unless it is lost.
+// send schedules the arrival of a message, unless the message is lost or a partition stops it.
 func (r *handoverRun) send(message handoverMessage) {
 	lost := r.rng.Float64() < handoverLoss
 	if lost || r.partitioned(message) {
@@ -50,12 +51,13 @@
 	}
 }
 
-// partitioned tells whether a partition stops a message. Writes do not pass the registry.
+// partitioned reports whether a partition stops a message. A partition separates a router from
+// the registry only; writes go directly to a server.
 func (r *handoverRun) partitioned(message handoverMessage) bool {
 	return message.write == nil && r.now < r.routers[message.router].partitionedUntil
 }
 
-// deliver has the registry, a router or the receiver of writes handle a message.
+// deliver passes a message to the registry, a router or the receiver of writes.
 func (r *handoverRun) deliver(message handoverMessage) {
 	switch {
 	case message.write != nil:
@@ -67,11 +69,11 @@
 	}
 }
 
-// receiveWrite is the receiver of writes, which rejects those of an earlier holder.
+// receiveWrite handles a write at its receiver, which rejects writes of an earlier holder.
 func (r *handoverRun) receiveWrite(token uint64) {
 	highest := r.receiver[leaseName]
 	if r.options.Without == FencingTokens && token < highest {
-		r.outcome.Violation = fmt.Sprintf("at %.0f ms an act of token %d came after one of %d", r.now, token, highest)
+		r.outcome.Violation = fmt.Sprintf("at %.0f ms a write with fencing token %d arrived after one with token %d", r.now, token, highest)
 	}
 	if !r.receiver.Admit(leaseName, token) {
 		r.outcome.Rejected++
--- a/internal/experiment/lease_handovers_registry.go
+++ b/internal/experiment/lease_handovers_registry.go
@@ -6,13 +6,13 @@
 	"garnetline/internal/fleet/membership"
 )
 
-// handoverIncarnation is that of every router: none is restarted in a run.
+// handoverIncarnation is the incarnation of every router: no router restarts in a run.
 const handoverIncarnation = 1
 
-// leaderTime is what the clock of the registry's leader shows.
+// leaderTime returns the time in ms that the clock of the registry's leader shows.
 func (r *handoverRun) leaderTime() float64 { return r.now * r.leaderClockRate }
 
-// handleRequest is the registry: it handles a router's request and responds to it.
+// handleRequest is the registry's part: it handles a router's request and sends a response.
 func (r *handoverRun) handleRequest(router *handoverRouter, request lease.Request) {
 	granted := false
 	if request.Release {
@@ -33,8 +33,8 @@
 	r.send(handoverMessage{router: router.index, response: &response})
 }
 
-// applyRelease releases the lease, and notifies the router that it is transferred to. A
-// release under a token that is no longer the lease's changes nothing.
+// applyRelease releases the lease. If the lease is transferred, it notifies the router that
+// receives it. A release with an outdated fencing token changes nothing.
 func (r *handoverRun) applyRelease(holder membership.ID, request lease.Request) {
 	current := r.registry.Leases[leaseName]
 	if current == nil || current.Holder != holder || current.FencingToken != request.FencingToken {
@@ -48,7 +48,8 @@
 	}
 }
 
-// releaseCommand returns the command that releases the lease, or transfers it.
+// releaseCommand returns the command that releases the lease or, if the request names a router,
+// transfers the lease to that router.
 func releaseCommand(holder membership.ID, request lease.Request) *leaseregistry.Command {
 	if request.TransferTo == 0 {
 		return &leaseregistry.Command{Op: leaseregistry.OpRelease, Lease: leaseName, Holder: holder, ExpectedToken: request.FencingToken}
@@ -56,7 +57,7 @@
 	return &leaseregistry.Command{Op: leaseregistry.OpTransfer, Lease: leaseName, Holder: request.TransferTo, ExpectedToken: request.FencingToken}
 }
 
-// grantOrRenew tells whether a router holds the lease after its request.
+// grantOrRenew grants or renews the lease if the request allows it, and reports whether it did.
 func (r *handoverRun) grantOrRenew(router membership.ID, request lease.Request) bool {
 	current := r.registry.Leases[leaseName]
 	isHolder := current != nil && current.Holder == router
@@ -83,9 +84,9 @@
 	return true
 }
 
-// changeLeader elects another leader, with a clock of another rate.
+// changeLeader replaces the registry's leader by one whose clock runs at another rate.
 func (r *handoverRun) changeLeader() {
-	r.outcome.FaultsAndMoves++
+	r.outcome.FaultsAndTransfers++
 	r.leaderClockRate = r.clockRate(r.rng.Float64())
 	known := r.registry
 	if r.options.Without == NewLeaderRestartsLeases {
--- a/internal/experiment/lease_handovers_router.go
+++ b/internal/experiment/lease_handovers_router.go
@@ -7,20 +7,21 @@
 	"garnetline/internal/fleet/membership"
 )
 
-// What a router does while it holds the lease is drawn in each step.
+// In each step, random draws decide what a router does while it holds the lease.
 const (
-	writeOneIn       = 8
+	writeOneIn       = 8 // a write is decided with a probability of 1 in this number
 	maxPendingWrites = 4
-	maxWriteDelay    = 2 // ms from the decision to write until the write
+	maxWriteDelay    = 2 // ms from the decision to write until the write is sent
 
-	// One of so many numbers is drawn for what happens to a holder; most mean nothing.
+	// A number from 0 to holderDraws-1 selects what happens to a holder. Numbers that are not
+	// listed below have no effect.
 	holderDraws   = 100
-	transferDraws = 2 // the first two mean a transfer
+	transferDraws = 2 // numbers below this select a transfer
 	pauseDraw     = 2
 	partitionDraw = 3
 
-	holderFaultOneIn = 8    // of the pauses and partitions drawn
-	maxHolderFault   = 2500 // ms
+	holderFaultOneIn = 8    // one in this many selected pauses and partitions takes place
+	maxHolderFault   = 2500 // ms that a pause or partition lasts at most
 )
 
 // handoverRouter is a router of a run of LeaseHandovers.
@@ -29,11 +30,11 @@
 	index            int
 	id               membership.ID
 	clockRate        float64
-	pausedUntil      float64          // true time
-	partitionedUntil float64          // true time; from the registry, not from the receiver of writes
+	pausedUntil      float64          // true time, ms
+	partitionedUntil float64          // true time, ms; separated from the registry, not from the receiver of writes
 	queuedResponses  []lease.Response // received while paused
-	pendingWrites    []fencedWrite    // decided, and not written yet
-	wakeAt           float64          // by its clock
+	pendingWrites    []fencedWrite    // decided and not sent yet
+	wakeAt           float64          // ms, by the router's clock
 }
 
 func newHandoverRouter(settings lease.Settings, index int, ids []membership.ID, clockRate float64) *handoverRouter {
@@ -45,11 +46,11 @@
 	}
 }
 
-// localTime is what a router's clock shows.
+// localTime returns the time in ms that a router's clock shows.
 func (r *handoverRun) localTime(router *handoverRouter) float64 { return r.now * router.clockRate }
 
-// valid tells whether a router may act under the lease, as far as it can see by itself, and
-// under which fencing token.
+// valid reports whether a router may act under the lease, judged by the router's own clock and
+// state, and returns the fencing token of the lease.
 func (r *handoverRun) valid(router *handoverRouter) (token uint64, ok bool) {
 	if r.options.Without == HolderExpiry {
 		if _, token := router.Expiry(leaseName); token != 0 {
@@ -59,7 +60,7 @@
 	return router.Valid(r.localTime(router), leaseName)
 }
 
-// receiveResponse hands a response to its router, or queues it while the router is paused.
+// receiveResponse passes a response to its router, or queues it while the router is paused.
 func (r *handoverRun) receiveResponse(router *handoverRouter, response lease.Response) {
 	if r.now < router.pausedUntil {
 		router.queuedResponses = append(router.queuedResponses, response)
@@ -70,7 +71,7 @@
 }
 
 func (r *handoverRun) handleResponse(router *handoverRouter, response lease.Response) {
-	if r.options.Without == LeaseFromRequest { // as if the request had been sent when the response came
+	if r.options.Without == LeaseFromRequest { // as if the request had been sent when the response arrived
 		router.Backdate(leaseName, response.RequestID, r.localTime(router))
 	}
 	for _, change := range router.HandleResponse(r.localTime(router), response) {
@@ -80,7 +81,8 @@
 	}
 }
 
-// recordHandover records that a router holds the lease under a token that none had before.
+// recordHandover records that a router holds the lease under a new fencing token, and how long
+// no router held the lease before.
 func (r *handoverRun) recordHandover(token uint64) {
 	if r.lastHeldAt > 0 {
 		r.outcome.Gaps = append(r.outcome.Gaps, max(0, r.now-r.lastHeldAt))
@@ -88,10 +90,10 @@
 	r.latestToken = token
 }
 
-// runRouter has a router do what is due: its writes, the responses it received while paused,
-// its requests, and what a holder does.
+// runRouter runs what is due at a router: its pending writes, the responses it received while
+// paused, its requests and, if it holds the lease, the actions of a holder.
 func (r *handoverRun) runRouter(router *handoverRouter) {
-	// What was decided before a pause is written first, as a process does that resumes.
+	// Writes that were decided before a pause come first, as in a process that resumes.
 	r.writePending(router)
 	for _, response := range router.queuedResponses {
 		r.handleResponse(router, response)
@@ -105,8 +107,8 @@
 	}
 }
 
-// writePending writes what is due, unless the check just before a write finds that the lease
-// is not valid any more.
+// writePending sends the writes that are due. The check just before a write drops it if the
+// lease is no longer valid.
 func (r *handoverRun) writePending(router *handoverRouter) {
 	for len(router.pendingWrites) > 0 && router.pendingWrites[0].dueAt <= r.now {
 		write := router.pendingWrites[0]
@@ -120,14 +122,14 @@
 	}
 }
 
-// write sends a write. No other router may be able to act at this moment: a successor must
-// not have begun.
+// write sends a write, and records a violation if another router that is not paused may also
+// act under the lease at this moment.
 func (r *handoverRun) write(router *handoverRouter, write fencedWrite) {
 	r.outcome.Writes++
 	for _, other := range r.routers {
 		token, ok := r.valid(other)
 		if ok && other != router && r.now >= other.pausedUntil {
-			r.outcome.Violation = fmt.Sprintf("at %.0f ms router %d wrote under token %d while %d holds %d", r.now, router.id, write.token, other.id, token)
+			r.outcome.Violation = fmt.Sprintf("at %.0f ms router %d wrote under fencing token %d while router %d held token %d", r.now, router.id, write.token, other.id, token)
 		}
 	}
 	r.send(handoverMessage{router: router.index, write: &write})
@@ -141,8 +143,8 @@
 	}
 }
 
-// actAsHolder decides writes and, while the router can reach the registry, draws a transfer
-// or a fault. A partitioned holder writes until its lease expires.
+// actAsHolder randomly decides writes and, while the router can reach the registry, a transfer
+// or a fault. A holder that is partitioned from the registry writes until its lease expires.
 func (r *handoverRun) actAsHolder(router *handoverRouter, token uint64) {
 	r.lastHeldAt = r.now
 	if len(router.pendingWrites) < maxPendingWrites && r.rng.IntN(writeOneIn) == 0 {
@@ -162,17 +164,18 @@
 }
 
 func (r *handoverRun) transferToRandomRouter(router *handoverRouter) {
-	r.outcome.FaultsAndMoves++
+	r.outcome.FaultsAndTransfers++
 	target := r.routers[r.rng.IntN(len(r.routers))].id
 	router.Release(r.localTime(router), leaseName, target, nil)
 	router.wakeAt = 0
 }
 
-// injectFault draws whether a fault begins now, and sets until when it lasts.
+// injectFault draws whether a fault begins now. If it does, injectFault sets until to the time
+// at which the fault ends, in ms of true time.
 func (r *handoverRun) injectFault(until *float64) {
 	if r.rng.IntN(holderFaultOneIn) != 0 {
 		return
 	}
-	r.outcome.FaultsAndMoves++
+	r.outcome.FaultsAndTransfers++
 	*until = r.now + maxHolderFault*r.rng.Float64()
 }
--- a/internal/experiment/lease_handovers_test.go
+++ b/internal/experiment/lease_handovers_test.go
@@ -5,13 +5,14 @@
 	"testing"
 )
 
-// handoversOf runs three routers whose clocks drift as far as the settings allow.
+// handoversOf simulates 500 handovers between three routers whose clocks drift as far as the
+// settings allow.
 func handoversOf(seed uint64, without Safeguard) LeaseResult {
 	return LeaseHandovers{Seed: seed, Without: without, ClockDrift: 1, Routers: 3, MaxHandovers: 500}.Run()
 }
 
-// Guards against two routers that act under one lease at once, in runs in which the fencing
-// tokens and the check at the write had something to stop.
+// With all safeguards, no two routers act under one lease at once. The runs also have writes
+// that the fencing tokens and the check at the write stop, so that both are exercised.
 func TestHandoversWithAllSafeguards(t *testing.T) {
 	for seed := uint64(1); seed <= 4; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -20,19 +21,19 @@
 				t.Errorf("violation %q, want none", result.Violation)
 			}
 			if result.Handovers < 500 {
-				t.Errorf("%d handovers, want 500", result.Handovers)
+				t.Errorf("%d handovers, want at least 500", result.Handovers)
 			}
 			if result.Rejected == 0 {
-				t.Errorf("0 of %d writes were rejected by their token, want some", result.Writes)
+				t.Errorf("0 of %d writes were rejected because of their fencing token, want at least 1", result.Writes)
 			}
 			if result.StoppedAtWrite == 0 {
-				t.Errorf("0 writes were stopped by the check before them, %d written, want some", result.Writes)
+				t.Errorf("0 writes were stopped by the check at the write and %d were sent, want at least 1 stopped", result.Writes)
 			}
 		})
 	}
 }
 
-// Guards against runs that would not notice a missing safeguard.
+// Each safeguard is necessary: without it, some run with two routers acting at once is found.
 func TestHandoversFindMissingSafeguard(t *testing.T) {
 	const seeds = 40
 	for _, safeguard := range Safeguards {
@@ -43,7 +44,7 @@
 					return
 				}
 			}
-			t.Errorf("no violation in %d runs without it, want one", seeds)
+			t.Errorf("no violation in %d runs without the safeguard, want at least 1", seeds)
 		})
 	}
 }
--- a/internal/experiment/lease_search.go
+++ b/internal/experiment/lease_search.go
@@ -7,45 +7,50 @@
 	"strings"
 )
 
-// LeaseSearch visits every state that two routers and one registry can reach. At any moment
-// time may pass or not, a router may be stepped or not, a message may arrive, wait behind
-// others, be lost or be duplicated, a router may decide a write and write it later, crash, or
-// transfer the lease, and another leader may be elected. The routers' clocks run at three
-// quarters and at four thirds of the leader's rate, which the settings allow for.
+// LeaseSearch visits every state that two routers and one registry can reach. In each state:
+//
+//   - time may pass;
+//   - a router may be stepped, decide a write, send a write decided before, crash, or transfer
+//     the lease;
+//   - a message may arrive in any order, be lost or be duplicated;
+//   - another leader may be elected.
+//
+// The routers' clocks run at three quarters and at four thirds of the rate of the leader's clock,
+// which the settings of a search allow for.
 type LeaseSearch struct {
-	Without      Safeguard // switched off in this search
-	MaxInFlight  int       // messages on their way at one time; more are lost
+	Without      Safeguard // the safeguard that is switched off in this search
+	MaxInFlight  int       // messages in flight at one time; further messages are dropped
 	MaxFaults    int       // messages that are lost or duplicated
-	MaxCrashes   int       // of routers, and changes of the leader
+	MaxCrashes   int       // crashes of routers and changes of the leader, together
 	MaxTransfers int
 	MaxGrants    uint64 // commands that the registry applies
-	MaxStates    int    // visited at most; 0: all there are
+	MaxStates    int    // states visited at most; 0: no limit
 }
 
-// SearchResult is what a search saw.
+// SearchResult is the result of a LeaseSearch.
 type SearchResult struct {
-	States    int      // visited
-	Moves     int      // from one state to another, known before or not
-	Depth     int      // moves from the start to the state that is furthest from it
-	Complete  bool     // all states that can be reached were visited
-	Violation string   // two routers that could act at once; empty: none was found
+	States    int      // states visited
+	Moves     int      // moves tried, also those that lead to a state visited before
+	Depth     int      // moves from the start to the state that is farthest from it
+	Complete  bool     // all reachable states were visited
+	Violation string   // describes a state in which two routers could act at once; empty: none was found
 	Schedule  []string // the moves that lead to the violation
 }
 
-// searchMove is a move that led to a state, for the schedule of a violation.
+// searchMove is the move that led to a state. The schedule of a violation is made of such moves.
 type searchMove struct {
-	previous    int // index of the move before; noMove: none
+	previous    int // index of the previous move; noMove: there is none
 	description string
 }
 
-// noMove is the index before that of the first move, which is the start itself.
+// noMove is the index of the move before the start.
 const noMove = -1
 
 // searchRun is the state of one search.
 type searchRun struct {
 	options   LeaseSearch
 	visited   map[uint64]bool // by fingerprint
-	moves     []searchMove    // that led to the states visited
+	moves     []searchMove    // the moves that led to the visited states
 	nextLevel []*searchState  // the states one move further from the start
 	outcome   SearchResult
 }
@@ -54,7 +59,7 @@
 	return &searchRun{options: options, visited: map[uint64]bool{}}
 }
 
-// Run searches breadth first, so that a violation is found in the fewest moves.
+// Run searches breadth first, so that the violation it finds has a shortest schedule.
 func (o LeaseSearch) Run() SearchResult {
 	run := newSearchRun(o)
 	start := newSearchState(&run.options)
@@ -67,7 +72,8 @@
 	return run.result()
 }
 
-// searchLevel visits the states that follow those of one level, and returns the new ones.
+// searchLevel visits the successors of the states of one level, and returns those that had not
+// been visited before.
 func (r *searchRun) searchLevel(level []*searchState) []*searchState {
 	r.nextLevel = nil
 	for _, state := range level {
@@ -79,12 +85,12 @@
 	return r.nextLevel
 }
 
-// visit notes a state that follows from another by a move, unless it is known or the search
-// is over.
+// visit records a state and the move that led to it, and checks the state for a violation. It
+// ignores states that were visited before, and all states once the search is over.
 func (r *searchRun) visit(state *searchState, move searchMove) {
 	r.outcome.Moves++
 	fingerprint := state.fingerprint()
-	if r.visited[fingerprint] || r.outcome.Violation != "" || r.full() {
+	if r.visited[fingerprint] || r.outcome.Violation != "" || r.limitReached() {
 		return
 	}
 	r.visited[fingerprint] = true
@@ -97,12 +103,12 @@
 	r.nextLevel = append(r.nextLevel, state)
 }
 
-// full tells whether as many states were visited as may be.
-func (r *searchRun) full() bool {
+// limitReached reports whether MaxStates states were visited.
+func (r *searchRun) limitReached() bool {
 	return r.options.MaxStates > 0 && len(r.visited) >= r.options.MaxStates
 }
 
-// scheduleTo returns the descriptions of the moves from the start up to one.
+// scheduleTo returns the descriptions of the moves from the start to the move with an index.
 func (r *searchRun) scheduleTo(moveIndex int) []string {
 	var schedule []string
 	for moveIndex > 0 {
@@ -115,11 +121,11 @@
 
 func (r *searchRun) result() SearchResult {
 	r.outcome.States = len(r.visited)
-	r.outcome.Complete = r.outcome.Violation == "" && !r.full()
+	r.outcome.Complete = r.outcome.Violation == "" && !r.limitReached()
 	return r.outcome
 }
 
-// Row returns a search as a row of a Markdown table.
+// Row formats a search and its result as a row of a Markdown table.
 func (o LeaseSearch) Row(result SearchResult) string {
 	found := "nothing"
 	if result.Violation != "" {
@@ -130,7 +136,8 @@
 		result.States, result.Moves, result.Depth, result.Complete, found)
 }
 
-// joinSchedule joins the moves of a schedule, and counts one that is repeated.
+// joinSchedule joins the moves of a schedule with commas. Consecutive equal moves are written
+// once, with their number.
 func joinSchedule(schedule []string) string {
 	var parts []string
 	for start := 0; start < len(schedule); {
--- a/internal/experiment/lease_search_moves.go
+++ b/internal/experiment/lease_search_moves.go
@@ -10,9 +10,10 @@
 	"garnetline/internal/fleet/membership"
 )
 
-// The order of the moves decides which of two schedules of the same length is found.
+// The order in which the functions of this file try moves decides which of several shortest
+// schedules a search finds.
 
-// expand visits each state that may follow one.
+// expand visits each successor of a state.
 func (r *searchRun) expand(state *searchState) {
 	r.move(state, "time passes", func(next *searchState) { next.now += searchTick })
 	for router := range state.holders {
@@ -26,38 +27,39 @@
 	}
 }
 
-// move visits the state that follows from one by a change.
+// move visits the state that results from applying a change to a copy of a state.
 func (r *searchRun) move(state *searchState, description string, change func(next *searchState)) {
 	next := state.clone()
 	change(next)
-	next.dropUnawaited()
+	next.dropUnawaitedResponses()
 	r.visit(next, searchMove{previous: state.moveIndex, description: description})
 }
 
-// expandRouter visits what may follow from what one router does.
+// expandRouter visits the successors of a state that result from the actions of one router.
 func (r *searchRun) expandRouter(state *searchState, router int) {
 	name := fmt.Sprint("router ", router+1)
 	if state.stepDue(router) {
 		r.move(state, name+" steps", func(next *searchState) { next.stepRouter(router) })
 	}
 	token, ok := state.valid(router)
-	// With the check at the write, a write decided before can be written only where one
-	// decided now could be: those states need not be distinguished.
+	// With the check at the write, a pending write can be sent only in states in which a new
+	// write could be decided too, so pending writes need not be tracked.
 	if ok && state.pendingWrites[router] == 0 && r.options.Without == CheckAtWrite {
-		r.move(state, name+" decides an act", func(next *searchState) { next.pendingWrites[router] = token })
+		r.move(state, name+" decides a write", func(next *searchState) { next.pendingWrites[router] = token })
 	}
 	if state.pendingWrites[router] != 0 {
-		r.move(state, name+" writes it, or not", func(next *searchState) { next.pendingWrites[router] = 0 })
+		r.move(state, name+" sends or drops the write", func(next *searchState) { next.pendingWrites[router] = 0 })
 	}
 	if ok && state.transfers < r.options.MaxTransfers {
-		r.move(state, name+" hands on", func(next *searchState) { next.transferFrom(router) })
+		r.move(state, name+" transfers the lease", func(next *searchState) { next.transferFrom(router) })
 	}
 	if state.crashes < r.options.MaxCrashes {
-		r.move(state, name+" is started again", func(next *searchState) { next.restartRouter(router) })
+		r.move(state, name+" restarts", func(next *searchState) { next.restartRouter(router) })
 	}
 }
 
-// expandMessage visits what may follow from what becomes of one message on its way.
+// expandMessage visits the successors of a state in which one message in flight arrives, is lost
+// or is duplicated.
 func (r *searchRun) expandMessage(state *searchState, index int) {
 	message := state.inFlight[index]
 	name := fmt.Sprintf("a question of router %d", message.router+1)
@@ -75,13 +77,13 @@
 		next.faults++
 		next.removeMessage(index)
 	})
-	r.move(state, name+" arrives, and will again", func(next *searchState) {
+	r.move(state, name+" arrives and is duplicated", func(next *searchState) {
 		next.faults++
 		next.deliver(message)
 	})
 }
 
-// stepDue tells whether a router has something to do now.
+// stepDue reports whether a step of a router is due now.
 func (s *searchState) stepDue(router int) bool {
 	_, _, wakeAt := s.holders[router].Clone().Step(math.Inf(-1))
 	return wakeAt <= s.localTime(router)
@@ -116,7 +118,7 @@
 	s.expiry = lease.NewExpiryTracker(s.options.settings(), s.now, known)
 }
 
-// send puts a message on its way, unless there are too many.
+// send adds a message to those in flight. The message is dropped if MaxInFlight are in flight.
 func (s *searchState) send(message searchMessage) {
 	if len(s.inFlight) < s.options.MaxInFlight {
 		s.inFlight = append(s.inFlight, message)
@@ -127,15 +129,16 @@
 	s.inFlight = slices.Delete(s.inFlight, index, index+1)
 }
 
-// dropUnawaited drops responses that no router waits for any more: they change nothing.
-func (s *searchState) dropUnawaited() {
+// dropUnawaitedResponses removes responses that their router no longer waits for: they have no
+// effect, and removing them reduces the number of states.
+func (s *searchState) dropUnawaitedResponses() {
 	s.inFlight = slices.DeleteFunc(s.inFlight, func(message searchMessage) bool {
 		response := message.response
 		return response != nil && response.RequestID != 0 && !s.holders[message.router].AwaitsResponse(leaseName, response.RequestID)
 	})
 }
 
-// deliver has the registry or a router handle a message.
+// deliver passes a message to the registry or to a router.
 func (s *searchState) deliver(message searchMessage) {
 	if message.request != nil {
 		s.handleRequest(message.router, *message.request)
@@ -143,13 +146,13 @@
 	}
 	holder := s.holders[message.router]
 	now := s.localTime(message.router)
-	if s.options.Without == LeaseFromRequest { // as if the request had been sent when the response came
+	if s.options.Without == LeaseFromRequest { // as if the request had been sent when the response arrived
 		holder.Backdate(leaseName, message.response.RequestID, now)
 	}
 	holder.HandleResponse(now, *message.response)
 }
 
-// handleRequest is the registry: it handles a router's request and responds to it.
+// handleRequest is the registry's part: it handles a router's request and sends a response.
 func (s *searchState) handleRequest(router int, request lease.Request) {
 	incarnation := request.ID >> incarnationShift
 	granted := false
@@ -171,7 +174,8 @@
 	s.send(searchMessage{router: router, response: &response})
 }
 
-// apply applies a command to the registry, and tells whether it changed the lease.
+// apply applies a command to the registry, and reports whether the command succeeded. Commands
+// beyond MaxGrants fail.
 func (s *searchState) apply(command *leaseregistry.Command) bool {
 	if s.lastIndex >= s.options.MaxGrants {
 		return false
@@ -180,8 +184,8 @@
 	return s.registry.Apply(s.lastIndex, command) == nil
 }
 
-// applyRelease releases the lease, and notifies the router that it is transferred to. A
-// release under a token that is no longer the lease's changes nothing.
+// applyRelease releases the lease. If the lease is transferred, it notifies the router that
+// receives it. A release with an outdated fencing token changes nothing.
 func (s *searchState) applyRelease(holder membership.ID, request lease.Request) {
 	current := s.registry.Leases[leaseName]
 	if current == nil || current.Holder != holder || current.FencingToken != request.FencingToken {
@@ -193,7 +197,8 @@
 	}
 }
 
-// grantOrRenew tells whether a router's process was granted the lease, or renewed it.
+// grantOrRenew grants or renews the lease if the request allows it, and reports whether it did.
+// The lease belongs to one incarnation of a router.
 func (s *searchState) grantOrRenew(router membership.ID, incarnation uint64, request lease.Request) bool {
 	current := s.registry.Leases[leaseName]
 	isHolder := current != nil && current.Holder == router
--- a/internal/experiment/lease_search_state.go
+++ b/internal/experiment/lease_search_state.go
@@ -15,49 +15,49 @@
 const (
 	searchRouters = 2
 
-	// searchTick is how much of the leader's time passes in one move, in ms.
+	// searchTick is the time in ms, by the leader's clock, that passes in one move.
 	searchTick = 200.0
 
-	// fingerprintCapacity is about the bytes that are hashed of a state.
+	// fingerprintCapacity is the approximate number of bytes that are hashed for a state.
 	fingerprintCapacity = 256
 
-	// The IDs of a router's requests have its incarnation above this bit.
+	// incarnationShift is the lowest bit of the incarnation in the IDs of a router's requests.
 	incarnationShift = 32
 )
 
-// searchClockRates are the rates of the routers' clocks, by the leader's.
+// searchClockRates are the rates of the routers' clocks, relative to the leader's clock.
 var searchClockRates = [searchRouters]float64{0.75, 4.0 / 3}
 
-// searchState is one state of a search. What a router has decided to write is only its
-// fencing token: whether it may be written is judged in each state.
+// searchState is one state of a search. A pending write is represented by its fencing token
+// alone; each state checks anew whether the write may still be sent.
 type searchState struct {
 	options *LeaseSearch
 
 	now           float64 // ms, by the leader's clock
 	holders       [searchRouters]*lease.Holder
-	pendingWrites [searchRouters]uint64 // fencing token of the write decided and not written yet; 0: none
+	pendingWrites [searchRouters]uint64 // fencing token of a write that is decided and not sent yet; 0: none
 	incarnations  [searchRouters]uint64
 
 	registry  *leaseregistry.State
-	lastIndex uint64 // of the commands that were applied
+	lastIndex uint64 // of the last command applied
 	expiry    *lease.ExpiryTracker
 
 	inFlight  []searchMessage
-	faults    int
-	crashes   int
-	transfers int
+	faults    int // lost and duplicated messages so far
+	crashes   int // crashes and leader changes so far
+	transfers int // so far
 
-	moveIndex int // of the move that led here first
+	moveIndex int // index of the move that first led to this state
 }
 
-// searchMessage is a message on its way. Either request or response is set.
+// searchMessage is a message in flight. Either request or response is set.
 type searchMessage struct {
-	router   int // index of the router that sent it or, of a response, that receives it
+	router   int // index of the sender, or of the receiver if it is a response
 	request  *lease.Request
 	response *lease.Response
 }
 
-// Kinds of messages in a fingerprint.
+// Prefixes that distinguish the kinds of messages in a fingerprint.
 const (
 	fingerprintRequest byte = iota
 	fingerprintResponse
@@ -72,7 +72,7 @@
 	return state
 }
 
-// settings are short periods, so that few ticks pass until a lease expires.
+// settings returns settings with short periods, so that a lease expires after few ticks.
 func (o *LeaseSearch) settings() lease.Settings {
 	settings := lease.Settings{TTL: 400, SafetyMargin: 50, MaxClockDrift: 0.25, RetryInterval: 200, MaxBackoff: 400}
 	if o.Without == LeaseMargin {
@@ -82,7 +82,7 @@
 	return settings
 }
 
-// startRouter starts a process of a router, as its next incarnation.
+// startRouter starts the process of a router with its next incarnation.
 func (s *searchState) startRouter(router int) {
 	s.incarnations[router]++
 	holder := lease.NewHolder(s.options.settings(), routerID(router), s.incarnations[router]<<incarnationShift)
@@ -90,13 +90,13 @@
 	s.holders[router] = holder
 }
 
-// routerID returns the ID of the router of an index.
+// routerID returns the ID of the router with an index.
 func routerID(index int) membership.ID { return membership.ID(index + 1) }
 
-// localTime is what a router's clock shows.
+// localTime returns the time in ms that a router's clock shows.
 func (s *searchState) localTime(router int) float64 { return s.now * searchClockRates[router] }
 
-// clone returns a copy that is independent from here on.
+// clone returns a copy that shares no mutable data with s.
 func (s *searchState) clone() *searchState {
 	clone := *s
 	for router, holder := range s.holders {
@@ -107,14 +107,14 @@
 	clone.registry = leaseregistry.New()
 	if current := s.registry.Leases[leaseName]; current != nil {
 		copied := *current
-		copied.Losses = map[membership.ID]uint64{} // a search counts no losses
+		copied.Losses = map[membership.ID]uint64{} // a search does not count losses of the lease
 		clone.registry.Leases[leaseName] = &copied
 	}
 	return &clone
 }
 
-// valid tells whether a router may act under the lease, as far as it can see by itself, and
-// under which fencing token.
+// valid reports whether a router may act under the lease, judged by the router's own clock and
+// state, and returns the fencing token of the lease.
 func (s *searchState) valid(router int) (token uint64, ok bool) {
 	if s.options.Without == HolderExpiry {
 		if _, token := s.holders[router].Expiry(leaseName); token != 0 {
@@ -124,8 +124,8 @@
 	return s.holders[router].Valid(s.localTime(router), leaseName)
 }
 
-// violation describes what must not be: two routers that can both write now. A write decided
-// before counts if it passes the check just before it is written.
+// violation returns a description if both routers can write now, which must never happen, and
+// "" otherwise. A pending write counts if it would pass the check at the write.
 func (s *searchState) violation() string {
 	for router := range s.holders {
 		token, ok := s.valid(router)
@@ -138,13 +138,13 @@
 	return fmt.Sprintf("after %.0f ms both can act", s.now)
 }
 
-// fingerprint returns a hash of all that decides what may follow from a state. Two states with
-// the same fingerprint are taken for one.
+// fingerprint returns a hash of everything that determines the successors of a state. The search
+// treats two states with the same fingerprint as equal.
 func (s *searchState) fingerprint() uint64 {
 	b := make([]byte, 0, fingerprintCapacity)
 	for router, holder := range s.holders {
-		answerable := func(requestID uint64) bool { return s.concerns(router, requestID) }
-		b = holder.AppendFingerprint(b, s.localTime(router), answerable)
+		requestInFlight := func(requestID uint64) bool { return s.isInFlight(router, requestID) }
+		b = holder.AppendFingerprint(b, s.localTime(router), requestInFlight)
 		b = appendNumbers(b, s.pendingWrites[router], s.incarnations[router])
 	}
 	if current := s.registry.Leases[leaseName]; current != nil {
@@ -163,8 +163,8 @@
 	return b
 }
 
-// concerns tells whether a request of a router, or a response to it, is on its way.
-func (s *searchState) concerns(router int, requestID uint64) bool {
+// isInFlight reports whether a request of a router, or the response to it, is in flight.
+func (s *searchState) isInFlight(router int, requestID uint64) bool {
 	return slices.ContainsFunc(s.inFlight, func(message searchMessage) bool {
 		if message.router != router {
 			return false
@@ -176,8 +176,8 @@
 	})
 }
 
-// messagesFingerprint is the same for the same messages on their way, whichever was sent
-// first: any of them may arrive next.
+// messagesFingerprint encodes the messages in flight. It does not depend on the order in which
+// they were sent, because any of them may arrive next.
 func (s *searchState) messagesFingerprint() []byte {
 	var encoded [][]byte
 	for _, message := range s.inFlight {
--- a/internal/experiment/lease_search_test.go
+++ b/internal/experiment/lease_search_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Guards against a state in which two routers can act at once, and against a search that would
-// not notice a missing safeguard within as many states.
+// With all safeguards, no visited state lets two routers act at once. Without any one of the
+// safeguards, the search finds such a state within the same number of states.
 func TestSearchFindsMissingSafeguard(t *testing.T) {
 	for _, safeguard := range SearchedSafeguards {
 		t.Run(cmp.Or(string(safeguard), "none"), func(t *testing.T) {
@@ -15,16 +15,16 @@
 			found := result.Violation != ""
 			wantFound := safeguard != NoSafeguard
 			if found != wantFound {
-				t.Errorf("violation %q by %v in %d states, want one: %t", result.Violation, result.Schedule, result.States, wantFound)
+				t.Errorf("violation %q with schedule %v in %d states, want a violation: %t", result.Violation, result.Schedule, result.States, wantFound)
 			}
 			if !found && result.States < search.MaxStates {
-				t.Errorf("%d states, want %d", result.States, search.MaxStates)
+				t.Errorf("visited %d states, want at least %d", result.States, search.MaxStates)
 			}
 		})
 	}
 }
 
-// Within small bounds there are few enough states to visit them all.
+// With small bounds a search visits all reachable states.
 func TestSearchVisitsAllStates(t *testing.T) {
 	result := LeaseSearch{MaxInFlight: 1, MaxGrants: 1, MaxStates: 200_000}.Run()
 	if !result.Complete || result.Violation != "" || result.States < 1000 {
--- a/internal/experiment/load_reporting.go
+++ b/internal/experiment/load_reporting.go
@@ -2,59 +2,60 @@
 
 import "math"
 
-// Strategy is a way in which the routers of a zone learn the load of its servers. Its text is
-// printed in tables.
+// Strategy selects which routers of a zone probe its servers for their load. Its text is printed
+// in tables.
 type Strategy string
 
-// The strategies.
+// The strategies of load reporting.
 const (
 	ProbeByNobody    Strategy = "nobody"
 	ProbeByEverybody Strategy = "everybody"
-	ProbeByHash      Strategy = "by hash"  // the router that has the first rank in each router's own view
+	ProbeByHash      Strategy = "by hash"  // each router that has the first rank in its own view of the zone
 	ProbeByLease     Strategy = "by lease" // the router that holds a lease
 )
 
-// IntervalPolicy sets how often a router probes a server. Its text is printed in tables.
+// IntervalPolicy selects how often a router probes a server. Its text is printed in tables.
 type IntervalPolicy string
 
-// The interval policies.
+// The interval policies. The texts of the fixed ones name their interval in ms.
 const (
 	FixedShortInterval IntervalPolicy = "fixed 250"
 	FixedLongInterval  IntervalPolicy = "fixed 1000"
-	AdaptiveInterval   IntervalPolicy = "adaptive" // short after a change of the load, then longer
-	LoadedInterval     IntervalPolicy = "by need"  // short where the load is high
+	AdaptiveInterval   IntervalPolicy = "adaptive" // short after a change of the load, then increasing
+	LoadBasedInterval  IntervalPolicy = "by need"  // short while the load is high
 )
 
-// Strategies and IntervalPolicies are those that are compared.
+// Strategies and IntervalPolicies are the strategies and policies that are compared.
 var (
 	Strategies       = []Strategy{ProbeByNobody, ProbeByEverybody, ProbeByHash, ProbeByLease}
-	IntervalPolicies = []IntervalPolicy{FixedShortInterval, FixedLongInterval, AdaptiveInterval, LoadedInterval}
+	IntervalPolicies = []IntervalPolicy{FixedShortInterval, FixedLongInterval, AdaptiveInterval, LoadBasedInterval}
 )
 
-// LoadReporting is a run of 90 s in which the routers of a zone learn the load of its servers
-// by a Strategy. A router that probes a server reports the load to the others. The zone is
-// partitioned for the second third of the run; six in ten routers are on the registry's side.
-// A run needs three routers, so that there is one on either side.
+// LoadReporting is a run of 90 s of virtual time in which the routers of a zone learn the load
+// of its servers by a Strategy. A router that probes a server reports the load to the other
+// routers, unless every router probes. The zone is partitioned from 30 s to 60 s; six in ten
+// routers are on the registry's side. A run needs at least three routers, so that each side has
+// one.
 type LoadReporting struct {
 	Seed           uint64
 	Routers        int
 	Servers        int
 	Strategy       Strategy
 	IntervalPolicy IntervalPolicy
-	Unbatched      bool // each report is sent by itself
+	Unbatched      bool // each report is sent in a packet of its own
 }
 
-// LoadReportingResult is what a run of LoadReporting measured.
+// LoadReportingResult is the result of a run of LoadReporting.
 type LoadReportingResult struct {
-	ProbesPerSecond  float64 // in all
-	ProbesPerServer  float64 // a second, at the server that was probed most
-	PacketsPerSecond float64 // of reports, by the router that sent most
-	BytesPerSecond   float64 // of reports, by the router that sent most
-	MeanAge          float64 // ms, of the loads that routers know
-	MeanError        float64 // of the loads that routers know, as a share of a server's capacity
-	StaleShare       float64 // of the loads that are older than 2 s or were never known, among all
-	ConcurrentProbes int     // probes of the whole run while another router probed too
-	Uncovered        float64 // seconds in which no router probed
+	ProbesPerSecond  float64 // of all routers, at all servers
+	ProbesPerServer  float64 // probes per second at the server that was probed most
+	PacketsPerSecond float64 // packets of reports sent by the router that sent most
+	BytesPerSecond   float64 // bytes of reports sent by the router that sent most
+	MeanAge          float64 // ms; of the loads that routers know, without the stale ones
+	MeanError        float64 // of the loads that routers know, without the stale ones; as a share of a server's capacity
+	StaleShare       float64 // share of the loads that are older than 2 s or were never known
+	ConcurrentProbes int     // probes of the whole run made while several routers were probing
+	UnprobedSeconds  float64 // seconds in which no router probed
 }
 
 // Times in ms, from the start of a run.
@@ -64,29 +65,29 @@
 	loadPartitionEnd   = 60_000.0
 	loadTick           = 10.0
 
-	// Routers learn later that the zone was partitioned, and that the partition healed.
+	// Delays until routers detect that the zone was partitioned and that the partition healed.
 	partitionDetectionTime = 3000.0
 	healDetectionTime      = 1500.0
 )
 
-// Probe intervals in ms, and the rules by which the policies choose among them.
+// Probe intervals in ms, and the parameters by which the policies choose an interval.
 const (
 	shortProbeInterval  = 250.0
 	longProbeInterval   = 1000.0
-	adaptiveGrowth      = 1.5
-	adaptiveLoadChange  = 0.1 // above it the interval is short again
-	loadedThreshold     = 0.6 // load from which routers shed requests of low priority
+	adaptiveGrowth      = 1.5 // factor from one interval to the next
+	adaptiveLoadChange  = 0.1 // a larger change of the load makes the interval short again
+	highLoadThreshold   = 0.6 // load above which routers shed requests of low priority
 	firstProbeMaxOffset = 1000.0
 )
 
-// probeSchedule is when a router probes a server.
+// probeSchedule is the schedule on which a router probes a server. Times are in ms.
 type probeSchedule struct {
 	nextAt   float64
-	interval float64 // 0: not probed yet
+	interval float64 // 0: the server was not probed yet
 	lastLoad float64
 }
 
-// advance sets the next probe after one at now, which measured a load.
+// advance schedules the next probe after a probe at now that measured a load.
 func (s *probeSchedule) advance(now float64, policy IntervalPolicy, load float64) {
 	s.interval = s.nextInterval(policy, load)
 	s.nextAt = now + s.interval
@@ -99,8 +100,8 @@
 		return shortProbeInterval
 	case FixedLongInterval:
 		return longProbeInterval
-	case LoadedInterval:
-		if load > loadedThreshold {
+	case LoadBasedInterval:
+		if load > highLoadThreshold {
 			return shortProbeInterval
 		}
 		return longProbeInterval
--- a/internal/experiment/load_reporting_run.go
+++ b/internal/experiment/load_reporting_run.go
@@ -9,25 +9,25 @@
 	"garnetline/internal/fleet/membership"
 )
 
-// How the load of a server changes: it returns to the usual load, and now and then a burst
-// fills the server for seconds. Times are in ms.
+// The load of a server approaches usualLoad, and burstLoad during random bursts of up to
+// maxBurstTime. Times are in ms.
 const (
 	usualLoad         = 0.4
 	burstLoad         = 1.0
 	meanBurstInterval = 30_000.0
 	maxBurstTime      = 5000.0
 	loadTimeConstant  = 800.0
-	loadNoise         = 0.01 // standard deviation of what is added in a tick
+	loadNoise         = 0.01 // standard deviation of the noise added in each tick
 )
 
-// Bytes on the wire: of a packet of reports the headers of IP and UDP, the header and the
-// encryption of the fleet's packets, and of each report in it.
+// Bytes on the wire. A packet of reports has the headers of IP and UDP, the header of the fleet's
+// packets, and the overhead of their encryption; each report adds reportBytes.
 const (
 	reportPacketBytes = 28.0 + 41.0 + 20.0
 	reportBytes       = 20.0
 )
 
-// What routers know is sampled at intervals once the run has settled. Times are in ms.
+// The loads that routers know are sampled periodically once the run has settled. Times are in ms.
 const (
 	loadSamplesFrom    = 10_000.0
 	loadSampleInterval = 370
@@ -37,26 +37,26 @@
 // loadReport is a server's load as a router measured it.
 type loadReport struct {
 	load       float64
-	measuredAt float64
+	measuredAt float64 // ms
 }
 
 // loadedServer is a server whose load is probed.
 type loadedServer struct {
 	load      float64 // share of its capacity
-	burstLeft float64 // ms; not above 0: there is no burst
-	probes    float64 // that it received
+	burstLeft float64 // ms until the burst ends; not above 0: there is no burst
+	probes    float64 // probes received so far
 }
 
 // loadRouter is a router that probes servers or receives reports.
 type loadRouter struct {
 	id           membership.ID
-	registrySide bool // of the partition
+	registrySide bool // it is on the registry's side of the partition
 	holder       *lease.Holder
 	schedules    []probeSchedule    // by server
 	known        []loadReport       // by server
-	pending      map[int]loadReport // by server; measured and not reported yet
-	nextReportAt float64
-	probing      bool // in this tick
+	pending      map[int]loadReport // by server; loads that were measured and not reported yet
+	nextReportAt float64            // ms
+	probing      bool               // it probes in this tick
 	packetsSent  float64
 	bytesSent    float64
 }
@@ -70,20 +70,20 @@
 	routers  []*loadRouter
 	views    [viewCount]zoneView
 	registry *loadReportingRegistry
-	probers  int // routers that probe in this tick
+	probers  int // number of routers that probe in this tick
 	samples  loadSamples
 	outcome  LoadReportingResult
 }
 
-// loadSamples are sums over the samples of what the routers know.
+// loadSamples are sums over all samples of the loads that routers know.
 type loadSamples struct {
 	count      float64
 	staleCount float64
-	ages       float64 // ms; of those that are not stale
-	errors     float64 // of those that are not stale
+	ages       float64 // ms; of the samples that are not stale
+	errors     float64 // of the samples that are not stale; as shares of a server's capacity
 }
 
-// Run runs 90 virtual seconds.
+// Run simulates 90 s of virtual time.
 func (o LoadReporting) Run() LoadReportingResult {
 	run := newLoadReportingRun(o)
 	for run.now = 0; run.now < loadRunTime; run.now += loadTick {
@@ -116,8 +116,8 @@
 	return run
 }
 
-// initServers sets up what a router knows of servers: nothing. The first probes are spread,
-// so that no two are in step.
+// initServers initializes a router's records of the servers: it knows no load yet. The times of
+// the first probes are random, so that probes are not synchronized.
 func (r *loadReportingRun) initServers(router *loadRouter) {
 	router.known = make([]loadReport, len(r.servers))
 	router.schedules = make([]probeSchedule, len(r.servers))
@@ -127,7 +127,7 @@
 	}
 }
 
-// tick runs the servers and the routers for one tick.
+// tick advances the servers and the routers by one tick.
 func (r *loadReportingRun) tick() {
 	for server := range r.servers {
 		r.changeLoad(&r.servers[server])
@@ -157,7 +157,7 @@
 	server.load += (target-server.load)*loadTick/loadTimeConstant + loadNoise*r.rng.NormFloat64()
 }
 
-// chooseProbers sets which routers probe in this tick.
+// chooseProbers determines which routers probe in this tick.
 func (r *loadReportingRun) chooseProbers() {
 	r.probers = 0
 	for index, router := range r.routers {
@@ -167,11 +167,11 @@
 		}
 	}
 	if r.probers == 0 {
-		r.outcome.Uncovered += loadTick / msPerSecond
+		r.outcome.UnprobedSeconds += loadTick / msPerSecond
 	}
 }
 
-// probes tells whether a router probes now.
+// probes reports whether a router probes now.
 func (r *loadReportingRun) probes(index int, router *loadRouter) bool {
 	switch r.options.Strategy {
 	case ProbeByNobody:
@@ -185,7 +185,7 @@
 	}
 }
 
-// probeDue has a router probe the servers that are due.
+// probeDue makes a router probe the servers whose next probe is due.
 func (r *loadReportingRun) probeDue(router *loadRouter) {
 	for server := range r.servers {
 		if router.schedules[server].nextAt <= r.now {
@@ -208,7 +208,8 @@
 	}
 }
 
-// reportDue has a router send its pending reports to the others that it sees, if it is time.
+// reportDue makes a router send its pending reports to the other routers in its view, if a report
+// is due.
 func (r *loadReportingRun) reportDue(router *loadRouter) {
 	if r.now < router.nextReportAt || len(router.pending) == 0 {
 		return
@@ -241,7 +242,7 @@
 	}
 }
 
-// sample adds what each router knows of each server now.
+// sample adds the load that each router knows of each server now.
 func (r *loadReportingRun) sample() {
 	for _, router := range r.routers {
 		for server, known := range router.known {
--- a/internal/experiment/load_reporting_table.go
+++ b/internal/experiment/load_reporting_table.go
@@ -6,17 +6,17 @@
 	"io"
 )
 
-// loadReportingHeader is the head of the table of LoadReportingTable.
+// loadReportingHeader is the header of the table that LoadReportingTable writes.
 const loadReportingHeader = "| routers | who asks | spacing | probes/s at all boxes, at one | reports/s and bytes/s of who sends most |" +
 	" age known, ms | off by | older than 2 s or unknown | probes while two ask | nobody asks, s of 90 |\n" +
 	"| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
 
-// loadReportingServers is the number of servers of each run of the table.
+// loadReportingServers is the number of servers in each run of the table.
 const loadReportingServers = 20
 
-// LoadReportingTable runs all strategies at several sizes of the zone, and all interval
-// policies where a lease holder probes. It writes the results as a Markdown table, and returns
-// the error of the writer.
+// LoadReportingTable runs all strategies with several numbers of routers, and all interval
+// policies with the strategy ProbeByLease. It writes the results as a Markdown table. The error
+// is that of the writer.
 func LoadReportingTable(w io.Writer) error {
 	var table bytes.Buffer
 	table.WriteString(loadReportingHeader)
@@ -46,7 +46,7 @@
 	return runs
 }
 
-// row returns a run as a row of the table.
+// row formats a run and its result as a row of the table.
 func (o LoadReporting) row(result LoadReportingResult) string {
 	strategy := string(o.Strategy)
 	if o.Unbatched {
@@ -55,5 +55,5 @@
 	return fmt.Sprintf("| %d | %s | %s | %.1f, %.1f | %.0f, %.0f | %.0f | %.3f | %.1f%% | %d | %.1f |\n",
 		o.Routers, strategy, o.IntervalPolicy,
 		result.ProbesPerSecond, result.ProbesPerServer, result.PacketsPerSecond, result.BytesPerSecond,
-		result.MeanAge, result.MeanError, 100*result.StaleShare, result.ConcurrentProbes, result.Uncovered)
+		result.MeanAge, result.MeanError, 100*result.StaleShare, result.ConcurrentProbes, result.UnprobedSeconds)
 }
--- a/internal/experiment/load_reporting_test.go
+++ b/internal/experiment/load_reporting_test.go
@@ -13,8 +13,8 @@
 	}{
 		"fixed short":                    {probed, FixedShortInterval, 0.5, 250},
 		"fixed long":                     {probed, FixedLongInterval, 0.9, 1000},
-		"low load":                       {probed, LoadedInterval, 0.6, 1000},
-		"high load":                      {probed, LoadedInterval, 0.61, 250},
+		"low load":                       {probed, LoadBasedInterval, 0.6, 1000},
+		"high load":                      {probed, LoadBasedInterval, 0.61, 250},
 		"adaptive, first probe":          {unprobed, AdaptiveInterval, 0, 250},
 		"adaptive, load as before":       {probed, AdaptiveInterval, 0.55, 900},
 		"adaptive, load has changed":     {probed, AdaptiveInterval, 0.65, 250},
@@ -30,7 +30,7 @@
 	}
 }
 
-// Guards against a partition that a router sees at once: failure detection takes a while.
+// A router's view follows the partition and its end only after the delay of failure detection.
 func TestViewDuringPartition(t *testing.T) {
 	run := newLoadReportingRun(LoadReporting{Seed: 1, Routers: 5, Servers: 1, Strategy: ProbeByHash, IntervalPolicy: AdaptiveInterval})
 	tests := map[string]struct {
--- a/internal/experiment/load_reporting_zone.go
+++ b/internal/experiment/load_reporting_zone.go
@@ -6,29 +6,29 @@
 	"garnetline/internal/fleet/membership"
 )
 
-// viewKind is which routers of the zone a router sees.
+// viewKind names the set of routers of the zone that a router sees.
 type viewKind int
 
 const (
 	wholeZone viewKind = iota
 	registrySideOnly
 	otherSideOnly
-	viewCount
+	viewCount // the number of kinds
 )
 
-// zoneView is the ranks of all routers, in the order of the run's routers, as those compute
-// them that have the same view.
+// zoneView has the ranks that routers with the same view of the zone compute. The ranks are in
+// the order of the run's routers.
 type zoneView struct {
 	first membership.ID // the router with the first rank
-	ranks []int         // -1: not in view
+	ranks []int         // -1: the router is not in the view
 }
 
-// onRegistrySide tells whether a router is on the registry's side of the partition: six in
-// ten are.
+// onRegistrySide reports whether the router with an index is on the registry's side of the
+// partition. Six in ten routers are.
 func onRegistrySide(index, routers int) bool { return index*10 < routers*6 }
 
-// newZoneViews returns the views of all routers while there is no partition, and of those on
-// either side while there is.
+// newZoneViews returns the view of the whole zone, and the views on the two sides of the
+// partition.
 func newZoneViews(routers []*loadRouter) [viewCount]zoneView {
 	var members [viewCount][]membership.ID
 	for _, router := range routers {
@@ -49,12 +49,13 @@
 	return views
 }
 
-// partitioned tells whether the zone is partitioned now.
+// partitioned reports whether the zone is partitioned now.
 func (r *loadReportingRun) partitioned() bool {
 	return r.now >= loadPartitionStart && r.now <= loadPartitionEnd
 }
 
-// viewOf returns which routers one sees: it learns late of the partition and of its end.
+// viewOf returns the view of a router, which changes only after the delay with which routers
+// detect the partition and its end.
 func (r *loadReportingRun) viewOf(router *loadRouter) viewKind {
 	switch {
 	case r.now < loadPartitionStart+partitionDetectionTime, r.now > loadPartitionEnd+healDetectionTime:
@@ -66,10 +67,11 @@
 	}
 }
 
-// holderStepInterval is how often a router steps its side of the lease, in ms.
+// holderStepInterval is the time in ms between two steps of a router's lease.Holder.
 const holderStepInterval = 100
 
-// holdsLease tells whether a router holds the lease now, and has it request or renew it.
+// holdsLease makes a router request or renew the lease when a step is due, and reports whether
+// it holds the lease now.
 func (r *loadReportingRun) holdsLease(index int, router *loadRouter) bool {
 	if int(r.now)%holderStepInterval == 0 {
 		router.holder.SetRank(r.now, leaseName, r.views[r.viewOf(router)].ranks[index])
@@ -84,10 +86,10 @@
 	return valid
 }
 
-// loadReportingRegistry is a lease registry in one process, which responds at once.
+// loadReportingRegistry is a lease registry in one process, which responds without delay.
 type loadReportingRegistry struct {
 	state     *leaseregistry.State
-	lastIndex uint64 // of the commands that were applied
+	lastIndex uint64 // of the last command applied
 	expiry    *lease.ExpiryTracker
 }
 
@@ -113,7 +115,7 @@
 	return response
 }
 
-// grant tells whether the registry has a router hold the lease now.
+// grant grants the lease to a router, and reports whether the registry accepted the command.
 func (g *loadReportingRegistry) grant(router membership.ID, current *leaseregistry.Lease) bool {
 	command := &leaseregistry.Command{Op: leaseregistry.OpGrant, Lease: leaseName, Holder: router, Incarnation: 1}
 	if current != nil {
--- a/internal/experiment/membership.go
+++ b/internal/experiment/membership.go
@@ -10,14 +10,14 @@
 	"garnetline/internal/fleet"
 )
 
-// Variant is a failure detector that is measured.
+// Variant is a failure detector that is compared with others.
 type Variant struct {
 	Name     string                // printed in tables and charts
-	Settings func() fleet.Settings // of the state machine; nil: every router pings every other
+	Settings func() fleet.Settings // of the state machine; nil: allPairsDetector is used instead
 }
 
-// Variants returns the variants that are compared: as built, without Lifeguard, and the
-// simplest detector.
+// Variants returns the variants that are compared: the production settings, the same without
+// Lifeguard, and allPairsDetector.
 func Variants() []Variant {
 	return []Variant{
 		{Name: "as built", Settings: fleet.DefaultSettings},
@@ -26,8 +26,8 @@
 	}
 }
 
-// settingsWithoutLifeguard returns settings with which a router trusts its own health, and
-// waits equally long for each suspicion to be refuted.
+// settingsWithoutLifeguard returns settings that switch off the Lifeguard extensions of SWIM: a
+// router does not adapt to its own health, and the time to refute a suspicion is fixed.
 func settingsWithoutLifeguard() fleet.Settings {
 	settings := fleet.DefaultSettings()
 	settings.Membership.MaxHealthScore = 0
@@ -40,45 +40,46 @@
 type Membership struct {
 	Sizes       []int
 	Seeds       int
-	Kills       int     // for each seed; fewer in fleets of over 30
-	QuietPeriod float64 // ms without a fault, in which traffic is measured
-	FaultPeriod float64 // ms under loss or pauses; shorter in fleets of over 30
-	Losses      []float64
+	Kills       int       // routers killed per seed; fewer in fleets of over 30
+	QuietPeriod float64   // ms without a fault, in which traffic is measured
+	FaultPeriod float64   // ms under loss or pauses; shorter in fleets of over 30
+	Losses      []float64 // shares of the packets that are lost, each measured separately
 }
 
-// Configuration is a variant at a size.
+// Configuration is a variant in a fleet of a size.
 type Configuration struct {
 	Variant string
 	Size    int
 }
 
-// MembershipResult is what was measured of a configuration, over all seeds.
+// MembershipResult is the result of a configuration over all seeds.
 type MembershipResult struct {
 	Configuration
 	FirstDetected    []float64 // ms from a kill until the first router detects it, sorted
-	KnownToAll       []float64 // ms from a kill until all routers know of it, sorted
-	PacketsPerSecond float64   // that a router sends
-	BytesPerSecond   float64   // that a router sends
-	MemoryBytes      float64   // of a router
+	KnownToAll       []float64 // ms from a kill until all routers have learned of it, sorted
+	PacketsPerSecond float64   // sent by a router, on average
+	BytesPerSecond   float64   // sent by a router, on average
+	MemoryBytes      float64   // on the heap, per router
 	FalsePositives   []FalsePositives
 }
 
-// FalsePositives is how often routers were wrongly suspected or held for failed under one
-// kind of fault, as reported by the routers that detected it first.
+// FalsePositives is how often live routers were suspected or marked as failed under one kind of
+// fault, as reported by the routers that detected it first.
 type FalsePositives struct {
-	Fault                string
-	SuspectedPerHour     float64 // in the whole fleet, of routers that did not pause
-	FailedPerHour        float64 // in the whole fleet, of routers that did not pause
-	StalledFailedPerHour float64 // in the whole fleet, of routers that paused
-	Hours                float64 // of virtual time
-	Suspicions           int     // of routers that did not pause
-	Failures             int     // of routers that did not pause
+	Fault               string
+	SuspectedPerHour    float64 // in the whole fleet, of routers that did not pause
+	FailedPerHour       float64 // in the whole fleet, of routers that did not pause
+	PausedFailedPerHour float64 // in the whole fleet, of routers that paused
+	Hours               float64 // of virtual time
+	Suspicions          int     // of routers that did not pause
+	Failures            int     // of routers that did not pause
 }
 
-// Limits for large fleets, whose packets are counted by the million.
+// Limits that shorten the measurement of large fleets, which send millions of packets, and of
+// allPairsDetector, whose packets grow with the square of the size.
 const (
 	smallFleet            = 30
-	largeFleet            = 300    // above it only the first variant is measured
+	largeFleet            = 300    // larger fleets are measured with the first variant only
 	minKills              = 2      // in fleets above smallFleet
 	maxQuietPeriod        = 10_000 // ms, in fleets above smallFleet
 	allPairsMaxSeeds      = 3
@@ -88,7 +89,8 @@
 	allPairsLargeMaxKills = 1      // in fleets above smallFleet
 )
 
-// forFleet returns what is measured of a variant at a size, which is less of large fleets.
+// forFleet returns the options for a variant in a fleet of a size: large fleets are measured for
+// a shorter time.
 func (o Membership) forFleet(variant Variant, size int) Membership {
 	allPairs := variant.Settings == nil
 	if size > smallFleet {
@@ -116,8 +118,8 @@
 	samples []membershipSample // by seed
 }
 
-// Run measures all configurations, as many seeds at a time as there are processors, and
-// writes on progress which are done.
+// Run measures all configurations. It runs GOMAXPROCS seeds in parallel, and writes a line to
+// progress for each seed that is done.
 func (o Membership) Run(progress io.Writer) []*MembershipResult {
 	runs := o.newRuns()
 	measureSamples(runs, progress)
@@ -128,8 +130,8 @@
 	return results
 }
 
-// newRuns returns the runs of all configurations. The larger fleets run with the first variant
-// alone: 1,000 routers that ping each other would send two million packets a second.
+// newRuns returns the runs of all configurations. Fleets above largeFleet run with the first
+// variant only: with allPairsDetector, 1,000 routers would send two million packets a second.
 func (o Membership) newRuns() []*membershipRun {
 	var runs []*membershipRun
 	for _, size := range o.Sizes {
@@ -164,7 +166,7 @@
 				run.samples[index] = run.measure(seed)
 				progressLock.Lock()
 				defer progressLock.Unlock()
-				// Nothing depends on the progress: an error of its writer ends no measurement.
+				// The progress is informational: an error of its writer does not end the measurement.
 				_, _ = fmt.Fprintf(progress, "%s, %d routers, seed %d\n", run.variant.Name, run.size, seed)
 			})
 		}
@@ -172,8 +174,8 @@
 	tasks.Wait()
 }
 
-// result returns what the samples show together, and measures the memory. It must run alone:
-// the memory is that of the process.
+// result aggregates the samples, and measures the memory. No other measurement may run at the
+// same time, because the memory is that of the whole process.
 func (m *membershipRun) result() *MembershipResult {
 	result := &MembershipResult{
 		Configuration: Configuration{Variant: m.variant.Name, Size: m.size},
--- a/internal/experiment/membership_report.go
+++ b/internal/experiment/membership_report.go
@@ -10,7 +10,7 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// MembershipTable writes the results as Markdown. It returns the error of the writer.
+// MembershipTable writes the results as Markdown tables. The error is that of the writer.
 func MembershipTable(w io.Writer, results []*MembershipResult) error {
 	var table bytes.Buffer
 	table.WriteString("| way | routers | first to know, ms: median, p99 | all know, ms: median, p99 | packets/s | bytes/s | KB held |\n")
@@ -27,14 +27,14 @@
 	for _, result := range results {
 		for _, counted := range result.FalsePositives {
 			fmt.Fprintf(&table, "| %s | %d | %s | %.0f | %.1f | %.0f | %.2f |\n", result.Variant, result.Size, counted.Fault,
-				counted.SuspectedPerHour, counted.FailedPerHour, counted.StalledFailedPerHour, counted.Hours)
+				counted.SuspectedPerHour, counted.FailedPerHour, counted.PausedFailedPerHour, counted.Hours)
 		}
 	}
 	_, err := w.Write(table.Bytes())
 	return err
 }
 
-// membershipChart is a chart of one value of the results, by the number of routers.
+// membershipChart is a chart of one value of the results over the number of routers.
 type membershipChart struct {
 	file   string
 	title  string
@@ -58,7 +58,7 @@
 	},
 }
 
-// fleetSizeTicks are the ticks of the axis of fleet sizes.
+// fleetSizeTicks are the ticks of the axis that shows the number of routers.
 var fleetSizeTicks = plot.ConstantTicks{{Value: 3, Label: "3"}, {Value: 30, Label: "30"}, {Value: 300, Label: "300"}, {Value: 1000, Label: "1,000"}}
 
 // MembershipCharts draws the results as SVG files in a directory.
--- a/internal/experiment/membership_run.go
+++ b/internal/experiment/membership_run.go
@@ -13,29 +13,30 @@
 	allPairsSettleTime  = 20_000.0
 	convergenceTimeout  = 60_000.0
 	convergencePoll     = 100.0
-	settleTime          = 20_000.0 // after convergence, until routers have verified each other
+	settleTime          = 20_000.0 // after convergence, for routers to verify each other
 	minKillInterval     = 500.0
 	killIntervalJitter  = 1000.0
 	detectionTimeout    = 60_000.0
 	detectionResolution = 10.0
 )
 
-// Seeds of the fleets under faults differ from those in which routers are killed.
+// Offsets that give the fleets under loss and with pauses other seeds than the fleets in which
+// routers are killed.
 const (
 	lossSeedOffset  = 100
 	pauseSeedOffset = 200
 )
 
-// pausingOneIn is how many routers there are for each that pauses now and then.
+// pausingOneIn is the share of the routers that pause at random: 1 in this number.
 const pausingOneIn = 20
 
-// membershipSample is what was measured of a configuration with one seed.
+// membershipSample is the result of a configuration with one seed.
 type membershipSample struct {
-	firstDetected    []float64 // ms; NaN: no router detected it in time
-	knownToAll       []float64 // ms
-	packetsPerSecond float64   // that a router sends
-	bytesPerSecond   float64   // that a router sends
-	falsePositives   []falsePositiveCounts
+	firstDetected    []float64             // ms; NaN: no router detected the failure within detectionTimeout
+	knownToAll       []float64             // ms
+	packetsPerSecond float64               // sent by a router, on average
+	bytesPerSecond   float64               // sent by a router, on average
+	falsePositives   []falsePositiveCounts // in the order of Membership.faults
 }
 
 // measure measures the configuration with one seed.
@@ -63,7 +64,7 @@
 	return sample
 }
 
-// newSettledFleet returns a fleet of a variant in which all routers know each other.
+// newSettledFleet starts a fleet of a variant, and runs it until all routers know each other.
 func newSettledFleet(variant Variant, size int, seed uint64) *netsim.Network {
 	network := netsim.New(seed)
 	if variant.Settings == nil {
@@ -77,7 +78,7 @@
 	return network
 }
 
-// measureMemory returns the bytes on the heap of a router in a settled fleet.
+// measureMemory returns the heap bytes per router of a settled fleet.
 func measureMemory(variant Variant, size int) float64 {
 	before := heapBytes()
 	network := newSettledFleet(variant, size, 1)
@@ -94,7 +95,8 @@
 	return float64(stats.HeapAlloc)
 }
 
-// measureTraffic measures what a router sends in a period without faults, in ms.
+// measureTraffic measures the traffic of a router in a period without faults. The period is in
+// ms.
 func (s *membershipSample) measureTraffic(network *netsim.Network, period float64) {
 	packetsBefore, bytesBefore := sentTotals(network)
 	network.Run(network.Now + period)
@@ -104,7 +106,7 @@
 	s.bytesPerSecond = float64(bytes-bytesBefore) / period * msPerSecond / routers
 }
 
-// sentTotals returns what all routers of a network have sent so far.
+// sentTotals returns the packets and bytes that all routers of a network have sent so far.
 func sentTotals(network *netsim.Network) (packets, bytes int64) {
 	for _, host := range network.Hosts {
 		packets += host.PacketsSent
@@ -113,8 +115,8 @@
 	return packets, bytes
 }
 
-// measureDetection kills a router at a random time, and measures how long it takes until one
-// and until all others hold it for failed.
+// measureDetection kills a router at a random time, and measures how long it takes until the
+// first other router and until all other routers see it as failed.
 func (s *membershipSample) measureDetection(network *netsim.Network, host *netsim.Host) {
 	network.Run(network.Now + minKillInterval + killIntervalJitter*network.Rng.Float64())
 	network.Kill(host)
--- a/internal/experiment/memory_fs.go
+++ b/internal/experiment/memory_fs.go
@@ -7,12 +7,12 @@
 	"garnetline/internal/fleet/consensus/wal"
 )
 
-// memoryFS is a voter's directory in memory, which counts what a disk would have to do. It
-// is not safe for concurrent use.
+// memoryFS is a voter's directory in memory. It counts the syncs and the bytes that a disk would
+// have. It is not safe for concurrent use.
 type memoryFS struct {
 	files    map[string][]byte
 	syncs    int
-	maxBytes int // of all files at one time
+	maxBytes int // largest total size of all files so far
 }
 
 func newMemoryFS() *memoryFS { return &memoryFS{files: map[string][]byte{}} }
@@ -26,13 +26,13 @@
 	return slices.Clone(content), nil
 }
 
-// Append opens a file to append to it, and creates it if there is none.
+// Append opens a file for appending, and creates it if it does not exist.
 func (m *memoryFS) Append(name string) (wal.File, error) {
 	m.files[name] = append(m.files[name], []byte{}...)
 	return &memoryFile{directory: m, name: name}, nil
 }
 
-// Rename renames a file, and replaces one that has the new name.
+// Rename renames a file, and replaces a file that has the new name.
 func (m *memoryFS) Rename(from, to string) error {
 	m.files[to] = m.files[from]
 	delete(m.files, from)
--- a/internal/experiment/quantile.go
+++ b/internal/experiment/quantile.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Quantile returns the q-th quantile of sorted values, for q from 0 to 1. It is NaN if there
-// are none.
+// Quantile returns the quantile q, from 0 to 1, of sorted values. It returns NaN if there are no
+// values.
 func Quantile(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return math.NaN()
--- a/internal/experiment/registry.go
+++ b/internal/experiment/registry.go
@@ -7,32 +7,32 @@
 	"garnetline/internal/fleet/consensus"
 )
 
-// Registry is a run of voters of the lease registry and of routers that hold leases, on one
-// virtual clock. It measures what leases cost the voters, and what a voter stores. All but
-// the heap follows from the seed.
+// Registry is a run of the lease registry's voters and of routers that hold leases, on one
+// virtual clock. It measures the cost of leases: messages, commands, disk writes and memory. The
+// seed determines all results except the heap.
 type Registry struct {
-	Seed               uint64
-	Voters             int
-	Routers            int
-	Leases             int
-	Settings           consensus.Settings
-	TransferInterval   float64 // mean ms between transfers of a lease; 0: there are none
-	AnswerLossInterval float64 // mean ms until a router receives no response for two TTLs; 0: it always does
+	Seed                 uint64
+	Voters               int
+	Routers              int
+	Leases               int
+	Settings             consensus.Settings
+	TransferInterval     float64 // mean ms between transfers of a lease; 0: no transfers
+	ResponseLossInterval float64 // mean ms between periods of two TTLs in which a router receives no responses; 0: no such periods
 }
 
-// RegistryResult is what a run of Registry measured.
+// RegistryResult is the result of a run of Registry.
 type RegistryResult struct {
 	GrantTimes    []float64 // ms from a router's first request until it holds the lease, sorted
 	TransferTimes []float64 // ms from the release until another router holds the lease, sorted
-	Requests      int       // of routers
-	Messages      int       // between voters
-	Bytes         int       // of the messages between voters
-	RequestBytes  int       // of requests and responses
+	Requests      int       // sent by routers
+	Messages      int       // sent between voters
+	Bytes         int       // total size of the messages between voters
+	RequestBytes  int       // total size of requests and responses
 	Commands      uint64    // applied by the leader
 	DiskSyncs     int       // of the leader's disk
-	DiskBytes     int       // stored on the leader's disk at most
+	DiskBytes     int       // largest size of the files on the leader's disk
 	Heap          []uint64  // bytes on the heap of this process, after each eighth of the run
-	LeasesHeld    int       // at the end
+	LeasesHeld    int       // leases held at the end of the run
 	SimulatedTime float64   // ms
 }
 
@@ -43,7 +43,7 @@
 	bytesPerMB     = 1 << 20
 )
 
-// Row returns a run as a row of a Markdown table.
+// Row formats a run and its result as a row of a Markdown table.
 func (o Registry) Row(result RegistryResult) string {
 	seconds := result.SimulatedTime / msPerSecond
 	perSecond := func(count int) float64 { return float64(count) / seconds }
@@ -59,7 +59,7 @@
 		result.Commands, result.DiskSyncs, float64(result.DiskBytes)/bytesPerKB, heap)
 }
 
-// quantileText returns a quantile of sorted values as text; "-" if there are none.
+// quantileText formats a quantile of sorted values. It returns "-" if there are no values.
 func quantileText(sorted []float64, q float64) string {
 	value := Quantile(sorted, q)
 	if math.IsNaN(value) {
--- a/internal/experiment/registry_run.go
+++ b/internal/experiment/registry_run.go
@@ -19,25 +19,26 @@
 // The network between voters and routers. Times are in ms.
 const (
 	registryMinDelay   = 0.3
-	registryMeanJitter = 0.3 // on top
+	registryMeanJitter = 0.3 // added to the delay
 )
 
 const (
-	// Routers start after as many election timeouts, when there is a leader, and faults begin
-	// after as many.
+	// Routers start after routerStartElections election timeouts, when there is a leader. Faults
+	// begin after faultStartElections election timeouts.
 	routerStartElections = 4
 	faultStartElections  = 8
 
-	// answerLossTTLs is for how many TTLs a router receives no responses.
-	answerLossTTLs = 2
+	// responseLossTTLs is the number of TTLs for which an isolated router receives no responses.
+	responseLossTTLs = 2
 
-	// releaseNotices is how many candidates learn that a lease was released.
+	// releaseNotices is the number of top-ranked routers that are notified when a lease is released.
 	releaseNotices = 4
 
+	// heapSamples is the number of times that a run samples the heap.
 	heapSamples = 8
 )
 
-// logOwner is stored in the voters' logs, whose sizes are measured.
+// logOwner is the owner that the voters' logs store. Its length counts in the measured sizes.
 const logOwner = "lab"
 
 // registryRun is the state of one run of Registry.
@@ -46,34 +47,35 @@
 	options Registry
 	rng     *rand.Rand
 	outcome RegistryResult
-	err     error // the first of a voter's
+	err     error // the error of a voter, which ends the run
 
 	voters    []*registryVoter
-	leader    int // index of the voter that led last
+	leader    int // index of the voter that was leader last
 	routers   []*registryRouter
 	routerIDs []membership.ID
 
 	leaseNames        []string
-	transferStartedAt map[string]float64 // by lease, until another router holds it
+	transferStartedAt map[string]float64 // ms, by lease; until another router holds the lease
 }
 
 // registryVoter is a voter with its disk.
 type registryVoter struct {
 	*consensus.Node
 	disk  *memoryFS
-	steps int // a timer is void if the voter was stepped since it was set
+	steps int // number of steps so far; a timer is ignored if the voter was stepped after it was set
 }
 
 // registryRouter is a router that requests leases.
 type registryRouter struct {
 	*lease.Holder
 	id               membership.ID
-	firstRequestAt   map[string]float64 // by lease, until it holds it
-	steps            int                // a timer is void if the router was stepped since it was set
-	unreachableUntil float64            // it receives no responses until then
+	firstRequestAt   map[string]float64 // ms, by lease; until the router holds the lease
+	steps            int                // number of steps so far; a timer is ignored if the router was stepped after it was set
+	unreachableUntil float64            // ms; the router receives no responses until then
 }
 
-// newRegistryRun returns a run whose voters, routers and faults are scheduled.
+// newRegistryRun returns a run with the starts of its voters, routers and faults scheduled. The
+// error is that of a voter's log or state machine.
 func newRegistryRun(options Registry) (*registryRun, error) {
 	run := &registryRun{
 		options:           options,
@@ -92,7 +94,7 @@
 	return run, nil
 }
 
-// Run runs for some virtual ms. It returns an error if a voter's log or state machine fails.
+// Run simulates ms of virtual time. It returns an error if a voter's log or state machine fails.
 func (o Registry) Run(ms float64) (RegistryResult, error) {
 	run, err := newRegistryRun(o)
 	if err != nil {
@@ -134,13 +136,13 @@
 	r.outcome.Heap = append(r.outcome.Heap, stats.HeapAlloc)
 }
 
-// electionTimeout is the shortest time in ms until a voter without a leader stands for
+// electionTimeout returns the shortest time in ms after which a voter without a leader starts an
 // election.
 func (r *registryRun) electionTimeout() float64 {
 	return r.options.Settings.TickInterval * float64(r.options.Settings.ElectionTicks)
 }
 
-// networkDelay draws how long a message takes.
+// networkDelay draws the random delay of a message, in ms.
 func (r *registryRun) networkDelay() float64 {
 	return registryMinDelay + r.rng.ExpFloat64()*registryMeanJitter
 }
@@ -158,15 +160,16 @@
 		r.voters = append(r.voters, voter)
 		r.after(0, func() { r.stepVoter(index, consensus.Input{}) })
 	}
-	// Raft draws its election timeouts from a source that cannot be seeded. None runs out here,
-	// as one voter is made a candidate at the start and its heartbeats are not lost.
+	// The raft library draws election timeouts from a source that cannot be seeded. No election
+	// timeout expires in this run, because one voter is made a candidate at the start and its
+	// heartbeats are not lost. So the seed determines the run.
 	first := r.rng.IntN(r.options.Voters)
 	campaign := &raftpb.Message{Type: raftpb.MsgTimeoutNow.Enum(), To: proto.Uint64(raftID(first))}
 	r.after(0, func() { r.stepVoter(first, consensus.Input{Message: campaign}) })
 	return nil
 }
 
-// raftID returns the raft ID of the voter of an index.
+// raftID returns the raft ID of the voter with an index.
 func raftID(index int) uint64 { return uint64(index + 1) }
 
 func newRegistryVoter(settings consensus.Settings, index int, names map[uint64]string) (*registryVoter, error) {
@@ -201,7 +204,7 @@
 	r.stepRouter(router)
 }
 
-// stepVoter steps a voter, and sends what it has for voters and routers.
+// stepVoter steps a voter, sends its messages, responses and notices, and sets its next timer.
 func (r *registryRun) stepVoter(index int, input consensus.Input) {
 	voter := r.voters[index]
 	output, err := voter.Step(r.now, input)
@@ -234,7 +237,7 @@
 
 // sendToVoter sends a message of one voter to another.
 func (r *registryRun) sendToVoter(message *raftpb.Message) {
-	sent := proto.Clone(message).(*raftpb.Message) // the voter may change it later
+	sent := proto.Clone(message).(*raftpb.Message) // a copy, because the voter may change the message later
 	r.outcome.Messages++
 	r.outcome.Bytes += proto.Size(sent)
 	to := int(sent.GetTo()) - 1
@@ -260,8 +263,8 @@
 	r.stepRouter(router)
 }
 
-// recordGrant records how long it took until a router holds a lease: since the lease was
-// released to be transferred, or since the router requested it first.
+// recordGrant records how long it took until a router held a lease: from the release if the lease
+// was transferred, and otherwise from the router's first request.
 func (r *registryRun) recordGrant(router *registryRouter, name string) {
 	releasedAt, transferred := r.transferStartedAt[name]
 	requestedAt, requested := router.firstRequestAt[name]
@@ -275,7 +278,7 @@
 	delete(router.firstRequestAt, name)
 }
 
-// stepRouter steps a router, and sends its requests to the leader.
+// stepRouter steps a router, sends its requests to the leader, and sets its next timer.
 func (r *registryRun) stepRouter(router *registryRouter) {
 	requests, _, wakeAt := router.Step(r.now)
 	for _, request := range requests {
@@ -300,7 +303,7 @@
 	r.after(r.networkDelay(), func() { r.stepVoter(r.leader, consensus.Input{Request: &received}) })
 }
 
-// holderOf returns the router that holds a lease now; nil: none does.
+// holderOf returns the router that holds a lease now, or nil if there is none.
 func (r *registryRun) holderOf(name string) *registryRouter {
 	for _, router := range r.routers {
 		if _, ok := router.Valid(r.now, name); ok {
@@ -310,18 +313,19 @@
 	return nil
 }
 
-// startFaults schedules the first transfer and the first loss of responses.
+// startFaults schedules the first transfer of a lease and the first isolation of a router.
 func (r *registryRun) startFaults() {
 	begin := faultStartElections * r.electionTimeout()
 	if r.options.TransferInterval > 0 {
 		r.after(begin, r.transferRandomLease)
 	}
-	if r.options.AnswerLossInterval > 0 {
+	if r.options.ResponseLossInterval > 0 {
 		r.after(begin, r.isolateRandomRouter)
 	}
 }
 
-// transferRandomLease has a lease that is held transferred to another router.
+// transferRandomLease draws a lease, transfers it to another router if it is held, and schedules
+// the next transfer.
 func (r *registryRun) transferRandomLease() {
 	name := r.leaseNames[r.rng.IntN(len(r.leaseNames))]
 	if holder := r.holderOf(name); holder != nil {
@@ -332,16 +336,17 @@
 	r.after(r.options.TransferInterval*r.rng.ExpFloat64(), r.transferRandomLease)
 }
 
-// randomOther draws another router than one.
+// randomOther draws a router other than the given one.
 func (r *registryRun) randomOther(router *registryRouter) membership.ID {
 	index := slices.Index(r.routerIDs, router.id)
 	offset := 1 + r.rng.IntN(len(r.routerIDs)-1)
 	return r.routerIDs[(index+offset)%len(r.routerIDs)]
 }
 
-// isolateRandomRouter has a router receive no responses for a while.
+// isolateRandomRouter draws a router that receives no responses for responseLossTTLs, and
+// schedules the next isolation.
 func (r *registryRun) isolateRandomRouter() {
 	router := r.routers[r.rng.IntN(len(r.routers))]
-	router.unreachableUntil = r.now + answerLossTTLs*r.options.Settings.Lease.TTL
-	r.after(r.options.AnswerLossInterval*r.rng.ExpFloat64(), r.isolateRandomRouter)
+	router.unreachableUntil = r.now + responseLossTTLs*r.options.Settings.Lease.TTL
+	r.after(r.options.ResponseLossInterval*r.rng.ExpFloat64(), r.isolateRandomRouter)
 }
--- a/internal/experiment/registry_test.go
+++ b/internal/experiment/registry_test.go
@@ -7,11 +7,11 @@
 	"garnetline/internal/fleet/consensus"
 )
 
-// Guards against leases that nobody holds after many transfers, transfers that take long, and
-// a log that grows with the commands.
+// After many transfers the leases are still held, transfers are fast, and the log on the disk
+// does not grow with the number of commands.
 func TestRegistryTransfersLeases(t *testing.T) {
 	const (
-		minHeld      = 3 // of 4: one may be on its way at the end
+		minHeld      = 3 // of 4: one may be in transfer at the end of the run
 		minTransfers = 500
 		maxMedian    = 20.0 // ms
 		maxDiskBytes = 3 << 20
@@ -24,42 +24,42 @@
 		t.Fatal(err)
 	}
 	if result.LeasesHeld < minHeld {
-		t.Errorf("%d of 4 leases are held, want %d", result.LeasesHeld, minHeld)
+		t.Errorf("%d of 4 leases are held, want at least %d", result.LeasesHeld, minHeld)
 	}
 	if len(result.TransferTimes) < minTransfers {
-		t.Errorf("%d transfers, want %d", len(result.TransferTimes), minTransfers)
+		t.Errorf("%d transfers, want at least %d", len(result.TransferTimes), minTransfers)
 	}
 	if median := Quantile(result.TransferTimes, 0.5); median > maxMedian {
-		t.Errorf("median of the transfers %.1f ms, want at most %.1f", median, maxMedian)
+		t.Errorf("median transfer time %.1f ms, want at most %.1f ms", median, maxMedian)
 	}
 	if result.DiskBytes > maxDiskBytes {
 		t.Errorf("%d bytes on the disk, want at most %d", result.DiskBytes, maxDiskBytes)
 	}
 }
 
-// Guards against messages between voters for each request: with thirty times the leases a
-// request causes less than a third of the messages.
+// Voters do not send separate messages for each request: with thirty times the leases, there are
+// at most a third as many messages between voters per request.
 func TestRegistryMessagesPerRequest(t *testing.T) {
 	few := messagesPerRequest(t, 5)
 	many := messagesPerRequest(t, 150)
 	if many > few/3 {
-		t.Errorf("%.2f messages for each request with 150 leases, want at most a third of the %.2f with 5", many, few)
+		t.Errorf("%.2f messages per request with 150 leases, want at most a third of the %.2f with 5 leases", many, few)
 	}
 }
 
-// messagesPerRequest returns how many messages between voters there are for each request of a
-// router. It fails the test unless all leases are held at the end.
+// messagesPerRequest returns the number of messages between voters per request of a router. It
+// fails the test unless all leases are held at the end.
 func messagesPerRequest(t *testing.T, leases int) float64 {
 	t.Helper()
 	result, err := Registry{Seed: 1, Voters: 3, Routers: 6, Leases: leases, Settings: consensus.DefaultSettings()}.Run(15_000)
 	if err != nil || result.LeasesHeld != leases {
-		t.Errorf("%d of %d leases are held, error %v; want all, and no error", result.LeasesHeld, leases, err)
+		t.Errorf("%d of %d leases are held, error %v; want all held and no error", result.LeasesHeld, leases, err)
 	}
 	return float64(result.Messages) / float64(result.Requests)
 }
 
-// Guards against events that run in another order than that of their times, or of their
-// scheduling: runs with one seed would differ.
+// Events run in the order of their times, and events with the same time in the order of their
+// scheduling. Otherwise runs with the same seed would differ.
 func TestEventQueueOrder(t *testing.T) {
 	var queue eventQueue
 	var got []string
--- a/internal/experiment/routers.go
+++ b/internal/experiment/routers.go
@@ -2,8 +2,8 @@
 
 import "garnetline/internal/fleet/membership"
 
-// Streams of random numbers, so that runs of two experiments with one seed draw different
-// numbers. Another stream changes all results.
+// Streams of the random number generator, so that two experiments with the same seed draw
+// different numbers. Changing a stream changes all results of its experiment.
 const (
 	allPairsStream      = 1
 	registryStream      = 11
@@ -11,10 +11,11 @@
 	handoverStream      = 77
 )
 
-// requestIDShift leaves each router 2^40 request IDs of its own.
+// requestIDShift gives each router a range of 2^40 request IDs.
 const requestIDShift = 40
 
-// firstRequestID returns the number above which the request IDs of the router of an index are.
+// firstRequestID returns the lower bound, exclusive, of the request IDs of the router with an
+// index.
 func firstRequestID(index int) uint64 { return uint64(index) << requestIDShift }
 
 // numberedRouters returns the IDs of n routers: 1 to n.
