--- a/internal/fakeserver/changelog.go
+++ b/internal/fakeserver/changelog.go
@@ -9,32 +9,33 @@
 	"time"
 )
 
-// heartbeatInterval is how long a connection of a ChangeLog stays without a frame.
+// heartbeatInterval is the time without a frame after which a ChangeLog sends a heartbeat on a
+// connection.
 const heartbeatInterval = 400 * time.Millisecond
 
-// Sizes of parts of frames, bytes.
+// Sizes of the fields of a frame, in bytes.
 const (
 	sequenceSize    = 8
 	frameLengthSize = 4
 )
 
-// The first byte of a frame's body.
+// Frame types: the first byte of a frame's body.
 const (
 	frameHeartbeat = 0
 	frameEndpoints = 2
 	framePurge     = 3
 )
 
-// weightScale is what a weight is multiplied by on the wire.
+// weightScale is the factor by which the protocol multiplies a weight.
 const weightScale = 1000
 
-// ChangeLog is a fake change log that sends events: to each connection those after the
-// sequence number that it requests, then new ones as they are added, and heartbeats.
+// ChangeLog is a fake change log. On each connection it sends the events after the sequence number
+// that the client requests, then new events as they are added, and heartbeats while there are none.
 type ChangeLog struct {
 	net.Listener
 
 	mu      sync.Mutex
-	frames  [][]byte // of the events, in order; the first has the number base+1
+	frames  [][]byte // encoded events in order; the sequence number of the first is base+1
 	base    uint64
 	changed chan struct{} // closed, and replaced, at each change
 	closed  bool
@@ -50,8 +51,8 @@
 	Started uint64 // Unix ms
 }
 
-// NewChangeLog returns a change log whose first event will have the sequence number base+1. It
-// serves until it is closed.
+// NewChangeLog returns a change log that serves until it is closed. The sequence number of its
+// first event will be base+1.
 func NewChangeLog(base uint64) (*ChangeLog, error) {
 	listener, err := listenLoopback()
 	if err != nil {
@@ -62,7 +63,7 @@
 	return changeLog, nil
 }
 
-// UpdateEndpoints adds an event that endpoints changed.
+// UpdateEndpoints adds an event that announces new states of endpoints.
 func (c *ChangeLog) UpdateEndpoints(endpoints ...Endpoint) {
 	body := []byte{frameEndpoints}
 	for _, endpoint := range endpoints {
@@ -71,8 +72,8 @@
 	c.addEvent(body)
 }
 
-// appendTo appends the endpoint as it is on the wire. Its bytes of zero are not used by the
-// fake servers.
+// appendTo appends the encoded endpoint to body. The zero bytes are fields of the protocol that the
+// fake servers do not use.
 func (e Endpoint) appendTo(body []byte) []byte {
 	body = binary.BigEndian.AppendUint32(body, e.ID)
 	ip := e.Addr.Addr().As4()
@@ -83,13 +84,13 @@
 	return binary.BigEndian.AppendUint64(body, e.Started)
 }
 
-// Purge adds an event that an object was purged at a time, Unix ms.
+// Purge adds an event that announces the purge of an object at a time in Unix ms.
 func (c *ChangeLog) Purge(object, at uint64) {
 	body := binary.BigEndian.AppendUint64([]byte{framePurge}, object)
 	c.addEvent(binary.BigEndian.AppendUint64(body, at))
 }
 
-// addEvent gives an event the next sequence number and wakes all connections.
+// addEvent adds an event under the next sequence number and wakes all connections.
 func (c *ChangeLog) addEvent(body []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,7 +98,8 @@
 	c.notifyChanged()
 }
 
-// Close closes the listener and ends the connections; it does not wait for them.
+// Close closes the listener and tells the connections to end. It does not wait until they have
+// ended.
 func (c *ChangeLog) Close() error {
 	c.mu.Lock()
 	c.closed = true
@@ -106,16 +108,17 @@
 	return c.Listener.Close()
 }
 
-// notifyChanged wakes all connections; c.mu is held.
+// notifyChanged wakes all connections. The caller holds c.mu.
 func (c *ChangeLog) notifyChanged() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// lastSequence is the number of the newest event; c.mu is held.
+// lastSequence returns the sequence number of the newest event. The caller holds c.mu.
 func (c *ChangeLog) lastSequence() uint64 { return c.base + uint64(len(c.frames)) }
 
-// encodeFrame returns a frame: the length of what follows, the sequence number, the body.
+// encodeFrame returns a frame: the length of the rest of the frame, the sequence number and the
+// body.
 func encodeFrame(sequence uint64, body []byte) []byte {
 	frame := make([]byte, 0, frameLengthSize+sequenceSize+len(body))
 	frame = binary.BigEndian.AppendUint32(frame, uint32(sequenceSize+len(body)))
@@ -123,7 +126,7 @@
 	return append(frame, body...)
 }
 
-// serve sends frames on a connection until it breaks or the change log is closed.
+// serve sends frames on a connection until a write fails or the change log is closed.
 func (c *ChangeLog) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	var request [sequenceSize]byte
@@ -150,16 +153,16 @@
 	}
 }
 
-// pendingFrames is what a connection has to send.
+// pendingFrames is what a connection has to send next.
 type pendingFrames struct {
-	frames   []byte          // nil if there is nothing new
-	sequence uint64          // after frames
-	changed  <-chan struct{} // closed when there is more
-	closed   bool            // the change log is
+	frames   []byte          // nil if there are no new events
+	sequence uint64          // sequence number that the connection has reached after frames
+	changed  <-chan struct{} // closed at the next change
+	closed   bool            // whether the change log is closed
 }
 
-// framesAfter returns the events after a sequence number. A number before the first event
-// yields all events, one after the last yields none.
+// framesAfter returns the events after a sequence number: all events if the number is before the
+// first one, none if it is after the last one.
 func (c *ChangeLog) framesAfter(sequence uint64) pendingFrames {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fakeserver/changelog_test.go
+++ b/internal/fakeserver/changelog_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// testTimeout bounds each read from a fake server.
+// testTimeout is the time limit of each connection to a fake server.
 const testTimeout = 10 * time.Second
 
 func dial(t *testing.T, listener net.Listener) net.Conn {
@@ -34,28 +34,28 @@
 	}
 }
 
-// expectBytes reads as many bytes as are wanted and compares them.
+// expectBytes reads as many bytes as want has and compares them with want.
 func expectBytes(t *testing.T, conn net.Conn, want string) {
 	t.Helper()
 	got := make([]byte, len(want))
 	if n, err := io.ReadFull(conn, got); err != nil {
-		t.Fatalf("got %x, %v, want %x", got[:n], err, want)
+		t.Fatalf("got %x, error %v, want %x", got[:n], err, want)
 	}
 	if string(got) != want {
 		t.Fatalf("got %x, want %x", got, want)
 	}
 }
 
-// expectEnd reads to the end of the stream and expects nothing more.
+// expectEnd reports an error unless the stream ends without further bytes.
 func expectEnd(t *testing.T, conn net.Conn) {
 	t.Helper()
 	sent, err := io.ReadAll(conn)
 	if len(sent) != 0 || err != nil {
-		t.Errorf("got %x, %v, want the end of the stream", sent, err)
+		t.Errorf("got %x, error %v, want the end of the stream", sent, err)
 	}
 }
 
-// requestFrom is what a router sends that has read the event with a sequence number.
+// requestFrom returns the request of a router that has read the events up to a sequence number.
 func requestFrom(sequence uint64) string {
 	return string(binary.BigEndian.AppendUint64(nil, sequence))
 }
@@ -121,7 +121,7 @@
 		t.Fatal(err)
 	}
 	if _, err := io.Copy(io.Discard, conn); err != nil { // a heartbeat may have been sent
-		t.Errorf("got %v, want the end of the stream", err)
+		t.Errorf("got error %v, want the end of the stream", err)
 	}
 }
 
--- a/internal/fakeserver/doc.go
+++ b/internal/fakeserver/doc.go
@@ -1,7 +1,7 @@
-// Package fakeserver has the servers that a router talks to, on loopback sockets, for tests and
-// experiments: caches that answer as a test says, change logs, and caches that take part in
-// traces. It records what they receive.
+// Package fakeserver provides the servers that a router talks to, on loopback sockets, for tests
+// and experiments: caches that answer as a test specifies, change logs, and caches that record
+// traces. The fake servers record what they receive.
 //
-// The fake servers are written from the platform's protocol and share no code with the daemon,
-// which never imports them.
+// Their protocol code is written from the specification of the platform and shares no code with the
+// daemon, which never imports this package.
 package fakeserver
--- a/internal/fakeserver/idle_changelog.go
+++ b/internal/fakeserver/idle_changelog.go
@@ -7,14 +7,14 @@
 	"sync"
 )
 
-// requestedSeqsBuffer is how many connections may request a sequence number before a test
-// reads the first.
+// requestedSeqsBuffer is the number of requested sequence numbers that are kept until a test reads
+// them.
 const requestedSeqsBuffer = 8
 
 // IdleChangeLog is a fake change log that sends nothing and keeps its connections open.
 type IdleChangeLog struct {
 	net.Listener
-	RequestedSeqs chan uint64 // the sequence number that each connection requests
+	RequestedSeqs chan uint64 // receives the sequence number that each connection requests
 
 	mu          sync.Mutex
 	connections []net.Conn
@@ -31,7 +31,7 @@
 	return idle, nil
 }
 
-// readRequest keeps a connection and reads the sequence number that it requests.
+// readRequest keeps a connection open and reads the sequence number that it requests.
 func (c *IdleChangeLog) readRequest(conn net.Conn) {
 	c.mu.Lock()
 	c.connections = append(c.connections, conn)
--- a/internal/fakeserver/listener.go
+++ b/internal/fakeserver/listener.go
@@ -11,7 +11,8 @@
 	return config.Listen(context.Background(), "tcp", "127.0.0.1:0")
 }
 
-// acceptLoop hands each connection to handle, one after another, until the listener is closed.
+// acceptLoop passes each accepted connection to handle, one after another, until the listener is
+// closed.
 func acceptLoop(listener net.Listener, handle func(net.Conn)) {
 	for {
 		conn, err := listener.Accept()
--- a/internal/fakeserver/output.go
+++ b/internal/fakeserver/output.go
@@ -5,8 +5,7 @@
 	"sync"
 )
 
-// Output records what is written to it, by several goroutines or by a process. It may be read
-// at any time.
+// Output records what goroutines or a process write to it. It is safe for concurrent use.
 type Output struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
--- a/internal/fakeserver/resp.go
+++ b/internal/fakeserver/resp.go
@@ -6,17 +6,16 @@
 	"io"
 )
 
-// Bounds of a command that a router sends.
+// Limits of the commands that routers send.
 const (
 	maxArguments    = 16
 	maxStringLength = 1 << 26 // bytes
 )
 
-// crlfSize is the size in bytes of what ends a bulk string.
+// crlfSize is the size in bytes of the CRLF that ends a bulk string.
 const crlfSize = 2
 
-// lengthError is an array or a bulk string of a command whose length cannot be read or is out
-// of bounds.
+// lengthError reports an array or a bulk string whose length cannot be read or is out of bounds.
 type lengthError struct {
 	what   string
 	length int
@@ -25,9 +24,9 @@
 
 func (e *lengthError) Error() string {
 	if e.err == nil {
-		return fmt.Sprintf("%s of length %d is out of bounds", e.what, e.length)
+		return fmt.Sprintf("length of a RESP %s is out of bounds: %d", e.what, e.length)
 	}
-	return fmt.Sprintf("length of %s: %v", e.what, e.err)
+	return fmt.Sprintf("cannot read the length of a RESP %s: %v", e.what, e.err)
 }
 
 func (e *lengthError) Unwrap() error { return e.err }
@@ -61,7 +60,8 @@
 	return string(text[:length]), nil
 }
 
-// readLength reads the line with the length of what follows, which is at most limit.
+// readLength reads a line that holds the length of an array or a bulk string. A negative length or
+// one above limit is a lengthError.
 func readLength(reader *bufio.Reader, what, format string, limit int) (int, error) {
 	var length int
 	if _, err := fmt.Fscanf(reader, format, &length); err != nil {
@@ -73,7 +73,8 @@
 	return length, nil
 }
 
-// Answer returns an answer to the request with an id, as a RESP array of bulk strings.
+// Answer returns the answer to the request with the given ID, encoded as a RESP array of bulk
+// strings.
 func Answer(id, status, fields, body string) string {
 	return "*4\r\n" + bulkString(id) + bulkString(status) + bulkString(fields) + bulkString(body)
 }
--- a/internal/fakeserver/server.go
+++ b/internal/fakeserver/server.go
@@ -8,15 +8,15 @@
 	"sync"
 )
 
-// CloseConnection is a reply that ends the connection; the reply "" sends nothing and keeps it
-// open.
+// CloseConnection is a reply that makes the server close the connection. For the reply "" the
+// server sends nothing and keeps the connection open.
 const CloseConnection = "\x00cut"
 
-// Reply returns what a server answers to a request: an answer as made by Answer,
-// CloseConnection, or "".
+// Reply returns what a server answers to a request: an answer built by Answer, CloseConnection, or
+// "" for no answer.
 type Reply func(id, fields string) string
 
-// Commands of a router, by their first argument.
+// Commands that routers send: the first argument of the RESP array.
 const (
 	commandServe      = "serve"
 	commandLoadReport = "gauges"
@@ -28,15 +28,15 @@
 // Server is a fake cache, parent or origin.
 type Server struct {
 	net.Listener
-	Reply Reply // not to be changed once requests may come
+	Reply Reply // must not change once requests can arrive
 
 	mu         sync.Mutex
 	requests   []string
 	loadReport func(tag string) string
 }
 
-// NewServer returns a server that listens until it is closed. A server that only answers health
-// checks needs no reply.
+// NewServer returns a server that listens until it is closed. reply may be nil if the server
+// receives health checks only.
 func NewServer(reply Reply) (*Server, error) {
 	listener, err := listenLoopback()
 	if err != nil {
@@ -47,22 +47,23 @@
 	return server, nil
 }
 
-// SetLoadReport sets the function that returns the fields of the answer to a health check with
-// a tag. Without it no health check is answered.
+// SetLoadReport sets the function that returns the fields of the answer to a health check; its
+// argument is the tag of the health check. Without such a function the server does not answer
+// health checks.
 func (s *Server) SetLoadReport(loadReport func(tag string) string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loadReport = loadReport
 }
 
-// Requests returns the fields of each request, in the order in which they came.
+// Requests returns the fields of each request, in the order in which the requests arrived.
 func (s *Server) Requests() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.requests)
 }
 
-// serve answers the commands of a connection, one after another, until it ends.
+// serve answers the commands of a connection, one after another, until the connection ends.
 func (s *Server) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
@@ -84,8 +85,8 @@
 	}
 }
 
-// answer returns what a command is answered with, as a Reply does. Commands that the server
-// does not know are ignored.
+// answer returns the answer to a command, in the form that Reply documents. Unknown commands get no
+// answer.
 func (s *Server) answer(command []string) string {
 	loadReport := s.currentLoadReport()
 	switch {
--- a/internal/fakeserver/server_test.go
+++ b/internal/fakeserver/server_test.go
@@ -29,7 +29,7 @@
 		loadReport func(tag string) string
 		sent       string
 		want       string
-		closed     bool // the server then ends the connection
+		closed     bool // whether the server then closes the connection
 		requests   []string
 	}{
 		{name: "request", sent: plain, want: doneAnswer, requests: []string{"plain"}},
--- a/internal/fakeserver/tracing_server.go
+++ b/internal/fakeserver/tracing_server.go
@@ -12,22 +12,22 @@
 	"garnetline/routing"
 )
 
-// ClockSkew is by how much the clock of a TracingServer is ahead, ms.
+// ClockSkew is how far the clock of a TracingServer is ahead, in ms.
 const ClockSkew = 3_600_000.0
 
-// Limits of a TracingServer's spans.
+// Limits for the spans of a TracingServer.
 const (
-	verdictTimeout  = 60_000.0 // ms that spans wait for a verdict
-	bufferSize      = 1 << 20  // bytes of spans without a verdict
-	maxSegmentSize  = 1 << 20  // bytes
-	maxStoreSize    = 1 << 30  // bytes
-	afterAllTimeout = 1e6      // ms: later than the timeout of every span
+	verdictTimeout   = 60_000.0 // ms that spans wait for a verdict
+	bufferSize       = 1 << 20  // bytes of spans without a verdict
+	maxSegmentSize   = 1 << 20  // bytes
+	maxStoreSize     = 1 << 30  // bytes
+	closeTimeAdvance = 1e6      // ms; more than verdictTimeout, so that all waiting spans time out
 )
 
-// fillSpanBit tells the numbers of fill spans from those of the work that they belong to.
+// fillSpanBit distinguishes the number of a fill span from that of its work span.
 const fillSpanBit = 1 << 40
 
-// Fields of a request that a TracingServer reads.
+// Names of the request fields that a TracingServer reads.
 const (
 	fieldTrace    = "trace"
 	fieldVerdicts = "kept"
@@ -35,31 +35,31 @@
 	fieldClass    = "sort"
 )
 
-// Endings of the names of assets that are not plain hits.
+// Suffixes of the names of assets that are not plain hits.
 const (
-	suffixErring = "e" // every other request fails
-	suffixFilled = "f" // the first request fills it, later ones join that fill
+	suffixFailing = "e" // every other request for such assets fails
+	suffixFilled  = "f" // the first request fills the asset, later ones join that fill
 )
 
-// TracingServer is a fake cache that reads the fields trace and kept of requests: it holds its
-// spans until the router's verdict comes, and stores those to retain in a folder of its own. Its
-// clock is ahead by ClockSkew.
+// TracingServer is a fake cache that records traces. It reads the request fields trace and kept,
+// buffers its spans until the router sends a verdict, and stores the spans to retain in its own
+// directory. Its clock is ahead by ClockSkew.
 type TracingServer struct {
 	Name     string
-	Parent   *TracingServer // what it fills from; nil: it is a parent, and fills from the origin
-	Verdicts int            // that it received; to be read after Close
+	Parent   *TracingServer // fill source; nil: the server is a parent itself and fills from the origin
+	Verdicts int            // number of verdicts received; read it after Close
 
-	mu             sync.Mutex
-	buffer         *serverspans.Buffer
-	writer         *store.Writer
-	writeErr       error
-	fills          map[string]trace.Link // by asset; a fill stays under way to the end
-	nextSpan       uint64
-	erringRequests int
+	mu                   sync.Mutex
+	buffer               *serverspans.Buffer
+	writer               *store.Writer
+	writeErr             error
+	fills                map[string]trace.Link // by asset; a fill stays in progress until the server is closed
+	nextSpan             uint64
+	failingAssetRequests int
 }
 
-// NewTracingServer returns a server that stores its spans in a folder. The numbers of its spans
-// follow firstSpan.
+// NewTracingServer returns a server that stores its spans in a directory. It numbers its spans from
+// firstSpan+1 on.
 func NewTracingServer(name, folder string, parent *TracingServer, firstSpan uint64) (*TracingServer, error) {
 	writer, err := store.Open(folder, maxSegmentSize, maxStoreSize)
 	server := &TracingServer{
@@ -73,20 +73,20 @@
 	return server, err
 }
 
-// Close lets all spans that wait for a verdict time out, and closes the store. It returns how
-// many traces the server has retained without a verdict, since its own part failed. An error is
-// of this or of an earlier write to the store.
+// Close lets all spans that wait for a verdict time out, and closes the store. retainedFailed is
+// the number of traces that the server has retained without a verdict because its own part of the
+// request failed. The error joins those of this and of earlier writes to the store.
 func (s *TracingServer) Close() (retainedFailed int, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.store(s.buffer.Tick(s.now() + afterAllTimeout))
+	s.store(s.buffer.Tick(s.now() + closeTimeAdvance))
 	return int(s.buffer.Counts.RetainedFailed), errors.Join(s.writeErr, s.writer.Close(s.now()))
 }
 
-// now is the server's time, Unix ms.
+// now returns the time by the server's clock, in Unix ms.
 func (s *TracingServer) now() float64 { return float64(time.Now().UnixMicro())/1000 + ClockSkew }
 
-// store writes traces that are to be retained; s.mu is held.
+// store writes retained traces to the store. The caller holds s.mu.
 func (s *TracingServer) store(retained []*trace.Trace) {
 	for _, record := range retained {
 		if err := s.writer.Add(record); err != nil {
@@ -95,7 +95,7 @@
 	}
 }
 
-// newWorkSpan returns the span of the work on a request, under a new number; s.mu is held.
+// newWorkSpan returns the span of the work on a request, under a new number. The caller holds s.mu.
 func (s *TracingServer) newWorkSpan(parent trace.SpanContext, start float64, status routing.CacheStatus) trace.Span {
 	s.nextSpan++
 	return trace.Span{
@@ -107,7 +107,8 @@
 	}
 }
 
-// newFillSpan returns the span of a fill for the newest work span; s.mu is held.
+// newFillSpan returns the span of a fill that belongs to the newest work span. The caller holds
+// s.mu.
 func (s *TracingServer) newFillSpan(work trace.Span, traceID trace.ID) trace.Span {
 	return trace.Span{
 		ID:     traceID.Span(s.nextSpan | fillSpanBit),
@@ -118,7 +119,7 @@
 	}
 }
 
-// handleFill answers a fill request of a server below, from the origin.
+// handleFill records a fill request from a child server, which this server fills from the origin.
 func (s *TracingServer) handleFill(parent trace.SpanContext, class string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,7 +139,7 @@
 	}, false))
 }
 
-// handleVerdict retains a trace on the word of a server below.
+// handleVerdict retains a trace for which a child server has received a verdict.
 func (s *TracingServer) handleVerdict(id trace.ID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,8 +147,8 @@
 	s.store(s.buffer.Retain(id))
 }
 
-// Serve answers one request, as a Reply: with a hit, with an error, or by a fill, which later
-// requests for the same asset join. Requests are served one at a time.
+// Serve is the Reply of the server. It answers one request with a hit, with an error, or by a fill,
+// which later requests for the same asset join. Requests are served one at a time.
 func (s *TracingServer) Serve(id, fields string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,18 +167,19 @@
 	return Answer(id, "DONE", "tag=t1,minted=1", "bytes")
 }
 
-// tracedRequest is a request that a TracingServer serves, with what it records of it.
+// tracedRequest is a request that a TracingServer serves, with the trace that it records.
 type tracedRequest struct {
 	asset  string
-	parent trace.SpanContext // of the router; zero unless traced
+	parent trace.SpanContext // the router's span; zero unless traced
 	traced bool
-	record *trace.Trace // without the work span until the end
+	record *trace.Trace // work is added to its spans at the end
 	work   trace.Span
 }
 
 func (r *tracedRequest) failed() bool { return r.record.Outcome == trace.Failed }
 
-// newRequest returns a request that is a hit unless serveAsset says otherwise; s.mu is held.
+// newRequest returns a request that is recorded as a hit unless serveAsset changes that. The caller
+// holds s.mu.
 func (s *TracingServer) newRequest(id string, values map[string]string, start float64) *tracedRequest {
 	parent, traced := trace.ParseTraceparent(values[fieldTrace])
 	return &tracedRequest{
@@ -197,7 +199,7 @@
 	}
 }
 
-// parseFields returns the values of a request's fields by their keys.
+// parseFields returns the values of request fields by their keys.
 func parseFields(fields string) map[string]string {
 	values := map[string]string{}
 	for field := range strings.SplitSeq(fields, ",") {
@@ -207,8 +209,9 @@
 	return values
 }
 
-// handleVerdicts retains the traces that a router names; s.mu is held. A fill that a joined
-// request retains is of another trace, of which the parent has to be notified.
+// handleVerdicts retains the traces that a router names, here and at the parent. The caller holds
+// s.mu. The traces include those of the fills that a retained request has joined, so the parent is
+// notified of each retained trace by its own ID.
 func (s *TracingServer) handleVerdicts(verdicts string) {
 	for text := range strings.SplitSeq(verdicts, "+") {
 		id, ok := trace.ParseID(text)
@@ -224,12 +227,12 @@
 	}
 }
 
-// serveAsset does what the ending of the asset's name says; s.mu is held.
+// serveAsset serves the asset as the suffix of its name says. The caller holds s.mu.
 func (s *TracingServer) serveAsset(request *tracedRequest) {
 	switch {
-	case strings.HasSuffix(request.asset, suffixErring):
-		s.erringRequests++
-		if s.erringRequests%2 == 1 {
+	case strings.HasSuffix(request.asset, suffixFailing):
+		s.failingAssetRequests++
+		if s.failingAssetRequests%2 == 1 {
 			request.record.Outcome = trace.Failed
 			request.work.Result = uint8(routing.OriginFailed)
 		}
@@ -238,7 +241,7 @@
 	}
 }
 
-// serveFilledAsset joins the asset's fill, or starts it; s.mu is held.
+// serveFilledAsset joins the asset's fill, or starts one. The caller holds s.mu.
 func (s *TracingServer) serveFilledAsset(request *tracedRequest) {
 	if fill, ok := s.fills[request.asset]; ok {
 		request.work.Result = uint8(routing.JoinedFill)
@@ -255,7 +258,8 @@
 	request.record.Spans = append(request.record.Spans, fill)
 }
 
-// recordRequest ends the work on a request and holds its trace for a verdict; s.mu is held.
+// recordRequest ends the work on a request and buffers its trace until a verdict arrives. The
+// caller holds s.mu.
 func (s *TracingServer) recordRequest(request *tracedRequest) {
 	request.work.End = s.now()
 	record := request.record
--- a/internal/faultproxy/fault.go
+++ b/internal/faultproxy/fault.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// Fault is what happens to traffic in one direction between two parties. The zero value forwards
-// everything at once and unchanged. The shares, from 0 to 1, are of datagrams; on TCP they are of
-// the pieces of a stream as the proxy reads them.
+// Fault describes what the proxy does to the traffic in one direction between two parties. The zero
+// value forwards everything at once and unchanged. Shares are from 0 to 1: shares of the datagrams
+// on UDP, and of the pieces in which the proxy reads a stream on TCP.
 type Fault struct {
-	Partitioned    bool    // nothing is forwarded; on TCP it waits until the partition heals
-	Loss           float64 // share that is lost; on TCP a piece is retransmitted instead, and late
-	Duplicate      float64 // share that is forwarded twice; UDP alone
-	Reorder        float64 // share that is overtaken by what comes soon after it; UDP alone
-	Corrupt        float64 // share of which one byte is changed
+	Partitioned    bool    // nothing is forwarded; on TCP the data waits until the partition heals
+	Loss           float64 // share that is lost; on TCP, share that is delayed by a retransmission
+	Duplicate      float64 // share that is forwarded twice; UDP only
+	Reorder        float64 // share that is overtaken by later datagrams; UDP only
+	Corrupt        float64 // share in which one byte is changed
 	Delay          float64 // ms
-	Jitter         float64 // ms; the longest further delay, drawn uniformly
-	BytesPerSecond float64 // throughput; 0: not limited
-	HalfClosed     bool    // TCP alone: this direction is closed, the other one stays open
+	Jitter         float64 // ms; maximum of an additional, uniformly distributed delay
+	BytesPerSecond float64 // limit of the throughput; 0: no limit
+	HalfClosed     bool    // TCP only: this direction is closed, the opposite one stays open
 }
 
 const (
-	// reorderDelay is how late a datagram is that others overtake.
+	// reorderDelay is the additional delay of a reordered datagram, which later ones overtake.
 	reorderDelay = 30 * time.Millisecond
-	// duplicateDelay is how long after a datagram its duplicate is forwarded.
+	// duplicateDelay is the time from a datagram to its duplicate.
 	duplicateDelay = 5 * time.Millisecond
-	// retransmitDelay is how late a piece of a stream is of which a packet would be lost, in
-	// ms. It is the least retransmission timeout of Linux.
+	// retransmitDelay is the delay, in ms, of a piece of a stream that needs a retransmission. It
+	// is the minimum retransmission timeout of Linux.
 	retransmitDelay = 200.0
-	// maxQueueingDelay is how long a datagram can wait for the throughput of its direction.
-	// What would wait longer is lost, as in a queue that is full.
+	// maxQueueingDelay is the longest time that a datagram waits for the limited throughput of its
+	// direction. A datagram that would wait longer is lost, as in a full queue.
 	maxQueueingDelay = time.Second
 )
 
-// String returns the fault in a few words, or "sound" if there is none.
+// String describes the fault in a few words. It returns "sound" if there is no fault.
 func (f Fault) String() string {
 	if f == (Fault{}) {
 		return "sound"
@@ -55,15 +55,15 @@
 	return text[1:]
 }
 
-// Counters count the datagrams and pieces of streams of one direction.
+// Counters count the datagrams and the pieces of streams of one direction.
 type Counters struct {
-	Packets     int64 // that the proxy received; the start of a TCP connection is one too
-	Bytes       int64 // that the proxy received
+	Packets     int64 // received by the proxy; a new TCP connection counts as one packet
+	Bytes       int64 // received by the proxy
 	Partitioned int64 // packets lost or held back by a partition
-	Lost        int64 // packets; on TCP retransmissions
-	Duplicated  int64 // packets
-	Corrupted   int64 // packets
+	Lost        int64 // packets lost; on TCP, pieces delayed by a retransmission
+	Duplicated  int64 // packets forwarded twice
+	Corrupted   int64 // packets with a changed byte
 }
 
-// milliseconds returns a number of milliseconds as a duration.
+// milliseconds converts a number of milliseconds to a time.Duration.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/faultproxy/golden_test.go
+++ b/internal/faultproxy/golden_test.go
@@ -10,8 +10,8 @@
 	"garnetline/internal/golden"
 )
 
-// goldenFaults are faults whose random draws the golden files hold. A limit of bytes a second
-// is none of them: it goes by the real clock.
+// goldenFaults are the faults whose random draws the golden files record. None of them limits the
+// throughput, since a throughput limit depends on the real clock.
 var goldenFaults = []Fault{
 	{},
 	{Loss: 0.3},
@@ -23,8 +23,8 @@
 	{Loss: 0.2, Duplicate: 0.2, Reorder: 0.2, Corrupt: 0.2, Delay: 1, Jitter: 10},
 }
 
-// TestGoldenPackets pins what a seed makes of datagrams: a failure that an experiment found
-// is repeated by its seed.
+// TestGoldenPackets pins what a seed's random draws do to datagrams, so that a failure that an
+// experiment found can be repeated by its seed.
 func TestGoldenPackets(t *testing.T) {
 	sender := netip.MustParseAddrPort("127.0.0.1:7001")
 	proxy := New(5)
@@ -44,19 +44,19 @@
 	golden.Compare(t, "packets.txt", text.Bytes())
 }
 
-// TestGoldenStreamPieces pins what a seed makes of the pieces of a stream.
+// TestGoldenStreamPieces pins what a seed's random draws do to the pieces of a stream.
 func TestGoldenStreamPieces(t *testing.T) {
 	proxy := New(6)
-	way := direction{from: "a", to: "b"}
+	dir := direction{from: "a", to: "b"}
 	var text bytes.Buffer
 	for _, fault := range []Fault{{}, {Corrupt: 0.5}, {Loss: 0.1, Corrupt: 0.3, Jitter: 0.1}, {HalfClosed: true, Loss: 0.2}} {
 		proxy.Set("a", "b", fault)
 		fmt.Fprintf(&text, "%v\n", fault)
 		for i := range 20 {
 			piece := fmt.Appendf(nil, "%03d", i)
-			passed := proxy.waitToForward(way, len(piece))
+			passed := proxy.waitToForward(dir, len(piece))
 			if passed {
-				proxy.corruptPiece(way, piece)
+				proxy.corruptPiece(dir, piece)
 			}
 			fmt.Fprintf(&text, "  %x %t lost=%d\n", piece, passed, proxy.Counters("a", "b").Lost)
 		}
@@ -65,7 +65,7 @@
 	golden.Compare(t, "pieces.txt", text.Bytes())
 }
 
-// TestGoldenSchedule pins the schedule of a seed.
+// TestGoldenSchedule pins the random schedules of two seeds.
 func TestGoldenSchedule(t *testing.T) {
 	var text bytes.Buffer
 	for _, seed := range []uint64{1, 7} {
@@ -77,7 +77,7 @@
 	golden.Compare(t, "schedule.txt", text.Bytes())
 }
 
-// TestGoldenFaultText pins the words for faults, which logs of experiments hold.
+// TestGoldenFaultText pins the text form of faults, which the logs of experiments contain.
 func TestGoldenFaultText(t *testing.T) {
 	var text bytes.Buffer
 	for _, fault := range append(goldenFaults, Fault{HalfClosed: true, BytesPerSecond: 300}) {
--- a/internal/faultproxy/harness_test.go
+++ b/internal/faultproxy/harness_test.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// arrivalTimeout is how long a test waits for what must come.
+	// arrivalTimeout is how long a test waits for data that must arrive.
 	arrivalTimeout = 5 * time.Second
-	// quietPeriod is how long a test waits for what must not come.
+	// quietPeriod is how long a test waits for data that must not arrive.
 	quietPeriod = 400 * time.Millisecond
 )
 
-// newProxy returns a proxy that is closed with the test.
+// newProxy returns a proxy that is closed when the test ends.
 func newProxy(t *testing.T, seed uint64) *Proxy {
 	t.Helper()
 	proxy := New(seed)
@@ -23,7 +23,7 @@
 	return proxy
 }
 
-// party is a UDP socket that reads all the time, so that its buffer does not overflow.
+// party is a UDP socket that is read continuously, so that its buffer does not overflow.
 type party struct {
 	socket    *net.UDPConn
 	address   netip.AddrPort
@@ -55,7 +55,7 @@
 	return created
 }
 
-// read passes on what the socket receives until it is closed.
+// read passes each received datagram to the channel until the socket is closed.
 func (p *party) read() {
 	buffer := make([]byte, maxDatagramSize)
 	for {
@@ -74,7 +74,7 @@
 	}
 }
 
-// receive returns the next datagrams. It fails the test if fewer come.
+// receive returns the next count datagrams. It fails the test if fewer arrive in time.
 func (p *party) receive(t *testing.T, count int) []string {
 	t.Helper()
 	timeout := time.After(arrivalTimeout)
@@ -84,13 +84,13 @@
 		case datagram := <-p.datagrams:
 			received = append(received, datagram)
 		case <-timeout:
-			t.Fatalf("%d datagrams within %v, want %d", len(received), arrivalTimeout, count)
+			t.Fatalf("received %d datagrams within %v, want %d", len(received), arrivalTimeout, count)
 		}
 	}
 	return received
 }
 
-// receiveNothing fails the test if a datagram comes.
+// receiveNothing fails the test if a datagram arrives.
 func (p *party) receiveNothing(t *testing.T) {
 	t.Helper()
 	select {
@@ -100,7 +100,8 @@
 	}
 }
 
-// udpPair is the parties a and b of a proxy, and the addresses at which each reaches the other.
+// udpPair is the parties a and b of a proxy, and the addresses at which the proxy receives the
+// datagrams that it forwards to each of them.
 type udpPair struct {
 	proxy    *Proxy
 	a, b     *party
@@ -120,19 +121,20 @@
 	return pair
 }
 
-// waitUntil waits until a condition holds, and fails the test if it does not in time.
+// waitUntil waits until a condition holds. It fails the test if the condition does not hold in
+// time.
 func waitUntil(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(arrivalTimeout)
 	for !holds() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", arrivalTimeout, condition)
+			t.Fatalf("condition not met within %v: %s", arrivalTimeout, condition)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// waitForPackets waits until the proxy has received so many packets from a to b.
+// waitForPackets waits until the proxy has received count packets from a to b.
 func (p *udpPair) waitForPackets(t *testing.T, count int) {
 	t.Helper()
 	waitUntil(t, fmt.Sprintf("the proxy receives %d packets", count), func() bool {
@@ -140,7 +142,8 @@
 	})
 }
 
-// forwarded returns how many datagrams the proxy has forwarded from a to b, or will after a delay.
+// forwarded returns how many datagrams the proxy has forwarded from a to b, or will forward after a
+// delay.
 func (p *udpPair) forwarded() int {
 	counters := p.proxy.Counters("a", "b")
 	return int(counters.Packets - counters.Partitioned - counters.Lost + counters.Duplicated)
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// The streams of random numbers of one seed.
+// Streams of the random number generator. Each seed has both.
 const (
 	faultStream    = 1
 	scheduleStream = 2
@@ -25,14 +25,14 @@
 // Proxy forwards traffic between named parties. Its methods may be called by any goroutine.
 type Proxy struct {
 	mu         sync.Mutex
-	random     *rand.Rand // of faults; the order of its draws is what a seed repeats
+	random     *rand.Rand // draws faults; a seed repeats the same sequence of draws
 	links      map[direction]*link
-	senders    map[netip.AddrPort]string // UDP parties by the address of their own socket
-	sockets    []io.Closer               // that are open
+	senders    map[netip.AddrPort]string // names of UDP parties by the address of their own socket
+	sockets    []io.Closer               // open sockets, which Close closes
 	log        []LogEntry
 	startedAt  time.Time
 	closed     bool
-	forwarders sync.WaitGroup // the goroutines that forward
+	forwarders sync.WaitGroup // goroutines that forward traffic
 }
 
 // LogEntry is a change of the fault of one direction.
@@ -49,7 +49,7 @@
 type link struct {
 	fault     Fault
 	counters  Counters
-	busyUntil time.Time     // when the datagrams so far have passed, if throughput is limited
+	busyUntil time.Time     // when all datagrams so far will have passed a limited throughput
 	changed   chan struct{} // closed, and replaced, when fault changes or the proxy is closed
 }
 
@@ -63,23 +63,23 @@
 	}
 }
 
-// link returns the link of a direction. The caller holds the lock.
-func (p *Proxy) link(way direction) *link {
-	state := p.links[way]
+// link returns the link of a direction and creates it if needed. The caller holds the lock.
+func (p *Proxy) link(dir direction) *link {
+	state := p.links[dir]
 	if state == nil {
 		state = &link{changed: make(chan struct{})}
-		p.links[way] = state
+		p.links[dir] = state
 	}
 	return state
 }
 
-// notifyChanged wakes the streams that wait at the link. The caller holds the lock.
+// notifyChanged wakes the streams that are waiting on the link. The caller holds the lock.
 func (l *link) notifyChanged() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// Set replaces the fault of what goes from one party to another.
+// Set replaces the fault of the traffic from one party to another.
 func (p *Proxy) Set(from, to string, fault Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,7 +95,8 @@
 	p.Set(b, a, fault)
 }
 
-// Partition separates each party of one side from each of the other, in both directions.
+// Partition stops the traffic between each party of one side and each party of the other, in both
+// directions.
 func (p *Proxy) Partition(sideA, sideB []string) {
 	for _, partyA := range sideA {
 		for _, partyB := range sideB {
@@ -106,8 +107,8 @@
 
 // Heal removes the faults of all directions.
 func (p *Proxy) Heal() {
-	for _, way := range p.faultyDirections() {
-		p.Set(way.from, way.to, Fault{})
+	for _, dir := range p.faultyDirections() {
+		p.Set(dir.from, dir.to, Fault{})
 	}
 }
 
@@ -116,15 +117,15 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var faulty []direction
-	for way, state := range p.links {
+	for dir, state := range p.links {
 		if state.fault != (Fault{}) {
-			faulty = append(faulty, way)
+			faulty = append(faulty, dir)
 		}
 	}
 	return faulty
 }
 
-// Counters returns what has gone from one party to another so far.
+// Counters returns the counters of the traffic from one party to another.
 func (p *Proxy) Counters(from, to string) Counters {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -138,8 +139,9 @@
 	return slices.Clone(p.log)
 }
 
-// Close closes all sockets and connections of the proxy and waits until nothing more is forwarded,
-// but for datagrams that are delayed, which are lost. Further calls do nothing.
+// Close closes all sockets and connections of the proxy and waits until the goroutines that forward
+// have ended. Delayed datagrams that have not been forwarded yet are lost. Further calls do
+// nothing.
 func (p *Proxy) Close() {
 	for _, socket := range p.markClosed() {
 		closeIgnoringError(socket)
@@ -147,8 +149,8 @@
 	p.forwarders.Wait()
 }
 
-// markClosed stops the proxy from opening sockets, wakes the streams that wait, and returns the
-// sockets that are open.
+// markClosed makes track refuse further sockets, wakes the streams that are waiting, and returns
+// the open sockets.
 func (p *Proxy) markClosed() []io.Closer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,8 +163,8 @@
 	return sockets
 }
 
-// track has Close close a socket, and reports whether the proxy is still open. If it is not, track
-// closes the socket.
+// track registers a socket that Close is to close, and reports whether the proxy is still open. If
+// the proxy is closed, track closes the socket at once.
 func (p *Proxy) track(socket io.Closer) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -174,7 +176,7 @@
 	return true
 }
 
-// closeTracked closes a socket before the proxy is closed.
+// closeTracked closes a socket and removes it from the sockets that Close closes.
 func (p *Proxy) closeTracked(socket io.Closer) {
 	closeIgnoringError(socket)
 	p.mu.Lock()
@@ -182,29 +184,29 @@
 	p.sockets = slices.DeleteFunc(p.sockets, func(tracked io.Closer) bool { return tracked == socket })
 }
 
-// closeIgnoringError closes a socket that may be closed already, and of which nothing is expected
-// any more.
+// closeIgnoringError closes a socket that is no longer needed and may be closed already.
 func closeIgnoringError(socket io.Closer) { _ = socket.Close() }
 
-// chance draws whether something that happens to a share of packets happens to this one. Nothing
-// is drawn for a share of 0. The caller holds the lock.
+// chance draws whether a fault that affects a share of the packets affects this one. It draws no
+// random number for a share of 0. The caller holds the lock.
 func (p *Proxy) chance(share float64) bool {
 	return share > 0 && p.random.Float64() < share
 }
 
-// corrupt changes one byte of some packets. The caller holds the lock.
+// corrupt changes one byte of the packet if the packet is drawn for corruption. The caller holds
+// the lock.
 func (p *Proxy) corrupt(state *link, packet []byte) {
 	if !p.chance(state.fault.Corrupt) || len(packet) == 0 {
 		return
 	}
 	state.counters.Corrupted++
 	position := p.random.IntN(len(packet))
-	change := byte(1 + p.random.IntN(255)) // never 0, which would change nothing
+	change := byte(1 + p.random.IntN(255)) // never 0, which would leave the byte unchanged
 	packet[position] ^= change
 }
 
-// delay draws how late a packet is for the delay and jitter of its link, in ms. The caller holds
-// the lock.
+// delay draws the delay of a packet in ms from its link's delay and jitter. The caller holds the
+// lock.
 func (p *Proxy) delay(state *link) float64 {
 	return state.fault.Delay + state.fault.Jitter*p.random.Float64()
 }
--- a/internal/faultproxy/schedule.go
+++ b/internal/faultproxy/schedule.go
@@ -7,36 +7,37 @@
 	"time"
 )
 
-// maxFaultStart is the part of a schedule's span within which its faults begin.
+// maxFaultStart is the fraction of a schedule's span within which all its faults begin.
 const maxFaultStart = 0.7
 
-// Step is one change of a schedule.
+// Step is one change of a fault in a schedule.
 type Step struct {
 	At       time.Duration // since the schedule began
 	From, To string
 	Fault    Fault
 }
 
-// RandomSchedule draws a schedule from a seed: a number of faults of the given kinds among at least
-// two parties. Each begins and is removed within the span. The steps are in the order of their time.
+// RandomSchedule draws a schedule from a seed: the given number of faults, of random kinds, between
+// random parties, of which there must be at least two. Each fault begins and is removed within the
+// span. The steps are sorted by time.
 func RandomSchedule(seed uint64, parties []string, kinds []Fault, faults int, span time.Duration) []Step {
 	random := rand.New(rand.NewPCG(seed, scheduleStream))
 	var steps []Step
 	for range faults {
-		way := randomDirection(random, parties)
+		dir := randomDirection(random, parties)
 		start := time.Duration(random.Float64() * maxFaultStart * float64(span))
 		length := time.Duration(random.Float64() * float64(span-start))
 		kind := kinds[random.IntN(len(kinds))]
 		steps = append(steps,
-			Step{At: start, From: way.from, To: way.to, Fault: kind},
-			Step{At: start + length, From: way.from, To: way.to},
+			Step{At: start, From: dir.from, To: dir.to, Fault: kind},
+			Step{At: start + length, From: dir.from, To: dir.to},
 		)
 	}
 	slices.SortStableFunc(steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
 	return steps
 }
 
-// randomDirection draws two different parties.
+// randomDirection draws an ordered pair of different parties.
 func randomDirection(random *rand.Rand, parties []string) direction {
 	from := random.IntN(len(parties))
 	to := random.IntN(len(parties) - 1)
@@ -46,8 +47,8 @@
 	return direction{parties[from], parties[to]}
 }
 
-// RunSchedule sets the faults of a schedule at their times. It returns after the last step, or when
-// stop is closed; with a nil stop only after the last step.
+// RunSchedule applies each step of a schedule at its time. It returns after the last step, or
+// earlier when stop is closed; stop may be nil.
 func (p *Proxy) RunSchedule(steps []Step, stop <-chan struct{}) {
 	startedAt := time.Now()
 	for _, step := range steps {
--- a/internal/faultproxy/schedule_test.go
+++ b/internal/faultproxy/schedule_test.go
@@ -20,7 +20,7 @@
 func TestRandomScheduleDependsOnSeedAlone(t *testing.T) {
 	steps := newSchedule(7, time.Second)
 	if repeated := newSchedule(7, time.Second); !reflect.DeepEqual(steps, repeated) {
-		t.Errorf("one seed gives\n%v and\n%v", steps, repeated)
+		t.Errorf("one seed gives two schedules:\n%v\nand\n%v", steps, repeated)
 	}
 	if reflect.DeepEqual(steps, newSchedule(8, time.Second)) {
 		t.Error("two seeds give the same schedule")
@@ -31,11 +31,11 @@
 	const span = time.Second
 	steps := newSchedule(7, span)
 	if len(steps) != scheduledSteps {
-		t.Errorf("%d steps, want %d", len(steps), scheduledSteps)
+		t.Errorf("got %d steps, want %d", len(steps), scheduledSteps)
 	}
 	for i, step := range steps {
 		if step.From == step.To {
-			t.Errorf("step %d is about one party: %+v", i, step)
+			t.Errorf("step %d: got the same party twice, want two different parties: %+v", i, step)
 		}
 		if i > 0 && step.At < steps[i-1].At {
 			t.Errorf("step %d at %v comes after one at %v", i, step.At, steps[i-1].At)
@@ -52,11 +52,11 @@
 	proxy.RunSchedule(steps, nil)
 	log := proxy.Log()
 	if len(log) != len(steps) {
-		t.Fatalf("%d changes, want %d", len(log), len(steps))
+		t.Fatalf("got %d changes, want %d", len(log), len(steps))
 	}
 	for i, step := range steps {
 		if entry := log[i]; entry.From != step.From || entry.To != step.To || entry.Fault != step.Fault {
-			t.Errorf("change %d is %+v, want that of %+v", i, entry, step)
+			t.Errorf("change %d is %+v, want the change of step %+v", i, entry, step)
 		}
 		if log[i].At < step.At {
 			t.Errorf("change %d came at %v, want %v or later", i, log[i].At, step.At)
@@ -80,7 +80,7 @@
 	proxy.Heal()
 	log := proxy.Log()
 	if len(log) != 8 {
-		t.Fatalf("%d changes, want 4 partitions and 4 heals: %+v", len(log), log)
+		t.Fatalf("got %d changes, want 4 partitions and 4 heals: %+v", len(log), log)
 	}
 	for i, entry := range log {
 		if partitioned := i < 4; entry.Fault != (Fault{Partitioned: partitioned}) {
@@ -89,6 +89,6 @@
 	}
 	proxy.Heal()
 	if got := len(proxy.Log()); got != len(log) {
-		t.Errorf("%d changes after a second Heal, want %d", got, len(log))
+		t.Errorf("got %d changes after a second Heal, want %d", got, len(log))
 	}
 }
--- a/internal/faultproxy/tcp.go
+++ b/internal/faultproxy/tcp.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	// connectTimeout is how long the proxy waits for the connection to a target.
+	// connectTimeout is the time limit for the connection to a target.
 	connectTimeout = time.Second
-	// maxPieceSize is how many bytes of a stream are read and forwarded at once.
+	// maxPieceSize is the maximum number of bytes of a stream that are read and forwarded at once.
 	maxPieceSize = 32 << 10
 )
 
-// TCP returns the address at which one party reaches another, whose listener is at target. Each pair
-// of parties needs an address of its own. It returns net.ErrClosed if the proxy is closed.
+// TCP returns the address at which the party from reaches the party to, whose listener is at
+// target. Each ordered pair of parties needs its own address. TCP returns net.ErrClosed if the
+// proxy is closed.
 func (p *Proxy) TCP(from, to, target string) (string, error) {
 	var config net.ListenConfig
 	listener, err := config.Listen(context.Background(), "tcp", net.JoinHostPort(loopback.String(), "0"))
@@ -30,25 +31,25 @@
 	return listener.Addr().String(), nil
 }
 
-// acceptConnections forwards each connection that a listener accepts, until it is closed.
-func (p *Proxy) acceptConnections(listener net.Listener, way direction, target string) {
+// acceptConnections accepts and forwards connections until the listener is closed.
+func (p *Proxy) acceptConnections(listener net.Listener, dir direction, target string) {
 	for {
 		client, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		p.forwarders.Go(func() { p.forwardConnection(client, way, target) })
+		p.forwarders.Go(func() { p.forwardConnection(client, dir, target) })
 	}
 }
 
-// forwardConnection forwards one connection until both directions have ended. A connection to the
-// target is established only once the link is not partitioned.
-func (p *Proxy) forwardConnection(client net.Conn, way direction, target string) {
+// forwardConnection forwards one connection until both directions have ended. It waits for the end
+// of a partition before it connects to the target.
+func (p *Proxy) forwardConnection(client net.Conn, dir direction, target string) {
 	if !p.track(client) {
 		return
 	}
 	defer p.closeTracked(client)
-	if !p.waitToForward(way, 0) {
+	if !p.waitToForward(dir, 0) {
 		return
 	}
 	dialer := net.Dialer{Timeout: connectTimeout}
@@ -63,19 +64,19 @@
 	backEnded := make(chan struct{})
 	p.forwarders.Go(func() {
 		defer close(backEnded)
-		p.forwardStream(client, server, direction{way.to, way.from})
+		p.forwardStream(client, server, direction{dir.to, dir.from})
 	})
-	p.forwardStream(server, client, way)
+	p.forwardStream(server, client, dir)
 	<-backEnded
 }
 
-// forwardStream forwards one direction of a connection until it ends. A regular end closes this
-// direction alone; a connection that broke is closed on the other side too.
-func (p *Proxy) forwardStream(dst, src net.Conn, way direction) {
+// forwardStream forwards one direction of a connection until it ends. At the end of the stream it
+// closes only this direction of dst; after a read error it closes dst.
+func (p *Proxy) forwardStream(dst, src net.Conn, dir direction) {
 	buffer := make([]byte, maxPieceSize)
 	for {
 		size, err := src.Read(buffer)
-		if size > 0 && !p.forwardPiece(dst, src, way, buffer[:size]) {
+		if size > 0 && !p.forwardPiece(dst, src, dir, buffer[:size]) {
 			break
 		}
 		if errors.Is(err, io.EOF) {
@@ -87,18 +88,18 @@
 		}
 	}
 	if tcp, ok := dst.(*net.TCPConn); ok {
-		_ = tcp.CloseWrite() // it fails only if the connection is closed already
+		_ = tcp.CloseWrite() // the only possible error is that the connection is closed already
 	}
 }
 
-// forwardPiece forwards a piece of a stream, and reports whether more may follow it.
-func (p *Proxy) forwardPiece(dst, src net.Conn, way direction, piece []byte) bool {
-	if !p.waitToForward(way, len(piece)) {
+// forwardPiece forwards a piece of a stream, and reports whether more pieces may follow.
+func (p *Proxy) forwardPiece(dst, src net.Conn, dir direction, piece []byte) bool {
+	if !p.waitToForward(dir, len(piece)) {
 		return false
 	}
-	p.corruptPiece(way, piece)
+	p.corruptPiece(dir, piece)
 	if _, err := dst.Write(piece); err != nil {
-		// Otherwise the sender would not learn that its peer is gone and would send for ever.
+		// An open connection would hide from the sender that its peer is gone.
 		closeIgnoringError(src)
 		return false
 	}
@@ -106,10 +107,11 @@
 }
 
 // waitToForward waits until a piece of a stream, or with a size of 0 a new connection, may be
-// forwarded. It reports false if it never may: the direction is half-closed or the proxy closed.
-func (p *Proxy) waitToForward(way direction, size int) bool {
+// forwarded. It returns false if forwarding is not possible, because the direction is half-closed
+// or the proxy is closed.
+func (p *Proxy) waitToForward(dir direction, size int) bool {
 	p.mu.Lock()
-	state := p.link(way)
+	state := p.link(dir)
 	state.countPiece(size)
 	for {
 		fault := state.fault
@@ -129,14 +131,15 @@
 	}
 }
 
-// corruptPiece changes one byte of some pieces of a stream.
-func (p *Proxy) corruptPiece(way direction, piece []byte) {
+// corruptPiece changes one byte of the piece if the piece is drawn for corruption.
+func (p *Proxy) corruptPiece(dir direction, piece []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.corrupt(p.link(way), piece)
+	p.corrupt(p.link(dir), piece)
 }
 
-// countPiece counts a piece of a stream. The caller holds the lock.
+// countPiece counts a piece of a stream, or with a size of 0 a new connection. The caller holds the
+// lock.
 func (l *link) countPiece(size int) {
 	l.counters.Packets++
 	l.counters.Bytes += int64(size)
@@ -145,7 +148,7 @@
 	}
 }
 
-// pieceDelay draws how late a piece of a stream is. The caller holds the lock.
+// pieceDelay draws the delay of a piece of a stream. The caller holds the lock.
 func (p *Proxy) pieceDelay(state *link, size int) time.Duration {
 	delay := p.delay(state) // ms
 	if p.chance(state.fault.Loss) {
--- a/internal/faultproxy/tcp_test.go
+++ b/internal/faultproxy/tcp_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// tcpPair is a listener of the party b, and the address at which a reaches it.
+// tcpPair is a listener of the party b, and the address at which the party a reaches it.
 type tcpPair struct {
 	proxy    *Proxy
 	listener *net.TCPListener
@@ -32,7 +32,7 @@
 	return &tcpPair{proxy: proxy, listener: listener, address: address}
 }
 
-// closeAfter closes a socket with the test.
+// closeAfter closes a socket when the test ends.
 func closeAfter(t *testing.T, socket io.Closer) {
 	t.Helper()
 	t.Cleanup(func() {
@@ -42,7 +42,7 @@
 	})
 }
 
-// dial returns a's end of a new connection. The proxy accepts it, whatever the fault.
+// dial returns a's end of a new connection. The proxy accepts the connection whatever the fault.
 func (p *tcpPair) dial(t *testing.T) net.Conn {
 	t.Helper()
 	conn, err := (&net.Dialer{Timeout: arrivalTimeout}).DialContext(t.Context(), "tcp", p.address)
@@ -53,7 +53,8 @@
 	return conn
 }
 
-// acceptWithin returns b's end of the next connection, or an error if there is none in time.
+// acceptWithin returns b's end of the next connection, or an error if no connection arrives in
+// time.
 func (p *tcpPair) acceptWithin(t *testing.T, timeout time.Duration) (net.Conn, error) {
 	t.Helper()
 	if err := p.listener.SetDeadline(time.Now().Add(timeout)); err != nil {
@@ -84,7 +85,7 @@
 	}
 }
 
-// read returns what comes on a connection in time, at most as much as is wanted.
+// read returns the next bytes of a connection, as many as are wanted or as arrive in time.
 func read(t *testing.T, conn net.Conn, want int, timeout time.Duration) (string, error) {
 	t.Helper()
 	if err := conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
@@ -95,7 +96,7 @@
 	return string(buffer[:n]), err
 }
 
-// expect fails the test unless the given text comes next on a connection.
+// expect fails the test unless the wanted text arrives next on a connection.
 func expect(t *testing.T, conn net.Conn, want string) {
 	t.Helper()
 	got, err := read(t, conn, len(want), arrivalTimeout)
@@ -104,7 +105,7 @@
 	}
 }
 
-// expectNothing fails the test if anything comes on a connection, or it ends.
+// expectNothing fails the test if data arrives on a connection or the connection ends.
 func expectNothing(t *testing.T, conn net.Conn) {
 	t.Helper()
 	got, err := read(t, conn, 1, quietPeriod)
--- a/internal/faultproxy/udp.go
+++ b/internal/faultproxy/udp.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// maxDatagramSize is in bytes, and more than any UDP packet has.
+// maxDatagramSize is larger than any UDP datagram, in bytes.
 const maxDatagramSize = 1 << 16
 
 // loopback is the address on which the proxy listens.
 var loopback = net.IPv4(127, 0, 0, 1)
 
 // UDP returns the address at which other parties reach the party with the given name, whose own
-// socket is at target. The proxy knows a sender by the address of its own socket, which must have
-// been given to UDP too; all other senders are the party "". It returns net.ErrClosed if the proxy
-// is closed.
+// socket is at target. The proxy identifies a sender by the address of its own socket, so UDP must
+// have been called for the sender too; all other senders count as the party "". UDP returns
+// net.ErrClosed if the proxy is closed.
 func (p *Proxy) UDP(name string, target netip.AddrPort) (netip.AddrPort, error) {
 	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: loopback})
 	if err != nil {
@@ -39,7 +39,8 @@
 	address netip.AddrPort // of its own socket
 }
 
-// forwardDatagrams forwards what reaches a socket to its party until the socket is closed.
+// forwardDatagrams forwards the datagrams that a socket receives to its party until the socket is
+// closed.
 func (p *Proxy) forwardDatagrams(socket *net.UDPConn, receiver udpParty) {
 	buffer := make([]byte, maxDatagramSize)
 	for {
@@ -48,7 +49,7 @@
 			return
 		}
 		if err != nil {
-			continue // an earlier datagram was refused, since the receiver does not listen yet
+			continue // the receiver refused an earlier datagram, since it is not listening yet
 		}
 		sender = netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())
 		packet := slices.Clone(buffer[:size])
@@ -58,10 +59,11 @@
 	}
 }
 
-// forwardAfter forwards a datagram after a delay; without a delay, before it returns.
+// forwardAfter forwards a datagram after a delay. If the delay is not positive, it forwards it
+// before it returns.
 func forwardAfter(delay time.Duration, socket *net.UDPConn, receiver udpParty, packet []byte) {
 	forward := func() {
-		// A write that fails is a datagram lost, of which its sender learns nothing.
+		// A failed write loses the datagram without notice to the sender, as a network does.
 		_, _ = socket.WriteToUDPAddrPort(packet, receiver.address)
 	}
 	if delay <= 0 {
@@ -71,8 +73,8 @@
 	time.AfterFunc(delay, forward)
 }
 
-// datagramDelays returns the delay after which each copy of a datagram is to be forwarded, none if
-// it is lost. It may change a byte of the packet.
+// datagramDelays returns the delay of each copy of a datagram that is to be forwarded; there is
+// none if the datagram is lost. It may change a byte of the packet.
 func (p *Proxy) datagramDelays(sender netip.AddrPort, to string, packet []byte) []time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,7 +109,7 @@
 }
 
 // queueingDelay returns how long a datagram of size bytes waits until it and those before it have
-// passed at the throughput of the link. The caller holds the lock.
+// passed the limited throughput of the link. The caller holds the lock.
 func (l *link) queueingDelay(size int) time.Duration {
 	if l.fault.BytesPerSecond <= 0 {
 		return 0
--- a/internal/faultproxy/udp_test.go
+++ b/internal/faultproxy/udp_test.go
@@ -10,23 +10,26 @@
 )
 
 const (
-	// sentDatagrams is how many datagrams a test sends from a to b, each with its number.
+	// sentDatagrams is the number of datagrams that a test sends from a to b. Each carries its
+	// number.
 	sentDatagrams = 200
-	// sentAtOnce and maxOutstanding keep the sockets of the proxy and of b from losing datagrams
-	// by themselves. The default buffer of Linux holds 256 as small as these; after a wait, b is
-	// sent the outstanding ones and at most two for each of the next ones.
+	// sentAtOnce and maxOutstanding prevent the sockets of the proxy and of b from losing datagrams
+	// when their buffers are full. The default buffer of Linux holds 256 datagrams of this size.
+	// After each wait, b can receive the outstanding datagrams and at most two for each datagram of
+	// the next batch.
 	sentAtOnce     = 50
 	maxOutstanding = 120
 )
 
-// sendNumbered sends the numbered datagrams from a to b, and returns when the proxy has them all.
+// sendNumbered sends the numbered datagrams from a to b, and returns when the proxy has received
+// all of them.
 func (p *udpPair) sendNumbered(t *testing.T) {
 	t.Helper()
 	for i := range sentDatagrams {
 		p.a.send(t, p.toB, numbered(i))
 		if sent := i + 1; sent%sentAtOnce == 0 {
 			p.waitForPackets(t, sent)
-			waitUntil(t, "b receives what is forwarded", func() bool {
+			waitUntil(t, "b receives the forwarded datagrams", func() bool {
 				return p.forwarded()-len(p.b.datagrams) <= maxOutstanding
 			})
 		}
@@ -44,7 +47,8 @@
 	return all
 }
 
-// Each fault does what it says in its own direction, and nothing in the other.
+// Each fault affects the traffic of its own direction as documented and leaves the opposite
+// direction unaffected.
 func TestUDPFaults(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -70,7 +74,7 @@
 			}
 			want := pair.forwarded()
 			if want < test.least || want > test.most {
-				t.Errorf("%d datagrams forwarded, want %d to %d; counters %+v", want, test.least, test.most, counters)
+				t.Errorf("got %d datagrams forwarded, want %d to %d; counters %+v", want, test.least, test.most, counters)
 			}
 			received := pair.b.receive(t, want)
 			pair.b.receiveNothing(t)
@@ -78,7 +82,7 @@
 
 			pair.b.send(t, pair.toA, "back")
 			if got := pair.a.receive(t, 1)[0]; got != "back" {
-				t.Errorf("from b to a came %q, want back", got)
+				t.Errorf("a received %q from b, want back", got)
 			}
 		})
 	}
@@ -87,7 +91,7 @@
 func checkUnchanged(t *testing.T, received []string, counters Counters) {
 	t.Helper()
 	if !slices.Equal(received, allNumbered()) {
-		t.Errorf("received %q, want all in order", received)
+		t.Errorf("received %q, want all datagrams in order", received)
 	}
 	if want := (Counters{Packets: counters.Packets, Bytes: counters.Bytes}); counters != want {
 		t.Errorf("counters %+v, want %+v", counters, want)
@@ -97,32 +101,32 @@
 func checkPartitioned(t *testing.T, _ []string, counters Counters) {
 	t.Helper()
 	if counters.Partitioned != sentDatagrams {
-		t.Errorf("%d datagrams counted as partitioned, want %d", counters.Partitioned, sentDatagrams)
+		t.Errorf("got %d datagrams counted as partitioned, want %d", counters.Partitioned, sentDatagrams)
 	}
 }
 
 func checkLost(t *testing.T, _ []string, counters Counters) {
 	t.Helper()
 	if counters.Lost == 0 {
-		t.Error("no datagram counted as lost")
+		t.Error("got no datagram counted as lost, want some")
 	}
 }
 
 func checkDuplicated(t *testing.T, received []string, counters Counters) {
 	t.Helper()
 	if counters.Duplicated == 0 {
-		t.Error("no datagram counted as duplicated")
+		t.Error("got no datagram counted as duplicated, want some")
 	}
 	slices.Sort(received)
 	if got := slices.Compact(received); !slices.Equal(got, allNumbered()) {
-		t.Errorf("received %q without duplicates, want each once", got)
+		t.Errorf("received %q after removal of duplicates, want each datagram once", got)
 	}
 }
 
 func checkCorrupted(t *testing.T, received []string, counters Counters) {
 	t.Helper()
 	if counters.Corrupted != sentDatagrams {
-		t.Errorf("%d datagrams counted as corrupted, want %d", counters.Corrupted, sentDatagrams)
+		t.Errorf("got %d datagrams counted as corrupted, want %d", counters.Corrupted, sentDatagrams)
 	}
 	for i, datagram := range received {
 		if datagram == numbered(i) {
@@ -134,20 +138,21 @@
 func checkReordered(t *testing.T, received []string, _ Counters) {
 	t.Helper()
 	if slices.Equal(received, allNumbered()) {
-		t.Error("all came in order")
+		t.Error("received all datagrams in order, want some reordered")
 	}
 	slices.Sort(received)
 	if !slices.Equal(received, allNumbered()) {
-		t.Errorf("received %q, want each once", received)
+		t.Errorf("received %q, want each datagram once", received)
 	}
 }
 
-// What is more than the throughput waits for up to a second; what would wait longer is lost.
+// Datagrams above the throughput limit wait for up to a second. A datagram that would wait longer
+// is lost.
 func TestUDPThroughputIsLimited(t *testing.T) {
 	const (
 		perSecond = 100               // datagrams
 		interval  = time.Second / 100 // from one to the next
-		tolerance = time.Millisecond  // of the sum of rounded intervals
+		tolerance = time.Millisecond  // for the rounding of the intervals
 	)
 	pair := newUDPPair(t)
 	pair.proxy.Set("a", "b", Fault{BytesPerSecond: 3 * perSecond})
@@ -158,16 +163,16 @@
 	least := perSecond * int(maxQueueingDelay.Seconds())
 	most := least + int(sendingTime/interval) + 1
 	if forwarded < least || forwarded > most {
-		t.Errorf("%d datagrams forwarded after %v of sending, want %d to %d", forwarded, sendingTime, least, most)
+		t.Errorf("got %d datagrams forwarded after %v of sending, want %d to %d", forwarded, sendingTime, least, most)
 	}
 	pair.b.receive(t, forwarded)
 	if elapsed := time.Since(startedAt); elapsed < time.Duration(forwarded)*interval-tolerance {
-		t.Errorf("%d datagrams at %d a second took %v", forwarded, perSecond, elapsed)
+		t.Errorf("%d datagrams at %d a second took %v, want longer", forwarded, perSecond, elapsed)
 	}
 	pair.b.receiveNothing(t)
 	pair.b.send(t, pair.toA, "back")
 	if got := pair.a.receive(t, 1)[0]; got != "back" {
-		t.Errorf("from b to a came %q, want back", got)
+		t.Errorf("a received %q from b, want back", got)
 	}
 }
 
@@ -180,7 +185,7 @@
 	pair.b.receive(t, 1)
 	elapsed := time.Since(sentAt)
 	if elapsed < delay*time.Millisecond || elapsed > quietPeriod {
-		t.Errorf("received after %v, want %d ms or more, and %v at the most", elapsed, delay, quietPeriod)
+		t.Errorf("received after %v, want at least %d ms and at most %v", elapsed, delay, quietPeriod)
 	}
 }
 
@@ -196,7 +201,7 @@
 	}
 }
 
-// A sender that the proxy does not know has a link of its own.
+// A sender whose address the proxy does not know has its own link, without faults.
 func TestUnknownUDPSenderIsForwarded(t *testing.T) {
 	pair := newUDPPair(t)
 	pair.proxy.Set("a", "b", Fault{Partitioned: true})
@@ -205,7 +210,7 @@
 		t.Errorf("received %q, want unknown", got)
 	}
 	if got := pair.proxy.Counters("", "b").Packets; got != 1 {
-		t.Errorf("%d packets of unknown senders counted, want 1", got)
+		t.Errorf("got %d packets of unknown senders counted, want 1", got)
 	}
 }
 
