--- a/internal/fuzzutil/fuzzutil.go
+++ b/internal/fuzzutil/fuzzutil.go
@@ -1,4 +1,4 @@
-// Package fuzzutil gives fuzz tests a corpus of random inputs that is the same in each run. Only
+// Package fuzzutil gives fuzz tests a corpus of random inputs that is the same in every run. Only
 // tests import it.
 package fuzzutil
 
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// seedStream is the stream of random numbers that seeds are drawn from.
+// seedStream is the stream of the random number generator that the corpus is drawn from.
 const seedStream = 7
 
-// AddRandomSeeds adds seeds of random bytes to the corpus of a fuzz test whose only argument is a
-// []byte: count seeds of size bytes each. They depend on count and size alone.
+// AddRandomSeeds adds count inputs of size random bytes each to the seed corpus of a fuzz test
+// whose only argument is a []byte. The inputs depend on count and size alone.
 //
-// A plain go test runs a fuzz test on its corpus only. A test whose input is a script of random
-// steps would check next to nothing there without such seeds.
+// Without -fuzz, go test runs a fuzz test on its seed corpus only. A test whose input is a script
+// of random steps would then check almost nothing without such inputs.
 func AddRandomSeeds(f *testing.F, count, size int) {
 	f.Helper()
 	for seed := range uint64(count) {
@@ -22,7 +22,7 @@
 	}
 }
 
-// randomBytes returns the bytes of one seed.
+// randomBytes returns the first size random bytes of a seed.
 func randomBytes(seed uint64, size int) []byte {
 	random := rand.New(rand.NewPCG(seed, seedStream))
 	content := make([]byte, size)
--- a/internal/fuzzutil/fuzzutil_test.go
+++ b/internal/fuzzutil/fuzzutil_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Failures of fuzz tests are looked up by the number of their seed, so the bytes must not change.
+// Failures of fuzz tests are identified by the number of their seed, so the bytes of a seed must
+// not change.
 func TestRandomBytesOfSeedsStay(t *testing.T) {
 	for seed, want := range []string{
 		"e6d87ae6ae0b448cb5ee5f8f",
@@ -23,6 +24,6 @@
 	short := randomBytes(5, 10)
 	long := randomBytes(5, 300)
 	if len(short) != 10 || len(long) != 300 || !bytes.HasPrefix(long, short) {
-		t.Errorf("got %x of 10 bytes, and %x of 300", short, long)
+		t.Errorf("got %x of 10 bytes, want a prefix of the 300 bytes %x", short, long)
 	}
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,13 +1,13 @@
-// Package golden compares bytes with files in testdata, for tests that pin stored forms,
-// messages on a wire, and names that operators' scripts rest on. Only tests import it.
+// Package golden compares bytes with files in testdata, for tests that pin stored data, wire
+// messages, and names that operators' scripts depend on. Only tests import it.
 //
-// The files were written by the program before its identifiers were renamed. They are
-// written anew with
+// The files come from a version of the program with other Go identifiers, so a test fails if an
+// outer form changes together with an identifier. The command
 //
 //	UPDATE_GOLDEN=1 go test ./PACKAGE
 //
-// which is right only where such a form is changed on purpose, in a way that programs of the
-// version before can read.
+// rewrites the files. Use it only for an intended change of such a form, which programs of the
+// previous version must be able to read.
 package golden
 
 import (
@@ -21,17 +21,17 @@
 	"testing"
 )
 
-// updateVariable is the environment variable with which Compare writes the files first.
+// updateVariable is the environment variable that makes Compare write the files before it compares.
 const updateVariable = "UPDATE_GOLDEN"
 
-// Message is one named message of a file that CompareMessages reads.
+// Message is one named message of a file that CompareMessages compares.
 type Message struct {
 	Name  string
 	Bytes []byte
 }
 
-// Compare fails the test unless got is what testdata/name holds, to the byte. It returns what
-// the file holds.
+// Compare fails the test unless got equals the content of testdata/name. It returns the content of
+// the file.
 func Compare(tb testing.TB, name string, got []byte) []byte {
 	tb.Helper()
 	if os.Getenv(updateVariable) != "" {
@@ -44,8 +44,8 @@
 	return want
 }
 
-// CompareMessages is Compare for messages, one a line: its name and its bytes in
-// hexadecimal. It returns the messages of the file.
+// CompareMessages compares messages with the file testdata/name, which has one message per line:
+// its name and its bytes in hexadecimal. It returns the messages of the file.
 func CompareMessages(tb testing.TB, name string, got []Message) []Message {
 	tb.Helper()
 	var text bytes.Buffer
@@ -65,7 +65,7 @@
 	return want
 }
 
-// Read returns what testdata/name holds.
+// Read returns the content of testdata/name. It ends the test if the file cannot be read.
 func Read(tb testing.TB, name string) []byte {
 	tb.Helper()
 	content, err := os.ReadFile(filepath.Join("testdata", name))
--- a/internal/netsim/event_queue.go
+++ b/internal/netsim/event_queue.go
@@ -9,8 +9,8 @@
 // event is the arrival of a packet, or a timer of a host.
 type event struct {
 	at          float64            // ms
-	sequence    uint64             // orders events of one time
-	host        *Host              // of a timer; nil for a packet
+	sequence    uint64             // orders events of the same time
+	host        *Host              // whose timer it is; nil for a packet
 	packet      *membership.Packet // nil for a timer
 	destination netip.AddrPort     // of the packet
 }
@@ -54,7 +54,7 @@
 	return earliest
 }
 
-// siftDown moves the first event to its place.
+// siftDown moves the first event down the heap to its place.
 func (q eventQueue) siftDown() {
 	parent := 0
 	for {
@@ -67,7 +67,7 @@
 	}
 }
 
-// earlierChild returns the index of the child that is handled first. It is past the end of
+// earlierChild returns the index of the child that is handled first. The index is past the end of
 // the queue if there is no child.
 func (q eventQueue) earlierChild(parent int) int {
 	left := 2*parent + 1
--- a/internal/netsim/failure_detection_test.go
+++ b/internal/netsim/failure_detection_test.go
@@ -17,25 +17,25 @@
 			network.Kill(crashed)
 			runUntilFailed(t, network, crashed, routers-1, 3000, 10)
 			if *ownFailures > routers-1 {
-				t.Errorf("%d times a host concluded that one failed, want at most %d", *ownFailures, routers-1)
+				t.Errorf("got %d conclusions that a host failed, want at most %d", *ownFailures, routers-1)
 			}
 		})
 	}
 }
 
-// A router that no other receives from, though it receives from all, is failed by all and
-// does not fail the others. It is back when they receive from it again.
-func TestRouterThatIsNotReceivedFromIsFailed(t *testing.T) {
+// A router that receives from all others but whose own packets are lost is failed by all others and
+// fails none of them. It rejoins when the others receive from it again.
+func TestReceiveOnlyRouterIsFailed(t *testing.T) {
 	network := convergedFleet(t, 4, 9)
-	mute := network.Hosts[4]
-	network.Link.Partitioned = func(from, _ *Host) bool { return from == mute }
-	runUntilFailed(t, network, mute, 8, 5000, 50)
+	receiveOnly := network.Hosts[4]
+	network.Link.Partitioned = func(from, _ *Host) bool { return from == receiveOnly }
+	runUntilFailed(t, network, receiveOnly, 8, 5000, 50)
 	network.Link.Partitioned = nil
 	requireConvergence(t, network, 3000)
 }
 
-// A router that was stopped for 30 s and continues fails nobody, and is back soon.
-func TestRouterThatContinuesAfterStallFailsNobody(t *testing.T) {
+// A router that was paused for 30 s fails no other router when it continues, and rejoins soon.
+func TestRouterThatContinuesAfterStallFailsNoPeer(t *testing.T) {
 	network := convergedFleet(t, 5, 8)
 	stalled := network.Hosts[3]
 	otherFailures := countFailuresExcept(network, stalled)
@@ -47,12 +47,12 @@
 	took := requireConvergence(t, network, 3000)
 	network.Run(network.Now + 20_000)
 	if *otherFailures != 0 {
-		t.Errorf("%d times another router was failed, want 0; converged after %.0f ms", *otherFailures, took)
+		t.Errorf("got %d failures of other routers, want 0; converged after %.0f ms", *otherFailures, took)
 	}
 }
 
-// With a fifth of all packets lost, packets that are late, duplicated or out of order, and one
-// router that stalls again and again, no other router is failed.
+// A fifth of all packets is lost, others are late, duplicated or out of order, and one router
+// stalls repeatedly. No other router is failed.
 func TestLossAndOneStallingRouterFailNoOther(t *testing.T) {
 	network := convergedFleet(t, 6, 8)
 	stalling := network.Hosts[7]
@@ -63,11 +63,11 @@
 		network.Run(network.Now + 4000)
 	}
 	if *otherFailures != 0 {
-		t.Errorf("%d times a live router was failed, want 0", *otherFailures)
+		t.Errorf("got %d failures of live routers, want 0", *otherFailures)
 	}
 }
 
-// Clocks that differ by a day, and one that runs a tenth too fast, change nothing: routers
+// Clocks that differ by a day and a clock that runs a tenth too fast change nothing, since routers
 // never send each other times.
 func TestClockDifferencesChangeNothing(t *testing.T) {
 	network := convergedFleet(t, 15, 8)
@@ -76,7 +76,7 @@
 	ownFailures := countOwnFailures(network)
 	network.Run(network.Now + 60_000)
 	if *ownFailures != 0 {
-		t.Errorf("%d times a live router was failed, want 0", *ownFailures)
+		t.Errorf("got %d failures of live routers, want 0", *ownFailures)
 	}
 	crashed := network.Hosts[5]
 	network.Kill(crashed)
@@ -84,8 +84,8 @@
 	requireConvergence(t, network, 3000)
 }
 
-// Packets of long ago change nothing: a router that left stays away and one that is alive
-// stays, though all packets that were ever sent arrive once more.
+// Old packets that arrive once more change nothing: a router that left stays away, and live routers
+// stay members, even if every packet ever sent is replayed.
 func TestReplayedPacketsChangeNothing(t *testing.T) {
 	network := New(7)
 	network.StartFleet(5, fleet.DefaultSettings(), AllProtocols)
@@ -112,9 +112,9 @@
 	}
 	network.Run(network.Now + 30_000)
 	if *changes != 0 {
-		t.Errorf("%d changes by %d replayed packets, want 0", *changes, len(recorded))
+		t.Errorf("got %d changes by %d replayed packets, want 0", *changes, len(recorded))
 	}
 	if got := network.Hosts[0].Membership().Replays; got == replaysBefore {
-		t.Errorf("replays counted: %d, want more than the %d before", got, replaysBefore)
+		t.Errorf("got %d counted replays, want more than the %d before", got, replaysBefore)
 	}
 }
--- a/internal/netsim/helpers_test.go
+++ b/internal/netsim/helpers_test.go
@@ -8,7 +8,8 @@
 	"garnetline/internal/fleet/membership"
 )
 
-// convergedFleet returns a fleet that has found itself, connectivity included.
+// convergedFleet returns a fleet whose routers have the same view and whose connectivity is
+// established.
 func convergedFleet(tb testing.TB, seed uint64, routers int) *Network {
 	tb.Helper()
 	network := New(seed)
@@ -18,8 +19,8 @@
 	return network
 }
 
-// requireConvergence runs the network until all hosts have the same view and returns how long
-// that took, in ms.
+// requireConvergence runs the network until all hosts have the same view, and returns how long that
+// took, in ms. It ends the test if that takes longer than within, in ms.
 func requireConvergence(tb testing.TB, network *Network, within float64) float64 {
 	tb.Helper()
 	start := network.Now
@@ -33,8 +34,8 @@
 	return network.Now - start
 }
 
-// runUntilFailed runs the network until want hosts see subject as failed, and reports an error
-// if they do not in time.
+// runUntilFailed runs the network until want hosts see subject as failed. It reports an error if
+// that takes longer than within, in ms.
 func runUntilFailed(tb testing.TB, network *Network, subject *Host, want int, within, step float64) {
 	tb.Helper()
 	failed := func() bool { return network.StateCounts(subject)[membership.Failed] == want }
@@ -44,7 +45,8 @@
 	}
 }
 
-// countEvents counts, from now on, the events of the present hosts that match.
+// countEvents counts the matching events of the hosts that the network has now. The count grows as
+// the network runs.
 func countEvents(network *Network, match func(host *Host, event membership.Event) bool) *int {
 	count := 0
 	for _, host := range network.Hosts {
@@ -59,15 +61,15 @@
 	return &count
 }
 
-// countOwnFailures counts, from now on, how often a host concludes by itself that another
-// has failed.
+// countOwnFailures counts, from now on, how often a host itself concludes that another host has
+// failed.
 func countOwnFailures(network *Network) *int {
 	return countEvents(network, func(host *Host, event membership.Event) bool {
 		return event.Kind == membership.EventFailed && event.Update.ReportedBy == host.Self.ID
 	})
 }
 
-// countFailuresExcept counts, from now on, how often a host sees another than subject fail.
+// countFailuresExcept counts, from now on, how often a host sees a router other than subject fail.
 func countFailuresExcept(network *Network, subject *Host) *int {
 	return countEvents(network, func(_ *Host, event membership.Event) bool {
 		return event.Kind == membership.EventFailed && event.Update.ID != subject.Self.ID
@@ -80,12 +82,12 @@
 	return int(ip[2])<<8 | int(ip[3])
 }
 
-// partitionBy separates hosts whose slots are on different sides.
+// partitionBy returns a partition between the hosts whose slots are on different sides.
 func partitionBy(side func(slot int) int) func(from, to *Host) bool {
 	return func(from, to *Host) bool { return side(slotOf(from)) != side(slotOf(to)) }
 }
 
-// isolate separates a host from all others.
+// isolate returns a partition between a host and all others.
 func isolate(host *Host) func(from, to *Host) bool {
 	return func(from, to *Host) bool { return from == host || to == host }
 }
--- a/internal/netsim/host.go
+++ b/internal/netsim/host.go
@@ -9,40 +9,41 @@
 )
 
 const (
-	// socketBufferPackets is how many packets the socket buffer of a paused process holds.
+	// socketBufferPackets is the number of packets that the socket buffer of a paused process
+	// holds.
 	socketBufferPackets = 200
 
-	// minTimerDelay, in ms, keeps a machine that always wants to be stepped at once from
-	// holding the clock still.
+	// minTimerDelay, in ms, ensures that the clock advances even if a machine always asks to be
+	// stepped at once.
 	minTimerDelay = 0.05
 )
 
 // Machine is the state machine that a host runs.
 type Machine interface {
-	// Step brings the machine to now, in ms of the host's clock, and handles a packet, which
-	// may be nil.
+	// Step advances the machine to now, in ms of the host's clock, and handles packet unless it is
+	// nil.
 	Step(now float64, packet *membership.Packet) fleet.Output
-	// Leave returns what to send before an orderly shutdown.
+	// Leave returns the packets to send before a graceful shutdown.
 	Leave(now float64) membership.Output
-	// State returns how the machine sees a router, and whether it knows it.
+	// State returns the state in which the machine sees a router, and whether it knows the router.
 	State(id membership.ID) (state membership.State, known bool)
 }
 
-// Protocols says which state machines a host runs.
+// Protocols selects the state machines that a host runs.
 type Protocols int
 
 const (
-	// AllProtocols are those of a daemon: membership, gossip about servers, and connectivity.
+	// AllProtocols selects those of the daemon: membership, gossip about servers, and connectivity.
 	AllProtocols Protocols = iota
-	// MembershipAlone is the membership protocol without the others.
+	// MembershipAlone selects the membership protocol without the others.
 	MembershipAlone
 )
 
-// MembershipOnly is a Machine that runs the membership protocol alone, without gossip about
-// servers and without connectivity.
+// MembershipOnly is a Machine that runs only the membership protocol, without gossip about servers
+// and without connectivity.
 type MembershipOnly struct{ *membership.Machine }
 
-// Step steps the membership protocol.
+// Step steps the membership machine.
 func (m MembershipOnly) Step(now float64, packet *membership.Packet) fleet.Output {
 	return fleet.Output{Output: m.Machine.Step(now, packet)}
 }
@@ -52,22 +53,22 @@
 	Machine
 	Name        string
 	Addr        netip.AddrPort
-	Self        membership.Update // as the process started
+	Self        membership.Update // the update with which the process started
 	Dead        bool              // killed or shut down; set by Network
 	PacketsSent int64
-	BytesSent   int64 // with encryption and the headers of IP and UDP
+	BytesSent   int64 // including encryption and the headers of IP and UDP
 
-	// Clock, unless nil, converts the network's time to that of the host's own clock, both
+	// Clock, unless nil, converts the network's time to the time of the host's own clock. Both are
 	// in ms.
 	Clock func(now float64) float64
 
-	// OnStep, unless nil, is called after each step with the network's time and what the
-	// step called for.
+	// OnStep, unless nil, is called after each step with the network's time and the output of the
+	// step.
 	OnStep func(host *Host, now float64, out *fleet.Output)
 
 	pausedUntil  float64              // ms
-	nextTimerAt  float64              // ms, of the earliest timer in the queue; infinite without one
-	socketBuffer []*membership.Packet // arrived while the process is paused
+	nextTimerAt  float64              // ms; time of the earliest timer in the queue, infinite if there is none
+	socketBuffer []*membership.Packet // packets that arrived while the process is paused
 }
 
 func newHost(self membership.Update) *Host {
@@ -93,8 +94,8 @@
 	return h.Clock(now)
 }
 
-// setTimer notes a timer and reports whether it is to be scheduled. Each host has one timer in
-// the queue: a later one is set again by the step that the earlier one causes.
+// setTimer records a timer and reports whether the caller must schedule it. Only the earliest timer
+// of a host is scheduled: the step that it causes sets the next one.
 func (h *Host) setTimer(at float64) bool {
 	if at >= h.nextTimerAt {
 		return false
@@ -103,14 +104,15 @@
 	return true
 }
 
-// clearTimer notes that a timer of time at has fired.
+// clearTimer records that the timer that was set for the time at has fired.
 func (h *Host) clearTimer(at float64) {
 	if h.nextTimerAt <= at {
 		h.nextTimerAt = math.Inf(1)
 	}
 }
 
-// buffer keeps a packet, unless it is nil or the socket buffer is full.
+// buffer stores a packet until the pause ends. It drops the packet if the socket buffer is full,
+// and ignores a nil packet.
 func (h *Host) buffer(packet *membership.Packet) {
 	if packet != nil && len(h.socketBuffer) < socketBufferPackets {
 		h.socketBuffer = append(h.socketBuffer, packet)
--- a/internal/netsim/incarnation_test.go
+++ b/internal/netsim/incarnation_test.go
@@ -8,8 +8,8 @@
 	"garnetline/internal/fleet/membership"
 )
 
-// All routers are restarted one after another within seconds, under their names: at the end
-// all are present in their second incarnations, and nobody else.
+// All routers are restarted under their names, one after another within seconds. At the end all are
+// present in their second incarnations and there are no other members.
 func TestRollingRestart(t *testing.T) {
 	network := convergedFleet(t, 8, 10)
 	firstProcesses := append([]*Host(nil), network.Hosts...)
@@ -29,9 +29,9 @@
 	}
 }
 
-// A router that is started again at another address, while its process before still answers at
-// the old one, is one member at the new address. The identity goes back to the process before
-// when the later one crashes.
+// A router is started again at another address while its previous process still answers at the old
+// one. The two are one member, at the new address. When the later process crashes, the previous
+// process takes the identity back.
 func TestTwoProcessesOfOneRouterAreOneMember(t *testing.T) {
 	network := convergedFleet(t, 10, 6)
 	predecessor := network.Hosts[2]
@@ -40,7 +40,7 @@
 	for _, host := range network.Hosts {
 		if host == predecessor {
 			if !host.Membership().View().Superseded {
-				t.Error("the predecessor does not know that it is superseded")
+				t.Error("the view of the predecessor does not report that it is superseded")
 			}
 			continue
 		}
@@ -54,19 +54,19 @@
 	requireConvergence(t, network, 10_000)
 	self := predecessor.Membership().Self()
 	if got := self.Incarnation(); got != 3 {
-		t.Errorf("the predecessor is back as incarnation %d, want 3", got)
+		t.Errorf("got incarnation %d of the predecessor after it is back, want 3", got)
 	}
 
 	last := network.StartHost(41, predecessor.Name, predecessor.Self.ID, 4, fleet.DefaultSettings(), AllProtocols)
 	network.Run(network.Now + 5000)
-	network.Leave(predecessor) // must not say that the router left: that is its successor's to say
+	network.Leave(predecessor) // must not announce that the router left, since the successor still runs
 	network.Run(network.Now + 5000)
 	if got := network.StateCounts(last)[membership.Alive]; got != 5 {
 		t.Errorf("after the predecessor's shutdown %d hosts see the successor as alive, want 5", got)
 	}
 }
 
-// expectOneAliveMember reports an error unless observer sees one alive member with the name
+// expectOneAliveMember reports an error unless observer sees exactly one alive member with the name
 // and the address of subject.
 func expectOneAliveMember(tb testing.TB, observer, subject *Host) {
 	tb.Helper()
@@ -81,7 +81,8 @@
 	}
 }
 
-// Two routers that have one name by mistake: all report the conflict once, and both stay.
+// Two routers have the same name by mistake. Every router reports the conflict once, and both
+// remain members.
 func TestNameConflictIsReportedAndBothStay(t *testing.T) {
 	network := convergedFleet(t, 11, 5)
 	conflicts := countEvents(network, func(_ *Host, event membership.Event) bool {
@@ -100,8 +101,8 @@
 	}
 }
 
-// A thousand members that do not exist, announced by one router of the fleet: they disappear
-// again, memory stays bounded, and no router that is alive is failed.
+// One router of the fleet announces a thousand members that do not exist. They disappear again,
+// memory stays bounded, and no live router is failed.
 func TestFalseMembersDisappear(t *testing.T) {
 	const routers = 8
 	network := convergedFleet(t, 12, routers)
@@ -117,24 +118,24 @@
 
 	observer := network.Hosts[0].Membership()
 	if got := observer.PresentCount(); got < 100 {
-		t.Errorf("%d members are present, want at least 100: the test shows nothing", got)
+		t.Errorf("got %d present members after the announcement, want at least 100", got)
 	}
-	most := 1 + fleet.DefaultSettings().Membership.MaxMembers
+	maxMembers := 1 + fleet.DefaultSettings().Membership.MaxMembers
 	for _, host := range network.Hosts {
-		if got := len(host.Membership().View().Members); got > most {
-			t.Errorf("%s holds %d members, want at most %d", host.Name, got, most)
+		if got := len(host.Membership().View().Members); got > maxMembers {
+			t.Errorf("%s holds %d members, want at most %d", host.Name, got, maxMembers)
 		}
 	}
 	network.RunUntil(network.Now+400_000, 1000, network.Converged)
 	if got := observer.PresentCount(); got != routers {
-		t.Errorf("%d routers are present at the end, want %d", got, routers)
+		t.Errorf("got %d present routers at the end, want %d", got, routers)
 	}
 	if *genuineFailures != 0 {
-		t.Errorf("%d times a live router was failed, want 0", *genuineFailures)
+		t.Errorf("got %d failures of live routers, want 0", *genuineFailures)
 	}
 }
 
-// announceFalseMembers has a host announce routers that do not exist.
+// announceFalseMembers makes a host announce routers that do not exist.
 func announceFalseMembers(network *Network, announcer *Host, count int) {
 	for i := range count {
 		update := membership.Update{
--- a/internal/netsim/link.go
+++ b/internal/netsim/link.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// defaultDelay and defaultJitter are those of a new network, in ms: hosts of one site.
+	// defaultDelay and defaultJitter apply to a new network, in ms. They are those of hosts at one
+	// site.
 	defaultDelay  = 0.2
 	defaultJitter = 0.3
 
@@ -16,33 +17,33 @@
 	headerBytes = 28
 )
 
-// Link says what happens to packets on their way. It applies to all pairs of hosts. The zero
-// value delivers everything at once.
+// Link describes what happens to packets in transit. It applies to all pairs of hosts. The zero
+// value delivers every packet at once.
 type Link struct {
-	Loss      float64 // share of packets that is lost, from 0 to 1
-	Duplicate float64 // share of packets that is delivered twice, from 0 to 1
-	Delay     float64 // shortest delay, ms
-	Jitter    float64 // mean of an exponentially distributed delay on top, ms
+	Loss      float64 // share of packets that are lost, from 0 to 1
+	Duplicate float64 // share of packets that are delivered twice, from 0 to 1
+	Delay     float64 // minimum delay, ms
+	Jitter    float64 // mean of an additional, exponentially distributed delay, ms
 
-	// Partitioned, unless nil, reports whether packets of one host do not reach another.
+	// Partitioned, unless nil, reports whether packets from one host to another are dropped.
 	Partitioned func(from, to *Host) bool
 
-	// ExtraDelay, unless nil, returns a further delay of a packet, ms.
+	// ExtraDelay, unless nil, returns an additional delay of a packet, in ms.
 	ExtraDelay func(packet *membership.Packet) float64
 }
 
-// partitions reports whether the link drops all packets of one host to another. to is nil
-// where nobody listens at the destination.
+// partitions reports whether the link drops all packets from one host to another. to is nil if no
+// host listens at the destination.
 func (l *Link) partitions(from, to *Host) bool {
 	return l.Partitioned != nil && to != nil && l.Partitioned(from, to)
 }
 
-// drawLoss reports whether a packet is lost.
+// drawLoss draws whether a packet is lost.
 func (l *Link) drawLoss(rng *rand.Rand) bool {
 	return l.Loss > 0 && rng.Float64() < l.Loss
 }
 
-// drawDelay returns the delay of a packet, ms.
+// drawDelay draws the delay of a packet, in ms.
 func (l *Link) drawDelay(rng *rand.Rand, packet *membership.Packet) float64 {
 	delay := l.Delay
 	if l.Jitter > 0 {
@@ -54,7 +55,7 @@
 	return delay
 }
 
-// sendPackets sends what a step of a host called for.
+// sendPackets sends the packets that a step of a host returned.
 func (n *Network) sendPackets(from *Host, out *membership.Output) {
 	for _, outgoing := range out.Packets {
 		n.countSent(from, outgoing.Packet)
--- a/internal/netsim/netsim.go
+++ b/internal/netsim/netsim.go
@@ -1,9 +1,9 @@
-// Package netsim simulates a network of routers that run the fleet's state machines, the same
-// code as in the daemon. All routers share one manual clock and one goroutine, and a run
-// follows from its seed alone, to the last packet. It is for tests and experiments.
+// Package netsim simulates a network of routers that run the fleet's state machines, the same code
+// as in the daemon. All routers share one manual clock and one goroutine. The seed alone determines
+// a run, to the last packet. The package is for tests and experiments.
 //
-// Random numbers are drawn in a fixed order, on which recorded results of experiments rest:
-// a change of this package must neither add nor reorder draws.
+// The recorded results of experiments depend on the order in which random numbers are drawn: a
+// change of this package must neither add nor reorder draws.
 package netsim
 
 import (
@@ -16,13 +16,13 @@
 )
 
 const (
-	// randomStream selects the stream of the generator; the seed is the other half of its state.
+	// randomStream is the second half of the generator's initial state; the seed is the first half.
 	randomStream uint64 = 0x9e3779b97f4a7c15
 
 	// hostPort is the UDP port of all hosts.
 	hostPort = 7946
 
-	// zoneCount is the number of zones over which hosts are spread by their slot.
+	// zoneCount is the number of zones over which hosts are distributed by their slot.
 	zoneCount = 3
 )
 
@@ -31,26 +31,26 @@
 	Now    float64 // ms since the start of the run
 	Link   Link    // may be changed between two calls of Run
 	Rng    *rand.Rand
-	Hosts  []*Host // all that were ever started, those that are dead included
+	Hosts  []*Host // all that were ever started, including dead ones
 	Events int64   // number of packets and timers handled so far
 
-	// Tap, unless nil, is called with each packet that a host sends, lost ones included.
+	// Tap, unless nil, is called with each packet that a host sends, including lost ones.
 	Tap func(Datagram)
 
-	hostsByAddr  map[netip.AddrPort]*Host // the process that listens there
+	hostsByAddr  map[netip.AddrPort]*Host // the live process that listens at each address
 	events       eventQueue
 	lastSequence uint64 // of the latest event that was scheduled
 	encodeBuffer []byte
 }
 
-// Datagram is a packet with the address that it was sent to.
+// Datagram is a packet with its destination address.
 type Datagram struct {
 	To     netip.AddrPort
 	Packet membership.Packet
 }
 
-// New returns a network without hosts, whose links lose nothing and delay a packet by
-// fractions of a millisecond.
+// New returns a network without hosts. It loses no packets and delays each by a fraction of a
+// millisecond.
 func New(seed uint64) *Network {
 	return &Network{
 		Link:        Link{Delay: defaultDelay, Jitter: defaultJitter},
@@ -59,25 +59,25 @@
 	}
 }
 
-// Addr returns the address of a slot, a place on the network that one process at a time
-// listens on.
+// Addr returns the address of a slot: a place on the network at which one process listens at a
+// time.
 func Addr(slot int) netip.AddrPort {
 	ip := netip.AddrFrom4([4]byte{127, 1, byte(slot >> 8), byte(slot)})
 	return netip.AddrPortFrom(ip, hostPort)
 }
 
-// StartFleet starts routers in the slots from 0 on, each in its first incarnation. They find
-// each other by the addresses of the first two.
+// StartFleet starts routers in the slots from 0 on, each in its first incarnation. Each router
+// joins the fleet by the addresses of the first two slots.
 func (n *Network) StartFleet(routers int, settings fleet.Settings, protocols Protocols) {
 	for slot := range routers {
 		name := fmt.Sprintf("r%03d", slot)
-		id := membership.ID(n.Rng.Uint64() | 1) // never 0, which stands for no router
+		id := membership.ID(n.Rng.Uint64() | 1) // never 0, which means no router
 		n.StartHost(slot, name, id, 1, settings, protocols)
 	}
 }
 
-// StartHost starts a process of a router in a slot and returns it. A process that ran there
-// receives nothing any more.
+// StartHost starts a process of a router in a slot and returns it. A process that already runs in
+// the slot receives no further packets.
 func (n *Network) StartHost(slot int, name string, id membership.ID, incarnation uint64, settings fleet.Settings, protocols Protocols) *Host {
 	self := membership.Update{
 		ID:       id,
@@ -101,7 +101,7 @@
 	return host
 }
 
-// Kill ends a process as a crash does: it sends nothing any more.
+// Kill ends a process as a crash does: the process sends nothing more.
 func (n *Network) Kill(host *Host) {
 	host.Dead = true
 	if n.hostsByAddr[host.Addr] == host {
@@ -109,32 +109,32 @@
 	}
 }
 
-// Leave shuts a process down in order: it notifies its peers first.
+// Leave shuts a process down gracefully: the process notifies its peers first.
 func (n *Network) Leave(host *Host) {
 	out := host.Leave(n.Now)
 	n.sendPackets(host, &out)
 	n.Kill(host)
 }
 
-// Pause stops a process for ms milliseconds, as SIGSTOP does. Packets for it wait, up to what
-// a socket buffer holds.
+// Pause stops a process for ms milliseconds, as SIGSTOP does. Packets to the process are buffered,
+// up to the size of the socket buffer.
 func (n *Network) Pause(host *Host, ms float64) {
 	host.pausedUntil = n.Now + ms
 	n.schedule(event{at: host.pausedUntil, host: host})
 }
 
-// Step calls action, which may change the state of host, and then lets the host act on it.
+// Step calls action, which may change the state of host, and then steps the host.
 func (n *Network) Step(host *Host, action func()) {
 	action()
 	n.stepHost(host, nil)
 }
 
-// Inject delivers a datagram now, once more or for the first time.
+// Inject delivers a datagram now. It may have been delivered before.
 func (n *Network) Inject(datagram Datagram) {
 	n.schedule(event{at: n.Now, packet: &datagram.Packet, destination: datagram.To})
 }
 
-// Run handles all events up to the time until, in ms, and sets the clock to it.
+// Run handles all events up to the time until, in ms, and sets the clock to until.
 func (n *Network) Run(until float64) {
 	for len(n.events) > 0 && n.events[0].at <= until {
 		next := n.events.pop()
@@ -149,8 +149,8 @@
 	n.Now = until
 }
 
-// RunUntil runs in steps of step milliseconds until condition holds, and reports whether it
-// did before the time limit.
+// RunUntil runs in steps of step milliseconds until condition holds or the clock reaches limit, in
+// ms. It reports whether condition holds.
 func (n *Network) RunUntil(limit, step float64, condition func() bool) bool {
 	for !condition() {
 		if n.Now >= limit {
@@ -161,8 +161,8 @@
 	return true
 }
 
-// handlePacket hands a packet to the process that listens at its destination. Where none
-// does, the packet is lost.
+// handlePacket passes a packet to the process that listens at its destination. The packet is lost
+// if no process listens there.
 func (n *Network) handlePacket(arrival event) {
 	if host := n.hostsByAddr[arrival.destination]; host != nil {
 		n.stepUnlessPaused(host, arrival.packet)
@@ -174,8 +174,8 @@
 	n.stepUnlessPaused(timer.host, nil)
 }
 
-// stepUnlessPaused steps a host with a packet, or nil for a timer. A host that is paused
-// buffers the packet and handles it with the first event after the pause.
+// stepUnlessPaused steps a host with a packet, or with nil for a timer. A paused host buffers the
+// packet and handles it with the first event after the pause.
 func (n *Network) stepUnlessPaused(host *Host, packet *membership.Packet) {
 	switch {
 	case host.Dead:
@@ -203,7 +203,7 @@
 	}
 }
 
-// schedule puts an event into the queue. Events of one time are handled in the order in which
+// schedule adds an event to the queue. Events of the same time are handled in the order in which
 // they were scheduled.
 func (n *Network) schedule(scheduled event) {
 	n.lastSequence++
--- a/internal/netsim/netsim_test.go
+++ b/internal/netsim/netsim_test.go
@@ -8,7 +8,7 @@
 	"garnetline/internal/fleet"
 )
 
-// The same seed gives the same run, to the last packet.
+// The same seed gives the same run, to the last packet; another seed gives another run.
 func TestRunFollowsFromSeed(t *testing.T) {
 	run := func(seed uint64) string {
 		network := New(seed)
--- a/internal/netsim/partition_test.go
+++ b/internal/netsim/partition_test.go
@@ -8,9 +8,9 @@
 	"garnetline/internal/fleet/connectivity"
 )
 
-// Two or three sides of a partition fail each other, and each converges and knows that it is
-// partial. When the partition heals, all views are the same within 3 s, and connectivity
-// follows after the time for which it holds back.
+// The two or three sides of a partition fail each other; each side converges and reports partial
+// connectivity. Once the partition has healed, all views are the same within 3 s, and connectivity
+// follows after its hold time.
 func TestPartitionHeals(t *testing.T) {
 	const routers = 12
 	for _, sides := range []int{2, 3} {
@@ -38,8 +38,7 @@
 	}
 }
 
-// Where each router can be reached in one direction or through another router, nobody is
-// failed.
+// No router is failed if each router can be reached in one direction or through another router.
 func TestIndirectlyReachableRoutersAreNotFailed(t *testing.T) {
 	betweenSides := partitionBy(func(slot int) int { return slot % 2 })
 	tests := []struct {
@@ -60,14 +59,14 @@
 			network.Link.Partitioned = test.partitioned
 			network.Run(network.Now + 60_000)
 			if *ownFailures != 0 {
-				t.Errorf("%d times a router was failed, want 0", *ownFailures)
+				t.Errorf("got %d failures of routers, want 0", *ownFailures)
 			}
 		})
 	}
 }
 
-// A router whose peers all crashed is alone and still knows of all: its quotas of what the
-// fleet divides do not grow.
+// A router whose peers have all crashed is alone and still knows all of them, so its quotas of the
+// fleet's limits do not grow.
 func TestLastRouterIsAlone(t *testing.T) {
 	network := convergedFleet(t, 9, 8)
 	for _, host := range network.Hosts[1:] {
@@ -75,12 +74,12 @@
 	}
 	network.Run(network.Now + 30_000)
 	if got := connectivityOf(network.Hosts[0]); got.State != connectivity.Alone || got.Known != 8 {
-		t.Errorf("connectivity %+v, want alone of 8 known", got)
+		t.Errorf("got connectivity %+v, want alone with 8 known routers", got)
 	}
 }
 
-// One router of 60 that is cut off from all is alone within 4 s, long before it has failed them
-// one by one, and together with them again when the partition has healed.
+// One router of 60 that is cut off from all others is alone within 4 s, long before it has failed
+// them one by one. It is together with them again after the partition has healed.
 func TestIsolatedRouterIsAloneSoon(t *testing.T) {
 	network := convergedFleet(t, 14, 60)
 	isolated := network.Hosts[7]
@@ -98,8 +97,8 @@
 	expectState(connectivity.Together, 20_000)
 }
 
-// A link that flaps at the worst period for connectivity: changes for the better come ever more
-// rarely, changes for the worse at once.
+// A link flaps with the period that is worst for connectivity. Improvements of the connectivity
+// state are delayed more and more; deteriorations take effect at once.
 func TestConnectivityIsDampedWhileLinkFlaps(t *testing.T) {
 	network := convergedFleet(t, 13, 6)
 	flapping := network.Hosts[0]
@@ -117,10 +116,10 @@
 		network.Run(network.Now + 12_000)
 	}
 	if changes < 2 || changes > flaps {
-		t.Errorf("%d changes of connectivity in %d flaps, want 2 to %d", changes, flaps, flaps)
+		t.Errorf("got %d changes of connectivity in %d flaps, want 2 to %d", changes, flaps, flaps)
 	}
 	network.Run(network.Now + 90_000)
 	if got := connectivityOf(flapping).State; got != connectivity.Together {
-		t.Errorf("after the link has been up for long the router is %v, want %v", got, connectivity.Together)
+		t.Errorf("after a long time without a flap, got connectivity %v, want %v", got, connectivity.Together)
 	}
 }
--- a/internal/netsim/view.go
+++ b/internal/netsim/view.go
@@ -2,14 +2,14 @@
 
 import "garnetline/internal/fleet/membership"
 
-// stateCount is the number of states in which a router may be seen.
+// stateCount is the number of states of a router in a view.
 const stateCount = membership.Left + 1
 
-// StateCounts counts hosts by the state in which they see a router.
+// StateCounts holds the number of hosts for each state in which they see a router.
 type StateCounts [stateCount]int
 
-// Converged reports whether all live hosts have the same view, in which just the live hosts
-// are present. It is for fleets whose hosts have a membership machine.
+// Converged reports whether all live hosts have the same view and each sees exactly the live hosts
+// as present. All hosts must have a membership machine.
 func (n *Network) Converged() bool {
 	live := n.liveHosts()
 	if len(live) == 0 {
@@ -25,8 +25,8 @@
 	return true
 }
 
-// StateCounts counts, by state, how the other live hosts see subject. Hosts that do not know
-// it are not counted.
+// StateCounts counts the other live hosts by the state in which they see subject. Hosts that do not
+// know subject are not counted.
 func (n *Network) StateCounts(subject *Host) StateCounts {
 	var counts StateCounts
 	for _, host := range n.Hosts {
