--- a/.ci/lint.sh
+++ b/.ci/lint.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs the linter at its pinned version, which it installs where that version is not there yet.
-# All arguments go to "golangci-lint run".
+# Runs the linter at its pinned version, and installs that version first if it is missing.
+# All arguments are passed to "golangci-lint run".
 set -euo pipefail
 cd "$(dirname "$0")/.."
 version=2.15.0
--- a/internal/ci/knownred_test.go
+++ b/internal/ci/knownred_test.go
@@ -1,4 +1,5 @@
-// Package ci tests the script that runs the tests. It has no code of its own.
+// Package ci contains checks of the repository: of the script that runs the tests, and of the
+// sources and pages. It contains tests only.
 package ci
 
 import (
@@ -9,7 +10,7 @@
 	"testing"
 )
 
-// Sources of the tests of a small module's package p.
+// Test sources for package p of the small module that runScript writes.
 const (
 	testFileHeader = "package p\n\nimport \"testing\"\n\n"
 	passingTest    = "func TestGood(t *testing.T) {}\n"
@@ -19,11 +20,12 @@
 	doesNotCompile = "func TestRed(t *testing.T) { nothing }\n"
 )
 
-// knownFailure is a line of KNOWN-RED.txt for failingTest.
+// knownFailure is the line of KNOWN-RED.txt that lists failingTest.
 const knownFailure = "m/p TestRed | the cause | 28\n"
 
-// Guards against a list of known failures that hides more than it names: other tests whose
-// names begin alike, a test that passes again, one that is gone, lines that nobody can read.
+// Guards against a list of known failures that hides more than the listed failures: other tests
+// whose names begin with a listed name, listed tests that pass again or no longer exist, and
+// malformed lines.
 func TestKnownRed(t *testing.T) {
 	script, err := filepath.Abs("../../.ci/go-test.sh")
 	if err != nil {
@@ -32,20 +34,20 @@
 	for _, test := range []struct {
 		name      string
 		tests     string
-		knownRed  string // no file where it is empty
-		wantError string // in what the script prints; empty: it passes
+		knownRed  string // content of KNOWN-RED.txt; empty: the file does not exist
+		wantError string // text that the script's output must contain; empty: the script must succeed
 	}{
 		{"no list, all pass", passingTest, "", ""},
 		{"no list, one fails", passingTest + failingTest, "", "TestRed"},
-		{"an empty list passes over nothing", passingTest + failingTest, "\n", "malformed"},
+		{"an empty line is malformed", passingTest + failingTest, "\n", "malformed"},
 		{"listed", passingTest + failingTest, knownFailure, ""},
 		{"listed without an end of line", passingTest + failingTest, strings.TrimSpace(knownFailure), ""},
-		{"only what is listed", passingTest + failingTest + longerName, knownFailure, "TestRedder"},
-		{"a part of a test", passingTest + withSubtests, "m/p TestSub/a | the cause | 28\n", ""},
+		{"a longer name is not listed", passingTest + failingTest + longerName, knownFailure, "TestRedder"},
+		{"a subtest", passingTest + withSubtests, "m/p TestSub/a | the cause | 28\n", ""},
 		{"passes again", passingTest + failingTest, knownFailure + "m/p TestGood | the cause | 28\n", "passes again"},
-		{"is gone", passingTest, knownFailure, "no such test"},
+		{"no longer exists", passingTest, knownFailure, "no such test"},
 		{"another package", passingTest + failingTest, "m/q TestRed | the cause | 28\n", "no such package"},
-		{"four", passingTest + failingTest, strings.Repeat(knownFailure, 4), "more than three"},
+		{"four lines", passingTest + failingTest, strings.Repeat(knownFailure, 4), "more than three"},
 		{"no cause", passingTest + failingTest, "m/p TestRed | | 28\n", "malformed"},
 		{"no issue", passingTest + failingTest, "m/p TestRed | the cause |\n", "malformed"},
 		{"a pattern", passingTest + failingTest, "m/p Test.* | the cause | 28\n", "malformed"},
@@ -55,16 +57,17 @@
 			t.Parallel()
 			output, err := runScript(t, script, test.tests, test.knownRed)
 			if passed := err == nil; passed != (test.wantError == "") || !strings.Contains(output, test.wantError) {
-				t.Errorf("ended with %v, wanted %q in:\n%s", err, test.wantError, output)
+				t.Errorf("got error %v, want %q in the output:\n%s", err, test.wantError, output)
 			}
 			if test.wantError == "" && test.knownRed != "" && !strings.Contains(output, "the cause") {
-				t.Errorf("the cause is not printed:\n%s", output)
+				t.Errorf("got output without the cause of the known failure:\n%s", output)
 			}
 		})
 	}
 }
 
-// runScript runs the script in a module of one package with these tests and this list.
+// runScript runs the script in a new module with a single package, which has the given tests and
+// the given list of known failures.
 func runScript(t *testing.T, script, tests, knownRed string) (output string, err error) {
 	t.Helper()
 	module := t.TempDir()
--- a/internal/ci/source_test.go
+++ b/internal/ci/source_test.go
@@ -12,18 +12,18 @@
 	"testing"
 )
 
-// Limits of the source. The linter holds functions outside tests to 60 lines.
+// Size limits of the source, in lines. The linter limits functions outside tests to 60 lines.
 const (
 	maxTestFunctionLines = 100
 	maxFileLines         = 500 // outside tests
 )
 
-// moduleRoot is the module's folder as seen from this one.
+// moduleRoot is the path of the module's root directory from this package's directory.
 const moduleRoot = "../.."
 
-// sourceFile is one parsed file of the module.
+// sourceFile is a parsed Go file of the module.
 type sourceFile struct {
-	path string // from the module's folder
+	path string // relative to the module's root, with slashes
 	set  *token.FileSet
 	tree *ast.File
 }
@@ -61,7 +61,7 @@
 
 func (f sourceFile) line(position token.Pos) int { return f.set.Position(position).Line }
 
-// functions returns the functions and methods of a file.
+// functions returns the functions and methods that the file declares.
 func (f sourceFile) functions() []*ast.FuncDecl {
 	var found []*ast.FuncDecl
 	for _, declaration := range f.tree.Decls {
@@ -72,7 +72,7 @@
 	return found
 }
 
-// declared returns the names that a file declares at its top level; methods and fields as
+// declared returns the names that the file declares at package level. Methods and fields are named
 // Type.Name.
 func (f sourceFile) declared() map[string]bool {
 	names := map[string]bool{}
@@ -107,7 +107,7 @@
 	}
 }
 
-// functionName is Name, or Type.Name for a method.
+// functionName returns the name of a function, or Type.Name for a method.
 func functionName(function *ast.FuncDecl) string {
 	if function.Recv == nil {
 		return function.Name.Name
@@ -129,13 +129,13 @@
 	for _, file := range parseModule(t) {
 		if !file.isTest() {
 			if lines := file.line(file.tree.FileEnd); lines > maxFileLines {
-				t.Errorf("%s: %d lines, want %d at the most", file.path, lines, maxFileLines)
+				t.Errorf("%s: got %d lines, want at most %d", file.path, lines, maxFileLines)
 			}
 			continue
 		}
 		for _, function := range file.functions() {
 			if lines := file.line(function.End()) - file.line(function.Pos()) + 1; lines > maxTestFunctionLines {
-				t.Errorf("%s: %s has %d lines, want %d at the most", file.path, functionName(function), lines, maxTestFunctionLines)
+				t.Errorf("%s: %s has %d lines, want at most %d", file.path, functionName(function), lines, maxTestFunctionLines)
 			}
 		}
 	}
@@ -158,8 +158,8 @@
 	return strings.Split(string(page), "\n")
 }
 
-// In a row of a table on the on-call page that names a Go file, each identifier is one that the
-// file declares.
+// In the tables of the on-call page, each identifier in a row that names a Go file must be declared
+// in that file.
 func TestOnCallPageNamesExist(t *testing.T) {
 	declared := map[string]map[string]bool{}
 	for _, file := range parseModule(t) {
@@ -178,7 +178,7 @@
 				path = code
 				inFile = declared[code]
 				if inFile == nil {
-					t.Errorf("%s: no such file: %s", code, line)
+					t.Errorf("file %s does not exist in the module; it is named in the row: %s", code, line)
 				}
 			case inFile != nil && identifier.MatchString(code):
 				checked++
@@ -189,11 +189,11 @@
 		}
 	}
 	if checked < 30 {
-		t.Errorf("%d names were found, want 30 or more", checked)
+		t.Errorf("got %d names on the on-call page, want at least 30", checked)
 	}
 }
 
-// Each test that the pages of the documentation name exists.
+// Each test that a page of the documentation names must exist.
 func TestDocumentedTestsExist(t *testing.T) {
 	tests := map[string]bool{}
 	for _, file := range parseModule(t) {
@@ -213,12 +213,12 @@
 				}
 				checked++
 				if !tests[match[1]] {
-					t.Errorf("%s:%d: there is no %s", page, number+1, match[1])
+					t.Errorf("%s:%d: test %s does not exist", page, number+1, match[1])
 				}
 			}
 		}
 	}
 	if checked < 50 {
-		t.Errorf("%d tests were found on the pages, want 50 or more", checked)
+		t.Errorf("got %d names of tests on the pages, want at least 50", checked)
 	}
 }
