--- a/internal/testcluster/addresses.go
+++ b/internal/testcluster/addresses.go
@@ -10,29 +10,29 @@
 	"time"
 )
 
-// Ports of a router, each on an address of its own.
+// Ports of a router. Each router has its own address, so all routers can use the same ports.
 const (
 	clientPort     = 8080
-	adminPort      = 8081 // as configured; a process listens on one above firstAdminPort
+	adminPort      = 8081 // in the configuration file; EDGE_MGMT replaces it for each process
 	fleetPort      = 7946
-	firstAdminPort = 9000 // plus the number of the process start
+	firstAdminPort = 9000 // the nth process of a router listens on firstAdminPort + n
 )
 
-// A cluster claims its addresses by listening on the last of them.
+// A cluster claims a block of addresses by listening on claimPort of the block's last address.
 const (
 	claimPort        = 20017
 	claimLastByte    = 255
 	maxClaimAttempts = 200
 )
 
-// addressBlock is a block of 256 loopback addresses that one cluster claims, so that no two
-// clusters on a machine have the same ones: their ports can then be nobody else's.
+// addressBlock is a block of 256 loopback addresses that one cluster claims. Clusters that run on
+// the same machine at the same time have different blocks, so they never compete for a port.
 type addressBlock struct {
 	base  netip.Addr
 	claim net.Listener
 }
 
-// claimAddressBlock claims a block that no other cluster has.
+// claimAddressBlock claims a random block that no other cluster on the machine holds.
 func claimAddressBlock() (*addressBlock, error) {
 	var lastErr error
 	for attempt := range maxClaimAttempts {
@@ -41,7 +41,7 @@
 			return block, nil
 		}
 	}
-	return nil, fmt.Errorf("no block of loopback addresses is free: %w", lastErr)
+	return nil, fmt.Errorf("found no free block of loopback addresses: %w", lastErr)
 }
 
 func (b *addressBlock) listen() (err error) {
@@ -50,7 +50,8 @@
 	return err
 }
 
-// randomBlock returns the first address of a block of 127.64.0.0/9.
+// randomBlock returns the first address of a random block of 256 addresses between 127.64.0.0 and
+// 127.191.255.255. Each attempt returns another random block.
 func randomBlock(attempt int) netip.Addr {
 	hash := fnv.New32a()
 	_, _ = fmt.Fprint(hash, os.Getpid(), time.Now().UnixNano(), attempt)
@@ -58,12 +59,12 @@
 	return netip.AddrFrom4([4]byte{127, byte(64 + sum%128), byte(sum >> 8), 0})
 }
 
-// address returns the address of the block with a last byte.
+// address returns the address of the block that ends in lastByte.
 func (b *addressBlock) address(lastByte int) netip.Addr {
 	bytes := b.base.As4()
 	bytes[3] = byte(lastByte)
 	return netip.AddrFrom4(bytes)
 }
 
-// release lets other clusters claim the block.
+// release gives up the claim, so that other clusters can claim the block.
 func (b *addressBlock) release() { _ = b.claim.Close() }
--- a/internal/testcluster/admin.go
+++ b/internal/testcluster/admin.go
@@ -14,26 +14,29 @@
 	"garnetline/internal/fleet"
 )
 
-// adminTimeout bounds one call of the admin API.
+// adminTimeout is the time limit of one admin API call.
 const adminTimeout = 2 * time.Second
 
-// errTruncatedResponse is a response without a whole head.
-var errTruncatedResponse = errors.New("truncated response")
+// errTruncatedResponse reports a response without a status line or without a complete header.
+var errTruncatedResponse = errors.New("expected an HTTP/1.1 status line and a complete header, got a truncated response")
 
-// statusError is a page of the admin API that is not shown.
+// statusError reports an admin API response with a status other than 200.
 type statusError struct {
 	path string
 	code int
 }
 
-func (e *statusError) Error() string { return fmt.Sprintf("%s: status %d", e.path, e.code) }
+func (e *statusError) Error() string {
+	return fmt.Sprintf("%s: expected status 200, got %d", e.path, e.code)
+}
 
-// CallAdmin makes one call of the admin API of the router's newest process.
+// CallAdmin sends one request without a body to the admin API of the router's newest process, and
+// returns the status and the body of the response.
 func (r *Router) CallAdmin(method, path string) (code int, body []byte, err error) {
 	return sendRequest(r.AdminAddr, method+" "+path+" HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", adminTimeout)
 }
 
-// getPage decodes a page of the admin API.
+// getPage requests a JSON page of the admin API and decodes it into page.
 func (r *Router) getPage(path string, page any) error {
 	code, body, err := r.CallAdmin(http.MethodGet, path)
 	if err == nil && code != http.StatusOK {
@@ -48,7 +51,7 @@
 	return nil
 }
 
-// Status returns the router's view of its fleet.
+// Status returns the router's view of the fleet.
 func (r *Router) Status() (*fleet.Status, error) {
 	status := &fleet.Status{}
 	if err := r.getPage("/fleet", status); err != nil {
@@ -57,7 +60,8 @@
 	return status, nil
 }
 
-// sendRequest sends one request on a connection of its own and reads until the connection ends.
+// sendRequest sends one request on a new connection and reads the response until the connection
+// ends.
 func sendRequest(addr, request string, timeout time.Duration) (code int, body []byte, err error) {
 	dialer := net.Dialer{Timeout: timeout}
 	conn, err := dialer.DialContext(context.Background(), "tcp", addr)
--- a/internal/testcluster/bans_test.go
+++ b/internal/testcluster/bans_test.go
@@ -15,10 +15,11 @@
 	"garnetline/internal/fleet/bans"
 )
 
-// Operators' bans are kept by eight routers, five of them voters. They survive the kill of all
-// processes and the loss of all files but the voters' logs: a router that says that it is ready
-// has them. A minority of routers can ban a server and cannot enable one; healed, its ban is the
-// registry's. So it is while a majority of voters is down.
+// Eight routers, five of them voters, keep the bans that operators set. The bans survive the kill
+// of all processes and the loss of all files except the voters' logs, and a router that reports
+// that it is ready has them. A minority of the routers can ban a server but cannot enable one, and
+// its ban is registered after the partition heals. The same applies while a majority of the voters
+// is down.
 func TestBansSurviveRestartsAndPartitions(t *testing.T) {
 	cluster := startFleet(t, Options{Routers: 8, Servers: 4, Voters: 5, LeaseSettings: " bans {\n  every_ms = 200\n }\n", Seed: 31})
 	test := &bansTest{clusterTest: cluster, load: cluster.StartLoad(50*time.Millisecond, cluster.Routers...)}
@@ -42,11 +43,11 @@
 	servers []string // IDs
 }
 
-// registeredBan is a ban, or its end, as it is to be in the lease registry.
+// registeredBan is a ban, or the end of a ban, that a test expects in the lease registry.
 type registeredBan struct {
 	server   string
 	disabled bool
-	setBy    string // part of the operator's or of the router's name; "": anybody
+	setBy    string // substring of the name of the operator or router; "" matches any
 }
 
 func (b registeredBan) matches(ban bans.Ban) bool {
@@ -54,10 +55,10 @@
 }
 
 func (b registeredBan) String() string {
-	return fmt.Sprintf("%s registered as disabled %v by %q", b.server, b.disabled, b.setBy)
+	return fmt.Sprintf("%s is registered with disabled=%v, set by %q", b.server, b.disabled, b.setBy)
 }
 
-// bans is what a router shows of the registry's bans.
+// bans returns the page of the admin API on which a router shows the bans.
 func (b *bansTest) bans(router *Router) *bans.Status {
 	b.t.Helper()
 	status := &bans.Status{}
@@ -65,7 +66,8 @@
 	return status
 }
 
-// waitForRegistered waits until routers have read a ban, or its end, from the registry.
+// waitForRegistered waits until every router has read the ban, or the end of the ban, from the
+// registry.
 func (b *bansTest) waitForRegistered(want registeredBan, routers ...*Router) {
 	b.t.Helper()
 	b.waitUntil(want.String(), func() (bool, string) {
@@ -78,13 +80,14 @@
 	})
 }
 
-// expectDisabledHere reports servers that a router has not disabled itself.
+// expectDisabledHere reports an error for each of the servers that the router itself has not
+// disabled.
 func (b *bansTest) expectDisabledHere(router *Router, servers ...string) {
 	b.t.Helper()
 	got := b.bans(router).DisabledHere
 	for _, server := range servers {
 		if !slices.Contains(got, server) {
-			b.t.Errorf("%s has disabled %v, want %s among them", router.Name, got, server)
+			b.t.Errorf("%s: got disabled servers %v, want %s among them", router.Name, got, server)
 		}
 	}
 }
@@ -111,25 +114,28 @@
 	b.waitForRegistered(registeredBan{server: server, disabled: false}, b.Routers...)
 }
 
-// expectCommand runs a command below "fleet bans" and reports texts that it does not print.
+// expectCommand runs a subcommand of "fleet bans" and reports an error for each wanted text that
+// its output does not contain.
 func (b *bansTest) expectCommand(args []string, wanted ...string) {
 	b.t.Helper()
 	command := exec.CommandContext(b.t.Context(), program, append([]string{"fleet", "bans"}, args...)...)
 	output, err := command.CombinedOutput()
 	for _, want := range wanted {
 		if !strings.Contains(string(output), want) {
-			b.t.Errorf("fleet bans %q: got %s, %v, want %q in it", args, output, err, want)
+			b.t.Errorf("fleet bans %q: got output %s, error %v, want %q in the output", args, output, err, want)
 		}
 	}
 }
 
-// rejectEnableOfOlderVersion enables a server by a version of its ban that is not the newest.
+// rejectEnableOfOlderVersion checks that a server cannot be enabled by a version of its ban that is
+// not the newest.
 func (b *bansTest) rejectEnableOfOlderVersion() {
 	b.t.Helper()
 	b.post(b.Routers[0], "/fleet/bans/enable/"+b.servers[0]+"/1/bob/an%20older%20view", http.StatusServiceUnavailable)
 }
 
-// restartWithVoterLogsAlone kills all routers and removes what each keeps by itself.
+// restartWithVoterLogsAlone kills all routers, removes their local files except the voters' logs
+// and the router identities, and starts them again.
 func (b *bansTest) restartWithVoterLogsAlone() {
 	b.t.Helper()
 	for _, router := range b.Routers {
@@ -163,7 +169,8 @@
 	return err
 }
 
-// banInMinority bans a server on each side of a partition.
+// banInMinority bans a server on each side of a partition, and checks that the minority cannot
+// enable one.
 func (b *bansTest) banInMinority() {
 	b.t.Helper()
 	majority, minority := b.Routers[:6], b.Routers[6:]
@@ -179,7 +186,8 @@
 	b.waitForBan("the minority's ban holds at all routers", byMinority, true, b.Routers...)
 }
 
-// banWithoutVoterMajority bans a server while three of five voters are down.
+// banWithoutVoterMajority bans a server while three of five voters are down, and checks that no
+// server can be enabled meanwhile.
 func (b *bansTest) banWithoutVoterMajority() {
 	b.t.Helper()
 	down, caller := b.Routers[:3], b.Routers[5]
@@ -195,7 +203,7 @@
 	b.waitForRegistered(registeredBan{server: b.servers[3], disabled: true, setBy: caller.Name}, b.Routers...)
 }
 
-// enableAll enables all servers, each by one call of another router.
+// enableAll enables all servers, each by a call to a different router.
 func (b *bansTest) enableAll() {
 	b.t.Helper()
 	for i, server := range b.servers {
@@ -209,7 +217,7 @@
 	}
 	for _, router := range b.Routers {
 		if got := b.bans(router).DisabledHere; len(got) != 0 {
-			b.t.Errorf("%s has disabled %v, want none", router.Name, got)
+			b.t.Errorf("%s: got disabled servers %v, want none", router.Name, got)
 		}
 		if _, err := os.Stat(filepath.Join(router.StateDir(), "garnetline-bans.json")); err != nil {
 			b.t.Error(err)
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -11,11 +11,12 @@
 	"garnetline/routing"
 )
 
-// changeLogBase makes the first event of the change log follow the one in the routers'
-// configuration.
+// changeLogBase is the sequence number of the event in the routers' configuration. The first event
+// of the change log follows it.
 const changeLogBase = 1
 
-// Cluster is the running routers, servers and change log, and the fault proxy between them.
+// Cluster is a set of running routers, fake servers and a change log, with the fault proxy between
+// them.
 type Cluster struct {
 	Proxy     *faultproxy.Proxy
 	Servers   []*Server
@@ -28,8 +29,8 @@
 	mu sync.Mutex // guards Routers while routers are added
 }
 
-// Start starts a cluster, its routers one after another without waiting until they are ready.
-// The caller has to close it.
+// Start starts a cluster. It starts the routers one after another and does not wait until they are
+// ready. The caller must close the cluster.
 func Start(options Options) (*Cluster, error) {
 	if options.Timeout == 0 {
 		options.Timeout = defaultTimeout
@@ -64,11 +65,11 @@
 	return nil
 }
 
-// routerName is the name of the router with an index, from 0.
+// routerName returns the name of the router with the given index, from 0 on.
 func routerName(index int) string { return fmt.Sprintf("r%02d", index) }
 
-// AddRouter starts another router, which has the addresses with an index. Two routers may have
-// the same name: each has files of its own.
+// AddRouter starts another router at the addresses of the given index. Two routers may have the
+// same name: each has its own files.
 func (c *Cluster) AddRouter(name string, index int) (*Router, error) {
 	router, err := c.newRouter(name, index)
 	if err != nil {
@@ -80,7 +81,8 @@
 	return router, router.Start()
 }
 
-// Running returns the routers whose processes run, paused or not, except those given.
+// Running returns the routers whose processes have not exited, including paused ones and without
+// those in except.
 func (c *Cluster) Running(except ...*Router) []*Router {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,8 +108,8 @@
 	return logs.String()
 }
 
-// Close kills all processes that the cluster started, and no others, and closes the servers and
-// the proxy.
+// Close kills all processes that the cluster has started, and no others. It closes the servers, the
+// change log and the proxy, and releases the addresses.
 func (c *Cluster) Close() {
 	for _, router := range c.Routers {
 		router.close()
--- a/internal/testcluster/conditions.go
+++ b/internal/testcluster/conditions.go
@@ -10,34 +10,34 @@
 )
 
 const (
-	pollInterval = 20 * time.Millisecond // between two looks at a condition
-	logLines     = 12                    // of each router in the error of a condition
+	pollInterval = 20 * time.Millisecond // between two evaluations of a condition
+	logLines     = 12                    // lines of the log of each router in a TimeoutError
 )
 
-// States of members, as the admin API prints them.
+// Member states as the admin API prints them.
 const (
 	stateAlive   = "alive"
 	stateSuspect = "suspect"
 	stateLeft    = "left"
 )
 
-// Condition tells whether something is so, and what was observed instead.
+// Condition reports whether a condition is met and, if it is not, what was observed instead.
 type Condition func() (met bool, observed string)
 
-// TimeoutError is a condition that was not met in time.
+// TimeoutError reports a condition that was not met in time.
 type TimeoutError struct {
 	Condition string
 	Timeout   time.Duration
-	Observed  string // last
-	Logs      string // the ends of the routers' logs
+	Observed  string // by the last evaluation
+	Logs      string // the last lines of the routers' logs
 }
 
 func (e *TimeoutError) Error() string {
 	return fmt.Sprintf("%s: not met within %v: %s\n%s", e.Condition, e.Timeout, e.Observed, e.Logs)
 }
 
-// WaitUntil waits until a condition is met and returns how long that took. If it is not met in
-// time, the error is a TimeoutError.
+// WaitUntil waits until a condition is met and returns how long that took. If the condition is not
+// met within the timeout, the error is a *TimeoutError.
 func (c *Cluster) WaitUntil(description string, timeout time.Duration, condition Condition) (time.Duration, error) {
 	startedAt := time.Now()
 	for {
@@ -53,10 +53,11 @@
 	}
 }
 
-// statusCheck tells whether a router's status is as wanted, and what was observed instead.
+// statusCheck reports whether a router's status is as expected and, if it is not, what was observed
+// instead.
 type statusCheck func(router *Router, status *fleet.Status) (met bool, observed string)
 
-// waitForStatus waits until all of these routers have a status that the check accepts.
+// waitForStatus waits until check accepts the status of every router.
 func (c *Cluster) waitForStatus(description string, timeout time.Duration, routers []*Router, check statusCheck) (time.Duration, error) {
 	return c.WaitUntil(description, timeout, func() (bool, string) {
 		for _, router := range routers {
@@ -72,16 +73,17 @@
 	})
 }
 
-// WaitForConvergence waits until all of these routers see each other as alive and nobody else.
+// WaitForConvergence waits until every router sees all of the routers as alive and no other member
+// as alive or suspect.
 func (c *Cluster) WaitForConvergence(timeout time.Duration, routers ...*Router) (time.Duration, error) {
-	description := fmt.Sprintf("%d routers see each other as alive and nobody else", len(routers))
+	description := fmt.Sprintf("%d routers see each other as alive and no other member", len(routers))
 	return c.waitForStatus(description, timeout, routers, func(_ *Router, status *fleet.Status) (bool, string) {
 		converged := countMembers(status, stateAlive) == len(routers) && countMembers(status, stateSuspect) == 0
 		return converged, "sees " + membershipView(status)
 	})
 }
 
-// WaitForState waits until all of the observers see a router in a state.
+// WaitForState waits until every observer sees the router in the given state.
 func (c *Cluster) WaitForState(timeout time.Duration, router *Router, state string, observers ...*Router) (time.Duration, error) {
 	description := router.Name + " is " + state + " in each view"
 	return c.waitForStatus(description, timeout, observers, func(_ *Router, status *fleet.Status) (bool, string) {
@@ -90,7 +92,7 @@
 	})
 }
 
-// WaitForConnectivity waits until all of these routers are in a state of connectivity.
+// WaitForConnectivity waits until every router reports the given connectivity state.
 func (c *Cluster) WaitForConnectivity(timeout time.Duration, state string, routers ...*Router) (time.Duration, error) {
 	return c.waitForStatus("all are "+state, timeout, routers, func(_ *Router, status *fleet.Status) (bool, string) {
 		observed := fmt.Sprintf("is %s, %d of %d present", status.Connectivity, status.Present, status.Known)
@@ -98,7 +100,7 @@
 	})
 }
 
-// WaitForBan waits until a server is banned, or is not, at all of these routers.
+// WaitForBan waits until a server is banned at every router, or at none if banned is false.
 func (c *Cluster) WaitForBan(timeout time.Duration, server string, banned bool, routers ...*Router) (time.Duration, error) {
 	description := fmt.Sprintf("%s banned: %v", server, banned)
 	return c.waitForStatus(description, timeout, routers, func(_ *Router, status *fleet.Status) (bool, string) {
@@ -106,7 +108,7 @@
 	})
 }
 
-// membershipView is the members of a view and their states, without those that left.
+// membershipView lists the members of a view with their states, without those that left.
 func membershipView(status *fleet.Status) string {
 	var members []string
 	for _, member := range status.Members {
@@ -126,8 +128,8 @@
 	return count
 }
 
-// memberState is a router's state in a view, or "unknown". Its address is compared too, since
-// two routers may have one name by mistake.
+// memberState returns the state in which a view has a router, or "unknown" if it does not have the
+// router. It also compares the address, since two routers may have the same name by mistake.
 func memberState(status *fleet.Status, router *Router) string {
 	state := "unknown"
 	for _, member := range status.Members {
--- a/internal/testcluster/failpoint_test.go
+++ b/internal/testcluster/failpoint_test.go
@@ -14,9 +14,10 @@
 	failpointSaveDelay = "fault-save" // ms
 )
 
-// The wall clock of all routers steps an hour back, then two hours forward, while they run and
-// hold a lease: the lease stays where it is, can be transferred, and is held again when its
-// holder restarts by the new clock. Purges, which carry wall clock times, hold as before.
+// The wall clock of all routers steps an hour back and then two hours forward while one of them
+// holds a lease. The lease stays with its holder, can be transferred, and is acquired again after
+// its holder has stopped and restarted under the new time. Purges, which carry wall clock times,
+// take effect as before.
 func TestWallClockStep(t *testing.T) {
 	cluster := startFleet(t, Options{Program: faultProgram, Routers: 5, Servers: 2, Voters: 3, LeaseSettings: shortLeases, Seed: 41})
 	firstHolder, firstToken := cluster.waitForHolder(loadReportLease, cluster.Routers...)
@@ -24,7 +25,7 @@
 	for _, step := range []struct {
 		name        string
 		offset      time.Duration
-		firstObject int // purged at the first router; each router has an object of its own
+		firstObject int // object that is purged at the first router; the next router gets the next object
 	}{
 		{"an hour back", -time.Hour, 900},
 		{"an hour ahead", time.Hour, 910},
@@ -50,8 +51,8 @@
 	cluster.expectNoFalseFailures()
 }
 
-// expectPurgesHold sets the wall clock of all routers and purges an object at each: the router
-// has to ask the servers for a copy that is not older than the purge.
+// expectPurgesHold sets the wall clock of all routers and purges one object per router. Each router
+// must then ask the servers for a copy of its object that is not older than the purge.
 func (c *clusterTest) expectPurgesHold(load *Load, offset time.Duration, firstObject int) {
 	c.t.Helper()
 	const (
@@ -67,12 +68,13 @@
 		what := fmt.Sprintf("the purge holds at %s", router.Name)
 		c.waitUntilWithin(purgeTimeout, what, func() (bool, string) {
 			load.request(router, object)
-			return freshCopyRequested(c.Servers, object), "no request for a fresh copy came"
+			return freshCopyRequested(c.Servers, object), "no request for a fresh copy"
 		})
 	}
 }
 
-// freshCopyRequested tells whether a server was asked for an object with a bound on its age.
+// freshCopyRequested reports whether a server received a request for the object with a bound on the
+// age of the copy.
 func freshCopyRequested(servers []*Server, object int) bool {
 	asset := fmt.Sprintf("asset=%016x", object)
 	for _, server := range servers {
@@ -85,8 +87,9 @@
 	return false
 }
 
-// Each write to disk of one voter takes two seconds while the lease is transferred: the lease is
-// held again, no health check comes after one of a later token, and requests go on.
+// Each disk write of one voter takes two seconds while the lease is transferred. The lease is
+// acquired again, no health check arrives after one with a later token, and requests are still
+// served.
 func TestSlowVoterDisk(t *testing.T) {
 	cluster := startFleet(t, Options{Program: faultProgram, Routers: 5, Servers: 2, Voters: 3, LeaseSettings: shortLeases, Seed: 42})
 	load := cluster.StartLoad(50*time.Millisecond, cluster.Routers...)
@@ -131,7 +134,7 @@
 	for range transfers {
 		holder, token := c.waitForHolder(loadReportLease, c.Routers...)
 		if err := postAdmin(holder, transferPath, http.StatusOK); err != nil {
-			c.t.Logf("transfer not confirmed: %v", err) // it may not be answered in time
+			c.t.Logf("transfer not confirmed: %v", err) // the call may not be answered in time
 		}
 		c.waitForProbes("transferred while writes at "+slow.Name+" are slow", token)
 	}
--- a/internal/testcluster/gossip_test.go
+++ b/internal/testcluster/gossip_test.go
@@ -11,17 +11,18 @@
 	"garnetline/internal/faultproxy"
 )
 
-// Phases of a server, as the change log announces them.
+// Phases of a server in events of the change log.
 const (
 	phaseReady    = 0
 	phaseDraining = 1
 )
 
-// A router whose change log is cut off learns drains and purges from its peers, and follows its
-// change log alone once that is back. A ban that is set at one router holds at all.
+// A router that cannot reach its change log learns of drains and purges from its peers. It follows
+// its change log alone again once it can reach it. A ban that is set at one router takes effect at
+// all routers.
 func TestGossipReplacesUnreachableChangeLog(t *testing.T) {
 	const (
-		stalePeriod  = 2 * time.Second // until the router's watch counts as stale
+		stalePeriod  = 2 * time.Second // after which the router's watch is stale
 		loadDuration = 600 * time.Millisecond
 		bannedServer = "s-00000003"
 	)
@@ -47,7 +48,7 @@
 
 	cluster.ChangeLog.Purge(7, uint64(time.Now().UnixMilli()))
 	cluster.waitUntil("the purge is applied without the change log", func() (bool, string) {
-		requireNoError(t, cutOff.Signal(syscall.SIGUSR1)) // it logs its counters
+		requireNoError(t, cutOff.Signal(syscall.SIGUSR1)) // the signal makes it log its counters
 		return cutOff.CountLogLines(`"fleet_purges_taken":1`) > 0, "not counted"
 	})
 
@@ -61,13 +62,14 @@
 	cluster.waitUntil("the change log alone is followed again", outOfRotation(1))
 }
 
-// During a partition one side bans a server, and the other bans and enables it: healed, all
-// routers hold the ban, since the enable did not know it. An enable that knows the ban ends it at
-// all routers, also at one that was paused meanwhile.
-func TestBanOutlivesEnableThatDidNotKnowIt(t *testing.T) {
+// During a partition, one side bans a server, and the other side bans and then enables it. After
+// the partition heals, all routers hold the ban, since the enable call did not know the ban of the
+// other side. An enable call that knows the ban ends it at all routers, including a router that was
+// paused at the time.
+func TestBanSurvivesConcurrentEnable(t *testing.T) {
 	const server = "s-00000001"
 	cluster := startFleet(t, Options{Routers: 6, Servers: 2, Seed: 10})
-	one, other := cluster.Routers[:3], cluster.Routers[3:]
+	sideA, sideB := cluster.Routers[:3], cluster.Routers[3:]
 	disable := func(router *Router) {
 		t.Helper()
 		cluster.post(router, "/caches/disable/"+server, http.StatusOK)
@@ -76,12 +78,12 @@
 		t.Helper()
 		cluster.post(router, "/caches/enable/"+server, http.StatusOK)
 	}
-	cluster.partition(one, other)
-	disable(one[0])
-	disable(other[0])
-	enable(other[0])
-	cluster.waitForBan("one side bans", server, true, one...)
-	cluster.waitForBan("the other side does not", server, false, other...)
+	cluster.partition(sideA, sideB)
+	disable(sideA[0])
+	disable(sideB[0])
+	enable(sideB[0])
+	cluster.waitForBan("one side bans", server, true, sideA...)
+	cluster.waitForBan("the other side does not", server, false, sideB...)
 	cluster.Proxy.Heal()
 	cluster.waitForBan("healed, all ban", server, true, cluster.Routers...)
 	cluster.waitForConnectivity("healed, all are together", connectivityTogether, cluster.Routers...)
--- a/internal/testcluster/harness_test.go
+++ b/internal/testcluster/harness_test.go
@@ -14,13 +14,15 @@
 )
 
 const (
-	// waitTimeout bounds what a test waits for. It is wide, since the machine may be busy.
+	// waitTimeout is the time limit of each condition that a test waits for. It is long because the
+	// machine may be busy.
 	waitTimeout = 30 * time.Second
 
-	// servedShare is the least share of requests that clients must see served.
+	// servedShare is the minimum share of requests that must be answered with status 200.
 	servedShare = 0.98
 
-	// minRequests is how many requests a load must have sent for its result to count.
+	// minRequests is the minimum number of requests that a load must have sent for its result to be
+	// valid.
 	minRequests = 20
 )
 
@@ -30,10 +32,10 @@
 // loadReportLease is the lease on health checks of the servers in the clusters' zone.
 const loadReportLease = "probe/edge"
 
-// transferPath is the admin path that has the holder of loadReportLease transfer it.
+// transferPath is the admin API path that makes the holder of loadReportLease transfer the lease.
 const transferPath = "/fleet/duty/move/" + loadReportLease
 
-// States that the admin API prints.
+// Member and connectivity states as the admin API prints them.
 const (
 	stateFailed = "failed"
 
@@ -42,7 +44,7 @@
 	connectivityAlone    = "alone"
 )
 
-// Texts of log lines about members.
+// Parts of log lines.
 const (
 	logFailed   = `"what":"failed"`
 	logResumed  = `"what":"woken"`
@@ -51,13 +53,13 @@
 	logReloaded = `"event":"configuration reloaded"`
 )
 
-// logMember is the text of log lines about a member.
+// logMember returns the part of a log line that names the member that the line is about.
 func logMember(router *Router) string { return fmt.Sprintf(`"member":%q`, router.Name) }
 
-// program is the path of the daemon, faultProgram that of one with failpoints.
+// program is the path of the daemon; faultProgram is the path of a daemon with failpoints.
 var program, faultProgram string
 
-// TestMain builds both programs once.
+// TestMain builds both programs once for all tests.
 func TestMain(m *testing.M) { os.Exit(buildAndRun(m)) }
 
 func buildAndRun(m *testing.M) int {
@@ -86,14 +88,14 @@
 	}
 }
 
-// clusterTest is a cluster whose methods end the test where a condition is not met in time.
+// clusterTest is a cluster whose wait methods end the test if a condition is not met in time.
 type clusterTest struct {
 	*Cluster
 	t *testing.T
 }
 
-// startFleet starts routers that form a fleet, and waits until all see each other and are
-// together.
+// startFleet starts routers that form a fleet, and waits until all of them see each other and
+// report the connectivity state "together".
 func startFleet(t *testing.T, options Options) *clusterTest {
 	t.Helper()
 	options.Dir = t.TempDir()
@@ -101,8 +103,8 @@
 	if options.Program == "" {
 		options.Program = program
 	}
-	// Slower to suspect than by default: the machine may be busy with other tests, and a process
-	// that gets no processor for a second is to be failed by none of them.
+	// The routers suspect peers later than by default: the machine may be busy with other tests, and
+	// no router may fail a peer only because its process gets no processor time for a second.
 	options.FleetSettings += " more_room_after_ms = 1000\n probe_ms = 250\n timeout_ms = 120\n suspect_ms = 1500\n"
 	cluster, err := Start(options)
 	requireNoError(t, err)
@@ -119,7 +121,7 @@
 	return &clusterTest{Cluster: c.Cluster, t: t}
 }
 
-// require ends the test if a condition was not met, and logs how long it took otherwise.
+// require ends the test if err is not nil. Otherwise it logs how long the condition took.
 func (c *clusterTest) require(what string, elapsed time.Duration, err error) {
 	c.t.Helper()
 	if err != nil {
@@ -136,7 +138,7 @@
 func (c *clusterTest) waitUntilWithin(timeout time.Duration, what string, condition Condition) {
 	c.t.Helper()
 	elapsed, err := c.WaitUntil(what, timeout, condition)
-	requireNoError(c.t, err) // it has the condition's name
+	requireNoError(c.t, err) // the error names the condition
 	c.t.Logf("%s after %v", what, elapsed.Round(time.Millisecond))
 }
 
@@ -181,9 +183,9 @@
 	return holder, token
 }
 
-// partition cuts all packets between two groups of routers until the proxy is healed.
-func (c *clusterTest) partition(one, other []*Router) {
-	c.Proxy.Partition(proxyNames(one), proxyNames(other))
+// partition drops all packets between two groups of routers until the proxy is healed.
+func (c *clusterTest) partition(sideA, sideB []*Router) {
+	c.Proxy.Partition(proxyNames(sideA), proxyNames(sideB))
 }
 
 func proxyNames(routers []*Router) []string {
@@ -194,7 +196,8 @@
 	return names
 }
 
-// postAdmin makes a call of a router's admin API, which has to be answered with a status.
+// postAdmin sends a POST request to a router's admin API. It returns an error unless the response
+// has the wanted status.
 func postAdmin(router *Router, path string, wantStatus int) error {
 	code, body, err := router.CallAdmin(http.MethodPost, path)
 	if err != nil {
@@ -211,7 +214,7 @@
 	requireNoError(c.t, postAdmin(router, path, wantStatus))
 }
 
-// metricsContain is the condition that a router's metrics have a line.
+// metricsContain returns the condition that a router's metrics contain a line.
 func metricsContain(router *Router, line string) Condition {
 	return func() (bool, string) {
 		_, metrics, err := router.CallAdmin(http.MethodGet, "/metrics")
@@ -219,8 +222,8 @@
 	}
 }
 
-// expectNoFalseFailures reports routers that were said to have failed by any router, except
-// those that were killed, paused or throttled.
+// expectNoFalseFailures reports an error for each log line in which a router fails another one.
+// Lines about the routers in except, which were killed, paused or throttled, are allowed.
 func (c *clusterTest) expectNoFalseFailures(except ...*Router) {
 	c.t.Helper()
 	isExcepted := func(line string) bool {
@@ -235,7 +238,8 @@
 	}
 }
 
-// expectTokenOrder reports health checks that came after one under a later fencing token.
+// expectTokenOrder reports an error for each server that received a health check after one with a
+// later fencing token.
 func (c *clusterTest) expectTokenOrder() {
 	c.t.Helper()
 	for _, server := range c.Servers {
@@ -245,7 +249,8 @@
 	}
 }
 
-// stopLoad stops a load and reports what its clients should not have seen.
+// stopLoad stops a load and reports an error if its clients observed lost requests, too many
+// attempts or too few served requests.
 func (c *clusterTest) stopLoad(load *Load) {
 	c.t.Helper()
 	result := load.Stop()
@@ -258,13 +263,13 @@
 	c.t.Logf("%d requests, p50 %v, p99 %v, by status %v", result.Requests, result.P50, result.P99, result.Statuses)
 }
 
-// killAndExcuse kills a router whose requests are then not counted.
+// killAndExcuse kills a router, which is then excused from answering requests.
 func killAndExcuse(load *Load, router *Router) {
 	load.SetExcused(router, true)
 	router.Kill()
 }
 
-// stopAndExcuse stops a router in order; its requests are then not counted.
+// stopAndExcuse stops a router gracefully, which is then excused from answering requests.
 func (c *clusterTest) stopAndExcuse(load *Load, router *Router) {
 	c.t.Helper()
 	load.SetExcused(router, true)
--- a/internal/testcluster/keys_test.go
+++ b/internal/testcluster/keys_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// The fleet's key is changed in three reloads of all routers, without losing a member. Packets
-// of strangers, other versions and other fleets are counted apart and dropped.
+// The fleet's key is replaced by three reloads of all routers, and no member is lost. Packets from
+// senders without the key, of other protocol versions and of other fleets are dropped and counted
+// separately.
 func TestKeyRotationAndForeignPackets(t *testing.T) {
 	const newKey = "another key for routers on loopback"
 	cluster := startFleet(t, Options{Routers: 5, Servers: 1, Seed: 8})
@@ -47,7 +48,7 @@
 	cluster.expectNoFalseFailures()
 }
 
-// reloadKeys has a router reload its settings with other keys.
+// reloadKeys makes a router reload its settings with the given fleet keys.
 func (c *clusterTest) reloadKeys(router *Router, keys []string) {
 	c.t.Helper()
 	before := router.CountLogLines(logReloaded)
--- a/internal/testcluster/leases.go
+++ b/internal/testcluster/leases.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// LeaseStatus is what a router shows of leases, as the admin API writes it.
+// LeaseStatus is a page of the admin API: a router's view of the lease registry, and the leases
+// that the router itself holds.
 type LeaseStatus struct {
 	Registry struct {
 		Voter    bool     `json:"elector"`
@@ -48,8 +49,8 @@
 	return status, nil
 }
 
-// WaitForHolder waits until one of these routers says that it holds a lease, and returns it with
-// the fencing token.
+// WaitForHolder waits until one of the routers reports that it holds the lease. It returns this
+// router and the fencing token of the lease.
 func (c *Cluster) WaitForHolder(timeout time.Duration, lease string, routers ...*Router) (holder *Router, token uint64, err error) {
 	_, err = c.WaitUntil("a router holds "+lease, timeout, func() (bool, string) {
 		var observed strings.Builder
@@ -72,15 +73,15 @@
 	return holder, token, err
 }
 
-// WaitForProbes waits until the latest health check of every server was under a fencing token
-// after this one.
+// WaitForProbes waits until the latest health check that each server has received carries a fencing
+// token greater than after.
 func (c *Cluster) WaitForProbes(timeout time.Duration, after uint64) (time.Duration, error) {
-	description := fmt.Sprintf("health checks under a fencing token after %d", after)
+	description := fmt.Sprintf("all servers receive health checks with a fencing token greater than %d", after)
 	return c.WaitUntil(description, timeout, func() (bool, string) {
 		for _, server := range c.Servers {
 			probes := server.Probes()
 			if len(probes) == 0 || probes[len(probes)-1].FencingToken <= after {
-				return false, "none at " + server.Name
+				return false, "no such health check at " + server.Name
 			}
 		}
 		return true, ""
--- a/internal/testcluster/leases_status_test.go
+++ b/internal/testcluster/leases_status_test.go
@@ -8,8 +8,8 @@
 	"garnetline/internal/fleet/leasemanager"
 )
 
-// The status of leases is read by keys that the daemon sets: a field that no longer has its key
-// would silently stay empty, and conditions on it would hold or fail for no reason.
+// LeaseStatus is decoded by the JSON keys of the daemon's page. If a key changed only there, a
+// field would stay empty without an error, and conditions on it would be met or missed wrongly.
 func TestLeaseStatusHasTheKeysOfTheAdminAPI(t *testing.T) {
 	page, err := json.Marshal(map[string]any{
 		"register": leasemanager.Status{
--- a/internal/testcluster/leases_test.go
+++ b/internal/testcluster/leases_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// The holder of a lease is paused past the lease's end and resumed, asked to transfer it, cut
-// off from the other routers though not from the servers, killed, and stopped in order. No server
-// ever receives a health check after one of a later fencing token, and each time the lease is
-// held again. Requests go on.
+// The holder of a lease is paused until after the lease expires and resumed, asked to transfer the
+// lease, cut off from the other routers but not from the servers, killed, and stopped gracefully.
+// After each of these faults a router holds the lease again, and no server ever receives a health
+// check after one with a later fencing token. Requests are served throughout.
 func TestLeaseHasOneHolderAcrossFaults(t *testing.T) {
 	const minHandovers = 5
 	cluster := startFleet(t, Options{Routers: 8, Servers: 2, Voters: 5, LeaseSettings: shortLeases, Seed: 21})
@@ -41,7 +41,8 @@
 	cluster.stopLoad(load)
 }
 
-// pauseHolder pauses the holder until another router has the lease, and returns that.
+// pauseHolder pauses the holder until another router has the lease. It returns that router and its
+// fencing token.
 func (c *clusterTest) pauseHolder(load *Load, holder *Router, token uint64) (newHolder *Router, newToken uint64) {
 	c.t.Helper()
 	load.SetExcused(holder, true)
@@ -54,7 +55,8 @@
 	return newHolder, newToken
 }
 
-// transferFrom has the holder transfer the lease to another router, and returns that.
+// transferFrom makes the holder transfer the lease. It returns the new holder and its fencing
+// token.
 func (c *clusterTest) transferFrom(holder *Router, token uint64) (newHolder *Router, newToken uint64) {
 	c.t.Helper()
 	c.post(holder, transferPath, http.StatusOK)
@@ -66,8 +68,8 @@
 	return newHolder, newToken
 }
 
-// cutOffHolder cuts the holder off from all other routers, though not from the servers, until
-// another has the lease, and returns the new token.
+// cutOffHolder cuts the holder off from all other routers, but not from the servers, until another
+// router has the lease. It returns the new fencing token.
 func (c *clusterTest) cutOffHolder(holder *Router, token uint64) (newToken uint64) {
 	c.t.Helper()
 	c.partition([]*Router{holder}, c.Running(holder))
@@ -78,7 +80,8 @@
 	return newToken
 }
 
-// killHolder kills the holder until another has the lease, and returns the new token.
+// killHolder kills the holder, restarts it when another router has the lease, and returns the new
+// fencing token.
 func (c *clusterTest) killHolder(load *Load, holder *Router, token uint64) (newToken uint64) {
 	c.t.Helper()
 	killAndExcuse(load, holder)
@@ -90,9 +93,10 @@
 	return newToken
 }
 
-// A majority of the voters is down: the lease lapses and requests go on. Once they are back the
-// lease is held again, and its token has not gone back.
-func TestLeaseLapsesWithoutVoterMajority(t *testing.T) {
+// While a majority of the voters is down, the lease expires and requests are still served. Once the
+// voters are back, a router holds the lease again, under a fencing token that is not lower than
+// before.
+func TestLeaseExpiresWithoutVoterMajority(t *testing.T) {
 	cluster := startFleet(t, Options{Routers: 5, Servers: 1, Voters: 3, LeaseSettings: shortLeases, Seed: 22})
 	_, before := cluster.waitForHolder(loadReportLease, cluster.Routers...)
 	load := cluster.StartLoad(50*time.Millisecond, cluster.Routers[3:]...)
@@ -115,7 +119,7 @@
 	for _, voter := range majority {
 		requireNoError(t, voter.Start())
 	}
-	// The token stays the same if the lease's holder was not killed.
+	// The token stays the same if the holder of the lease was not one of the killed voters.
 	if _, after := cluster.waitForHolder(loadReportLease, cluster.Routers...); after < before {
 		t.Errorf("got fencing token %d, want at least %d", after, before)
 	}
--- a/internal/testcluster/load.go
+++ b/internal/testcluster/load.go
@@ -18,14 +18,14 @@
 
 // Parameters of the clients.
 const (
-	clientTimeout     = 4 * time.Second        // that a client announces
-	clientGracePeriod = 500 * time.Millisecond // that it waits on top
+	clientTimeout     = 4 * time.Second        // time limit that a client sends with a request
+	clientGracePeriod = 500 * time.Millisecond // that a client waits for the answer after clientTimeout
 	clientDialTimeout = 2 * time.Second
-	objectCount       = 50 // objects that the clients ask for
-	objectBits        = 20 // of a transaction ID; the rest is the number of the request
+	objectCount       = 50 // number of objects that the clients request
+	objectBits        = 20 // low bits of a transaction ID that hold the object; the others number the request
 )
 
-// Load is clients that send requests to routers at a steady pace until they are stopped.
+// Load is a set of clients that send requests to routers at a steady rate until they are stopped.
 type Load struct {
 	cluster  *Cluster
 	stop     chan struct{}
@@ -33,14 +33,14 @@
 	requests atomic.Int64
 
 	mu        sync.Mutex
-	durations []time.Duration  // of requests with one whole answer
+	durations []time.Duration  // of requests with exactly one complete answer
 	statuses  map[int]int      // number of answers by status
-	lost      []string         // requests without one whole answer whose router was not excused
-	excused   map[*Router]bool // routers whose process is about to exit or to be paused
+	lost      []string         // requests without exactly one complete answer, whose router was not excused
+	excused   map[*Router]bool // routers whose requests do not count
 }
 
-// StartLoad starts a client for each of these routers, which sends a request in each interval.
-// Each request has a connection of its own, so that a killed router loses only its own.
+// StartLoad starts one client for each router. A client sends one request per interval, each on its
+// own connection, so that a killed router loses only the requests that it is handling.
 func (c *Cluster) StartLoad(interval time.Duration, routers ...*Router) *Load {
 	load := &Load{
 		cluster:  c,
@@ -55,7 +55,7 @@
 	return load
 }
 
-// runClient sends requests until the load is stopped, and waits for their answers.
+// runClient sends requests until the load is stopped, and then waits for the outstanding answers.
 func (l *Load) runClient(router *Router, rng *rand.Rand, interval time.Duration) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -75,8 +75,9 @@
 	}
 }
 
-// SetExcused says that a router's process is about to exit or to be paused, or that it is back.
-// Requests to an excused router are not counted.
+// SetExcused sets whether a router is excused from answering, since its process is about to exit or
+// to be paused. The clients send no new requests to an excused router, and do not record whether it
+// answers the outstanding ones.
 func (l *Load) SetExcused(router *Router, excused bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,7 +90,7 @@
 	return l.excused[router]
 }
 
-// request makes one request for an object and records its answer.
+// request sends one request for an object and records its answer.
 func (l *Load) request(router *Router, object int) {
 	startedAt := time.Now()
 	transactionID := fmt.Sprintf("%016x", uint64(l.requests.Add(1))<<objectBits|uint64(object))
@@ -100,21 +101,21 @@
 	switch {
 	case l.excused[router]:
 	case err != nil || received.count != 1:
-		l.lost = append(l.lost, fmt.Sprintf("%s at %s: %d answers after %v: %v", transactionID, router.Name, received.count, duration, err))
+		l.lost = append(l.lost, fmt.Sprintf("%s at %s: got %d complete answers after %v: %v", transactionID, router.Name, received.count, duration, err))
 	default:
 		l.statuses[received.status]++
 		l.durations = append(l.durations, duration)
 	}
 }
 
-// answers is what a client received for one request.
+// answers describes the answers that a client received to one request.
 type answers struct {
-	count  int // whole answers
-	status int // of the last
+	count  int // number of complete answers
+	status int // of the last complete answer
 }
 
-// sendClientRequest sends a request and reads until the connection ends, so that more than one
-// answer is noticed.
+// sendClientRequest sends a request and reads answers until the connection ends, so that a second
+// answer to the request is detected.
 func sendClientRequest(addr, transactionID string, object int) (received answers, err error) {
 	dialer := net.Dialer{Timeout: clientDialTimeout}
 	conn, err := dialer.DialContext(context.Background(), "tcp", addr)
@@ -143,10 +144,10 @@
 	}
 }
 
-// errNoAnswer is the end of a connection before the first byte of an answer.
+// errNoAnswer reports a connection that ended before the first byte of an answer.
 var errNoAnswer = errors.New("connection ended without an answer")
 
-// readAnswer reads one answer with its body and returns its status.
+// readAnswer reads one answer including its body, and returns its status.
 func readAnswer(reader *textproto.Reader) (status int, err error) {
 	statusLine, err := reader.ReadLine()
 	if errors.Is(err, io.EOF) {
@@ -170,7 +171,7 @@
 	return status, err
 }
 
-// contentLength is the size of the body, bytes; 0 if the header does not say it.
+// contentLength returns the size of the body in bytes, or 0 if the header has no Content-Length.
 func contentLength(header textproto.MIMEHeader) (int64, error) {
 	value := header.Get("Content-Length")
 	if value == "" {
@@ -179,7 +180,8 @@
 	return strconv.ParseInt(value, 10, 64)
 }
 
-// Stop ends the load, waits for the requests under way, and returns what the clients saw.
+// Stop stops the clients, waits for the outstanding requests, and returns what the clients
+// observed.
 func (l *Load) Stop() Result {
 	close(l.stop)
 	l.clients.Wait()
@@ -199,7 +201,8 @@
 	return result
 }
 
-// maxAttempts is the greatest number of attempts of one request, as the servers counted them.
+// maxAttempts returns the greatest number of attempts that the servers have counted for one
+// request.
 func (c *Cluster) maxAttempts() (greatest int) {
 	attempts := map[string]int{}
 	for _, server := range c.Servers {
--- a/internal/testcluster/membership_test.go
+++ b/internal/testcluster/membership_test.go
@@ -9,8 +9,8 @@
 	"garnetline/internal/fleet"
 )
 
-// One of eight routers is killed, one is stopped in order, and both are started again, while
-// requests go on.
+// While requests are sent, one of eight routers is killed, another is stopped gracefully, and both
+// are started again.
 func TestKilledAndStoppedRoutersRejoin(t *testing.T) {
 	cluster := startFleet(t, Options{Routers: 8, Servers: 3, Seed: 1})
 	load := cluster.StartLoad(40*time.Millisecond, cluster.Routers...)
@@ -31,10 +31,10 @@
 	cluster.expectNoFalseFailures(killed)
 }
 
-// Guards against a router that fails all its peers once it runs again, since it has not received
-// from any of them for long.
-func TestStalledRouterRejoinsAndFailsNobody(t *testing.T) {
-	const furtherStall = 2 * time.Second // after all have failed it
+// Guards against a router that fails all its peers when it runs again after a long stall, because
+// it has received nothing from them in the meantime.
+func TestStalledRouterRejoinsAndFailsNoPeer(t *testing.T) {
+	const furtherStall = 2 * time.Second // after all other routers have failed it
 	cluster := startFleet(t, Options{Routers: 8, Servers: 1, Seed: 4})
 	stalled := cluster.Routers[2]
 	requireNoError(t, stalled.Pause())
@@ -43,15 +43,16 @@
 	requireNoError(t, stalled.Resume())
 	cluster.waitForConvergence("the resumed router has rejoined", cluster.Routers...)
 	if got := stalled.CountLogLines(logFailed); got != 0 {
-		t.Errorf("the resumed router logs %d failures of others, want none", got)
+		t.Errorf("got %d log lines in which the resumed router fails another one, want none", got)
 	}
 	if stalled.CountLogLines(logResumed) == 0 {
-		t.Error("the resumed router does not log that it was paused")
+		t.Error("got no log line of the resumed router about its pause, want one")
 	}
 	cluster.expectNoFalseFailures(stalled)
 }
 
-// All routers are restarted one after another within seconds; then all but one are killed.
+// All routers are restarted, one after another within seconds. Then all routers but one are killed,
+// and the last one serves requests alone.
 func TestRollingRestartAndLastRouterServesAlone(t *testing.T) {
 	const (
 		restartInterval = 150 * time.Millisecond
@@ -76,17 +77,17 @@
 	status, err := last.Status()
 	requireNoError(t, err)
 	if status.Known != len(cluster.Routers) {
-		t.Errorf("alone, got %d known routers, want %d", status.Known, len(cluster.Routers))
+		t.Errorf("got %d known routers at the last router, want %d", status.Known, len(cluster.Routers))
 	}
 	if code, _, err := last.CallAdmin(http.MethodGet, "/ready"); code != http.StatusOK || err != nil {
-		t.Errorf("alone, /ready: got status %d, %v, want %d", code, err, http.StatusOK)
+		t.Errorf("/ready at the last router: got status %d, error %v, want status %d", code, err, http.StatusOK)
 	}
 	load := cluster.StartLoad(20*time.Millisecond, last)
 	time.Sleep(loadDuration)
 	cluster.stopLoad(load)
 }
 
-// allRestarted tells whether each view has all routers, alive and in their second incarnation.
+// allRestarted reports whether every view has all routers, alive and in their second incarnation.
 func allRestarted(routers []*Router) (met bool, observed string) {
 	for _, router := range routers {
 		status, err := router.Status()
@@ -105,8 +106,8 @@
 	return true, ""
 }
 
-// While a router is upgraded, its two processes are one member, and a ban that is set at the
-// admin API of the new one holds at all routers. Requests go on.
+// The two processes of a router that is being upgraded are one member. A ban that is set at the
+// admin API of the new process takes effect at all routers, and requests are served throughout.
 func TestUpgradingRouterIsOneMember(t *testing.T) {
 	const server = "s-00000002"
 	cluster := startFleet(t, Options{Routers: 5, Servers: 3, Seed: 6})
@@ -132,7 +133,8 @@
 	cluster.stopLoad(load)
 }
 
-// findMember returns the first member of a view with the router's name, or none.
+// findMember returns the first member of a view with the router's name, or the zero MemberStatus if
+// there is none.
 func findMember(status *fleet.Status, router *Router) fleet.MemberStatus {
 	for _, member := range status.Members {
 		if member.Name == router.Name {
@@ -142,8 +144,8 @@
 	return fleet.MemberStatus{}
 }
 
-// Two routers have one name by mistake: each router logs it once, as an error, and both stay
-// members.
+// Two routers have the same name by mistake. Each router logs the conflict once, as an error, and
+// both remain members.
 func TestNameConflictIsReportedAndBothStay(t *testing.T) {
 	cluster := startFleet(t, Options{Routers: 4, Servers: 1, Seed: 7})
 	original := cluster.Routers[2]
--- a/internal/testcluster/options.go
+++ b/internal/testcluster/options.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// defaultTimeout is the Options.Timeout of a cluster that sets none.
+// defaultTimeout is the timeout of a cluster whose Options.Timeout is 0.
 const defaultTimeout = 30 * time.Second
 
-// FleetKey is the fleet's key in every cluster.
+// FleetKey is the fleet key that the routers of every cluster start with.
 const FleetKey = "a key for routers on loopback"
 
-// Options say what is started.
+// Options configure a cluster.
 type Options struct {
 	Program        string   // path of the daemon
 	Env            []string // additional environment of the daemon, KEY=VALUE
 	Routers        int
 	Servers        int
 	Fleet          bool          // the routers form a fleet
-	Voters         int           // the first so many routers are voters; 0: no leases
+	Voters         int           // number of voters, which are the first routers; 0: no leases
 	LeaseSettings  string        // additional lines of the duties block
-	NoSettingsFile bool          // the daemon is started without the operators' file
+	NoSettingsFile bool          // the daemon is started without the operators' settings file
 	FleetSettings  string        // additional lines of the fleet block
-	Seed           uint64        // of the fault proxy and of the clients
-	Dir            string        // for files; created if needed
+	Seed           uint64        // for the random numbers of the fault proxy and the clients
+	Dir            string        // parent directory of the routers' files; created if needed
 	Timeout        time.Duration // for a process to become ready or to exit; 0: 30 s
 }
--- a/internal/testcluster/partition_test.go
+++ b/internal/testcluster/partition_test.go
@@ -7,31 +7,31 @@
 	"garnetline/internal/faultproxy"
 )
 
-// A partition into halves, and one in which a single router reaches both sides: all views are
-// equal after each has healed. Requests go on through all of it.
+// The fleet is partitioned into halves, and then into two sides that both reach one router between
+// them. All views are the same after each partition has healed, and requests are served throughout.
 func TestFleetConvergesAfterPartitions(t *testing.T) {
-	const bridgedPeriod = 4 * time.Second // long enough to be failed in without the bridge
+	const bridgedPeriod = 4 * time.Second // long enough for routers to be failed if there were no bridge
 	cluster := startFleet(t, Options{Routers: 8, Servers: 3, Seed: 2})
 	load := cluster.StartLoad(50*time.Millisecond, cluster.Routers...)
-	one, other := cluster.Routers[:4], cluster.Routers[4:]
-	cluster.partition(one, other)
-	cluster.waitForConvergence("one half has converged", one...)
-	cluster.waitForConvergence("the other half has converged", other...)
+	sideA, sideB := cluster.Routers[:4], cluster.Routers[4:]
+	cluster.partition(sideA, sideB)
+	cluster.waitForConvergence("one half has converged", sideA...)
+	cluster.waitForConvergence("the other half has converged", sideB...)
 	cluster.waitForConnectivity("both are partial", connectivityPartial, cluster.Routers...)
 	cluster.Proxy.Heal()
 	cluster.waitForConvergence("healed, all have converged", cluster.Routers...)
 	cluster.waitForConnectivity("healed, all are together", connectivityTogether, cluster.Routers...)
 
-	cluster.partition(one[1:], other) // one[0] is the bridge
+	cluster.partition(sideA[1:], sideB) // the first router, which is the bridge, reaches both sides
 	time.Sleep(bridgedPeriod)
 	cluster.waitForConvergence("all are alive across the bridge", cluster.Routers...)
 	cluster.Proxy.Heal()
 	cluster.stopLoad(load)
 }
 
-// All packets pass lines that lose, duplicate, reorder, corrupt and delay; one router receives
-// nothing from one other; one is paused now and then, and one has a tenth of its processor time.
-// No router that runs is failed, and neither of the slow ones fails others.
+// All links lose, duplicate, reorder, corrupt and delay packets. One router receives nothing from
+// one other router, one router is paused repeatedly, and one gets a tenth of its processor time. No
+// other router is failed, and neither of the two slow routers fails others.
 func TestLossAndStallsFailNoHealthyRouter(t *testing.T) {
 	const (
 		pauses        = 4
@@ -67,7 +67,7 @@
 	cluster.expectNoFalseFailures(paused, throttled)
 	for _, slow := range []*Router{paused, throttled} {
 		if got := slow.CountLogLines(logFailed); got != 0 {
-			t.Errorf("%s, slow itself, logs %d failures of others, want none", slow.Name, got)
+			t.Errorf("slow router %s: got %d log lines in which it fails others, want none", slow.Name, got)
 		}
 	}
 }
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -12,21 +12,21 @@
 	"time"
 )
 
-// throttlePeriod is how often a throttled process is paused.
+// throttlePeriod is the interval from one pause of a throttled process to the next.
 const throttlePeriod = 100 * time.Millisecond
 
-// clientSocketFD is the descriptor of the clients' socket in a process: the first after the
-// standard ones.
+// clientSocketFD is the file descriptor of the client socket in a router process: the first one
+// after stdin, stdout and stderr.
 const clientSocketFD = 3
 
-// errNotExited is a process that has not exited in time.
+// errNotExited reports a process that has not exited in time.
 var errNotExited = errors.New("process has not exited")
 
 // process is one process of a router.
 type process struct {
 	cmd     *exec.Cmd
 	exited  chan struct{}
-	exitErr error // once exited is closed
+	exitErr error // valid after exited is closed
 }
 
 // startProcess starts a command and waits for its exit in the background.
@@ -42,7 +42,8 @@
 	return started, nil
 }
 
-// waitForExit waits until the process has exited, at most for a time.
+// waitForExit waits until the process has exited. The error is errNotExited if that takes longer
+// than timeout.
 func (p *process) waitForExit(timeout time.Duration) error {
 	select {
 	case <-p.exited:
@@ -52,8 +53,8 @@
 	}
 }
 
-// Start starts a process of the router: its first, one that replaces a stopped one, or one that
-// runs beside the current process. The router's methods then concern the new process.
+// Start starts a process of the router: the first one, a replacement for a stopped one, or a second
+// one beside the current one. From then on the router's methods act on the new process.
 func (r *Router) Start() error {
 	if err := r.openClientSocket(); err != nil {
 		return err
@@ -69,8 +70,8 @@
 	return nil
 }
 
-// openClientSocket opens the socket that all processes of the router accept clients on, so that
-// no connection is refused while one process replaces another.
+// openClientSocket opens the socket on which all processes of the router accept clients. The socket
+// stays open, so no connection is refused while one process replaces another.
 func (r *Router) openClientSocket() error {
 	if r.clientSocket != nil {
 		return nil
@@ -85,7 +86,7 @@
 	return err
 }
 
-// command is the command of a process of the router.
+// command returns the command that starts a process of the router.
 func (r *Router) command() *exec.Cmd {
 	options := r.cluster.options
 	args := []string{"serve", "--config", r.configFile}
@@ -98,13 +99,13 @@
 	cmd.Env = append(cmd.Env, fmt.Sprintf("EDGE_LISTEN_FD=%d", clientSocketFD), "EDGE_MGMT="+r.AdminAddr)
 	cmd.ExtraFiles = []*os.File{r.clientSocket}
 	cmd.Stderr = r.Output
-	// The processes end with the test, also if that is killed.
+	// The kernel kills the process when the test ends, even if the test itself is killed.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	return cmd
 }
 
-// Upgrade starts a second process beside the current one, waits until it is ready, and stops
-// the previous one with SIGTERM. While both run it calls between, which may be nil.
+// Upgrade starts a second process beside the current one, waits until it is ready, and stops the
+// previous one with SIGTERM. It calls between, unless that is nil, while both processes run.
 func (r *Router) Upgrade(between func() error) error {
 	previous := r.process
 	if err := r.Start(); err != nil {
@@ -121,7 +122,8 @@
 	return errors.Join(betweenErr, r.terminate(previous))
 }
 
-// terminate stops the process that a newer one has replaced, with SIGKILL if need be.
+// terminate stops a replaced process with SIGTERM. If the process does not exit within
+// Options.Timeout, terminate kills it with SIGKILL and returns an error.
 func (r *Router) terminate(previous *process) error {
 	_ = previous.cmd.Process.Signal(syscall.SIGTERM)
 	if err := previous.waitForExit(r.cluster.options.Timeout); err != nil {
@@ -139,7 +141,7 @@
 	return err
 }
 
-// Running tells whether the process runs, paused or not.
+// Running reports whether the router's process has not exited. A paused process counts as running.
 func (r *Router) Running() bool {
 	select {
 	case <-r.process.exited:
@@ -149,7 +151,7 @@
 	}
 }
 
-// Pid is the process ID of the process.
+// Pid returns the ID of the router's process.
 func (r *Router) Pid() int { return r.process.cmd.Process.Pid }
 
 // Signal sends a signal to the process.
@@ -157,12 +159,12 @@
 
 // Kill ends the process with SIGKILL and waits for its exit.
 func (r *Router) Kill() {
-	_ = r.process.cmd.Process.Kill() // it fails for a process that has exited
+	_ = r.process.cmd.Process.Kill() // the error for a process that has exited does not matter
 	<-r.process.exited
 }
 
-// Stop ends the process with SIGTERM and waits for its exit. An error is that of the process, or
-// that it has not exited within Options.Timeout.
+// Stop ends the process with SIGTERM and waits for its exit. It returns the process's exit error,
+// or errNotExited if the process does not exit within Options.Timeout.
 func (r *Router) Stop() error {
 	if err := r.Signal(syscall.SIGTERM); err != nil {
 		return err
@@ -173,14 +175,14 @@
 	return r.process.exitErr
 }
 
-// Pause stops the process where it is, until Resume.
+// Pause stops the process with SIGSTOP, until Resume is called.
 func (r *Router) Pause() error { return r.Signal(syscall.SIGSTOP) }
 
-// Resume continues a paused process.
+// Resume continues a paused process with SIGCONT.
 func (r *Router) Resume() error { return r.Signal(syscall.SIGCONT) }
 
-// Throttle gives the process a share of its processor time, from 0 to 1, by pausing and resuming
-// it, until the function that it returns is called.
+// Throttle limits the process to a share of its processor time, from 0 to 1, by pausing and
+// resuming it periodically. The returned function ends the throttling.
 func (r *Router) Throttle(share float64) (end func()) {
 	stop := make(chan struct{})
 	ended := make(chan struct{})
@@ -210,7 +212,8 @@
 	}
 }
 
-// stoppedWithin waits for a time and tells whether stop was closed meanwhile.
+// stoppedWithin waits for stop to be closed, at most for duration, and reports whether it was
+// closed.
 func stoppedWithin(stop <-chan struct{}, duration time.Duration) bool {
 	select {
 	case <-stop:
--- a/internal/testcluster/recovery_test.go
+++ b/internal/testcluster/recovery_test.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// Requests in the latest second at one of three servers, which receive 160 in all.
+// Bounds on the requests that one of three servers receives in a second. The three receive 160 in
+// total.
 const (
-	minShare        = 30 // where all routers use the server; an equal share is 53
-	maxEjectedShare = 12 // where all routers have ejected the server
+	minShare        = 30 // minimum if all routers use the server; an equal share is 53
+	maxEjectedShare = 12 // maximum if all routers have ejected the server
 )
 
-// A server that failed for a while and serves again is probed by one router first; the others
-// return one after another, at the configured rate, and in the end all do.
+// After a server has failed and recovered, a single router probes it first. The other routers
+// return to the server one after another, at the configured rate, until all of them use it.
 func TestOneRouterProbesRecoveredServer(t *testing.T) {
 	const (
 		maxFirstSecond  = 25              // requests in the first second of the recovery
@@ -47,17 +48,17 @@
 	cluster.waitUntil("the server has its share again", shareAtLeast(server, minShare))
 	recoveryTime := time.Since(recoveredAt)
 	firstSecond := server.RequestsBetween(probedAt, probedAt.Add(time.Second))
-	t.Logf("%d requests in the first second from the first probe, all routers are back after %v", firstSecond, recoveryTime)
+	t.Logf("%d requests in the first second after the first probe, all routers are back after %v", firstSecond, recoveryTime)
 	if firstSecond > maxFirstSecond {
 		t.Errorf("got %d requests in the first second, want at most %d", firstSecond, maxFirstSecond)
 	}
 	if recoveryTime < minRecoveryTime {
-		t.Errorf("all routers are back after %v, want at least %v", recoveryTime, minRecoveryTime)
+		t.Errorf("got all routers back after %v, want at least %v", recoveryTime, minRecoveryTime)
 	}
 	cluster.stopLoad(load)
 }
 
-// latestRate is the number of requests at a server in the latest second.
+// latestRate returns the number of requests that a server received in the last second.
 func latestRate(server *Server) int {
 	now := time.Now()
 	return server.RequestsBetween(now.Add(-time.Second), now)
@@ -70,8 +71,8 @@
 	}
 }
 
-// firstRequestAfter returns when a server received its first request after a time, or at most
-// 10 ms later.
+// firstRequestAfter returns the time at which a server received its first request after start,
+// rounded up by at most 10 ms.
 func firstRequestAfter(server *Server, start time.Time) (at time.Time, found bool) {
 	const step = 10 * time.Millisecond
 	for at = start; at.Before(time.Now()); at = at.Add(step) {
--- a/internal/testcluster/router.go
+++ b/internal/testcluster/router.go
@@ -10,33 +10,34 @@
 	"garnetline/internal/fakeserver"
 )
 
-// Permissions of a router's files and folders.
+// Permissions of a router's files and directories.
 const (
-	filePermissions   = 0o600
-	folderPermissions = 0o700
+	filePermissions = 0o600
+	dirPermissions  = 0o700
 )
 
-// Router is one router: its files, and its process if it runs.
+// Router is one router of a cluster: its addresses, its files, and its process if it has been
+// started.
 type Router struct {
 	Name           string
-	ListenAddr     string             // for clients
+	ListenAddr     string             // on which it accepts clients
 	AdminAddr      string             // of the newest process
-	FleetAddr      string             // that it receives its peers' packets on
-	AdvertisedAddr string             // that its peers send to: the fault proxy's
+	FleetAddr      string             // on which it receives its peers' packets
+	AdvertisedAddr string             // to which its peers send packets: an address of the fault proxy
 	Output         *fakeserver.Output // the log of all its processes
-	Voters         []string           // in its settings file; nil: the first Options.Voters routers
+	Voters         []string           // voters in its settings file; nil: the first Options.Voters routers
 
 	cluster      *Cluster
 	dir          string
 	configFile   string
 	settingsFile string
-	clientSocket *os.File // passed to each process; nil before the first
-	starts       int
-	process      *process // the newest; nil before the first
+	clientSocket *os.File // passed to each process; nil before the first start
+	starts       int      // number of processes started so far
+	process      *process // the newest process; nil before the first start
 }
 
-// newRouter returns a router that is ready to be started: its addresses are chosen, its
-// connections pass through the proxy, and its files are written.
+// newRouter prepares a router: it chooses the addresses, has the fault proxy forward the traffic,
+// and writes the files. It does not start a process.
 func (c *Cluster) newRouter(name string, index int) (*Router, error) {
 	router := &Router{
 		Name:    name,
@@ -50,7 +51,7 @@
 	if err := router.advertiseProxy(); err != nil {
 		return nil, err
 	}
-	if err := os.MkdirAll(router.StateDir(), folderPermissions); err != nil {
+	if err := os.MkdirAll(router.StateDir(), dirPermissions); err != nil {
 		return nil, err
 	}
 	if err := router.writeConfig(index); err != nil {
@@ -66,7 +67,8 @@
 	r.FleetAddr = netip.AddrPortFrom(address, fleetPort).String()
 }
 
-// advertiseProxy has the peers' packets pass through the fault proxy.
+// advertiseProxy makes the router advertise an address of the fault proxy, so that packets from its
+// peers pass through the proxy.
 func (r *Router) advertiseProxy() error {
 	advertised, err := r.cluster.Proxy.UDP(r.ProxyName(), netip.MustParseAddrPort(r.FleetAddr))
 	if err != nil {
@@ -76,24 +78,25 @@
 	return nil
 }
 
-// StateDir is the router's folder of files that outlive a process.
+// StateDir returns the directory of the router's files that outlive a process.
 func (r *Router) StateDir() string { return filepath.Join(r.dir, "state") }
 
-// ProxyName is the router's name at the fault proxy. Unlike Name it is unique.
+// ProxyName returns the router's name at the fault proxy. Unlike Name it is unique in the cluster.
 func (r *Router) ProxyName() string { return filepath.Base(r.dir) }
 
-// SetFailpoint sets a failpoint of a program that was built with the tag faults: fault-wall, by
-// how many ms its wall clock is set, or fault-save, how many ms a write to disk takes.
+// SetFailpoint sets a failpoint of a program that was built with the tag faults. The value is in
+// ms: for fault-wall the offset of the wall clock, for fault-save the duration of each write to
+// disk.
 func (r *Router) SetFailpoint(name string, ms int64) error {
 	file := filepath.Join(r.StateDir(), name)
-	temporary := file + "~" // the program never reads a file that is half written
+	temporary := file + "~" // a rename is atomic, so the program never reads a partly written file
 	if err := os.WriteFile(temporary, fmt.Append(nil, ms), filePermissions); err != nil {
 		return err
 	}
 	return os.Rename(temporary, file)
 }
 
-// CountLogLines counts the lines of the router's log that contain all of the texts.
+// CountLogLines returns the number of lines in the router's log that contain all of the texts.
 func (r *Router) CountLogLines(texts ...string) (count int) {
 	for line := range strings.Lines(r.Output.String()) {
 		if containsAll(line, texts) {
@@ -112,7 +115,7 @@
 	return true
 }
 
-// close kills the router's process, if it has one, and closes the clients' socket.
+// close kills the router's process, if there is one, and closes the client socket.
 func (r *Router) close() {
 	if r.process != nil {
 		r.Kill()
--- a/internal/testcluster/server.go
+++ b/internal/testcluster/server.go
@@ -12,7 +12,7 @@
 	"garnetline/routing"
 )
 
-// Server is a fake cache with its place in the routers' endpoint lists.
+// Server is a fake server that the routers' endpoint lists contain.
 type Server struct {
 	*fakeserver.Server
 	ID   routing.ServerID
@@ -20,7 +20,7 @@
 
 	mu           sync.Mutex
 	failing      bool
-	attempts     map[string]int // by the request's ID
+	attempts     map[string]int // number of attempts by request ID
 	requestTimes []time.Time
 	probes       []Probe
 }
@@ -28,10 +28,10 @@
 // Probe is a health check that a server received.
 type Probe struct {
 	FencingToken uint64    // fencing token of the sender's lease
-	ReceivedAt   time.Time // by the clock of the machine, which all processes share
+	ReceivedAt   time.Time // by the machine's clock, which all processes share
 }
 
-// startServer starts a server that serves all requests.
+// startServer starts a server that answers every request successfully.
 func startServer(id routing.ServerID, name string) (*Server, error) {
 	server := &Server{ID: id, Name: name, attempts: map[string]int{}}
 	fake, err := fakeserver.NewServer(server.answerRequest)
@@ -43,7 +43,8 @@
 	return server, nil
 }
 
-// answerRequest is the fakeserver.Reply of the server.
+// answerRequest is the fakeserver.Reply of the server. It records the request and answers with an
+// object, or with an error if the server is failing.
 func (s *Server) answerRequest(id, _ string) string {
 	s.mu.Lock()
 	failing := s.failing
@@ -56,8 +57,8 @@
 	return fakeserver.Answer(id, "DONE", "tag=t1,minted=1", "bytes of an object")
 }
 
-// answerHealthCheck records a health check and reports a load of one half. A tag without a
-// fencing token counts as token 0, which is below every other.
+// answerHealthCheck records a health check and reports a load of one half. A tag without a fencing
+// token is recorded with token 0, which is less than any valid token.
 func (s *Server) answerHealthCheck(tag string) string {
 	var probe Probe
 	_, _ = fmt.Sscanf(tag, "p%d.", &probe.FencingToken)
@@ -68,33 +69,33 @@
 	return "l=util:0.5;link:0.5"
 }
 
-// Address is where the server itself listens. A router's configuration has an address of the
-// fault proxy instead; the change log, which is the same for all routers, can announce this one
-// alone.
+// Address returns the address on which the server itself listens. A router's configuration has an
+// address of the fault proxy instead, which differs from router to router. The change log sends the
+// same events to all routers, so it can announce only this address.
 func (s *Server) Address() netip.AddrPort { return netip.MustParseAddrPort(s.Addr().String()) }
 
-// SetFailing has the server answer every request with an error, or serve again.
+// SetFailing sets whether the server answers every request with an error.
 func (s *Server) SetFailing(failing bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failing = failing
 }
 
-// Probes returns the health checks that the server received, in their order.
+// Probes returns the health checks that the server received, in the order of their arrival.
 func (s *Server) Probes() []Probe {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.probes)
 }
 
-// Attempts returns how often the server received each request, by its ID.
+// Attempts returns how many times the server received each request, by request ID.
 func (s *Server) Attempts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.attempts)
 }
 
-// RequestCount returns how many requests the server received.
+// RequestCount returns the number of requests that the server received. Each attempt counts.
 func (s *Server) RequestCount() (count int) {
 	for _, attempts := range s.Attempts() {
 		count += attempts
@@ -102,8 +103,8 @@
 	return count
 }
 
-// RequestsBetween returns how many requests the server received from one time until before
-// another.
+// RequestsBetween returns the number of requests that the server received at or after from and
+// before to.
 func (s *Server) RequestsBetween(from, to time.Time) (count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,26 +116,27 @@
 	return count
 }
 
-// Handover is a change of the lease holder, as a server saw it.
+// Handover is a change of the lease holder, as observed by a server.
 type Handover struct {
-	From, To uint64 // fencing tokens
-	Gap      time.Duration
+	From, To uint64        // fencing tokens
+	Gap      time.Duration // between the last health check under From and the first under To
 }
 
-// TokenOrderError is a health check under a fencing token that a server received after one
-// under a later token: two routers acted as the lease holder.
+// TokenOrderError reports a health check that a server received after a health check with a later
+// fencing token: two routers acted as the lease holder.
 type TokenOrderError struct {
 	Server         string
-	Later, Earlier Probe // in the order in which they came
+	Later, Earlier Probe // by fencing token; Later arrived first
 }
 
 func (e *TokenOrderError) Error() string {
-	return fmt.Sprintf("%s received a health check of fencing token %d %v after one of token %d",
+	return fmt.Sprintf("%s received a health check with fencing token %d %v after one with token %d",
 		e.Server, e.Earlier.FencingToken, e.Earlier.ReceivedAt.Sub(e.Later.ReceivedAt), e.Later.FencingToken)
 }
 
-// Handovers returns the changes of the lease holder at the server, and the last violation of the
-// order of fencing tokens as a TokenOrderError.
+// Handovers returns the changes of the lease holder that the server observed. If health checks
+// arrived out of the order of their fencing tokens, violation is a *TokenOrderError for the last
+// one that did.
 func (s *Server) Handovers() (handovers []Handover, violation error) {
 	probes := s.Probes()
 	for i := 1; i < len(probes); i++ {
--- a/internal/testcluster/voters_test.go
+++ b/internal/testcluster/voters_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// A voter that lost its disk comes back as a learner and becomes a voter again. A router that
-// only its own settings file names as a voter does not become one; added by operators it does,
-// and a voter that they remove is none any more.
+// A voter that has lost its disk returns as a learner and becomes a voter again. A router that only
+// its own settings file lists as a voter does not become one until operators add it. A voter that
+// operators remove is no longer a voter.
 func TestVotersAreReplaced(t *testing.T) {
-	const requestPeriod = time.Second // in which the unlisted voter asks to join several times
+	const requestPeriod = time.Second // time in which the unlisted router asks several times to become a voter
 	cluster := startFleet(t, Options{Routers: 4, Servers: 1, Voters: 3, Seed: 23})
 	configured := cluster.Routers[:3]
 	cluster.waitForVoters(configured, "r00", "r01", "r02")
@@ -56,8 +56,8 @@
 	}
 }
 
-// waitForVoters waits until these routers agree that just those named vote and nobody learns,
-// and returns the leader.
+// waitForVoters waits until the routers agree that exactly the named routers are voters and that
+// there are no learners. It returns the leader.
 func (c *clusterTest) waitForVoters(routers []*Router, names ...string) (leader *Router) {
 	c.t.Helper()
 	c.waitUntil(fmt.Sprint("the voters are ", names), func() (bool, string) {
