--- a/cmd/fleetlab/handover_kinds.go
+++ b/cmd/fleetlab/handover_kinds.go
@@ -82,18 +82,18 @@
 }
 
 func (r *handoverRun) shutDownHolder(holder *testcluster.Router) (func() error, error) {
-	r.load.SetExcused(holder, true)
+	r.load.SetExcluded(holder, true)
 	return holder.Start, holder.Stop()
 }
 
 func (r *handoverRun) killHolder(holder *testcluster.Router) (func() error, error) {
-	r.load.SetExcused(holder, true)
+	r.load.SetExcluded(holder, true)
 	holder.Kill()
 	return holder.Start, nil
 }
 
 func (r *handoverRun) pauseHolder(holder *testcluster.Router) (func() error, error) {
-	r.load.SetExcused(holder, true)
+	r.load.SetExcluded(holder, true)
 	return holder.Resume, holder.Pause()
 }
 
--- a/cmd/fleetlab/handovers.go
+++ b/cmd/fleetlab/handovers.go
@@ -161,7 +161,7 @@
 	if err := r.awaitConvergence(); err != nil {
 		return err
 	}
-	r.load.SetExcused(holder, false)
+	r.load.SetExcluded(holder, false)
 	r.recordGaps(kind, probesBefore)
 	fmt.Fprintf(os.Stderr, "%d of %d: %s\n", r.done, r.handovers, kind.name)
 	return nil
--- a/cmd/fleetlab/requests.go
+++ b/cmd/fleetlab/requests.go
@@ -138,13 +138,13 @@
 // crashAndPause kills and restarts one router, and then pauses and resumes another. The lost
 // requests at the restarted router do not count until the other router has resumed.
 func (r *requestRun) crashAndPause(crashed, paused *testcluster.Router) error {
-	r.load.SetExcused(crashed, true)
+	r.load.SetExcluded(crashed, true)
 	crashed.Kill()
 	time.Sleep(faultDuration)
 	if err := crashed.Start(); err != nil {
 		return err
 	}
-	r.load.SetExcused(paused, true)
+	r.load.SetExcluded(paused, true)
 	if err := paused.Pause(); err != nil {
 		return err
 	}
@@ -152,9 +152,9 @@
 	if err := paused.Resume(); err != nil {
 		return err
 	}
-	r.load.SetExcused(crashed, false)
+	r.load.SetExcluded(crashed, false)
 	time.Sleep(resumeGrace)
-	r.load.SetExcused(paused, false)
+	r.load.SetExcluded(paused, false)
 	return nil
 }
 
--- a/cmd/garnetline/trace_command.go
+++ b/cmd/garnetline/trace_command.go
@@ -165,7 +165,7 @@
 		if !ok {
 			return filter, fmt.Errorf("--outcome: unknown outcome %q", name)
 		}
-		filter.Outcome |= 1 << outcome
+		filter.Outcomes |= 1 << outcome
 	}
 	if name := command.String("server"); name != "" {
 		server, err := routing.ParseServerID(name)
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -36,13 +36,13 @@
 
 // Completion is a transport's report that an attempt has ended.
 type Completion struct {
-	Attempt  *Attempt
-	Result   routing.Result // Canceled: the attempt ended because TransportState.Cancel was called
-	Response Response       // set if Result is Served or Final is true
-	Load     routing.LoadReport
-	Note     routing.CacheStatus // how the server found the object, if the server reports that
-	FillWait float64             // ms until the fill source sent its first byte or failed; 0: unknown
-	Final    bool                // Response ends the request, whatever Result is
+	Attempt     *Attempt
+	Result      routing.Result // Canceled: the attempt ended because TransportState.Cancel was called
+	Response    Response       // set if Result is Served or Final is true
+	Load        routing.LoadReport
+	CacheStatus routing.CacheStatus // how the server found the object, if the server reports that
+	FillWait    float64             // ms until the fill source sent its first byte or failed; 0: unknown
+	Final       bool                // Response ends the request, whatever Result is
 }
 
 // Unsent returns the completion, with the given result, of an attempt that was not sent.
@@ -250,8 +250,8 @@
 		BodyBytes:   len(completion.Response.Body),
 		RequestDone: attempt.Request.responded,
 		Load:        completion.Load,
-		CacheStatus: completion.Note,
-		SourceWait:  clock.Duration(completion.FillWait),
+		CacheStatus: completion.CacheStatus,
+		FillWait:    clock.Duration(completion.FillWait),
 	}
 }
 
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -45,7 +45,7 @@
 	Class          int    // index into routing.Settings.Classes
 	Object         routing.ObjectID
 	Chunk          int
-	Group          int
+	PurgeGroup     int
 	SizeKB         float64 // size of the chunk, in the unit of the link settings; 0: unknown
 	Body           []byte
 	Deadline       float64        // time at which the client gives up
@@ -165,7 +165,7 @@
 		Class:      request.Class,
 		Object:     request.Object,
 		Chunk:      request.Chunk,
-		PurgeGroup: request.Group,
+		PurgeGroup: request.PurgeGroup,
 		SizeKB:     request.SizeKB,
 		Timeout:    clock.Duration(request.Deadline - d.clock.Now()),
 	})
--- a/internal/fleet/simulation_test.go
+++ b/internal/fleet/simulation_test.go
@@ -29,7 +29,7 @@
 
 func newSimulation(routers int) *simulation {
 	s := &simulation{net: netsim.New(7), hash: fnv.New64a()}
-	s.net.Tap = func(sent netsim.Datagram) {
+	s.net.OnSend = func(sent netsim.Datagram) {
 		s.packets++
 		s.record("%v %v ", s.net.Now, sent.To)
 		s.record("%s", sent.Packet.Append(nil))
--- a/internal/frontend/dnsfront/select.go
+++ b/internal/frontend/dnsfront/select.go
@@ -46,13 +46,13 @@
 func (s *Server) dispatch(q query) (dispatch.Response, bool) {
 	responses := make(chan dispatch.Response, 1)
 	request := &dispatch.Request{
-		Class:     q.class,
-		Object:    q.object,
-		Chunk:     q.chunk,
-		Group:     max(q.group, 0),
-		Transport: s,
-		Deadline:  s.Clock.Now() + s.TimeoutMs,
-		Respond:   func(response dispatch.Response) { responses <- response },
+		Class:      q.class,
+		Object:     q.object,
+		Chunk:      q.chunk,
+		PurgeGroup: max(q.group, 0),
+		Transport:  s,
+		Deadline:   s.Clock.Now() + s.TimeoutMs,
+		Respond:    func(response dispatch.Response) { responses <- response },
 	}
 	if !s.Dispatcher.Submit(request) {
 		return dispatch.Response{}, false
--- a/internal/frontend/httpfront/parse.go
+++ b/internal/frontend/httpfront/parse.go
@@ -142,7 +142,7 @@
 		return err
 	}
 	dispatched.Deadline = r.receivedAt + timeoutMs - min(responseMarginMs, timeoutMs/responseMarginDivisor)
-	if dispatched.Group, err = parseGroup(r.header.Get(headerGroup)); err != nil {
+	if dispatched.PurgeGroup, err = parseGroup(r.header.Get(headerGroup)); err != nil {
 		return err
 	}
 	if dispatched.SizeKB, err = parseObjectSize(r.header[headerObjectSize]); err != nil {
--- a/internal/frontend/httpfront/response_test.go
+++ b/internal/frontend/httpfront/response_test.go
@@ -67,7 +67,7 @@
 		"transaction": {got.TransactionID, "9b1f03aa5c7e2d41"},
 		"object":      {got.Object, routing.ObjectID(0x7f3a9c21e0b4d655)},
 		"chunk":       {got.Chunk, 3},
-		"group":       {got.Group, 17},
+		"group":       {got.PurgeGroup, 17},
 		"entity tag":  {got.IfNoneMatch, "t1"},
 		"size":        {got.SizeKB, 412.5},
 		"deadline":    {got.Deadline, startTime + 1500 - responseMarginMs},
--- a/internal/netsim/failure_detection_test.go
+++ b/internal/netsim/failure_detection_test.go
@@ -90,12 +90,12 @@
 	network := New(7)
 	network.StartFleet(5, fleet.DefaultSettings(), AllProtocols)
 	var recorded []Datagram
-	network.Tap = func(sent Datagram) { recorded = append(recorded, sent) }
+	network.OnSend = func(sent Datagram) { recorded = append(recorded, sent) }
 	requireConvergence(t, network, 10_000)
 	network.Run(network.Now + 5000)
 	network.Leave(network.Hosts[4])
 	network.Run(network.Now + 5000)
-	network.Tap = nil
+	network.OnSend = nil
 	const hour = 3_600_000
 	network.Run(network.Now + hour/6)
 
--- a/internal/netsim/link.go
+++ b/internal/netsim/link.go
@@ -59,8 +59,8 @@
 func (n *Network) sendPackets(from *Host, out *membership.Output) {
 	for _, outgoing := range out.Packets {
 		n.countSent(from, outgoing.Packet)
-		if n.Tap != nil {
-			n.Tap(Datagram{To: outgoing.To, Packet: *outgoing.Packet})
+		if n.OnSend != nil {
+			n.OnSend(Datagram{To: outgoing.To, Packet: *outgoing.Packet})
 		}
 		if n.Link.partitions(from, n.hostsByAddr[outgoing.To]) {
 			continue
--- a/internal/netsim/netsim.go
+++ b/internal/netsim/netsim.go
@@ -34,8 +34,8 @@
 	Hosts  []*Host // all that were ever started, including dead ones
 	Events int64   // number of packets and timers handled so far
 
-	// Tap, unless nil, is called with each packet that a host sends, including lost ones.
-	Tap func(Datagram)
+	// OnSend, unless nil, is called with each packet that a host sends, including lost ones.
+	OnSend func(Datagram)
 
 	hostsByAddr  map[netip.AddrPort]*Host // the live process that listens at each address
 	events       eventQueue
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -105,7 +105,7 @@
 		ID:          f.requestID(),
 		Result:      f.result(),
 		Server:      f.serverID(),
-		SourceWait:  f.duration("waited_us"),
+		FillWait:    f.duration("waited_us"),
 		CacheStatus: routing.CacheStatus(f.unsigned("note", uint64(routing.OriginFailed))),
 		Duration:    f.duration("cost_time_us"),
 		Attempt:     f.index("leg"),
--- a/internal/simproto/golden_test.go
+++ b/internal/simproto/golden_test.go
@@ -71,7 +71,7 @@
 	case routing.Outcome:
 		fmt.Fprintf(text, "outcome request=%d attempt=%d server=%d result=%d note=%d waited=%d took=%d bytes=%d done=%t load=%v,%v,%v,%v\n",
 			uint64(event.ID), event.Attempt, uint64(event.Server), int(event.Result),
-			int(event.CacheStatus), int64(event.SourceWait), int64(event.Duration), event.BodyBytes, event.RequestDone,
+			int(event.CacheStatus), int64(event.FillWait), int64(event.Duration), event.BodyBytes, event.RequestDone,
 			event.Load.Inflight, event.Load.CPUUtilization, event.Load.HitRatio, event.Load.LinkUtilization)
 	case routing.TimerFired:
 		fmt.Fprintf(text, "timer token=%d\n", event.Token)
--- a/internal/simproto/reader_test.go
+++ b/internal/simproto/reader_test.go
@@ -68,7 +68,7 @@
 			line: "VERDICT 5 not_stored 51530247 9400 4 18500 2 1 0.62,0.4,1.25",
 			want: routing.Outcome{
 				ID: 5, Attempt: 2, Server: 51530247, Result: routing.NotCached, CacheStatus: routing.JoinedFill,
-				SourceWait: 9400 * microsecond, Duration: 18500 * microsecond, RequestDone: true,
+				FillWait: 9400 * microsecond, Duration: 18500 * microsecond, RequestDone: true,
 				Load: routing.LoadReport{Inflight: -1, CPUUtilization: 0.62, HitRatio: 0.4, LinkUtilization: 1.25},
 			},
 		},
--- a/internal/testcluster/bans_test.go
+++ b/internal/testcluster/bans_test.go
@@ -139,7 +139,7 @@
 func (b *bansTest) restartWithVoterLogsAlone() {
 	b.t.Helper()
 	for _, router := range b.Routers {
-		killAndExcuse(b.load, router)
+		killAndExclude(b.load, router)
 	}
 	for _, router := range b.Routers {
 		requireNoError(b.t, removeLocalState(router))
@@ -154,7 +154,7 @@
 	}
 	b.waitForConvergence("all have rejoined", b.Routers...)
 	for _, router := range b.Routers {
-		b.load.SetExcused(router, false)
+		b.load.SetExcluded(router, false)
 	}
 }
 
@@ -192,7 +192,7 @@
 	b.t.Helper()
 	down, caller := b.Routers[:3], b.Routers[5]
 	for _, voter := range down {
-		killAndExcuse(b.load, voter)
+		killAndExclude(b.load, voter)
 	}
 	b.post(caller, "/caches/enable/"+b.servers[1], http.StatusServiceUnavailable)
 	b.post(caller, "/caches/disable/"+b.servers[3], http.StatusOK)
--- a/internal/testcluster/harness_test.go
+++ b/internal/testcluster/harness_test.go
@@ -263,15 +263,15 @@
 	c.t.Logf("%d requests, p50 %v, p99 %v, by status %v", result.Requests, result.P50, result.P99, result.Statuses)
 }
 
-// killAndExcuse kills a router, which is then excused from answering requests.
-func killAndExcuse(load *Load, router *Router) {
-	load.SetExcused(router, true)
+// killAndExclude kills a router, whose requests do not count in the result from then on.
+func killAndExclude(load *Load, router *Router) {
+	load.SetExcluded(router, true)
 	router.Kill()
 }
 
-// stopAndExcuse stops a router gracefully, which is then excused from answering requests.
-func (c *clusterTest) stopAndExcuse(load *Load, router *Router) {
+// stopAndExclude stops a router gracefully. Its requests do not count in the result from then on.
+func (c *clusterTest) stopAndExclude(load *Load, router *Router) {
 	c.t.Helper()
-	load.SetExcused(router, true)
+	load.SetExcluded(router, true)
 	requireNoError(c.t, router.Stop())
 }
--- a/internal/testcluster/leases_test.go
+++ b/internal/testcluster/leases_test.go
@@ -23,7 +23,7 @@
 	holder, _ = cluster.waitForHolder(loadReportLease, cluster.Running()...)
 	token = cluster.killHolder(load, holder, token)
 	holder, _ = cluster.waitForHolder(loadReportLease, cluster.Running()...)
-	cluster.stopAndExcuse(load, holder)
+	cluster.stopAndExclude(load, holder)
 	cluster.waitForProbes("another router probes after the holder stopped", token)
 
 	for _, server := range cluster.Servers {
@@ -45,13 +45,13 @@
 // fencing token.
 func (c *clusterTest) pauseHolder(load *Load, holder *Router, token uint64) (newHolder *Router, newToken uint64) {
 	c.t.Helper()
-	load.SetExcused(holder, true)
+	load.SetExcluded(holder, true)
 	requireNoError(c.t, holder.Pause())
 	newHolder, newToken = c.waitForHolder(loadReportLease, c.Running(holder)...)
 	c.waitForProbes("another router probes after the holder was paused", token)
 	requireNoError(c.t, holder.Resume())
 	c.waitForConvergence("the resumed router has rejoined", c.Routers...)
-	load.SetExcused(holder, false)
+	load.SetExcluded(holder, false)
 	return newHolder, newToken
 }
 
@@ -84,12 +84,12 @@
 // fencing token.
 func (c *clusterTest) killHolder(load *Load, holder *Router, token uint64) (newToken uint64) {
 	c.t.Helper()
-	killAndExcuse(load, holder)
+	killAndExclude(load, holder)
 	_, newToken = c.waitForHolder(loadReportLease, c.Running(holder)...)
 	c.waitForProbes("another router probes after the holder was killed", token)
 	requireNoError(c.t, holder.Start())
 	c.waitForConvergence("the killed router has rejoined", c.Routers...)
-	load.SetExcused(holder, false)
+	load.SetExcluded(holder, false)
 	return newToken
 }
 
--- a/internal/testcluster/load.go
+++ b/internal/testcluster/load.go
@@ -35,8 +35,8 @@
 	mu        sync.Mutex
 	durations []time.Duration  // of requests with exactly one complete answer
 	statuses  map[int]int      // number of answers by status
-	lost      []string         // requests without exactly one complete answer, whose router was not excused
-	excused   map[*Router]bool // routers whose requests do not count
+	lost      []string         // requests without exactly one complete answer, whose router was not excluded
+	excluded  map[*Router]bool // routers whose requests do not count
 }
 
 // StartLoad starts one client for each router. A client sends one request per interval, each on its
@@ -46,7 +46,7 @@
 		cluster:  c,
 		stop:     make(chan struct{}),
 		statuses: map[int]int{},
-		excused:  map[*Router]bool{},
+		excluded: map[*Router]bool{},
 	}
 	for i, router := range routers {
 		rng := rand.New(rand.NewPCG(c.options.Seed, uint64(i)))
@@ -67,7 +67,7 @@
 			return
 		case <-ticker.C:
 		}
-		if l.isExcused(router) {
+		if l.isExcluded(router) {
 			continue
 		}
 		object := rng.IntN(objectCount) + 1
@@ -75,19 +75,19 @@
 	}
 }
 
-// SetExcused sets whether a router is excused from answering, since its process is about to exit or
-// to be paused. The clients send no new requests to an excused router, and do not record whether it
-// answers the outstanding ones.
-func (l *Load) SetExcused(router *Router, excused bool) {
+// SetExcluded sets whether a router is excluded from the result, since its process is about to exit
+// or to be paused. The clients send no new requests to an excluded router, and do not record whether
+// it answers the outstanding ones.
+func (l *Load) SetExcluded(router *Router, excluded bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.excused[router] = excused
+	l.excluded[router] = excluded
 }
 
-func (l *Load) isExcused(router *Router) bool {
+func (l *Load) isExcluded(router *Router) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.excused[router]
+	return l.excluded[router]
 }
 
 // request sends one request for an object and records its answer.
@@ -99,7 +99,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case l.excused[router]:
+	case l.excluded[router]:
 	case err != nil || received.count != 1:
 		l.lost = append(l.lost, fmt.Sprintf("%s at %s: got %d complete answers after %v: %v", transactionID, router.Name, received.count, duration, err))
 	default:
--- a/internal/testcluster/membership_test.go
+++ b/internal/testcluster/membership_test.go
@@ -15,9 +15,9 @@
 	cluster := startFleet(t, Options{Routers: 8, Servers: 3, Seed: 1})
 	load := cluster.StartLoad(40*time.Millisecond, cluster.Routers...)
 	killed, stopped := cluster.Routers[5], cluster.Routers[6]
-	killAndExcuse(load, killed)
+	killAndExclude(load, killed)
 	cluster.waitForState("the killed router has failed", killed, stateFailed, cluster.Running()...)
-	cluster.stopAndExcuse(load, stopped)
+	cluster.stopAndExclude(load, stopped)
 	cluster.waitForState("the stopped router has left", stopped, stateLeft, cluster.Running()...)
 	requireNoError(t, killed.Start())
 	requireNoError(t, stopped.Start())
@@ -25,8 +25,8 @@
 	if got := cluster.Routers[0].CountLogLines(logFailed, logMember(stopped)); got != 0 {
 		t.Errorf("got %d log lines that the stopped router failed, want none", got)
 	}
-	load.SetExcused(killed, false)
-	load.SetExcused(stopped, false)
+	load.SetExcluded(killed, false)
+	load.SetExcluded(stopped, false)
 	cluster.stopLoad(load)
 	cluster.expectNoFalseFailures(killed)
 }
--- a/internal/trace/instrument/instrument.go
+++ b/internal/trace/instrument/instrument.go
@@ -22,7 +22,7 @@
 		IdempotencyKey: request.IdempotencyKey,
 		Object:         request.Object,
 		Chunk:          request.Chunk,
-		PurgeGroup:     request.Group,
+		PurgeGroup:     request.PurgeGroup,
 		ReceivedAt:     now,
 	}
 	if client := request.Client; client != nil {
--- a/internal/trace/instrument/instrument_test.go
+++ b/internal/trace/instrument/instrument_test.go
@@ -49,7 +49,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			request := &dispatch.Request{TransactionID: "x1", Object: 7, Chunk: 3, Group: 17, Client: test.client}
+			request := &dispatch.Request{TransactionID: "x1", Object: 7, Chunk: 3, PurgeGroup: 17, Client: test.client}
 			tracer := newTracer(metrics.New())
 			opened := tracer.Open(now, request, &routing.Class{Name: "part"}).(*recorder.RequestTrace)
 			if opened.TransactionID != "x1" || opened.Class != "part" || opened.Chunk != 3 || opened.PurgeGroup != 17 {
--- a/internal/trace/store/benchmark_test.go
+++ b/internal/trace/store/benchmark_test.go
@@ -22,7 +22,7 @@
 			filter Filter
 		}{
 			{"id", Filter{ID: written[len(written)/2].ID}},
-			{"failed", Filter{Outcome: 1 << trace.Failed}},
+			{"failed", Filter{Outcomes: 1 << trace.Failed}},
 			{"slow", Filter{MinDuration: slowDuration}},
 			{"server", Filter{Server: failingServer}},
 		} {
--- a/internal/trace/store/filter.go
+++ b/internal/trace/store/filter.go
@@ -13,7 +13,7 @@
 	ID            trace.ID
 	Class         string
 	TransactionID string
-	Outcome       uint8            // bit set with the bit 1<<outcome for each trace.Outcome that matches
+	Outcomes      uint8            // bit set with the bit 1<<outcome for each trace.Outcome that matches
 	Server        routing.ServerID // target or fill source of at least one attempt
 	MinDuration   float64          // ms, inclusive
 	MinAttempts   int
@@ -28,7 +28,7 @@
 // mayMatch reports whether a block with the given header can contain a matching trace.
 func (f *Filter) mayMatch(header *blockHeader) bool {
 	switch {
-	case f.Outcome != 0 && f.Outcome&header.outcomes == 0:
+	case f.Outcomes != 0 && f.Outcomes&header.outcomes == 0:
 		return false
 	case f.Reasons != 0 && f.Reasons&header.reasons == 0:
 		return false
@@ -81,7 +81,7 @@
 
 func (f *Filter) matchesResult(t *trace.Trace) bool {
 	switch {
-	case f.Outcome != 0 && f.Outcome&(1<<t.Outcome) == 0:
+	case f.Outcomes != 0 && f.Outcomes&(1<<t.Outcome) == 0:
 		return false
 	case f.Reasons != 0 && f.Reasons&t.Reasons == 0:
 		return false
--- a/internal/trace/store/index_test.go
+++ b/internal/trace/store/index_test.go
@@ -25,7 +25,7 @@
 	}{
 		{"all", Filter{}, false},
 		{"by ID", Filter{ID: written[12_345].ID}, true},
-		{"failed", Filter{Outcome: 1 << trace.Failed}, true},
+		{"failed", Filter{Outcomes: 1 << trace.Failed}, true},
 		{"by server", Filter{Server: failingServer}, true},
 		{"slow", Filter{MinDuration: slowDuration}, true},
 		{"slower than most of a class", Filter{Class: "sheet", MinDuration: 80}, false},
@@ -33,7 +33,7 @@
 		{"more attempts than any has", Filter{MinAttempts: 3}, true},
 		{"reason that none has", Filter{Reasons: trace.ReasonSlow}, true},
 		{"unknown class", Filter{Class: "none"}, true},
-		{"several fields", Filter{Outcome: 1 << trace.Failed, Class: "part", Server: failingServer}, true},
+		{"several fields", Filter{Outcomes: 1 << trace.Failed, Class: "part", Server: failingServer}, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			want := 0
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -26,7 +26,7 @@
 	writeClass := &routing.Class{Name: "submit", Write: true, Idempotency: routing.NonIdempotent}
 	attempt := func(id string, class *routing.Class, decision routing.SendAttempt) *dispatch.Attempt {
 		return &dispatch.Attempt{
-			Request:   &dispatch.Request{TransactionID: id, Object: 0x7f3a9c21e0b4d655, Chunk: 3, Group: 17},
+			Request:   &dispatch.Request{TransactionID: id, Object: 0x7f3a9c21e0b4d655, Chunk: 3, PurgeGroup: 17},
 			Class:     class,
 			Decision:  decision,
 			ExpiresAt: now + 1480.6,
@@ -112,7 +112,7 @@
 				continue
 			}
 			fmt.Fprintf(&out, "%s result=%d kind=%d server=%d tag=%q body=%q note=%d waited=%g load=%g,%g,%g,%g\n", r.id, int(completion.Result), int(completion.Response.Kind),
-				uint32(completion.Response.Server), completion.Response.ETag, completion.Response.Body, int(completion.Note), completion.FillWait, completion.Load.Inflight, completion.Load.CPUUtilization, completion.Load.HitRatio, completion.Load.LinkUtilization)
+				uint32(completion.Response.Server), completion.Response.ETag, completion.Response.Body, int(completion.CacheStatus), completion.FillWait, completion.Load.Inflight, completion.Load.CPUUtilization, completion.Load.HitRatio, completion.Load.LinkUtilization)
 		}
 		golden.Compare(t, "replies.golden", []byte(out.String()))
 	}
--- a/internal/upstream/harness_test.go
+++ b/internal/upstream/harness_test.go
@@ -129,7 +129,7 @@
 // newAttempt returns an attempt that has not been sent.
 func (h *harness) newAttempt(id string) *dispatch.Attempt {
 	return &dispatch.Attempt{
-		Request:   &dispatch.Request{TransactionID: id, Object: 7, Group: 3},
+		Request:   &dispatch.Request{TransactionID: id, Object: 7, PurgeGroup: 3},
 		Class:     &routing.Class{Name: "part"},
 		Decision:  routing.SendAttempt{Server: 1, FillSource: 8},
 		ExpiresAt: h.clock.Now() + harnessTimeout,
--- a/internal/upstream/reply.go
+++ b/internal/upstream/reply.go
@@ -147,7 +147,7 @@
 		case loadField:
 			parseLoad(&completion.Load, value)
 		case cacheStatusField:
-			completion.Note = parseCacheStatus(value)
+			completion.CacheStatus = parseCacheStatus(value)
 			cacheStatuses++
 		case fillWaitField:
 			completion.FillWait = parseFillWait(value)
@@ -155,7 +155,7 @@
 		}
 	}
 	if cacheStatuses > 1 {
-		completion.Note = routing.CacheStatusUnknown
+		completion.CacheStatus = routing.CacheStatusUnknown
 	}
 	if fillWaits > 1 {
 		completion.FillWait = 0
--- a/internal/upstream/reply_test.go
+++ b/internal/upstream/reply_test.go
@@ -79,32 +79,32 @@
 // repeated fields count as unknown and do not invalidate the reply.
 func TestCacheStatus(t *testing.T) {
 	for fields, want := range map[string]dispatch.Completion{
-		"n=cached":              {Note: routing.Hit},
-		"n=fetched,lag=41.5":    {Note: routing.Filled, FillWait: 41.5},
-		"n=fetched_root,lag=0":  {Note: routing.FilledByOrigin},
-		"n=merged":              {Note: routing.JoinedFill},
-		"n=past_fresh":          {Note: routing.StaleHit},
-		"n=up_refused":          {Note: routing.SourceRejected},
-		"n=up_lost,tag=t":       {Note: routing.SourceUnreachable},
-		"n=up_empty":            {Note: routing.SourceMiss},
-		"n=fills_full":          {Note: routing.FillRejected},
-		"n=root_failed":         {Note: routing.OriginFailed},
+		"n=cached":              {CacheStatus: routing.Hit},
+		"n=fetched,lag=41.5":    {CacheStatus: routing.Filled, FillWait: 41.5},
+		"n=fetched_root,lag=0":  {CacheStatus: routing.FilledByOrigin},
+		"n=merged":              {CacheStatus: routing.JoinedFill},
+		"n=past_fresh":          {CacheStatus: routing.StaleHit},
+		"n=up_refused":          {CacheStatus: routing.SourceRejected},
+		"n=up_lost,tag=t":       {CacheStatus: routing.SourceUnreachable},
+		"n=up_empty":            {CacheStatus: routing.SourceMiss},
+		"n=fills_full":          {CacheStatus: routing.FillRejected},
+		"n=root_failed":         {CacheStatus: routing.OriginFailed},
 		"-":                     {},
 		"n=":                    {},
 		"n=stolen":              {},
 		"n=cached,n=cached":     {},
-		"n=cached,lag=x":        {Note: routing.Hit},
+		"n=cached,lag=x":        {CacheStatus: routing.Hit},
 		"lag=-1":                {},
 		"lag=NaN":               {},
 		"lag=Inf":               {},
 		"lag=1e9":               {},
-		"lag=5,lag=6,n=cached":  {Note: routing.Hit},
-		"unknown=1,n=merged,x=": {Note: routing.JoinedFill},
+		"lag=5,lag=6,n=cached":  {CacheStatus: routing.Hit},
+		"unknown=1,n=merged,x=": {CacheStatus: routing.JoinedFill},
 	} {
 		attempt := &dispatch.Attempt{Request: &dispatch.Request{}}
 		got, err := reply{status: "DONE", fields: fields}.completion(attempt)
-		if err != nil || got.Note != want.Note || got.FillWait != want.FillWait || got.Result != routing.Served {
-			t.Errorf("fields %s: got cache status %v, fill wait %v, error %v", fields, got.Note, got.FillWait, err)
+		if err != nil || got.CacheStatus != want.CacheStatus || got.FillWait != want.FillWait || got.Result != routing.Served {
+			t.Errorf("fields %s: got cache status %v, fill wait %v, error %v", fields, got.CacheStatus, got.FillWait, err)
 		}
 	}
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -195,7 +195,7 @@
 func (u *Upstream) writeAttempt(conn *connection, attempt *dispatch.Attempt) {
 	now := u.Clock.Now()
 	decision := &attempt.Decision
-	maxAge := clock.Millis(u.Guard().MaxAge(clock.Duration(now), decision.MaxAge, attempt.Request.Object, attempt.Request.Group))
+	maxAge := clock.Millis(u.Guard().MaxAge(clock.Duration(now), decision.MaxAge, attempt.Request.Object, attempt.Request.PurgeGroup))
 	if attempt.Class.Write {
 		maxAge = 0
 	}
--- a/plugin/request.go
+++ b/plugin/request.go
@@ -30,11 +30,11 @@
 	class := p.classes.indexOf(operation)
 	remaining := remainingTime(ctx, p.classes.routing[class].Deadline)
 	request := &dispatch.Request{
-		Class:    class,
-		Object:   routing.ObjectID(key.Object),
-		Chunk:    key.Chunk,
-		Group:    key.Group,
-		Deadline: p.clock.Now() + clock.Millis(remaining),
+		Class:      class,
+		Object:     routing.ObjectID(key.Object),
+		Chunk:      key.Chunk,
+		PurgeGroup: key.Group,
+		Deadline:   p.clock.Now() + clock.Millis(remaining),
 	}
 	if p.recorder != nil {
 		request.Client = &dispatch.ClientInfo{ReceivedAt: p.clock.Now(), TraceParent: callerTraceparent(ctx)}
--- a/plugin/request_test.go
+++ b/plugin/request_test.go
@@ -48,7 +48,7 @@
 		"effect":   {Idempotency(plugin.classes.routing[request.Class].Idempotency), IdempotentWithKey},
 		"object":   {uint64(request.Object), uint64(7)},
 		"chunk":    {request.Chunk, 5},
-		"group":    {request.Group, 2},
+		"group":    {request.PurgeGroup, 2},
 		"deadline": {request.Deadline, now + 3000.0},
 		"traced":   {request.Client != nil, false},
 	} {
--- a/routing/events.go
+++ b/routing/events.go
@@ -153,7 +153,7 @@
 	Server      ServerID // server that the attempt was sent to
 	Result      Result
 	CacheStatus CacheStatus
-	SourceWait  time.Duration // time until the first byte or the failure of the source; 0: not reported
+	FillWait    time.Duration // time until the first byte or the failure of the source; 0: not reported
 	Duration    time.Duration // time from the start of the attempt to its end
 	BodyBytes   int           // bytes of the body that were served; 0: not reported
 	RequestDone bool          // the request has been answered and needs no further attempt
--- a/routing/limiter.go
+++ b/routing/limiter.go
@@ -79,26 +79,26 @@
 
 // recordPace derives the utilization of a bottleneck from the pace of a served attempt, and records it.
 func (r *Router) recordPace(attempt *attempt, outcome *Outcome, transfer transfer) {
-	responseTime := outcome.Duration - outcome.SourceWait
+	responseTime := outcome.Duration - outcome.FillWait
 	pace := responseTime.Seconds() / max(transfer.seconds, minPaceSeconds)
 	status := outcome.CacheStatus
-	sourceWaitUnknown := status.filled() && r.settings.HitStatusOnly
+	fillWaitUnknown := status.filled() && r.settings.HitStatusOnly
 	switch {
 	case status == CacheStatusUnknown:
 		// Without this observation only rejections would be observed, and the limiter would never end.
 		attempt.target.limiter.observe(r.now, unknownStatusUtilization, r.zoneFraction)
-	case !transfer.known || sourceWaitUnknown:
+	case !transfer.known || fillWaitUnknown:
 		// The pace is not known.
 	case status.filled():
-		r.recordFillPace(attempt, outcome.SourceWait, pace)
+		r.recordFillPace(attempt, outcome.FillWait, pace)
 	case status == Hit || status == StaleHit:
 		attempt.target.limiter.observe(r.now, pace/hitPaceTarget, r.zoneFraction)
 	}
 }
 
 // recordFillPace records the latency and pace of a fill, and the utilization of its source.
-func (r *Router) recordFillPace(attempt *attempt, sourceWait time.Duration, pace float64) {
-	r.fillLatency += (sourceWait.Seconds() - r.fillLatency) * limiterGain / fillGainDivisor
+func (r *Router) recordFillPace(attempt *attempt, fillWait time.Duration, pace float64) {
+	r.fillLatency += (fillWait.Seconds() - r.fillLatency) * limiterGain / fillGainDivisor
 	cappedPace := min(pace, fillPaceCapFactor*fillPaceTarget)
 	r.fillPace += (cappedPace - r.fillPace) * limiterGain / fillGainDivisor
 	hitPace := max(attempt.target.limiter.utilization*hitPaceTarget, 1)
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -144,7 +144,7 @@
 		r.recordThroughput(attempt.source, transfer.seconds)
 	}
 	if outcome.CacheStatus == FilledByOrigin {
-		r.recordOriginLoad(attempt, outcome.SourceWait.Seconds()/r.longestObjective.Seconds())
+		r.recordOriginLoad(attempt, outcome.FillWait.Seconds()/r.longestObjective.Seconds())
 	} else if attempt.request.class.Write {
 		r.recordOriginLoad(attempt, outcome.Duration.Seconds()/r.longestObjective.Seconds())
 	}
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -77,7 +77,7 @@
 	BodyBytesPerSecond  float64       // full pace in bytes of Outcome.BodyBytes per second; 0: not known
 	WeightIsCapacity    bool          // Server.Weight is the number of transfers at full pace
 	// HitStatusOnly: the cache status of an outcome reports hits and fills but no failures, and
-	// SourceWait is not reported. The pace of a fill is then ignored: a fill with 10 ms of transfer
+	// FillWait is not reported. The pace of a fill is then ignored: a fill with 10 ms of transfer
 	// that has waited 150 ms for its source would look like a source that is fifteen times too slow,
 	// and all known misses would be limited. Faults that the status does not report are detected as
 	// without cache status.
--- a/routing/simulated_servers_test.go
+++ b/routing/simulated_servers_test.go
@@ -206,10 +206,10 @@
 		outcome.BodyBytes = int(s.sizeKB(attempt.request) / 1000 * s.routerSettings.BodyBytesPerSecond)
 	}
 	if s.statuses && !s.routerSettings.HitStatusOnly {
-		outcome.SourceWait = time.Duration(wait * float64(time.Second))
+		outcome.FillWait = time.Duration(wait * float64(time.Second))
 	}
 	took := (wait + sending) * (0.7 + 0.8*s.random.Float64())
-	return outcome, outcome.SourceWait + time.Duration(took*float64(time.Second))
+	return outcome, outcome.FillWait + time.Duration(took*float64(time.Second))
 }
 
 // status returns a random one of several cache statuses, or CacheStatusUnknown if the deployment does not
