--- a/cmd/garnetline/fleet_test.go
+++ b/cmd/garnetline/fleet_test.go
@@ -256,7 +256,7 @@
 		text, wantOutput, wantError string
 	}{
 		"a log block":          {text: "log {}\n", wantOutput: "x.hcl: can be used"},
-		"a fleet":              {text: "fleet {\n enabled = true\n" + keys + "}\n", wantOutput: "held until together"},
+		"a fleet":              {text: "fleet {\n enabled = true\n" + keys + "}\n", wantOutput: "deferred until together"},
 		"a fleet without keys": {text: "fleet {\n enabled = true\n}\n", wantError: "x.hcl:1: fleet: keys: "},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/fleet/bans/manager.go
+++ b/internal/fleet/bans/manager.go
@@ -21,7 +21,7 @@
 )
 
 // defaultSetBy, followed by the router's name, is stored in the registry as the author of a ban
-// whose caller gave no name.
+// whose caller gave no name. The text must not change, because stored bans contain it.
 const defaultSetBy = "the door of "
 
 // Options are the settings and the dependencies of a Manager.
--- a/internal/fleet/connectivity/behaviors.go
+++ b/internal/fleet/connectivity/behaviors.go
@@ -8,23 +8,23 @@
 func Behaviors() []Behavior {
 	enable := func(s State) string {
 		if s.AcceptsRemoteEnable() {
-			return "taken"
+			return "accepted"
 		}
-		return "held until together"
+		return "deferred until together"
 	}
 	ready := func(s State) string {
 		if s.Ready(true, true) {
 			return "as without a fleet"
 		}
-		return "not ready once all boxes and the change log are lost too"
+		return "not ready once all servers and the change log are lost too"
 	}
 	return []Behavior{
-		{"parts of shared budgets", "one of those known lately", "the same: silence adds nothing", "the same: silence adds nothing"},
-		{"a neighbour's ban of a box", "taken", "taken", "what was heard holds"},
-		{"a neighbour's drain, log cut off", "taken", "taken", "what was heard holds"},
-		{"a neighbour's purge", "taken", "taken", "what was heard holds"},
-		{"a neighbour's enable of a box", enable(Together), enable(Partial), enable(Alone)},
-		{"staff's enable at this door", "taken, told", "taken here, told", "taken here, told later"},
+		{"quota of shared budgets", "1 / recently known routers", "same: silent peers do not raise it", "same: silent peers do not raise it"},
+		{"a peer's ban of a server", "accepted", "accepted", "received ones stay in force"},
+		{"a peer's drain, change log lost", "accepted", "accepted", "received ones stay in force"},
+		{"a peer's purge", "accepted", "accepted", "received ones stay in force"},
+		{"a peer's enable of a server", enable(Together), enable(Partial), enable(Alone)},
+		{"operator's enable via this admin API", "accepted, broadcast", "accepted here, broadcast", "accepted here, broadcast later"},
 		{"readiness", ready(Together), ready(Partial), ready(Alone)},
 		{"requests", "never wait", "never wait", "never wait"},
 	}
--- a/internal/fleet/loadreport/report.go
+++ b/internal/fleet/loadreport/report.go
@@ -13,7 +13,7 @@
 const MaxReportsPerPacket = 50
 
 // Field numbers of a report in a packet. A field holds the value in thousandths plus 1, so that a
-// measured 0 is not omitted; a field that is absent was not measured.
+// measured 0 is not omitted; a field that is absent is unknown.
 const (
 	fieldInflight protowire.Number = zonemessage.FirstItemField + iota
 	fieldCPUUtilization
@@ -53,7 +53,7 @@
 	return appendMeasured(encoded, fieldLinkUtilization, r.load.LinkUtilization)
 }
 
-// appendMeasured appends a value, unless it is negative or NaN. NaN means not measured.
+// appendMeasured appends a value, unless it is negative or NaN. NaN means unknown.
 func appendMeasured(encoded []byte, field protowire.Number, value float64) []byte {
 	if !(value >= 0) {
 		return encoded
--- a/internal/operatorconfig/trace.go
+++ b/internal/operatorconfig/trace.go
@@ -106,7 +106,7 @@
 func (c *Collector) complete() error {
 	address, err := url.Parse(c.URL)
 	if err != nil || address.Scheme != "http" || address.Host == "" {
-		return fielderror.Errorf("collector", "%w", fielderror.Errorf("url", "expected an http URL, got %q", c.URL))
+		return fielderror.Errorf("collector", "%w", fielderror.Errorf("url", "expected an http URL with a host, got %q", c.URL))
 	}
 	if c.QueueLimit == 0 {
 		c.QueueLimit = defaultQueueLimit
--- a/internal/platformconfig/document.go
+++ b/internal/platformconfig/document.go
@@ -50,7 +50,7 @@
 		return nil, err
 	}
 	if config.Seed, err = strconv.ParseUint(doc.Seed, 16, 64); err != nil {
-		return nil, fielderror.Errorf("seed", "expected 1 to 16 hex digits, got %q", doc.Seed)
+		return nil, fielderror.Errorf("seed", "%q does not consist of 1 to 16 hexadecimal digits", doc.Seed)
 	}
 	if err := doc.Limits.validate(); err != nil {
 		return nil, err
@@ -59,7 +59,7 @@
 		return nil, err
 	}
 	if doc.FlowBytesPerSecond < 0 {
-		return nil, fielderror.Errorf("flow_bytes_per_s", "expected 0 or more, got %v", doc.FlowBytesPerSecond)
+		return nil, fielderror.Errorf("flow_bytes_per_s", "expected a finite non-negative number, got %v", doc.FlowBytesPerSecond)
 	}
 	config.Settings.BodyBytesPerSecond = doc.FlowBytesPerSecond
 	config.Upstream.BytesPerSecond = doc.FlowBytesPerSecond
@@ -125,7 +125,7 @@
 
 func (l Limits) validate() error {
 	if l.MemoryMB < 0 || l.Sockets < 0 || l.Cores < 0 {
-		return fielderror.Errorf("limits", "expected values of 0 or more, got %+v", l)
+		return fielderror.Errorf("limits", "expected finite non-negative numbers, got %+v", l)
 	}
 	if l.Sockets > 0 && l.Sockets < minSockets {
 		return fielderror.Errorf("limits.sockets", "expected at least %[2]d, got %[1]d", l.Sockets, minSockets)
--- a/internal/platformconfig/events.go
+++ b/internal/platformconfig/events.go
@@ -72,7 +72,7 @@
 	Time   float64 `json:"time"`
 }
 
-// objectIDLength is the length of an object ID in text, in hex digits.
+// objectIDLength is the length of an object ID in text, in hexadecimal digits.
 const objectIDLength = 16
 
 // phasesByHealth maps the platform's health values to the phases of a server.
@@ -130,15 +130,15 @@
 	}
 	zone := indexOf(c.Zones, doc.Site)
 	if zone < 0 {
-		return endpoint, fielderror.Errorf(path+".site", "expected one of settings.areas, got %q", doc.Site)
+		return endpoint, fielderror.Errorf(path+".site", "unknown value %q, expected one of settings.areas", doc.Site)
 	}
 	kind := indexOf(c.Kinds, doc.Class)
 	if kind < 0 {
-		return endpoint, fielderror.Errorf(path+".class", "expected one of settings.machine_types, got %q", doc.Class)
+		return endpoint, fielderror.Errorf(path+".class", "unknown value %q, expected one of settings.machine_types", doc.Class)
 	}
 	phase, ok := phasesByHealth[doc.Health]
 	if !ok {
-		return endpoint, fielderror.Errorf(path+".health", "expected ready, draining or gone, got %q", doc.Health)
+		return endpoint, fielderror.Errorf(path+".health", "unknown value %q, expected ready, draining or gone", doc.Health)
 	}
 	addr, err := netip.ParseAddrPort(doc.Dial)
 	if err != nil {
@@ -162,7 +162,7 @@
 	}
 	object, err := strconv.ParseUint(doc.Object, 16, 64)
 	if err != nil || len(doc.Object) != objectIDLength {
-		return nil, fielderror.Errorf(path+".object", "expected %[2]d hex digits, got %[1]q", doc.Object, objectIDLength)
+		return nil, fielderror.Errorf(path+".object", "%q does not consist of %d hexadecimal digits", doc.Object, objectIDLength)
 	}
 	return &Purge{Object: routing.ObjectID(object), At: doc.Time}, nil
 }
--- a/internal/platformconfig/settings.go
+++ b/internal/platformconfig/settings.go
@@ -78,7 +78,7 @@
 	}
 	microseconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(microseconds > 0) || math.IsInf(microseconds, 0) {
-		return fielderror.Errorf("settings."+path, "expected a positive number of microseconds, got %q", text)
+		return fielderror.Errorf("settings."+path, "expected a finite positive duration in microseconds, got %q", text)
 	}
 	*milliseconds = microseconds / 1000
 	return nil
