--- a/internal/frontend/dnsfront/answer.go
+++ b/internal/frontend/dnsfront/answer.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// targetPrefix is the prefix of the target names in SRV answers. The server id follows
-	// it, as eight hexadecimal digits.
+	// targetPrefix is the prefix of the target names in SRV answers. The server id follows the
+	// prefix, as eight hexadecimal digits.
 	targetPrefix = "s-"
 
 	maxUDPSize = 1232 // bytes; the UDP message size that replies to EDNS0 queries advertise
@@ -53,8 +53,8 @@
 	return class == dns.ClassINET || class == dns.ClassANY
 }
 
-// answerWithinLimit answers a question, or replies SERVFAIL if MaxInflight questions are being
-// answered already.
+// answerWithinLimit answers a question. If the server is already answering MaxInflight questions,
+// it replies with SERVFAIL instead.
 func (s *Server) answerWithinLimit(reply *dns.Msg, question dns.Question) {
 	select {
 	case s.slots <- struct{}{}:
@@ -65,7 +65,7 @@
 	}
 }
 
-// answerQuestion adds records and a response code to the reply to a question.
+// answerQuestion sets the records and the response code of the reply to a question.
 func (s *Server) answerQuestion(reply *dns.Msg, question dns.Question) {
 	name := dns.CanonicalName(question.Name)
 	if !dns.IsSubDomain(s.Zone, name) {
@@ -93,7 +93,7 @@
 	s.addNegativeSOA(reply)
 }
 
-// answerObject answers a question about an object. The name is given relative to the zone.
+// answerObject answers a question about an object. The argument name is relative to the zone.
 func (s *Server) answerObject(reply *dns.Msg, question dns.Question, name string) {
 	parsed, rcode := s.parseName(name)
 	if rcode != dns.RcodeSuccess {
@@ -141,9 +141,9 @@
 	}
 }
 
-// targetAddress returns the address of the server with a hexadecimal id. It returns false unless
-// an SRV answer has named the server within the last targetLifetimeMs and the guard still allows
-// its use.
+// targetAddress returns the address of the server with a hexadecimal id. It returns true only if
+// the endpoint list has the server, an SRV answer has named the server within the last
+// targetLifetimeMs, and the guard does not exclude the server.
 func (s *Server) targetAddress(hexID string) (netip.AddrPort, bool) {
 	number, err := strconv.ParseUint(hexID, 16, 32)
 	id := routing.ServerID(number)
@@ -165,8 +165,8 @@
 	}
 }
 
-// addNegativeSOA adds the zone's SOA record to the authority section of a negative answer.
-// Resolvers read from it for how long they may cache that answer (RFC 2308).
+// addNegativeSOA adds the zone's SOA record to the authority section of a negative answer. The SOA
+// record tells resolvers how long they may cache the negative answer (RFC 2308).
 func (s *Server) addNegativeSOA(reply *dns.Msg) {
 	reply.Ns = append(reply.Ns, s.startOfAuthority())
 }
--- a/internal/frontend/dnsfront/config.go
+++ b/internal/frontend/dnsfront/config.go
@@ -30,8 +30,8 @@
 	connectionsLimit = 256
 )
 
-// DefaultConfig returns the values of keys that the configuration leaves out. The DNS server is
-// disabled in it.
+// DefaultConfig returns the default settings. They apply to keys that the configuration leaves out.
+// By default, the DNS server is disabled.
 func DefaultConfig() Config {
 	return Config{
 		Listen:         "127.0.0.1:5353",
@@ -70,20 +70,20 @@
 // *fielderror.Error that names the invalid key.
 func (c *Config) Validate() error {
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
-		return fielderror.Errorf("listen", "%w", err)
+		return fielderror.Errorf("listen", "expected an IP address and a port: %w", err)
 	}
 	if _, ok := dns.IsDomainName(c.Zone); !ok || c.Zone == "" || c.Zone == "." {
-		return fielderror.Errorf("zone", "%q is not a domain name below the root", c.Zone)
+		return fielderror.Errorf("zone", "expected a domain name other than the root, got %q", c.Zone)
 	}
 	c.Zone = dns.CanonicalName(c.Zone)
 	timeoutInRange := c.TimeoutMs >= 1 && c.TimeoutMs <= timeoutLimitMs // false for NaN
 	switch {
 	case !timeoutInRange:
-		return fielderror.Errorf("patience_ms", "got %v ms, expected 1 to %d ms", c.TimeoutMs, timeoutLimitMs)
+		return fielderror.Errorf("patience_ms", "got %v ms, expected from 1 to %d ms", c.TimeoutMs, timeoutLimitMs)
 	case c.MaxInflight < 1 || c.MaxInflight > inflightLimit:
-		return fielderror.Errorf("max_inflight", "expected an integer from 1 to %d", inflightLimit)
+		return fielderror.Errorf("max_inflight", "expected an integer from 1 to %d, got %d", inflightLimit, c.MaxInflight)
 	case c.MaxConnections < 1 || c.MaxConnections > connectionsLimit:
-		return fielderror.Errorf("max_connections", "expected an integer from 1 to %d", connectionsLimit)
+		return fielderror.Errorf("max_connections", "expected an integer from 1 to %d, got %d", connectionsLimit, c.MaxConnections)
 	}
 	return nil
 }
--- a/internal/frontend/dnsfront/config_test.go
+++ b/internal/frontend/dnsfront/config_test.go
@@ -36,7 +36,7 @@
 		t.Run(text, func(t *testing.T) {
 			_, err := LoadConfig(writeConfig(t, text))
 			if err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("got error %v, want one that contains %q", err, want)
+				t.Errorf("got error %v, want an error that contains %q", err, want)
 			}
 		})
 	}
--- a/internal/frontend/dnsfront/harness_test.go
+++ b/internal/frontend/dnsfront/harness_test.go
@@ -21,7 +21,8 @@
 // testZone is the zone of the server under test.
 const testZone = "garnet.test."
 
-// purgeRetention is how long after a purge the server names no cache for what was purged.
+// purgeRetention is how long the server returns no cache for an object after a purge of that
+// object.
 const purgeRetention = 6 * time.Second
 
 // exchangeTimeout bounds how long a test waits for a reply.
@@ -38,10 +39,10 @@
 	dispatcher *dispatch.Dispatcher
 	addr       string
 	guard      atomic.Pointer[routing.Guard]
-	updates    chan platformconfig.WatchEvent // each change that the dispatcher has applied
+	updates    chan platformconfig.WatchEvent // receives each change that the dispatcher has applied
 }
 
-// UpdateEndpoints records a change of the endpoint list. The dispatcher calls it for each one.
+// UpdateEndpoints records a change of the endpoint list. The dispatcher calls it for each change.
 func (h *harness) UpdateEndpoints(event platformconfig.WatchEvent) { h.updates <- event }
 
 // Kinds of servers in testSettings.
@@ -89,8 +90,8 @@
 	}
 }
 
-// newHarness starts a server and a dispatcher with testSettings, which the functions in modify
-// may change first.
+// newHarness starts a server and a dispatcher with testSettings. Before the start, the functions in
+// modify may change the settings.
 func newHarness(t *testing.T, modify ...func(*routing.Settings)) *harness {
 	t.Helper()
 	harness := &harness{t: t, clock: clock.NewManual(startTime), updates: make(chan platformconfig.WatchEvent, 1)}
@@ -125,8 +126,9 @@
 	return harness
 }
 
-// runDispatcher starts the dispatcher and stops it at the end of the test. It must be called before
-// the cleanup of the server is registered, so that the server stops first.
+// runDispatcher starts the dispatcher and stops it at the end of the test. newHarness calls it
+// before it registers the cleanup of the server. Cleanups run in reverse order, so the server stops
+// before the dispatcher.
 func (h *harness) runDispatcher() {
 	ctx, cancel := context.WithCancel(context.Background())
 	stopped := make(chan struct{})
@@ -140,8 +142,8 @@
 	})
 }
 
-// publish changes the endpoint list in the order that the watcher uses: the guard is replaced
-// first, then the dispatcher gets the watch event.
+// publish changes the endpoint list in the order that the watcher uses. It first replaces the
+// guard, and then passes the watch event to the dispatcher.
 func (h *harness) publish(snapshot bool, endpoints ...platformconfig.Endpoint) {
 	guard := routing.Guard{Ready: map[routing.ServerID]bool{}, PurgeRetention: purgeRetention}
 	if old := h.guard.Load(); old != nil && !snapshot {
@@ -209,7 +211,8 @@
 	return reply
 }
 
-// answeredAddress returns the first address in the answer section of a reply, or "".
+// answeredAddress returns the first address in the answer section of a reply, or "" if that section
+// has no address.
 func answeredAddress(reply *dns.Msg) string {
 	for _, record := range reply.Answer {
 		if address, ok := record.(*dns.A); ok {
--- a/internal/frontend/dnsfront/name.go
+++ b/internal/frontend/dnsfront/name.go
@@ -17,7 +17,8 @@
 	unknownGroup = -1
 )
 
-// query holds what the name in a question encodes: one chunk of an object and its class.
+// query holds the values that the name in a question encodes: the class, the object, the chunk and
+// the group.
 type query struct {
 	class  int
 	object routing.ObjectID
@@ -25,9 +26,9 @@
 	group  int // unknownGroup if the name has no group label
 }
 
-// parseName parses a name that is given relative to the zone. It returns dns.RcodeSuccess, or
-// the response code that rejects the name: dns.RcodeFormatError if it is malformed and
-// dns.RcodeNameError if its class is unknown.
+// parseName parses a name that is relative to the zone. It returns a response code:
+// dns.RcodeFormatError if the name is malformed, dns.RcodeNameError if its class is unknown, and
+// otherwise dns.RcodeSuccess.
 func (s *Server) parseName(name string) (query, int) {
 	parsed := query{class: unknownClass, group: unknownGroup}
 	labels := strings.Split(name, ".")
@@ -58,7 +59,8 @@
 	return parsed, dns.RcodeSuccess
 }
 
-// findClass returns the index of the class with a name, ignoring case, or unknownClass.
+// findClass returns the index of the class with the given name, or unknownClass if no class has
+// that name. The comparison ignores case.
 func (s *Server) findClass(name string) int {
 	index := unknownClass
 	for i, class := range s.Classes() {
--- a/internal/frontend/dnsfront/name_test.go
+++ b/internal/frontend/dnsfront/name_test.go
@@ -10,8 +10,9 @@
 	"garnetline/routing"
 )
 
-// FuzzName checks that parseName accepts or rejects any name without a panic, and that a name
-// rebuilt from the fields of an accepted one yields the same fields.
+// FuzzName checks that parseName accepts or rejects any name without a panic. If parseName accepts
+// a name, the test builds another name from the parsed fields. parseName must return the same
+// fields for that name.
 func FuzzName(f *testing.F) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 16 {
@@ -29,7 +30,7 @@
 			rebuilt = fmt.Sprintf("%d.%016x.g%d.part", parsed.chunk, uint64(parsed.object), parsed.group)
 		}
 		if reparsed, _ := server.parseName(rebuilt); reparsed != parsed {
-			t.Errorf("%q parses to %+v, the name rebuilt from it to %+v", name, parsed, reparsed)
+			t.Errorf("%q parses to %+v, but the name rebuilt from these fields parses to %+v", name, parsed, reparsed)
 		}
 	})
 }
--- a/internal/frontend/dnsfront/select.go
+++ b/internal/frontend/dnsfront/select.go
@@ -16,7 +16,7 @@
 }
 
 // selectServer asks the dispatcher to select a server for a query. It returns false if no server
-// may be used now, or if the selected one has no IPv4 address.
+// may be used now, or if the selected server has no IPv4 address.
 func (s *Server) selectServer(q query) (selection, bool) {
 	if s.mayBeStale(q) {
 		return selection{}, false
@@ -25,8 +25,8 @@
 	if !ok || response.Kind != dispatch.Served {
 		return selection{}, false
 	}
-	// The guard is checked again: the endpoint list may have changed, or a purge may have
-	// arrived, while the dispatcher selected the server.
+	// The guard is checked again, because the endpoint list may have changed or a purge may have
+	// arrived while the dispatcher selected the server.
 	if s.Guard().Excludes(response.Server) || s.mayBeStale(q) {
 		return selection{}, false
 	}
@@ -40,9 +40,9 @@
 	return selection{server: response.Server, address: address}, true
 }
 
-// dispatch submits a query to the dispatcher as a request and waits for the response. The
-// dispatcher responds by the request's deadline. The wait has its own limit, in case the
-// dispatcher stops before it responds. It returns false if there is no response.
+// dispatch submits a query to the dispatcher as a request and waits for the response. It returns
+// false if there is no response. The dispatcher responds by the request's deadline unless it stops.
+// The wait therefore has a timeout, which is longer than the deadline by ioTimeout.
 func (s *Server) dispatch(q query) (dispatch.Response, bool) {
 	responses := make(chan dispatch.Response, 1)
 	request := &dispatch.Request{
@@ -69,8 +69,8 @@
 }
 
 // mayBeStale reports whether caches may hold copies of the object that are older than its latest
-// purge. A DNS answer cannot tell a cache which copies are too old, so no server may be named
-// until such copies are gone.
+// purge. A DNS answer cannot tell a cache which copies are too old, so the answer may name no
+// server while such copies may exist.
 func (s *Server) mayBeStale(q query) bool {
 	if s.Classes()[q.class].Write {
 		return false
--- a/internal/frontend/dnsfront/server.go
+++ b/internal/frontend/dnsfront/server.go
@@ -34,7 +34,7 @@
 )
 
 const (
-	recordTTL        = 0      // seconds; if it were 1, a cached answer could outlive a drain
+	recordTTL        = 0      // seconds; with 1, a cached answer could still name a server after its drain began
 	targetLifetimeMs = 1000.0 // how long the target name of an SRV answer resolves
 	ioTimeout        = 2 * time.Second
 	idleTimeout      = 4 * time.Second
@@ -44,7 +44,7 @@
 type Dispatcher interface {
 	// Submit passes a request to the dispatcher. It returns false if the dispatcher has stopped.
 	Submit(*dispatch.Request) bool
-	// Disconnect reports that the response to a request is no longer awaited.
+	// Disconnect reports that the DNS server no longer waits for the response to a request.
 	Disconnect(*dispatch.Request)
 }
 
@@ -62,8 +62,8 @@
 }
 
 // Server answers DNS queries over UDP and TCP. It is also the dispatch.Transport of the requests
-// that it submits. It forwards nothing: an attempt is complete once its server is selected,
-// because the client of the DNS query connects to that server itself.
+// that it submits. It forwards nothing, because the client of the DNS query connects to the
+// selected server itself. An attempt is complete once its server is selected.
 type Server struct {
 	Options
 	slots chan struct{} // holds one value for each query being answered
@@ -91,8 +91,8 @@
 }
 
 // Start listens on UDP and TCP and answers queries until Shutdown is called. ctx applies only to
-// opening the sockets. Start returns the address in use; if the configured port is 0, the address
-// has the port that the system assigned.
+// opening the sockets. Start returns the address on which it listens. If the configured port is 0,
+// the address has the port that the system assigned.
 func (s *Server) Start(ctx context.Context) (netip.AddrPort, error) {
 	var listenConfig net.ListenConfig
 	listener, err := listenConfig.Listen(ctx, "tcp", s.Listen)
@@ -149,8 +149,8 @@
 	}
 }
 
-// Send completes an attempt with the server that was selected for it. It returns the completion
-// of an unsent attempt if the guard now excludes that server or its fill source.
+// Send completes an attempt with the server that the dispatcher selected. If the guard now excludes
+// that server or the selected fill source, Send reports that the attempt was not sent.
 func (s *Server) Send(attempt *dispatch.Attempt) *dispatch.Completion {
 	guard := s.Guard()
 	if guard.Excludes(attempt.Decision.Server) || guard.Excludes(attempt.Decision.FillSource) {
--- a/internal/frontend/dnsfront/server_test.go
+++ b/internal/frontend/dnsfront/server_test.go
@@ -18,7 +18,7 @@
 
 // TestGoldenMessages compares the bytes of the reply to each kind of question, over UDP and TCP,
 // with a golden file. A line of the file holds the name of a case, the query and the reply. The
-// endpoint list has only one cache, so that the replies do not depend on the selection.
+// endpoint list has only one cache, so that the dispatcher always selects the same cache.
 func TestGoldenMessages(t *testing.T) {
 	harness := newHarness(t)
 	harness.listOneCache()
@@ -72,8 +72,8 @@
 	golden.Compare(t, "messages.golden", []byte(out.String()))
 }
 
-// The answer to an SRV query has the server's port and a target name. The name resolves to the
-// server's address until its lifetime of one second ends.
+// The answer to an SRV query has the server's port and a target name. The target name resolves to
+// the server's address for one second.
 func TestSRVAnswerHasPortAndTarget(t *testing.T) {
 	harness := newHarness(t)
 	harness.listServers()
@@ -142,8 +142,9 @@
 	}
 }
 
-// As long as caches may hold copies that are older than a purge, no server is returned for what
-// was purged: a DNS answer cannot tell a cache which copies are too old.
+// For some time after a purge, caches may hold copies that are too old. During that time, the DNS
+// server returns no server for the purged objects, because a DNS answer cannot tell a cache which
+// copies are too old.
 func TestPurgedObjectsAreNotAnswered(t *testing.T) {
 	harness := newHarness(t)
 	harness.listServers()
@@ -157,7 +158,7 @@
 		}
 		answered := answeredAddress(reply) != ""
 		if wantAnswer := want == dns.RcodeSuccess; answered != wantAnswer {
-			t.Errorf("%s, %s: got answer %v, want an address in it: %v", when, name, reply.Answer, wantAnswer)
+			t.Errorf("%s, %s: got answer %v, want an answer with an address: %v", when, name, reply.Answer, wantAnswer)
 		}
 	}
 	harness.purge(0xaa, 0)
@@ -197,8 +198,8 @@
 	return address
 }
 
-// A resolver that caches answers for their TTL does not return a draining server 300 ms or more
-// after its drain began.
+// A resolver caches answers for their TTL. 300 ms after the drain of a server began, the resolver
+// no longer returns that server.
 func TestDrainingServersAreNotAnswered(t *testing.T) {
 	harness := newHarness(t)
 	harness.listServers()
@@ -215,7 +216,7 @@
 		harness.clock.Advance(300)
 		for i := range 60 {
 			if got := resolver.resolve(queryName(i)); got == "127.0.9.2" || got == "" {
-				t.Fatalf("%.0f ms after the drain began: got address %q, want another cache's", harness.clock.Now()-startTime, got)
+				t.Fatalf("%.0f ms after the drain began: got address %q, want the address of a cache that is not draining", harness.clock.Now()-startTime, got)
 			}
 		}
 	}
@@ -225,8 +226,8 @@
 	}
 }
 
-// The DNS server learns of the load of a cache only from its own lookups. They count against the
-// capacity that slow start gives to a cache that is warming up.
+// The DNS server learns of the load of a cache only from its own lookups. These lookups count
+// against the capacity that slow start gives to a cache that is warming up.
 func TestLookupsCountAgainstWarmingServers(t *testing.T) {
 	harness := newHarness(t)
 	harness.listOneCache()
@@ -245,8 +246,8 @@
 	}
 }
 
-// If weights are capacities, a server that is warming up is selected for some lookups, but for no
-// more in a window than the budget of slow start allows.
+// If weights are capacities, some lookups select a server that is warming up. In each window, the
+// number of these lookups stays within the budget of slow start.
 func TestWarmingServersStayWithinTheirBudget(t *testing.T) {
 	harness := newHarness(t, func(settings *routing.Settings) {
 		settings.WeightIsCapacity = true
@@ -270,8 +271,8 @@
 	}
 }
 
-// countAnswers sends a number of queries for different names, one every intervalMs, and returns
-// how many answers hold the address.
+// countAnswers sends queries for different names at an interval of intervalMs. It returns how many
+// answers hold the given address.
 func (h *harness) countAnswers(t *testing.T, address string, queries int, intervalMs float64) int {
 	t.Helper()
 	count := 0
@@ -284,7 +285,8 @@
 	return count
 }
 
-// A query beyond MaxInflight gets SERVFAIL at once, so that the resolver can ask another server.
+// While MaxInflight queries are being answered, the server replies to another query with SERVFAIL
+// immediately, so that the resolver can ask another DNS server.
 func TestQueriesBeyondTheLimitFail(t *testing.T) {
 	server := New(Options{Config: Config{Zone: testZone, MaxInflight: 1}})
 	server.slots <- struct{}{} // a query is being answered
