--- a/internal/frontend/httpfront/bench_test.go
+++ b/internal/frontend/httpfront/bench_test.go
@@ -7,8 +7,8 @@
 	"garnetline/internal/dispatch"
 )
 
-// BenchmarkRequest measures a request and its response on a loopback connection that is kept alive.
-// The client does not allocate, so that all reported allocations are the server's.
+// BenchmarkRequest measures one request and its response on a loopback connection that stays open.
+// The client allocates no memory, so the server makes all reported allocations.
 func BenchmarkRequest(b *testing.B) {
 	for name, text := range map[string]string{
 		"read":  getRequest(objectTarget, "X-Family: 17", `If-None-Match: "4be0c1927d55a6f3"`),
@@ -40,7 +40,8 @@
 	}
 }
 
-// BenchmarkParse measures the validation of a request that has been read already.
+// BenchmarkParse measures how long the server takes to validate a request. The request is read
+// before the measurement begins.
 func BenchmarkParse(b *testing.B) {
 	server := newServer(&fakeDispatcher{})
 	text := getRequest(objectTarget, "X-Family: 17", `If-None-Match: "4be0c1927d55a6f3"`)
--- a/internal/frontend/httpfront/clients_test.go
+++ b/internal/frontend/httpfront/clients_test.go
@@ -13,7 +13,8 @@
 	"garnetline/internal/dispatch"
 )
 
-// A client that disconnects is reported to the dispatcher, so that its attempt is canceled.
+// The server reports the disconnect of a client to the dispatcher, so that the client's attempt is
+// canceled.
 func TestClientDisconnect(t *testing.T) {
 	dispatcher := &fakeDispatcher{hold: true}
 	server := newServer(dispatcher)
@@ -21,13 +22,13 @@
 	send(t, conn, getRequest(objectTarget))
 	closeConn(t, conn)
 	if request := <-dispatcher.disconnected; request != dispatcher.request(0) {
-		t.Error("another request was reported as disconnected")
+		t.Error("got another request reported as disconnected, want the submitted request")
 	}
 }
 
-// A client that sends more bytes while its request is open and then disconnects is reported too. If
-// the server stopped reading ahead at the first byte, it would miss the disconnect and forward the
-// request.
+// A client sends more bytes while its request is open, and then disconnects. The server reports the
+// disconnect to the dispatcher. If the server stopped reading ahead at the first of these bytes, it
+// would miss the disconnect and still forward the request.
 func TestDisconnectAfterReadAhead(t *testing.T) {
 	for name, more := range map[string]string{
 		"a byte":            "G",
@@ -46,7 +47,7 @@
 			select {
 			case request := <-dispatcher.disconnected:
 				if request != dispatcher.request(0) {
-					t.Error("another request was reported as disconnected")
+					t.Error("got another request reported as disconnected, want the submitted request")
 				}
 			case <-time.After(readTimeout):
 				t.Error("the disconnect was not reported")
@@ -59,8 +60,9 @@
 	}
 }
 
-// Pipelined requests are served in order, and the timeout of each counts from its arrival. A client
-// that sends more than is read ahead gets its response, which is the last on its connection.
+// The server serves pipelined requests in order. The timeout of each request counts from its
+// arrival. If a client sends more than maxReadAheadBytes while a request is open, it still gets the
+// response. The server then closes the connection.
 func TestPipelinedRequests(t *testing.T) {
 	dispatcher := &fakeDispatcher{hold: true}
 	server := newServer(dispatcher)
@@ -68,12 +70,12 @@
 	conn := dial(t, server)
 	reader := bufio.NewReader(conn)
 	second := strings.Replace(getRequest(objectTarget), "2d41", "2d42", 1)
-	send(t, conn, getRequest(objectTarget)+second) // sent in one write, so that the second is read with the first
+	send(t, conn, getRequest(objectTarget)+second) // one write, so that the server reads both requests together
 	waitFor(t, "the request is submitted", func() bool { return dispatcher.count() == 1 })
 	manual.Advance(700)
 	dispatcher.request(0).Respond(dispatch.Response{Kind: dispatch.Served, Body: []byte("1")})
 	readResponse(t, reader, "1")
-	waitFor(t, "the second is submitted", func() bool { return dispatcher.count() == 2 })
+	waitFor(t, "the second request is submitted", func() bool { return dispatcher.count() == 2 })
 	if got, want := dispatcher.request(1).Deadline, startTime+1500-responseMarginMs; got != want {
 		t.Errorf("deadline of the second request is %v ms from the start, want %v, counted from its arrival", got-startTime, want-startTime)
 	}
@@ -85,8 +87,9 @@
 	}
 }
 
-// A client that gives up and reconnects at once is served, even if the server must close its first
-// connection before it can admit the second. The disconnect is reported.
+// A client closes its connection while its request is open, and connects again immediately. The
+// server reports the disconnect and serves the new connection, even if it must close the old
+// connection first because of MaxConnections.
 func TestClientReconnectsAtOnce(t *testing.T) {
 	dispatcher := &fakeDispatcher{hold: true}
 	server := newServer(dispatcher)
@@ -100,7 +103,7 @@
 		conn = dialAt(t, addr)
 		waitFor(t, "the disconnect is reported", func() bool { return len(dispatcher.disconnected) > 0 })
 		if <-dispatcher.disconnected != dispatcher.request(i) {
-			t.Fatal("another request was reported as disconnected")
+			t.Fatal("got another request reported as disconnected, want the submitted request")
 		}
 	}
 	dispatcher.setResponse(servedX, false)
@@ -109,7 +112,7 @@
 	closeConn(t, conn)
 }
 
-// resetConn closes a connection with a reset.
+// resetConn closes a connection with a TCP reset.
 func resetConn(t *testing.T, conn net.Conn) {
 	t.Helper()
 	if err := conn.(*net.TCPConn).SetLinger(0); err != nil {
@@ -118,19 +121,19 @@
 	closeConn(t, conn)
 }
 
-// The connection of a client that sends nothing, too slowly or too much is closed within 3 s of its
-// start, or within 6 s if the body is too long. A request that has begun gets a response. Timeouts
-// that start again with each request would let such a client hold its connection for 5 s or more
-// per request.
+// The server closes the connection of a client that sends nothing, sends too slowly or sends too
+// much. It does so within 3 s after it accepted the connection, or within 6 s if the body is too
+// long. If the client has begun a request, it gets a response first. If the timeouts started again
+// with each request, such a client could hold its connection for 5 s or more per request.
 func TestMisbehavingClientsAreClosedInTime(t *testing.T) {
 	chunked := strings.Replace(putRequest(0), "Content-Length: 0", "Transfer-Encoding: chunked", 1)
 	for _, test := range []struct {
 		name         string
-		text         string  // what the client sends first
-		repeat       string  // what it sends after that, repeatedly
+		text         string  // sent first
+		repeat       string  // sent repeatedly after text
 		byteInterval float64 // ms between two bytes; 0: full speed
-		maxElapsed   float64 // ms until the connection is closed
-		status       int     // of the response; 0: no response
+		maxElapsed   float64 // upper bound of the time in ms until the connection is closed
+		status       int     // HTTP status of the response; 0: no response
 	}{
 		{"silence", "", "", 0, 3000, 0},
 		{"half a line", "GET " + objectTarget, "", 0, 3000, 400},
@@ -167,8 +170,9 @@
 	}
 }
 
-// Connections that have sent nothing, or are idle after a request, are evicted to admit new ones. A
-// connection with an open request is not evicted.
+// If MaxConnections are open, the server evicts connections to admit new connections. It evicts
+// connections that have sent nothing or that are idle after a request. It does not evict a
+// connection with an open request.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	dispatcher := &fakeDispatcher{response: servedX}
 	server := newServer(dispatcher)
@@ -182,7 +186,7 @@
 	send(t, active, getRequest(objectTarget))
 	waitFor(t, "the request is submitted", func() bool { return dispatcher.count() == 1 })
 	dispatcher.setResponse(servedX, false)
-	for i := range 40 { // half of them are idle after a request, half send nothing
+	for i := range 40 { // half of the connections are idle after a request, the other half send nothing
 		conn := dialAt(t, addr)
 		if i%2 == 0 {
 			send(t, conn, getRequest(objectTarget))
@@ -200,8 +204,8 @@
 	}
 }
 
-// Serve retries if an accept fails because no file descriptors are left, so that clients that
-// connect later are served.
+// If an accept fails because no file descriptors are left, Serve retries. Clients that connect
+// later are then served.
 func TestOutOfDescriptors(t *testing.T) {
 	server := newServer(&fakeDispatcher{response: servedX})
 	accepted := 0
--- a/internal/frontend/httpfront/conn.go
+++ b/internal/frontend/httpfront/conn.go
@@ -20,10 +20,10 @@
 type connState int
 
 const (
-	stateRejected connState = iota // its request was rejected; the client's remaining bytes are discarded
-	stateNew                       // waits for the first request
-	stateIdle                      // waits for another request
-	stateActive                    // its request is being served
+	stateRejected connState = iota // the last response was written; the server discards further bytes
+	stateNew                       // the server waits for the first request
+	stateIdle                      // the server waits for another request
+	stateActive                    // the server serves a request
 )
 
 // conn is a client's connection. The goroutine that runs serve owns it, except for the fields
@@ -32,13 +32,13 @@
 	server     *Server
 	text       *textconn.Conn
 	acceptedAt float64 // time on Server.Clock in ms
-	lastReadAt float64 // time on Server.Clock in ms when the last bytes were read; 0: not yet
+	lastReadAt float64 // time on Server.Clock in ms when bytes were last read; 0: no bytes were read yet
 
 	// Guarded by Server.mu.
 	state      connState
 	stateSince float64 // time on Server.Clock in ms
 	receiving  bool    // the first byte of a request has arrived
-	evicted    bool    // the server closes it as soon as no request is open on it
+	evicted    bool    // the server closes the connection as soon as it has no open request
 }
 
 func (s *Server) newConn(netConn net.Conn) *conn {
@@ -52,7 +52,7 @@
 	}
 }
 
-// serve serves the requests of the connection one after another and closes it at the end.
+// serve serves the requests of the connection one after another, and then closes the connection.
 func (c *conn) serve() {
 	defer c.server.remove(c)
 	defer func() { _ = c.text.Close() }()
@@ -62,10 +62,10 @@
 			c.handleReadError(err)
 			return
 		}
-		// Whether the connection is kept alive is decided once, when the response is written,
-		// and stored in r.closeAfter. Checking the server's state again here could close a
-		// connection whose response did not announce it, if shutdown began in between, and
-		// the client's next request would be lost.
+		// writeMessage decides whether the connection stays open, and stores the decision in
+		// r.closeAfter. serve does not check the server's state again. Otherwise a shutdown that
+		// begins after the response was written could close a connection whose response did not
+		// announce the close. The client's next request would then be lost.
 		if !c.handleRequest(r) {
 			return
 		}
@@ -103,8 +103,8 @@
 	return isTimeout(err) && c.text.Readable()
 }
 
-// handleRequest serves one request. It returns false if the connection must be closed at once,
-// because the response could not be written or the client has disconnected.
+// handleRequest serves one request. It returns false if the response could not be written or the
+// client has disconnected. The connection must then be closed immediately.
 func (c *conn) handleRequest(r *request) bool {
 	if c.server.Handler != nil {
 		return c.callHandler(r)
@@ -115,8 +115,8 @@
 	return c.dispatchRequest(r)
 }
 
-// callHandler answers a request with the result of Options.Handler and closes the connection
-// after it.
+// callHandler answers a request with the result of Options.Handler. The connection is closed after
+// the response.
 func (c *conn) callHandler(r *request) bool {
 	c.setState(stateActive, true, 0)
 	status, body := c.server.Handler(context.Background(), r.method, r.path)
@@ -153,7 +153,7 @@
 	if c.server.RecordClient {
 		setClientInfo(dispatched, r, c.text.NetConn)
 	}
-	r.clientDeadline = dispatched.Deadline + responseMarginMs // computed here, since the dispatcher owns the request after Submit
+	r.clientDeadline = dispatched.Deadline + responseMarginMs // computed before Submit, because the dispatcher then owns the request
 	if !c.server.Dispatcher.Submit(dispatched) {
 		return c.writeError(r, &requestError{status: http.StatusServiceUnavailable, message: "stopping"})
 	}
@@ -161,8 +161,8 @@
 }
 
 // awaitResponse waits for the response to a submitted request and writes it. While it waits, it
-// reads ahead on the connection to detect that the client disconnects, even if the client has
-// pipelined more bytes before that.
+// reads ahead on the connection to detect that the client disconnects. Reading ahead goes past
+// pipelined bytes, so it detects a disconnect that follows them.
 func (c *conn) awaitResponse(r *request, dispatched *dispatch.Request, responses <-chan dispatch.Response) bool {
 	readAheadEnded := make(chan error, 1)
 	go func() {
@@ -171,7 +171,7 @@
 	select {
 	case response := <-responses:
 		written := c.writeResponse(r, response)
-		c.setReadTimeout(0) // stops the read-ahead, so that the connection has one reader at a time
+		c.setReadTimeout(0) // ends the read-ahead, so that the connection has one reader at a time
 		err := <-readAheadEnded
 		return written && (isTimeout(err) || errors.Is(err, textconn.ErrMessageTooLong))
 	case err := <-readAheadEnded:
@@ -179,16 +179,16 @@
 			c.server.Dispatcher.Disconnect(dispatched)
 			return false
 		}
-		// The client has sent more than ReadAhead discards before it returns. The response is
-		// the last on this connection.
+		// ReadAhead stopped because the client sent too many bytes. The connection is closed after
+		// this response.
 		return c.writeResponse(r, <-responses)
 	}
 }
 
-// linger closes the sending side of the connection and discards what the client still sends,
-// until the client closes its side, the timeout passes or maxLingerBytes have been read. The
-// system resets a connection that is closed while it holds unread bytes, and the client may
-// then see the reset before it has read the response.
+// linger closes the sending side of the connection and discards the bytes that the client still
+// sends. It ends when the client closes its side, the timeout passes or maxLingerBytes have been
+// read. Without lingering, the system would reset a connection that is closed while it holds unread
+// bytes. The client could then see the reset before it has read the response.
 func (c *conn) linger(timeoutMs float64) {
 	halfCloser, ok := c.text.NetConn.(interface{ CloseWrite() error })
 	if !ok || halfCloser.CloseWrite() != nil {
@@ -198,9 +198,9 @@
 	_, _ = io.Copy(io.Discard, io.LimitReader(c.text.NetConn, maxLingerBytes))
 }
 
-// setState sets the state of the connection and the timeout of its reads in that state. The
-// timeout is shortened if the connection is evicted, or if the server shuts down and no byte of a
-// request has arrived. Reads have no timeout in stateActive.
+// setState sets the state of the connection and the timeout of its reads in that state. Reads have
+// no timeout in stateActive. In the other states, an eviction shortens the timeout. A shutdown
+// shortens the timeout if no byte of a request has arrived.
 func (c *conn) setState(state connState, receiving bool, timeoutMs float64) {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -223,8 +223,8 @@
 	c.setReadTimeout(timeoutMs)
 }
 
-// setReadTimeout sets the read deadline of the connection to a time from now. It ignores the error
-// of a closed connection, because the next read reports it.
+// setReadTimeout makes pending and later reads from the connection time out after timeoutMs. It
+// ignores the error of a closed connection, because the next read returns that error too.
 func (c *conn) setReadTimeout(timeoutMs float64) {
 	_ = c.text.NetConn.SetReadDeadline(time.Now().Add(clock.Duration(timeoutMs)))
 }
@@ -250,7 +250,7 @@
 	return true
 }
 
-// remainingMs returns how much is left of a timeout that started when the connection was accepted.
+// remainingMs returns the remaining ms of a timeout that started when the connection was accepted.
 // The result is negative once the timeout has passed.
 func (c *conn) remainingMs(timeoutMs float64) float64 {
 	return c.acceptedAt + timeoutMs - c.server.Clock.Now()
@@ -263,7 +263,7 @@
 	return !r.closeAfter && !c.server.keepAlivesDisabled.Load() && !c.evicted && !c.text.Discarded()
 }
 
-// isTimeout reports whether a read or an accept ended at its deadline.
+// isTimeout reports whether err says that a read or an accept reached its deadline.
 func isTimeout(err error) bool {
 	var timeout interface{ Timeout() bool }
 	return errors.As(err, &timeout) && timeout.Timeout()
--- a/internal/frontend/httpfront/fakeconn_test.go
+++ b/internal/frontend/httpfront/fakeconn_test.go
@@ -11,13 +11,14 @@
 	"garnetline/internal/clock"
 )
 
-// slowClient is a connection whose client sends text at a limited speed on a manual clock. After
-// that the client sends nothing, or the text in repeat without end.
+// slowClient is a connection to a client that sends at a limited speed on a manual clock. The
+// client sends the field text once. It then sends the field repeat without end, or nothing if
+// repeat is empty.
 type slowClient struct {
 	memoryConn
 	clock        *clock.Manual
 	text         string
-	repeat       string  // sent repeatedly after text; "": nothing
+	repeat       string  // sent repeatedly after text; if empty, nothing is sent
 	byteInterval float64 // ms between two bytes; 0: 10 MB/s
 	readDeadline float64 // time on clock in ms
 }
@@ -52,7 +53,8 @@
 
 func (s *slowClient) CloseWrite() error { return nil }
 
-// memoryConn is a connection that reads from in and stores in out what is written.
+// memoryConn is a connection whose reads return the bytes of the field in. It stores written bytes
+// in the field out.
 type memoryConn struct {
 	net.Conn
 	in  io.Reader
@@ -65,8 +67,9 @@
 func (m *memoryConn) SetReadDeadline(time.Time) error  { return nil }
 func (m *memoryConn) SetWriteDeadline(time.Time) error { return nil }
 
-// gatedConn is a connection on which each read waits for a value on gate, or for gate to be closed.
-// It sends a value on deadlineSet when a read deadline is set.
+// gatedConn is a connection whose reads wait for the channel gate. Each read begins when it
+// receives a value from gate or when gate is closed. SetReadDeadline sends a value on the channel
+// deadlineSet.
 type gatedConn struct {
 	*net.TCPConn
 	gate        chan bool
@@ -78,7 +81,7 @@
 	return &gatedConn{gate: make(chan bool), deadlineSet: make(chan bool, 1)}
 }
 
-// accept makes g wrap an accepted connection. It is an argument for serveHooked.
+// accept makes g wrap an accepted connection. Tests pass this method to serveHooked.
 func (g *gatedConn) accept(conn net.Conn) (net.Conn, error) {
 	g.TCPConn = conn.(*net.TCPConn)
 	return g, nil
@@ -105,7 +108,8 @@
 	return deadline != nil && !deadline.IsZero() && deadline.Before(time.Now())
 }
 
-// hookedListener passes each accepted connection to a function of the test and returns its result.
+// hookedListener passes each accepted connection to its function accept. Its Accept method returns
+// the result of that function.
 type hookedListener struct {
 	net.Listener
 	accept func(net.Conn) (net.Conn, error)
@@ -124,8 +128,8 @@
 
 func (c singleByteConn) Read(p []byte) (int, error) { return c.TCPConn.Read(p[:1]) }
 
-// evictionOnlyConn is a connection that ignores read deadlines in the future. Only a deadline that
-// ends reads at once, as eviction sets it, has an effect.
+// evictionOnlyConn is a connection that ignores read deadlines in the future. A deadline that is
+// not in the future still ends reads immediately. An eviction sets such a deadline.
 type evictionOnlyConn struct{ *net.TCPConn }
 
 func (c evictionOnlyConn) SetReadDeadline(t time.Time) error {
--- a/internal/frontend/httpfront/helpers_test.go
+++ b/internal/frontend/httpfront/helpers_test.go
@@ -19,7 +19,8 @@
 	"garnetline/routing"
 )
 
-// fakeDispatcher responds to each request at once, or leaves it open if hold is set.
+// fakeDispatcher responds to each request immediately. If hold is set, it leaves requests open
+// instead.
 type fakeDispatcher struct {
 	mu           sync.Mutex
 	requests     []*dispatch.Request
@@ -101,8 +102,9 @@
 	return listener
 }
 
-// startServer makes the server accept connections on a listener, and shuts it down at the end of the
-// test. Connections that connect returns after this call are closed before the shutdown.
+// startServer makes the server accept connections on a listener, and shuts it down at the end of
+// the test. Tests call startServer before connect. Cleanups run in reverse order, so the
+// connections are closed before the shutdown.
 func startServer(tb testing.TB, server *Server, listener net.Listener) {
 	tb.Helper()
 	served := make(chan error, 1)
@@ -115,8 +117,8 @@
 	})
 }
 
-// connect returns a connection to addr. It is closed at the end of the test if the test has not
-// closed it.
+// connect returns a connection to addr. At the end of the test the connection is closed, if it is
+// still open.
 func connect(tb testing.TB, addr string) net.Conn {
 	tb.Helper()
 	conn, err := new(net.Dialer).DialContext(tb.Context(), "tcp", addr)
@@ -147,8 +149,9 @@
 	}
 }
 
-// sendInBackground writes a text on a goroutine, so that the test can read the response meanwhile.
-// It ignores errors, because the server may close the connection before it has read the whole text.
+// sendInBackground writes a text on another goroutine, so that the test can read the response at
+// the same time. It ignores errors, because the server may close the connection before it has read
+// the whole text.
 func sendInBackground(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
 	written := make(chan struct{})
@@ -157,7 +160,7 @@
 		_, _ = io.WriteString(conn, text)
 	}()
 	t.Cleanup(func() {
-		_ = conn.SetWriteDeadline(time.Now()) // ends the write; it fails if the connection is closed already
+		_ = conn.SetWriteDeadline(time.Now()) // ends the write; fails if the connection is closed already
 		<-written
 	})
 }
@@ -180,7 +183,7 @@
 // objectTarget is the request target of a read.
 const objectTarget = "/v1/part/7f3a9c21e0b4d655?block=3"
 
-// getRequest returns a GET request with the mandatory headers and the given ones.
+// getRequest returns a GET request with the mandatory headers and additional headers.
 func getRequest(target string, headers ...string) string {
 	return "GET " + target + " HTTP/1.1\r\nHost: x\r\nX-Txn: 9b1f03aa5c7e2d41\r\nX-Ttl-Ms: 1500\r\n" +
 		strings.Join(append(headers, ""), "\r\n") + "\r\n"
@@ -195,7 +198,8 @@
 // readTimeout bounds how long a test waits for a response or a condition.
 const readTimeout = 20 * time.Second
 
-// waitFor waits until a condition holds, and fails the test after readTimeout.
+// waitFor waits until a condition holds. It fails the test if the condition does not hold within
+// readTimeout.
 func waitFor(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(readTimeout); !condition(); time.Sleep(time.Millisecond) {
@@ -210,7 +214,7 @@
 	status int
 	header http.Header
 	body   string
-	closes bool // the server closes the connection after it
+	closes bool // the server closes the connection after this response
 }
 
 // parseResponse reads the response to a request with the given method.
@@ -231,8 +235,8 @@
 	}, err
 }
 
-// parseFinalResponse reads a response. If it is 100 Continue, it reads the next one too and returns
-// that one.
+// parseFinalResponse reads and returns a response. If the response is 100 Continue, it reads and
+// returns the next response instead.
 func parseFinalResponse(reader *bufio.Reader, method string) (clientResponse, error) {
 	response, err := parseResponse(reader, method)
 	if err == nil && response.status == http.StatusContinue {
@@ -241,7 +245,8 @@
 	return response, err
 }
 
-// mustReadResponse reads the response to a GET request and fails the test unless it is complete.
+// mustReadResponse reads the response to a GET request. It fails the test if the response is
+// malformed or incomplete.
 func mustReadResponse(t *testing.T, reader *bufio.Reader) clientResponse {
 	t.Helper()
 	response, err := parseResponse(reader, http.MethodGet)
@@ -251,8 +256,8 @@
 	return response
 }
 
-// readResponse reads the response to a GET request and fails the test unless it is complete and has
-// the given body.
+// readResponse reads the response to a GET request. It fails the test if the response is malformed
+// or incomplete or has another body.
 func readResponse(t *testing.T, reader *bufio.Reader, body string) clientResponse {
 	t.Helper()
 	response := mustReadResponse(t, reader)
@@ -262,8 +267,9 @@
 	return response
 }
 
-// serveHooked starts the server on a loopback address and returns the address. The server gets the
-// connections that accept returns for the accepted ones.
+// serveHooked starts the server on a loopback address and returns the address. The server passes
+// each accepted connection to the function accept and uses the connection that the function
+// returns.
 func serveHooked(t *testing.T, server *Server, accept func(net.Conn) (net.Conn, error)) string {
 	t.Helper()
 	listener := listen(t)
@@ -271,8 +277,8 @@
 	return listener.Addr().String()
 }
 
-// dialAt returns a connection to addr with a read deadline of readTimeout from now. It is closed at
-// the end of the test.
+// dialAt returns a connection to addr. Its read deadline is readTimeout from now. The connection is
+// closed at the end of the test.
 func dialAt(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	conn := connect(t, addr)
@@ -289,7 +295,7 @@
 	}
 }
 
-// waitReadAheadOverflow waits until the server has read ahead more than it keeps.
+// waitReadAheadOverflow waits until the server has discarded bytes that it read ahead.
 func waitReadAheadOverflow(t *testing.T, server *Server) {
 	t.Helper()
 	waitFor(t, "bytes are discarded", func() bool {
@@ -325,7 +331,7 @@
 	}
 }
 
-// stoppedDispatcher is a dispatcher that has stopped.
+// stoppedDispatcher accepts no requests, like a dispatcher that has stopped.
 type stoppedDispatcher struct{ *fakeDispatcher }
 
 func (stoppedDispatcher) Submit(*dispatch.Request) bool { return false }
--- a/internal/frontend/httpfront/lifecycle_test.go
+++ b/internal/frontend/httpfront/lifecycle_test.go
@@ -13,8 +13,8 @@
 	"garnetline/internal/dispatch"
 )
 
-// After StopAccepting the next request on each connection is still served, as the last one. New
-// connections are left to the other processes that hold the listening socket.
+// After StopAccepting, the server still serves the next request on each connection and then closes
+// the connection. New connections are left to the other processes that hold the listening socket.
 func TestStopAccepting(t *testing.T) {
 	server := newServer(&fakeDispatcher{response: servedX})
 	conn := dial(t, server)
@@ -32,8 +32,8 @@
 	}
 }
 
-// After FailHealthChecks the health check fails, but other requests are still served. Shutdown waits
-// for open requests and closes their connections.
+// After FailHealthChecks, the health check fails, but other requests are still served. Shutdown
+// waits for open requests and closes their connections.
 func TestHealthCheckAndShutdown(t *testing.T) {
 	dispatcher := &fakeDispatcher{response: servedX}
 	server := newServer(dispatcher)
@@ -79,8 +79,8 @@
 	return done
 }
 
-// Connections in the backlog are served at shutdown, even if MaxConnections was reached before. If
-// the listener were closed at once, the requests that they have sent would be lost.
+// At shutdown the server still serves the connections in the backlog, even if MaxConnections are
+// open. If it closed the listener immediately, the requests on these connections would be lost.
 func TestBacklogServedAtShutdown(t *testing.T) {
 	dispatcher := &fakeDispatcher{hold: true}
 	server := newServer(dispatcher)
@@ -88,7 +88,7 @@
 	conns := []net.Conn{dial(t, server)}
 	send(t, conns[0], getRequest(objectTarget))
 	waitFor(t, "the request is submitted", func() bool { return dispatcher.count() == 1 })
-	for range 5 { // one is accepted and waits in admit, the others are in the backlog
+	for range 5 { // one connection is accepted and waits in admit, the other four wait in the backlog
 		conn := connect(t, conns[0].RemoteAddr().String())
 		send(t, conn, getRequest(objectTarget))
 		conns = append(conns, conn)
@@ -106,13 +106,13 @@
 	<-done
 }
 
-// No request is read after the last response on a connection: it would be forwarded although its
-// response could not be written.
+// The server reads no request after the last response on a connection. Otherwise it would forward a
+// request whose response it could not write.
 func TestNoRequestReadAfterFinalResponse(t *testing.T) {
 	for name, test := range map[string]struct {
 		text      string
-		end       func(*testing.T, *Server) // makes the next response the last one; nil if text does
-		submitted int                       // number of requests
+		end       func(*testing.T, *Server) // makes the next response the last on its connection; nil if text does that
+		submitted int                       // number of requests that the dispatcher gets
 	}{
 		"the client asks for the close": {getRequest(objectTarget, "Connection: close"), nil, 1},
 		"the request is malformed":      {"hello\r\n\r\n", nil, 0},
@@ -127,7 +127,7 @@
 			conn := dial(t, server)
 			setReadDeadline(t, conn)
 			send(t, conn, test.text+getRequest(objectTarget)) // the second request is sent before the first response
-			waitFor(t, "the first is submitted", func() bool { return dispatcher.count() == test.submitted })
+			waitFor(t, "the first request is submitted", func() bool { return dispatcher.count() == test.submitted })
 			if test.end != nil {
 				test.end(t, server)
 			}
@@ -138,7 +138,7 @@
 			if response := mustReadResponse(t, reader); !response.closes {
 				t.Fatalf("response %+v keeps the connection alive, want it closed", response)
 			}
-			_, _ = io.WriteString(conn, getRequest(objectTarget)) // the server discards it or has closed the connection
+			_, _ = io.WriteString(conn, getRequest(objectTarget)) // error ignored: the server discards the request or has closed the connection
 			if b, err := reader.ReadByte(); err == nil {
 				t.Errorf("got byte %q after the last response, want none", b)
 			}
@@ -151,9 +151,10 @@
 	}
 }
 
-// A request is served if it has arrived completely when its idle connection is about to be closed
-// by an eviction, a shutdown or the idle timeout. A read whose deadline has passed fails without
-// looking at the socket, so the server must check the socket for unread bytes itself.
+// An eviction, a shutdown or the idle timeout is about to close an idle connection. If a complete
+// request has already arrived on the connection, the server serves that request. A read whose
+// deadline has passed fails without looking at the socket, so the server must check the socket for
+// unread bytes itself.
 func TestRequestArrivesAtIdleClose(t *testing.T) {
 	for name, end := range map[string]func(t *testing.T, server *Server, idle *conn){
 		"evicted":       evictIdle,
@@ -167,8 +168,8 @@
 			client := dialAt(t, serveHooked(t, server, gated.accept))
 			reader := bufio.NewReader(client)
 			send(t, client, getRequest(objectTarget))
-			gated.gate <- true // the first request
-			gated.gate <- true // the read-ahead
+			gated.gate <- true // lets the server read the first request
+			gated.gate <- true // lets the server read ahead
 			readResponse(t, reader, "x")
 			idle := waitIdle(t, server)
 			select {
@@ -201,7 +202,8 @@
 	return idle
 }
 
-// evictIdle evicts a connection and checks that the server would choose the same one.
+// evictIdle evicts an idle connection. It also checks that the server would select the same
+// connection for eviction.
 func evictIdle(t *testing.T, server *Server, idle *conn) {
 	t.Helper()
 	server.mu.Lock()
@@ -213,7 +215,8 @@
 	endRead(t, idle.text.NetConn)
 }
 
-// timeOutIdle makes the wait of an idle connection for its next request time out.
+// timeOutIdle ends the server's wait for the next request on an idle connection, as the idle
+// timeout does.
 func timeOutIdle(t *testing.T, _ *Server, idle *conn) {
 	t.Helper()
 	endRead(t, idle.text.NetConn)
@@ -234,8 +237,8 @@
 	waitFor(t, "the shutdown begins", server.shuttingDown.Load)
 }
 
-// A new connection is not closed without a response if its first request is already in the socket
-// when an eviction, a shutdown or the timeout ends its wait.
+// An eviction, a shutdown or a timeout ends the server's wait for the first request on a new
+// connection. If that request is already in the socket, the server serves it.
 func TestFirstRequestArrivesAtClose(t *testing.T) {
 	for name, end := range map[string]func(*testing.T, *Server){
 		"evicted":       evictAll,
@@ -263,14 +266,14 @@
 	}
 }
 
-// The client receives the complete last response even if the server has not read all that the
-// client sent. Without lingering, closing the connection would reset it and cut the response off.
+// The client receives the complete last response even if the server has not read all of the
+// client's bytes. Without lingering, the close would reset the connection and cut off the response.
 func TestUnreadBytesAtClose(t *testing.T) {
 	body := strings.Repeat("b", 240_000)
 	dispatcher := &fakeDispatcher{hold: true}
 	server := newServer(dispatcher)
 	conn := dial(t, server).(*net.TCPConn)
-	if err := conn.SetReadBuffer(16 << 10); err != nil { // most of the response has to wait at the server
+	if err := conn.SetReadBuffer(16 << 10); err != nil { // small, so that most of the response must wait at the server
 		t.Fatal(err)
 	}
 	send(t, conn, getRequest(objectTarget, "Connection: close"))
@@ -278,12 +281,12 @@
 	send(t, conn, strings.Repeat("x", 32<<10)) // more than the server's read buffer holds
 	dispatcher.request(0).Respond(dispatch.Response{Kind: dispatch.Served, Body: []byte(body)})
 	waitFor(t, "the response is written", func() bool { return server.Metrics.Counter("http_200").Load() == 1 })
-	_, _ = io.WriteString(conn, strings.Repeat("y", 4<<10)) // the server reads no more requests
+	_, _ = io.WriteString(conn, strings.Repeat("y", 4<<10)) // the server reads no further request
 	readResponse(t, bufio.NewReader(conn), body)
 }
 
 // Accepted connections have TCP_NODELAY set. Otherwise the system could delay a small write, and a
-// reset would discard it.
+// reset would discard the delayed bytes.
 func TestNoDelay(t *testing.T) {
 	server := newServer(&fakeDispatcher{hold: true})
 	dial(t, server)
--- a/internal/frontend/httpfront/parse.go
+++ b/internal/frontend/httpfront/parse.go
@@ -22,7 +22,7 @@
 
 const (
 	pathPrefix     = "/v1/"
-	chunkParameter = "block" // of the query string
+	chunkParameter = "block" // name of the parameter in the query string
 	hexIDLength    = 16      // hexadecimal digits
 )
 
@@ -32,8 +32,8 @@
 }
 
 // parseRequest validates a request for an object and converts it to a dispatcher's request. An
-// error is a *requestError. The order of the checks decides which status the response to a
-// request with several errors has.
+// error is a *requestError. If a request has several errors, the first check that fails decides the
+// status of the response. The order of the checks therefore matters.
 func (s *Server) parseRequest(r *request) (*dispatch.Request, error) {
 	className, objectText, ok := splitPath(r.path)
 	if !ok {
@@ -75,7 +75,7 @@
 	return class, object, ok && !strings.Contains(object, "/")
 }
 
-// findClass returns the index of the class with a name, or -1 if there is none.
+// findClass returns the index of the class with the given name, or -1 if no class has that name.
 func findClass(classes []routing.Class, name string) int {
 	index := -1
 	for i := range classes {
@@ -167,7 +167,7 @@
 	return min(float64(timeoutMs), clientTimeoutCapMs), nil
 }
 
-// parseGroup returns the group of the object, or 0 if the header is missing or empty.
+// parseGroup returns the group in the text of an X-Family header, or 0 if the text is empty.
 func parseGroup(text string) (int, error) {
 	if text == "" {
 		return 0, nil
@@ -179,7 +179,8 @@
 	return int(group), nil
 }
 
-// parseObjectSize returns the size in the header in KB, or 0 if the header is missing.
+// parseObjectSize returns the object size in KB from the values of X-Working-Set-Kb, or 0 if there
+// are no values.
 func parseObjectSize(values []string) (float64, error) {
 	if len(values) == 0 {
 		return 0, nil
@@ -193,8 +194,8 @@
 	return size, nil
 }
 
-// validIdempotencyKey reports whether a request of the class may have this key. An empty key
-// means that the request has none.
+// validIdempotencyKey reports whether a request of the class may have the given key. An empty key
+// means that the request has no key.
 func validIdempotencyKey(key string, class *routing.Class) bool {
 	if key == "" {
 		return class.Idempotency != routing.IdempotentWithKey
@@ -203,7 +204,7 @@
 }
 
 // parseIfNoneMatch returns the entity tag of the client's copy without its quotes. It returns ""
-// for a list of tags, a weak tag and *, so that the client gets a complete response.
+// for a list of tags, for a weak tag and for *. The client then gets a complete response.
 func parseIfNoneMatch(values []string) string {
 	if len(values) != 1 {
 		return ""
--- a/internal/frontend/httpfront/read.go
+++ b/internal/frontend/httpfront/read.go
@@ -28,11 +28,11 @@
 	body                []byte
 	closeAfter          bool    // the connection is closed after the response
 	receivedAt          float64 // time in ms when its last byte arrived
-	clientDeadline      float64 // time in ms until which the client waits; 0: unknown
+	clientDeadline      float64 // time in ms at which the client stops waiting; 0: unknown
 }
 
-// readRequest reads one request. An error is a *requestError to answer the client with, or
-// errClientDisconnected.
+// readRequest reads one request. An error is either a *requestError, which is sent to the client,
+// or errClientDisconnected.
 func (c *conn) readRequest() (*request, error) {
 	r := &request{}
 	protocol, err := c.readRequestLine(r)
@@ -50,8 +50,9 @@
 	if err := c.readBody(r); err != nil {
 		return nil, err
 	}
-	// The client's timeout starts when its request arrives. A pipelined request that was read
-	// ahead keeps the earlier time of that read, so that the time it waited for its turn counts.
+	// The client's timeout starts when its request arrives. A pipelined request may have been read
+	// ahead. Its timeout starts at the time of that read, so the time that the request waits for
+	// earlier requests counts.
 	if c.text.ReceivedBytes() || c.lastReadAt == 0 {
 		c.lastReadAt = c.server.Clock.Now()
 	}
@@ -89,7 +90,7 @@
 }
 
 // requestReadError converts the error of a read to a *requestError, or to errClientDisconnected if
-// the client cannot be answered.
+// no response can reach the client.
 func (c *conn) requestReadError(err error) error {
 	var malformed textproto.ProtocolError
 	switch {
@@ -136,8 +137,8 @@
 	if err != nil {
 		return c.requestReadError(err)
 	}
-	// The body is copied out of the connection's read buffer: an attempt may still be sending
-	// it when the client's next request overwrites the buffer.
+	// The body is copied out of the connection's read buffer. Without the copy, the client's next
+	// request could overwrite the body while an attempt still sends it.
 	r.body = bytes.Clone(body)
 	return nil
 }
@@ -166,7 +167,8 @@
 	return nil
 }
 
-// writeContinue sends 100 Continue to a client that waits for it before it sends its body.
+// writeContinue sends 100 Continue if the request's Expect header asks for it. Such a client waits
+// for 100 Continue before it sends the body.
 func (c *conn) writeContinue(r *request) error {
 	if !headerHasToken(r.header, "Expect", "100-continue") {
 		return nil
--- a/internal/frontend/httpfront/request_test.go
+++ b/internal/frontend/httpfront/request_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// A request is submitted alike in each form that HTTP/1.1 allows, whether the server reads it at
-// once or byte by byte.
+// HTTP/1.1 allows several forms of the same request. The server submits the same request for each
+// form, whether it reads the bytes together or one by one.
 func TestRequestForms(t *testing.T) {
 	read, write := getRequest(objectTarget, "X-Family: 17"), putRequest(3)+"abc"
 	chunked := strings.Replace(putRequest(0), "Content-Length: 0", "Transfer-Encoding: chunked", 1)
@@ -98,8 +98,9 @@
 	}
 }
 
-// checkSameRequest sends two requests on one connection and fails the test unless both are served
-// and submitted alike. The server reads from the connection that accept returns.
+// checkSameRequest sends two requests on one connection. It fails the test unless the server serves
+// both and submits equal requests to the dispatcher. The server reads from the connection that the
+// function accept returns.
 func checkSameRequest(t *testing.T, text, equivalent string, accept func(net.Conn) (net.Conn, error)) {
 	t.Helper()
 	dispatcher := &fakeDispatcher{response: servedX}
@@ -146,8 +147,8 @@
 	}
 }
 
-// A client that sends slowly but completes its request in time is served. The deadline of its
-// request counts from the last byte.
+// The server serves a client that sends slowly but completes its request in time. The deadline of
+// the request counts from the arrival of its last byte.
 func TestSlowWriter(t *testing.T) {
 	manual := clock.NewManual(startTime)
 	dispatcher := &fakeDispatcher{hold: true} // no response is written while the server reads from the client
@@ -165,8 +166,8 @@
 	}
 }
 
-// FuzzConn checks that a client gets only complete responses, whatever it sends. Each submitted
-// request must be either served or reported as disconnected.
+// FuzzConn checks that a client gets only complete responses, whatever bytes it sends. The server
+// must either serve each submitted request or report its client as disconnected.
 func FuzzConn(f *testing.F) {
 	for _, text := range []string{
 		getRequest(objectTarget),
--- a/internal/frontend/httpfront/response.go
+++ b/internal/frontend/httpfront/response.go
@@ -23,9 +23,9 @@
 	failedBody   = "failed\n"
 )
 
-// errClientDisconnected reports that the connection ended within a request, so that no response
-// can be sent.
-var errClientDisconnected = errors.New("client disconnected")
+// errClientDisconnected reports that the connection ended before the request was complete. No
+// response can be sent in that case.
+var errClientDisconnected = errors.New("client disconnected before its request was complete")
 
 // errBodyTooLong rejects a request whose body has more than maxBodyBytes.
 var errBodyTooLong = &requestError{
@@ -34,12 +34,13 @@
 	largeBody: true,
 }
 
-// requestError rejects a request without a response from the dispatcher: the request is malformed
-// or too slow, or the server cannot serve it now.
+// requestError is an error that the server sends to the client as the response. Either the request
+// is at fault, or the server cannot serve requests now. A request is at fault if it is malformed,
+// arrives too slowly or has the id of an open request.
 type requestError struct {
 	status    int
 	message   string // the body of the response
-	allow     string // the allowed method if the request used another one, otherwise ""
+	allow     string // the allowed method if the request used another method, otherwise empty
 	largeBody bool   // the client may still send a large body
 }
 
@@ -54,7 +55,7 @@
 	return &requestError{status: http.StatusMethodNotAllowed, message: allowed + " only", allow: allowed}
 }
 
-// reasonPhrases maps each status in use to its reason phrase. Some differ from the phrases of
+// reasonPhrases maps each status in use to its reason phrase. Some phrases differ from those of
 // net/http.
 var reasonPhrases = map[int]string{
 	http.StatusOK:                          "OK",
@@ -93,7 +94,7 @@
 	}
 }
 
-// withEntityTag appends an ETag line to header lines. It returns them unchanged if tag is empty.
+// withEntityTag appends an ETag line to header lines. It returns header unchanged if tag is empty.
 func withEntityTag(header, tag string) string {
 	if tag == "" {
 		return header
@@ -101,8 +102,9 @@
 	return header + "ETag: \"" + tag + "\"\r\n"
 }
 
-// writeError writes the response for a *requestError. It returns false if the response could not
-// be written, or if err is no *requestError because the client has disconnected.
+// writeError writes the response for a *requestError. It returns false if the response could not be
+// written. It also returns false if err is not a *requestError, because the client has then
+// disconnected.
 func (c *conn) writeError(r *request, err error) bool {
 	var rejection *requestError
 	if !errors.As(err, &rejection) {
@@ -115,9 +117,9 @@
 	return c.writeMessage(r, rejection.status, header, []byte(rejection.message+"\n"))
 }
 
-// handleReadError writes the response to a request that could not be read completely, and lingers
-// so that the client can read the response. The linger timeout counts from the acceptance of the
-// connection, so that a client cannot extend it by sending slowly.
+// handleReadError writes the response to a request that could not be read completely. It then
+// lingers, so that the client can read the response. The linger timeout starts when the connection
+// is accepted, so a client cannot extend the timeout by sending slowly.
 func (c *conn) handleReadError(err error) {
 	var rejection *requestError
 	if !errors.As(err, &rejection) {
@@ -134,9 +136,9 @@
 	c.linger(c.remainingMs(timeoutMs))
 }
 
-// writeTimeoutMs returns the timeout for writing a response. A client on a slow link may read
-// until it would stop waiting, but no longer than the longest deadline of a class. The timeout is
-// never below minWriteTimeoutMs.
+// writeTimeoutMs returns the timeout for writing a response. It is the time that the client still
+// waits, so that a client on a slow link can read the whole response. It is at most the longest
+// deadline of any class and at least minWriteTimeoutMs.
 func (c *conn) writeTimeoutMs(r *request) float64 {
 	if r.clientDeadline == 0 {
 		return minWriteTimeoutMs
@@ -146,8 +148,9 @@
 	return max(minWriteTimeoutMs, min(remainingMs, maxTimeoutMs))
 }
 
-// writeMessage writes a response. header holds complete lines, to which writeMessage adds
-// Content-Length and Connection where they apply. It returns false if the write failed.
+// writeMessage writes a response. The argument header holds complete header lines. writeMessage
+// adds Content-Length unless the status is 304, and Connection if the connection is closed after
+// the response. It returns false if the write failed.
 func (c *conn) writeMessage(r *request, status int, header string, body []byte) bool {
 	message := fmt.Appendf(c.text.WriteBuffer(), "HTTP/1.1 %d %s\r\n%s", status, reasonPhrases[status], header)
 	if status != http.StatusNotModified {
--- a/internal/frontend/httpfront/response_test.go
+++ b/internal/frontend/httpfront/response_test.go
@@ -17,7 +17,8 @@
 	"garnetline/routing"
 )
 
-// TestResponses checks how the client reads the dispatcher's responses, all on one connection.
+// TestResponses checks the status, header and body that a client reads for each kind of dispatcher
+// response. All requests are sent on one connection.
 func TestResponses(t *testing.T) {
 	dispatcher := &fakeDispatcher{}
 	conn := dial(t, newServer(dispatcher))
@@ -27,7 +28,7 @@
 		response   dispatch.Response
 		wantStatus int
 		header     string
-		wantValue  string // of the header
+		wantValue  string // value of header
 		wantBody   string
 	}{
 		{"served", dispatch.Response{Kind: dispatch.Served, Body: []byte("a\x00\r\nb"), ETag: "t1"}, 200, "Etag", `"t1"`, "a\x00\r\nb"},
@@ -78,8 +79,8 @@
 	}
 }
 
-// A client on a slow link may read a response for as long as it waits, within the limits of
-// writeTimeoutMs.
+// The timeout for writing a response is the time until the client's deadline. It is never shorter
+// than minWriteTimeoutMs and never longer than the longest deadline of a class.
 func TestWriteTimeout(t *testing.T) {
 	server := newServer(&fakeDispatcher{})
 	classes := []routing.Class{{Deadline: 6 * time.Second}, {Deadline: time.Second}}
@@ -127,12 +128,12 @@
 	setUp      func(*Server) // prepares the server; may be nil
 }
 
-// wellFormedRequests returns requests that the server serves, or that it rejects only because of its
-// own state.
+// wellFormedRequests returns requests without errors. The server serves them, or rejects them
+// because of its own state or the dispatcher's response.
 func wellFormedRequests() []responseCase {
 	served := dispatch.Response{Kind: dispatch.Served, Body: []byte("a\x00\r\nb"), ETag: "4be0c1927d55a6f3"}
 	health := "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
-	stopAccepting := func(server *Server) { // takes effect after the request was read
+	stopAccepting := func(server *Server) { // the server stops accepting after it has read the request
 		classes := server.Classes
 		server.Classes = func() []routing.Class { server.StopAccepting(); return classes() }
 	}
--- a/internal/frontend/httpfront/server.go
+++ b/internal/frontend/httpfront/server.go
@@ -4,8 +4,8 @@
 // with Options.Handler set.
 //
 // A Server owns the listener and all client connections. Each connection is owned by a goroutine.
-// While a request is open, a second goroutine reads ahead to detect at once that the client
-// disconnects. Exported methods may be called from any goroutine.
+// While a request is open, another goroutine reads ahead, so that the server detects immediately
+// that the client disconnects. Exported methods may be called from any goroutine.
 package httpfront
 
 import (
@@ -24,8 +24,8 @@
 
 // Dispatcher serves the requests of clients.
 type Dispatcher interface {
-	// Submit passes a request to the dispatcher. It returns false if the dispatcher has
-	// stopped; the request's Respond is never called in that case.
+	// Submit passes a request to the dispatcher. It returns false if the dispatcher has stopped.
+	// The dispatcher then never calls the request's Respond.
 	Submit(*dispatch.Request) bool
 	// Disconnect reports that the client of a submitted request has disconnected.
 	Disconnect(*dispatch.Request)
@@ -41,12 +41,12 @@
 	// not change while the server runs.
 	Classes func() []routing.Class
 
-	// Ready reports whether requests can be served. The health check fails while it returns
+	// Ready reports whether requests can be served. The health check fails while Ready returns
 	// false.
 	Ready   func() bool
 	Metrics *metrics.Registry
 
-	// MaxConnections returns how many connections may be open at once. It is called for each
+	// MaxConnections returns the maximum number of open connections. The server calls it for each
 	// new connection.
 	MaxConnections func() int
 
@@ -66,12 +66,12 @@
 	shuttingDown       atomic.Bool   // idle connections are closed
 	healthChecksFail   atomic.Bool   // set by FailHealthChecks
 	serveDone          chan struct{} // closed when Serve returns
-	connectionClosed   chan struct{} // receives a value when a connection was closed
+	connectionClosed   chan struct{} // receives a value when a connection is closed
 
 	mu             sync.Mutex
 	conns          map[*conn]bool
 	listener       net.Listener
-	acceptDeadline time.Time // latest time to close the listener; set by Shutdown
+	acceptDeadline time.Time // time by which Serve closes the listener; set by Shutdown
 }
 
 // New returns a Server that accepts no connections until Serve is called.
@@ -110,8 +110,8 @@
 	}
 }
 
-// setListener stores the listener for StopAccepting and Shutdown. If one of them was called
-// before, it closes the listener.
+// setListener stores the listener for StopAccepting and Shutdown. If StopAccepting or Shutdown was
+// called already, setListener closes the listener.
 func (s *Server) setListener(listener net.Listener) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,9 +121,9 @@
 	}
 }
 
-// limitBacklogWait sets a deadline for the next accept once the server shuts down. Serve then
-// accepts the connections that wait in the backlog before it closes the listener. Closing the
-// listener at once would reset those connections and lose the requests that they have sent.
+// limitBacklogWait sets a deadline for the next accept if the server is shutting down. Serve then
+// accepts the connections that wait in the backlog before it closes the listener. If the listener
+// were closed immediately, those connections would be reset and their requests would be lost.
 func (s *Server) limitBacklogWait() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,8 +137,8 @@
 	}
 }
 
-// startConn waits until one more connection may be open, and then serves an accepted connection on
-// a goroutine of its own.
+// startConn waits until admit has added an accepted connection. It then starts a goroutine that
+// serves the connection.
 func (s *Server) startConn(netConn net.Conn) {
 	s.Metrics.Add("connections_taken", 1)
 	s.connections.Add(1)
@@ -150,9 +150,9 @@
 	}()
 }
 
-// admit waits until one more connection may be open, and evicts other connections meanwhile.
-// Without eviction, connections that send nothing or stay idle after a request could use up
-// MaxConnections and keep other clients out.
+// admit adds a connection to the open connections. It waits until fewer than MaxConnections are
+// open, and evicts other connections while it waits. Without eviction, connections that send
+// nothing or stay idle after a request could use up MaxConnections and keep other clients out.
 func (s *Server) admit(c *conn) {
 	for !s.tryAdmit(c) {
 		select {
@@ -163,8 +163,8 @@
 }
 
 // tryAdmit adds a connection if fewer than MaxConnections are open. Otherwise it evicts another
-// connection and returns false. At shutdown it admits every connection, because only those in the
-// backlog are still accepted.
+// connection and returns false. At shutdown it adds every connection, because only the connections
+// in the backlog are still accepted.
 func (s *Server) tryAdmit(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -181,9 +181,9 @@
 }
 
 // evictionCandidate returns the connection to evict next, or nil if none may be evicted. It prefers
-// a connection in stateRejected, then one in stateNew whose grace time has passed, then one in
-// stateIdle. Among connections in the same state it returns the one that entered the state first.
-// The caller holds s.mu.
+// connections in stateRejected, then connections in stateNew older than newConnGraceMs, then
+// connections in stateIdle. Among connections in the same state, it returns the connection that
+// entered the state first. The caller holds s.mu.
 func (s *Server) evictionCandidate() *conn {
 	var candidate *conn
 	for c := range s.conns {
@@ -197,7 +197,7 @@
 	return candidate
 }
 
-// remove deletes a closed connection from the open ones and wakes admit.
+// remove deletes a closed connection from the open connections and wakes admit.
 func (s *Server) remove(c *conn) {
 	s.mu.Lock()
 	delete(s.conns, c)
@@ -212,8 +212,8 @@
 func (s *Server) FailHealthChecks() { s.healthChecksFail.Store(true) }
 
 // StopAccepting closes the listener, which ends Serve, and makes every later response close its
-// connection. Open requests are served. Connections in the backlog are left to the other processes
-// that hold the listening socket.
+// connection. Requests that are open are still served. Connections in the backlog are left to the
+// other processes that hold the listening socket.
 func (s *Server) StopAccepting() {
 	s.keepAlivesDisabled.Store(true)
 	s.mu.Lock()
@@ -223,9 +223,9 @@
 	}
 }
 
-// Shutdown ends Serve once the connections in the backlog are accepted, closes idle connections and
-// waits until the requests on the others are served. It returns once all connections are closed.
-// It waits for Serve to return, so Serve must be called before it or concurrently.
+// Shutdown makes Serve accept the connections in the backlog and then return. It closes idle
+// connections and lets open requests finish. It returns when Serve has returned and all connections
+// are closed. Serve must therefore be called before Shutdown or concurrently.
 func (s *Server) Shutdown() {
 	s.beginShutdown()
 	s.limitBacklogWait()
@@ -233,8 +233,8 @@
 	s.connections.Wait()
 }
 
-// beginShutdown marks the server as shutting down and shortens the wait of connections on which no
-// byte of a request has arrived.
+// beginShutdown marks the server as shutting down. It shortens the read timeout of connections on
+// which no byte of a request has arrived.
 func (s *Server) beginShutdown() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
