--- a/plugin/asyncapi.go
+++ b/plugin/asyncapi.go
@@ -8,12 +8,12 @@
 	"gopkg.in/yaml.v3"
 )
 
-// AsyncAPI reads the operations of an AsyncAPI document of version 2 or 3, in JSON or YAML.
-// The class of each operation must be one of classes. An operation that receives messages is
-// Idempotent. An operation that sends messages is IdempotentWithKey if the headers of each of
-// its messages declare an Idempotency-Key, and NonIdempotent otherwise. The extension
-// x-garnetline-effect (safe, keyed or unsafe) overrides this default. An error names its
-// location in the document.
+// AsyncAPI reads the operations of an AsyncAPI document of version 2 or 3, in JSON or YAML. The
+// class of each operation must be in the list classes. An operation that receives messages is
+// Idempotent. An operation that sends messages is IdempotentWithKey if the headers of each of its
+// messages declare an Idempotency-Key, and NonIdempotent otherwise. The extension
+// x-garnetline-effect (safe, keyed or unsafe) overrides this default. An error names its location
+// in the document.
 func AsyncAPI(doc []byte, classes []string) (Operations, error) {
 	var root yaml.Node
 	if err := yaml.Unmarshal(doc, &root); err != nil {
@@ -31,7 +31,7 @@
 type asyncAPIDocument struct {
 	root       *yaml.Node
 	classes    []string
-	operations Operations // the operations read so far
+	operations Operations // operations that have been read so far
 }
 
 func (d *asyncAPIDocument) read() error {
@@ -123,7 +123,8 @@
 	return d.operations.add(described.location, operation, d.classes)
 }
 
-// idempotencyOf returns the idempotency that an operation has unless an extension overrides it.
+// idempotencyOf returns the default idempotency of an operation. The extension x-garnetline-effect
+// may override it.
 func (d *asyncAPIDocument) idempotencyOf(described asyncAPIOperation) (Idempotency, error) {
 	if described.receives {
 		return Idempotent, nil
@@ -144,7 +145,8 @@
 	return names
 }
 
-// extension returns the text of an extension of the operation. It is an extensionReader.
+// extension returns the text of an extension of the operation. The method value is an
+// extensionReader.
 func (o asyncAPIOperation) extension(name string) (string, bool, error) {
 	value := mappingValue(o.node, name)
 	if value == nil {
@@ -176,8 +178,8 @@
 	return len(list) > 0, nil
 }
 
-// messageList returns the messages of a node, which is one message, a oneOf list of messages,
-// a list of messages or a mapping of names to messages.
+// messageList returns the messages of a node. The node may be one message, a oneOf list of
+// messages, a list of messages or a mapping of names to messages.
 func messageList(node *yaml.Node) []*yaml.Node {
 	if alternatives := mappingValue(node, "oneOf"); alternatives != nil {
 		return childNodes(alternatives)
@@ -207,12 +209,13 @@
 	return false, nil
 }
 
-// maxReferences limits the length of a chain of references, so that following a circular chain
-// ends with an error.
+// maxReferences is the number of references at which following a chain fails. Without this limit,
+// following a circular chain would never end.
 const maxReferences = 16
 
-// followReference returns the node that a node refers to by $ref within the document, or the
-// node itself if it has no $ref. It follows a chain of references to its end.
+// followReference returns the target of a node's $ref, which must be in the same document. If the
+// target has a $ref too, followReference follows the chain to its end. If the node has no $ref, it
+// returns the node itself.
 func (d *asyncAPIDocument) followReference(location string, node *yaml.Node) (*yaml.Node, error) {
 	for range maxReferences {
 		reference := mappingValue(node, "$ref")
@@ -228,15 +231,15 @@
 			return nil, fmt.Errorf("%s: line %d: target of $ref %q not found in the document", location, reference.Line, target)
 		}
 	}
-	return nil, fmt.Errorf("%s: chain of $ref references is circular or too long", location)
+	return nil, fmt.Errorf("%s: chain of $ref references is circular or has %d or more references", location, maxReferences)
 }
 
 // pointerEscapes lists the escape sequences of a JSON pointer (RFC 6901), in the order in which
 // resolvePointer decodes them.
 var pointerEscapes = []struct{ escaped, plain string }{{"~1", "/"}, {"~0", "~"}}
 
-// resolvePointer returns the node at a JSON pointer, or nil if there is none. The pointer is
-// given without its leading "/".
+// resolvePointer returns the node at a JSON pointer, or nil if the document has no such node. The
+// pointer must not have its leading "/".
 func (d *asyncAPIDocument) resolvePointer(pointer string) *yaml.Node {
 	node := d.root
 	for key := range strings.SplitSeq(pointer, "/") {
--- a/plugin/balancer.go
+++ b/plugin/balancer.go
@@ -27,8 +27,8 @@
 
 type selectedServerKey struct{}
 
-// withSelectedServer returns a context that makes the picker send an RPC to the server at an
-// address, and the record of that selection.
+// withSelectedServer returns a context for an RPC and the selectedServer that the context holds.
+// The picker sends an RPC with this context to the server at the given address.
 func withSelectedServer(ctx context.Context, address string) (context.Context, *selectedServer) {
 	server := &selectedServer{address: address}
 	return context.WithValue(ctx, selectedServerKey{}, server), server
@@ -46,8 +46,8 @@
 	return connections
 }
 
-// picker maps the address of each connected server to its connection. It picks the connection
-// to the selected server of an RPC.
+// picker maps the address of each connected server to its connection. For each RPC, it picks the
+// connection to the selected server.
 type picker map[string]balancer.SubConn
 
 // Pick implements balancer.Picker.
--- a/plugin/call.go
+++ b/plugin/call.go
@@ -48,8 +48,8 @@
 	inFlight sync.WaitGroup // the running attempts
 }
 
-// finish prevents further attempts and waits for those in flight, because they still write to
-// the caller's reply.
+// finish prevents further attempts. It waits for the attempts in flight, because they may still
+// write to the caller's reply.
 func (c *unaryCall) finish() {
 	c.mu.Lock()
 	c.finished = true
@@ -57,8 +57,8 @@
 	c.inFlight.Wait()
 }
 
-// result returns the error that the caller receives for the dispatcher's response, or nil if
-// the RPC succeeded. finish must have returned before.
+// result returns the error that the caller receives for the dispatcher's response, or nil if the
+// RPC succeeded. The caller must call finish before result.
 func (c *unaryCall) result(response dispatch.Response) error {
 	switch response.Kind {
 	case dispatch.Served, dispatch.NotModified:
@@ -120,10 +120,10 @@
 // releases the context itself.
 func (c cancelRPC) Release(*dispatch.Attempt) {}
 
-// attemptResult converts the status code of an attempt's RPC to the result that the dispatcher
-// is told. Codes that gRPC itself or an overloaded or broken server returns are failures. Any
-// other code comes from the application and counts as a response. picked tells whether there
-// was a connection to the server.
+// attemptResult converts the status code of an attempt's RPC to the result that the plugin reports
+// to the dispatcher. Codes that gRPC itself or an overloaded or broken server returns are failures.
+// Any other code comes from the application and counts as a response. The argument picked tells
+// whether the picker found a connection to the server.
 func attemptResult(code codes.Code, picked bool, idempotency routing.Idempotency) routing.Result {
 	switch code {
 	case codes.Unavailable:
@@ -136,8 +136,8 @@
 	case codes.DeadlineExceeded:
 		return routing.TimedOut
 	case codes.ResourceExhausted:
-		// The server may have executed part of the RPC, so only an idempotent RPC counts as
-		// rejected, which permits a retry.
+		// The dispatcher may retry a rejected RPC. The server may have executed part of this RPC,
+		// so it counts as rejected only if it is idempotent.
 		if idempotency == routing.Idempotent {
 			return routing.Rejected
 		}
--- a/plugin/call_test.go
+++ b/plugin/call_test.go
@@ -15,8 +15,8 @@
 	"garnetline/routing"
 )
 
-// All RPCs for one object go to the same server. newTestClient has already checked that different
-// objects reach all servers.
+// All RPCs for one object go to the same server. newTestClient has already checked that RPCs for
+// different objects reach all servers.
 func TestRPCsOfAnObjectGoToOneServer(t *testing.T) {
 	client := newTestClient(t, "get", 3)
 	const repeats = 3
--- a/plugin/classes.go
+++ b/plugin/classes.go
@@ -8,9 +8,8 @@
 )
 
 // classTable holds the classes of Options as classes of the routing package. In the routing
-// package the idempotency is a property of the class, but here it is a property of the
-// operation. The table therefore holds one routing class for each combination of a class and
-// an idempotency.
+// package, idempotency is a property of a class. In this package, it is a property of an operation.
+// The table therefore holds one routing class for each combination of a class and an idempotency.
 type classTable struct {
 	routing []routing.Class
 	index   map[classKey]int // index of each class in routing
@@ -21,13 +20,14 @@
 	idempotency Idempotency
 }
 
-// newClassTable returns the table for classes to which withDefaults has been applied. It returns
-// an error for a class that lacks a name, a latency objective or a deadline.
+// newClassTable returns the table of the given classes. The caller must have applied withDefaults
+// to them. newClassTable returns an error if a class lacks a name, a positive latency objective or
+// a positive deadline.
 func newClassTable(classes []Class) (*classTable, error) {
 	table := &classTable{index: map[classKey]int{}}
 	for i, class := range classes {
 		if class.Name == "" || class.LatencyObjective <= 0 || class.Deadline <= 0 {
-			return nil, fmt.Errorf("plugin: Classes[%d]: expected a non-empty Name, a positive LatencyObjective and a positive Deadline; at least one is not set or negative", i)
+			return nil, fmt.Errorf("plugin: Classes[%d]: expected a non-empty Name, a positive LatencyObjective and a positive Deadline, got Name %q, LatencyObjective %v and Deadline %v", i, class.Name, class.LatencyObjective, class.Deadline)
 		}
 		for idempotency := Idempotent; idempotency <= NonIdempotent; idempotency++ {
 			table.add(class, idempotency)
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// maxRetryAfter is the longest retry delay that a rejected caller is told.
+// maxRetryAfter is the longest retry delay in the error that a rejected caller receives.
 const maxRetryAfter = time.Second
 
 // routingSettings returns the settings of a single router in a single zone. All its servers are
--- a/plugin/compatibility_test.go
+++ b/plugin/compatibility_test.go
@@ -30,9 +30,9 @@
 		want    string
 	}{
 		{"no class", plugin.Options{}, "plugin: routing: Classes: expected at least one class, got none"},
-		{"class without a name", plugin.Options{Classes: []plugin.Class{{Aim: 1, Deadline: 1}}}, "plugin: Classes[0]: expected a non-empty Name, a positive LatencyObjective and a positive Deadline; at least one is not set or negative"},
-		{"second class without an objective", plugin.Options{Classes: []plugin.Class{valid, {Name: "form", Deadline: 1}}}, "plugin: Classes[1]: expected a non-empty Name, a positive LatencyObjective and a positive Deadline; at least one is not set or negative"},
-		{"class without a deadline", plugin.Options{Classes: []plugin.Class{{Name: "part", Aim: 1}}}, "plugin: Classes[0]: expected a non-empty Name, a positive LatencyObjective and a positive Deadline; at least one is not set or negative"},
+		{"class without a name", plugin.Options{Classes: []plugin.Class{{Aim: 1, Deadline: 1}}}, "plugin: Classes[0]: expected a non-empty Name, a positive LatencyObjective and a positive Deadline, got Name \"\", LatencyObjective 1ns and Deadline 1ns"},
+		{"second class without an objective", plugin.Options{Classes: []plugin.Class{valid, {Name: "form", Deadline: 1}}}, "plugin: Classes[1]: expected a non-empty Name, a positive LatencyObjective and a positive Deadline, got Name \"form\", LatencyObjective 0s and Deadline 1ns"},
+		{"class without a deadline", plugin.Options{Classes: []plugin.Class{{Name: "part", Aim: 1}}}, "plugin: Classes[0]: expected a non-empty Name, a positive LatencyObjective and a positive Deadline, got Name \"part\", LatencyObjective 1ns and Deadline 0s"},
 		{"class of an operation", plugin.Options{Classes: []plugin.Class{valid}, Operations: plugin.Operations{"Get": {ID: "Get", Class: "form"}}}, `plugin: Operations["Get"]: expected the Name of a class in Options.Classes, got class "form"`},
 		{"negative interval", plugin.Options{Classes: []plugin.Class{valid}, Refresh: -1}, "plugin: Options: expected RefreshInterval and MaxAttempts of at least 0 (0 selects the default), got a negative value"},
 		{"negative attempts", plugin.Options{Classes: []plugin.Class{valid}, Attempts: -1}, "plugin: Options: expected RefreshInterval and MaxAttempts of at least 0 (0 selects the default), got a negative value"},
@@ -77,7 +77,7 @@
 		{"class of another type, AsyncAPI", plugin.AsyncAPI, asyncAPI("action: receive, x-garnetline-class: 7"), "asyncapi: operations.get.x-garnetline-class: line 3: expected a string, got a value of another type"},
 		{"reference to another document", plugin.AsyncAPI, asyncAPI(`action: send, messages: {$ref: other.yaml}`), `asyncapi: operations.get.messages: line 3: expected a $ref within the document, starting with "#/", got "other.yaml"`},
 		{"reference to nothing", plugin.AsyncAPI, asyncAPI(`action: send, messages: {$ref: "#/a~1b"}`), `asyncapi: operations.get.messages: line 3: target of $ref "#/a~1b" not found in the document`},
-		{"reference to itself", plugin.AsyncAPI, asyncAPI(`action: send, messages: {$ref: "#/operations/get/messages"}`), "asyncapi: operations.get.messages: chain of $ref references is circular or too long"},
+		{"reference to itself", plugin.AsyncAPI, asyncAPI(`action: send, messages: {$ref: "#/operations/get/messages"}`), "asyncapi: operations.get.messages: chain of $ref references is circular or has 16 or more references"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := test.read([]byte(test.doc), []string{"part", "form"})
@@ -91,8 +91,8 @@
 	}
 }
 
-// Callers see the status codes and texts of RPCs that fail without a server, so the test compares
-// them exactly.
+// If an RPC fails without reaching a server, its caller sees a status code and text of the plugin.
+// The test compares the codes and texts exactly.
 func TestRPCErrorTexts(t *testing.T) {
 	router, err := plugin.New(plugin.Options{
 		Classes:    []plugin.Class{{Name: "part", Aim: 10 * time.Millisecond, Deadline: 20 * time.Millisecond}},
@@ -135,8 +135,8 @@
 	check(call("/a.B/Get"), codes.Canceled, "garnetline: the plugin is closed")
 }
 
-// The deprecated constants equal the current ones, so that users' code still compiles and behaves
-// the same.
+// The deprecated constants equal the constants that replace them, so that users' code still
+// compiles and behaves the same.
 func TestDeprecatedNamesEqualCurrentNames(t *testing.T) {
 	for name, pair := range map[string]struct {
 		deprecated plugin.Effect
--- a/plugin/example_test.go
+++ b/plugin/example_test.go
@@ -6,8 +6,8 @@
 	"garnetline/plugin"
 )
 
-// A description tells which operations may be repeated. A write that carries an
-// idempotency key may be repeated for as long as the servers remember the key.
+// A description tells which operations may be repeated. A write that carries an idempotency key may
+// be repeated while the servers remember the key.
 func ExampleOpenAPI() {
 	operations, err := plugin.OpenAPI([]byte(`
 openapi: 3.0.3
--- a/plugin/openapi.go
+++ b/plugin/openapi.go
@@ -12,10 +12,10 @@
 )
 
 // OpenAPI reads the operations of an OpenAPI 3 document, in JSON or YAML. The class of each
-// operation must be one of classes. An operation is Idempotent if its HTTP method is safe,
+// operation must be in the list classes. An operation is Idempotent if its HTTP method is safe,
 // IdempotentWithKey if it declares an Idempotency-Key header, and NonIdempotent otherwise. The
-// extension x-garnetline-effect (safe, keyed or unsafe) overrides this default. An error names
-// its location in the document.
+// extension x-garnetline-effect (safe, keyed or unsafe) overrides this default. An error names its
+// location in the document.
 func OpenAPI(doc []byte, classes []string) (Operations, error) {
 	document, err := openapi3.NewLoader().LoadFromData(doc)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return false
 }
 
-// declaresKeyHeader reports whether parameters include the Idempotency-Key header.
+// declaresKeyHeader reports whether the given parameters include the Idempotency-Key header.
 func declaresKeyHeader(parameters openapi3.Parameters) bool {
 	return slices.ContainsFunc(parameters, func(parameter *openapi3.ParameterRef) bool {
 		value := parameter.Value
--- a/plugin/operations.go
+++ b/plugin/operations.go
@@ -61,17 +61,18 @@
 	"unsafe": NonIdempotent,
 }
 
-// idempotencyKeyHeader is the header that an operation declares in the description if it
-// carries an idempotency key. The name is compared without regard to case.
+// idempotencyKeyHeader is the header that carries an idempotency key. The description of an
+// operation declares this header if the operation carries a key. The comparison of header names
+// ignores case.
 const idempotencyKeyHeader = "Idempotency-Key"
 
 // Operation is one operation of a description, with the properties that decide how it is routed
 // and whether it is retried.
 type Operation struct {
 	ID    string
-	RPC   string // full name of the RPC, as /package.Service/Method; if empty, any RPC whose method name is ID
+	RPC   string // full name of the RPC, as /package.Service/Method; if empty, the operation applies to each RPC whose method name is ID
 	Class string // name of a class in Options.Classes
-	// Effect is the operation's idempotency. It has the name of the extension
+	// Effect is the operation's idempotency. The field is named after the extension
 	// x-garnetline-effect, which sets it.
 	Effect Idempotency
 }
@@ -79,9 +80,9 @@
 // Operations maps the id of each operation of a description to the operation.
 type Operations map[string]Operation
 
-// Find returns the operation of an RPC and reports whether there is one. It prefers the
-// operation whose RPC field equals fullMethod. Otherwise it returns the operation whose RPC
-// field is empty and whose ID is the method name at the end of fullMethod.
+// Find returns the operation of an RPC and whether it found an operation. It prefers the operation
+// whose RPC field equals fullMethod. Otherwise it returns the operation whose RPC field is empty
+// and whose ID is the method name at the end of fullMethod.
 func (o Operations) Find(fullMethod string) (Operation, bool) {
 	for _, operation := range o {
 		if operation.RPC != "" && operation.RPC == fullMethod {
@@ -94,7 +95,7 @@
 }
 
 // add adds an operation. It returns an error if the operation has no id, if its id is already in
-// use, or if its class is not one of classes. location says where the document describes the
+// use, or if its class is not in the list classes. location says where the document describes the
 // operation, for error texts.
 func (o Operations) add(location string, operation Operation, classes []string) error {
 	switch _, duplicate := o[operation.ID]; {
--- a/plugin/operations_test.go
+++ b/plugin/operations_test.go
@@ -126,7 +126,7 @@
 	for fullMethod, wantID := range map[string]string{
 		"/a.B/GetPart":              "GetPart",
 		"/puzzles.Solutions/Remove": "Forget",
-		"/a.B/Forget":               "", // the operation Forget has another full name
+		"/a.B/Forget":               "", // the description gives the operation Forget another RPC name
 		"/a.B/Other":                "",
 	} {
 		t.Run(fullMethod, func(t *testing.T) {
@@ -142,7 +142,7 @@
 	for _, test := range []struct {
 		read             readFunc
 		doc              string
-		old, replacement string   // the first occurrence of old in doc is replaced
+		old, replacement string   // the first occurrence of the text old in doc is replaced
 		want             []string // substrings of the error text
 	}{
 		{OpenAPI, openAPIDocument, "tags: [part]", "tags: [part, other]", []string{"paths./parts/{id}.get", "no class"}},
@@ -178,8 +178,8 @@
 	}
 }
 
-// FuzzAsyncAPI checks that AsyncAPI returns, for any input, either an error or operations that all
-// have a consistent id, a known class and a known idempotency.
+// FuzzAsyncAPI checks that AsyncAPI returns either an error or valid operations for any input. The
+// ID of a valid operation equals its key in Operations. Its class and its idempotency are known.
 func FuzzAsyncAPI(f *testing.F) {
 	f.Add([]byte(asyncAPI2Document))
 	f.Add([]byte(asyncAPI3Document))
@@ -191,7 +191,7 @@
 		}
 		for id, operation := range operations {
 			if operation.ID != id || !slices.Contains(testClasses, operation.Class) || operation.Effect > NonIdempotent {
-				t.Errorf("operation %q: got %+v, want the same id, a known class and a known idempotency", id, operation)
+				t.Errorf("operation %q: got %+v, want the key as ID, a known class and a known idempotency", id, operation)
 			}
 		}
 	})
--- a/plugin/options_test.go
+++ b/plugin/options_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// equivalentOptions returns pairs of options that must have the same effect: one with the
-// deprecated fields, and one with the fields that replace them.
+// equivalentOptions returns pairs of options that must have the same effect. The first options of a
+// pair set deprecated fields. The second options set the fields that replace them.
 func equivalentOptions() map[string]struct{ deprecated, current Options } {
 	oneClass := func(class Class) Options { return Options{Classes: []Class{class}} }
 	return map[string]struct{ deprecated, current Options }{
@@ -55,7 +55,7 @@
 			got := clearDeprecated(pair.deprecated.withDefaults())
 			want := clearDeprecated(pair.current.withDefaults())
 			if !reflect.DeepEqual(got, want) {
-				t.Errorf("got %+v from the deprecated fields, want %+v as from the current fields", got, want)
+				t.Errorf("got options %+v from the deprecated fields and %+v from the current fields, want equal options", got, want)
 			}
 		})
 	}
@@ -72,7 +72,7 @@
 			got, want := pair.deprecated.withDefaults(method), pair.current.withDefaults(method)
 			got.Part = 0
 			if got != want {
-				t.Errorf("got %+v from the deprecated field, want %+v as from the current field", got, want)
+				t.Errorf("got key %+v from the deprecated field and %+v from the current field, want equal keys", got, want)
 			}
 		})
 	}
--- a/plugin/plugin.go
+++ b/plugin/plugin.go
@@ -48,12 +48,12 @@
 // serverAddresses maps the id of each server on the endpoint list to its address, as HOST:PORT.
 type serverAddresses map[routing.ServerID]string
 
-// New returns a Plugin for a new ClientConn. It finds its servers once the ClientConn resolves its
-// target. The caller must call Close to release the plugin's resources. New returns an error if
-// the options are invalid or if the folder for traces cannot be opened.
+// New returns a Plugin for a new ClientConn. The plugin finds its servers when the ClientConn
+// resolves its target. The caller must call Close to release the plugin's resources. New returns an
+// error if the options are invalid or if the folder for traces cannot be opened.
 func New(options Options) (*Plugin, error) { return newPlugin(options, clock.NewSystem()) }
 
-// newPlugin is New with a given clock.
+// newPlugin is like New, but uses the clock clk.
 func newPlugin(options Options, clk clock.Clock) (*Plugin, error) {
 	options = options.withDefaults()
 	if options.RefreshInterval < 0 || options.MaxAttempts < 0 {
@@ -99,9 +99,9 @@
 	}()
 }
 
-// Close stops the plugin's goroutines and waits for them. It does not stop the goroutine of the
-// resolver, which the ClientConn stops when it is closed. RPCs that begin after Close fail with
-// codes.Canceled.
+// Close stops the plugin's goroutines and waits for them to end. It does not stop the goroutine of
+// the resolver. The ClientConn stops that goroutine when the ClientConn is closed. RPCs that begin
+// after Close fail with codes.Canceled.
 func (p *Plugin) Close() {
 	p.closeOnce.Do(func() {
 		p.cancel()
--- a/plugin/request.go
+++ b/plugin/request.go
@@ -42,7 +42,8 @@
 	return request, nil
 }
 
-// remainingTime returns the time until the deadline of ctx, or defaultTime if ctx has no deadline.
+// remainingTime returns the time until the deadline of ctx, or the argument defaultTime if ctx has
+// no deadline.
 func remainingTime(ctx context.Context, defaultTime time.Duration) time.Duration {
 	if deadline, ok := ctx.Deadline(); ok {
 		return time.Until(deadline)
@@ -51,7 +52,7 @@
 }
 
 // submit submits a request to the dispatcher and waits until the dispatcher responds, ctx is done
-// or the plugin is closed. It returns an error in the last two cases.
+// or the plugin is closed. It returns an error if ctx is done or the plugin is closed.
 func (p *Plugin) submit(ctx context.Context, request *dispatch.Request, transport dispatch.Transport) (dispatch.Response, error) {
 	responses := make(chan dispatch.Response, 1)
 	request.Transport = transport
@@ -70,8 +71,8 @@
 	}
 }
 
-// errClosed returns the error of an RPC that begins, or has no response yet, when the plugin is
-// closed.
+// errClosed returns the error of an RPC that begins after the plugin is closed, or that has no
+// response when the plugin is closed.
 func errClosed() error { return status.Error(codes.Canceled, "garnetline: the plugin is closed") }
 
 // rejectedError returns the error of an RPC that was not served and that the caller may safely
@@ -85,8 +86,8 @@
 	return rejected.Err()
 }
 
-// hashString returns a hash of text that is never 0, because an Object of 0 in a Key means that the
-// key is not set.
+// hashString returns a hash of a text. The hash is never 0, because a Key whose Object is 0 has no
+// object id.
 func hashString(text string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(text)) // never fails
--- a/plugin/resolver.go
+++ b/plugin/resolver.go
@@ -24,8 +24,8 @@
 	// address queries for the targets of the SRV records.
 	lookupTimeout = 2 * time.Second
 
-	// maxLookupsPerInterval limits the number of lookups in a refresh interval when gRPC requests
-	// extra lookups.
+	// maxLookupsPerInterval limits the lookups in a refresh interval if gRPC requests lookups in
+	// addition to the periodic lookups.
 	maxLookupsPerInterval = 10
 )
 
@@ -83,13 +83,13 @@
 	conn            resolver.ClientConn
 	dns             *net.Resolver
 	name            string        // name of the SRV records
-	lookupRequested chan struct{} // receives a value when gRPC requests a lookup before the next one is due
+	lookupRequested chan struct{} // receives a value when gRPC requests a lookup
 	cancel          context.CancelFunc
 	running         sync.WaitGroup
 }
 
-// ResolveNow requests a lookup before the next one is due. It implements resolver.Resolver of
-// gRPC.
+// ResolveNow requests a lookup without waiting for the next periodic lookup. It implements
+// resolver.Resolver of gRPC.
 func (r *srvResolver) ResolveNow(resolver.ResolveNowOptions) {
 	select {
 	case r.lookupRequested <- struct{}{}:
@@ -104,8 +104,8 @@
 	r.running.Wait()
 }
 
-// run looks up and publishes the endpoints, periodically and when gRPC requests it, until ctx is
-// canceled.
+// run looks up and publishes the endpoints until ctx is canceled. It does so periodically, and also
+// when gRPC requests a lookup.
 func (r *srvResolver) run(ctx context.Context) {
 	interval := r.plugin.options.RefreshInterval
 	ticker := time.NewTicker(interval)
@@ -178,8 +178,8 @@
 }
 
 // publish passes an endpoint list to the dispatcher and to gRPC, which connects to the endpoints.
-// After publish stores the list, no attempt is sent to a server that is not on it, even if the
-// dispatcher selected that server earlier.
+// After publish has stored the list, attempts go only to servers on the list. An attempt is not
+// sent if the dispatcher selected its server earlier and the list no longer has that server.
 func (r *srvResolver) publish(endpoints []platformconfig.Endpoint) {
 	servers := serverAddresses{}
 	state := resolver.State{}
--- a/plugin/stream.go
+++ b/plugin/stream.go
@@ -31,8 +31,8 @@
 	return streamer(ctx, desc, conn, fullMethod, options...)
 }
 
-// resolveOnlyTransport is the dispatch.Transport of a stream. It sends nothing: an attempt
-// completes as soon as its server is selected, and the dispatcher is not told whether the stream
+// resolveOnlyTransport is the dispatch.Transport of a stream. It sends nothing. An attempt
+// completes as soon as its server is selected. The dispatcher does not learn whether the stream
 // succeeds.
 type resolveOnlyTransport struct{ plugin *Plugin }
 
--- a/plugin/testclient_test.go
+++ b/plugin/testclient_test.go
@@ -17,8 +17,8 @@
 	"garnetline/routing"
 )
 
-// healthDescription is a format for the description of gRPC's standard health service, whose RPCs
-// the tests call. Its argument is the HTTP method of Check.
+// healthDescription is a format string for the description of gRPC's standard health service. The
+// tests call the RPCs of that service. The argument of the format is the HTTP method of Check.
 const healthDescription = `openapi: 3.0.3
 info: {title: health, version: "1"}
 paths:
@@ -139,8 +139,9 @@
 	dns     *fakeDNS
 }
 
-// newTestClient starts servers and a client that is connected to all of them. method is the
-// HTTP method of Check in the description. The functions in change may modify the plugin's options.
+// newTestClient starts servers and a client that is connected to all of them. method is the HTTP
+// method of Check in the description. Before the start, the functions in change may modify the
+// plugin's options.
 func newTestClient(t *testing.T, method string, serverCount int, change ...func(*Options)) *testClient {
 	t.Helper()
 	client := &testClient{t: t}
@@ -183,8 +184,8 @@
 	}
 }
 
-// connect creates the client and calls services until each server has been called. Servers that
-// are not connected yet are not picked, so that after connect all servers are connected.
+// connect creates the client and calls services until each server has been called. The picker picks
+// only connected servers, so all servers are connected when connect returns.
 func (c *testClient) connect() {
 	c.t.Helper()
 	options := append(c.plugin.DialOptions(), grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -326,7 +327,8 @@
 	}
 }
 
-// record returns the DNS record of the server that answers a question, or nil if there is none.
+// record returns the DNS record of the server that answers a question. It returns nil if the server
+// has no such record.
 func (s *fakeServer) record(question dns.Question) dns.RR {
 	header := dns.RR_Header{Name: question.Name, Rrtype: question.Qtype, Class: dns.ClassINET}
 	switch {
--- a/plugin/trace.go
+++ b/plugin/trace.go
@@ -27,13 +27,14 @@
 const (
 	bytesPerMB       = 1 << 20
 	segmentsPerStore = 16             // at the limit, the oldest segment is deleted to make room
-	undecidedBytes   = 4 * bytesPerMB // memory for traces before the decision whether to retain them
+	undecidedBytes   = 4 * bytesPerMB // memory for traces that are neither retained nor discarded yet
 )
 
-// Trace configures the tracing of RPCs. A trace has a span for each call, which is a child of the
-// caller's own span, and a span for each attempt, whose id goes to the server as traceparent. The
-// command `garnetline trace --folder Folder` shows the stored traces. The value of a deprecated
-// field applies only if the field that replaces it is zero.
+// Trace configures the tracing of RPCs. A trace has a span for each call and a span for each
+// attempt. The span of a call is a child of the caller's own span. The server of an attempt
+// receives the id of the attempt's span as traceparent. The command `garnetline trace --folder
+// Folder` shows the stored traces. The value of a deprecated field applies only if the field that
+// replaces it is zero.
 //
 // Calls that failed, were rejected, were retried or took longer than the latency objective of
 // their class are always selected for retention. All other calls are ordinary, and
@@ -51,16 +52,18 @@
 	KeepMB int
 }
 
-// withDefaults returns the settings with each zero field set from the deprecated field that it
-// replaces or else from its default.
+// withDefaults returns a copy of the settings in which it has set the zero fields. A zero field
+// gets the value of the deprecated field that it replaces. If that value is zero too, the field
+// gets its default.
 func (t Trace) withDefaults() Trace {
 	t.OrdinaryPerSecond = cmp.Or(t.OrdinaryPerSecond, t.Ordinary)
 	t.MaxSizeMB = cmp.Or(t.MaxSizeMB, t.KeepMB, defaultMaxSizeMB)
 	return t
 }
 
-// newRecorder returns the recorder of calls, or nil if settings is nil. withDefaults must have been
-// applied to settings and classes. The error is that of opening the trace store.
+// newRecorder returns the recorder of calls, or nil if settings is nil. The caller must have
+// applied withDefaults to settings and classes. newRecorder returns an error if it cannot open the
+// trace store.
 func newRecorder(settings *Trace, clk clock.Clock, registry *metrics.Registry, classes []Class) (*recorder.Recorder, error) {
 	if settings == nil {
 		return nil, nil
@@ -93,9 +96,9 @@
 	}), nil
 }
 
-// callerTraceparent returns the traceparent of the caller's own span. It takes the span from ctx
-// or, if ctx has no valid span, the traceparent from the outgoing metadata. It returns "" if there
-// is neither, or if the metadata has several traceparents.
+// callerTraceparent returns the traceparent of the caller's own span. If ctx has a valid span, the
+// traceparent describes that span. Otherwise it is the traceparent in the outgoing metadata.
+// Without a valid span, callerTraceparent returns "" if the metadata has no traceparent or several.
 func callerTraceparent(ctx context.Context) string {
 	if span := oteltrace.SpanContextFromContext(ctx); span.IsValid() {
 		spanID := span.SpanID()
@@ -113,7 +116,8 @@
 }
 
 // withAttemptTraceparent returns a context whose outgoing metadata has the traceparent of an
-// attempt's span instead of the caller's own. If the attempt is not traced, it returns ctx itself.
+// attempt's span. It replaces the caller's own traceparent. If the attempt is not traced, it
+// returns ctx itself.
 func withAttemptTraceparent(ctx context.Context, attempt *dispatch.AttemptTrace) context.Context {
 	if attempt == nil || attempt.Context.Span == 0 {
 		return ctx
--- a/plugin/trace_test.go
+++ b/plugin/trace_test.go
@@ -18,7 +18,7 @@
 
 // The span of a call is a child of the caller's span, and the span of each attempt is a child of
 // the span of the call. The server of an attempt receives the id of the attempt's span. The test
-// compares the span ids that the servers received with those that are stored.
+// compares the span ids that the servers received with the stored span ids.
 func TestCallsAreTraced(t *testing.T) {
 	folder := t.TempDir()
 	client := newTestClient(t, "get", 3, func(options *Options) {
@@ -44,7 +44,7 @@
 	attempts := attemptSpans(stored[0])
 	spans := received.all()
 	if len(spans) < 3 || len(attempts) != len(spans) {
-		t.Fatalf("got %d stored attempts and %d attempts at the servers, want equal numbers of at least 3", len(attempts), len(spans))
+		t.Fatalf("got %d stored attempts and %d attempts received by the servers, want equal numbers, at least 3 each", len(attempts), len(spans))
 	}
 	for i, span := range spans {
 		want := trace.SpanContext{Trace: trace.ID(caller.TraceID()), Span: attempts[i], Sampled: true}
@@ -94,8 +94,8 @@
 	})
 }
 
-// callerContext returns a context with a span, other metadata of the caller, and a traceparent in
-// the metadata that the plugin must replace.
+// callerContext returns a context with the given span. Its outgoing metadata holds a traceparent,
+// which the plugin must replace, and another key, which the plugin must keep.
 func callerContext(t *testing.T, span oteltrace.SpanContext) context.Context {
 	t.Helper()
 	ctx := oteltrace.ContextWithSpanContext(t.Context(), span)
