--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -12,15 +12,16 @@
 )
 
 // ErrMissingEvents is returned when events before the received frame are missing.
-var ErrMissingEvents = errors.New("discovery: change log events before the received frame are missing")
+var ErrMissingEvents = errors.New("discovery: events before the received change log frame are missing")
 
-// handleFrame applies one frame. If events before the frame are missing, handleFrame does not
-// apply it and returns ErrMissingEvents, so that the watcher connects again and requests the
-// events after the last applied one. It does so once for each missing event number, and then
-// follows a change log whose numbers have gaps as it is.
+// handleFrame applies one frame. If events before the frame are missing, handleFrame does not apply
+// the frame and returns ErrMissingEvents. The watcher then connects again and requests the events
+// after the last applied event. handleFrame returns ErrMissingEvents only once for each missing
+// event number. If the change log still does not send that event, the watcher skips the gap.
 //
-// Heartbeats reveal missing events too. Otherwise a change log that loses events and then sends
-// only heartbeats would leave the router sending to draining caches until the next event.
+// Heartbeats reveal missing events too. Without the check of heartbeats, a change log could lose a
+// drain and then send only heartbeats. The router would then send requests to the draining cache
+// until the next event.
 func (w *Watcher) handleFrame(received frame) error {
 	expected := w.lastSeq
 	if received.kind != kindHeartbeat {
@@ -45,8 +46,8 @@
 	return nil
 }
 
-// applyConfig switches to another configuration and applies its known events that follow the last
-// applied one.
+// applyConfig switches to another configuration. It applies the known events of that configuration
+// whose numbers are above lastSeq.
 func (w *Watcher) applyConfig(config *platformconfig.Config) {
 	w.config = config
 	guard := *w.guard.Load()
@@ -79,9 +80,9 @@
 	w.publish(event)
 }
 
-// effectiveState returns an endpoint in the state that the rest of the program sees. A ready
-// server counts as draining while it is disabled, or while the watcher follows a drain of it that
-// only peers reported.
+// effectiveState returns an endpoint in the state that the rest of the program sees. A ready server
+// becomes draining in two cases: an operator has disabled it, or the watcher follows a drain of it
+// that a peer reported.
 func (w *Watcher) effectiveState(endpoint platformconfig.Endpoint) platformconfig.Endpoint {
 	if endpoint.Phase != routing.Ready {
 		return endpoint
@@ -103,8 +104,9 @@
 	})
 }
 
-// publish stores the guard that results from an event and then calls notify, in this order: an
-// attempt is checked against the new guard whether it was chosen before or after the event.
+// publish stores the guard that results from an event, and then calls notify. Because of this
+// order, every attempt is checked against the new guard after the notification, even an attempt
+// that was chosen before the event.
 func (w *Watcher) publish(event platformconfig.WatchEvent) {
 	guard := nextGuard(w.guard.Load(), event, clock.Duration(w.clock.Now()), clock.WallClockStep(w.clock))
 	w.guard.Store(guard)
@@ -114,17 +116,17 @@
 	w.notify(event)
 }
 
-// nextGuard returns the guard that results from an event. now is a time of the router's clock. The
-// times in an event are wall clock times; wallClockStep is the number of milliseconds by which the
-// wall clock has been set since the router started.
-func nextGuard(previous *routing.Guard, event platformconfig.WatchEvent, now time.Duration, wallClockStep float64) *routing.Guard {
+// nextGuard returns the guard that results from an event. The parameter at is the time on the
+// router's clock. The times in an event are wall clock times. wallClockStep is the number of
+// milliseconds by which the wall clock has been moved since the router started.
+func nextGuard(previous *routing.Guard, event platformconfig.WatchEvent, at time.Duration, wallClockStep float64) *routing.Guard {
 	guard := *previous
-	guard.LastEventAt = now
+	guard.LastEventAt = at
 	if event.ListUpdate {
 		guard.Ready = nextReady(previous.Ready, event)
 	}
 	guard.Purges = slices.DeleteFunc(slices.Clone(previous.Purges), func(purge routing.PurgeRecord) bool {
-		return purge.At+previous.PurgeRetention < now
+		return purge.At+previous.PurgeRetention < at
 	})
 	if event.Purge != nil {
 		guard.PurgesSeen = true
--- a/internal/discovery/apply_test.go
+++ b/internal/discovery/apply_test.go
@@ -12,10 +12,10 @@
 	"garnetline/routing"
 )
 
-// TestMissedEvents checks that the watcher requests lost events again: if a heartbeat has a later
-// number, or an event does not follow the last one, it connects again and asks for the events
-// after the last applied one. If the change log still does not send them, the watcher follows it
-// as it is.
+// TestMissedEvents checks that the watcher requests lost events again. A heartbeat with a later
+// number, or an event that does not follow the last applied event, shows that events are missing.
+// The watcher then connects again and requests the events after the last applied event. If the
+// change log still does not send the missing events, the watcher skips them.
 func TestMissedEvents(t *testing.T) {
 	event := func(seq uint64) []byte { return encodeChange(seq, 7, stateReady) }
 	heartbeat := func(seq uint64) []byte { return encodeFrame(seq, 0) }
@@ -24,15 +24,15 @@
 	startWatcher(t, watcher)
 	server.accept(1, event(2), heartbeat(3))     // event 3 is missing
 	server.accept(2, event(3), event(5))         // event 4 is missing
-	server.acceptAndClose(3, event(4), event(5)) // both are sent again
+	server.acceptAndClose(3, event(4), event(5)) // events 4 and 5 are sent again
 	server.accept(5, event(7))                   // the change log has no event 6
 	server.accept(5, event(7), heartbeat(7), event(8))
 	expectEvents(t, events, 1, 2, 3, 4, 5, 7, 8)
 }
 
-// TestGuardIsPublishedBeforeNotification checks that whoever is notified of an event finds a guard
-// that includes the event. Otherwise an attempt that is chosen after the notification of a drain
-// could be checked against the previous guard and written.
+// TestGuardIsPublishedBeforeNotification checks that the published guard already includes an event
+// when the watcher notifies of the event. Otherwise, an attempt that is chosen after the
+// notification of a drain could be checked against the previous guard and written.
 func TestGuardIsPublishedBeforeNotification(t *testing.T) {
 	server := newFakeChangeLog(t)
 	watcher, events := newTestWatcher(server.addr())
@@ -55,8 +55,8 @@
 }
 
 // TestWallClockStep checks that a purge applies even if the wall clock is set while the router
-// runs. A purge's time is given in wall clock time: after the clock was set back by more than the
-// purge retention, a purge would seem to be long past when it is received.
+// runs. The time of a purge is a wall clock time. Without a correction, a purge would seem to be
+// older than the purge retention after the wall clock was set back by more than the retention.
 func TestWallClockStep(t *testing.T) {
 	for _, step := range []float64{-3_600_000, -7_000, 0, 7_000, 3_600_000} {
 		changeLog, err := fakeserver.NewChangeLog(1)
@@ -81,7 +81,8 @@
 	}
 }
 
-// guardModel is the expected state of a guard, computed by a simple replay of its events.
+// guardModel is the expected state of a guard. The model computes the state by a simple replay of
+// the events.
 type guardModel struct {
 	ready    map[routing.ServerID]bool
 	purgedAt map[int]float64 // ms, by group
@@ -104,7 +105,7 @@
 	})
 }
 
-// step creates an event and applies it to the model.
+// step creates the event that the arguments select, and applies the event to the model.
 func (m guardModel) step(operation byte, id routing.ServerID, argument int, at float64) platformconfig.WatchEvent {
 	if operation > 1 {
 		group := argument % 4
--- a/internal/discovery/disabled.go
+++ b/internal/discovery/disabled.go
@@ -17,21 +17,21 @@
 type disableRequest struct {
 	server        routing.ServerID
 	disabled      bool
-	skipBroadcast bool // the other routers read the change from the lease registry
+	skipBroadcast bool // do not report the change to the peers, because they read it from the lease registry
 	result        chan error
 }
 
-// SetDisabled disables or enables a server on behalf of an operator. A disabled server is not
-// used, whatever the endpoint list says. Once SetDisabled has returned nil for a disabled server,
-// no attempt is written to the server. SetDisabled returns ErrUnknownServer, the error of the
-// store, or the error of ctx.
+// SetDisabled disables or enables a server on behalf of an operator. The router does not use a
+// disabled server, even if the endpoint list says that the server is ready. After SetDisabled has
+// disabled a server and returned nil, no attempt is written to that server. SetDisabled returns
+// ErrUnknownServer, the error of the store, or the error of ctx.
 func (w *Watcher) SetDisabled(ctx context.Context, id routing.ServerID, disabled bool) error {
 	return w.submit(ctx, disableRequest{server: id, disabled: disabled, result: make(chan error, 1)})
 }
 
 // SetDisabledByRegistry disables or enables a server to match the lease registry. It works like
-// SetDisabled, but does not broadcast that a server was disabled, because the other routers read
-// the registry too.
+// SetDisabled, with one exception: it does not report to the peers that a server was disabled,
+// because they read the registry too.
 func (w *Watcher) SetDisabledByRegistry(ctx context.Context, id routing.ServerID, disabled bool) error {
 	return w.submit(ctx, disableRequest{server: id, disabled: disabled, skipBroadcast: disabled, result: make(chan error, 1)})
 }
@@ -46,8 +46,8 @@
 	}
 }
 
-// handleDisableRequest carries out a request. It stores the change before it applies it, so that
-// the change is stored when the caller gets the result.
+// handleDisableRequest carries out a request. It stores the change before it applies the change.
+// When the caller gets a nil error, the change is therefore stored.
 func (w *Watcher) handleDisableRequest(request disableRequest) error {
 	_, listed := w.servers[request.server]
 	_, isDisabled := w.disabled[request.server]
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// loadDisabled loads the disabled servers from the store. It is called before any event is
+// loadDisabled loads the disabled servers from the store. It must be called before any event is
 // applied.
 func (w *Watcher) loadDisabled() {
 	stored, err := w.disabledStore.List()
@@ -80,8 +80,8 @@
 	w.publishDisabled()
 }
 
-// syncDisabledStore applies and broadcasts the changes that another process of this router has
-// made in the store.
+// syncDisabledStore reads the store. It applies the changes that another process of this router has
+// made there, and reports them to the peers.
 func (w *Watcher) syncDisabledStore() {
 	stored, err := w.disabledStore.List()
 	if err != nil || w.disabledStore == "" {
@@ -102,8 +102,11 @@
 }
 
 // applyDisabled disables or enables a server and publishes the change as an update of the endpoint
-// list. Operators restart a disabled server before they enable it. If the list does not name a
-// start after the server was disabled, an enabled server therefore counts as started now.
+// list.
+//
+// Operators restart a disabled server before they enable it. The endpoint list may not show the
+// restart yet: the listed start time is then the same as when the server was disabled. In this
+// case, an enabled server counts as started now.
 func (w *Watcher) applyDisabled(id routing.ServerID, disabled bool) {
 	endpoint, listed := w.servers[id]
 	if disabled {
--- a/internal/discovery/disabled_test.go
+++ b/internal/discovery/disabled_test.go
@@ -17,14 +17,15 @@
 // disabledServer is the server that the tests disable.
 const disabledServer = routing.ServerID(7)
 
-// routerProcess is one process of a router whose list has one ready server.
+// routerProcess is one process of a router. The endpoint list of the router has one ready server.
 type routerProcess struct {
 	*Watcher
 	t      *testing.T
 	events chan platformconfig.WatchEvent
 }
 
-// startProcess starts a process that shares a state directory with others.
+// startProcess starts a process of the router that owns stateDir. All processes of a router share
+// this directory.
 func startProcess(t *testing.T, stateDir string) routerProcess {
 	t.Helper()
 	events := make(chan platformconfig.WatchEvent, 64)
@@ -46,8 +47,8 @@
 	return routerProcess{watcher, t, events}
 }
 
-// expectPhase waits for a notification that the server has a phase, and checks that the guard
-// agrees. It returns the notified server.
+// expectPhase waits for a notification that the server has the given phase. It checks that the
+// guard excludes the server unless the phase is Ready. It returns the server of the notification.
 func (p routerProcess) expectPhase(want routing.Phase) routing.Server {
 	p.t.Helper()
 	event := nextEvent(p.t, p.events)
@@ -58,7 +59,7 @@
 	return event.Endpoints[0].Server
 }
 
-// call disables or enables a server and checks the returned error.
+// call sets whether a server is disabled, and checks the returned error.
 func (p routerProcess) call(id routing.ServerID, disabled bool, want error) {
 	p.t.Helper()
 	if err := p.SetDisabled(p.t.Context(), id, disabled); !errors.Is(err, want) {
@@ -66,10 +67,10 @@
 	}
 }
 
-// TestSetDisabled checks that a disabled server gets no work: it is enabled neither by the
-// endpoint list, however often that says that the server is ready, nor by a second process of the
-// same router, nor by one that starts later. One call enables a server that was disabled twice. An
-// enabled server counts as just started.
+// TestSetDisabled checks that only an operator's call enables a disabled server. The endpoint list
+// does not enable the server, even if it reports the server as ready again. A second process of the
+// same router that starts later does not enable the server either. One call enables a server that
+// was disabled twice. An enabled server counts as just started.
 func TestSetDisabled(t *testing.T) {
 	stateDir := t.TempDir()
 	first := startProcess(t, stateDir)
@@ -87,7 +88,7 @@
 	if server := first.expectPhase(routing.Ready); server.StartedAt != clock.Duration(now) {
 		t.Errorf("got start %v of the enabled server, want the current time", server.StartedAt)
 	}
-	second.expectPhase(routing.Ready) // the second process sees that the file was removed
+	second.expectPhase(routing.Ready) // the second process reads the change from the store
 	second.call(disabledServer, true, nil)
 	first.expectPhase(routing.Draining)
 	for _, snapshot := range []bool{true, false} { // the list cannot enable the server
--- a/internal/discovery/frame.go
+++ b/internal/discovery/frame.go
@@ -15,12 +15,13 @@
 // ErrMalformedFrame is returned for a frame that cannot be decoded.
 var ErrMalformedFrame = errors.New("discovery: malformed frame")
 
-// A frame consists of a length (4 bytes: the number of bytes that follow it), the number of the
-// event (8), the kind of the frame (1) and a payload. All integers are big-endian.
+// A frame consists of a length (4 bytes), the number of the event (8), the kind of the frame (1)
+// and a payload. The length counts the bytes that follow the length field. All integers are
+// big-endian.
 const (
 	lengthSize     = 4
 	headerSize     = 8 + 1
-	maxFrameLength = headerSize + recordSize*(8<<10) // room for 8192 records, more than any fleet has
+	maxFrameLength = headerSize + recordSize*(8<<10) // room for 8192 records; every fleet has fewer servers
 )
 
 // frameKind is the type of a frame. The values are defined by the protocol.
@@ -54,7 +55,7 @@
 	recordSize    = 27
 )
 
-// recordPhases are the phases of servers, by the state in a record.
+// recordPhases are the phases of servers, indexed by the state byte of a record.
 var recordPhases = [...]routing.Phase{routing.Ready, routing.Draining, routing.Removed}
 
 // maxStart is the latest start time, in Unix milliseconds, that fits into a time.Duration.
@@ -73,7 +74,7 @@
 }
 
 // readFrame reads and decodes one frame. zones and kinds are the numbers of zones and kinds in the
-// configuration; a record that names another one is malformed.
+// configuration. A record whose zone or kind is not in the configuration is malformed.
 func readFrame(conn *textconn.Conn, zones, kinds int) (frame, error) {
 	conn.LimitRead(lengthSize + maxFrameLength)
 	prefix, err := conn.ReadBody(lengthSize)
@@ -82,7 +83,7 @@
 	}
 	length := binary.BigEndian.Uint32(prefix)
 	if length < headerSize || length > maxFrameLength {
-		return frame{}, fmt.Errorf("%w: frame length %d is out of range", ErrMalformedFrame, length)
+		return frame{}, fmt.Errorf("%w: expected a frame length from %d to %d, got %d", ErrMalformedFrame, headerSize, maxFrameLength, length)
 	}
 	content, err := conn.ReadBody(int(length))
 	if err != nil {
@@ -93,7 +94,7 @@
 	return result, err
 }
 
-// parseFrame decodes the content of a frame, which is the part after the length.
+// parseFrame decodes the content of a frame: the bytes that follow the length field.
 func parseFrame(content []byte, zones, kinds int) (frame, error) {
 	result := frame{kind: frameKind(content[headerSize-1])}
 	event := &result.event
@@ -119,7 +120,7 @@
 // parseRecords decodes the records of an endpoint list.
 func parseRecords(payload []byte, zones, kinds int) ([]platformconfig.Endpoint, error) {
 	if len(payload)%recordSize != 0 {
-		return nil, fmt.Errorf("%w: expected records of 27 bytes each, got %d bytes", ErrMalformedFrame, len(payload))
+		return nil, fmt.Errorf("%w: expected a list of server records of 27 bytes each, got %d bytes in total", ErrMalformedFrame, len(payload))
 	}
 	var endpoints []platformconfig.Endpoint
 	for ; len(payload) > 0; payload = payload[recordSize:] {
@@ -135,11 +136,11 @@
 func parseRecord(record []byte, zones, kinds int) (platformconfig.Endpoint, error) {
 	state, zone, kind := int(record[recordState]), int(record[recordZone]), int(record[recordKind])
 	if state >= len(recordPhases) || zone >= zones || kind >= kinds {
-		return platformconfig.Endpoint{}, fmt.Errorf("%w: server record has an unknown state %d, zone %d or kind %d", ErrMalformedFrame, state, zone, kind)
+		return platformconfig.Endpoint{}, fmt.Errorf("%w: server record has state %d, zone %d and kind %d, expected values below %d, %d and %d", ErrMalformedFrame, state, zone, kind, len(recordPhases), zones, kinds)
 	}
 	start := binary.BigEndian.Uint64(record[recordStart:])
 	if start > maxStart {
-		return platformconfig.Endpoint{}, fmt.Errorf("%w: start time %d in a server record is out of range", ErrMalformedFrame, start)
+		return platformconfig.Endpoint{}, fmt.Errorf("%w: expected a start time of at most %d ms in a server record, got %d", ErrMalformedFrame, int64(maxStart), start)
 	}
 	address := netip.AddrFrom4([4]byte(record[recordAddress:recordPort]))
 	return platformconfig.Endpoint{
@@ -156,8 +157,8 @@
 	}, nil
 }
 
-// parseObjectPurge decodes the purge of one object. It returns nil for object 0: the routing
-// module takes 0 for no object, and no frontend accepts it.
+// parseObjectPurge decodes the purge of one object. It returns nil for object 0. The routing module
+// uses the id 0 for "no object", and frontends do not accept requests for it.
 func parseObjectPurge(payload []byte) (*platformconfig.Purge, error) {
 	if len(payload) != objectPurgeSize {
 		return nil, fmt.Errorf("%w: expected 16 bytes for an object purge, got %d", ErrMalformedFrame, len(payload))
--- a/internal/discovery/frame_test.go
+++ b/internal/discovery/frame_test.go
@@ -11,7 +11,7 @@
 	"garnetline/routing"
 )
 
-// stubConn is a connection that reads from a reader and supports no other method.
+// stubConn is a connection that reads from a reader. Its other methods must not be called.
 type stubConn struct {
 	net.Conn
 	reader io.Reader
@@ -19,8 +19,9 @@
 
 func (c stubConn) Read(p []byte) (int, error) { return c.reader.Read(p) }
 
-// FuzzFrame checks that any bytes decode to frames or an error, without a panic or a buffer larger
-// than the longest frame, and that the zones and kinds of decoded servers are configured ones.
+// FuzzFrame checks that arbitrary bytes decode to frames or to an error. The decoder must not
+// panic, and must not allocate a buffer larger than the longest frame. Each decoded server must
+// have a configured zone and kind.
 func FuzzFrame(f *testing.F) {
 	f.Add(encodeFrame(2, 1, append(encodeRecord(1, stateReady), encodeRecord(2, stateDraining)...)...))
 	f.Add(encodeFrame(3, 3, encodePurge(0, 5)...))
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -15,7 +15,8 @@
 	"garnetline/internal/textconn"
 )
 
-// formatFrame writes the content of a frame, with texts that do not depend on the names of fields.
+// formatFrame writes the content of a frame as text. The text does not depend on the names of
+// struct fields.
 func formatFrame(text *strings.Builder, decoded frame) {
 	event := decoded.event
 	fmt.Fprintf(text, "  kind %d, event %d, list %v, whole %v\n", decoded.kind, event.Seq, event.ListUpdate, event.Snapshot)
@@ -28,8 +29,8 @@
 	}
 }
 
-// TestGoldenFrames checks the bytes that a router and its change log exchange: the request, and
-// the content of frames of each kind.
+// TestGoldenFrames checks the bytes that a router and its change log exchange. These are the
+// request of the router, and frames of each kind.
 func TestGoldenFrames(t *testing.T) {
 	var text strings.Builder
 	clientConn, serverConn := net.Pipe()
--- a/internal/discovery/gossip.go
+++ b/internal/discovery/gossip.go
@@ -11,33 +11,34 @@
 
 // Times in milliseconds.
 const (
-	// staleAfter is the time without a frame after which the watch counts as stale.
+	// staleAfter is the age of the latest frame above which the watch counts as stale.
 	staleAfter = 1500.0
-	// gossipSlack is how much older than the latest frame a drain that a peer reported may be and
-	// still count as one that this router's own watch missed: a frame and a gossip message about
-	// the same drain may arrive in either order.
+	// gossipSlack is the maximum time between a peer's report of a drain and a later frame of this
+	// router's own watch. If the frame came within this time after the report, the watcher still
+	// assumes that its own watch missed the drain, because a frame and a gossip message about the
+	// same drain may arrive in either order.
 	gossipSlack = 2000.0
-	// catchUpPeriod is the time that the watch gets, once it receives frames again, to receive the
-	// events that it missed. After that, the drains that peers reported are dropped, and only this
-	// router's own endpoint list applies.
+	// catchUpPeriod is the time in which the watch receives the events that it missed, after it
+	// receives frames again. At the end of this time, the watcher drops the drains that peers
+	// reported. After that, only this router's own endpoint list applies.
 	catchUpPeriod = 500.0
-	// maxFuturePurge is how far in the future the time of a purge that a peer reported may be.
-	// Purges with later times are ignored.
+	// maxFuturePurge is the limit for purges that peers report with a time in the future. The
+	// watcher ignores a purge whose time is at least maxFuturePurge ahead.
 	maxFuturePurge = 60_000.0
 )
 
-// Gossip exchanges reports with the other routers of the fleet. Only this router's own watch makes
-// a server usable; what peers report can only exclude one.
+// Gossip exchanges reports with the other routers of the fleet, the peers. A report of a peer can
+// only exclude a server. Only this router's own watch can make a server usable.
 type Gossip interface {
 	// SetDisabled reports to the fleet that an operator disabled or enabled a server on this
 	// router.
 	SetDisabled(server routing.ServerID, disabled bool)
-	// Broadcast reports to the fleet an event that this router's own watch received.
+	// Broadcast reports an event that this router's own watch received to the fleet.
 	Broadcast(item gossip.Item)
-	// ChangesReady returns a channel that receives a value when TakeChanges has something to
+	// ChangesReady returns a channel. The channel receives a value when TakeChanges has changes to
 	// return.
 	ChangesReady() <-chan struct{}
-	// TakeChanges returns what peers reported since the last call.
+	// TakeChanges returns the changes that peers reported since the last call.
 	TakeChanges() []gossip.Change
 }
 
@@ -47,19 +48,20 @@
 	receivedAt float64       // ms
 }
 
-// gossipState is what the watcher knows from its peers. It is the zero value if the router belongs
-// to no fleet.
+// gossipState is the part of the watcher's state that belongs to the fleet. It is the zero value if
+// the router belongs to no fleet.
 type gossipState struct {
 	Gossip
 	changesReady <-chan struct{}
 	drains       map[routing.ServerID]gossipedDrain
-	activeDrains map[routing.ServerID]time.Duration // the followed drains; the start time of the server
-	lastFrameAt  float64                            // ms; the latest frame of this router's own watch
-	steadySince  float64                            // ms; frames have arrived without a gap since then
+	activeDrains map[routing.ServerID]time.Duration // the drains that the watcher follows; value: the start time of the server
+	lastFrameAt  float64                            // ms; time of the latest frame of this router's own watch
+	steadySince  float64                            // ms; since this time, no pause between frames was longer than staleAfter
 }
 
-// SetGossip makes the watcher report the events that it receives to its peers, and follow the
-// reports of its peers while its own watch is stale. It must be called before Run.
+// SetGossip makes the watcher report the events that it receives to the peers. While the watcher's
+// own watch is stale, the watcher follows the reports of the peers. SetGossip must be called before
+// Run.
 func (w *Watcher) SetGossip(peers Gossip) {
 	now := w.clock.Now()
 	w.gossip = gossipState{
@@ -73,7 +75,7 @@
 }
 
 // broadcastEvent reports the drains, removals and purges of an event to the peers. It does not
-// report a snapshot, because every router receives one at its start.
+// report a snapshot, because every router receives a snapshot when it starts.
 func (w *Watcher) broadcastEvent(event platformconfig.WatchEvent) {
 	if w.gossip.Gossip == nil {
 		return
@@ -126,7 +128,7 @@
 	w.updateGossipedDrains()
 }
 
-// applyGossipedBan disables or enables a server as an operator did on a peer.
+// applyGossipedBan disables or enables a server, because an operator did so on a peer.
 func (w *Watcher) applyGossipedBan(change gossip.Change) {
 	if _, isDisabled := w.disabled[change.Server]; isDisabled == change.Disabled {
 		return
@@ -138,7 +140,8 @@
 	w.applyDisabled(change.Server, change.Disabled)
 }
 
-// recordGossipedDrain records a drain, unless a drain of a later start of the server is known.
+// recordGossipedDrain records a drain that a peer reported. It ignores the drain if the recorded
+// drain of the same server belongs to a later start of the server.
 func (w *Watcher) recordGossipedDrain(now float64, change gossip.Change) {
 	started := clock.Duration(change.StartedAt)
 	if known, ok := w.gossip.drains[change.Server]; ok && started < known.started {
@@ -147,8 +150,8 @@
 	w.gossip.drains[change.Server] = gossipedDrain{started: started, receivedAt: now}
 }
 
-// applyGossipedPurge publishes a purge that is still within its retention and not too far in the
-// future.
+// applyGossipedPurge publishes a purge that a peer reported. It ignores purges that are older than
+// the purge retention, or at least maxFuturePurge in the future.
 func (w *Watcher) applyGossipedPurge(now float64, change gossip.Change) {
 	retention := clock.Millis(w.config.Settings.PurgeRetention)
 	inEffect := change.PurgedAt > now-retention && change.PurgedAt < now+maxFuturePurge
@@ -160,8 +163,9 @@
 	w.publish(platformconfig.WatchEvent{Seq: w.lastSeq, Purge: purge})
 }
 
-// updateGossipedDrains follows the drains that peers reported while this router's own watch is
-// stale, and drops them once the watch has received frames for catchUpPeriod without a gap.
+// updateGossipedDrains follows the drains that peers reported if this router's own watch is stale.
+// It drops those drains once the watch has been steady for catchUpPeriod; see
+// gossipState.steadySince.
 func (w *Watcher) updateGossipedDrains() {
 	if w.gossip.Gossip == nil {
 		return
@@ -175,7 +179,7 @@
 	}
 }
 
-// followGossipedDrains excludes the servers whose drains this router's own watch missed.
+// followGossipedDrains excludes the servers with a drain that this router's own watch missed.
 func (w *Watcher) followGossipedDrains() {
 	state := &w.gossip
 	for id, drain := range state.drains {
@@ -190,8 +194,8 @@
 	}
 }
 
-// dropGossipedDrains ends all followed drains and forgets the reported drains that are older than
-// the latest frame by more than gossipSlack.
+// dropGossipedDrains ends all drains that the watcher follows. It also forgets each report that
+// arrived more than gossipSlack before the latest frame.
 func (w *Watcher) dropGossipedDrains() {
 	state := &w.gossip
 	for id, drain := range state.drains {
@@ -237,8 +241,8 @@
 	w.readyServers.Store(&ready)
 }
 
-// Stale reports whether the last frame was received more than staleAfter before now, a time in
-// Unix milliseconds.
+// Stale reports whether the watch is stale at the time now, in Unix milliseconds: the last frame
+// was received more than staleAfter before.
 func (w *Watcher) Stale(now float64) bool {
 	return clock.Duration(now) > w.guard.Load().LastEventAt+clock.Duration(staleAfter)
 }
--- a/internal/discovery/gossip_test.go
+++ b/internal/discovery/gossip_test.go
@@ -11,8 +11,8 @@
 	"garnetline/routing"
 )
 
-// fakeGossip records what the watcher reports to its peers, and returns the changes that a test
-// sets.
+// fakeGossip records the reports of the watcher to its peers. TakeChanges returns the changes that
+// a test has set.
 type fakeGossip struct {
 	disabled  []routing.ServerID
 	broadcast []gossip.Item
@@ -33,8 +33,8 @@
 	return changes
 }
 
-// gossipFixture is a watcher that a test steps without Run. It has applied event 2, in which
-// servers 7 and 8 are ready.
+// gossipFixture is a watcher without a running Run: the test calls its methods. The watcher has
+// applied event 2, in which servers 7 and 8 are ready.
 type gossipFixture struct {
 	*Watcher
 	t     *testing.T
@@ -53,7 +53,7 @@
 	return fixture
 }
 
-// receive handles a frame as one that the router's own watch received.
+// receive passes a frame to the watcher, as if the router's own watch had received it.
 func (f gossipFixture) receive(kind frameKind, event platformconfig.WatchEvent) {
 	f.t.Helper()
 	if err := f.handleFrame(frame{kind: kind, event: event}); err != nil {
@@ -61,13 +61,13 @@
 	}
 }
 
-// receiveChanges applies changes as reports of the peers.
+// receiveChanges passes changes to the watcher, as if peers had reported them.
 func (f gossipFixture) receiveChanges(changes ...gossip.Change) {
 	f.peers.changes = changes
 	f.applyGossip()
 }
 
-// expectReady checks which servers are ready.
+// expectReady checks that exactly the given servers are ready.
 func (f gossipFixture) expectReady(when string, want ...routing.ServerID) {
 	f.t.Helper()
 	var ready []routing.ServerID
@@ -81,8 +81,8 @@
 }
 
 // TestGossipedDrain checks that a drain that a peer reported applies while the router's own watch
-// is stale, so that a drain is not missed while discovery is down. Peers must not override a watch
-// that works: the drain is dropped once the watch has recovered and has had time to catch up.
+// is stale. The router therefore learns of drains while discovery is down. When the watch works
+// again, peers must not override it: the watcher drops the drain after catchUpPeriod.
 func TestGossipedDrain(t *testing.T) {
 	fixture := newGossipFixture(t)
 	drain := gossip.Change{Item: gossip.Item{Kind: gossip.Drain, Server: 7}}
@@ -106,8 +106,8 @@
 	fixture.expectReady("caught up", 7, 8)
 }
 
-// TestGossipedDrainOfEarlierStart checks that the drain of an earlier start of a server does not
-// exclude the server after its restart.
+// TestGossipedDrainOfEarlierStart checks that a drain from before a restart of a server does not
+// exclude the restarted server.
 func TestGossipedDrainOfEarlierStart(t *testing.T) {
 	fixture := newGossipFixture(t)
 	restarted := platformconfig.Endpoint{Server: routing.Server{ID: 8, Phase: routing.Ready, StartedAt: clock.Duration(now)}}
@@ -121,9 +121,9 @@
 	}
 }
 
-// TestGossipedDrainBeforeLatestFrame checks that a drain that is much older than the latest frame
-// is not followed when the router's own watch becomes stale: that watch has received the drain and
-// its end itself.
+// TestGossipedDrainBeforeLatestFrame checks that the watcher does not follow a drain that is much
+// older than the latest frame, even when its own watch becomes stale. Because frames arrived after
+// the drain, the watch has received both the drain and its end.
 func TestGossipedDrainBeforeLatestFrame(t *testing.T) {
 	fixture := newGossipFixture(t)
 	fixture.receiveChanges(gossip.Change{Item: gossip.Item{Kind: gossip.Drain, Server: 7}})
@@ -136,8 +136,8 @@
 	fixture.expectReady("stale", 7, 8)
 }
 
-// TestGossipedBanAndPurge checks that a peer's ban applies at once, and that a peer's purge
-// applies unless it is older than the retention or too far in the future.
+// TestGossipedBanAndPurge checks that a ban that a peer reports applies immediately. A purge that a
+// peer reports applies too, unless it is older than the retention or too far in the future.
 func TestGossipedBanAndPurge(t *testing.T) {
 	fixture := newGossipFixture(t)
 	fixture.receiveChanges(gossip.Change{Item: gossip.Item{Kind: gossip.Ban, Server: 7}, Disabled: true})
@@ -155,12 +155,12 @@
 		}
 	}
 	if len(fixture.peers.disabled) != 0 || len(fixture.peers.broadcast) != 0 {
-		t.Errorf("got peer reports broadcast again: disabled servers %v, items %v", fixture.peers.disabled, fixture.peers.broadcast)
+		t.Errorf("got reports of peers sent to the peers again: disabled servers %v, items %v; want none", fixture.peers.disabled, fixture.peers.broadcast)
 	}
 }
 
-// TestBroadcast checks that drains, removals and purges are reported to the peers, and that
-// snapshots and ready servers are not.
+// TestBroadcast checks that the watcher reports drains, removals and purges to the peers. It must
+// not report snapshots and ready servers.
 func TestBroadcast(t *testing.T) {
 	fixture := newGossipFixture(t)
 	endpoints := func(phases ...routing.Phase) (list []platformconfig.Endpoint) {
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -19,8 +19,8 @@
 // now is the time of the test clocks, in Unix milliseconds.
 const now = 1.7e12
 
-// testTimeout ends a test whose watcher does not do what the test waits for. The order of events
-// does not depend on it.
+// testTimeout is the time after which a test fails if its watcher does not do the expected step. It
+// does not influence the order of events.
 const testTimeout = 10 * time.Second
 
 // States of a record.
@@ -30,7 +30,7 @@
 	stateRemoved
 )
 
-// encodeFrame encodes a frame from the description of the protocol, without the code under test.
+// encodeFrame encodes a frame as the protocol describes it. It uses no code under test.
 func encodeFrame(seq uint64, kind byte, payload ...byte) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(9+len(payload)))
 	return append(append(binary.BigEndian.AppendUint64(b, seq), kind), payload...)
@@ -57,8 +57,9 @@
 	return encodeFrame(seq, 4, append([]byte{0, 17}, encodePurge(at, 0)[:8]...)...)
 }
 
-// newTestWatcher returns a watcher whose configuration holds event 1, an empty endpoint list. The
-// returned channel receives the events of which the watcher notifies.
+// newTestWatcher returns a watcher and a channel. The configuration of the watcher holds event 1,
+// which is an empty endpoint list. The channel receives the events that the watcher passes to
+// notify.
 func newTestWatcher(addr netip.AddrPort) (*Watcher, chan platformconfig.WatchEvent) {
 	events := make(chan platformconfig.WatchEvent, 16)
 	config := &platformconfig.Config{
@@ -130,8 +131,8 @@
 
 func (s fakeChangeLog) addr() netip.AddrPort { return s.Addr().(*net.TCPAddr).AddrPort() }
 
-// accept accepts the next connection, checks that the watcher requests the events after number
-// afterSeq, and sends frames. The connection stays open until the test ends.
+// accept accepts the next connection and checks that the watcher requests the events after
+// afterSeq. It then sends the frames. The connection stays open until the test ends.
 func (s fakeChangeLog) accept(afterSeq uint64, frames ...[]byte) net.Conn {
 	s.t.Helper()
 	if err := s.SetDeadline(time.Now().Add(testTimeout)); err != nil {
@@ -152,7 +153,7 @@
 	return conn
 }
 
-// acceptAndClose is like accept, but closes the connection after the frames.
+// acceptAndClose is like accept, but closes the connection after it has sent the frames.
 func (s fakeChangeLog) acceptAndClose(afterSeq uint64, frames ...[]byte) {
 	s.t.Helper()
 	if err := s.accept(afterSeq, frames...).Close(); err != nil {
--- a/internal/discovery/session.go
+++ b/internal/discovery/session.go
@@ -14,14 +14,14 @@
 
 // Timeouts and delays of a session, in milliseconds.
 const (
-	frameTimeout   = 1600.0 // time without a frame that ends a session; the change log sends one each second
-	dialTimeout    = 500.0  // also limits the writing of the request
-	initialBackoff = 50.0   // delay before the next connection; it doubles each time
+	frameTimeout   = 1600.0 // a session ends after this time without a frame; the change log sends a frame each second
+	dialTimeout    = 500.0  // limits the dial, and also the write of the request
+	initialBackoff = 50.0   // upper bound of the first delay before a reconnect; the bound doubles each time
 	maxBackoff     = 800.0
 )
 
-// runSession follows one connection until it breaks, another configuration arrives or ctx is done.
-// Its reader goroutine has ended when runSession returns.
+// runSession connects to the change log and processes events until the connection breaks, another
+// configuration arrives or ctx is done. When runSession returns, its reader goroutine has ended.
 func (w *Watcher) runSession(ctx context.Context) sessionEnd {
 	ctx, cancel := context.WithCancel(ctx)
 	frames := make(chan frameResult)
@@ -38,8 +38,8 @@
 }
 
 // readFrames connects to the change log, requests the events after afterSeq, and sends each frame
-// to results. It ends when the connection breaks, after it has sent the error to results, or when
-// ctx is done.
+// to results. If the connection breaks, readFrames sends the error to results and returns. It also
+// returns when ctx is done.
 func (w *Watcher) readFrames(ctx context.Context, config *platformconfig.Config, afterSeq uint64, results chan<- frameResult) {
 	send := func(result frameResult) bool {
 		select {
@@ -81,17 +81,17 @@
 	return w.dial(ctx, config.Discovery)
 }
 
-// reconnectBackoff computes the delays between connections. The upper bound of the delay doubles
-// up to maxBackoff while no frame is received, and each delay is a random value between half the
-// bound and the bound. The randomness prevents the hundreds of routers of a fleet, which may lose
-// the change log at the same moment, from connecting to it again at the same moment.
+// reconnectBackoff computes the delays between connections. While no frame is received, the upper
+// bound of the delay doubles up to maxBackoff. Each delay is a random value from half the bound to
+// the bound. All routers of a fleet may lose the change log at the same moment. Without the
+// randomness, these hundreds of routers would also connect again at the same moment.
 type reconnectBackoff struct {
 	random  *rand.Rand
-	ceiling float64 // ms; upper bound of the latest delay, 0 before the first
+	ceiling float64 // ms; upper bound of the latest delay; 0: no delay yet
 }
 
 // nextDelay returns the delay, in milliseconds, after a session. receivedFrame tells whether the
-// session received a frame; if so, the delay starts at initialBackoff again.
+// session received a frame. If it did, the bound of the delay is initialBackoff again.
 func (b *reconnectBackoff) nextDelay(receivedFrame bool) float64 {
 	b.ceiling = min(2*b.ceiling, maxBackoff)
 	if receivedFrame || b.ceiling == 0 {
@@ -100,5 +100,5 @@
 	return b.ceiling * (1 + b.random.Float64()) / 2
 }
 
-// reset makes the next delay start at initialBackoff again.
+// reset makes initialBackoff the bound of the next delay.
 func (b *reconnectBackoff) reset() { b.ceiling = 0 }
--- a/internal/discovery/session_test.go
+++ b/internal/discovery/session_test.go
@@ -13,9 +13,9 @@
 	"garnetline/routing"
 )
 
-// TestReconnectResumesFromLastSeq checks that the watcher connects again, and asks for the events
-// after the last applied one, when a connection ends or sends a malformed frame. An event that is
-// received twice is applied once.
+// TestReconnectResumesFromLastSeq checks the reconnect after a connection ends or sends a malformed
+// frame. The watcher connects again and requests the events after the last applied event. It
+// applies an event that it receives twice only once.
 func TestReconnectResumesFromLastSeq(t *testing.T) {
 	server := newFakeChangeLog(t)
 	watcher, events := newTestWatcher(server.addr())
@@ -45,13 +45,13 @@
 		t.Errorf("got unexpected purges in guard %+v", guard)
 	}
 	if !guard.MayBeStale(stale, 1, 1) {
-		t.Error("got no copy possibly stale after seven seconds without a frame, want every copy possibly stale")
+		t.Error("after 7 s without a frame: got MayBeStale false, want true for every object")
 	}
 }
 
 // TestReconnectDelaysAreSpread checks that routers that lose the change log at the same moment
-// reconnect at different moments and after increasing delays, and that the delay is short again
-// once the change log has sent a frame.
+// reconnect at different moments. The delays of each router increase. After the change log has sent
+// a frame, the delay is short again.
 func TestReconnectDelaysAreSpread(t *testing.T) {
 	const routers = 300
 	perSlot := map[int]int{} // number of routers, by slot of 20 ms
@@ -63,7 +63,7 @@
 			at += last
 		}
 		if at < 50 || last < maxBackoff/2 || last > maxBackoff {
-			t.Fatalf("seed %d: got reconnect after %.0f ms with a last delay of %.0f ms, want at least 50 ms and a last delay from the upper half of maxBackoff", seed, at, last)
+			t.Fatalf("seed %d: got sixth reconnect after %.0f ms in total, the last delay %.0f ms; want at least 50 ms in total and a last delay from maxBackoff/2 to maxBackoff", seed, at, last)
 		}
 		if delay := backoff.nextDelay(true); delay > initialBackoff {
 			t.Fatalf("seed %d: got a delay of %.0f ms after a frame, want at most initialBackoff", seed, delay)
@@ -77,9 +77,9 @@
 	}
 }
 
-// TestReloadMovesToNewAddress checks that a new configuration's change log is asked at once for
-// the events after the last applied one, although the old connection is still open, and that the
-// known events of the new configuration are applied first.
+// TestReloadMovesToNewAddress checks that the watcher follows the change log of a new configuration
+// immediately, although the old connection is still open. The watcher first applies the known
+// events of the new configuration. It then requests the events after the last applied event.
 func TestReloadMovesToNewAddress(t *testing.T) {
 	first, second := newFakeChangeLog(t), newFakeChangeLog(t)
 	watcher, events := newTestWatcher(first.addr())
@@ -90,7 +90,7 @@
 	next.Discovery = second.addr()
 	next.Settings.PurgeRetention = 7 * time.Second
 	next.KnownEvents = []platformconfig.WatchEvent{{Seq: 2}, {Seq: 3, ListUpdate: true}}
-	watcher.Reload(&platformconfig.Config{}) // the next configuration replaces this one, before or after Run receives it
+	watcher.Reload(&platformconfig.Config{}) // the second Reload replaces this configuration, whether or not Run has received it
 	watcher.Reload(&next)
 	second.accept(3, encodeGroupPurge(2, now))
 	expectEvents(t, events, 3)
@@ -99,9 +99,9 @@
 	}
 }
 
-// TestSilentConnectionIsReplaced checks that a drain is received on the next connection after the
-// change log accepted a connection and sent nothing, or closed a connection soon after it was
-// back.
+// TestSilentConnectionIsReplaced checks that the watcher receives a drain although earlier
+// connections failed. The change log accepts the first connection and sends nothing on it. It
+// closes the second connection after one frame. The third connection carries the drain.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	server := newFakeChangeLog(t)
 	watcher, events := newTestWatcher(server.addr())
@@ -115,9 +115,9 @@
 	}
 }
 
-// TestDrainAfterDiscoveryWasDown checks that a drain is not missed when it begins while discovery
-// is down or soon after its return: after three refused connections the watcher asks for the
-// events after the last applied one, and the draining server is excluded.
+// TestDrainAfterDiscoveryWasDown checks that the watcher does not miss a drain that begins while
+// discovery is down or soon after its return. After three refused connections, the watcher requests
+// the events after the last applied event. The guard then excludes the draining server.
 func TestDrainAfterDiscoveryWasDown(t *testing.T) {
 	server, closed := newFakeChangeLog(t), newFakeChangeLog(t)
 	if err := closed.Close(); err != nil {
@@ -142,7 +142,7 @@
 		select {
 		case err := <-refused:
 			if err == nil {
-				t.Fatal("got a connection to a closed listener, want an error")
+				t.Fatal("dial of a closed listener: got a connection, want an error")
 			}
 		case <-time.After(testTimeout):
 			t.Fatal("the watcher did not connect again before the test timeout")
@@ -161,9 +161,9 @@
 
 func (noReadDeadlineConn) SetReadDeadline(time.Time) error { return nil }
 
-// TestReloadClosesSilentConnection checks that the watcher does not wait for its old connection to
-// end before it follows the change log that a new configuration names. The old connection is open
-// and silent, and never ends by itself.
+// TestReloadClosesSilentConnection checks that the watcher closes its old connection when a new
+// configuration names another change log. The old connection is silent and never ends unless the
+// watcher closes it. The watcher must not wait for its end.
 func TestReloadClosesSilentConnection(t *testing.T) {
 	first, second := newFakeChangeLog(t), newFakeChangeLog(t)
 	watcher, events := newTestWatcher(first.addr())
@@ -193,9 +193,8 @@
 
 func (c slowConn) Read(p []byte) (int, error) { return c.Conn.Read(p[:min(1, len(p))]) }
 
-// TestFragmentedList checks that an endpoint list that arrives in fragments is not read as a
-// malformed or shorter one, and that the watcher requests the list again when its transfer stops
-// half way.
+// TestFragmentedList checks that the watcher reads an endpoint list correctly that arrives one byte
+// at a time. If the transfer of the list stops half way, the watcher requests the list again.
 func TestFragmentedList(t *testing.T) {
 	server := newFakeChangeLog(t)
 	watcher, events := newTestWatcher(server.addr())
@@ -215,9 +214,9 @@
 	}
 }
 
-// TestReadyWithoutDiscovery checks that a router becomes ready although discovery does not answer:
-// the known events of the configuration are applied before any connection, and the channel of
-// Synced is closed without a frame.
+// TestReadyWithoutDiscovery checks that a router becomes ready even if discovery does not answer.
+// The watcher applies the known events of the configuration before it connects. The channel that
+// Synced returns is closed even if no frame arrives.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	watcher, events := newTestWatcher(netip.AddrPort{})
 	eventsAtDial := make(chan int, 1)
@@ -231,7 +230,7 @@
 	}
 	startWatcher(t, watcher)
 	if n := <-eventsAtDial; n != 1 {
-		t.Errorf("got %d events before the first connection, want the known one", n)
+		t.Errorf("got %d events before the first connection, want 1, the known event", n)
 	}
 	select {
 	case <-watcher.Synced():
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,11 +1,11 @@
-// Package discovery watches the platform's change log, which reports changes of the endpoint list
-// (caches, parents and origins) and purges.
+// Package discovery watches the platform's change log. The change log reports purges and the
+// changes of the endpoint list, which contains the caches, parents and origins.
 //
 // A Watcher owns the connection to the change log, the number of the last applied event, the
 // endpoint list, and the set of servers that operators disabled. Only the goroutine of Watcher.Run
-// changes them. For other goroutines the Watcher publishes a routing.Guard, which is replaced and
-// never modified, the counts of servers, and the lists that the fleet reads. All exported methods
-// except Run and SetGossip may be called from any goroutine.
+// changes them. The Watcher publishes a routing.Guard, the counts of servers, and the lists that
+// the fleet reads to other goroutines. A published Guard is never modified, only replaced. All
+// exported methods except Run and SetGossip may be called from any goroutine.
 package discovery
 
 import (
@@ -25,12 +25,12 @@
 )
 
 const (
-	// disabledPollInterval is the time between two reads of the store of disabled servers, which
-	// another process of this router may have changed.
+	// disabledPollInterval is the time between two reads of the store of disabled servers. The
+	// watcher polls the store because another process of this router may change it.
 	disabledPollInterval = 200 * time.Millisecond
-	// initialSyncTimeout limits, in milliseconds, how long Synced waits for the first frame. The
-	// change log sends new events at once. If there are none, the wait for a frame must not delay
-	// the start of a successor process.
+	// initialSyncTimeout limits, in milliseconds, how long Synced waits for the first frame. If the
+	// change log has new events, it sends them immediately. If it has none, the wait for the next
+	// heartbeat must not delay the start of a successor process.
 	initialSyncTimeout = 300.0
 )
 
@@ -44,19 +44,19 @@
 	// State that only the goroutine of Run uses.
 	config       *platformconfig.Config
 	lastSeq      uint64 // number of the last applied event
-	refetchedSeq uint64 // expected number when the change log was last asked again for missing events
+	refetchedSeq uint64 // event number that was missing when the watcher last requested events again
 	servers      map[routing.ServerID]platformconfig.Endpoint
-	disabled     map[routing.ServerID]time.Duration // by operators; value: the start time that was listed at that moment
+	disabled     map[routing.ServerID]time.Duration // servers that operators disabled; value: the listed start time when the server was disabled
 	gossip       gossipState
 
 	// Requests to the goroutine of Run.
-	pendingConfig   chan *platformconfig.Config // holds only the latest one
+	pendingConfig   chan *platformconfig.Config // holds only the latest configuration
 	disableRequests chan disableRequest
 
 	// State that is published to other goroutines.
 	guard            atomic.Pointer[routing.Guard]
 	listedCount      atomic.Int64
-	unavailableCount atomic.Int64 // listed servers that are not ready
+	unavailableCount atomic.Int64 // listed servers that are draining or disabled
 	synced           atomic.Bool
 	syncedSignal     chan struct{}                             // closed when synced becomes true
 	readyServers     atomic.Pointer[[]platformconfig.Endpoint] // nil without a fleet
@@ -66,8 +66,8 @@
 	disabledStore disabled.Store
 }
 
-// NewWatcher returns a watcher that has not applied any event. Run calls notify with each event,
-// in order; notify may block.
+// NewWatcher returns a watcher that has applied no event yet. Run calls notify with each event, in
+// order. notify may block.
 func NewWatcher(clk clock.Clock, config *platformconfig.Config, notify func(platformconfig.WatchEvent), counters *metrics.Registry) *Watcher {
 	w := &Watcher{
 		clock:           clk,
@@ -94,22 +94,23 @@
 	return (&net.Dialer{}).DialContext(ctx, "tcp", to.String())
 }
 
-// Guard returns the guard against which attempts are checked now. The caller must not modify it.
+// Guard returns the current guard, against which attempts must be checked. The caller must not
+// modify it.
 func (w *Watcher) Guard() *routing.Guard { return w.guard.Load() }
 
-// ServerCounts returns how many servers the endpoint list holds, and how many of them are
+// ServerCounts returns the number of servers in the endpoint list, and the number of those that are
 // draining or disabled.
 func (w *Watcher) ServerCounts() (listed, unavailable int64) {
 	return w.listedCount.Load(), w.unavailableCount.Load()
 }
 
-// Synced returns a channel that is closed once the change log has sent a frame, or has sent none
-// within initialSyncTimeout.
+// Synced returns a channel. The channel is closed when the first frame of the change log has been
+// applied, or when initialSyncTimeout has passed.
 func (w *Watcher) Synced() <-chan struct{} { return w.syncedSignal }
 
-// Reload replaces the configuration. The watcher at once follows the change log that the new
-// configuration names, from the last applied event on. Reload never blocks; calls must not
-// overlap.
+// Reload replaces the configuration. The watcher connects immediately to the change log that the
+// new configuration names, and requests the events after the last applied event. Reload never
+// blocks. Calls of Reload must not overlap.
 func (w *Watcher) Reload(config *platformconfig.Config) {
 	select {
 	case <-w.pendingConfig: // discard an earlier configuration that Run has not received
@@ -118,8 +119,8 @@
 	w.pendingConfig <- config
 }
 
-// Run applies the events that the configuration holds and then follows the change log until ctx is
-// done. It must be called only once.
+// Run applies the known events of the configuration, and then follows the change log until ctx is
+// done. Run must be called only once.
 func (w *Watcher) Run(ctx context.Context) {
 	w.loadDisabled()
 	for _, event := range w.config.KnownEvents {
@@ -159,14 +160,14 @@
 
 // sessionEnd tells why processEvents returned.
 type sessionEnd struct {
-	receivedFrame bool                   // a frame was received before the end
+	receivedFrame bool                   // the session received a frame
 	nextConfig    *platformconfig.Config // the new configuration, if one has arrived
-	err           error                  // of the connection or of ctx
+	err           error                  // error of the connection, of a frame or of ctx
 }
 
-// processEvents handles frames, requests, gossip and ticks until frames delivers the error that
-// ended the connection, a frame cannot be applied, pause fires, another configuration arrives or
-// ctx is done. frames and pause may be nil.
+// processEvents handles frames, requests, gossip and ticks. It returns when frames delivers the
+// error that ended the connection, when a frame cannot be applied, when pause fires, when another
+// configuration arrives, or when ctx is done. frames and pause may be nil.
 func (w *Watcher) processEvents(ctx context.Context, frames <-chan frameResult, pause <-chan time.Time) sessionEnd {
 	var end sessionEnd
 	ticker := time.NewTicker(disabledPollInterval)
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -7,19 +7,20 @@
 	"garnetline/routing"
 )
 
-// Attempt is one sending of a request to a server. The dispatcher sets the exported fields before
-// it passes the attempt to the transport. Only MayRetry and TransportState change after that.
+// Attempt sends a request to one server once; a retry is another Attempt. The dispatcher sets the
+// exported fields before it passes the attempt to the transport. After that, only MayRetry and
+// TransportState change.
 type Attempt struct {
 	Request         *Request
 	Index           int // position among the attempts of its request, from 0
 	Decision        routing.SendAttempt
 	ExpiresAt       float64 // the dispatcher cancels the attempt at this time
-	SendDeadline    float64 // the transport must not write the attempt later than this; 0: ExpiresAt is the only limit
+	SendDeadline    float64 // the transport must not write the attempt at or after this time; 0: only ExpiresAt applies
 	Class           *routing.Class
 	RequestDeadline float64 // copy of Request.Deadline, which only the dispatcher may read
 
-	// MayRetry is set before TransportState.Cancel is called. It is true if the request is still
-	// open, so that another attempt may follow this one.
+	// MayRetry tells the transport that a retry may follow this attempt, because the request is
+	// still open. The dispatcher sets MayRetry before it calls TransportState.Cancel.
 	MayRetry bool
 	// TransportState is set by the transport when it accepts the attempt; nil before that.
 	TransportState TransportState
@@ -28,10 +29,10 @@
 	sentAt            float64
 	accepted          bool // the transport accepted it
 	ended             bool
-	completionDelayed bool           // its completion waits, or has waited, for cancelTransit
-	notExecuted       bool           // it ended, and the server provably did not execute it
+	completionDelayed bool           // its completion was delayed by cancelTransit; the delay may be over
+	notExecuted       bool           // the attempt ended, and its result proves that the server did not execute it
 	cancelRequested   bool           // TransportState.Cancel was called
-	cancelResult      routing.Result // replaces the result Canceled if cancelRequested is set
+	cancelResult      routing.Result // if cancelRequested is set: replaces the result Canceled
 }
 
 // Completion is a transport's report that an attempt has ended.
@@ -50,10 +51,11 @@
 	return &Completion{Attempt: attempt, Result: result, Load: UnknownLoad()}
 }
 
-// Resolved returns the completion of an attempt that ends as soon as its server is chosen: the
-// response names the server, as in a DNS lookup, and the client connects to it by itself. The
-// decision module counts the load that the client will cause on the server, but learns nothing
-// about the server, because nobody reports whether the client was served.
+// Resolved returns the completion of an attempt that only selects a server, as a DNS lookup does.
+// The response names the server, and the client connects to that server itself.
+//
+// The decision module counts the load that the client will cause on the server. It learns nothing
+// about the health of the server, because nobody reports whether the server served the client.
 func Resolved(attempt *Attempt) *Completion {
 	return &Completion{
 		Attempt:  attempt,
@@ -73,28 +75,30 @@
 // Transport sends attempts to servers. Send is called on the dispatcher's goroutine; it must
 // neither block nor call the dispatcher.
 type Transport interface {
-	// Send accepts an attempt, sets its TransportState and returns nil; the transport reports the
-	// end of the attempt later, by Dispatcher.Complete. If the attempt ends at once, Send does not
-	// accept it and returns its completion instead.
+	// Send accepts an attempt: it sets the TransportState of the attempt and returns nil. When the
+	// attempt ends later, the transport calls Dispatcher.Complete. If the attempt ends immediately,
+	// Send does not accept the attempt and returns its completion.
 	Send(*Attempt) *Completion
 }
 
-// TransportState is the state that a transport keeps for an attempt that it has accepted, such as
-// the connections to the chosen server. Its methods are called on the dispatcher's goroutine; they
-// must neither block nor call the dispatcher.
+// TransportState is the state that a transport keeps for an accepted attempt, such as the
+// connections to the chosen server. Its methods are called on the dispatcher's goroutine. They must
+// neither block nor call the dispatcher.
 type TransportState interface {
-	// Cancel starts to cancel the attempt. The transport reports the completion when it has
-	// written the cancel. The result is Canceled, or another one if the attempt ended otherwise.
+	// Cancel starts the cancellation of the attempt. The transport reports the completion of the
+	// attempt after it has written the cancel command. The result of the completion is Canceled,
+	// unless the attempt ended with another result first.
 	Cancel(*Attempt)
-	// Release tells the transport that the dispatcher has received the attempt's completion and
-	// will not use the TransportState again.
+	// Release tells the transport that the dispatcher has received the completion of the attempt.
+	// The dispatcher does not use the TransportState of the attempt again.
 	Release(*Attempt)
 }
 
-// cancelTransit is the time, in milliseconds, that a cancel or the end of a connection gets to
-// arrive at a server before the request is sent again. The way to a cache takes a few milliseconds
-// at most. A retry that is sent at once on another connection can overtake the cancel of the
-// previous attempt; the request is then executed twice at the same time.
+// cancelTransit is the delay, in milliseconds, between the cancel of an attempt, or the end of its
+// connection, and the retry of the request. The cancel or the end of the connection needs up to a
+// few milliseconds to reach the cache. Without the delay, a retry on another connection could
+// overtake the cancel of the previous attempt, and the caches would execute the request twice at
+// the same time.
 const cancelTransit = 5.0
 
 // startAttempt creates an attempt from a decision of the module and passes it to the request's
@@ -139,9 +143,9 @@
 	return attempt
 }
 
-// mayStart reports whether an attempt may be sent. The attempt must not be in the list of its
-// request yet. Whatever the module decided, mayStart checks again the rules that must never be
-// broken.
+// mayStart reports whether an attempt may be sent. The attempt must not be in request.attempts yet.
+// mayStart repeats the checks of the most important rules, so that a wrong decision of the module
+// cannot break them.
 func (d *Dispatcher) mayStart(attempt *Attempt) bool {
 	request := attempt.Request
 	switch {
@@ -150,15 +154,17 @@
 	case attempt.retryForbidden():
 		return false
 	case !request.lastAttemptEnded():
-		return false // one attempt at a time
+		return false // a request has only one attempt in flight
 	}
 	return attempt.Index < d.settings.MaxAttempts && attempt.sentAt < attempt.ExpiresAt
 }
 
-// retryForbidden reports whether the request's class forbids the attempt because an earlier one
-// may have been executed. If the class permits retries only within the window of an idempotency
-// key, retryForbidden sets SendDeadline to the end of the window: the attempt may wait for a
-// connection, and it must not be written when the server no longer knows its key.
+// retryForbidden reports whether the request's class forbids the attempt because a server may have
+// executed an earlier attempt.
+//
+// If the class permits retries within the window of an idempotency key, retryForbidden also sets
+// SendDeadline to the end of that window. After the window, the server has forgotten the key. An
+// attempt that still waits for a connection then must not be written.
 func (a *Attempt) retryForbidden() bool {
 	earlier := a.Request.firstPossiblyExecuted()
 	if earlier == nil {
@@ -176,8 +182,8 @@
 }
 
 // cancelAttempt asks the transport to cancel an attempt. The attempt ends when the transport
-// reports its completion; if the result of the completion is Canceled, the given result replaces
-// it.
+// reports its completion. If the completion has the result Canceled, the dispatcher replaces that
+// result by the given result.
 func (d *Dispatcher) cancelAttempt(attempt *Attempt, result routing.Result) {
 	if attempt.ended || attempt.cancelRequested {
 		return
@@ -190,9 +196,9 @@
 	}
 }
 
-// handleCompletion ends an attempt. It responds to the request if the attempt was served or its
-// completion is final, and reports the outcome to the decision module, which otherwise decides
-// what follows.
+// handleCompletion ends an attempt and reports its outcome to the decision module. If the attempt
+// was served, or if its completion is final, handleCompletion responds to the request. Otherwise
+// the module decides whether a retry or a response follows.
 func (d *Dispatcher) handleCompletion(completion *Completion) {
 	attempt := completion.Attempt
 	request := attempt.Request
@@ -219,9 +225,10 @@
 	}
 }
 
-// delayCompletion reports whether a completion must wait for cancelTransit, and schedules its
-// handling if so. If the attempt expires within that time, the completion does not wait: no retry
-// can follow, and the response need not be delayed.
+// delayCompletion reports whether the handling of a completion must be delayed by cancelTransit. If
+// it must, delayCompletion schedules the handling. If the attempt expires before the delay ends,
+// the completion is handled without delay: no retry can follow, and waiting would only delay the
+// response.
 func (d *Dispatcher) delayCompletion(completion *Completion) bool {
 	attempt := completion.Attempt
 	resumeAt := d.clock.Now() + cancelTransit
@@ -238,7 +245,7 @@
 	return true
 }
 
-// outcome converts a completion to the form that the decision module expects.
+// outcome converts a completion to the routing.Outcome that the decision module expects.
 func (d *Dispatcher) outcome(completion *Completion) routing.Outcome {
 	attempt := completion.Attempt
 	return routing.Outcome{
@@ -255,11 +262,12 @@
 	}
 }
 
-// resolvedCounter is the name of the counter of attempts that ended when their server was chosen;
-// see Resolved.
+// resolvedCounter is the name of the counter of attempts that ended as soon as their server was
+// chosen; see Resolved.
 const resolvedCounter = "attempts_named"
 
-// resultCounters are the names of the counters of all other attempts, by result.
+// resultCounters are the names of the counters of the attempts that resolvedCounter does not count,
+// indexed by result.
 var resultCounters = [...]string{
 	routing.Served:         "attempts_served",
 	routing.ServerError:    "attempts_errored",
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,13 +1,14 @@
 // Package dispatch runs the decision module (package routing) on the requests of one router.
-// Frontends submit requests, and transports carry out their attempts. The Dispatcher between them
-// converts requests, completions and timers into events for the module, and the module's actions
-// into attempts, cancellations, timers and responses. The package does not depend on a wire
-// format.
+// Frontends submit requests, and transports carry out the attempts of the requests. The Dispatcher
+// connects them to the module: it converts requests, completions and timers into events for the
+// module, and the module's actions into attempts, cancellations, timers and responses. The package
+// does not depend on a wire format.
 //
 // The Dispatcher owns the module, the open requests and all timers; only the goroutine of Run
-// accesses them. Other goroutines send messages to the dispatcher's mailbox: Submit, Disconnect,
-// Complete and the other methods that say so may be called from any goroutine. The dispatcher
-// never waits for a transport or a frontend, so that they may wait for room in its mailbox.
+// accesses them. Other goroutines send messages to the dispatcher's mailbox. The methods that do
+// so, such as Submit, Disconnect and Complete, may be called from any goroutine. Transports and
+// frontends may wait for room in the mailbox without a deadlock, because the dispatcher never waits
+// for them.
 //
 // Times are in Unix milliseconds of the clock that is passed to New.
 package dispatch
@@ -47,7 +48,7 @@
 	timers          timerHeap
 	drainBy         float64 // time by which all requests must be answered; 0: not draining
 
-	pendingEvents []routing.Event  // not yet handled by the module, in order; see notifyRouter
+	pendingEvents []routing.Event  // events that the module has not handled yet, in order; see notifyRouter
 	actions       []routing.Action // the module's actions; the slice is reused between events
 
 	ejectedCount     atomic.Int64
@@ -56,8 +57,9 @@
 	ejectedBuffer    []routing.ServerID // reused by publishEjections
 }
 
-// New returns a dispatcher that is not running. The seed makes the random choices of routers
-// differ. If the settings are not valid, New returns an error that names the setting.
+// New returns a dispatcher that is not running. The seed initializes the random choices of the
+// module; routers with different seeds choose differently. If the settings are not valid, New
+// returns an error that names the invalid setting.
 func New(clk clock.Clock, settings routing.Settings, seed uint64, registry *metrics.Registry) (*Dispatcher, error) {
 	router, err := routing.New(settings, seed)
 	if err != nil {
@@ -105,43 +107,44 @@
 	}
 }
 
-// Submit passes a request to the dispatcher, which calls Respond exactly once unless the client
-// disconnects first. Submit returns false if the dispatcher has stopped; Respond is not called in
-// this case. Any goroutine may call it, and it waits for room in the mailbox.
+// Submit passes a request to the dispatcher. The dispatcher calls request.Respond exactly once, but
+// not after the client has disconnected. If the dispatcher has stopped, Submit returns false and
+// Respond is not called. Any goroutine may call Submit; the call waits for room in the mailbox.
 func (d *Dispatcher) Submit(request *Request) bool { return d.enqueue(submitMessage{request}) }
 
 // Disconnect reports that the client of a submitted request has disconnected. Any goroutine may
-// call it.
+// call Disconnect.
 func (d *Dispatcher) Disconnect(request *Request) {
 	request.disconnected.Store(true)
 	d.enqueue(disconnectMessage{request})
 }
 
-// DrainBy makes the dispatcher answer every request, open now or submitted later, by the deadline,
-// in Unix milliseconds. The process is killed soon after the deadline. Any goroutine may call it.
+// DrainBy makes the dispatcher answer all requests by the deadline, in Unix milliseconds, because
+// the process is killed soon after it. The deadline applies to the requests that are open now and
+// to those that are submitted later. Any goroutine may call DrainBy.
 func (d *Dispatcher) DrainBy(deadline float64) { d.enqueue(drainMessage{deadline}) }
 
 // Complete reports the end of an attempt that its transport had accepted. Any goroutine may call
-// it.
+// Complete.
 func (d *Dispatcher) Complete(completion Completion) { d.enqueue(completionMessage{&completion}) }
 
-// HandleWatchEvent passes a watch event, which is a change of the endpoint list or a purge, to the
-// dispatcher. Any goroutine may call it.
+// HandleWatchEvent passes a watch event to the dispatcher. A watch event is a change of the
+// endpoint list or a purge. Any goroutine may call HandleWatchEvent.
 func (d *Dispatcher) HandleWatchEvent(event platformconfig.WatchEvent) {
 	d.enqueue(watchMessage{event})
 }
 
-// Reload replaces the settings. The caller must have checked that the new settings differ from the
-// current ones only where a change is allowed at run time. Any goroutine may call it.
+// Reload replaces the settings. Some settings must not change at run time: the caller must have
+// checked that the new settings do not change them. Any goroutine may call Reload.
 func (d *Dispatcher) Reload(settings routing.Settings) { d.enqueue(reloadMessage{settings}) }
 
 // notifyRouter passes an event to the decision module and executes the actions that the module
-// returns. These actions may cause further events: nested calls only append them to pendingEvents,
-// and the outermost call handles them in order.
+// returns. An action may cause another event, and thus a nested call of notifyRouter. A nested call
+// only appends its event to pendingEvents. The outermost call handles all pending events in order.
 func (d *Dispatcher) notifyRouter(event routing.Event) {
 	d.pendingEvents = append(d.pendingEvents, event)
 	if len(d.pendingEvents) > 1 {
-		return // the outermost call handles it
+		return // the outermost call handles the event
 	}
 	for i := 0; i < len(d.pendingEvents); i++ {
 		now := clock.Duration(d.clock.Now())
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -50,8 +50,8 @@
 	}}
 }
 
-// newDispatcher returns a dispatcher that knows the endpoint list and is not running: tests apply
-// its messages and fire its timers.
+// newDispatcher returns a dispatcher that knows the endpoint list. The dispatcher is not running:
+// tests apply its messages and fire its timers.
 func newDispatcher(tb testing.TB, clk clock.Clock, settings routing.Settings) *Dispatcher {
 	tb.Helper()
 	dispatcher, err := New(clk, settings, 1, metrics.New())
@@ -62,14 +62,15 @@
 	return dispatcher
 }
 
-// complete reports the end of an attempt.
+// complete reports the end of an attempt with the given result.
 func complete(dispatcher *Dispatcher, attempt *Attempt, result routing.Result) {
 	completion := &Completion{Attempt: attempt, Result: result, Response: Response{Kind: Served}, Load: UnknownLoad()}
 	completionMessage{completion}.apply(dispatcher)
 }
 
-// dispatcherModel checks what must hold for a dispatcher, using only the calls to it and from it.
-// It is the transport of all requests, and a script of random bytes selects the steps.
+// dispatcherModel checks the guarantees of a dispatcher. It observes only the calls to the
+// dispatcher and the calls that the dispatcher makes. The model is the transport of all requests. A
+// script of random bytes selects its steps.
 type dispatcherModel struct {
 	t           *testing.T
 	dispatcher  *Dispatcher
@@ -82,7 +83,7 @@
 	unavailable map[routing.ServerID]bool
 }
 
-// requestState is what the model knows of a request.
+// requestState is the state of a request, as the model observes it.
 type requestState struct {
 	request                  *Request
 	attempts, inFlight       int
@@ -108,7 +109,8 @@
 	return int(next)
 }
 
-// Send implements Transport. It checks that the attempt is allowed, and accepts or refuses it.
+// Send implements Transport. It checks that the dispatcher may start the attempt. It then accepts
+// the attempt or returns a completion, as the script selects.
 func (m *dispatcherModel) Send(attempt *Attempt) *Completion {
 	state := m.states[attempt.Request]
 	state.attempts++
@@ -134,11 +136,11 @@
 	case state.attempts > 6 || attempt.Index != state.attempts-1:
 		m.t.Fatalf("attempt number %d of a request has index %d, want at most 6 attempts with consecutive indexes", state.attempts, attempt.Index)
 	case state.inFlight > 0:
-		m.t.Fatal("attempt started while another one of its request is in flight")
+		m.t.Fatal("attempt started while another attempt of the same request is in flight")
 	case state.responses > 0 || state.disconnected || now >= state.request.Deadline:
 		m.t.Fatal("attempt started for a request that has ended")
 	case m.unavailable[attempt.Decision.Server] || m.unavailable[attempt.Decision.FillSource]:
-		m.t.Fatal("attempt started with a draining server or fill source")
+		m.t.Fatal("attempt started whose server or fill source is draining")
 	case retry && class.Idempotency == routing.NonIdempotent:
 		m.t.Fatal("non-idempotent request retried although it may have been executed")
 	case retry && class.Idempotency == routing.IdempotentWithKey && now >= state.firstSentAt+1000:
@@ -166,8 +168,8 @@
 	}
 }
 
-// endAttempt ends one of the attempts in flight. notExecuted tells whether the attempt provably
-// was not executed.
+// endAttempt ends the attempt at the given index of inFlight. notExecuted tells whether the result
+// proves that no server executed the attempt.
 func (m *dispatcherModel) endAttempt(index int, result routing.Result, notExecuted bool) {
 	attempt := m.inFlight[index]
 	m.inFlight = append(m.inFlight[:index:index], m.inFlight[index+1:]...)
@@ -179,7 +181,8 @@
 	complete(m.dispatcher, attempt, result)
 }
 
-// advance moves the clock forward by ms milliseconds and stops at each timer on the way.
+// advance moves the clock forward by the given number of milliseconds. It stops at each timer on
+// the way and fires it.
 func (m *dispatcherModel) advance(ms float64) {
 	rounds := 0
 	for end := m.clock.Now() + ms; m.clock.Now() < end; m.dispatcher.fireTimers() {
@@ -236,7 +239,7 @@
 	}
 }
 
-// endCanceled ends the attempts that the dispatcher asked to cancel.
+// endCanceled ends the attempts that the dispatcher has asked the transport to cancel.
 func (m *dispatcherModel) endCanceled() {
 	for len(m.canceled) > 0 {
 		attempt := m.canceled[0]
@@ -267,9 +270,9 @@
 	watchMessage{platformconfig.WatchEvent{ListUpdate: true, Endpoints: []platformconfig.Endpoint{endpoint(id, 0, phase)}}}.apply(m.dispatcher)
 }
 
-// FuzzDispatcher checks that each request gets one response by its deadline, that its attempts
-// never overlap, and that a request that may have been executed is not executed again unless its
-// class permits it, whatever transports and clients do.
+// FuzzDispatcher checks the guarantees of the dispatcher for arbitrary behavior of transports and
+// clients. Each request gets one response by its deadline. The attempts of a request never overlap.
+// A request that may have been executed is sent again only if its class permits that.
 func FuzzDispatcher(f *testing.F) {
 	fuzzutil.AddRandomSeeds(f, 48, 600)
 	f.Fuzz(func(t *testing.T, script []byte) {
@@ -277,7 +280,7 @@
 		for len(model.script) > 0 {
 			model.runStep()
 		}
-		model.advance(20_000) // no attempt ends from now on: the dispatcher responds at the deadline
+		model.advance(20_000) // no attempt ends during this time, so that the dispatcher responds at the deadlines
 		for i, state := range model.requests {
 			if state.responses == 0 && !state.disconnected {
 				t.Errorf("request %d has no response", i)
@@ -292,8 +295,8 @@
 	})
 }
 
-// TestRequestsGetSmallIDs checks that the module does not get a client's 64-bit id, which would
-// lose bits when the module shifts it into a timer token.
+// TestRequestsGetSmallIDs checks that the module gets small sequential ids instead of the clients'
+// 64-bit ids. A 64-bit id would lose bits when the module shifts it into a timer token.
 func TestRequestsGetSmallIDs(t *testing.T) {
 	model := newModel(t, []byte{1, 1})
 	for i, transactionID := range []string{"ffffffffffffffff", "fffffffffffffffe"} {
@@ -305,9 +308,9 @@
 	}
 }
 
-// TestDuplicateTransactionID checks that a request with the transaction id of an open one is
-// refused without an attempt, that neither it nor the disconnect of its client affects the open
-// request, and that the id can be used again later.
+// TestDuplicateTransactionID checks that a request is refused without an attempt if its transaction
+// id belongs to an open request. Neither the refused request nor the disconnect of its client
+// affects the open request. After the response to the open request, the id can be used again.
 func TestDuplicateTransactionID(t *testing.T) {
 	model := newModel(t, []byte{1, 1, 1})
 	var got [3][]ResponseKind
--- a/internal/dispatch/ejection.go
+++ b/internal/dispatch/ejection.go
@@ -7,13 +7,13 @@
 	"garnetline/routing"
 )
 
-// PublishEjected makes the dispatcher publish the list of ejected servers, which Ejected returns.
-// It must be called before Run.
+// PublishEjected makes the dispatcher publish the list of ejected servers, so that Ejected returns
+// it. PublishEjected must be called before Run.
 func (d *Dispatcher) PublishEjected() { d.publishesEjected = true }
 
-// Ejected returns the servers that the module's outlier detection has ejected, as of the last
-// message or timer. It returns nil unless PublishEjected was called. The returned slice is never
-// modified. Any goroutine may call it.
+// Ejected returns the servers that the module's outlier detection has ejected. The list is as of
+// the last message or timer that the dispatcher handled. Ejected returns nil if PublishEjected was
+// not called. The returned slice is never modified. Any goroutine may call Ejected.
 func (d *Dispatcher) Ejected() []routing.ServerID {
 	if ejected := d.ejected.Load(); ejected != nil {
 		return *ejected
@@ -21,8 +21,8 @@
 	return nil
 }
 
-// EjectedCount returns how many servers the module has ejected, as of the last message or
-// timer. Any goroutine may call it.
+// EjectedCount returns the number of servers that the module has ejected, as of the last message or
+// timer that the dispatcher handled. Any goroutine may call EjectedCount.
 func (d *Dispatcher) EjectedCount() int64 { return d.ejectedCount.Load() }
 
 // publishEjections publishes the number of ejected servers and, if PublishEjected was called,
@@ -40,23 +40,23 @@
 	d.ejected.Store(&ejected)
 }
 
-// ReportLoad passes on the load of a server that another router measured ageMs milliseconds ago.
-// Any goroutine may call it. It does not wait: a report is dropped if the mailbox is full, because
-// an old report is useless.
+// ReportLoad tells the decision module the load of a server. Another router measured the load ageMs
+// milliseconds ago. ReportLoad does not wait: if the mailbox is full, it drops the report, because
+// an old report is useless. Any goroutine may call ReportLoad.
 func (d *Dispatcher) ReportLoad(id routing.ServerID, load routing.LoadReport, ageMs float64) {
 	d.offer(peerMessage{routing.PeerLoadReport{Server: id, Load: load, Age: clock.Duration(ageMs)}})
 }
 
-// ExtendEjection keeps an ejected server ejected for at least ms milliseconds from now. Like
-// ReportLoad, it does not wait and may be dropped.
-func (d *Dispatcher) ExtendEjection(id routing.ServerID, ms float64) {
-	until := clock.Duration(d.clock.Now() + ms)
+// ExtendEjection keeps an ejected server ejected for at least durationMs milliseconds from now.
+// Like ReportLoad, ExtendEjection does not wait, and drops the message if the mailbox is full.
+func (d *Dispatcher) ExtendEjection(id routing.ServerID, durationMs float64) {
+	until := clock.Duration(d.clock.Now() + durationMs)
 	d.offer(peerMessage{routing.ExtendEjection{Server: id, Until: until}})
 }
 
-// RequireProbe tells the decision module that other routers ejected a server: the module must
-// probe the server by a single request before it sends more. Like ReportLoad, it does not wait and
-// may be dropped.
+// RequireProbe tells the decision module that other routers ejected a server. The module then
+// probes the server with one request before it sends further requests to the server. Like
+// ReportLoad, RequireProbe does not wait, and drops the message if the mailbox is full.
 func (d *Dispatcher) RequireProbe(id routing.ServerID) {
 	d.offer(peerMessage{routing.RequireProbe{Server: id}})
 }
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -6,8 +6,9 @@
 	"garnetline/routing"
 )
 
-// EndpointListener is notified of each change of the endpoint list, on the dispatcher's goroutine
-// and before the decision module is notified. UpdateEndpoints must not block.
+// EndpointListener is notified of each change of the endpoint list. UpdateEndpoints is called on
+// the dispatcher's goroutine, before the decision module is notified of the change. UpdateEndpoints
+// must not block.
 type EndpointListener interface {
 	UpdateEndpoints(event platformconfig.WatchEvent)
 }
@@ -32,9 +33,9 @@
 	}
 }
 
-// endpointUpdate converts a change of the endpoint list to the form that the decision module
-// expects. The list gives the start times of servers in wall clock time; endpointUpdate converts
-// them to the dispatcher's clock.
+// endpointUpdate converts a change of the endpoint list to the routing.EndpointUpdate that the
+// decision module expects. The list gives the start times of servers in wall clock time;
+// endpointUpdate converts the start times to the dispatcher's clock.
 func (d *Dispatcher) endpointUpdate(event platformconfig.WatchEvent) routing.EndpointUpdate {
 	update := routing.EndpointUpdate{Snapshot: event.Snapshot}
 	step := clock.Duration(clock.WallClockStep(d.clock))
--- a/internal/dispatch/lifecycle_test.go
+++ b/internal/dispatch/lifecycle_test.go
@@ -23,8 +23,8 @@
 func (h *hangingTransport) Cancel(attempt *Attempt) { h.canceled = append(h.canceled, attempt) }
 func (h *hangingTransport) Release(*Attempt)        {}
 
-// testHarness is a dispatcher with a manual clock and servers that never answer. Tests apply its
-// messages and fire its timers.
+// testHarness is a dispatcher with a manual clock, whose servers never answer. Tests apply the
+// messages of the dispatcher and fire its timers.
 type testHarness struct {
 	*Dispatcher
 	clock     *clock.Manual
@@ -42,7 +42,8 @@
 	return &testHarness{Dispatcher: newDispatcher(t, clk, changed), clock: clk, responses: map[*Request][]Response{}}
 }
 
-// submit submits a request whose client waits for ms milliseconds.
+// submit submits a request with the given class. The client of the request gives up after the given
+// number of milliseconds.
 func (h *testHarness) submit(class int, ms float64) *Request {
 	request := &Request{Class: class, Object: 7, Deadline: h.clock.Now() + ms, Transport: &h.transport}
 	request.Respond = func(response Response) { h.responses[request] = append(h.responses[request], response) }
@@ -57,23 +58,23 @@
 	}
 }
 
-// TestShortDeadline checks that the client of a very short request gets its response before it
-// gives up: the dispatcher's wait for the module's decision is limited to a share of the time that
-// the request had.
+// TestShortDeadline checks that the client of a request with a very short deadline gets its
+// response before it gives up. After the deadline, the dispatcher waits for the decision of the
+// module, but only for a share of the time that the request had.
 func TestShortDeadline(t *testing.T) {
 	for _, ms := range []float64{20, 45, 180, 1480} {
 		harness := newHarness(t, nil)
 		request := harness.submit(idempotentClass, ms)
 		harness.advance(ms + 1 + ms*responseGraceShare)
 		if len(harness.responses[request]) != 1 {
-			t.Errorf("deadline of %v ms: want exactly one response by %v ms after it", ms, 1+ms*responseGraceShare)
+			t.Errorf("deadline of %v ms: got no response or several, want exactly one by %v ms after the deadline", ms, 1+ms*responseGraceShare)
 		}
 	}
 }
 
 // TestDrainBy checks that requests that wait for a hanging cache are answered by the drain
-// deadline, before the process is killed, whether they were open at the drain or were submitted
-// later.
+// deadline, before the process is killed. The deadline applies to requests that were open when the
+// drain began and to requests that were submitted later.
 func TestDrainBy(t *testing.T) {
 	harness := newHarness(t, nil)
 	open := harness.submit(idempotentClass, 6000)
@@ -93,7 +94,8 @@
 	if len(harness.transport.canceled) != 2 {
 		t.Errorf("got %d canceled attempts, want 2", len(harness.transport.canceled))
 	}
-	// A request that was never sent is harmless to retry, and its response says so.
+	// A request that was never sent can be retried without harm. It gets a response of kind
+	// Rejected.
 	harness = newHarness(t, nil)
 	request := harness.submit(idempotentClass, 6000)
 	for len(harness.transport.sent) > 0 {
@@ -106,9 +108,9 @@
 	}
 }
 
-// TestRetryForbidden checks that a retry that had to wait for a connection is not written after
-// the window of its idempotency key, and that a request that must not be executed twice is not
-// retried.
+// TestRetryForbidden checks that the dispatcher forbids a retry that could make a server execute a
+// request twice. A retry that waits for a connection is not written after the window of its
+// idempotency key. A non-idempotent request is not retried.
 func TestRetryForbidden(t *testing.T) {
 	harness := newHarness(t, nil)
 	request := harness.submit(keyedClass, 3000)
@@ -122,7 +124,7 @@
 	if attempt := harness.transport.sent[1]; first.SendDeadline != 0 || attempt.SendDeadline != startTime+1000 {
 		t.Errorf("got send deadline %v for the retry, want 1000 and none for the first attempt", attempt.SendDeadline-startTime)
 	}
-	// The dispatcher forbids the retry whatever the module decides.
+	// The dispatcher forbids the retry even if the module decides to send it.
 	for class, want := range map[int]bool{idempotentClass: false, keyedClass: true, nonIdempotentClass: true} {
 		request := &Request{Class: class, attempts: []*Attempt{{sentAt: startTime, ended: true}}}
 		attempt := &Attempt{Request: request, Class: &harness.settings.Classes[class], sentAt: startTime + 1000}
@@ -138,16 +140,16 @@
 	}
 }
 
-// TestDisconnectedClientIsNotForwarded checks that no attempt is sent for a client that
-// disconnected between attempts or while the module had its request queued, even before the
-// dispatcher has handled the disconnect message.
+// TestDisconnectedClientIsNotForwarded checks that no attempt is sent for a client that has
+// disconnected. The client may disconnect between two attempts, or while the module has its request
+// queued. No attempt is sent even if the dispatcher has not handled the disconnect message yet.
 func TestDisconnectedClientIsNotForwarded(t *testing.T) {
 	harness := newHarness(t, nil)
 	request := harness.submit(idempotentClass, 6000)
-	harness.Disconnect(request) // the message stays in the mailbox until after the attempt ends
+	harness.Disconnect(request) // the message stays in the mailbox until the attempt has ended
 	complete(harness.Dispatcher, harness.transport.sent[0], routing.ServerError)
 	if len(harness.transport.sent) != 1 {
-		t.Errorf("got %d attempts for a client that disconnected, want 1", len(harness.transport.sent))
+		t.Errorf("got %d attempts for a disconnected client, want 1", len(harness.transport.sent))
 	}
 	(<-harness.mailbox).apply(harness.Dispatcher)
 	if n := harness.metrics.Counter("clients_gone_waiting").Load(); n > 1 || len(harness.openRequests) != 0 {
@@ -195,8 +197,8 @@
 	}
 }
 
-// TestWallClockStep checks that a step of the wall clock while the router runs does not change the
-// age of a purge or of a server, whose times are given in wall clock time.
+// TestWallClockStep checks that setting the wall clock while the router runs does not change the
+// age of a purge or of a server. Purges and endpoint lists give times in wall clock time.
 func TestWallClockStep(t *testing.T) {
 	for _, step := range []float64{-3_600_000, 0, 3_600_000} {
 		harness := newHarness(t, nil)
@@ -214,9 +216,9 @@
 	}
 }
 
-// TestRetryWaitsForCancelTransit checks that a retry waits for cancelTransit after a cancel or a
-// lost connection. A retry that is sent at once can overtake the cancel or the end of the
-// connection, and the request is then executed twice at the same time.
+// TestRetryWaitsForCancelTransit checks that a retry is sent cancelTransit after a cancel or a lost
+// connection. Without the delay, the retry could overtake the cancel or the end of the connection,
+// and the request would be executed twice at the same time.
 func TestRetryWaitsForCancelTransit(t *testing.T) {
 	for _, result := range []routing.Result{routing.Canceled, routing.ConnectionLost} {
 		harness := newHarness(t, nil)
@@ -245,8 +247,9 @@
 	}
 }
 
-// TestExpiredAttemptCompletesAtOnce checks that a response does not wait for cancelTransit when no
-// retry can follow: when the attempt expires, the client is told at once that a retry is harmless.
+// TestExpiredAttemptCompletesAtOnce checks that the response is not delayed by cancelTransit if no
+// retry can follow. When the attempt expires, the client is told immediately that it may retry
+// without harm.
 func TestExpiredAttemptCompletesAtOnce(t *testing.T) {
 	harness := newHarness(t, nil)
 	request := harness.submit(idempotentClass, 1480)
@@ -261,8 +264,8 @@
 }
 
 // TestReloadShortensKeyWindow checks that settings that are reloaded while a request is open apply
-// to its next attempt: no retry is sent after the new window of its idempotency key, nor beyond
-// the new limit of attempts.
+// to its next attempt. No retry is sent after the end of the new idempotency key window. No retry
+// exceeds the new limit of attempts.
 func TestReloadShortensKeyWindow(t *testing.T) {
 	for _, test := range []struct {
 		name         string
@@ -285,7 +288,7 @@
 		complete(harness.Dispatcher, harness.transport.sent[0], routing.ServerError)
 		harness.advance(100)
 		if last := harness.transport.sent[len(harness.transport.sent)-1]; len(harness.transport.sent) != test.sent || last.SendDeadline != test.sendDeadline {
-			t.Errorf("%s: got %d attempts, the last with send deadline %v", test.name, len(harness.transport.sent), last.SendDeadline-startTime)
+			t.Errorf("%s: got %d attempts, the last with send deadline %v; want the values of the test case", test.name, len(harness.transport.sent), last.SendDeadline-startTime)
 		}
 		if responses := harness.responses[request]; test.sent == 1 && (len(responses) != 1 || responses[0].Kind != Failed) {
 			t.Errorf("%s: got responses %+v, want one of kind Failed", test.name, responses)
@@ -293,9 +296,9 @@
 	}
 }
 
-// TestDisconnectCancelsAttempt checks that the attempt for a client that disconnects is canceled
-// once, that its late completion causes no response, and that the client may reuse its transaction
-// id at once.
+// TestDisconnectCancelsAttempt checks the attempt of a client that disconnects. The attempt is
+// canceled once, and its late completion causes no response. The client may reuse its transaction
+// id immediately.
 func TestDisconnectCancelsAttempt(t *testing.T) {
 	harness := newHarness(t, nil)
 	submit := func() *Request {
--- a/internal/dispatch/messages.go
+++ b/internal/dispatch/messages.go
@@ -18,7 +18,7 @@
 	completionMessage struct{ completion *Completion }
 	watchMessage      struct{ event platformconfig.WatchEvent }
 	reloadMessage     struct{ settings routing.Settings }
-	// peerMessage carries an event for the decision module that another router caused.
+	// peerMessage carries an event, caused by another router, for the decision module.
 	peerMessage struct{ event routing.Event }
 )
 
@@ -41,7 +41,7 @@
 	}
 }
 
-// offer puts a message into the mailbox if there is room, and drops it otherwise.
+// offer puts a message into the mailbox if there is room in it. Otherwise, offer drops the message.
 func (d *Dispatcher) offer(m message) {
 	select {
 	case d.mailbox <- m:
@@ -49,16 +49,16 @@
 	}
 }
 
-// applySettings replaces the settings. It keeps the current ones if the module rejects the new
-// ones.
+// applySettings replaces the settings. If the module rejects the new settings, applySettings keeps
+// the current settings.
 func (d *Dispatcher) applySettings(settings routing.Settings) {
 	if err := d.router.UpdateSettings(settings); err == nil {
 		d.settings = settings
 	}
 }
 
-// handleDrain makes the dispatcher answer all requests, open now or submitted later, by the
-// deadline.
+// handleDrain makes the dispatcher answer all requests by the deadline: the requests that are open
+// now, and those that are submitted later.
 func (d *Dispatcher) handleDrain(deadline float64) {
 	d.drainBy = deadline
 	for _, request := range d.openRequests {
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -13,21 +13,21 @@
 
 // The kinds of responses.
 const (
-	// Failed says that the request was not served and may have been executed.
+	// Failed says that the request was not served. A server may have executed the request.
 	Failed ResponseKind = iota
-	// Rejected says that the request was not served and that a retry after
-	// Response.RetryAfter is harmless.
+	// Rejected says that the request was not served. The client may retry it without harm after
+	// Response.RetryAfter.
 	Rejected
 	// Served carries the body of a server's response.
 	Served
 	// NotModified says that the client's copy is current.
 	NotModified
-	// DuplicateID says that another request with the same transaction id is open. The request
-	// was not processed.
+	// DuplicateID says that the request was not processed, because another request with the same
+	// transaction id is open.
 	DuplicateID
 )
 
-// Response is the one final response to a request.
+// Response is the response to a request. Each request gets at most one.
 type Response struct {
 	Kind       ResponseKind
 	Body       []byte
@@ -36,8 +36,9 @@
 	Server     routing.ServerID
 }
 
-// Request is a client's request that a frontend submits. The dispatcher owns it from Submit on.
-// The frontend must not change the bytes of Body until the attempt that carries them has ended.
+// Request is a client's request that a frontend submits. After Submit, the dispatcher owns the
+// request. The frontend must not change the bytes of Body while an attempt that carries them is in
+// flight.
 type Request struct {
 	TransactionID  string // the client's id, passed on unchanged; empty: the client sent none
 	IdempotencyKey string // empty: the client sent none
@@ -46,7 +47,7 @@
 	Object         routing.ObjectID
 	Chunk          int
 	PurgeGroup     int
-	SizeKB         float64 // size of the chunk, in the unit of the link settings; 0: unknown
+	SizeKB         float64 // size of the chunk in kilobytes, as in the link settings; 0: unknown
 	Body           []byte
 	Deadline       float64        // time at which the client gives up
 	Transport      Transport      // carries out the attempts
@@ -60,15 +61,16 @@
 	disconnected atomic.Bool
 }
 
-// ClientInfo tells when and from where a request arrived. Traces show it.
+// ClientInfo tells when and from which address a request arrived. Traces show both.
 type ClientInfo struct {
-	ReceivedAt  float64 // when the request's last byte arrived; 0: the time at which the dispatcher received it is used
+	ReceivedAt  float64 // when the request's last byte arrived; 0: traces show when the dispatcher received the request
 	TraceParent string  // value of the traceparent header, not validated
 	Address     string
 }
 
-// ClientDisconnected reports whether the client has disconnected. No attempt is sent for the
-// request after that. Any goroutine may call it, and it does not wait for the dispatcher.
+// ClientDisconnected reports whether the client has disconnected. After that, no further attempt is
+// sent for the request. Any goroutine may call ClientDisconnected; the call does not wait for the
+// dispatcher.
 func (r *Request) ClientDisconnected() bool { return r.disconnected.Load() }
 
 // lastAttemptEnded reports whether no attempt is in flight.
@@ -77,8 +79,9 @@
 	return count == 0 || r.attempts[count-1].ended
 }
 
-// firstPossiblyExecuted returns the first attempt that a server may have executed, or nil if there
-// is none. An attempt in flight counts too.
+// firstPossiblyExecuted returns the first attempt that a server may have executed, or nil if no
+// server may have executed the request. A server may also have executed an attempt that is in
+// flight.
 func (r *Request) firstPossiblyExecuted() *Attempt {
 	for _, attempt := range r.attempts {
 		if !attempt.notExecuted {
@@ -88,8 +91,8 @@
 	return nil
 }
 
-// releaseBody drops the reference to the body of an answered request when no attempt is in flight.
-// The request itself stays in memory until its deadline timer has fired.
+// releaseBody drops the reference to the body of an answered request if no attempt is in flight.
+// The Request itself stays in memory until its deadline timer fires.
 func (r *Request) releaseBody() {
 	if r.lastAttemptEnded() {
 		r.Body = nil
@@ -113,8 +116,8 @@
 }
 
 // ValidFieldValue reports whether an entity tag or idempotency key can be written into a
-// transport's fields without escaping: it has 1 to maxFieldValueLength bytes, all of them letters,
-// digits and punctuation marks that cannot end a field.
+// transport's fields without escaping. A valid value has from 1 to maxFieldValueLength bytes. All
+// of them are letters, digits or punctuation marks that cannot end a field.
 func ValidFieldValue(value string) bool {
 	if value == "" || len(value) > maxFieldValueLength {
 		return false
@@ -127,18 +130,21 @@
 	return true
 }
 
-// The dispatcher waits for the module's decision until responseGrace ms after the deadline of a
-// request, and then responds by itself. responseGraceShare limits this wait to a share of the
-// time that the request had: a client that waits for 50 ms would not wait for 5 ms more.
+// After the deadline of a request, the dispatcher waits another responseGrace ms for the decision
+// of the module. It then responds without that decision. responseGraceShare limits the wait to a
+// share of the time from the arrival of the request to its deadline: a client with a timeout of 50
+// ms would not wait for 5 ms more.
 const (
 	responseGrace      = 5.0
 	responseGraceShare = 0.05
 )
 
 // handleRequest opens a request and passes it to the decision module. The request gets a small
-// sequential id: the module shifts ids into timer tokens, where a client's 64-bit id would lose
-// bits. A request with the transaction id of an open one is refused, because the caches would take
-// the two for the same request.
+// sequential id, because the module shifts ids into timer tokens, where a client's 64-bit id would
+// lose bits.
+//
+// handleRequest refuses a request whose transaction id belongs to an open request, because the
+// caches could not tell the two requests apart.
 func (d *Dispatcher) handleRequest(request *Request) {
 	if d.byTransactionID[request.TransactionID] != nil {
 		d.respond(request, Response{Kind: DuplicateID})
@@ -171,7 +177,7 @@
 	})
 }
 
-// handleDisconnect closes a request whose client has disconnected and sends no response.
+// handleDisconnect closes a request whose client has disconnected. It sends no response.
 func (d *Dispatcher) handleDisconnect(request *Request) {
 	if d.openRequests[request.id] != request {
 		return
@@ -185,9 +191,8 @@
 	d.closeRequest(request)
 }
 
-// handleDeadline responds to a request that has no response when its time is over. Without it, an
-// attempt that its transport cannot cancel in time would keep the client waiting past the
-// deadline.
+// handleDeadline responds to a request that has no response at its deadline. Without this timer, an
+// attempt that its transport cannot cancel in time would make the client wait past the deadline.
 func (d *Dispatcher) handleDeadline(request *Request) {
 	if d.openRequests[request.id] != request {
 		return
@@ -217,12 +222,12 @@
 func (d *Dispatcher) closeRequest(request *Request) {
 	d.removeRequest(request)
 	d.notifyRouter(routing.ClientDisconnected{ID: request.id})
-	for _, attempt := range request.attempts { // the module forgot the request and cancels none
+	for _, attempt := range request.attempts { // the module has forgotten the request and cancels no attempt
 		d.cancelAttempt(attempt, routing.Canceled)
 	}
 }
 
-// removeRequest removes a request from the open ones and frees its transaction id.
+// removeRequest removes a request from the open requests and frees its transaction id.
 func (d *Dispatcher) removeRequest(request *Request) {
 	delete(d.openRequests, request.id)
 	if d.byTransactionID[request.TransactionID] == request {
@@ -230,7 +235,7 @@
 	}
 }
 
-// responseCounters are the names of the counters of responses, by kind.
+// responseCounters are the names of the counters of responses, indexed by kind.
 var responseCounters = [...]string{
 	Failed:      "answers_failed",
 	Rejected:    "answers_refused",
@@ -239,8 +244,8 @@
 	DuplicateID: "answers_clash",
 }
 
-// respond sends the one response to a request, unless the request already has it or its client has
-// disconnected. No other function calls Request.Respond.
+// respond sends the response to a request. It does nothing if the request already has a response or
+// if its client has disconnected. No other function calls Request.Respond.
 func (d *Dispatcher) respond(request *Request, response Response) {
 	if request.responded {
 		return
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -8,14 +8,15 @@
 	"garnetline/routing"
 )
 
-// timer is an action that is due at a time. At most one of the pointers is set; if none is, the
-// timer belongs to the decision module.
+// timer is a point in time at which the dispatcher has to act. At most one of the pointers is set,
+// and says on which object the dispatcher acts. If no pointer is set, the timer belongs to the
+// decision module.
 type timer struct {
 	at         float64
-	request    *Request    // its deadline has passed
+	request    *Request    // the deadline of the request passes
 	attempt    *Attempt    // the attempt expires
-	completion *Completion // the delay of the completion is over
-	token      uint64      // identifies the module's timer
+	completion *Completion // the delay of the completion ends
+	token      uint64      // identifies the timer if it belongs to the module
 }
 
 func (d *Dispatcher) scheduleDeadline(at float64, request *Request) {
@@ -59,7 +60,7 @@
 	}
 }
 
-// timerHeap implements heap.Interface, the earliest timer first.
+// timerHeap implements heap.Interface. The earliest timer is first.
 type timerHeap []timer
 
 func (h timerHeap) Len() int           { return len(h) }
@@ -69,8 +70,8 @@
 // Push implements heap.Interface.
 func (h *timerHeap) Push(x any) { *h = append(*h, x.(timer)) }
 
-// Pop implements heap.Interface. It clears the slot, so that what the timer pointed to can be
-// garbage collected.
+// Pop implements heap.Interface. It clears the slot of the popped timer, so that the objects of
+// that timer can be garbage collected.
 func (h *timerHeap) Pop() any {
 	old := *h
 	last := len(old) - 1
--- a/internal/dispatch/tracing.go
+++ b/internal/dispatch/tracing.go
@@ -10,14 +10,15 @@
 type Tracer interface {
 	// Open begins the trace of a request.
 	Open(now float64, request *Request, class *routing.Class) RequestTrace
-	// Close receives the trace of a request that is done.
+	// Close receives the trace of a request when RequestTrace.Done has returned true.
 	Close(now float64, requestTrace RequestTrace)
 }
 
 // RequestTrace records the trace of one request. Its methods are called on the dispatcher's
 // goroutine and must not block.
 type RequestTrace interface {
-	// AttemptStarted returns the span context that is sent along with the attempt.
+	// AttemptStarted records the start of an attempt. It returns the span context that is sent
+	// along with the attempt.
 	AttemptStarted(now float64, decision routing.SendAttempt) trace.SpanContext
 	AttemptEnded(now float64, result routing.Result, bytes int, load routing.LoadReport, timing trace.WireTimes)
 	Responded(now float64, outcome trace.Outcome)
@@ -31,7 +32,7 @@
 	Timing  trace.WireTimes   // written by the transport before it reports the completion
 }
 
-// traceOutcomes are the outcomes in traces, by kind of response.
+// traceOutcomes are the outcomes that traces show, indexed by the kind of the response.
 var traceOutcomes = [...]trace.Outcome{
 	Failed:      trace.Failed,
 	Rejected:    trace.Rejected,
@@ -40,7 +41,7 @@
 	DuplicateID: trace.Failed,
 }
 
-// traceResponse records how a request ended, if it is traced.
+// traceResponse records how a request ended. It does nothing if the request is not traced.
 func (d *Dispatcher) traceResponse(request *Request, outcome trace.Outcome) {
 	if request.trace == nil {
 		return
@@ -49,7 +50,8 @@
 	d.closeTrace(request)
 }
 
-// traceCompletion records how an attempt ended, if its request is traced.
+// traceCompletion records how an attempt ended. It does nothing if the request of the attempt is
+// not traced.
 func (d *Dispatcher) traceCompletion(completion *Completion) {
 	attempt := completion.Attempt
 	request := attempt.Request
