--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -95,7 +95,7 @@
 	return endpoint
 }
 
-// publishEndpoint publishes the effective state of one listed server.
+// publishEndpoint publishes the given endpoint in its effective state; see effectiveState.
 func (w *Watcher) publishEndpoint(endpoint platformconfig.Endpoint) {
 	w.publish(platformconfig.WatchEvent{
 		Seq:        w.lastSeq,
@@ -139,7 +139,7 @@
 	return &guard
 }
 
-// nextReady returns the set of ready servers after an update of the endpoint list.
+// nextReady returns the set of ready servers that results from an update of the endpoint list.
 func nextReady(previous map[routing.ServerID]bool, event platformconfig.WatchEvent) map[routing.ServerID]bool {
 	ready := map[routing.ServerID]bool{}
 	if !event.Snapshot {
--- a/internal/discovery/apply_test.go
+++ b/internal/discovery/apply_test.go
@@ -67,12 +67,12 @@
 		watcher, events := newTestWatcher(changeLog.Addr().(*net.TCPAddr).AddrPort())
 		watcher.clock.(*clock.Manual).StepWallClock(step)
 		stop := startWatcher(t, watcher)
-		changeLog.Purge(9, uint64(now+step-50))
+		changeLog.Purge(9, uint64(startTime+step-50))
 		event := nextEvent(t, events)
 		for event.Purge == nil {
 			event = nextEvent(t, events)
 		}
-		at := clock.Duration(now)
+		at := clock.Duration(startTime)
 		guard := watcher.Guard()
 		if !guard.MayBeStale(at, 9, 0) || guard.MaxAge(at, 0, 9, 0).Round(time.Millisecond) != 50*time.Millisecond {
 			t.Errorf("wall clock step of %v ms: got stale copies possible %v and maximum age %v, want true and 50ms", step, guard.MayBeStale(at, 9, 0), guard.MaxAge(at, 0, 9, 0))
@@ -94,7 +94,7 @@
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		guard := &routing.Guard{PurgeRetention: 6 * time.Second}
 		model := guardModel{ready: map[routing.ServerID]bool{}, purgedAt: map[int]float64{}}
-		at := now
+		at := startTime
 		for i := 0; i+2 < len(steps); i += 3 {
 			id, argument := routing.ServerID(steps[i+1]%5), int(steps[i+2])
 			at += float64(argument * 10)
--- a/internal/discovery/disabled_test.go
+++ b/internal/discovery/disabled_test.go
@@ -38,10 +38,10 @@
 			Endpoints: []platformconfig.Endpoint{{Server: routing.Server{ID: disabledServer, Phase: routing.Ready}}}}},
 	}
 	notify := func(event platformconfig.WatchEvent) { events <- event }
-	watcher := NewWatcher(clock.NewManual(now), config, notify, metrics.New())
+	watcher := NewWatcher(clock.NewManual(startTime), config, notify, metrics.New())
 	clientConn, serverConn := net.Pipe()
 	watcher.dial = func(context.Context, netip.AddrPort) (net.Conn, error) { return clientConn, nil }
-	t.Cleanup(func() { _ = serverConn.Close() }) // runs after the watcher has stopped
+	t.Cleanup(func() { _ = serverConn.Close() }) // this cleanup runs after the cleanup that stops the watcher
 	go func() { _, _ = io.ReadFull(serverConn, make([]byte, 8)) }()
 	startWatcher(t, watcher)
 	return routerProcess{watcher, t, events}
@@ -85,13 +85,13 @@
 	second := startProcess(t, stateDir)
 	second.expectPhase(routing.Draining)
 	first.call(disabledServer, false, nil)
-	if server := first.expectPhase(routing.Ready); server.StartedAt != clock.Duration(now) {
+	if server := first.expectPhase(routing.Ready); server.StartedAt != clock.Duration(startTime) {
 		t.Errorf("got start %v of the enabled server, want the current time", server.StartedAt)
 	}
 	second.expectPhase(routing.Ready) // the second process reads the change from the store
 	second.call(disabledServer, true, nil)
 	first.expectPhase(routing.Draining)
-	for _, snapshot := range []bool{true, false} { // the list cannot enable the server
+	for _, snapshot := range []bool{true, false} { // the endpoint list must not enable the server
 		endpoint := platformconfig.Endpoint{Server: routing.Server{ID: disabledServer, Phase: routing.Ready}}
 		event := platformconfig.WatchEvent{ListUpdate: true, Snapshot: snapshot, Endpoints: []platformconfig.Endpoint{endpoint}}
 		if got := first.effectiveState(event.Endpoints[0]); got.Phase != routing.Draining {
--- a/internal/discovery/frame.go
+++ b/internal/discovery/frame.go
@@ -24,11 +24,11 @@
 	maxFrameLength = headerSize + recordSize*(8<<10) // room for 8192 records; every fleet has fewer servers
 )
 
-// frameKind is the type of a frame. The values are defined by the protocol.
+// frameKind is the type of a frame. The protocol defines the values.
 type frameKind byte
 
 const (
-	kindHeartbeat   frameKind = iota // no new event; the frame has the number of the last event
+	kindHeartbeat   frameKind = iota // no new event; the event number of the frame is that of the last event
 	kindSnapshot                     // records of all servers
 	kindChanges                      // records of the servers that changed
 	kindObjectPurge                  // object id (8 bytes) and time of the purge (8)
--- a/internal/discovery/gossip.go
+++ b/internal/discovery/gossip.go
@@ -9,7 +9,7 @@
 	"garnetline/routing"
 )
 
-// Times in milliseconds.
+// Durations in milliseconds.
 const (
 	// staleAfter is the age of the latest frame above which the watch counts as stale.
 	staleAfter = 1500.0
@@ -45,7 +45,7 @@
 // gossipedDrain is a drain of a server that a peer reported.
 type gossipedDrain struct {
 	started    time.Duration // start time of the draining server
-	receivedAt float64       // ms
+	receivedAt float64       // clock time in ms at which the report arrived
 }
 
 // gossipState is the part of the watcher's state that belongs to the fleet. It is the zero value if
--- a/internal/discovery/gossip_test.go
+++ b/internal/discovery/gossip_test.go
@@ -110,9 +110,9 @@
 // exclude the restarted server.
 func TestGossipedDrainOfEarlierStart(t *testing.T) {
 	fixture := newGossipFixture(t)
-	restarted := platformconfig.Endpoint{Server: routing.Server{ID: 8, Phase: routing.Ready, StartedAt: clock.Duration(now)}}
+	restarted := platformconfig.Endpoint{Server: routing.Server{ID: 8, Phase: routing.Ready, StartedAt: clock.Duration(startTime)}}
 	fixture.receive(kindChanges, platformconfig.WatchEvent{Seq: 3, ListUpdate: true, Endpoints: []platformconfig.Endpoint{restarted}})
-	fixture.receiveChanges(gossip.Change{Item: gossip.Item{Kind: gossip.Drain, Server: 8, StartedAt: now - 1}})
+	fixture.receiveChanges(gossip.Change{Item: gossip.Item{Kind: gossip.Drain, Server: 8, StartedAt: startTime - 1}})
 	fixture.clock.Advance(staleAfter + 1)
 	fixture.updateGossipedDrains()
 	fixture.expectReady("stale", 7, 8)
@@ -147,11 +147,11 @@
 	}
 	fixture.receiveChanges(gossip.Change{Item: gossip.Item{Kind: gossip.Ban, Server: 7}})
 	fixture.expectReady("enabled by a peer", 7, 8)
-	for object, purgedAt := range map[routing.ObjectID]float64{1: now - 50, 2: now - 6000, 3: now + maxFuturePurge} {
+	for object, purgedAt := range map[routing.ObjectID]float64{1: startTime - 50, 2: startTime - 6000, 3: startTime + maxFuturePurge} {
 		fixture.receiveChanges(gossip.Change{Item: gossip.Item{Kind: gossip.Purge, Object: object, PurgedAt: purgedAt}})
 		published := slices.ContainsFunc(fixture.Guard().Purges, func(purge routing.PurgeRecord) bool { return purge.Object == object })
 		if published != (object == 1) {
-			t.Errorf("purge at %+.0f ms: got published %v, want the opposite", purgedAt-now, published)
+			t.Errorf("purge at %+.0f ms: got published %v, want the opposite", purgedAt-startTime, published)
 		}
 	}
 	if len(fixture.peers.disabled) != 0 || len(fixture.peers.broadcast) != 0 {
@@ -165,18 +165,18 @@
 	fixture := newGossipFixture(t)
 	endpoints := func(phases ...routing.Phase) (list []platformconfig.Endpoint) {
 		for i, phase := range phases {
-			list = append(list, platformconfig.Endpoint{Server: routing.Server{ID: routing.ServerID(7 + i), Phase: phase, StartedAt: clock.Duration(now)}})
+			list = append(list, platformconfig.Endpoint{Server: routing.Server{ID: routing.ServerID(7 + i), Phase: phase, StartedAt: clock.Duration(startTime)}})
 		}
 		return list
 	}
 	phases := endpoints(routing.Draining, routing.Ready, routing.Removed)
 	fixture.receive(kindSnapshot, platformconfig.WatchEvent{Seq: 3, ListUpdate: true, Snapshot: true, Endpoints: phases})
 	fixture.receive(kindChanges, platformconfig.WatchEvent{Seq: 4, ListUpdate: true, Endpoints: phases})
-	fixture.receive(kindObjectPurge, platformconfig.WatchEvent{Seq: 5, Purge: &platformconfig.Purge{Object: 3, Group: 4, At: now}})
+	fixture.receive(kindObjectPurge, platformconfig.WatchEvent{Seq: 5, Purge: &platformconfig.Purge{Object: 3, Group: 4, At: startTime}})
 	want := []gossip.Item{
-		{Kind: gossip.Drain, Server: 7, StartedAt: now},
-		{Kind: gossip.Drain, Server: 9, StartedAt: now},
-		{Kind: gossip.Purge, Object: 3, Group: 4, PurgedAt: now},
+		{Kind: gossip.Drain, Server: 7, StartedAt: startTime},
+		{Kind: gossip.Drain, Server: 9, StartedAt: startTime},
+		{Kind: gossip.Purge, Object: 3, Group: 4, PurgedAt: startTime},
 	}
 	if !slices.Equal(fixture.peers.broadcast, want) {
 		t.Errorf("got broadcast items %+v, want %+v", fixture.peers.broadcast, want)
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -16,8 +16,8 @@
 	"garnetline/routing"
 )
 
-// now is the time of the test clocks, in Unix milliseconds.
-const now = 1.7e12
+// startTime is the time of the test clocks, in Unix milliseconds.
+const startTime = 1.7e12
 
 // testTimeout is the time after which a test fails if its watcher does not do the expected step. It
 // does not influence the order of events.
@@ -71,7 +71,7 @@
 		Settings:    routing.Settings{PurgeRetention: 6 * time.Second},
 	}
 	notify := func(event platformconfig.WatchEvent) { events <- event }
-	return NewWatcher(clock.NewManual(now), config, notify, metrics.New()), events
+	return NewWatcher(clock.NewManual(startTime), config, notify, metrics.New()), events
 }
 
 // startWatcher runs a watcher until stop is called or the test ends.
--- a/internal/discovery/session_test.go
+++ b/internal/discovery/session_test.go
@@ -22,8 +22,8 @@
 	stop := startWatcher(t, watcher)
 	unknownKind, tooShort := encodeFrame(4, 9), []byte{0, 0, 0, 1, 0}
 	server.acceptAndClose(1, encodeChange(2, 7, stateReady), encodeFrame(2, 0))
-	server.acceptAndClose(2, encodeChange(2, 7, stateRemoved), encodeFrame(3, 3, encodePurge(9, now-50)...), unknownKind)
-	server.acceptAndClose(3, encodeGroupPurge(4, now), tooShort)
+	server.acceptAndClose(2, encodeChange(2, 7, stateRemoved), encodeFrame(3, 3, encodePurge(9, startTime-50)...), unknownKind)
+	server.acceptAndClose(3, encodeGroupPurge(4, startTime), tooShort)
 	server.acceptAndClose(4, encodeChange(5, 7, stateDraining))
 	expectEvents(t, events, 1)
 	event := nextEvent(t, events)
@@ -37,7 +37,7 @@
 	}
 	expectEvents(t, events, 3, 4, 5)
 	stop()
-	guard, at, stale := watcher.Guard(), clock.Duration(now), clock.Duration(now+7000)
+	guard, at, stale := watcher.Guard(), clock.Duration(startTime), clock.Duration(startTime+7000)
 	if !guard.PurgesSeen || guard.LastEventAt != at || !guard.Excludes(7) {
 		t.Errorf("got unexpected guard %+v", guard)
 	}
@@ -54,7 +54,7 @@
 // a frame, the delay is short again.
 func TestReconnectDelaysAreSpread(t *testing.T) {
 	const routers = 300
-	perSlot := map[int]int{} // number of routers, by slot of 20 ms
+	perSlot := map[int]int{} // key: number of a 20 ms slot; value: routers that reconnect in the slot
 	for seed := range uint64(routers) {
 		backoff := reconnectBackoff{random: rand.New(rand.NewPCG(seed, 0))}
 		at, last := 0.0, 0.0
@@ -85,14 +85,14 @@
 	watcher, events := newTestWatcher(first.addr())
 	next := *watcher.config
 	startWatcher(t, watcher)
-	first.accept(1, encodeGroupPurge(2, now))
+	first.accept(1, encodeGroupPurge(2, startTime))
 	expectEvents(t, events, 1, 2)
 	next.Discovery = second.addr()
 	next.Settings.PurgeRetention = 7 * time.Second
 	next.KnownEvents = []platformconfig.WatchEvent{{Seq: 2}, {Seq: 3, ListUpdate: true}}
 	watcher.Reload(&platformconfig.Config{}) // the second Reload replaces this configuration, whether or not Run has received it
 	watcher.Reload(&next)
-	second.accept(3, encodeGroupPurge(2, now))
+	second.accept(3, encodeGroupPurge(2, startTime))
 	expectEvents(t, events, 3)
 	if retention := watcher.Guard().PurgeRetention; retention != 7*time.Second {
 		t.Errorf("got purge retention %v, want 7s", retention)
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -41,7 +41,7 @@
 	notify   func(platformconfig.WatchEvent)
 	dial     func(ctx context.Context, to netip.AddrPort) (net.Conn, error)
 
-	// State that only the goroutine of Run uses.
+	// Only the goroutine of Run uses the following state.
 	config       *platformconfig.Config
 	lastSeq      uint64 // number of the last applied event
 	refetchedSeq uint64 // event number that was missing when the watcher last requested events again
@@ -53,16 +53,16 @@
 	pendingConfig   chan *platformconfig.Config // holds only the latest configuration
 	disableRequests chan disableRequest
 
-	// State that is published to other goroutines.
+	// Other goroutines read the following state.
 	guard            atomic.Pointer[routing.Guard]
 	listedCount      atomic.Int64
 	unavailableCount atomic.Int64 // listed servers that are draining or disabled
 	synced           atomic.Bool
 	syncedSignal     chan struct{}                             // closed when synced becomes true
-	readyServers     atomic.Pointer[[]platformconfig.Endpoint] // nil without a fleet
-	disabledServers  atomic.Pointer[[]routing.ServerID]        // nil without a fleet
+	readyServers     atomic.Pointer[[]platformconfig.Endpoint] // nil if the router belongs to no fleet
+	disabledServers  atomic.Pointer[[]routing.ServerID]        // nil if the router belongs to no fleet
 
-	// disabledStore keeps the disabled servers for the next process of this router.
+	// disabledStore keeps the set of disabled servers for later processes of this router.
 	disabledStore disabled.Store
 }
 
@@ -113,7 +113,7 @@
 // blocks. Calls of Reload must not overlap.
 func (w *Watcher) Reload(config *platformconfig.Config) {
 	select {
-	case <-w.pendingConfig: // discard an earlier configuration that Run has not received
+	case <-w.pendingConfig: // discard an earlier configuration that Run has not received yet
 	default:
 	}
 	w.pendingConfig <- config
@@ -143,7 +143,7 @@
 	}
 }
 
-// countReconnect counts a reconnect after a session that ended with err.
+// countReconnect counts a reconnect. err is the error that ended the session before it.
 func (w *Watcher) countReconnect(err error) {
 	w.counters.Add("changelog_reconnects", 1)
 	if errors.Is(err, ErrMalformedFrame) {
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -17,17 +17,18 @@
 	ExpiresAt       float64 // the dispatcher cancels the attempt at this time
 	SendDeadline    float64 // the transport must not write the attempt at or after this time; 0: only ExpiresAt applies
 	Class           *routing.Class
-	RequestDeadline float64 // copy of Request.Deadline, which only the dispatcher may read
+	RequestDeadline float64 // copy of Request.Deadline for transports, which must not read the Request's field
 
 	// MayRetry tells the transport that a retry may follow this attempt, because the request is
 	// still open. The dispatcher sets MayRetry before it calls TransportState.Cancel.
 	MayRetry bool
-	// TransportState is set by the transport when it accepts the attempt; nil before that.
+	// The transport sets TransportState when it accepts the attempt. Before that, TransportState is
+	// nil.
 	TransportState TransportState
 	Trace          *AttemptTrace // nil: the request is not traced
 
 	sentAt            float64
-	accepted          bool // the transport accepted it
+	accepted          bool // the transport accepted the attempt
 	ended             bool
 	completionDelayed bool           // its completion was delayed by cancelTransit; the delay may be over
 	notExecuted       bool           // the attempt ended, and its result proves that the server did not execute it
@@ -41,12 +42,13 @@
 	Result      routing.Result // Canceled: the attempt ended because TransportState.Cancel was called
 	Response    Response       // set if Result is Served or Final is true
 	Load        routing.LoadReport
-	CacheStatus routing.CacheStatus // how the server found the object, if the server reports that
+	CacheStatus routing.CacheStatus // where the server found the object; unknown if the server does not report it
 	FillWait    float64             // ms until the fill source sent its first byte or failed; 0: unknown
-	Final       bool                // Response ends the request, whatever Result is
+	Final       bool                // Response ends the request, even if Result is not Served
 }
 
-// Unsent returns the completion, with the given result, of an attempt that was not sent.
+// Unsent returns the completion of an attempt that was not sent. The completion has the given
+// result.
 func Unsent(attempt *Attempt, result routing.Result) *Completion {
 	return &Completion{Attempt: attempt, Result: result, Load: UnknownLoad()}
 }
@@ -72,7 +74,7 @@
 	return routing.LoadReport{Inflight: nan, CPUUtilization: nan, HitRatio: nan, LinkUtilization: nan}
 }
 
-// Transport sends attempts to servers. Send is called on the dispatcher's goroutine; it must
+// Transport sends attempts to servers. Send is called on the dispatcher's goroutine. It must
 // neither block nor call the dispatcher.
 type Transport interface {
 	// Send accepts an attempt: it sets the TransportState of the attempt and returns nil. When the
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -27,7 +27,7 @@
 // mailboxSize is the capacity of the dispatcher's mailbox, in messages.
 const mailboxSize = 4096
 
-// idleWait is how long the dispatcher sleeps when there is neither a message nor a timer.
+// idleWait is how long the dispatcher sleeps if no timer is set and no message arrives.
 const idleWait = time.Hour
 
 // Dispatcher owns the decision module, the open requests and the timers of one router.
@@ -77,18 +77,19 @@
 	}, nil
 }
 
-// AddListeners adds listeners for changes of the endpoint list. It must be called before Run.
+// AddListeners adds listeners for changes of the endpoint list. AddListeners must be called before
+// Run.
 func (d *Dispatcher) AddListeners(listeners ...EndpointListener) {
 	d.listeners = append(d.listeners, listeners...)
 }
 
-// SetTracer sets a tracer that traces all requests. It must be called before Run.
+// SetTracer sets a tracer that traces all requests. SetTracer must be called before Run.
 func (d *Dispatcher) SetTracer(tracer Tracer) { d.tracer = tracer }
 
 // Stopped returns a channel that is closed when Run has returned.
 func (d *Dispatcher) Stopped() <-chan struct{} { return d.stopped }
 
-// Run handles messages and timers until ctx is done. It must be called only once.
+// Run handles messages and timers until ctx is done. Run must be called only once.
 func (d *Dispatcher) Run(ctx context.Context) {
 	defer close(d.stopped)
 	wakeUp := time.NewTimer(idleWait)
--- a/internal/dispatch/ejection.go
+++ b/internal/dispatch/ejection.go
@@ -25,8 +25,8 @@
 // timer that the dispatcher handled. Any goroutine may call EjectedCount.
 func (d *Dispatcher) EjectedCount() int64 { return d.ejectedCount.Load() }
 
-// publishEjections publishes the number of ejected servers and, if PublishEjected was called,
-// their list.
+// publishEjections publishes the number of ejected servers. If PublishEjected was called,
+// publishEjections also publishes their list.
 func (d *Dispatcher) publishEjections() {
 	d.ejectedCount.Store(d.router.UnavailableCount())
 	if !d.publishesEjected {
--- a/internal/dispatch/lifecycle_test.go
+++ b/internal/dispatch/lifecycle_test.go
@@ -236,7 +236,7 @@
 			t.Errorf("%v: got %d attempts after %v ms, want 2", result, len(harness.transport.sent), cancelTransit)
 		}
 	}
-	harness := newHarness(t, nil) // the client disconnects during the wait: no retry is sent
+	harness := newHarness(t, nil) // if the client disconnects during the delay, no retry is sent
 	request := harness.submit(idempotentClass, 1480)
 	complete(harness.Dispatcher, request.attempts[0], routing.ConnectionLost)
 	harness.Disconnect(request)
--- a/internal/dispatch/messages.go
+++ b/internal/dispatch/messages.go
@@ -30,7 +30,7 @@
 func (m reloadMessage) apply(d *Dispatcher)     { d.applySettings(m.settings) }
 func (m peerMessage) apply(d *Dispatcher)       { d.notifyRouter(m.event) }
 
-// enqueue puts a message into the mailbox and waits for room in it. It returns false if the
+// enqueue waits for room in the mailbox and puts a message into it. It returns false if the
 // dispatcher has stopped.
 func (d *Dispatcher) enqueue(m message) bool {
 	select {
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -57,7 +57,7 @@
 	id           routing.RequestID
 	trace        RequestTrace // nil: the request is not traced
 	attempts     []*Attempt
-	responded    bool // Respond was called, or must not be called because the client disconnected
+	responded    bool // Respond was called, or the client disconnected, so that Respond must not be called
 	disconnected atomic.Bool
 }
 
@@ -107,7 +107,7 @@
 
 var validFieldByte = byteSet(allowedFieldBytes)
 
-// byteSet returns the set of the bytes in members, indexed by byte.
+// byteSet returns an array that is true at the index of each byte in members.
 func byteSet(members string) (set [256]bool) {
 	for i := range len(members) {
 		set[members[i]] = true
@@ -200,7 +200,7 @@
 	response := Response{Kind: Failed}
 	draining := d.clock.Now() < request.Deadline
 	if draining && request.firstPossiblyExecuted() == nil {
-		// Another router still has time to serve the request.
+		// The client's deadline has not passed: another router still has time to serve the request.
 		response = Response{Kind: Rejected, RetryAfter: clock.Millis(d.settings.MaxRetryAfter) / 2}
 	}
 	d.respond(request, response)
--- a/internal/textconn/message.go
+++ b/internal/textconn/message.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	minBodyGrowth = 4 << 10  // bytes by which the buffer of a body grows at least
-	maxIdleBuffer = 16 << 10 // bytes; an idle connection releases a larger buffer
+	minBodyGrowth = 4 << 10  // minimum number of bytes by which the buffer of a body grows
+	maxIdleBuffer = 16 << 10 // bytes; a connection releases a larger buffer between messages
 )
 
-// ReadLineSlice reads a line and returns it without the spaces, tabs and line end around it. The
-// returned slice points into textproto's buffer and is valid until the next read. A line longer
-// than that buffer is an error. Only the reader may call ReadLineSlice.
+// ReadLineSlice reads a line and returns it without its line end and without leading and trailing
+// spaces and tabs. The returned slice points into textproto's buffer and is valid until the next
+// read. A line that does not fit into that buffer is an error. Only the reader may call
+// ReadLineSlice.
 func (c *Conn) ReadLineSlice() ([]byte, error) {
 	line, err := c.R.ReadSlice('\n')
 	if err != nil {
@@ -26,8 +27,8 @@
 }
 
 // ReadBody reads n bytes into the connection's buffer. The returned slice is valid until the next
-// call of ReadBody. The buffer grows with the bytes received, not with n, so that a peer cannot
-// make it grow by announcing a length. Only the reader may call ReadBody.
+// call of ReadBody. The buffer grows as bytes arrive. A peer therefore cannot make the buffer large
+// by only announcing a large length. Only the reader may call ReadBody.
 func (c *Conn) ReadBody(n int) ([]byte, error) {
 	c.readBuffer = c.readBuffer[:0]
 	for len(c.readBuffer) < n {
@@ -52,13 +53,13 @@
 	}
 }
 
-// WriteBuffer returns the empty write buffer, to which the writer appends a message for Flush.
-// Only the writer may call WriteBuffer.
+// WriteBuffer returns the empty write buffer. The writer appends a message to it and passes the
+// result to Flush. Only the writer may call WriteBuffer.
 func (c *Conn) WriteBuffer() []byte { return c.writeBuffer[:0] }
 
 // Flush writes a message that was appended to WriteBuffer, and then body. The write may take
-// timeoutMillis milliseconds. After an error it is not known how much the peer received. Only the
-// writer may call Flush.
+// timeoutMillis milliseconds. If Flush returns an error, the peer may have received any part of the
+// bytes. Only the writer may call Flush.
 func (c *Conn) Flush(message, body []byte, timeoutMillis float64) error {
 	c.writeBuffer = message
 	if err := c.NetConn.SetWriteDeadline(time.Now().Add(clock.Duration(timeoutMillis))); err != nil {
--- a/internal/textconn/readahead.go
+++ b/internal/textconn/readahead.go
@@ -7,21 +7,22 @@
 )
 
 const (
-	readAheadStep = 4 << 10   // bytes of a read; the read-ahead buffer grows by at least as many
-	maxDiscarded  = 128 << 20 // bytes that one call of ReadAhead discards before it returns
+	readAheadStep = 4 << 10   // bytes; minimum growth of the read-ahead buffer, and size of a single read buffer
+	maxDiscarded  = 128 << 20 // bytes; ReadAhead returns after it has discarded this number of bytes
 )
 
-// ReadAhead reads until a read fails, usually because the connection ends or its read deadline
-// passes, and returns that error. It keeps up to limit bytes for later reads and discards the
-// rest; after 128 MiB of discarded bytes it returns ErrMessageTooLong. It calls onReceived after
-// each read that returns bytes. Only the reader may call ReadAhead.
+// ReadAhead reads until a read fails, and returns the error of that read. Usually the read fails
+// because the connection ends or its read deadline passes. ReadAhead keeps up to limit bytes for
+// later reads and discards the rest. After 128 MiB of discarded bytes, it returns
+// ErrMessageTooLong. It calls onReceived after each read that returns bytes. Only the reader may
+// call ReadAhead.
 //
 // ReadAhead keeps reading after the first byte so that it notices the end of the connection.
-// Otherwise a client that had sent one byte beyond its request could disconnect unnoticed, and
-// its request was forwarded although no client waited for the response.
+// Without this, a client that sends one byte beyond its request could disconnect unnoticed. Its
+// request would be forwarded although no client waits for the response.
 func (c *Conn) ReadAhead(limit int, onReceived func()) error {
-	var firstByte [1]byte // keeps the buffer of an idle connection small
-	var scratch []byte    // for bytes that are discarded
+	var firstByte [1]byte // an idle connection needs no larger buffer
+	var scratch []byte    // receives the bytes that are discarded
 	for discarded := 0; discarded < maxDiscarded; {
 		dst := firstByte[:]
 		buffered := len(c.readAhead)
@@ -52,15 +53,16 @@
 	return ErrMessageTooLong
 }
 
-// Discarded reports whether ReadAhead discarded bytes. If it did, later bytes on the connection
-// cannot be interpreted. Any goroutine may call Discarded.
+// Discarded reports whether ReadAhead discarded bytes. If it did, the reader cannot interpret later
+// bytes on the connection. Any goroutine may call Discarded.
 func (c *Conn) Discarded() bool { return c.discarded.Load() }
 
 // Readable reports, without blocking, whether bytes can be read. It may clear the read deadline.
 // Only the reader may call Readable.
 //
-// Readable is needed because a read after its deadline fails without looking at the socket. A
-// connection was closed that way although a complete request was waiting in the socket.
+// An ordinary read cannot answer this question after the read deadline, because it fails without
+// looking at the socket. Without Readable, a connection could be closed although a complete request
+// waits in the socket.
 func (c *Conn) Readable() bool {
 	if c.R.Buffered() > 0 || len(c.readAhead) > 0 {
 		return true
--- a/internal/textconn/textconn.go
+++ b/internal/textconn/textconn.go
@@ -1,12 +1,12 @@
-// Package textconn provides a buffered connection for protocols of text lines and bodies of a
-// known length: HTTP, RESP, and the frames of the change log.
+// Package textconn provides a buffered connection for protocols of text lines and bodies of a known
+// length: HTTP, RESP, and the frames of the change log.
 //
-// A Conn limits the size of each message and the time to read it, which textproto alone does
-// not, and reuses one buffer for each direction.
+// A Conn limits the size of each message and the time to read the message. The package textproto
+// does not offer these limits. A Conn reuses one buffer for each direction.
 //
-// A Conn has one owner, which closes it. At most one goroutine, called the reader, may read, and
-// at the same time at most one, called the writer, may write. The comment of each method says
-// which of them may call it.
+// A Conn has one owner, which closes it. At most one goroutine, called the reader, may read. At
+// most one goroutine, called the writer, may write. Both may run at the same time. The comment of
+// each method says whether the reader, the writer or any goroutine may call it.
 package textconn
 
 import (
@@ -19,9 +19,9 @@
 	"garnetline/internal/clock"
 )
 
-// ErrMessageTooLong reports that the peer sent more bytes than LimitRead allows, or that
-// ReadAhead discarded too many.
-var ErrMessageTooLong = errors.New("message too long")
+// ErrMessageTooLong reports that the peer sent more bytes than LimitRead allows, or that ReadAhead
+// discarded 128 MiB.
+var ErrMessageTooLong = errors.New("textconn: message exceeds the size limit")
 
 // Conn is a network connection that is read and written through a textproto.Conn.
 type Conn struct {
@@ -29,20 +29,20 @@
 	NetConn net.Conn // the underlying connection, for deadlines and addresses
 
 	// Only the reader uses the following fields.
-	remaining       int  // bytes that may still be read, see LimitRead
-	limitExceeded   bool // a read failed because of the limit since the last LimitRead
+	remaining       int  // number of bytes that may still be read; see LimitRead
+	limitExceeded   bool // since the last LimitRead, a read failed because of the limit
 	readBuffer      []byte
-	receivedBytes   bool      // bytes were read from the socket since BeginMessage
-	stallTimeout    float64   // ms that a read may take; if zero, reads set no deadline
-	messageStart    time.Time // first call of SetReadPace for the message
-	messageDeadline time.Time // the whole message must have been read by then
+	receivedBytes   bool      // since BeginMessage, bytes were read from the socket
+	stallTimeout    float64   // ms; limit of each read; 0: reads set no deadline
+	messageStart    time.Time // time of the first call of SetReadPace for the message
+	messageDeadline time.Time // time by which the whole message must have been read
 
 	// readAhead holds bytes that ReadAhead and Readable read from the socket. Later reads
 	// consume them first. Only the reader uses readAhead.
 	readAhead []byte
 	discarded atomic.Bool // ReadAhead discarded bytes
 
-	writeBuffer []byte // only the writer uses it
+	writeBuffer []byte // only the writer uses writeBuffer
 }
 
 // New returns a Conn over netConn. Reads fail until LimitRead is called.
@@ -52,23 +52,25 @@
 	return c
 }
 
-// LimitRead sets the number of bytes that may be read from now on to n, replacing the earlier
-// limit. Only the reader may call LimitRead.
+// LimitRead allows n more bytes to be read, and replaces the earlier limit. Only the reader may
+// call LimitRead.
 func (c *Conn) LimitRead(n int) {
 	c.remaining = n
 	c.limitExceeded = false
 }
 
-// LimitExceeded reports whether a read failed with ErrMessageTooLong since the last call of
-// LimitRead. It is needed because textproto may replace that error by one of its own. Only the
-// reader may call LimitExceeded.
+// LimitExceeded reports whether a read has failed with ErrMessageTooLong since the last call of
+// LimitRead. LimitExceeded is needed because textproto may return another error instead of
+// ErrMessageTooLong. Only the reader may call LimitExceeded.
 func (c *Conn) LimitExceeded() bool { return c.limitExceeded }
 
-// SetReadPace limits the time to read the current message, in milliseconds: stallTimeout limits
-// each read from the socket, and messageTimeout limits the whole message, counted from the first
-// call for it. A later call can give the message more time, when its length is known. A
-// stallTimeout of zero ends the message; reads set no deadline after it. Only the reader may call
-// SetReadPace.
+// SetReadPace limits the time to read the current message, in milliseconds. stallTimeout limits
+// each read from the socket. messageTimeout limits the whole message and counts from the first call
+// of SetReadPace for the message. A later call can replace both limits, for example when the length
+// of the message is known.
+//
+// The reader calls SetReadPace with a stallTimeout of zero after the end of the message. Later
+// reads then set no deadline. Only the reader may call SetReadPace.
 func (c *Conn) SetReadPace(stallTimeout, messageTimeout float64) {
 	if c.stallTimeout == 0 {
 		c.messageStart = time.Now()
@@ -77,18 +79,20 @@
 	c.messageDeadline = c.messageStart.Add(clock.Duration(messageTimeout))
 }
 
-// BeginMessage marks the start of a message for ReceivedBytes. Only the reader may call it.
+// BeginMessage marks the start of a message for ReceivedBytes. Only the reader may call
+// BeginMessage.
 func (c *Conn) BeginMessage() { c.receivedBytes = false }
 
-// ReceivedBytes reports whether any byte was read from the socket since BeginMessage. If none
-// was, the whole message had been buffered before. Only the reader may call ReceivedBytes.
+// ReceivedBytes reports whether any byte was read from the socket since BeginMessage. If not, the
+// whole message was already buffered. Only the reader may call ReceivedBytes.
 func (c *Conn) ReceivedBytes() bool { return c.receivedBytes }
 
 // limitedConn is the connection that textproto reads and writes. Because textproto reads lines of
 // any length, limitedConn enforces the limit of LimitRead.
 type limitedConn struct{ conn *Conn }
 
-// Read returns bytes that were read ahead, or reads from the socket if there are none.
+// Read returns bytes that ReadAhead or Readable has read. If there are no such bytes, Read reads
+// from the socket.
 func (l limitedConn) Read(dst []byte) (int, error) {
 	conn := l.conn
 	if conn.remaining <= 0 {
@@ -116,7 +120,7 @@
 // Close closes the socket.
 func (l limitedConn) Close() error { return l.conn.NetConn.Close() }
 
-// consumeReadAhead moves bytes that were read ahead to dst.
+// consumeReadAhead moves bytes from readAhead to dst and returns their number.
 func (c *Conn) consumeReadAhead(dst []byte) int {
 	n := copy(dst, c.readAhead)
 	c.readAhead = c.readAhead[n:]
@@ -126,7 +130,8 @@
 	return n
 }
 
-// setPacedDeadline sets the deadline for the next read if SetReadPace limits the message.
+// setPacedDeadline sets the deadline of the next read. It does nothing if SetReadPace has set no
+// limits.
 func (c *Conn) setPacedDeadline() error {
 	if c.stallTimeout <= 0 {
 		return nil
--- a/internal/textconn/textconn_test.go
+++ b/internal/textconn/textconn_test.go
@@ -12,18 +12,19 @@
 	"garnetline/internal/fuzzutil"
 )
 
-// byteSource is a connection whose reads return at most step bytes from reader.
+// byteSource is a connection that returns the bytes of reader. Each read returns at most maxRead
+// bytes.
 type byteSource struct {
 	net.Conn
-	reader io.Reader
-	step   int
+	reader  io.Reader
+	maxRead int
 }
 
-func (s *byteSource) Read(p []byte) (int, error) { return s.reader.Read(p[:min(len(p), s.step)]) }
+func (s *byteSource) Read(p []byte) (int, error) { return s.reader.Read(p[:min(len(p), s.maxRead)]) }
 
-// FuzzConn reads lines and bodies in a random order and compares them with the source bytes. It
-// checks that no byte is lost between lines and bodies, that no message reads more from the
-// socket than its limit, and that the buffer of a body grows only with the bytes received.
+// FuzzConn reads lines and bodies in a random order and compares them with the source bytes. No
+// byte may be lost between lines and bodies. No message may read more bytes from the socket than
+// its limit. The buffer of a body may grow only as bytes arrive.
 func FuzzConn(f *testing.F) {
 	fuzzutil.AddRandomSeeds(f, 24, 400)
 	f.Fuzz(func(t *testing.T, steps []byte) {
@@ -39,11 +40,11 @@
 				err = model.readBody(t, int(steps[i+1])*30, limit)
 			}
 			if got := model.consumed() - consumed; got > limit {
-				t.Fatalf("read %d bytes from the socket, want at most %d", got, limit)
+				t.Fatalf("got %d bytes read from the socket, want at most the limit of %d", got, limit)
 			}
 			if err != nil {
 				if exceeded := model.conn.LimitExceeded(); exceeded != errors.Is(err, ErrMessageTooLong) && !errors.Is(err, io.ErrUnexpectedEOF) {
-					t.Fatalf("LimitExceeded() = %v after the error: %v", exceeded, err)
+					t.Fatalf("got LimitExceeded() = %v after error %v, want true if the error is ErrMessageTooLong and false otherwise", exceeded, err)
 				}
 				return
 			}
@@ -56,17 +57,17 @@
 	data   []byte
 	source *bytes.Reader
 	conn   *Conn
-	offset int // in data, of the next byte to be read
+	offset int // offset in data of the next byte that the model reads
 }
 
 func newReadModel(steps []byte) *readModel {
 	data := bytes.Repeat(append([]byte("line\r\n"), steps...), 20)
-	step := 7
+	maxRead := 7
 	if len(steps) > 0 {
-		step = 1 + int(steps[0])*17
+		maxRead = 1 + int(steps[0])*17
 	}
 	source := bytes.NewReader(data)
-	return &readModel{data: data, source: source, conn: New(&byteSource{reader: source, step: step})}
+	return &readModel{data: data, source: source, conn: New(&byteSource{reader: source, maxRead: maxRead})}
 }
 
 // consumed returns how many bytes the Conn has read from the socket.
@@ -117,8 +118,9 @@
 
 func (c *deadlineConn) Read([]byte) (int, error) { return 0, io.EOF }
 
-// A fixed time limit for a whole message aborted long messages that arrived at the configured
-// rate, although they never stalled. The limit must be adjustable while a message is read.
+// TestReadPace checks that the time limit of a message can be changed while the message is read.
+// With a fixed limit, a long message that arrives at the configured rate would be aborted although
+// it never stalls.
 func TestReadPace(t *testing.T) {
 	netConn := &deadlineConn{}
 	conn := New(netConn)
--- a/internal/upstream/benchmark_test.go
+++ b/internal/upstream/benchmark_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// repeatingReader returns the same bytes again and again.
+// repeatingReader is an endless reader that repeats text.
 type repeatingReader struct {
 	text   []byte
 	offset int
@@ -58,7 +58,7 @@
 	}
 }
 
-// discardConn discards written bytes. Its reads block for ever.
+// discardConn is a connection that discards written bytes. Its reads block for ever.
 type discardConn struct{ net.Conn }
 
 func (discardConn) Read([]byte) (int, error)         { select {} }
@@ -67,8 +67,8 @@
 func (discardConn) SetWriteDeadline(time.Time) error { return nil }
 func (discardConn) SetReadDeadline(time.Time) error  { return nil }
 
-// BenchmarkAttempt measures the actor's work to send an attempt and handle its reply, without a
-// socket and without other goroutines.
+// BenchmarkAttempt measures the work of the actor to send an attempt and to handle its reply. It
+// uses no socket and no other goroutine.
 func BenchmarkAttempt(b *testing.B) {
 	const now = 1.7e12
 	guard := &routing.Guard{Ready: map[routing.ServerID]bool{1: true, 8: true}}
--- a/internal/upstream/cacheserver_test.go
+++ b/internal/upstream/cacheserver_test.go
@@ -17,11 +17,12 @@
 	"garnetline/routing"
 )
 
-// testTimeout is how long a test waits before it fails. No test depends on its length otherwise.
+// testTimeout is the time after which a test fails if an expected event does not come. The result
+// of a test that passes does not depend on it.
 const testTimeout = 10 * time.Second
 
-// cacheServer is a cache on a loopback listener, whose replies the test writes byte by byte, and
-// a pool in which the cache is server 1.
+// cacheServer is a cache on a loopback listener, and a pool in which the cache is server 1. The
+// test writes the bytes of the cache's replies.
 type cacheServer struct {
 	t           *testing.T
 	addr        netip.AddrPort
@@ -90,7 +91,8 @@
 	return listener
 }
 
-// closeAtEnd closes closer when the test ends. It ignores the error of a second close.
+// closeAtEnd closes closer when the test ends. It ignores the error of Close, because the test may
+// have closed closer already.
 func closeAtEnd(t *testing.T, closer io.Closer) {
 	t.Helper()
 	t.Cleanup(func() { _ = closer.Close() })
@@ -103,7 +105,8 @@
 	return s.sendWithDeadline(id, ifNoneMatch, 0)
 }
 
-// sendWithDeadline is like send, for an attempt that must not be written at or after deadline.
+// sendWithDeadline is like send, but the attempt must not be written at or after the given
+// deadline.
 func (s *cacheServer) sendWithDeadline(id, ifNoneMatch string, deadline float64) *dispatch.Attempt {
 	s.t.Helper()
 	attempt := &dispatch.Attempt{
@@ -133,7 +136,8 @@
 	return &cacheConn{TCPConn: conn, t: s.t, in: bufio.NewReader(conn)}
 }
 
-// waitForCompletion waits for the next completion, which must be that of attempt, and returns it.
+// waitForCompletion waits for the next completion and returns it. The completion must belong to the
+// given attempt.
 func (s *cacheServer) waitForCompletion(attempt *dispatch.Attempt) dispatch.Completion {
 	s.t.Helper()
 	want := attempt.Request.TransactionID
@@ -145,12 +149,12 @@
 		attempt.TransportState.Release(attempt)
 		return completion
 	case <-time.After(testTimeout):
-		s.t.Fatalf("attempt %s did not complete", want)
+		s.t.Fatalf("attempt %s did not complete before the test timeout", want)
 	}
 	return dispatch.Completion{}
 }
 
-// checkNoCompletion checks that no further attempt has completed.
+// checkNoCompletion checks that no completion is waiting to be received.
 func (s *cacheServer) checkNoCompletion() {
 	s.t.Helper()
 	select {
@@ -160,10 +164,10 @@
 	}
 }
 
-// waitForCounter waits until a counter of the pool has reached a value.
-func (s *cacheServer) waitForCounter(name string, want int64) {
+// waitForCounter waits until the named counter of the pool is at least minimum.
+func (s *cacheServer) waitForCounter(name string, minimum int64) {
 	s.t.Helper()
-	s.waitFor(name, func() bool { return s.pool.Metrics.Counter(name).Load() >= want })
+	s.waitFor(name, func() bool { return s.pool.Metrics.Counter(name).Load() >= minimum })
 }
 
 // waitForNoConnections waits until no connection is open or being dialed.
@@ -172,12 +176,13 @@
 	s.waitFor("no connections", func() bool { return s.pool.openConnections.Load() == 0 })
 }
 
-// waitFor waits until reached returns true; what names the awaited state in the failure message.
-func (s *cacheServer) waitFor(what string, reached func() bool) {
+// waitFor waits until the predicate reached returns true. The description names the awaited state
+// in the failure message.
+func (s *cacheServer) waitFor(description string, reached func() bool) {
 	s.t.Helper()
 	for deadline := time.Now().Add(testTimeout); !reached(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			s.t.Fatalf("timeout while waiting for %s", what)
+			s.t.Fatalf("timeout while waiting for %s", description)
 		}
 	}
 }
@@ -204,7 +209,7 @@
 	return command
 }
 
-// write writes text unchanged.
+// write sends text to the router unchanged.
 func (c *cacheConn) write(text string) {
 	c.t.Helper()
 	if _, err := c.Write([]byte(text)); err != nil {
--- a/internal/upstream/command.go
+++ b/internal/upstream/command.go
@@ -7,12 +7,13 @@
 	"garnetline/routing"
 )
 
-// typicalFieldsBytes is the initial capacity for the fields of a command; most commands fit.
+// typicalFieldsBytes is the initial capacity, in bytes, for the fields of a command. The fields of
+// most commands fit into it.
 const typicalFieldsBytes = 256
 
-// appendServeCommand appends the command that carries an attempt: serve ID FIELDS BODY. The
-// remaining time of the attempt is computed from now. A maxAge above zero limits the age of an
-// acceptable copy, in milliseconds. moreFields follow the command's own fields.
+// appendServeCommand appends the command that carries an attempt: serve ID FIELDS BODY. The command
+// gives the time from now until the attempt expires. If maxAge is above zero, the server must not
+// use a copy older than maxAge milliseconds. moreFields follow the other fields of the command.
 func appendServeCommand(dst []byte, attempt *dispatch.Attempt, maxAge, now float64, moreFields string) []byte {
 	fields := make([]byte, 0, typicalFieldsBytes)
 	fields = appendServeFields(fields, attempt, maxAge, now)
@@ -49,7 +50,7 @@
 	return dst
 }
 
-// appendServeOptions appends the field opts if at least one option is set.
+// appendServeOptions appends the field opts if the decision sets at least one option.
 func appendServeOptions(dst []byte, decision *routing.SendAttempt) []byte {
 	separator := ",opts="
 	for _, option := range [...]struct {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -14,39 +14,39 @@
 )
 
 const (
-	maxConnections       = 8      // to one server, not counting retired connections
-	growThreshold        = 2      // requests in flight on a connection that make another connection desirable
-	growBackoff          = 2000.0 // ms after a failed dial in which no additional connection is dialed
-	maxCanceledIDs       = 256    // canceled ids on a connection; one more retires it
-	writeTimeout         = 100.0  // ms; short, because a write blocks the actor
-	idleTimeoutShare     = 0.8    // fraction of the idle timeout after which this side closes, before the server does
-	unresponsiveAfter    = 250.0  // ms since the write without any reply, after which a cancel retires the connection
-	replyStallTimeout    = 800.0  // ms for each read of a reply, and for the whole reply on top of the time for its body
-	replyTimeFactor      = 4.0    // multiple of the body's transfer time at the configured BytesPerSecond
-	duplicateReplyWindow = 1000.0 // ms within which a second reply to an id is taken for a duplicate
+	maxConnections       = 8      // limit of connections to one server; retired connections do not count
+	growThreshold        = 2      // with this number of requests in flight, a connection counts as busy and another one may be dialed
+	growBackoff          = 2000.0 // ms; after a failed dial, no additional connection is dialed for this time
+	maxCanceledIDs       = 256    // limit of canceled ids on a connection; a connection above the limit is retired
+	writeTimeout         = 100.0  // ms; short, because the actor handles no message during a write
+	idleTimeoutShare     = 0.8    // fraction of the idle timeout after which the router closes a connection, so that the server does not
+	unresponsiveAfter    = 250.0  // ms; a cancel retires the connection if no reply came since the attempt was written at least this long ago
+	replyStallTimeout    = 800.0  // ms; limits each read of a reply; the whole reply may take this time plus the time for its body
+	replyTimeFactor      = 4.0    // the body of a reply may take its transfer time at BytesPerSecond, multiplied by this factor
+	duplicateReplyWindow = 1000.0 // ms; a further reply to the same id within this time counts as a duplicate
 )
 
-// connection is one connection to the server. The actor owns it, except that the reader
-// goroutine calls the methods of text that read.
+// connection is one connection to the server. The actor owns it. The reader goroutine only calls
+// the read methods of text.
 type connection struct {
 	text        *textconn.Conn
 	inFlight    map[string]*sentAttempt // by transaction id
-	canceledIDs map[string]bool         // ids canceled on this connection; a reply may still come
-	unservedAt  map[string]float64      // by id: time of a reply that was not served, which may be duplicated
+	canceledIDs map[string]bool         // ids whose attempts were canceled on this connection; their replies may still come
+	unservedAt  map[string]float64      // by id: time of the latest reply with a result other than Served; the server may send that reply again
 	lastReplyAt float64                 // clock time in ms; zero if no reply has come
 	lastUsedAt  float64                 // clock time in ms of the last write or reply
-	retired     bool                    // accepts no new attempt and is closed once none is in flight
+	retired     bool                    // the connection accepts no new attempt, and is closed when no attempt is in flight on it
 	closed      bool
 }
 
-// sentAttempt is an attempt that was written to a connection and not yet completed.
+// sentAttempt is an attempt that was written to a connection and that has no completion yet.
 type sentAttempt struct {
 	attempt   *dispatch.Attempt
 	writtenAt float64 // clock time in ms
 }
 
-// connectionEvent reports to the actor the result of a dial (dialed or err), a reply, or the end
-// of a connection (err).
+// connectionEvent reports one of three events to the actor: the result of a dial (dialed or err), a
+// reply, or the end of a connection (err).
 type connectionEvent struct {
 	connection *connection // nil for the result of a dial
 	dialed     net.Conn
@@ -64,22 +64,22 @@
 	}
 }
 
-// accepts reports whether an attempt with the given id can be sent on the connection. An id that
-// is in flight or was canceled on the connection is not accepted: a reply that crosses the
-// cancel command would be taken for the reply to the new attempt.
+// accepts reports whether an attempt with the given id can be sent on the connection. The id must
+// not be in flight on the connection, and must not have been canceled on it. Otherwise, a late
+// reply to the canceled attempt would be taken for the reply to the new attempt.
 func (c *connection) accepts(id string, maxStreams int) bool {
 	return !c.retired && len(c.inFlight) < maxStreams && c.inFlight[id] == nil && !c.canceledIDs[id]
 }
 
-// repliedSince reports whether any reply has come on the connection at or after the given time.
+// repliedSince reports whether the last reply on the connection came at or after the given time.
 func (c *connection) repliedSince(since float64) bool { return c.lastReplyAt >= since }
 
-// nextReply waits for a reply without a deadline and reads it. The time limits for reading count
-// from the first byte of the reply.
+// nextReply waits for the first byte of a reply without a deadline, and then reads the reply. The
+// time limits for the read count from that first byte.
 //
-// Without a limit, a truncated reply left the connection open and silent, and all other attempts
-// in flight on it ran into their deadlines. A fixed limit, regardless of the length, aborted
-// large replies that arrived at the configured BytesPerSecond.
+// Without these limits, a truncated reply would leave the connection open and silent, and all other
+// attempts in flight on it would run into their deadlines. With a limit that does not depend on the
+// length, large replies that arrive at the configured BytesPerSecond would be aborted.
 func (c *connection) nextReply(bytesPerSecond float64) (reply, error) {
 	if err := c.text.NetConn.SetReadDeadline(time.Time{}); err != nil {
 		return reply{}, err
@@ -99,11 +99,12 @@
 	})
 }
 
-// pickConnection returns, among the connections that accept an attempt with the given id, the
-// one with the fewest requests in flight, or nil if none accepts it.
+// pickConnection returns the connection for an attempt with the given id. Among the connections
+// that accept the attempt, it returns the connection with the fewest requests in flight. It returns
+// nil if no connection accepts the attempt.
 //
-// Requests are spread over several connections because a malformed reply closes its connection:
-// with a single one, it ended all requests in flight at the server.
+// Requests are spread over several connections because a malformed reply closes its connection.
+// With a single connection, a malformed reply would end all requests in flight at the server.
 func (u *Upstream) pickConnection(id string) *connection {
 	var best *connection
 	for _, conn := range u.connections {
@@ -114,8 +115,8 @@
 	return best
 }
 
-// atConnectionLimit reports whether the limit of connections to this server, or to all servers
-// together, is reached.
+// atConnectionLimit reports whether one of two limits is reached: the limit of connections to this
+// server, or the limit of connections to all servers together.
 func (u *Upstream) atConnectionLimit() bool {
 	limit := u.MaxConnections()
 	usable := 0
@@ -127,12 +128,13 @@
 	return usable >= maxConnections || limit > 0 && u.openConnections.Load() >= limit
 }
 
-// mayGrow reports whether a connection may be added to the existing ones.
+// mayGrow reports whether an additional connection may be dialed now.
 func (u *Upstream) mayGrow() bool {
 	return !u.atConnectionLimit() && u.Clock.Now() >= u.growAfter
 }
 
-// startDial starts to dial a connection in the background. At most one dial runs at a time.
+// startDial dials a connection in the background. The Upstream must not have another dial in
+// progress.
 func (u *Upstream) startDial(ctx context.Context) {
 	u.dialing = true
 	u.dialStartedAt = u.Clock.Now()
@@ -155,8 +157,8 @@
 	}
 }
 
-// readReplies reports each reply on a connection, and finally the read error that ends it, to
-// the actor. It runs in its own goroutine.
+// readReplies reports each reply on a connection to the actor. When a read fails, it reports the
+// error, which ends the connection, and returns. It runs in its own goroutine.
 func (u *Upstream) readReplies(conn *connection) {
 	for {
 		r, err := conn.nextReply(u.Settings().BytesPerSecond)
@@ -187,8 +189,8 @@
 	}
 }
 
-// handleDialResult sends the queued attempts on the new connection, or completes them as
-// ConnectFailed if the dial failed.
+// handleDialResult handles the end of a dial. If the dial succeeded, it sends the queued attempts
+// on the new connection. If the dial failed, it completes them as ConnectFailed.
 func (u *Upstream) handleDialResult(ctx context.Context, event connectionEvent) {
 	u.dialing = false
 	for _, attempt := range u.queued {
@@ -204,12 +206,12 @@
 	u.sendQueued(ctx)
 }
 
-// handleDialFailure completes the attempts that waited for a connection as ConnectFailed: since
-// no connection was made, the server has executed none of them.
+// handleDialFailure completes the attempts that waited for the dial as ConnectFailed. The attempts
+// were not written, so the server has executed none of them.
 //
 // If another connection is open, mayGrow returns false for the next growBackoff milliseconds.
-// Without this pause, at a cache that accepts few connections, each request of each of many
-// routers dialed once more and cost the cache a handshake.
+// Without this pause, each request to a cache that accepts few connections would cause another
+// dial. With many routers, the handshakes would load the cache.
 func (u *Upstream) handleDialFailure() {
 	u.openConnections.Add(-1)
 	u.Metrics.Add("peer_dials_failed", 1)
@@ -223,8 +225,8 @@
 	}
 }
 
-// recordDial records the times of the dial that has just ended in the trace of an attempt that
-// waited for it.
+// recordDial records the start and end of a dial in the trace of an attempt that waited for that
+// dial. The dial has just ended.
 func (u *Upstream) recordDial(attempt *dispatch.Attempt) {
 	if attempt.Trace == nil {
 		return
@@ -234,8 +236,8 @@
 }
 
 // flush writes a command that was appended to the connection's write buffer, and reports whether
-// the write succeeded. It closes the connection after an error, because it is not known how much
-// of the command the server received.
+// the write succeeded. If the write fails, the server may have received a part of the command.
+// flush then closes the connection.
 func (u *Upstream) flush(conn *connection, command []byte) bool {
 	conn.lastUsedAt = u.Clock.Now()
 	if err := conn.text.Flush(command, nil, writeTimeout); err != nil {
@@ -257,18 +259,21 @@
 	attempt := sent.attempt
 	id := attempt.Request.TransactionID
 	delete(conn.inFlight, id)
-	// If no reply has come on the connection since the attempt was written, the cancel command
-	// may not arrive, and the retry would run beside the first attempt. Close the connection.
+	// If no reply has come on the connection since the attempt was written, the server may never
+	// receive the cancel command. The retry would then run at the same time as this attempt.
+	// Closing the connection cancels the attempt.
 	if attempt.MayRetry && !conn.repliedSince(sent.writtenAt) {
 		u.closeConnection(conn)
 		u.completeCanceled(attempt)
 		return
 	}
 	conn.canceledIDs[id] = true
-	// A machine that vanishes leaves its connections open and silent. Commands that were written
-	// to them after the machine's return were lost too, so that it seemed unresponsive for ever.
-	// The delay of unresponsiveAfter keeps connections whose clients merely disconnect early:
-	// without it all connections were retired, and no more could be made.
+	// A machine that vanishes leaves its connections open and silent. After the machine returns,
+	// commands that are written to these connections are lost, so the machine would seem
+	// unresponsive for ever. Retire the connection, so that the next attempt uses a new connection.
+	// If a client disconnects before unresponsiveAfter, the silence proves nothing, and the
+	// connection stays in use. Otherwise, such disconnects would retire all connections, and no
+	// further connection could be made.
 	unresponsive := !conn.repliedSince(sent.writtenAt) && u.Clock.Now()-sent.writtenAt >= unresponsiveAfter
 	if unresponsive || len(conn.canceledIDs) > maxCanceledIDs {
 		conn.retired = true
@@ -278,14 +283,15 @@
 	u.closeIfRetired(conn)
 }
 
-// closeConnection closes a connection, which cancels everything in flight on it, and completes
-// those attempts as ConnectionLost. Once the actor has a connection, only this method closes it.
+// closeConnection closes a connection and completes the attempts in flight on it as ConnectionLost.
+// The server cancels those attempts when their connection closes. After the actor has received a
+// connection from a dial, only closeConnection closes it.
 func (u *Upstream) closeConnection(conn *connection) {
 	if conn.closed {
 		return
 	}
 	conn.closed = true
-	_ = conn.text.Close() // the connection is abandoned even if this fails
+	_ = conn.text.Close() // an error is ignored, because the connection is not used again
 	u.openConnections.Add(-1)
 	u.connections = slices.DeleteFunc(u.connections, func(other *connection) bool { return other == conn })
 	for _, sent := range conn.inFlight {
@@ -300,9 +306,9 @@
 	}
 }
 
-// closeIdle closes the connections that have been idle for idleTimeoutShare of the configured
-// idle timeout, before the server does. It also drops the records of replies whose
-// duplicateReplyWindow is over.
+// closeIdle closes the connections that have been idle for more than idleTimeoutShare of the
+// configured idle timeout, so that the router closes them before the server does. It also forgets
+// replies that are older than duplicateReplyWindow.
 func (u *Upstream) closeIdle() {
 	now := u.Clock.Now()
 	for _, conn := range slices.Clone(u.connections) {
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -12,8 +12,9 @@
 	"garnetline/routing"
 )
 
-// The connection to a machine that vanished stays open and silent. Later requests were written
-// to it even after the machine had returned, which then seemed unresponsive.
+// TestUnresponsiveConnectionIsRetired checks that a cancel retires a connection without replies.
+// The connection to a machine that vanished stays open and silent. If it stayed in use, the machine
+// would seem unresponsive even after its return.
 func TestUnresponsiveConnectionIsRetired(t *testing.T) {
 	harness := newHarness(t)
 	a := harness.send("a")
@@ -30,7 +31,8 @@
 	}
 }
 
-// A refused connection proves that the server executed nothing; a reset does not.
+// TestConnectionRefusedAndReset checks the results of attempts that lose their connection. A
+// refused connection proves that the server executed nothing. A reset proves nothing.
 func TestConnectionRefusedAndReset(t *testing.T) {
 	harness := newHarness(t)
 	harness.refuseDials = true
@@ -41,12 +43,13 @@
 	harness.finishDial()
 	harness.endConnection(harness.upstream.connections[0], io.EOF)
 	if harness.completions[a][0] != routing.ConnectFailed || harness.completions[b][0] != routing.ConnectionLost {
-		t.Errorf("refused connection: completed as %v; reset connection: completed as %v", harness.completions[a], harness.completions[b])
+		t.Errorf("refused connection: completed as %v, want ConnectFailed; ended connection: completed as %v, want ConnectionLost", harness.completions[a], harness.completions[b])
 	}
 }
 
-// After a server has refused an additional connection, it is not dialed for a while. Requests
-// are sent over the existing connection meanwhile, and none of them fails.
+// TestNoDialPerRequestAtConnectionLimit checks the pause after a server has refused an additional
+// connection. During growBackoff, the server is not dialed again. The existing connection carries
+// the requests, and none of them fails.
 func TestNoDialPerRequestAtConnectionLimit(t *testing.T) {
 	harness := newHarness(t)
 	dials := 0
@@ -74,13 +77,14 @@
 	}
 	for i, attempt := range harness.attempts[1:] {
 		if got := harness.completions[attempt]; len(got) != 1 || got[0] != routing.Served {
-			t.Errorf("request %d completed as %v", i, got)
+			t.Errorf("request %d completed as %v, want once as Served", i, got)
 		}
 	}
 }
 
-// When one connection carried all requests to a server, a malformed reply on it completed all of
-// them as lost.
+// TestMalformedReplyClosesOneConnection checks that a malformed reply ends only the attempts on its
+// own connection. If one connection carried all requests to a server, a malformed reply would end
+// all of them.
 func TestMalformedReplyClosesOneConnection(t *testing.T) {
 	harness := newHarness(t)
 	for i := range 6 {
@@ -101,10 +105,11 @@
 	}
 }
 
-// errNoDeadline is returned by a stallingConn for a read that would block for ever.
+// errNoDeadline is the error of a stallingConn whose read would block for ever.
 var errNoDeadline = errors.New("read without a deadline would block for ever")
 
-// stallingConn is a connection that returns the bytes of its reader and then stalls.
+// stallingConn is a connection that returns the bytes of its reader. After these bytes, its reads
+// block until the read deadline.
 type stallingConn struct {
 	byteSource
 	deadline time.Time
@@ -125,7 +130,8 @@
 	return 0, os.ErrDeadlineExceeded
 }
 
-// Reading a reply has a time limit once its first byte has come; waiting for that byte has none.
+// TestTruncatedReplyTimesOut checks that the read of a reply has a time limit after its first byte.
+// The wait for the first byte has no limit.
 func TestTruncatedReplyTimesOut(t *testing.T) {
 	complete := encodeReply("a", statusLack, noFields, "")
 	for _, test := range []struct {
@@ -145,8 +151,10 @@
 	}
 }
 
-// A client that disconnects early says nothing about the server. When such cancels retired their
-// connections, all eight were retired and later requests were rejected as if the server were full.
+// TestEarlyCancelsKeepConnections checks that a cancel soon after the write does not retire the
+// connection. A client that disconnects early says nothing about the server. Otherwise, such
+// cancels would retire all eight connections, and later requests would be rejected as if the server
+// were full.
 func TestEarlyCancelsKeepConnections(t *testing.T) {
 	harness := newHarness(t)
 	for i := range 40 {
@@ -164,14 +172,15 @@
 			}
 		}
 		if got := harness.completions[stays]; len(got) > 0 {
-			t.Fatalf("attempt %d completed as %v", i, got)
+			t.Fatalf("attempt stay%d completed as %v, want it in flight", i, got)
 		}
 	}
 }
 
-// An attempt is canceled for a retry. If no reply has come on its connection since it was written,
-// the connection is closed, so that the attempt and its retry cannot be in flight together. If
-// other replies have come, a cancel command is enough.
+// TestRetryClosesUnresponsiveConnection checks the cancel of an attempt that a retry follows. If no
+// reply has come on the connection since the attempt was written, the connection is closed. The
+// attempt and its retry are then never in flight at the same time. If other replies have come, a
+// cancel command is enough.
 func TestRetryClosesUnresponsiveConnection(t *testing.T) {
 	for _, replied := range []bool{false, true} {
 		harness := newHarness(t)
@@ -186,13 +195,15 @@
 		closed := harness.conns[0].isClosed()
 		gotA, gotB := harness.completions[a], harness.completions[b]
 		if closed == replied || len(gotA) != 1 || gotA[0] != routing.Canceled || len(gotB) != 1 {
-			t.Errorf("replied %v: closed %v, attempts a and b completed as %v and %v", replied, closed, gotA, gotB)
+			t.Errorf("with another reply %v: got connection closed %v, attempt a completed as %v and b as %v; want closed only without a reply, a completed as Canceled, b completed once", replied, closed, gotA, gotB)
 		}
 	}
 }
 
-// A server may send a rejection twice. The second one must not complete the next attempt of the
-// request while that attempt keeps running at the server and another one is sent.
+// TestDuplicateReply checks the handling of a rejection that a server sends twice. The duplicate
+// completes the next attempt of the request. A cancel command must then stop that attempt at the
+// server, and a further attempt must use another connection. Otherwise, two attempts could run at
+// the same time.
 func TestDuplicateReply(t *testing.T) {
 	for idempotency, want := range map[routing.Idempotency]routing.Result{
 		routing.Idempotent:        routing.Rejected,
@@ -221,8 +232,8 @@
 	}
 }
 
-// After duplicateReplyWindow, a second rejection is an ordinary reply, and the record of the first
-// is dropped.
+// TestDuplicateReplyWindow checks that a second rejection after duplicateReplyWindow is an ordinary
+// reply. The record of the first rejection is dropped.
 func TestDuplicateReplyWindow(t *testing.T) {
 	harness := newHarness(t)
 	for range 2 {
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -15,11 +15,11 @@
 	"garnetline/routing"
 )
 
-// The files in testdata hold the commands and replies on the wire between the router and the
-// caches; see package golden.
+// The files in testdata hold the commands and replies that the router and the caches exchange; see
+// package golden.
 
-// goldenAttempts returns attempts whose commands cover each field, each option of opts and each
-// boundary value.
+// goldenAttempts returns attempts whose commands cover each command field, each option of the field
+// opts and each boundary value.
 func goldenAttempts() []*dispatch.Attempt {
 	const now = 1.7e12
 	readClass := &routing.Class{Name: "video-part"}
@@ -66,7 +66,7 @@
 	}
 }
 
-// goldenReplies returns the encoded replies of each status, valid and malformed.
+// goldenReplies returns encoded replies of each status. Some of them are malformed.
 func goldenReplies() []byte {
 	var out []byte
 	for _, r := range [][4]string{
@@ -93,7 +93,8 @@
 	return out
 }
 
-// TestGoldenReplies reads each form of a reply, first in large reads and then a byte at a time.
+// TestGoldenReplies reads the golden replies twice: first in large reads, and then one byte at a
+// time.
 func TestGoldenReplies(t *testing.T) {
 	stored := golden.Compare(t, "replies.resp", goldenReplies())
 	for _, in := range []io.Reader{bytes.NewReader(stored), iotest.OneByteReader(bytes.NewReader(stored))} {
@@ -118,7 +119,8 @@
 	}
 }
 
-// TestGoldenLoadReport reads replies to a probe.
+// TestGoldenLoadReport checks the load reports and errors that ReadLoadReport returns for replies
+// to a probe.
 func TestGoldenLoadReport(t *testing.T) {
 	var out strings.Builder
 	for _, r := range [][3]string{{"p", "FIT", "l=util:0.5;inflight:2;x0:1;x1:0"}, {"p", "UNFIT", "-"}, {"q", "FIT", "-"}, {"p", "DONE", "-"}} {
--- a/internal/upstream/harness_test.go
+++ b/internal/upstream/harness_test.go
@@ -19,8 +19,8 @@
 	"garnetline/routing"
 )
 
-// fakeConn is a connection that records what is written to it. Its reads block until it is
-// closed; the tests pass replies to the actor directly.
+// fakeConn is a connection that records the written bytes. Its reads block until the connection is
+// closed, because the tests pass replies to the actor directly.
 type fakeConn struct {
 	net.Conn
 	written    bytes.Buffer
@@ -70,8 +70,8 @@
 	harnessTimeout        = 2000 // ms until an attempt expires
 )
 
-// harness calls the methods of one Upstream directly, without the goroutine of run, and records
-// what the Upstream writes and completes.
+// harness calls the methods of one Upstream directly; the goroutine of run does not exist. It
+// records the commands that the Upstream writes and the attempts that the Upstream completes.
 type harness struct {
 	t           *testing.T
 	upstream    *Upstream
@@ -158,7 +158,8 @@
 	h.upstream.handleMessage(h.t.Context(), message{cancel: attempt})
 }
 
-// finishDial lets all started dials end, including those that are started meanwhile.
+// finishDial waits until no dial is in progress. It also finishes the dials that start during the
+// wait.
 func (h *harness) finishDial() {
 	h.t.Helper()
 	for h.upstream.dialing {
@@ -168,7 +169,7 @@
 			h.conns = append(h.conns, conn)
 		}
 		h.dials <- conn
-		for dialEnded := false; !dialEnded; { // readers may report ended connections first
+		for dialEnded := false; !dialEnded; { // readers may report the end of their connections before the dial ends
 			event := <-h.upstream.connectionEvents
 			dialEnded = event.connection == nil
 			h.upstream.handleConnectionEvent(h.t.Context(), event)
@@ -193,20 +194,21 @@
 	return bytes.Contains(c.written.Bytes(), appendBulk(nil, id))
 }
 
-// parseCommands splits the written bytes into commands, and each command into its strings.
+// parseCommands splits the written bytes into commands. It splits each command into its bulk
+// strings.
 func parseCommands(t *testing.T, written []byte) (out [][]string) {
 	t.Helper()
 	for len(written) > 0 {
 		var n int
 		if _, err := fmt.Sscanf(string(written), "*%d\r\n", &n); err != nil {
-			t.Fatalf("%q: %v", written, err)
+			t.Fatalf("cannot parse the written bytes %q as a command: %v", written, err)
 		}
 		written = skipLine(written)
 		var command []string
 		for range n {
 			var length int
 			if _, err := fmt.Sscanf(string(written), "$%d\r\n", &length); err != nil {
-				t.Fatalf("%q: %v", written, err)
+				t.Fatalf("cannot parse the written bytes %q as a command: %v", written, err)
 			}
 			written = skipLine(written)
 			command = append(command, string(written[:length]))
@@ -228,8 +230,8 @@
 
 func (s byteSource) Read(p []byte) (int, error) { return s.reader.Read(p) }
 
-// disconnectClient marks the client of an attempt's request as disconnected, through a dispatcher
-// as the frontend does.
+// disconnectClient marks the client of an attempt's request as disconnected. Like a frontend, it
+// calls Dispatcher.Disconnect.
 func disconnectClient(t *testing.T, attempt *dispatch.Attempt) {
 	t.Helper()
 	settings := routing.Settings{Zones: 1, Kinds: 1, ParentKind: -1, OriginKind: -1, MaxAttempts: 1, Classes: []routing.Class{{Deadline: 1}}}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,11 +1,11 @@
-// Package upstream is the client of the caches, parents and the origin: it sends the
-// dispatcher's attempts to them over RESP and reads their replies.
+// Package upstream is the client of the caches, parents and the origin. It sends the dispatcher's
+// attempts to these servers over RESP and reads the replies.
 //
 // A Pool has one Upstream for each server of the endpoint list. An Upstream is an actor: its
-// goroutine owns the server's connections, the attempts in flight on them and the queued
-// attempts, and receives messages from a mailbox. Each connection also has a reader goroutine,
-// and each dial runs in its own goroutine; both report to the actor. Only the dispatcher's
-// goroutine may use the Pool itself.
+// goroutine owns the connections to the server, the attempts in flight on them and the queued
+// attempts, and receives messages from a mailbox. Each connection has a reader goroutine, and each
+// dial runs in its own goroutine. These goroutines report to the actor. Only the dispatcher's
+// goroutine may use the Pool.
 //
 // Every attempt that Send accepts is completed exactly once.
 package upstream
@@ -29,7 +29,7 @@
 	Clock    clock.Clock
 	Settings func() platformconfig.Upstream // returns the current settings
 	Guard    func() *routing.Guard          // returns the current guard
-	Complete func(dispatch.Completion)      // called with each attempt's completion; it may block
+	Complete func(dispatch.Completion)      // receives the completion of each attempt; the call may block
 	Metrics  *metrics.Registry
 
 	// Dial connects to a server; nil means TCP with TCP_NODELAY set.
@@ -39,22 +39,23 @@
 	// limit.
 	MaxConnections func() int64
 
-	// PropagateTraces says whether the servers accept the command fields trace and kept. The
-	// platform's own servers do not.
+	// PropagateTraces says whether the servers accept the command fields "trace" and "kept". The
+	// platform's own servers do not accept them.
 	PropagateTraces bool
 
 	openConnections *atomic.Int64 // connections of all Upstreams, including those being dialed
 }
 
-// Pool holds an Upstream for each server of the endpoint list. Only the dispatcher's
-// goroutine may call its methods, none of which blocks.
+// Pool holds an Upstream for each server of the endpoint list. Only the dispatcher's goroutine may
+// call its methods. None of the methods blocks.
 type Pool struct {
 	Options
 	ctx       context.Context
 	upstreams map[routing.ServerID]*Upstream
 }
 
-// NewPool returns an empty pool. Its Upstreams close their connections when ctx ends.
+// NewPool returns an empty pool. The Upstreams of the pool close their connections when ctx is
+// done.
 func NewPool(ctx context.Context, options Options) *Pool {
 	if options.Dial == nil {
 		options.Dial = dialTCP
@@ -63,14 +64,15 @@
 	return &Pool{Options: options, ctx: ctx, upstreams: map[routing.ServerID]*Upstream{}}
 }
 
-// dialTCP makes a TCP connection. The net package sets TCP_NODELAY on it, which is required: a
-// command that the kernel delays would be lost if the connection is reset.
+// dialTCP makes a TCP connection. The net package sets TCP_NODELAY on the connection. This option
+// is required: without it, the kernel may delay a command, and a reset of the connection would lose
+// the delayed command.
 func dialTCP(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
 	return (&net.Dialer{}).DialContext(ctx, "tcp", to.String())
 }
 
-// UpdateEndpoints applies a change of the endpoint list. It starts an Upstream for each new
-// server. The Upstream of a removed server ends when no attempt is in flight on it any more.
+// UpdateEndpoints applies a change of the endpoint list. It starts an Upstream for each new server.
+// The Upstream of a removed server ends when no attempt to that server is in flight.
 func (p *Pool) UpdateEndpoints(event platformconfig.WatchEvent) {
 	listed := map[routing.ServerID]bool{}
 	for _, endpoint := range event.Endpoints {
@@ -89,9 +91,8 @@
 	}
 }
 
-// ensureUpstream starts an Upstream for a listed server if there is none. A server that returns
-// after its removal, or is listed with another address, is a different process and gets a new
-// Upstream.
+// ensureUpstream starts an Upstream for a listed server that has none. A server that is listed
+// again after its removal, or with another address, is a different process. It gets a new Upstream.
 func (p *Pool) ensureUpstream(endpoint platformconfig.Endpoint) {
 	upstream := p.upstreams[endpoint.ID]
 	if upstream != nil && upstream.addr == endpoint.Addr && !upstream.removed {
@@ -105,8 +106,8 @@
 	go upstream.run(p.ctx)
 }
 
-// Send passes an attempt to its server's Upstream and returns nil. If the attempt cannot be
-// accepted, Send returns its completion instead.
+// Send passes an attempt to the Upstream of its server and returns nil. If the Upstream cannot
+// accept the attempt, Send returns a completion instead.
 func (p *Pool) Send(attempt *dispatch.Attempt) *dispatch.Completion {
 	upstream := p.upstreams[attempt.Decision.Server]
 	if upstream == nil || upstream.removed {
@@ -121,9 +122,9 @@
 	return nil
 }
 
-// TraceRetained tells a server, with one of the next commands written to it, that a trace in
-// which it took part is retained. A server that is sent no further command is not told; its own
-// limit then removes the part of the trace that it keeps.
+// TraceRetained tells a server that a trace in which the server took part is retained. One of the
+// next commands to the server carries this message. If no further command follows, the server does
+// not get the message, and its own limit removes its part of the trace.
 func (p *Pool) TraceRetained(server routing.ServerID, id trace.ID) {
 	upstream := p.upstreams[server]
 	if upstream == nil || !p.PropagateTraces {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -15,8 +15,9 @@
 	"garnetline/routing"
 )
 
-// A new cache may have the address of a removed one. It is a different server with its own
-// connections, and no attempt for the old id is accepted any more.
+// TestAddressReused checks that a new cache with the address of a removed cache is a different
+// server. The new cache gets its own connections. The pool accepts no further attempt for the id of
+// the removed cache.
 func TestAddressReused(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
--- a/internal/upstream/reply.go
+++ b/internal/upstream/reply.go
@@ -15,19 +15,19 @@
 
 const (
 	replyElements = 4       // bulk strings of a reply: id, status, fields and body
-	noFields      = "-"     // represents an empty list of fields
-	maxFillWait   = 600_000 // ms; a reported wait of this length or more is ignored
-	maxLoadValue  = 1e9     // a value of a load report that is not below this is ignored
+	noFields      = "-"     // stands for an empty list of fields
+	maxFillWait   = 600_000 // ms; a reported fill wait is ignored unless it is below this limit
+	maxLoadValue  = 1e9     // a value of a load report is ignored unless it is below this limit
 )
 
 // Statuses of the replies to a serve command.
 const (
 	statusDone  = "DONE"  // the body follows
 	statusKeep  = "KEEP"  // the client's copy is current
-	statusLack  = "LACK"  // not cached, not executed
-	statusWait  = "WAIT"  // rejected, not executed
-	statusBroke = "BROKE" // an error, possibly executed
-	statusPast  = "PAST"  // the request had already ended, not executed
+	statusLack  = "LACK"  // the object is not cached, the request was not executed
+	statusWait  = "WAIT"  // the request was rejected and not executed
+	statusBroke = "BROKE" // an error; the request was possibly executed
+	statusPast  = "PAST"  // the request had already ended and was not executed
 )
 
 // Statuses of the replies to a probe.
@@ -44,7 +44,7 @@
 	fillWaitField    = "lag"
 )
 
-// resultsByStatus maps the status of a reply to a serve command to the attempt's result.
+// resultsByStatus gives the result of an attempt for each status of a reply to its serve command.
 var resultsByStatus = map[string]routing.Result{
 	statusDone:  routing.Served,
 	statusKeep:  routing.Served,
@@ -54,7 +54,7 @@
 	statusPast:  routing.NotSent,
 }
 
-// reply is a reply as received, with its fields not yet parsed.
+// reply is a received reply. Its fields are not parsed yet.
 type reply struct {
 	id     string
 	status string
@@ -62,8 +62,8 @@
 	body   []byte
 }
 
-// readReply reads one reply. The caller owns the returned body. If onBodyLength is not nil,
-// readReply calls it with the length of the body before it reads the body.
+// readReply reads one reply. The caller owns the body of the returned reply. If onBodyLength is not
+// nil, readReply calls it with the length of the body, in bytes, before it reads the body.
 func readReply(conn *textconn.Conn, onBodyLength func(n int)) (reply, error) {
 	conn.LimitRead(maxReplyBytes)
 	var r reply
@@ -72,7 +72,7 @@
 		return r, err
 	}
 	if n != replyElements {
-		return r, fmt.Errorf("%w: expected an array of four bulk strings, got an array of %d", errMalformedReply, n)
+		return r, fmt.Errorf("%w: expected an array of 4 bulk strings, got an array of %d elements", errMalformedReply, n)
 	}
 	for _, field := range [...]*string{&r.id, &r.status, &r.fields} {
 		content, err := readBulk(conn, maxFieldBytes, nil)
@@ -89,15 +89,15 @@
 	return r, err
 }
 
-// completion returns the completion of the attempt that the reply answers. Its error wraps
-// errMalformedReply if the status is unknown or the fields are malformed.
+// completion returns the completion of the attempt to which the server replied. The error wraps
+// errMalformedReply if the status is unknown or if the fields are malformed.
 func (r reply) completion(attempt *dispatch.Attempt) (dispatch.Completion, error) {
 	completion := dispatch.Completion{Attempt: attempt, Load: dispatch.UnknownLoad()}
 	completion.Response.Server = attempt.Decision.Server
 	var known bool
 	completion.Result, known = resultsByStatus[r.status]
 	if !known {
-		return completion, fmt.Errorf("%w: unknown status %.20q", errMalformedReply, r.status)
+		return completion, fmt.Errorf("%w: unknown reply status %.20q", errMalformedReply, r.status)
 	}
 	tags, err := parseReplyFields(&completion, r.fields)
 	if err != nil {
@@ -110,23 +110,25 @@
 	case r.status == statusKeep && tags == 1 && namesClientCopy(&completion):
 		completion.Response.Kind = dispatch.NotModified
 	case r.status == statusKeep:
-		// The cache did not name exactly the copy that the client has. A 304 would wrongly
-		// tell the client that its copy is current.
+		// The reply does not name exactly the copy that the client has. A 304 response would
+		// wrongly tell the client that its copy is current.
 		completion.Result = routing.ServerError
 	}
 	return completion, nil
 }
 
-// namesClientCopy reports whether the entity tag of the reply is that of the client's copy.
+// namesClientCopy reports whether the reply has the same entity tag as the client's copy.
 func namesClientCopy(completion *dispatch.Completion) bool {
 	clientTag := completion.Attempt.Request.IfNoneMatch
 	return clientTag != "" && completion.Response.ETag == clientTag
 }
 
 // parseReplyFields stores the fields of a reply in its completion and returns the number of tag
-// fields. A field without a value and an invalid tag are errors. All fields other than the tag
-// are only advisory, so that unknown fields, values that cannot be parsed, and a cache status or
-// fill wait that occurs twice are ignored.
+// fields. A field without a value and an invalid tag are errors.
+//
+// All fields except the tag are advisory. parseReplyFields therefore ignores unknown fields and
+// values that cannot be parsed. It also ignores a cache status or fill wait that occurs more than
+// once.
 func parseReplyFields(completion *dispatch.Completion, list string) (tags int, err error) {
 	if list == noFields || list == "" {
 		return 0, nil
@@ -135,12 +137,12 @@
 	for field := range strings.SplitSeq(list, ",") {
 		name, value, ok := strings.Cut(field, "=")
 		if !ok {
-			return tags, fmt.Errorf("%w: expected a field of the form name=value, got %.20q", errMalformedReply, field)
+			return tags, fmt.Errorf("%w: expected a reply field of the form name=value, got %.20q", errMalformedReply, field)
 		}
 		switch name {
 		case tagField:
 			if !dispatch.ValidFieldValue(value) {
-				return tags, fmt.Errorf("%w: tag is not a valid field value", errMalformedReply)
+				return tags, fmt.Errorf("%w: expected a valid entity tag in field tag, got %.140q (%d bytes)", errMalformedReply, value, len(value))
 			}
 			completion.Response.ETag = value
 			tags++
@@ -163,7 +165,8 @@
 	return tags, nil
 }
 
-// cacheStatusNames are the values of the field n, indexed by routing.CacheStatus.
+// cacheStatusNames are the names of cache statuses on the wire (field n), indexed by
+// routing.CacheStatus.
 var cacheStatusNames = []string{
 	"",
 	"cached",
@@ -178,29 +181,29 @@
 	"root_failed",
 }
 
-// parseCacheStatus returns the cache status with a name, or CacheStatusUnknown if the name is
-// not known.
+// parseCacheStatus returns the cache status that has the given name on the wire. It returns
+// CacheStatusUnknown if there is no such status.
 func parseCacheStatus(name string) routing.CacheStatus {
 	return routing.CacheStatus(max(slices.Index(cacheStatusNames, name), 0))
 }
 
-// parseFillWait parses the time in milliseconds that the cache waited for the fill source. It
-// returns zero, which means unknown, if the value is not a number or out of range.
+// parseFillWait parses the time, in milliseconds, that the cache waited for the fill source. If the
+// value is not a number from 0 to below maxFillWait, it returns zero, which means unknown.
 func parseFillWait(text string) float64 {
 	wait, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(wait >= 0 && wait < maxFillWait) { // the negated form also rejects NaN
+	if err != nil || !(wait >= 0 && wait < maxFillWait) { // every comparison with NaN is false, so the negation rejects NaN too
 		return 0
 	}
 	return wait
 }
 
-// parseLoad stores the values of a load report in load. Values that cannot be parsed or are out
-// of range leave load as it is.
+// parseLoad stores the values of a load report in load. If a value is not a number from 0 to below
+// maxLoadValue, the field of load stays unchanged.
 func parseLoad(load *routing.LoadReport, text string) {
 	for item := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(item, ":")
 		number, err := strconv.ParseFloat(value, 64)
-		if err != nil || !(number >= 0 && number < maxLoadValue) { // the negated form also rejects NaN
+		if err != nil || !(number >= 0 && number < maxLoadValue) { // every comparison with NaN is false, so the negation rejects NaN too
 			continue
 		}
 		switch name {
@@ -216,9 +219,9 @@
 	}
 }
 
-// ReadLoadReport reads the reply to the probe with the given tag and returns its load report.
-// The body may have at most maxBody bytes, and the read may take timeoutMillis milliseconds.
-// Values that the report leaves out are NaN. The caller owns the connection and must close it
+// ReadLoadReport reads the reply to the probe with the given tag and returns its load report. The
+// body of the reply may have at most maxBody bytes. The read may take timeoutMillis milliseconds.
+// Values that the reply does not report are NaN. The caller owns the connection and must close it
 // after an error.
 func ReadLoadReport(conn *textconn.Conn, tag string, maxBody int, timeoutMillis float64) (routing.LoadReport, error) {
 	load := dispatch.UnknownLoad()
@@ -231,7 +234,8 @@
 	}
 	isProbeReply := r.status == statusFit || r.status == statusUnfit
 	if r.id != tag || !isProbeReply || len(r.body) > maxBody {
-		return load, fmt.Errorf("%w to a probe: expected the tag of the probe, status FIT or UNFIT and a body within the limit", errMalformedReply)
+		return load, fmt.Errorf("%w to a probe: expected tag %q, status FIT or UNFIT and a body of at most %d bytes, got tag %.20q, status %.20q and a body of %d bytes",
+			errMalformedReply, tag, maxBody, r.id, r.status, len(r.body))
 	}
 	for field := range strings.SplitSeq(r.fields, ",") {
 		if value, ok := strings.CutPrefix(field, loadField+"="); ok {
--- a/internal/upstream/reply_test.go
+++ b/internal/upstream/reply_test.go
@@ -17,8 +17,8 @@
 	return readReply(textconn.New(byteSource{reader: strings.NewReader(text)}), onBodyLength)
 }
 
-// FuzzReply checks that any bytes from a server yield a reply or an error, and that a reply that
-// was accepted is the same after it is encoded and read again.
+// FuzzReply checks that arbitrary bytes from a server yield a reply or an error. An accepted reply
+// must be the same after it is encoded and read again.
 func FuzzReply(f *testing.F) {
 	for _, seed := range []string{
 		"*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$5\r\ntag=x\r\n$3\r\nabc\r\n",
@@ -42,7 +42,7 @@
 		}
 		again, err := decodeReply(encodeReply(r.id, r.status, r.fields, string(r.body)), nil)
 		if err != nil || again.id != r.id || again.status != r.status || again.fields != r.fields || !bytes.Equal(r.body, again.body) {
-			t.Errorf("reply %+v was read again as %+v, error %v", r, again, err)
+			t.Errorf("got reply %+v, but %+v and error %v after it was encoded and read again", r, again, err)
 		}
 		completion, err := r.completion(&dispatch.Attempt{Request: &dispatch.Request{IfNoneMatch: "x"}})
 		if err != nil {
@@ -58,7 +58,8 @@
 	})
 }
 
-// A body is returned unchanged. A truncated body and one above maxBodyBytes are errors.
+// TestReplyBodies checks that a body is returned unchanged. A truncated body is an error, and so is
+// a body above maxBodyBytes.
 func TestReplyBodies(t *testing.T) {
 	body := strings.Repeat("\r\n$x\x00", 40_000)
 	text := fmt.Sprintf("*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$15\r\ntag=t1,minted=5\r\n$%d\r\n%s\r\n", len(body), body)
@@ -75,8 +76,8 @@
 	}
 }
 
-// The completion contains the cache status and the fill wait of a reply. Invalid values and
-// repeated fields count as unknown and do not invalidate the reply.
+// TestCacheStatus checks that the completion contains the cache status and the fill wait of a
+// reply. Invalid values and repeated fields count as unknown. They do not make the reply invalid.
 func TestCacheStatus(t *testing.T) {
 	for fields, want := range map[string]dispatch.Completion{
 		"n=cached":              {CacheStatus: routing.Hit},
@@ -104,13 +105,13 @@
 		attempt := &dispatch.Attempt{Request: &dispatch.Request{}}
 		got, err := reply{status: "DONE", fields: fields}.completion(attempt)
 		if err != nil || got.CacheStatus != want.CacheStatus || got.FillWait != want.FillWait || got.Result != routing.Served {
-			t.Errorf("fields %s: got cache status %v, fill wait %v, error %v", fields, got.CacheStatus, got.FillWait, err)
+			t.Errorf("fields %s: got cache status %v, fill wait %v, error %v; want the values of the test case and result Served", fields, got.CacheStatus, got.FillWait, err)
 		}
 	}
 }
 
-// The length of a body is reported before the body is read, because the time limit of the reply
-// depends on it.
+// TestBodyLengthIsReported checks that readReply reports the length of a body before it reads the
+// body. The time limit of the reply depends on the length.
 func TestBodyLengthIsReported(t *testing.T) {
 	var reported []int
 	text := "*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$1\r\n-\r\n$5\r\nbytes\r\n"
--- a/internal/upstream/resp.go
+++ b/internal/upstream/resp.go
@@ -8,12 +8,12 @@
 	"garnetline/internal/textconn"
 )
 
-// Limits in bytes for a reply, which is a RESP array of four bulk strings.
+// Limits for a reply, in bytes. A reply is a RESP array of four bulk strings.
 const (
-	maxFieldBytes = 4 << 10  // of the id, the status or the fields, each
-	maxBodyBytes  = 240_000  // of the largest object
-	maxLengthLine = 32       // of the line that gives the type and length of a value
-	maxReadAhead  = 4 * 1024 // buffered by textproto's reader beyond the reply
+	maxFieldBytes = 4 << 10  // maximum size of each of the id, the status and the fields
+	maxBodyBytes  = 240_000  // maximum size of the body, which is the size of the largest object
+	maxLengthLine = 32       // maximum size of the line with the type and length of a value
+	maxReadAhead  = 4 * 1024 // bytes that textproto's reader may buffer after the end of the reply
 	maxReplyBytes = maxBodyBytes + 3*maxFieldBytes + 5*maxLengthLine + maxReadAhead
 )
 
@@ -23,29 +23,30 @@
 	bulkStringType = '$'
 )
 
-// errMalformedReply reports bytes that are not a valid reply. The connection cannot be used any
-// more.
-var errMalformedReply = errors.New("malformed reply")
+// errMalformedReply reports that the received bytes are not a valid reply. The connection must not
+// be used again.
+var errMalformedReply = errors.New("upstream: malformed reply")
 
-// readLength reads the first line of a RESP value and returns the length that it gives. Another
-// type than valueType and a length above limit are errors.
+// readLength reads the first line of a RESP value and returns the length in that line. It returns
+// an error if the value has another type than valueType, or if the length is above limit.
 func readLength(conn *textconn.Conn, valueType byte, limit int) (int, error) {
 	line, err := conn.ReadLineSlice()
 	if err != nil {
 		return 0, err
 	}
 	if len(line) < 2 || len(line) > maxLengthLine || line[0] != valueType {
-		return 0, fmt.Errorf("%w: expected a length line that begins with %q", errMalformedReply, valueType)
+		return 0, fmt.Errorf("%w: expected a length line of 2 to %d bytes that begins with %q, got %.40q (%d bytes)", errMalformedReply, maxLengthLine, valueType, line, len(line))
 	}
 	n, err := strconv.ParseUint(string(line[1:]), 10, 32)
 	if err != nil || n > uint64(limit) {
-		return 0, fmt.Errorf("%w: length is not a number or exceeds the limit", errMalformedReply)
+		return 0, fmt.Errorf("%w: expected a length from 0 to %d after %q, got %q", errMalformedReply, limit, valueType, line[1:])
 	}
 	return int(n), nil
 }
 
 // readBulk reads a bulk string of at most limit bytes. The returned slice is valid until the next
-// read. If onLength is not nil, readBulk calls it with the length before it reads the content.
+// read. If onLength is not nil, readBulk calls it with the length, in bytes, before it reads the
+// content.
 func readBulk(conn *textconn.Conn, limit int, onLength func(n int)) ([]byte, error) {
 	n, err := readLength(conn, bulkStringType, limit)
 	if err != nil {
@@ -59,7 +60,7 @@
 		return nil, err
 	}
 	if content[n] != '\r' || content[n+1] != '\n' {
-		return nil, fmt.Errorf("%w: expected CRLF after the announced length of a bulk string", errMalformedReply)
+		return nil, fmt.Errorf("%w: expected CRLF after the %d bytes of a bulk string, got %q", errMalformedReply, n, content[n:])
 	}
 	return content[:n], nil
 }
--- a/internal/upstream/tcp_test.go
+++ b/internal/upstream/tcp_test.go
@@ -14,8 +14,9 @@
 	"garnetline/routing"
 )
 
-// A client must get a 304 only if the cache names exactly the client's copy. A KEEP reply that
-// names another tag, no tag or two tags is a server error.
+// TestKeepMustNameClientTag checks that a client gets a 304 response only if the cache names
+// exactly the client's copy. A KEEP reply is a server error if it names another tag, no tag or two
+// tags.
 func TestKeepMustNameClientTag(t *testing.T) {
 	server := newCacheServer(t, nil)
 	var conn *cacheConn
@@ -50,8 +51,8 @@
 	}
 }
 
-// A command is small and must be sent at once. If the kernel delayed it, it would be lost when the
-// connection is reset.
+// TestNoDelayIsSet checks that connections have TCP_NODELAY set. Without it, the kernel may delay a
+// small command, and a reset of the connection would lose the delayed command.
 func TestNoDelayIsSet(t *testing.T) {
 	dialed := make(chan net.Conn, 1)
 	server := newCacheServer(t, func(options *Options) {
@@ -77,8 +78,9 @@
 	}
 }
 
-// A connection ends in the middle of a line of a reply. The attempt in flight on it completes
-// once, as ConnectionLost, and the next attempt uses a new connection.
+// TestConnectionEndsInsideReply checks a connection that ends in the middle of a line of a reply.
+// The attempt in flight on the connection completes once, as ConnectionLost. The next attempt uses
+// a new connection.
 func TestConnectionEndsInsideReply(t *testing.T) {
 	for name, reset := range map[string]bool{"closed": false, "reset": true} {
 		t.Run(name, func(t *testing.T) {
@@ -89,7 +91,7 @@
 			conn.write("*4\r\n$1\r\na\r\n$4\r\nDO")
 			conn.closeOrReset(reset)
 			if got := server.waitForCompletion(first); got.Result != routing.ConnectionLost {
-				t.Errorf("completed as %v", got.Result)
+				t.Errorf("attempt completed as %v, want ConnectionLost", got.Result)
 			}
 			second := server.send("b", "")
 			conn = server.accept()
@@ -103,8 +105,9 @@
 	}
 }
 
-// A cache that closes a connection without reading the command resets it. The request may have
-// been executed, so the attempt completes as ConnectionLost.
+// TestResetWithUnreadCommand checks the result of an attempt whose connection is reset before the
+// cache reads the command. The router cannot know whether the cache executed the request, so the
+// attempt completes as ConnectionLost.
 func TestResetWithUnreadCommand(t *testing.T) {
 	server := newCacheServer(t, nil)
 	attempt := server.send("a", "")
@@ -114,13 +117,14 @@
 	}
 	conn.closeOrReset(true)
 	if got := server.waitForCompletion(attempt); got.Result != routing.ConnectionLost {
-		t.Errorf("completed as %v", got.Result)
+		t.Errorf("attempt completed as %v, want ConnectionLost", got.Result)
 	}
 	server.waitForNoConnections()
 }
 
-// This side closes a connection after part of a reply has come, because the attempt is canceled
-// for a retry. The attempt completes once, whatever the reader goroutine reports afterwards.
+// TestCloseWithPartialReply checks the cancel of an attempt for a retry after part of its reply has
+// come. The router closes the connection. The attempt completes once, even if the reader goroutine
+// reports the end of the connection later.
 func TestCloseWithPartialReply(t *testing.T) {
 	server := newCacheServer(t, nil)
 	attempt := server.send("a", "")
@@ -130,7 +134,7 @@
 	attempt.MayRetry = true
 	attempt.TransportState.Cancel(attempt)
 	if got := server.waitForCompletion(attempt); got.Result != routing.Canceled {
-		t.Errorf("completed as %v", got.Result)
+		t.Errorf("attempt completed as %v, want Canceled", got.Result)
 	}
 	if _, err := conn.in.ReadByte(); err == nil {
 		t.Error("the connection is still open")
@@ -139,8 +143,8 @@
 	server.checkNoCompletion()
 }
 
-// A second reply to an id that is already completed must not complete another attempt in flight,
-// and the connection stays in use.
+// TestDuplicateReplyAfterCompletion checks that a second reply to a completed attempt does not
+// complete another attempt in flight. The connection stays in use.
 func TestDuplicateReplyAfterCompletion(t *testing.T) {
 	server := newCacheServer(t, nil)
 	first := server.send("a", "")
@@ -161,7 +165,8 @@
 	}
 }
 
-// After a slow dial, the queued attempts that may still be written use the new connection.
+// TestSlowDial checks the queued attempts at the end of a slow dial. Attempts that may still be
+// written use the new connection. An attempt past its send deadline is not written.
 func TestSlowDial(t *testing.T) {
 	allowDial := make(chan struct{})
 	server := newCacheServer(t, func(options *Options) {
@@ -187,8 +192,8 @@
 	}
 }
 
-// A dial that does not succeed within the connect timeout proves that the server executed
-// nothing, so the attempt completes as ConnectFailed.
+// TestConnectTimeout checks that an attempt completes as ConnectFailed if the dial does not succeed
+// within the connect timeout. Without a connection, the server has executed nothing.
 func TestConnectTimeout(t *testing.T) {
 	server := newCacheServer(t, func(options *Options) {
 		options.Settings = func() platformconfig.Upstream {
@@ -200,13 +205,13 @@
 		}
 	})
 	if got := server.waitForCompletion(server.send("a", "")); got.Result != routing.ConnectFailed {
-		t.Errorf("completed as %v", got.Result)
+		t.Errorf("attempt completed as %v, want ConnectFailed", got.Result)
 	}
 	server.waitForNoConnections()
 }
 
-// When the cache closes an idle connection early, no attempt completes, and the next attempt uses
-// a new connection.
+// TestServerClosesIdleConnection checks that no attempt completes when the cache closes an idle
+// connection early. The next attempt uses a new connection.
 func TestServerClosesIdleConnection(t *testing.T) {
 	server := newCacheServer(t, nil)
 	first := server.send("a", "")
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	maxInFlight              = 512 // attempts that one server holds from Send until Release
-	maxRetainedTraces        = 256 // retained trace ids that wait for the next command to the server
+	maxInFlight              = 512 // limit of attempts to one server; an attempt counts from Send until Release
+	maxRetainedTraces        = 256 // limit of retained trace ids that wait for the next command to the server
 	retainedTracesPerCommand = 4
 	closeIdleInterval        = time.Second
 
-	// mailboxSize holds two messages for each attempt (send and cancel) and the drain message,
-	// so that adding a message never blocks the pool.
+	// mailboxSize leaves room for two messages per attempt (send and cancel) and for the drain
+	// message. The pool therefore never blocks when it adds a message.
 	mailboxSize = 2*maxInFlight + 8
 )
 
-// Upstream is the actor that manages the connections to one server. Only the pool uses removed.
-// The channels and inFlight may be used by several goroutines. The goroutine of run owns the
-// fields from connections on.
+// Upstream is the actor that manages the connections to one server. Only the pool uses the field
+// removed. Several goroutines may use the channels and inFlight. The goroutine of run owns
+// connections and all fields after it.
 type Upstream struct {
 	Options
 	addr    netip.AddrPort
@@ -43,7 +43,7 @@
 	draining      bool
 	dialing       bool
 	dialStartedAt float64 // clock time, in ms
-	growAfter     float64 // clock time in ms before which no additional connection is dialed
+	growAfter     float64 // clock time in ms; no additional connection is dialed before it
 }
 
 // message is a request from the pool to an Upstream. Exactly one field is set.
@@ -64,8 +64,8 @@
 	}
 }
 
-// drain tells the actor to stop once no attempt is in flight. Further calls have no effect.
-// Only the pool calls it.
+// drain tells the actor to stop when no attempt is in flight. Further calls have no effect. Only
+// the pool calls drain.
 func (u *Upstream) drain() {
 	if u.removed {
 		return
@@ -74,16 +74,16 @@
 	u.mailbox <- message{drain: true}
 }
 
-// Cancel implements dispatch.TransportState: it tells the actor to cancel the attempt. Only the
-// dispatcher's goroutine calls it.
+// Cancel implements dispatch.TransportState. It tells the actor to cancel the attempt. Only the
+// dispatcher's goroutine calls Cancel.
 func (u *Upstream) Cancel(attempt *dispatch.Attempt) { u.mailbox <- message{cancel: attempt} }
 
-// Release implements dispatch.TransportState: the dispatcher has handled the attempt's
-// completion. Only the dispatcher's goroutine calls it.
+// Release implements dispatch.TransportState. The dispatcher calls it after it has handled the
+// completion of an attempt. Only the dispatcher's goroutine calls Release.
 func (u *Upstream) Release(*dispatch.Attempt) { u.inFlight.Add(-1) }
 
-// run is the actor's event loop. It returns when the server is drained or ctx ends, closes all
-// connections and completes the attempts that are in flight on them.
+// run is the actor's event loop. It returns when the server has been drained or when ctx is done.
+// Before it returns, it closes all connections and completes the attempts in flight on them.
 func (u *Upstream) run(ctx context.Context) {
 	defer close(u.stopped)
 	defer u.closeAllConnections()
@@ -103,7 +103,7 @@
 	}
 }
 
-// drained reports whether the server is being drained and no attempt or message is left.
+// drained reports whether the pool has drained the server and no attempt or message is left.
 func (u *Upstream) drained() bool {
 	return u.draining && u.inFlight.Load() == 0 && len(u.mailbox) == 0
 }
@@ -120,8 +120,9 @@
 	}
 }
 
-// sendQueued writes the queued attempts for which a connection is available. It starts a dial
-// if attempts are left waiting, or if the connections in use are busy and one may be added.
+// sendQueued writes each queued attempt for which a connection is available. It starts a dial in
+// two cases: attempts still wait for a connection, or a connection that it used is busy and an
+// additional connection may be dialed.
 func (u *Upstream) sendQueued(ctx context.Context) {
 	waiting := u.queued[:0]
 	busy := false
@@ -150,13 +151,14 @@
 	}
 }
 
-// rejection says why an attempt is not written and with which result it is completed.
+// rejection says why the actor does not write an attempt. The attempt completes with the given
+// result.
 type rejection struct {
 	result routing.Result
 	reason string
 }
 
-// These rejections are shared values, so that a rejection needs no allocation.
+// The rejections are package variables, so that rejecting an attempt allocates no rejection.
 var (
 	rejectedExcluded           = &rejection{routing.NotSent, "server or fill source excluded"}
 	rejectedClientDisconnected = &rejection{routing.NotSent, "client disconnected"}
@@ -164,15 +166,16 @@
 	rejectedExpired            = &rejection{routing.TimedOut, "expired"}
 )
 
-// rejectBeforeWrite returns why an attempt must no longer be written, or nil if it may be.
-// It repeats the checks of the routing decision: while the attempt waited for a connection, the
-// endpoint list may have changed, the client may have disconnected or the deadline passed.
+// rejectBeforeWrite returns the reason not to write an attempt, or nil if the attempt may be
+// written. It repeats the checks of the routing decision. While the attempt waited for a
+// connection, the endpoint list may have changed, the client may have disconnected, or the deadline
+// may have passed.
 func (u *Upstream) rejectBeforeWrite(attempt *dispatch.Attempt) *rejection {
 	guard := u.Guard()
 	switch {
 	case guard.Excludes(attempt.Decision.Server), guard.Excludes(attempt.Decision.FillSource):
 		return rejectedExcluded
-	case attempt.Request.ClientDisconnected(): // the message that cancels the attempt will follow
+	case attempt.Request.ClientDisconnected(): // the cancel message of the attempt has not arrived yet
 		return rejectedClientDisconnected
 	case attempt.SendDeadline > 0 && u.Clock.Now() >= attempt.SendDeadline:
 		return rejectedSendWindowClosed
@@ -182,7 +185,7 @@
 	return nil
 }
 
-// reject completes, without writing it, an attempt that rejectBeforeWrite rejected.
+// reject completes an attempt that rejectBeforeWrite rejected. The attempt is not written.
 func (u *Upstream) reject(attempt *dispatch.Attempt, cause *rejection) {
 	if cause == rejectedClientDisconnected {
 		u.Metrics.Add("attempts_unwanted", 1)
@@ -190,8 +193,8 @@
 	u.Complete(*dispatch.Unsent(attempt, cause.result))
 }
 
-// writeAttempt writes an attempt's serve command. It limits the age of an acceptable copy by
-// the purges that are known at the time of the write.
+// writeAttempt writes the serve command of an attempt. The command limits the age of an acceptable
+// copy, because of the purges that are known at the time of the write.
 func (u *Upstream) writeAttempt(conn *connection, attempt *dispatch.Attempt) {
 	now := u.Clock.Now()
 	decision := &attempt.Decision
@@ -210,9 +213,9 @@
 	}
 }
 
-// traceFields returns the command fields that propagate the attempt's trace context and name
-// the traces that are retained, each field with a leading comma. It returns an empty string if
-// traces are not propagated to the servers.
+// traceFields returns the command fields that propagate the trace context of the attempt and name
+// retained traces. Each field has a leading comma. traceFields returns an empty string if the
+// servers do not accept these fields.
 func (u *Upstream) traceFields(attempt *dispatch.Attempt) string {
 	if !u.PropagateTraces {
 		return ""
@@ -234,9 +237,9 @@
 	return fields
 }
 
-// cancelAttempt cancels a queued or written attempt. A written attempt is completed only after
-// its cancel command has been written or its connection has been closed, so that it is not in
-// flight together with its retry.
+// cancelAttempt cancels a queued or written attempt. It completes a written attempt only after it
+// has written the cancel command or closed the connection. The attempt and its retry are therefore
+// never in flight at the same time.
 func (u *Upstream) cancelAttempt(attempt *dispatch.Attempt) {
 	if i := slices.Index(u.queued, attempt); i >= 0 {
 		u.queued = slices.Delete(u.queued, i, i+1)
@@ -256,8 +259,9 @@
 	u.Complete(dispatch.Completion{Attempt: attempt, Result: routing.Canceled, Load: dispatch.UnknownLoad()})
 }
 
-// handleReply completes the attempt that a reply belongs to. A reply without an attempt in
-// flight crossed the cancel command of its attempt, or is a duplicate; it is counted as late.
+// handleReply completes the attempt to which a reply belongs. If no attempt with the id of the
+// reply is in flight, the reply is counted as late. Such a reply is a duplicate, or the server sent
+// it before it received the cancel command of the attempt.
 func (u *Upstream) handleReply(ctx context.Context, conn *connection, r reply) {
 	now := u.Clock.Now()
 	conn.lastReplyAt = now
@@ -283,20 +287,22 @@
 	u.sendQueued(ctx)
 }
 
-// checkDuplicateReply handles a reply whose result is not Served and that may duplicate the
-// reply to an earlier attempt of the same request. It is taken for a duplicate if a reply to the
-// same id came on this connection within duplicateReplyWindow. checkDuplicateReply then sends a
-// cancel command for the attempt and, unless its class is idempotent, changes the result to
-// ServerError, because the cache may have executed the request.
+// checkDuplicateReply handles a reply with a result other than Served. The reply counts as a
+// duplicate if a reply with the same id and such a result came on the same connection within
+// duplicateReplyWindow. A duplicate may belong to an earlier attempt of the request, and the cache
+// may still execute the current attempt. checkDuplicateReply therefore sends a cancel command for
+// the current attempt. It also changes the result to ServerError, which says that the cache may
+// have executed the request, unless the class of the request is idempotent.
 //
-// Without this check, a rejection that a cache sent twice completed the next attempt too: that
-// attempt kept running at the cache while another one was sent to a different server.
+// Without this check, a rejection that a cache sends twice would complete the next attempt too.
+// That attempt would keep running at the cache while the dispatcher sends another attempt to a
+// different server.
 func (u *Upstream) checkDuplicateReply(conn *connection, completion *dispatch.Completion) {
 	now := u.Clock.Now()
 	id := completion.Attempt.Request.TransactionID
 	if at, ok := conn.unservedAt[id]; ok && now-at < duplicateReplyWindow {
 		u.Metrics.Add("peer_answers_doubted", 1)
-		conn.canceledIDs[id] = true // a third attempt must use another connection
+		conn.canceledIDs[id] = true // the next attempt of the request must use another connection
 		if completion.Attempt.Class.Idempotency != routing.Idempotent {
 			completion.Result = routing.ServerError
 		}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -14,9 +14,9 @@
 	"garnetline/routing"
 )
 
-// FuzzUpstream runs random operations and checks that each attempt completes exactly once, also
-// after a cancel, that none is written to a closed connection, and that no id is in flight twice
-// on one connection.
+// FuzzUpstream runs random operations and checks the guarantees of an Upstream. Each attempt
+// completes exactly once, even after a cancel. No attempt is written to a closed connection. No id
+// is in flight twice on one connection.
 func FuzzUpstream(f *testing.F) {
 	fuzzutil.AddRandomSeeds(f, 32, 300)
 	f.Fuzz(func(t *testing.T, steps []byte) {
@@ -39,7 +39,7 @@
 	})
 }
 
-// runStep performs one operation; choice selects its variant.
+// runStep performs one operation. The argument choice selects the variant of the operation.
 func (h *harness) runStep(operation byte, choice int) {
 	h.t.Helper()
 	switch operation {
@@ -68,7 +68,8 @@
 	}
 }
 
-// anyConnection returns the open connection that choice selects, or nil if none is open.
+// anyConnection returns the open connection that the argument choice selects, or nil if no
+// connection is open.
 func (h *harness) anyConnection(choice int) *connection {
 	if len(h.upstream.connections) == 0 {
 		return nil
@@ -107,8 +108,8 @@
 	}
 }
 
-// checkCommands checks that the written commands are complete, and that an id is only reused on a
-// connection after its reply has come.
+// checkCommands checks that the written commands are complete. It also checks that an id is used
+// again on a connection only after the reply to its earlier attempt has come.
 func (h *harness) checkCommands() {
 	h.t.Helper()
 	for _, conn := range h.conns {
@@ -125,8 +126,8 @@
 	}
 }
 
-// checkConnections checks the attempts in flight on each connection, the count of open
-// connections, and that connections that are no longer used are closed.
+// checkConnections checks the attempts in flight on each connection and the count of open
+// connections. It also checks that each connection that the Upstream has dropped is closed.
 func (h *harness) checkConnections() {
 	h.t.Helper()
 	open := map[*fakeConn]bool{}
@@ -155,8 +156,8 @@
 	}
 }
 
-// An attempt must not be written if its cache or its fill source left the ready servers while the
-// attempt was queued.
+// TestQueuedAttemptChecksEndpointList checks that a queued attempt is not written if its cache or
+// its fill source is no longer ready.
 func TestQueuedAttemptChecksEndpointList(t *testing.T) {
 	for _, excluded := range []routing.ServerID{1, 8} {
 		harness := newHarness(t)
@@ -170,7 +171,8 @@
 	}
 }
 
-// A purge that is received while an attempt is queued limits the age of an acceptable copy.
+// TestQueuedAttemptChecksPurges checks that a purge limits the age of an acceptable copy even if it
+// is received while the attempt is queued.
 func TestQueuedAttemptChecksPurges(t *testing.T) {
 	harness := newHarness(t)
 	harness.send("a")
@@ -184,9 +186,11 @@
 	}
 }
 
-// If traces are not propagated, the command fields are byte for byte the same for traced and
-// untraced attempts, whatever traces are retained. If they are, the fields contain the trace
-// context, and each retained trace is named once, at most retainedTracesPerCommand per command.
+// TestTraceFieldsOnlyWhenPropagated checks the command fields for traces. If the servers do not
+// accept these fields, the commands of traced and untraced attempts have the same fields, byte for
+// byte, and do not name retained traces. If the servers accept them, the fields contain the trace
+// context. Each retained trace is then named once, with at most retainedTracesPerCommand traces in
+// one command.
 func TestTraceFieldsOnlyWhenPropagated(t *testing.T) {
 	plain := "sort=part,asset=0000000000000007,slice=0,patience=2000,op=k,via=s-00000008,tier=2,opts=join"
 	for _, traced := range []bool{false, true} {
@@ -205,8 +209,9 @@
 	}
 }
 
-// tracedFields returns the fields of three commands that are written, traced or not, while one
-// more trace is retained than fits into one command.
+// tracedFields returns the fields of three commands. The argument traced tells whether their
+// attempts are traced, and propagate tells whether the servers accept trace fields. One more trace
+// is retained than fits into one command.
 func tracedFields(t *testing.T, traced, propagate bool) []string {
 	t.Helper()
 	harness := newHarness(t)
@@ -215,7 +220,7 @@
 	for i := range retainedTracesPerCommand + 1 {
 		pool.TraceRetained(1, trace.ID{byte(i + 1)})
 	}
-	pool.TraceRetained(2, trace.ID{9}) // not a server of the pool
+	pool.TraceRetained(2, trace.ID{9}) // the pool has no server 2
 	for _, id := range []string{"a", "b", "c"} {
 		attempt := harness.newAttempt(id)
 		attempt.Request.IdempotencyKey = "k"
@@ -236,8 +241,9 @@
 	return out
 }
 
-// While an attempt waits in the mailbox or for a connection, its server may become excluded, its
-// client may disconnect, or its send deadline or expiry may pass. It must then not be written.
+// TestAttemptRejectedBeforeWrite checks that an attempt is not written if the conditions change
+// while it waits in the mailbox or for a connection. Its server may become excluded, its client may
+// disconnect, or its send deadline or expiry may pass.
 func TestAttemptRejectedBeforeWrite(t *testing.T) {
 	for _, test := range []struct {
 		want   *rejection
@@ -253,17 +259,17 @@
 	} {
 		t.Run(test.want.reason, func(t *testing.T) {
 			harness := newHarness(t)
-			first := harness.send("a") // waits for a dial
+			first := harness.send("a") // the attempt waits for a dial
 			test.change(harness, first)
 			if got := harness.upstream.rejectBeforeWrite(first); got != test.want {
-				t.Errorf("got rejection %+v, want the case's rejection", got)
+				t.Errorf("got rejection %+v, want the rejection of the test case", got)
 			}
 			harness.finishDial()
-			second := harness.send("b") // its message is handled when a connection exists
+			second := harness.send("b") // the actor handles the message of b when a connection exists
 			test.change(harness, second)
 			harness.upstream.sendQueued(t.Context())
 			if got := harness.completions[first]; len(got) != 1 || got[0] != test.want.result || harness.conns[0].wrote("a") {
-				t.Errorf("completed as %v after writing %q, want the rejection's result and nothing written", got, harness.conns[0].written.String())
+				t.Errorf("completed as %v after writing %q, want the result of the rejection and nothing written", got, harness.conns[0].written.String())
 			}
 		})
 	}
