--- a/internal/fleet/membership/broadcast.go
+++ b/internal/fleet/membership/broadcast.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// fastGossipThreshold is the number of queued broadcasts above which a router gossips
-	// fastGossipFactor times as often.
+	// fastGossipThreshold is a number of queued broadcasts. While more broadcasts are queued, a
+	// router gossips fastGossipFactor times as often.
 	fastGossipThreshold = 48
 	fastGossipFactor    = 4
 
-	// maxBroadcasts bounds the queue. Updates and items beyond it reach the other routers
-	// through the comparison of views (see runSync).
+	// maxBroadcasts is the maximum length of the queue. Updates and items that do not fit into
+	// the queue reach the other routers through the comparison of views (see runSync).
 	maxBroadcasts = 4096
 )
 
@@ -22,19 +22,19 @@
 type broadcast struct {
 	update    Update
 	item      []byte // nil if the broadcast is an update
-	transmits int    // number of packets that have carried it
+	transmits int    // number of packets that have carried the broadcast
 }
 
-// broadcastQueue holds the broadcasts. They are sent in round-robin order, so that all are
-// sent equally often.
+// broadcastQueue holds the broadcasts that wait to be sent. The broadcasts are sent in round-robin
+// order, so that each of them is sent equally often.
 type broadcastQueue struct {
 	entries     []broadcast
 	next        int             // index of the entry that is sent next
 	queuedItems map[uint64]bool // hashes of the items in entries
 }
 
-// addUpdate queues an update. It replaces a queued update about the same router that is older
-// or has the same reporter.
+// addUpdate queues an update. The update replaces a queued update about the same router if the
+// queued update is older or has the same reporter.
 func (q *broadcastQueue) addUpdate(update Update) {
 	for i := range q.entries {
 		entry := &q.entries[i]
@@ -109,15 +109,16 @@
 	}
 	m.nextGossipAt = m.now + m.settings.GossipInterval
 	if queued > fastGossipThreshold {
-		// When a whole fleet starts at once, updates would be outdated before they are sent.
+		// The queue grows when a whole fleet starts at the same time. Without faster gossip, the
+		// updates would be outdated before they are sent.
 		m.nextGossipAt = m.now + m.settings.GossipInterval/fastGossipFactor
 	}
 }
 
-// send sends a packet to addr. receiver is nil if the sender does not know which router is at
-// that address, or if the packet is not to carry broadcasts. If the receiver is regarded as
-// suspect, failed or left, that update comes before the broadcasts so that the receiver can
-// refute it.
+// send sends a packet to addr. The argument receiver is nil if the router at that address is not
+// known, or if the packet must not carry broadcasts. If this router regards the receiver as
+// suspect, failed or left, the packet carries that update before the broadcasts, so that the
+// receiver can refute it.
 func (m *Machine) send(addr netip.AddrPort, receiver *peer, packet *Packet) {
 	if m.superseded && packet.Kind != Ack && packet.Kind != SyncResponse && packet.Kind != SyncRequest {
 		return // the later process with this router's ID sends all other packets
@@ -161,8 +162,8 @@
 	}
 }
 
-// outdated reports whether a queued update is older than what this router knows, or is about
-// a router that has been forgotten.
+// outdated reports whether a queued update is older than the known update about the same router,
+// or is about a router that has been forgotten.
 func (m *Machine) outdated(update *Update) bool {
 	known := m.peers[update.ID]
 	if known == nil {
--- a/internal/fleet/membership/checksum.go
+++ b/internal/fleet/membership/checksum.go
@@ -39,8 +39,8 @@
 // checksums.
 func (m *Machine) Checksums() [BucketCount]uint32 { return [BucketCount]uint32(m.allChecksums()) }
 
-// peerChecksum returns the checksum of a router at a revision. It must be the same at all
-// routers, since they compare checksums with each other.
+// peerChecksum returns the checksum of a router at a revision. All routers must compute the same
+// checksum, since they compare checksums with each other.
 func peerChecksum(id ID, revision uint64) uint32 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], uint64(id))
--- a/internal/fleet/membership/codec_test.go
+++ b/internal/fleet/membership/codec_test.go
@@ -55,14 +55,14 @@
 			corrupted := samplePacket()
 			corrupt(corrupted)
 			if _, err := Decode(corrupted.Append(nil)); err == nil {
-				t.Error("decoded without an error, want one")
+				t.Error("Decode returned no error, want an error")
 			}
 		})
 	}
 }
 
-// Decode does not panic on any input. A decoded packet is within bounds, and decodes to the same
-// packet after it is encoded again.
+// Decode does not panic on any input. A decoded packet is within bounds. Encoding the packet and
+// decoding the result returns the same packet.
 func FuzzDecode(f *testing.F) {
 	f.Add(samplePacket().Append(nil))
 	f.Add([]byte{8, 1})
@@ -77,7 +77,7 @@
 		encoded := packet.Append(nil)
 		again, err := Decode(encoded)
 		if len(encoded) <= MaxPacketLen && (err != nil || !bytes.Equal(encoded, again.Append(nil))) {
-			t.Fatalf("decoding again: got error %v; encoded first as %x, then as %x", err, encoded, again.Append(nil))
+			t.Fatalf("decoding the encoded packet: got error %v; the first encoding is %x, the second is %x", err, encoded, again.Append(nil))
 		}
 	})
 }
--- a/internal/fleet/membership/golden_test.go
+++ b/internal/fleet/membership/golden_test.go
@@ -8,8 +8,8 @@
 	"garnetline/internal/golden"
 )
 
-// packetsOfEachKind returns one packet of each kind and one with all fields set, with their names
-// in the golden file.
+// packetsOfEachKind returns one packet of each kind and one packet with all fields set. It also
+// returns the names of these packets in the golden file.
 func packetsOfEachKind() (names []string, packets []*Packet) {
 	from := Update{ID: 0x1122334455667788, Revision: FirstRevision(5) + 3, Name: "r1", Zone: "north", Version: "1.2", Addr: netip.MustParseAddrPort("10.1.2.3:7946")}
 	suspect := Update{ID: 8, Revision: FirstRevision(2), State: Suspect, ReportedBy: 9, Name: "r2", Zone: "south", Version: "1.1", Addr: netip.MustParseAddrPort("[fd00::2]:7946")}
@@ -38,7 +38,7 @@
 }
 
 // The encoding of packets is the same as in the previous version, since routers of both versions
-// exchange them.
+// exchange packets.
 func TestGoldenPackets(t *testing.T) {
 	names, packets := packetsOfEachKind()
 	var messages []golden.Message
--- a/internal/fleet/membership/machine.go
+++ b/internal/fleet/membership/machine.go
@@ -7,14 +7,14 @@
 	"slices"
 )
 
-// stallProbeIntervals is how many probe intervals, plus the probe timeout, a step must be late
-// for this router to conclude that its process was stopped.
+// stallProbeIntervals is a number of probe intervals. If a step is late by more than this number of
+// probe intervals plus the probe timeout, this router concludes that its process was stopped.
 const stallProbeIntervals = 2
 
 // maxLeaveNotices is the maximum number of packets in which a router announces that it leaves.
 const maxLeaveNotices = 8
 
-// Machine holds what one router knows about the others. It is not safe for concurrent use.
+// Machine holds one router's knowledge about the other routers. It is not safe for concurrent use.
 type Machine struct {
 	settings Settings
 	self     Update
@@ -27,7 +27,7 @@
 	sequence uint64 // number of the latest packet sent
 
 	peers        map[ID]*peer
-	idsByName    map[string]ID // this router and the present ones
+	idsByName    map[string]ID // IDs of this router and of the present routers
 	present      []*peer       // alive or suspect, in the order of probing
 	probeIndex   int           // index in present of the next router to probe
 	suspects     []*peer
@@ -63,12 +63,13 @@
 
 const (
 	ruleOrdering   protocolRule = 1 + iota // an older update never replaces a newer one
-	ruleRefutation                         // a router that is reported as suspect, failed or left refutes that
+	ruleRefutation                         // a router that is reported as suspect, failed or left refutes the report
 )
 
-// New returns the machine of the router self, which knows no other router yet. self must be
-// alive and have the first revision of its incarnation. seeds are addresses at which other
-// routers may be reachable. store may be nil.
+// New returns the machine of the router that the argument self describes. The machine knows no
+// other router yet. The argument self must be alive and have the first revision of its
+// incarnation. The argument seeds holds addresses at which other routers may be reachable. The
+// argument store may be nil.
 func New(settings Settings, self Update, seeds []netip.AddrPort, rng *rand.Rand, store ItemStore, now float64) *Machine {
 	machine := &Machine{
 		settings:          settings,
@@ -91,8 +92,8 @@
 	return machine
 }
 
-// Step advances the machine's clock to now, in ms, handles a received packet, which may be nil,
-// and runs the timers that are due.
+// Step advances the machine's clock to the given time, in ms. It handles the received packet,
+// unless the packet is nil, and runs the timers that are due.
 func (m *Machine) Step(now float64, packet *Packet) Output {
 	var out Output
 	m.output = &out
@@ -113,19 +114,19 @@
 	return out
 }
 
-// SendPayload sends a payload to a different state machine of the router to. The payload may be
-// lost. It is not sent if that router is not present or the payload exceeds MaxPayloadLen.
-func (m *Machine) SendPayload(now float64, to ID, payload []byte) (out Output) {
+// SendPayload sends a payload to a different state machine of the receiver. The payload may be
+// lost. It is not sent if the receiver is not present, or if the payload exceeds MaxPayloadLen.
+func (m *Machine) SendPayload(now float64, receiver ID, payload []byte) (out Output) {
 	m.output = &out
 	m.now = max(m.now, now)
-	if r := m.peers[to]; r != nil && r.State.Present() && len(payload) <= MaxPayloadLen && !m.left {
+	if r := m.peers[receiver]; r != nil && r.State.Present() && len(payload) <= MaxPayloadLen && !m.left {
 		m.send(r.Addr, nil, &Packet{Kind: Data, Payload: payload})
 	}
 	m.output = nil
 	return out
 }
 
-// Leave announces to other routers that this one leaves. The machine sends no packets
+// Leave announces to other routers that this router leaves. The machine sends no packets
 // afterwards.
 func (m *Machine) Leave(now float64) Output {
 	var out Output
@@ -156,10 +157,10 @@
 	m.output = nil
 }
 
-// handleStall cancels the active probe and extends all suspicions after this router's process
-// was stopped for a while, so that the time of the stop does not count. lateness is in ms.
-// Otherwise a router that resumes after 30 s finds every probe unanswered and every suspicion
-// expired, and reports all other routers as failed.
+// handleStall is called after this router's process was stopped for a while. It cancels the active
+// probe and extends all suspicions by the lateness, in ms, so that the time of the stop does not
+// count. Without this, a router that resumes after 30 s would find every probe unanswered and
+// every suspicion expired, and would report all other routers as failed.
 func (m *Machine) handleStall(lateness float64) {
 	m.probe.target = nil
 	for _, suspect := range m.suspects {
@@ -196,9 +197,9 @@
 	m.pending = slices.DeleteFunc(m.pending, func(request pendingRequest) bool { return request.expiresAt <= m.now })
 }
 
-// pollSuccessor sends a SyncRequest to a random router, whose answer shows whether the later
-// process with this router's ID is still present. While it is, that process does all other
-// work.
+// pollSuccessor sends a SyncRequest to a random router. The answer shows whether the later
+// process with this router's ID is still present. While the later process is present, it does
+// all other work.
 func (m *Machine) pollSuccessor() {
 	if m.nextReconnectAt > m.now {
 		return
@@ -230,15 +231,15 @@
 	return wakeAt
 }
 
-// raiseHealthScore records evidence that this router itself is slow. With a higher score it
-// probes less often and waits longer before it suspects others.
-func (m *Machine) raiseHealthScore(by int) {
-	m.healthScore = min(m.settings.MaxHealthScore, m.healthScore+by)
+// raiseHealthScore records evidence that this router itself is slow. With a higher score, this
+// router probes less often and waits longer before it suspects other routers.
+func (m *Machine) raiseHealthScore(amount int) {
+	m.healthScore = min(m.settings.MaxHealthScore, m.healthScore+amount)
 }
 
 // lowerHealthScore records evidence that this router is healthy.
-func (m *Machine) lowerHealthScore(by int) { m.healthScore = max(0, m.healthScore-by) }
+func (m *Machine) lowerHealthScore(amount int) { m.healthScore = max(0, m.healthScore-amount) }
 
-// healthMultiplier returns the factor by which this router lengthens its probe timers because
-// it is slow itself.
+// healthMultiplier returns the factor by which this router lengthens its probe timers while
+// it is slow.
 func (m *Machine) healthMultiplier() float64 { return float64(1 + m.healthScore) }
--- a/internal/fleet/membership/machine_test.go
+++ b/internal/fleet/membership/machine_test.go
@@ -34,18 +34,18 @@
 	t.Helper()
 	for _, sent := range out.Packets {
 		if n := len(sent.Packet.Append(nil)); n > MaxPacketLen {
-			t.Fatalf("got a packet of %d bytes, want at most MaxPacketLen", n)
+			t.Fatalf("got a packet of %d bytes, want at most %d", n, MaxPacketLen)
 		}
 	}
 	switch {
 	case len(machine.peers) > machine.settings.MaxMembers:
-		t.Fatalf("got %d members, want at most MaxMembers", len(machine.peers))
+		t.Fatalf("got %d members, want at most %d", len(machine.peers), machine.settings.MaxMembers)
 	case len(machine.unverified) > maxUnverified:
-		t.Fatalf("got %d unverified packets, want at most maxUnverified", len(machine.unverified))
+		t.Fatalf("got %d unverified packets, want at most %d", len(machine.unverified), maxUnverified)
 	case len(machine.pending) > maxPendingRequests:
-		t.Fatalf("got %d pending requests, want at most maxPendingRequests", len(machine.pending))
+		t.Fatalf("got %d pending requests, want at most %d", len(machine.pending), maxPendingRequests)
 	case len(machine.relays) > maxRelays:
-		t.Fatalf("got %d relays, want at most maxRelays", len(machine.relays))
+		t.Fatalf("got %d relays, want at most %d", len(machine.relays), maxRelays)
 	case len(out.Packets) > 64:
 		t.Fatalf("got %d packets from one step, want at most 64", len(out.Packets))
 	}
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -1,14 +1,14 @@
 // Package membership tracks which routers belong to an installation and which of them have
 // failed. It implements SWIM with the Lifeguard extensions as a state machine without I/O.
 //
-// A router is identified by an ID, which survives a restart of the process if the router's
-// state directory does. Updates about an ID are ordered by their revision, not by a clock.
-// The upper bits of a revision hold the incarnation of the router's process, the lower bits
-// how often that process has refuted a suspicion.
+// A router is identified by an ID. The ID survives a restart of the process, unless the router's
+// state directory is lost. Updates about an ID are ordered by their revision, not by a clock.
+// The upper bits of a revision hold the incarnation of the router's process. The lower bits
+// count the suspicions that this process has refuted.
 //
-// A Machine holds what one router knows about the others. The caller steps it with received
-// packets and the current time, and it returns the packets to send. It is not safe for
-// concurrent use: the goroutine that owns it (the transport's or a simulation's) makes all
+// A Machine holds one router's knowledge about the other routers. The caller passes received
+// packets and the current time to Step, which returns the packets to send. A Machine is not safe
+// for concurrent use: the goroutine that owns it (the transport's or a simulation's) makes all
 // calls.
 package membership
 
@@ -24,7 +24,7 @@
 func (id ID) String() string { return fmt.Sprintf("%016x", uint64(id)) }
 
 // State is the state of a router as another router sees it. The order of the values matters:
-// of two updates with the same revision, the one with the higher state takes precedence.
+// of two updates with the same revision, the update with the higher state takes precedence.
 type State uint8
 
 // The states of a router.
@@ -55,25 +55,26 @@
 // FirstRevision returns the first revision of an incarnation.
 func FirstRevision(incarnation uint64) uint64 { return incarnation << refutationBits }
 
-// Update describes a router at one revision. It comes from that router itself, or from
-// another one that reports it as suspect or failed.
+// Update describes a router at one revision. An update is made by the described router itself, or
+// by another router that reports the described router as suspect or failed.
 type Update struct {
 	ID         ID
 	Revision   uint64
 	State      State
-	ReportedBy ID // router that reports it as suspect or failed; its own ID when it leaves
+	ReportedBy ID // Suspect, Failed: router that reported the state; Left: the router itself
 	Name       string
 	Zone       string
 	Version    string
-	Addr       netip.AddrPort // address that receives its packets
+	Addr       netip.AddrPort // address at which the router receives packets
 }
 
-// Incarnation returns the number of the router's process. The first process with the ID has
-// number 1.
+// Incarnation returns the incarnation, which is the number of the router's process. The first
+// process with the ID has incarnation 1.
 func (u *Update) Incarnation() uint64 { return u.Revision >> refutationBits }
 
-// newer reports whether update takes precedence over known: it has a higher revision, or the
-// same revision and a higher state.
+// newer reports whether the argument update takes precedence over the argument known. The update
+// with the higher revision takes precedence. If the revisions are equal, the update with the higher
+// state takes precedence.
 func newer(update, known *Update) bool {
 	return update.Revision > known.Revision || update.Revision == known.Revision && update.State > known.State
 }
@@ -81,16 +82,16 @@
 // Settings are the parameters of the protocol. All times are in milliseconds.
 type Settings struct {
 	ProbeInterval          float64 // time between two probes
-	ProbeTimeout           float64 // time without an answer after which other routers are asked to probe too
-	IndirectProbes         int     // number of routers that are asked
-	SuspicionMult          float64 // shortest suspicion timeout, in probe intervals times log10 of the number of routers
+	ProbeTimeout           float64 // time after which other routers are asked to probe a target that has not answered
+	IndirectProbes         int     // number of other routers that are asked to probe the target
+	SuspicionMult          float64 // shortest suspicion timeout, divided by ProbeInterval and by log10 of the number of routers
 	MinSuspicionTimeout    float64 // lower bound of the shortest suspicion timeout
 	MaxSuspicionMult       float64 // longest suspicion timeout, as a multiple of the shortest
 	SuspicionConfirmations int     // independent confirmations that reduce the timeout to the shortest
-	MaxHealthScore         int     // upper bound of the local health score; 0 disables it
+	MaxHealthScore         int     // upper bound of the local health score; 0 disables the score
 	GossipInterval         float64 // time between Gossip packets
-	GossipFanout           int     // number of routers that gossip is sent to per interval
-	RetransmitMult         float64 // transmissions of a broadcast, divided by log10 of the number of routers
+	GossipFanout           int     // number of routers to which gossip is sent per GossipInterval
+	RetransmitMult         float64 // number of transmissions of a broadcast, divided by log10 of the number of routers
 	SyncInterval           float64 // longest time between two comparisons of the whole view with another router
 	ReconnectInterval      float64 // time between attempts to reach a failed router or a seed address
 	ForgetAfter            float64 // time after which a router that failed or left is forgotten
@@ -120,11 +121,11 @@
 
 // BucketCount is the number of buckets in which the views of two routers are compared. A
 // router is in the bucket given by its ID modulo BucketCount. An ItemStore chooses the bucket
-// of an item, and all routers must choose the same one.
+// of an item. All routers must choose the same bucket for an item.
 const BucketCount = 32
 
 // ItemStore holds the items that are gossiped along with the membership updates. Another
-// state machine interprets them.
+// state machine interprets the items.
 type ItemStore interface {
 	// Checksum returns the checksum of the items in a bucket.
 	Checksum(bucket int) uint32
@@ -135,13 +136,13 @@
 	Receive(now float64, from ID, item []byte) (isNew bool)
 }
 
-// Kinds of events, under which they are logged and counted. When a router becomes suspect,
-// failed or left, the kind is the name of the new state.
+// Kinds of events. The texts appear in logs and in the names of counters. When a router becomes
+// suspect, failed or left, the kind is the name of the new state.
 const (
 	EventSuspect    = "suspect"
 	EventFailed     = "failed"
 	EventLeft       = "left"
-	EventJoined     = "joined"     // a router that was unknown, or a new incarnation of a known one
+	EventJoined     = "joined"     // an unknown router was added, or a known router started a new incarnation
 	EventBack       = "back"       // a router is alive again
 	EventRefuted    = "refuted"    // this router raised its revision to refute a report about its ID
 	EventConflict   = "conflict"   // two routers have the same name or the same ID
@@ -163,7 +164,7 @@
 	Packet *Packet
 }
 
-// Payload is data that another router sent to a different state machine of this router. Its
+// Payload is data that another router sent to a different state machine of this router. The
 // sender has been verified.
 type Payload struct {
 	From        ID
@@ -171,7 +172,8 @@
 	Data        []byte
 }
 
-// Output is what the caller has to do after a step.
+// Output is the result of a step. The caller sends its packets, logs its events and delivers its
+// payloads.
 type Output struct {
 	Packets     []OutgoingPacket
 	Events      []Event
--- a/internal/fleet/membership/packet.go
+++ b/internal/fleet/membership/packet.go
@@ -41,14 +41,14 @@
 type Packet struct {
 	Kind       Kind
 	From       Update         // the sender's update about itself
-	Sequence   uint64         // number of the packet among those of the sender's incarnation
-	Nonce      uint64         // of the request: this packet, or the one that it answers
+	Sequence   uint64         // number of the packet, counted within the sender's incarnation
+	Nonce      uint64         // identifies a request; an answer repeats the nonce of its request
 	Target     ID             // intended receiver; in IndirectPing, Ack and Nack, the probed router
 	TargetAddr netip.AddrPort // IndirectPing: the target's address
 	Updates    []Update
 	Items      [][]byte
 	Payload    []byte   // Data only
-	Checksums  []uint32 // one per bucket, of its members and items
+	Checksums  []uint32 // one checksum per bucket, over the bucket's members and items
 }
 
 // encodedSize returns the approximate size in bytes of the packet's updates, items and
--- a/internal/fleet/membership/peer.go
+++ b/internal/fleet/membership/peer.go
@@ -2,25 +2,25 @@
 
 import "math"
 
-// peer holds what this router knows about another one.
+// peer holds this router's knowledge about another router.
 type peer struct {
 	Update
 	stateSince     float64 // ms
-	lastReceivedAt float64 // when its latest packet arrived, ms; 0: never
+	lastReceivedAt float64 // when the peer's latest packet arrived, ms; 0: never
 	replay         replayWindow
-	direct         bool // it answered the latest probe directly, not through another router
-	lastHelper     ID   // router that relayed its latest indirect answer
+	direct         bool // the peer answered the latest probe directly, not through another router
+	lastHelper     ID   // router that relayed the peer's latest indirect answer
 
-	suspectedBy       []ID    // routers that suspect it, in the order of their reports
+	suspectedBy       []ID    // routers that suspect the peer, in the order of their reports
 	suspectedAt       float64 // ms
 	suspicionDeadline float64 // ms
 	rechecks          int     // probes sent by recheckSuspect during this suspicion
 }
 
-// nextRecheckAt returns when a suspect is probed again before it is declared failed, in ms.
-// Without these probes, a router that gossip does not reach with the refutation, and that
-// receives no packet from the suspect in the meantime, declares a live router failed: with 30
-// routers and 5% packet loss, this happened in one of a thousand suspicions.
+// nextRecheckAt returns the time at which a suspect is probed again, in ms. A suspect is probed
+// again twice before it is declared failed. Without these probes, a router could miss both the
+// gossip of the refutation and all packets of the suspect, and would declare a live router
+// failed. With 30 routers and 5% packet loss, this happened in one of a thousand suspicions.
 func (r *peer) nextRecheckAt() float64 {
 	duration := r.suspicionDeadline - r.suspectedAt
 	switch r.rechecks {
@@ -32,14 +32,14 @@
 	return math.Inf(1)
 }
 
-// replayWindowLen is the number of sequence numbers, up to the highest one received, for which
-// a packet is still accepted.
+// replayWindowLen is the number of sequence numbers in the replay window, which ends at the
+// highest number received. A packet with a lower number than those in the window is rejected.
 const replayWindowLen = 64
 
 // replayWindow accepts each packet of one incarnation of a sender once, and rejects packets
-// that are much older than the newest. The sender is verified once that incarnation has
-// answered a request of this router, since a replayed packet does not contain the nonce of a
-// new request.
+// that are much older than the newest. The sender is verified as soon as that incarnation has
+// answered a request of this router. A replayed packet cannot verify the sender,
+// because it does not contain the nonce of a new request.
 type replayWindow struct {
 	incarnation uint64
 	verified    bool
@@ -47,7 +47,7 @@
 	seen        uint64 // bit n is set if sequence number highest-n was accepted
 }
 
-// verifiedFor reports whether this incarnation of the sender has been verified.
+// verifiedFor reports whether the given incarnation of the sender has been verified.
 func (w *replayWindow) verifiedFor(incarnation uint64) bool {
 	return w.verified && w.incarnation == incarnation
 }
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// pickAttempts is the number of random choices among the present routers that are made to
-// find a suitable one.
+// pickAttempts is the maximum number of random choices in a search for a suitable router among
+// the present routers.
 const pickAttempts = 8
 
-// activeProbe is the probe that this router is waiting for an answer to.
+// activeProbe is this router's own probe that waits for an answer.
 type activeProbe struct {
-	target        *peer // nil if no probe is active or it has been answered
+	target        *peer // nil if no probe is active or the probe has been answered
 	nonce         uint64
-	helpAt        float64 // when other routers are asked to probe too, ms
+	helpAt        float64 // when other routers are asked to probe the target too, ms
 	helpRequested bool
 	nackCount     int
 	helperCount   int
 }
 
-// runProbe requests indirect probes for the active probe and starts the next probe, each when
-// it is due. A router that is slow itself probes less often and waits longer.
+// runProbe requests indirect probes of the active probe's target if these are due, and starts the
+// next probe if that is due. A router that is slow itself probes less often and waits longer.
 func (m *Machine) runProbe() {
 	slowness := m.healthMultiplier()
 	if probe := &m.probe; probe.target != nil && !probe.helpRequested && probe.helpAt <= m.now {
@@ -68,15 +68,15 @@
 	})
 }
 
-// requestIndirectProbes asks other routers to probe the target that has not answered, and
-// probes it directly once more.
+// requestIndirectProbes asks other routers to probe the target of the active probe, which has not
+// answered. It also probes the target directly once more.
 func (m *Machine) requestIndirectProbes() {
 	probe := &m.probe
 	target := probe.target
 	m.send(target.Addr, target, &Packet{Kind: Ping, Nonce: probe.nonce, Target: target.ID})
 	excluded := []*peer{target}
 	for i := range m.settings.IndirectProbes {
-		helper := m.peers[target.lastHelper] // it relayed the target's latest indirect answer
+		helper := m.peers[target.lastHelper] // router that relayed the target's latest indirect answer
 		if i > 0 || helper == nil || !helper.State.Present() {
 			helper = m.chooseHelper(excluded)
 		}
@@ -86,16 +86,16 @@
 		excluded = append(excluded, helper)
 		probe.helperCount++
 		request := &Packet{Kind: IndirectPing, Nonce: probe.nonce, Target: target.ID, TargetAddr: target.Addr}
-		if target.State != Alive { // the helper forwards this to the target, which may be reachable only through it
+		if target.State != Alive { // the helper forwards this update to the target, which may be reachable only through the helper
 			request.Updates = append(request.Updates, target.Update)
 		}
 		m.send(helper.Addr, helper, request)
 	}
 }
 
-// chooseHelper returns a random router to send an IndirectPing to, or nil. It prefers a router
-// that this one reaches directly: one that is unreachable cannot relay a probe, and that it
-// does not answer says nothing about the target.
+// chooseHelper returns a random router to send an IndirectPing to, or nil if it finds none. It
+// prefers a helper that this router reaches directly. An unreachable helper cannot relay a probe,
+// and its missing answer says nothing about the target.
 func (m *Machine) chooseHelper(excluded []*peer) *peer {
 	for range pickAttempts {
 		if helper := m.randomPeer(excluded); helper != nil && helper.direct {
@@ -105,8 +105,9 @@
 	return m.randomPeer(excluded)
 }
 
-// failProbe ends the active probe and suspects its target if it has not answered. Helpers that
-// sent no Nack raise this router's health score, since the fault may be its own.
+// failProbe ends the active probe. If the target has not answered, the target becomes suspect.
+// Each helper that sent no Nack raises this router's health score, since this router itself may
+// be slow.
 func (m *Machine) failProbe() {
 	probe := &m.probe
 	target := probe.target
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -5,10 +5,10 @@
 const (
 	maxUnverified      = 64   // stored packets of senders that have not been verified yet
 	maxPendingRequests = 1024 // requests that wait for an answer
-	maxCorrections     = 8    // updates sent at once to a sender with outdated suspicions
+	maxCorrections     = 8    // updates in the packet that corrects a sender's outdated suspicions
 
-	// requestLifetime is the number of probe intervals that a request waits for its answer
-	// and that a packet is stored until its sender is verified.
+	// requestLifetime is the number of probe intervals after which an unanswered request is
+	// dropped, and after which the stored packet of an unverified sender is dropped.
 	requestLifetime = 4
 )
 
@@ -60,9 +60,10 @@
 	m.releaseUnverified(sender, incarnation)
 }
 
-// rejectOldIncarnation drops a packet from an earlier incarnation of the sender, which may be a
-// replay. It sends the known update back: an earlier process that still runs learns from it
-// that a later process has its ID, or that the later process failed or left.
+// rejectOldIncarnation drops a packet from an earlier incarnation of the sender. The packet may be
+// a replay. If the packet is a SyncRequest or a Ping, the answer is the known update about the
+// sender. From this update, an earlier process that still runs learns that a later process has
+// its ID, or that the later process failed or left.
 func (m *Machine) rejectOldIncarnation(known *peer, packet *Packet) {
 	m.Replays++
 	if packet.Kind == SyncRequest || packet.Kind == Ping {
@@ -70,20 +71,20 @@
 	}
 }
 
-// challenge sends a Ping to a sender that has not been verified, and stores its packet until
-// it answers.
+// challenge sends a Ping to a sender that has not been verified, and stores the sender's packet
+// until the sender answers.
 func (m *Machine) challenge(packet *Packet) {
 	if packet.Kind == Ping && m.isTarget(packet) {
 		m.send(packet.From.Addr, nil, &Packet{Kind: Ack, Nonce: packet.Nonce, Target: m.self.ID})
 		packet.Kind = Gossip // the Ping is answered; the packet's updates and items wait for the verification
 	}
 	if packet.Kind == Ack || packet.Kind == Nack || packet.Kind == SyncResponse {
-		return // answers no request of this router
+		return // the packet answers no request of this router
 	}
 	m.unverified = slices.DeleteFunc(m.unverified, func(waiting unverifiedPacket) bool {
 		return waiting.expiresAt <= m.now || waiting.packet.From.ID == packet.From.ID
 	})
-	if len(m.unverified) == maxUnverified { // drop the oldest, which had the longest time to be verified
+	if len(m.unverified) == maxUnverified { // drop the oldest packet: its sender had the most time to answer
 		m.unverified = m.unverified[1:]
 	}
 	m.unverified = append(m.unverified, unverifiedPacket{packet, m.now + requestLifetime*m.settings.ProbeInterval})
@@ -108,8 +109,8 @@
 	return packet.Target == m.self.ID || packet.Target == 0
 }
 
-// handleVerified handles a packet of a verified sender. answersSync tells whether the packet
-// answers a SyncRequest of this router.
+// handleVerified handles a packet of a verified sender. The argument answersSync tells whether the
+// packet answers a SyncRequest of this router.
 func (m *Machine) handleVerified(sender *peer, packet *Packet, answersSync bool) {
 	sender.lastReceivedAt = m.now
 	m.lastReceivedAt = m.now
@@ -143,7 +144,7 @@
 }
 
 // applySenderUpdate applies a sender's update about itself. If the update refutes a suspicion,
-// the routers that reported the suspicion are notified at once, without waiting for gossip.
+// this router notifies the routers that reported the suspicion, without waiting for gossip.
 func (m *Machine) applySenderUpdate(sender *peer, update Update) {
 	suspected := sender.State == Suspect
 	m.applyUpdate(update, "update from the router itself")
@@ -158,8 +159,8 @@
 }
 
 // applyUpdates applies the updates in a sender's packet. A sender with an outdated suspicion has
-// missed the refutation and may soon declare a live router failed, so it is sent the newer
-// update at once.
+// missed the refutation and may soon declare a live router failed. This router therefore sends
+// the newer update to that sender immediately.
 func (m *Machine) applyUpdates(sender *peer, updates []Update) {
 	var corrections []Update
 	for i := range updates {
@@ -192,8 +193,8 @@
 	return pendingRequest{}, false
 }
 
-// newRequest adds a pending request to target and returns its nonce. It drops the oldest
-// request if maxPendingRequests are pending.
+// newRequest adds a pending request to the given target and returns the request's nonce. It drops
+// the oldest request if maxPendingRequests requests are pending.
 func (m *Machine) newRequest(target ID, sync bool) (nonce uint64) {
 	if len(m.pending) == maxPendingRequests {
 		m.pending = m.pending[1:]
--- a/internal/fleet/membership/relay.go
+++ b/internal/fleet/membership/relay.go
@@ -12,18 +12,18 @@
 	relayLifetime = 2
 )
 
-// relayedProbe is a probe that this router makes at the request of another one.
+// relayedProbe is a probe that this router makes at the request of another router.
 type relayedProbe struct {
 	replyAddr    netip.AddrPort
 	requester    ID
 	requestNonce uint64
 	probeNonce   uint64
 	target       ID
-	deadline     float64 // when to send the Nack, and after that when to drop the probe, ms
+	deadline     float64 // ms; before the Nack is sent: time to send it; afterwards: time to drop the probe
 	nackSent     bool
 }
 
-// startRelay probes the target of an IndirectPing for its requester.
+// startRelay probes the target of an IndirectPing for the router that sent the IndirectPing.
 func (m *Machine) startRelay(requester *peer, request *Packet) {
 	if !request.TargetAddr.IsValid() || len(m.relays) == maxRelays || request.Target == m.self.ID {
 		return
@@ -40,7 +40,7 @@
 	m.send(request.TargetAddr, m.peers[request.Target], &Packet{Kind: Ping, Nonce: nonce, Target: request.Target})
 }
 
-// handleRelayReply forwards the answer to a relayed probe to its requester.
+// handleRelayReply forwards the answer to a relayed probe to the router that requested the probe.
 func (m *Machine) handleRelayReply(sender *peer, reply *Packet) {
 	for i, relay := range m.relays {
 		if reply.Nonce != relay.probeNonce || reply.Kind != Ack || sender.ID != relay.target {
@@ -52,7 +52,7 @@
 	}
 }
 
-// runRelays sends the requester one Nack when a relayed probe is not answered in time. It
+// runRelays sends one Nack to the requester of a relayed probe that is not answered in time. It
 // drops the probe only after relayLifetime, so that a late answer is still forwarded.
 func (m *Machine) runRelays() {
 	m.relays = slices.DeleteFunc(m.relays, func(relay relayedProbe) bool {
--- a/internal/fleet/membership/search_test.go
+++ b/internal/fleet/membership/search_test.go
@@ -16,16 +16,16 @@
 
 // The search explores the states that a few routers, each with its own clock, can reach through
 // these moves: a timer fires, a packet is delivered, duplicated or lost, a process is killed or
-// restarted. The same moves always lead to the same state. States with equal digests are treated
-// as one state.
+// restarted. The same moves always lead to the same state. The search treats states with equal
+// digests as one state.
 
 const (
-	maxInFlight = 5 // packets in flight; when there are more, the oldest are lost
-	// healDuration is how long the routers run without faults before their views must be equal,
-	// in ms.
+	maxInFlight = 5 // maximum number of packets in flight; the oldest packets beyond it are lost
+	// healDuration is the time for which the routers run without faults before their views must
+	// be equal, in ms.
 	healDuration = 60_000
-	// failureDuration is the time within which a wrongly suspected router would have been
-	// declared failed, in ms. Equal views count only after it.
+	// failureDuration is the time after which a wrongly suspected router would have been
+	// declared failed, in ms. Equal views are accepted only after this time.
 	failureDuration = 8000
 )
 
@@ -148,8 +148,8 @@
 	}
 }
 
-// deliver delivers the i-th packet in flight. With keep, the packet stays in flight and can be
-// delivered again.
+// deliver delivers the i-th packet in flight. If keep is true, the packet stays in flight and can
+// be delivered again.
 func (s *searchState) deliver(i int, keep bool) {
 	out := s.inFlight[i]
 	if !keep {
@@ -212,8 +212,9 @@
 	}
 }
 
-// digest returns a hash that is equal for states that the search treats as one. It includes times
-// relative to each router's clock, and of a nonce only whether its request is still pending.
+// digest returns a hash of the state. The search treats states with equal hashes as one state. The
+// hash covers times relative to each router's clock. It does not cover the nonce of a packet, but
+// whether the request with that nonce is still pending.
 func (s *searchState) digest() uint64 {
 	var text strings.Builder
 	for i, m := range s.machines {
@@ -236,7 +237,7 @@
 	return xxhash.Sum64String(text.String())
 }
 
-// isAwaited reports whether the receiver of a packet has a pending request with its nonce.
+// isAwaited reports whether the receiver of a packet has a pending request with the packet's nonce.
 func (s *searchState) isAwaited(out OutgoingPacket) bool {
 	for i, m := range s.machines {
 		matches := func(request pendingRequest) bool { return request.nonce == out.Packet.Nonce }
@@ -306,7 +307,7 @@
 // searchResult is the result of a search.
 type searchResult struct {
 	states    int    // number of states visited
-	healed    int    // number of those that were healed
+	healed    int    // number of visited states that were healed
 	depth     int    // number of moves to the last state
 	path      []byte // moves to the violation
 	violation string // empty: none
@@ -319,7 +320,8 @@
 }
 
 // search explores states breadth-first, starting from routers with equal views, until it finds a
-// violation or has visited maxStates states. It checks that every healEvery-th state heals.
+// violation or has visited maxStates states. It checks that the views become equal again when every
+// healEvery-th state is healed.
 func search(routers, maxStates, healEvery int, disabledRule protocolRule) (result searchResult) {
 	first := newSearchState(routers, 0)
 	first.heal()
@@ -354,15 +356,15 @@
 				return result
 			}
 		}
-		if len(queue) <= min(4*maxStates, 100_000) { // a longer queue would not be used up
+		if len(queue) <= min(4*maxStates, 100_000) { // the search would end before it reaches the end of a longer queue
 			queue = append(queue, node.successors()...)
 		}
 	}
 	return result
 }
 
-// checkHeals heals a copy of the state. It returns a description of the violation, or an empty
-// string if the views became equal without one.
+// checkHeals heals a copy of the state. It returns an empty string if the views became equal
+// without a violation, and a description of the violation otherwise.
 func (s *searchState) checkHeals() string {
 	clone := s.clone()
 	if clone.heal() && clone.violation == "" {
@@ -380,8 +382,8 @@
 	return nodes
 }
 
-// All views become equal once packets arrive without faults, and an older update never replaces a
-// newer one. The environment variable GARNETLINE_STATES sets the number of states to visit.
+// All views become equal after packets arrive without faults. An older update never replaces a
+// newer update. The environment variable GARNETLINE_STATES sets the number of states to visit.
 func TestStateSearch(t *testing.T) {
 	states := 6000
 	if s, err := strconv.Atoi(os.Getenv("GARNETLINE_STATES")); err == nil {
@@ -396,12 +398,13 @@
 	}
 }
 
-// The search finds a violation when a rule of the protocol is disabled, for each such rule.
+// For each rule of the protocol that a test can disable, the search finds a violation while the
+// rule is disabled.
 func TestStateSearchFindsDisabledRules(t *testing.T) {
 	for rule, routers := range map[protocolRule]int{ruleOrdering: 2, ruleRefutation: 2} {
 		result := search(routers, 20_000, 2, rule)
 		if result.violation == "" {
-			t.Errorf("rule %d disabled: got no violation in %d states, want one", rule, result.states)
+			t.Errorf("rule %d disabled: got no violation in %d states, want a violation", rule, result.states)
 		} else {
 			t.Logf("rule %d disabled: violation in state %d after moves %v: %s", rule, result.states, result.path, result.violation)
 		}
--- a/internal/fleet/membership/suspicion.go
+++ b/internal/fleet/membership/suspicion.go
@@ -24,7 +24,8 @@
 	}
 }
 
-// confirmSuspicion adds a router that reports the same suspicion, which shortens the timeout.
+// confirmSuspicion records that another router reports the same suspicion. Each confirmation
+// shortens the suspicion timeout.
 func (m *Machine) confirmSuspicion(r *peer, update Update) {
 	if len(r.suspectedBy) > m.settings.SuspicionConfirmations || slices.Contains(r.suspectedBy, update.ReportedBy) {
 		return
@@ -41,7 +42,7 @@
 	routers := len(m.present) + 1
 	scale := math.Log10(max(10, float64(routers)))
 	shortest := max(m.settings.MinSuspicionTimeout, m.settings.SuspicionMult*scale*m.settings.ProbeInterval)
-	// The suspect itself and the first router to report it do not count as confirmations.
+	// The suspect itself and the first router that reported the suspicion cannot confirm it.
 	expected := min(m.settings.SuspicionConfirmations, routers-2)
 	if expected < 1 {
 		return shortest
@@ -51,8 +52,8 @@
 	return max(shortest, longest-shortened)
 }
 
-// runSuspicions declares suspects failed that have not refuted the suspicion in time, and
-// probes the others again when that is due.
+// runSuspicions declares a suspect failed if the suspect has not refuted the suspicion in time.
+// It probes the other suspects again when their next recheck is due.
 func (m *Machine) runSuspicions() {
 	for i := 0; i < len(m.suspects); i++ {
 		suspect := m.suspects[i]
--- a/internal/fleet/membership/sync.go
+++ b/internal/fleet/membership/sync.go
@@ -17,7 +17,8 @@
 }
 
 // runSync compares views with a random router. While views are equal, the interval until the
-// next sync grows up to Settings.SyncInterval; a difference resets it to the shortest.
+// next sync grows up to Settings.SyncInterval; a difference resets it to the shortest
+// interval.
 func (m *Machine) runSync() {
 	m.nextSyncAt = m.now + m.syncInterval*(0.75+m.rng.Float64()/2)
 	m.syncInterval = min(m.settings.SyncInterval, syncBackoff*m.syncInterval)
@@ -27,13 +28,13 @@
 }
 
 // requestSync asks the router at an address for the content of the buckets in which the views
-// differ. target is 0 if it is not known which router will answer.
+// differ. The argument target is 0 if the router at the address is not known.
 func (m *Machine) requestSync(to netip.AddrPort, target ID) {
 	m.send(to, nil, &Packet{Kind: SyncRequest, Nonce: m.newRequest(target, true), Target: target, Checksums: m.allChecksums()})
 }
 
 // reconnect sends a SyncRequest to a failed router, or to a seed address at which no router is
-// present. This detects that a partition has healed, and finds the fleet after a start.
+// present. The request detects that a partition has healed, and finds the fleet after a start.
 func (m *Machine) reconnect() {
 	var candidates []netip.AddrPort
 	for _, r := range m.departed {
@@ -52,9 +53,9 @@
 	}
 }
 
-// sendDifferences sends the members and items of the buckets whose checksums differ from those
-// in request, in at most maxSyncPackets packets. The next sync, which comes soon while views
-// differ, transfers the rest.
+// sendDifferences answers a packet that carries checksums. It sends the members and items of the
+// buckets whose checksums differ from those of this router, in at most maxSyncPackets packets. The
+// next sync, which comes soon while views differ, transfers the rest.
 func (m *Machine) sendDifferences(to *peer, request *Packet, kind Kind) {
 	checksums := m.allChecksums()
 	packets := newSyncWriter(m, to.Addr, kind, request.Nonce)
@@ -62,7 +63,7 @@
 		packets.setChecksums(checksums)
 	}
 	differs := false
-	first := m.rng.IntN(BucketCount) // random, so that the limit does not always cut off the same buckets
+	first := m.rng.IntN(BucketCount) // random, so that maxSyncPackets does not always cut off the same buckets
 	for offset := range BucketCount {
 		bucket := (first + offset) % BucketCount
 		if request.Checksums != nil && checksums[bucket] == request.Checksums[bucket] {
@@ -111,7 +112,7 @@
 	nonce   uint64
 	current *Packet
 	budget  int // bytes left in current
-	sent    int // packets sent, including one refused because of maxSyncPackets
+	sent    int // calls of flush, including a call that maxSyncPackets refused
 }
 
 func newSyncWriter(m *Machine, to netip.AddrPort, kind Kind, nonce uint64) *syncWriter {
--- a/internal/fleet/membership/update.go
+++ b/internal/fleet/membership/update.go
@@ -2,15 +2,16 @@
 
 import "slices"
 
-// recentProbeIntervals is the number of probe intervals after a router's latest packet during
-// which a report that it failed is not accepted before the router has been probed.
+// recentProbeIntervals is the number of probe intervals for which a received packet counts as
+// recent. If a router's latest packet is recent, a report that the router failed is not accepted
+// immediately: the router is probed first.
 const recentProbeIntervals = 8
 
-// maxReportedConflicts bounds the number of conflicts that are reported.
+// maxReportedConflicts is the maximum number of conflicts that are reported.
 const maxReportedConflicts = 256
 
-// applyUpdate applies an update about a router if it is newer than the known one, or counts it
-// if it confirms a suspicion. cause is the reason that events give for a change.
+// applyUpdate applies an update about a router if it is newer than the known update, or counts it
+// if it confirms a suspicion. The argument cause is the reason that the event of a change gives.
 func (m *Machine) applyUpdate(update Update, cause string) {
 	if update.ID == m.self.ID {
 		m.applySelfUpdate(update)
@@ -25,9 +26,9 @@
 		return
 	}
 	if update.State == Failed && known.State == Alive && m.receivedRecently(known) {
-		// No suspicion preceded this report, and the router's latest packet is recent. A
-		// partition has probably healed whose other side had declared the router failed. The
-		// router is probed before the report is accepted.
+		// No suspicion preceded this report, and the router's latest packet is recent. Probably
+		// a partition has healed, and the routers on its other side had declared the router
+		// failed. The router is probed before the report is accepted.
 		update.State = Suspect
 	}
 	if update.State == Suspect && known.State == Suspect && update.Revision == known.Revision {
@@ -39,9 +40,9 @@
 	}
 	m.replaceUpdate(known, update, cause)
 	if known.State == Suspect && update.ReportedBy != m.self.ID && m.receivedRecently(known) {
-		// The suspect's latest packet is recent, so the suspect is notified at once, and its
-		// refutation is broadcast. If this router is the only link between the suspect and the
-		// routers that suspect it, no other router can do this.
+		// The suspect's latest packet is recent, so this router notifies the suspect. The
+		// suspect's refutation is then broadcast. If this router is the only link between the
+		// suspect and the routers that suspect it, no other router can notify the suspect.
 		m.send(known.Addr, known, &Packet{Kind: Ping, Nonce: m.newRequest(known.ID, false), Target: known.ID})
 	}
 	m.broadcastChange(known.Update)
@@ -53,8 +54,8 @@
 	return r.lastReceivedAt > 0 && m.now-r.lastReceivedAt <= recentProbeIntervals*m.settings.ProbeInterval
 }
 
-// addPeer adds a router that was not known. It ignores a router that failed or left, since this
-// router has forgotten it or never knew it.
+// addPeer adds a router that was not known. It ignores an update with the state Failed or Left,
+// since this router has forgotten the described router or never knew it.
 func (m *Machine) addPeer(update Update, cause string) {
 	if !update.State.Present() {
 		return
@@ -150,7 +151,7 @@
 	case update.Incarnation() > incarnation && update.State.Present():
 		// The later process is this router's successor in an upgrade, or was started by
 		// mistake with a copy of the state directory. In both cases the ID belongs to the
-		// later process, and this one is superseded.
+		// later process, and this process is superseded.
 		if !m.superseded {
 			m.superseded = true
 			m.output.addEvent(EventSuperseded, update, "a later process has this router's identity")
@@ -161,7 +162,7 @@
 	case update.State != Alive && update.Revision >= m.self.Revision && m.disabledRule != ruleRefutation:
 		m.self.Revision = update.Revision + 1
 		m.raiseHealthScore(1)
-		m.announceSelf("reported as " + update.State.String())
+		m.announceSelf("another router reported this router as " + update.State.String())
 	case update.State == Alive && (update.Addr != m.self.Addr || update.Revision > m.self.Revision):
 		m.reportConflict(update, "another process has this router's identity and incarnation")
 	}
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -9,13 +9,13 @@
 type Member struct {
 	Update
 	StateSince     float64 // ms on the viewer's clock
-	LastReceivedAt float64 // when its latest packet arrived, in ms on the viewer's clock; 0: never
-	Direct         bool    // it answered the latest probe directly, not through another router
+	LastReceivedAt float64 // when the member's latest packet arrived, in ms on the viewer's clock; 0: never
+	Direct         bool    // the member answered the latest probe directly, not through another router
 	Self           bool    // the member is the viewer
 }
 
-// View is a snapshot of what one router, the viewer, knows about all routers. It must not be
-// modified.
+// View is a snapshot of the knowledge of one router, the viewer, about all routers. A View must
+// not be modified.
 type View struct {
 	At          float64 // time of the snapshot, ms
 	Self        ID
@@ -25,7 +25,7 @@
 	HealthScore int      // the viewer's local health score; 0: healthy, higher: slower
 	Conflicts   int      // conflicts reported so far: two routers with the same name or ID
 	Superseded  bool     // a later process has the viewer's ID
-	Silence     float64  // ms since the latest packet of any other router
+	Silence     float64  // time since the latest packet of any other router arrived, ms
 }
 
 // View returns a snapshot as of the latest step.
@@ -53,8 +53,8 @@
 	return view
 }
 
-// State returns the state of a router, and whether the router is known. For an unknown router
-// the state is Failed.
+// State returns the state of a router, and whether the router is known. The state of an unknown
+// router is Failed.
 func (m *Machine) State(id ID) (state State, known bool) {
 	if id == m.self.ID {
 		return m.self.State, true
@@ -65,7 +65,7 @@
 	return Failed, false
 }
 
-// PresentCount returns the number of present routers, including this one.
+// PresentCount returns the number of present routers, including this router.
 func (m *Machine) PresentCount() int { return 1 + len(m.present) }
 
 // Self returns this router's update about itself.
