--- a/internal/fleet/bans/bans.go
+++ b/internal/fleet/bans/bans.go
@@ -1,14 +1,14 @@
-// Package bans keeps the set of servers that operators disabled the same at all routers. The
-// lease registry stores the bans in a total order, with who set each, when and why, and outlives
-// every router. Gossip between routers is faster but may lose bans.
+// Package bans makes all routers agree on the set of servers that operators have disabled. The
+// lease registry stores the bans in a total order, with the author, the time and the reason of
+// each ban. The registry outlives every router. Gossip between routers is faster but may lose
+// bans.
 //
-// Disabling needs no other router: a ban that an operator sets at one router applies there at
-// once, and is registered when the voters can be reached. Enabling needs a quorum: the registry
-// must have applied the change before this router sends requests to the server again.
+// Disabling needs no other router. A ban that an operator sets at a router immediately applies at
+// that router, and is registered when the voters can be reached. Enabling needs a quorum: the
+// registry must have applied the change before this router sends requests to the server again.
 //
 // Machine makes the decisions, without I/O and without a clock of its own. Manager runs it in one
-// goroutine and owns the state file; all methods of Manager but Run may be called by any
-// goroutine.
+// goroutine and owns the state file. Any goroutine may call the methods of Manager except Run.
 package bans
 
 import (
@@ -24,22 +24,22 @@
 	ErrVersionConflict = errors.New("version conflict: the ban has changed since it was read; read the bans again")
 )
 
-// Settings are the times that a Machine works with, in milliseconds.
+// Settings are the times that control a Machine, in milliseconds.
 type Settings struct {
-	PollInterval  float64 // between reads of the registry while nothing changes
-	RetryInterval float64 // after which a request without a response is repeated
-	ChangeTimeout float64 // after which an operator's change without a response fails
-	AdoptAfter    float64 // after which any router registers a ban that no router has registered
+	PollInterval  float64 // time between two reads of the registry while nothing changes
+	RetryInterval float64 // time after which a request without a response is repeated
+	ChangeTimeout float64 // time after which an operator's change without a response fails
+	AdoptAfter    float64 // time after which any router registers a ban that is still unregistered
 }
 
-// DefaultSettings returns the settings that apply where the operators' settings file sets none.
+// DefaultSettings returns the defaults for the operators' settings file.
 func DefaultSettings() Settings {
 	return Settings{PollInterval: 1000, RetryInterval: 150, ChangeTimeout: 700, AdoptAfter: 10_000}
 }
 
 // LocalBan records why a server is disabled at this router. It is stored in the state file.
 type LocalBan struct {
-	Unregistered bool    `json:"Own"`     // an operator set the ban here, and the registry does not have it yet
+	Unregistered bool    `json:"Own"`     // an operator set the ban at this router, and the registry does not have it yet
 	Version      uint64  `json:"Version"` // version of the registered ban that this router applied; 0: none
 	SetBy        string  `json:"Who,omitempty"`
 	Reason       string  `json:"Why,omitempty"`
@@ -52,11 +52,11 @@
 	Disable bool
 	SetBy   string
 	Reason  string
-	Version uint64  // version of the ban that the operator read, which must still be current; 0: any version
+	Version uint64  // version of the ban that the operator read; the change fails if it is outdated; 0: any version
 	SetAt   float64 // Unix ms
 }
 
-// Action disables or enables a server at this router so that it follows the registry.
+// Action disables or enables a server at this router so that the router follows the registry.
 type Action struct {
 	Server  routing.ServerID
 	Disable bool
@@ -74,7 +74,7 @@
 	Err      error
 }
 
-// Output is what the caller of a Machine must carry out.
+// Output lists the work that the caller of a Machine must do.
 type Output struct {
 	Requests    []Request
 	Actions     []Action
--- a/internal/fleet/bans/machine.go
+++ b/internal/fleet/bans/machine.go
@@ -24,13 +24,13 @@
 	// State of the registry at its latest read.
 	registered      map[routing.ServerID]*leaseregistry.Ban
 	registryVersion uint64
-	lastReadAt      float64 // when that read was requested; NaN: never read
+	lastReadAt      float64 // time at which the latest read was requested; NaN: never read
 
 	// State of this router.
 	localBans         map[routing.ServerID]LocalBan
-	appliedVersions   map[routing.ServerID]uint64  // version of the registered ban that was applied here last
-	unregisteredSince map[routing.ServerID]float64 // since when a server is disabled here by gossip but not by the registry
-	reenabledAt       map[routing.ServerID]float64 // when a server was first seen enabled here while the registry had it disabled
+	appliedVersions   map[routing.ServerID]uint64  // version of the registered ban that this router applied last
+	unregisteredSince map[routing.ServerID]float64 // when a server was first seen disabled at this router but not in the registry
+	reenabledAt       map[routing.ServerID]float64 // when a server was first seen enabled at this router but disabled in the registry
 	lastActionAt      map[routing.ServerID]float64
 
 	// Requests and changes that wait for a response.
@@ -47,8 +47,9 @@
 	deadline      float64
 }
 
-// NewMachine returns a Machine that has not read the registry. localBans are the bans that an
-// earlier process stored; the Machine takes ownership of the map. Request IDs begin at firstID+1.
+// NewMachine returns a Machine that has not read the registry. The argument localBans holds the bans
+// that an earlier process stored. The Machine takes ownership of this map. Request IDs begin at
+// firstID+1.
 func NewMachine(settings Settings, firstID uint64, localBans map[routing.ServerID]LocalBan, now float64) *Machine {
 	if localBans == nil {
 		localBans = map[routing.ServerID]LocalBan{}
@@ -70,7 +71,8 @@
 	}
 }
 
-// LastReadAt returns when the latest read of the registry was requested, or NaN if there was none.
+// LastReadAt returns when the latest read of the registry was requested, or NaN if the registry
+// has not been read.
 func (m *Machine) LastReadAt() float64 { return m.lastReadAt }
 
 // registryRead reports whether the registry has been read at least once.
@@ -90,8 +92,8 @@
 // the map, which the Machine owns.
 func (m *Machine) LocalBans() map[routing.ServerID]LocalBan { return m.localBans }
 
-// RecordDisabled records that an operator disabled a server at this router. The caller has
-// disabled the server already; the Machine registers the ban as soon as the voters can be reached.
+// RecordDisabled records that an operator disabled a server at this router. The caller has already
+// disabled the server. The Machine registers the ban as soon as the voters can be reached.
 func (m *Machine) RecordDisabled(now float64, change Change) {
 	m.localBans[change.Server] = LocalBan{Unregistered: true, SetBy: change.SetBy, Reason: change.Reason, SetAt: change.SetAt}
 	delete(m.registrations, change.Server)
@@ -106,8 +108,8 @@
 	return m.lastRequestID
 }
 
-// Step advances the Machine to now. disabledHere are all servers that are disabled at this
-// router, for any reason.
+// Step advances the Machine to the time now. The argument disabledHere lists all servers that are
+// disabled at this router, for any reason.
 func (m *Machine) Step(now float64, disabledHere []routing.ServerID) Output {
 	var out Output
 	m.reconcile(now, disabledHere, &out)
@@ -119,8 +121,8 @@
 	return out
 }
 
-// advanceChanges fails the changes whose deadline has passed, and sends due requests for the
-// others.
+// advanceChanges fails each change whose deadline has passed, and sends the requests that are due
+// for the other changes.
 func (m *Machine) advanceChanges(now float64, out *Output) {
 	for _, changeID := range slices.Sorted(maps.Keys(m.changes)) {
 		change := m.changes[changeID]
@@ -132,7 +134,7 @@
 		case m.registryRead():
 			change.nextRequestAt = now + m.settings.RetryInterval
 			change.requestID = m.addRequest(now, m.command(change.Change), out)
-		default: // the version that the change replaces is known only after a read of the registry
+		default: // read the registry first, to learn which version the change replaces
 			change.nextRequestAt = now + m.settings.RetryInterval
 			m.addRequest(now, nil, out)
 		}
@@ -154,7 +156,7 @@
 }
 
 // registerBans requests the registration of each ban that this router must register. It reports
-// whether there was one.
+// whether it requested any registration.
 func (m *Machine) registerBans(now float64, disabledHere []routing.ServerID, out *Output) bool {
 	registering := false
 	for _, server := range disabledHere {
@@ -171,7 +173,8 @@
 
 // needsRegistration reports whether this router must register that a server is disabled. A ban
 // received by gossip is registered by the router at which it was set, because that router knows
-// who set it and why. The other routers register it if it is not registered after AdoptAfter.
+// who set it and why. If the ban is still unregistered after AdoptAfter, the other routers register
+// it.
 func (m *Machine) needsRegistration(now float64, server routing.ServerID) bool {
 	if ban, known := m.localBans[server]; known {
 		return ban.Unregistered
@@ -194,8 +197,8 @@
 	return earliest
 }
 
-// addRequest adds a request that reads the registry and also applies command to it, unless
-// command is nil.
+// addRequest adds a request that reads the registry. Unless the argument command is nil, the
+// request also applies that command to the registry.
 func (m *Machine) addRequest(now float64, command *leaseregistry.Command, out *Output) (requestID uint64) {
 	if len(m.openRequests) >= maxOpenRequests {
 		oldest := slices.Min(slices.Collect(maps.Keys(m.openRequests)))
@@ -239,12 +242,12 @@
 	return out
 }
 
-// readRegistry stores the bans in a response. It reports whether the response is to an open
+// readRegistry stores the bans in a response. It reports whether the response answers an open
 // request and has the newest state of the registry that this router knows of.
 func (m *Machine) readRegistry(now float64, response consensus.BanResponse) bool {
 	requestedAt, open := m.openRequests[response.RequestID]
 	if !open || response.Version < m.registryVersion {
-		return false // to a request of an earlier process, or older than the state that was read
+		return false // the response answers no open request, or is older than the state that was read
 	}
 	delete(m.openRequests, response.RequestID)
 	if response.Bans != nil || response.Version == 0 {
@@ -266,7 +269,7 @@
 	return true
 }
 
-// completeRegistrations completes the registrations that the request with requestID made.
+// completeRegistrations completes the registrations that the request with the given ID made.
 func (m *Machine) completeRegistrations(now float64, requestID uint64, out *Output) {
 	for server, registration := range m.registrations {
 		if registration != requestID {
@@ -275,7 +278,7 @@
 		delete(m.registrations, server)
 		if ban := m.registered[server]; ban != nil && ban.Disabled { // registered by this request or by another router
 			m.adoptRegistered(server, ban, out)
-		} else { // an enable was registered first, without knowledge of the ban: register the ban as the next version
+		} else { // an enable that did not know of the ban was registered first: register the ban as the next version
 			m.nextPollAt = now
 		}
 	}
@@ -301,7 +304,7 @@
 		case change.Version != 0:
 			delete(m.changes, changeID)
 			out.Completions = append(out.Completions, Completion{ChangeID: changeID, Err: ErrVersionConflict})
-		default: // the ban has another version by now: retry with that version
+		default: // the registered ban now has another version: retry with that version
 			change.nextRequestAt = now
 		}
 	}
--- a/internal/fleet/bans/machine_test.go
+++ b/internal/fleet/bans/machine_test.go
@@ -20,7 +20,7 @@
 	machine     *Machine
 	disabled    map[routing.ServerID]bool
 	gossip      *gossip.Store
-	partitioned bool // from the registry and the other routers
+	partitioned bool // the router reaches neither the registry nor the other routers
 	changes     map[uint64]Change
 }
 
@@ -28,11 +28,11 @@
 type simulation struct {
 	rng         *rand.Rand
 	now         float64
-	loss        float64 // share of the requests, and of the responses, that are lost
+	loss        float64 // share of lost requests, and of lost responses
 	registry    *leaseregistry.State
 	index       uint64 // log index of the registry's latest command
 	routers     []*simulatedRouter
-	lastChange  map[routing.ServerID]string // operators' latest change that was applied
+	lastChange  map[routing.ServerID]string // latest change of an operator that was applied to each server
 	enableCount int
 }
 
@@ -61,8 +61,8 @@
 	}
 }
 
-// applyGossip applies the changes that other routers published to the router's servers, as the
-// watcher of the endpoint list does.
+// applyGossip takes the changes that other routers published and disables or enables the router's
+// servers, as the watcher of the endpoint list does.
 func (r *simulatedRouter) applyGossip() {
 	for _, change := range r.gossip.TakeChanges() {
 		r.setDisabled(change.Server, change.Disabled)
@@ -138,8 +138,8 @@
 	}
 }
 
-// randomEvent simulates a random operator's change, partition, restart of a router or change of
-// the message loss.
+// randomEvent simulates one random event: an operator's change, a partition or its end, the restart
+// of a router, or a change of the message loss.
 func (s *simulation) randomEvent() {
 	router := s.routers[s.rng.IntN(3)]
 	server := routing.ServerID(s.rng.IntN(2) + 1)
@@ -185,7 +185,7 @@
 			for i, router := range sim.routers {
 				disabled := router.disabled[server]
 				if disabled != registered || sim.lastChange[server] == "disabled" && !disabled {
-					t.Errorf("seed %d: server %d: got disabled %v at router %d, registry has %+v, latest operator's change %q",
+					t.Errorf("seed %d: server %d: got disabled %v at router %d, want the state of the registered ban %+v and of the latest operator's change %q",
 						seed, server, disabled, i, ban, sim.lastChange[server])
 				}
 			}
@@ -226,8 +226,8 @@
 	return errors.New("the change did not complete")
 }
 
-// A change whose version is not the registry's fails with ErrVersionConflict. A change without a
-// response fails with ErrNoQuorum, and the server stays disabled.
+// A change whose version differs from the version in the registry fails with ErrVersionConflict. A
+// change without a response fails with ErrNoQuorum, and the server stays disabled.
 func TestVersionConflictAndNoQuorum(t *testing.T) {
 	const server = routing.ServerID(7)
 	sim := newSimulation(1)
@@ -237,7 +237,7 @@
 	sim.run(1000)
 	bans := other.machine.Bans()
 	if len(bans) != 1 || !bans[0].Disabled || bans[0].SetBy != "ada" || bans[0].Reason != "disk" || !other.disabled[server] {
-		t.Fatalf("after a ban by ada: another router has registered bans %+v, want one for disk, applied there", bans)
+		t.Fatalf("after a ban by ada: another router has registered bans %+v, want one with the reason disk, applied at that router", bans)
 	}
 	if err := sim.enable(router, Change{Server: server, Version: 99}, false); !errors.Is(err, ErrVersionConflict) {
 		t.Error(err)
--- a/internal/fleet/bans/manager.go
+++ b/internal/fleet/bans/manager.go
@@ -16,7 +16,7 @@
 
 const (
 	mailboxSize     = 64
-	maxStepInterval = 100 * time.Millisecond // between checks of the servers that are disabled here
+	maxStepInterval = 100 * time.Millisecond // longest time between checks of the servers that are disabled at this router
 	actionTimeout   = 500 * time.Millisecond
 )
 
@@ -29,7 +29,7 @@
 	Settings
 	StateDir     string  // a folder that outlives the process; empty: nothing is stored
 	RouterName   string  // recorded as the author of bans whose caller gave no name
-	ReadyTimeout float64 // ms after the start when Ready no longer waits for the registry
+	ReadyTimeout float64 // time after the start at which Ready stops waiting for the registry, ms
 
 	// SendRequest sends a request to a voter. It must not block.
 	SendRequest func(requestID uint64, request consensus.BanRequest)
@@ -52,7 +52,7 @@
 	options     Options
 	file        stateFile
 	machine     *Machine               // owned by Run
-	completions map[uint64]chan error  // receivers of results by change ID; owned by Run
+	completions map[uint64]chan error  // channels that receive the results, by change ID; owned by Run
 	mailbox     chan func(now float64) // functions that Run calls
 	status      atomic.Pointer[Status]
 	ready       atomic.Bool
@@ -64,8 +64,8 @@
 	file := newStateFile(options.StateDir)
 	localBans, err := file.load()
 	if err != nil {
-		// The file records only why servers are disabled. Without it they stay disabled until an
-		// operator enables them.
+		// The file records only why servers are disabled. Without the file, the servers stay
+		// disabled until an operator enables them.
 		options.Log.Error().Err(err).Str("path", string(file)).Msg("local ban file cannot be read, starting without it")
 	}
 	firstRequestID := rand.Uint64() >> 1
@@ -110,8 +110,8 @@
 	}
 }
 
-// updateReady marks the router ready once it has disabled all servers that the registry has
-// disabled, or once the time for that has expired.
+// updateReady marks the router ready as soon as the router has disabled all servers that the
+// registry has disabled, or as soon as ReadyTimeout has expired.
 func (m *Manager) updateReady(actionsPending, timedOut bool) {
 	if m.ready.Load() {
 		return
@@ -154,8 +154,8 @@
 	}
 }
 
-// persist stores the local bans. It counts a failure and does not retry: the next change stores
-// all local bans again.
+// persist stores the local bans. It counts a failure and does not retry, since the next change
+// stores all local bans again.
 func (m *Manager) persist() {
 	if err := m.file.save(m.machine.LocalBans()); err != nil {
 		m.options.Metrics.Add("keeper_unkept", 1)
@@ -168,8 +168,8 @@
 // Stopped returns a channel that is closed when Run has returned.
 func (m *Manager) Stopped() <-chan struct{} { return m.done }
 
-// HandleResponse handles a voter's response. It never blocks; it drops and counts a response that
-// finds the mailbox full.
+// HandleResponse handles a voter's response. It never blocks: if the mailbox is full, it drops and
+// counts the response.
 func (m *Manager) HandleResponse(response consensus.BanResponse) {
 	select {
 	case m.mailbox <- func(now float64) { m.handleOutput(m.machine.HandleResponse(now, response)) }:
@@ -178,9 +178,9 @@
 	}
 }
 
-// Apply carries out an operator's change. A disable applies here at once and is registered as
-// soon as the voters can be reached. An enable applies only after the registry has accepted it;
-// otherwise Apply returns ErrNoQuorum or ErrVersionConflict.
+// Apply carries out an operator's change. A disable immediately applies at this router, and is
+// registered as soon as the voters can be reached. An enable applies only after the registry has
+// accepted it. If the registry does not accept it, Apply returns ErrNoQuorum or ErrVersionConflict.
 func (m *Manager) Apply(ctx context.Context, change Change) error {
 	change.SetAt = m.options.WallClock.Now()
 	if change.SetBy == "" {
@@ -222,7 +222,7 @@
 	}
 }
 
-// enqueue queues a function for Run to call. It waits while the mailbox is full, until ctx ends.
+// enqueue queues a function for Run to call. While the mailbox is full, it waits until ctx ends.
 func (m *Manager) enqueue(ctx context.Context, run func(now float64)) error {
 	select {
 	case m.mailbox <- run:
--- a/internal/fleet/bans/manager_test.go
+++ b/internal/fleet/bans/manager_test.go
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// testOptions returns the options of a router whose requests get no response. The log may be read
-// after the Manager has stopped.
+// testOptions returns the options of a router whose requests get no response. The caller may read
+// the log only after the Manager has stopped.
 func testOptions(folder string, disabled *disabledServers, log *bytes.Buffer) Options {
 	logger := zerolog.New(log)
 	return Options{
@@ -62,7 +62,7 @@
 	}
 }
 
-// Without a quorum a server can be disabled but not enabled, and the next process knows the ban.
+// Without a quorum, a server can be disabled but not enabled. The next process restores the ban.
 // The router becomes ready with its local bans and logs a warning.
 func TestManagerWithoutQuorum(t *testing.T) {
 	const server = routing.ServerID(7)
@@ -82,7 +82,7 @@
 		t.Errorf("enable without a quorum: got error %v, want ErrNoQuorum", err)
 	}
 	if list := disabled.list(); !slices.Equal(list, []routing.ServerID{server}) {
-		t.Errorf("got disabled servers %v, want the one that was disabled", list)
+		t.Errorf("got disabled servers %v, want the server that was disabled", list)
 	}
 	stop()
 	<-manager.Stopped()
@@ -91,11 +91,11 @@
 	}
 	next := New(testOptions(folder, disabled, &log)).machine.LocalBans()
 	if ban := next[server]; len(next) != 1 || !ban.Unregistered || ban.SetBy != "the door of r01" || ban.Reason != "disk" {
-		t.Errorf("got local bans %+v in the next process, want the unregistered ban for disk", next)
+		t.Errorf("got local bans %+v in the next process, want the unregistered ban with the reason disk", next)
 	}
 }
 
-// A state file that cannot be parsed is logged and does not prevent the start of the router.
+// A state file that cannot be parsed causes a log entry and does not prevent the start of the router.
 func TestUnreadableStateFile(t *testing.T) {
 	folder := t.TempDir()
 	if err := os.WriteFile(filepath.Join(folder, stateFileName), []byte(`{"7":{"Own":true},`), 0o600); err != nil {
--- a/internal/fleet/bans/reconcile.go
+++ b/internal/fleet/bans/reconcile.go
@@ -8,13 +8,14 @@
 	"garnetline/routing"
 )
 
-// reconcile compares the servers that are disabled here with the registry's state at the latest
-// read, and adds the actions that remove the differences.
+// reconcile compares the servers that are disabled at this router with the registry's state at the
+// latest read, and adds the actions that remove the differences.
 //
-// Each version of a ban is applied once, and again only after a later read of the registry still
-// has it; a ban is lifted only by a later version. Otherwise a router that read the registry
-// before an operator enabled a server, and then learned of the enable by gossip, would disable the
-// server again because of the outdated read.
+// Each version of a ban is applied once. It is applied again only if a later read of the registry
+// still has that version. Only a later version lifts a ban. Without these rules, a router could
+// undo an enable: the router reads the registry, an operator then enables a server, and the router
+// learns of the enable by gossip. The router would disable the server again because of its
+// outdated read.
 func (m *Machine) reconcile(now float64, disabledHere []routing.ServerID, out *Output) {
 	for _, server := range slices.Sorted(maps.Keys(m.registered)) {
 		m.reconcileServer(now, server, slices.Contains(disabledHere, server), out)
@@ -31,7 +32,7 @@
 	})
 }
 
-// reconcileServer adds the action, if any, that makes this router follow one registered ban.
+// reconcileServer makes this router follow one registered ban. It adds an action if one is needed.
 func (m *Machine) reconcileServer(now float64, server routing.ServerID, disabledHere bool, out *Output) {
 	ban := m.registered[server]
 	if disabledHere || !ban.Disabled {
@@ -39,7 +40,7 @@
 	}
 	local, known := m.localBans[server]
 	if known && local.Unregistered {
-		return // the ban that was set here applies until it is registered
+		return // the ban that was set at this router applies until it is registered
 	}
 	switch {
 	case ban.Disabled && disabledHere && local.Version != ban.Version:
@@ -57,18 +58,19 @@
 	}
 }
 
-// adoptRegistered records that a registered ban is the reason why a server is disabled here.
+// adoptRegistered records that a registered ban is the reason why a server is disabled at this
+// router.
 func (m *Machine) adoptRegistered(server routing.ServerID, ban *leaseregistry.Ban, out *Output) {
 	m.localBans[server] = LocalBan{Version: ban.Version}
 	m.appliedVersions[server] = ban.Version
 	out.Persist = true
 }
 
-// stillDisabled reports whether a read of the registry that was requested after gossip enabled a
-// server here still has the server disabled.
+// stillDisabled is called for a server that is enabled at this router but disabled in the registry.
+// It reports whether the registry was read again after the server was first seen enabled.
 //
-// Without this check, an enable could erase a ban from gossip just before the ban is registered,
-// and some routers would keep the server enabled forever although the registry has it disabled.
+// Gossip of an enable can erase a ban just before the ban is registered. Without this check, some
+// routers would then keep the server enabled forever although the registry has it disabled.
 func (m *Machine) stillDisabled(now float64, server routing.ServerID) bool {
 	reenabledAt, seen := m.reenabledAt[server]
 	if !seen {
@@ -77,8 +79,9 @@
 	return seen && m.lastReadAt > reenabledAt
 }
 
-// addAction adds an action unless the server had one within RetryInterval. An action can have no
-// effect, because the endpoint list may not have the server yet; the caller then adds it again.
+// addAction adds an action, unless the latest action for the same server is more recent than
+// RetryInterval. An action has no effect while the endpoint list does not have the server. In that
+// case a later step adds the action again.
 func (m *Machine) addAction(now float64, action Action, out *Output) {
 	if m.lastActionAt[action.Server]+m.settings.RetryInterval <= now {
 		m.lastActionAt[action.Server] = now
--- a/internal/fleet/bans/statefile.go
+++ b/internal/fleet/bans/statefile.go
@@ -11,11 +11,11 @@
 	"garnetline/routing"
 )
 
-// stateFileName is the name of the file of the local bans in the state folder.
+// stateFileName is the name of the file in the state folder that stores the local bans.
 const stateFileName = "garnetline-bans.json"
 
-// stateFile is the path of the file that stores the local bans for the next process. With an
-// empty path nothing is stored.
+// stateFile is the path of the file that stores the local bans for the next process. If the
+// path is empty, nothing is stored.
 type stateFile string
 
 func newStateFile(folder string) stateFile {
--- a/internal/fleet/bans/status.go
+++ b/internal/fleet/bans/status.go
@@ -4,7 +4,7 @@
 
 // Status is the state of the registered bans as the admin API returns it.
 type Status struct {
-	ReadAt       float64  `json:"read_ms"` // Unix ms of the latest read of the registry; 0: none yet
+	ReadAt       float64  `json:"read_ms"` // time of the latest read of the registry, Unix ms; 0: not read yet
 	Bans         []Ban    `json:"bans"`
 	DisabledHere []string `json:"out_here"` // servers disabled at this router, even if the registry has them enabled
 }
--- a/internal/fleet/connectivity/connectivity.go
+++ b/internal/fleet/connectivity/connectivity.go
@@ -2,7 +2,8 @@
 // routers (together), only some of them (partial) or none (alone). It does no I/O.
 //
 // A router enters a state that permits less after a short delay. It enters a state that permits
-// more after a longer delay, which doubles each time that the router falls back afterwards.
+// more after a longer delay. The longer delay doubles each time the router then returns to a
+// state that permits less.
 //
 // A Machine is not safe for concurrent use: the goroutine that owns the router's fleet.Node
 // makes all calls.
@@ -12,10 +13,10 @@
 	"garnetline/internal/fleet/membership"
 )
 
-// State is how much of the fleet a router can reach.
+// State tells how much of the fleet a router can reach.
 type State uint8
 
-// The states, in descending order of what they permit.
+// The states. Each state permits no more than the states before it.
 const (
 	Together State = iota
 	Partial
@@ -27,25 +28,25 @@
 // String returns the name of the state that logs, metrics and the admin API show.
 func (s State) String() string { return stateNames[s] }
 
-// AcceptsRemoteEnable reports whether a router in this state enables a server at once when an
-// operator has enabled it at another router.
+// AcceptsRemoteEnable reports whether a router in this state immediately enables a server that an
+// operator has enabled at another router.
 func (s State) AcceptsRemoteEnable() bool { return s == Together }
 
-// Ready reports whether a router in this state is ready for requests. It is not ready if it has
-// lost all other routers, all servers and the change log. A router that has lost only the
-// other routers is ready.
+// Ready reports whether a router in this state is ready for requests. The router is not ready if
+// it has lost all three of these: the other routers, the servers and the change log. A router that
+// has lost only the other routers is ready.
 func (s State) Ready(serversLost, changeLogLost bool) bool {
 	return s != Alone || !serversLost || !changeLogLost
 }
 
 // Settings are the thresholds and delays. All times are in milliseconds.
 type Settings struct {
-	RecentWindow    float64 // routers that were present within this time count as known
-	TogetherShare   float64 // smallest present share of the known routers for Together
+	RecentWindow    float64 // time after which a router that is no longer present stops counting as known
+	TogetherShare   float64 // smallest share of the known routers that must be present for Together
 	SilenceTimeout  float64 // time without a packet after which the state is Alone, whatever the view shows
-	DowngradeDelay  float64 // how long the view must show a state that permits less
-	UpgradeDelay    float64 // how long the view must show a state that permits more, at first
-	MaxUpgradeDelay float64 // upper bound of the upgrade delay as it doubles
+	DowngradeDelay  float64 // time for which the view must show a state that permits less
+	UpgradeDelay    float64 // initial value of the time for which the view must show a state that permits more
+	MaxUpgradeDelay float64 // upper bound of the doubled upgrade delay
 }
 
 // DefaultSettings returns the defaults for the operators' settings file.
@@ -60,12 +61,12 @@
 	}
 }
 
-// Status is the state of a router and the counts that it is based on.
+// Status is the connectivity state of a router, with counts of the routers in its fleet.
 type Status struct {
 	State   State
 	Since   float64 // when the state was entered, ms
-	Present int     // number of alive or suspect routers, including this one
-	Known   int     // number of routers present within RecentWindow that have not left; divisor of shared budgets
+	Present int     // number of alive or suspect routers, including this router
+	Known   int     // number of routers that were present within RecentWindow and have not left; divisor of shared budgets
 }
 
 // Machine derives the connectivity state of one router from its views.
@@ -79,7 +80,7 @@
 	upgraded       bool    // the machine has entered a state that permits more at least once
 }
 
-// New returns a machine in the state Alone. now is in ms.
+// New returns a machine in the state Alone. The argument now is in ms.
 func New(settings Settings, now float64) *Machine {
 	return &Machine{
 		settings:     settings,
@@ -93,7 +94,7 @@
 // Status returns the status as of the latest step.
 func (m *Machine) Status() Status { return m.current }
 
-// Step updates the state from the view at the time now, in ms.
+// Step updates the state from the given view. The argument now is the time of the view, in ms.
 func (m *Machine) Step(now float64, view *membership.View) Status {
 	m.current.Present = view.Present
 	m.recordSeen(now, view)
@@ -105,7 +106,7 @@
 	}
 	if candidate == m.current.State {
 		if candidate == Together && now-m.current.Since >= m.settings.MaxUpgradeDelay {
-			m.upgradeDelay = m.settings.UpgradeDelay // the state has lasted
+			m.upgradeDelay = m.settings.UpgradeDelay // the state Together has lasted, so the doubled delay is reset
 		}
 		return m.current
 	}
@@ -120,7 +121,7 @@
 	switch {
 	case upgrade:
 		m.upgraded = true
-	case m.upgraded: // the earlier upgrade did not last, so the next one takes longer
+	case m.upgraded: // the earlier upgrade did not last, so the next upgrade takes longer
 		m.upgradeDelay = min(m.settings.MaxUpgradeDelay, 2*m.upgradeDelay)
 	}
 	m.current.State = candidate
@@ -150,8 +151,8 @@
 // classify returns the state that the view shows, without delays.
 func (m *Machine) classify(view *membership.View) State {
 	if m.current.Present <= 1 || view.Silence > m.settings.SilenceTimeout {
-		// An isolated router declares the others failed one by one, which takes minutes for
-		// hundreds of routers, and longer as its health score rises. The absence of packets
+		// An isolated router declares the other routers failed one by one. This takes minutes
+		// for hundreds of routers, and longer as its health score rises. The absence of packets
 		// shows the isolation much earlier.
 		return Alone
 	}
--- a/internal/fleet/connectivity/connectivity_test.go
+++ b/internal/fleet/connectivity/connectivity_test.go
@@ -7,16 +7,17 @@
 	"garnetline/internal/fleet/membership"
 )
 
-// newView returns a view of the given number of routers. Those with an index in left have left;
-// of the others, the first present ones are present and the rest have failed.
-func newView(routers, present int, left ...int) *membership.View {
-	view := &membership.View{Present: present}
+// newView returns a view of the given number of routers. The routers whose indexes are in
+// leftIndexes have left. Of the other routers, those with an index below presentCount are present,
+// and the rest have failed.
+func newView(routers, presentCount int, leftIndexes ...int) *membership.View {
+	view := &membership.View{Present: presentCount}
 	for i := range routers {
 		member := membership.Member{Update: membership.Update{ID: membership.ID(i + 1)}}
 		switch {
-		case slices.Contains(left, i):
+		case slices.Contains(leftIndexes, i):
 			member.State = membership.Left
-		case i >= present:
+		case i >= presentCount:
 			member.State = membership.Failed
 		}
 		view.Members = append(view.Members, member)
@@ -24,8 +25,9 @@
 	return view
 }
 
-// Step enters the state that the view shows after the delay of that change. The number of known
-// routers, by which shared budgets are divided, does not shrink when other routers fall silent.
+// Step enters the state that the view shows as soon as the delay of that change has passed. Shared
+// budgets are divided by the number of known routers, which does not shrink when other routers fall
+// silent.
 func TestStateFollowsView(t *testing.T) {
 	settings := DefaultSettings()
 	machine := New(settings, 0)
@@ -39,12 +41,12 @@
 		{0, 8, 8, nil, Alone, 8},
 		{4900, 8, 8, nil, Alone, 8}, // an upgrade takes UpgradeDelay
 		{5000, 8, 8, nil, Together, 8},
-		{6000, 8, 6, nil, Together, 8}, // 6 of 8 is TogetherShare
+		{6000, 8, 6, nil, Together, 8}, // 6 of 8 routers is exactly TogetherShare
 		{7000, 8, 5, nil, Together, 8},
 		{7400, 8, 5, nil, Together, 8},
 		{7500, 8, 5, nil, Partial, 8},
 		{8000, 8, 1, nil, Partial, 8},
-		{8500, 8, 1, nil, Alone, 8},  // Known stays 8: this router's part of the shared budgets does not grow
+		{8500, 8, 1, nil, Alone, 8},  // 8 routers stay known: this router's part of the shared budgets does not grow
 		{9000, 8, 8, nil, Alone, 8},  // two downgrades have doubled the upgrade delay twice
 		{15000, 8, 8, nil, Alone, 8}, // the upgrade delay is 20 s
 		{29000, 8, 8, nil, Together, 8},
@@ -60,8 +62,8 @@
 	}
 }
 
-// The number of state changes is bounded for every period at which connections flap, since the
-// delay of an upgrade doubles each time, up to a minute.
+// The number of state changes is bounded for every period at which connections flap, since each
+// failed upgrade doubles the delay of the next upgrade, up to a minute.
 func TestFlappingBoundsStateChanges(t *testing.T) {
 	for period := 500.0; period < 30_000; period *= 1.3 {
 		m := New(DefaultSettings(), 0)
@@ -83,7 +85,7 @@
 	}
 }
 
-// No state permits more than a state in which the router reaches more of the fleet, and every
+// A state never permits more than a state in which the router reaches more of the fleet. Every
 // behavior is described for each state.
 func TestLowerStatePermitsNoMore(t *testing.T) {
 	for s := Together; s < Alone; s++ {
@@ -92,11 +94,11 @@
 		}
 	}
 	if Alone.Ready(true, true) || !Alone.Ready(false, true) || !Alone.Ready(true, false) || !Partial.Ready(true, true) {
-		t.Error("want not ready only in state alone without servers and change log, got another result")
+		t.Error("want Ready false only in state alone without servers and change log, got another result")
 	}
 	for _, b := range Behaviors() {
 		if b.Together == "" || b.Partial == "" || b.Alone == "" {
-			t.Errorf("subject %q: got an empty behavior in a state, want one for each state", b.Subject)
+			t.Errorf("subject %q: got an empty behavior in a state, want a behavior for each state", b.Subject)
 		}
 	}
 }
--- a/internal/fleet/gossip/expiry.go
+++ b/internal/fleet/gossip/expiry.go
@@ -13,8 +13,8 @@
 	maxForgotten = 8192
 )
 
-// Step applies the deferred enables once DeferEnables is false, and forgets expired items. now is
-// in ms.
+// Step applies the deferred enables if DeferEnables is false, and forgets expired items. The
+// argument now is in ms.
 func (s *Store) Step(now float64) {
 	if !s.DeferEnables && len(s.deferredEnables) > 0 {
 		s.applyDeferredEnables()
@@ -52,9 +52,9 @@
 	return slices.DeleteFunc(s.Bans(), func(server routing.ServerID) bool { return !s.deferredEnables[server] })
 }
 
-// expired reports whether an item is older than its retention, in ms. It also stops advertising
-// an item after half of the retention: otherwise a router that has already forgotten the item
-// could be sent it again and accept it as new.
+// expired reports whether an item is at least as old as its retention, in ms. It also stops
+// advertising an item after half of the retention. Without this, the item could be sent to a
+// router that has already forgotten it, and that router would accept the item as new.
 func (s *Store) expired(now float64, e *entry, retention float64) bool {
 	age := now - e.receivedAt
 	if age >= retention/2 {
@@ -63,8 +63,8 @@
 	return age >= retention
 }
 
-// markForgotten records the hash of a forgotten item. It drops the oldest hash if there are
-// maxForgotten already.
+// markForgotten records the hash of a forgotten item. It drops the oldest hash if
+// maxForgotten hashes are stored.
 func (s *Store) markForgotten(hash uint64) {
 	if len(s.forgottenOrder) == maxForgotten {
 		delete(s.forgotten, s.forgottenOrder[0])
--- a/internal/fleet/gossip/export.go
+++ b/internal/fleet/gossip/export.go
@@ -9,8 +9,8 @@
 // fieldBan is the protobuf field number of each ban in an export.
 const fieldBan = 1
 
-// Export returns the encoded bans to store for the router's next process. changed tells whether
-// they have changed since the last call; if not, stored is nil.
+// Export returns the encoded bans to store for the router's next process. The result changed tells
+// whether the bans have changed since the last call. If they have not, the result stored is nil.
 func (s *Store) Export() (stored []byte, changed bool) {
 	if !s.dirty {
 		return nil, false
@@ -24,7 +24,7 @@
 }
 
 // Import adds the bans that an earlier process exported. It skips items that cannot be decoded,
-// and stops where the framing is invalid.
+// and stops at the first invalid field framing.
 func (s *Store) Import(now float64, stored []byte) {
 	for len(stored) > 0 {
 		_, fieldType, n := protowire.ConsumeTag(stored)
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -8,7 +8,7 @@
 )
 
 // The encoding of items is the same as in the previous version, since routers of both versions
-// exchange them.
+// exchange items.
 func TestGoldenItems(t *testing.T) {
 	items := []Item{
 		{Kind: Ban, Server: 0xfffffffe, Router: 0x1122334455667788, Sequence: 3},
--- a/internal/fleet/gossip/item.go
+++ b/internal/fleet/gossip/item.go
@@ -22,8 +22,8 @@
 type Item struct {
 	Kind      Kind
 	Server    routing.ServerID
-	Router    membership.ID    // Ban: router whose admin API set it; Router and Sequence are the ban's dot
-	Sequence  uint64           // Ban: number of the ban among those set at Router
+	Router    membership.ID    // Ban: router whose admin API set the ban; Router and Sequence form the ban's dot
+	Sequence  uint64           // Ban: number of the ban among the bans set at Router
 	Removed   bool             // Ban: the ban was removed
 	StartedAt float64          // Drain: start time of the draining server, Unix ms; 0: long ago
 	Object    routing.ObjectID // Purge: object to purge
@@ -45,7 +45,8 @@
 )
 
 const (
-	// maxTimestamp bounds the times of an item, Unix ms. A higher value cannot be a valid date.
+	// maxTimestamp is the upper bound of the times of an item, in Unix ms. A higher value cannot
+	// be a valid date.
 	maxTimestamp = 1 << 50
 	// maxGroup is one more than the highest group number.
 	maxGroup = 1 << 16
@@ -68,8 +69,8 @@
 	return wireformat.AppendUint(b, fieldPurgedAt, uint64(i.PurgedAt))
 }
 
-// Decode decodes an item. It skips unknown fields, which a later version may send. ok is false if
-// the encoding is malformed or a field is out of bounds.
+// Decode decodes an item. It skips unknown fields, which a later version may send. The result
+// ok is false if the encoding is malformed or a field is out of bounds.
 func Decode(b []byte) (item Item, ok bool) {
 	if len(b) > membership.MaxItemLen {
 		return item, false
@@ -131,7 +132,8 @@
 	return false
 }
 
-// bucket returns the bucket whose checksum includes the item. It is the same at all routers.
+// bucket returns the bucket whose checksum includes the item. All routers must choose the same
+// bucket.
 func (i *Item) bucket() int {
 	hash := uint64(i.Server)*31 + uint64(i.Object) + uint64(i.Group)*7 + i.Sequence
 	return int(hash % membership.BucketCount)
--- a/internal/fleet/gossip/store.go
+++ b/internal/fleet/gossip/store.go
@@ -1,13 +1,14 @@
 // Package gossip stores the items that routers exchange about servers: bans set by operators,
 // servers that drain or are gone, and purges. It does no I/O: the membership state machine
 // sends and receives the items. Merging is commutative and idempotent: the result depends
-// neither on the order of the items nor on how often each one is received.
+// neither on the order of the items nor on how often each item is received.
 //
-// Items of other routers can only disable a server or undo that; a server becomes usable only
-// through the change log. Bans form an add-wins set (a CRDT). Each ban is identified by a dot:
+// An item of another router can only disable a server, or undo an earlier item. Only the change
+// log makes a server usable. Bans form an add-wins set (a CRDT). Each ban is identified by a dot:
 // the ID of the router whose admin API set it, and a sequence number. Enabling a server removes
-// the dots that the enabling router knows. If a server is banned on one side of a partition and
-// enabled on the other, the ban remains, since the enabling router did not know its dot.
+// those of its dots that the enabling router knows. If a server is banned on one side of a
+// partition and enabled on the other, the ban remains, since the enabling router did not know the
+// ban's dot.
 //
 // A Store holds the items of one router. It is not safe for concurrent use: the goroutine
 // that owns the router's fleet.Node makes all calls.
@@ -27,7 +28,7 @@
 type Settings struct {
 	DotRetention  float64 // time after which a removed ban is forgotten
 	ItemRetention float64 // time after which a drain or purge is forgotten
-	MaxDots       int     // maximum number of bans, including removed ones
+	MaxDots       int     // maximum number of bans, including removed bans
 	MaxItems      int     // maximum number of drains and purges
 }
 
@@ -39,7 +40,7 @@
 // Change is the effect of an item on this router.
 type Change struct {
 	Item
-	Disabled bool // Ban: whether the server is disabled now
+	Disabled bool // Ban: the server is disabled after the change
 }
 
 // Store holds the items of one router. It implements membership.ItemStore.
@@ -56,13 +57,13 @@
 	forgottenOrder  []uint64        // hashes in forgotten, the oldest first
 	lastExpiryAt    float64         // ms
 
-	// DeferEnables keeps a server disabled after another router has enabled it, until Step is
-	// called with DeferEnables unset.
+	// DeferEnables defers the enables of other routers: a server that another router enables
+	// stays disabled until the first Step after DeferEnables is unset.
 	DeferEnables bool
 	// Rejected counts the items that were malformed or exceeded a limit.
 	Rejected int64
-	changes  []Change // since the last TakeChanges
-	dirty    bool     // the bans have changed since the last Export
+	changes  []Change // changes since the last call of TakeChanges
+	dirty    bool     // the bans have changed since the last call of Export
 }
 
 // dot identifies a ban.
@@ -76,11 +77,12 @@
 	Item
 	encoded    []byte
 	receivedAt float64 // ms
-	advertised bool    // ForEach returns the item and the checksums include it
+	advertised bool    // ForEach visits the item, and the checksums include the item
 }
 
-// New returns an empty store for the router self. The sequence numbers of its bans start after
-// firstSequence, which must grow with each incarnation of the router.
+// New returns an empty store for the router with the ID self. The sequence numbers of its bans
+// start at firstSequence+1. The caller must pass a higher firstSequence in each incarnation of
+// the router.
 func New(settings Settings, self membership.ID, firstSequence uint64) *Store {
 	return &Store{
 		settings:        settings,
@@ -95,7 +97,7 @@
 }
 
 // Receive merges an encoded item that another router sent. It reports whether the item is new
-// and has to be broadcast. now is in ms.
+// and has to be broadcast. The argument now is in ms.
 func (s *Store) Receive(now float64, _ membership.ID, encoded []byte) bool {
 	item, ok := Decode(encoded)
 	if !ok {
@@ -105,9 +107,9 @@
 	return s.merge(now, item, encoded, false)
 }
 
-// AddLocal adds an item from this router's own change log. It records no Change, since the item
-// changes nothing for a router that reads it from its own log. It returns the encoded item to
-// broadcast, or nil if the item is not new.
+// AddLocal adds an item from this router's own change log. It records no Change, since this
+// router already follows its own change log. It returns the encoded item to broadcast, or nil if
+// the item is not new.
 func (s *Store) AddLocal(now float64, item Item) []byte {
 	encoded := item.Append(nil)
 	changeCount := len(s.changes)
@@ -172,8 +174,8 @@
 	return dots
 }
 
-// merge adds an item and reports whether it is new. local tells whether the item comes from this
-// router itself or from its stored bans.
+// merge adds an item and reports whether the item is new. The argument local is true if the item
+// comes from this router itself or from its stored bans.
 func (s *Store) merge(now float64, item Item, encoded []byte, local bool) bool {
 	if item.Kind == Ban {
 		return s.mergeBan(now, item, encoded, local)
@@ -206,7 +208,7 @@
 		return false
 	}
 	if item.Router == s.self && item.Sequence > s.lastSequence {
-		s.lastSequence = item.Sequence // other routers returned the ban after this router lost its state
+		s.lastSequence = item.Sequence // this router lost its state, and other routers returned its ban
 	}
 	wasDisabled := s.Disabled(item.Server)
 	if known != nil {
@@ -257,11 +259,12 @@
 	return servers
 }
 
-// Drains returns the drains received at or after the time after, in ms, sorted by server.
-func (s *Store) Drains(after float64) []Item {
+// Drains returns the drains that were received at minReceivedAt or later, sorted by server.
+// minReceivedAt is in ms.
+func (s *Store) Drains(minReceivedAt float64) []Item {
 	var drains []Item
 	for _, e := range s.items {
-		if e.Kind == Drain && e.receivedAt >= after {
+		if e.Kind == Drain && e.receivedAt >= minReceivedAt {
 			drains = append(drains, e.Item)
 		}
 	}
--- a/internal/fleet/gossip/store_test.go
+++ b/internal/fleet/gossip/store_test.go
@@ -37,11 +37,11 @@
 	return modelDot{item.Server, fmt.Sprint(item.Router, item.Sequence)}
 }
 
-// model computes the state that several stores must converge to: a server is disabled if it has
-// a ban whose dot no enabling router knew.
+// model computes the state that several stores must converge to. A server is disabled if it has a
+// ban whose dot was unknown to every router that enabled the server.
 type model struct {
 	stores  []*Store
-	sent    [][]byte            // items that all stores are to receive
+	sent    [][]byte            // items that all stores must receive
 	live    map[modelDot]bool   // all bans that were set
 	known   []map[modelDot]bool // bans that each store knows
 	removed map[modelDot]bool   // bans that were known to an enabling store
@@ -102,32 +102,32 @@
 }
 
 // Several routers ban and enable servers at random, and receive some of each other's items in any
-// order and more than once. After each has received all items, the stores are equal to each
-// other and to the model.
+// order and more than once. After every store has received all items, all stores are equal, and
+// they disable the servers that the model disables.
 func TestMergeAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const routers = 3
-		want := newModel(routers)
+		expected := newModel(routers)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			router := rapid.IntRange(0, routers-1).Draw(t, "router")
 			server := routing.ServerID(rapid.IntRange(1, 3).Draw(t, "server"))
 			switch rapid.IntRange(0, 3).Draw(t, "action") {
 			case 0:
-				want.disable(router, server)
+				expected.disable(router, server)
 			case 1:
-				want.enable(router, server)
+				expected.enable(router, server)
 			default:
-				if len(want.sent) > 0 {
-					want.receive(router, want.sent[rapid.IntRange(0, len(want.sent)-1).Draw(t, "item")])
+				if len(expected.sent) > 0 {
+					expected.receive(router, expected.sent[rapid.IntRange(0, len(expected.sent)-1).Draw(t, "item")])
 				}
 			}
 		}
-		want.receiveAll()
-		for i, s := range want.stores {
-			if describe(s) != describe(want.stores[0]) {
-				t.Fatalf("stores differ: got\n%s\nwant that of router 0\n%s", describe(s), describe(want.stores[0]))
+		expected.receiveAll()
+		for i, s := range expected.stores {
+			if describe(s) != describe(expected.stores[0]) {
+				t.Fatalf("stores differ: got\n%s\nwant the store of router 0\n%s", describe(s), describe(expected.stores[0]))
 			}
-			for server, disabled := range want.disabled() {
+			for server, disabled := range expected.disabled() {
 				if s.Disabled(server) != disabled {
 					t.Fatalf("router %d, server %v: got disabled %v, want %v", i, server, s.Disabled(server), disabled)
 				}
@@ -136,8 +136,8 @@
 	})
 }
 
-// An enable from another router is deferred while DeferEnables is set and applied by the first
-// Step afterwards. An enable by an operator at this router applies at once.
+// An enable from another router is deferred while DeferEnables is set. The first Step after
+// DeferEnables is unset applies it. An operator's enable at this router applies immediately.
 func TestRemoteEnableIsDeferred(t *testing.T) {
 	remote, local := New(DefaultSettings(), 1, 0), New(DefaultSettings(), 2, 0)
 	receive := func(items [][]byte) {
@@ -155,7 +155,7 @@
 	local.DeferEnables = false
 	local.Step(1)
 	if c := local.TakeChanges(); local.Disabled(5) || len(c) != 1 || c[0].Disabled {
-		t.Errorf("after enables are no longer deferred: got changes %+v, want one that enables server 5", c)
+		t.Errorf("after enables are no longer deferred: got changes %+v, want a change that enables server 5", c)
 	}
 	local.DeferEnables = true
 	receive(remote.SetDisabled(0, 6, true))
@@ -166,8 +166,8 @@
 	}
 }
 
-// A router does not accept an item that it has forgotten from a router that forgets it later.
-// After both have forgotten the item, their checksums are equal.
+// A router that has forgotten an item does not accept it again from a router that still has the
+// item. After both routers have forgotten the item, their checksums are equal.
 func TestExpiredItemsStayForgotten(t *testing.T) {
 	settings := DefaultSettings()
 	first, second := New(settings, 1, 0), New(settings, 2, 0)
@@ -185,7 +185,7 @@
 		})
 	}
 	if first.checksums != second.checksums || len(first.items)+len(second.items) != 0 {
-		t.Errorf("got %d and %d items, want none and equal checksums", len(first.items), len(second.items))
+		t.Errorf("got %d items in the first store and %d in the second, want no items and equal checksums", len(first.items), len(second.items))
 	}
 	if first.Receive(2*settings.ItemRetention, 2, encoded) {
 		t.Error("forgotten item was accepted again from an old packet")
@@ -201,7 +201,7 @@
 	before.SetDisabled(0, 6, false)
 	stored, changed := before.Export()
 	if _, again := before.Export(); !changed || again {
-		t.Error("want changed to be true in the first export and false in the second")
+		t.Error("want changed true from the first export and changed false from the second, got other values")
 	}
 	after := New(DefaultSettings(), 1, 0)
 	after.Import(0, stored)
@@ -210,7 +210,7 @@
 		t.Errorf("after import: got %s, want %s with server 5 disabled and 6 enabled", describe(after), describe(before))
 	}
 	if items := after.SetDisabled(0, 7, true); len(items) != 1 || after.lastSequence <= before.lastSequence {
-		t.Errorf("got %d items with sequence number %d, want one with a number above %d", len(items), after.lastSequence, before.lastSequence)
+		t.Errorf("got %d items and sequence number %d, want 1 item and a number above %d", len(items), after.lastSequence, before.lastSequence)
 	}
 }
 
@@ -245,7 +245,7 @@
 		}
 		encoded := item.Append(nil)
 		if again, ok := Decode(encoded); !ok || again != item || !bytes.Equal(encoded, again.Append(nil)) {
-			t.Fatalf("decoded %+v, but %+v after encoding it again", item, again)
+			t.Fatalf("decoded %+v; after encoding and decoding again, got %+v", item, again)
 		}
 	})
 }
