--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -1,7 +1,8 @@
-// Package fleet combines the three state machines of a router's view of its fleet: which
-// routers are present (membership), what they publish about servers (gossip), and how much of
-// the fleet this router can reach (connectivity). The package does no I/O: package transport
-// runs a Node in the daemon, and a network simulator runs it in experiments.
+// Package fleet combines the three state machines of a router's view of its fleet. Membership
+// tracks which routers are present. Gossip stores the items that the routers publish about
+// servers. Connectivity determines how much of the fleet this router can reach. The package does
+// no I/O: package transport runs a Node in the daemon, and a network simulator runs a Node in
+// experiments.
 //
 // A Node is not safe for concurrent use: the goroutine that owns it makes all calls. A
 // Status is immutable and may be read by any goroutine.
@@ -20,9 +21,9 @@
 	"garnetline/routing"
 )
 
-// relayCount is how many routers broadcast an item that all routers read from the change log.
-// A broadcast by more routers would only repeat the item; the periodic exchange of views
-// delivers it where these broadcasts are lost.
+// relayCount is the number of routers that broadcast an item that all routers read from the
+// change log. Broadcasts by more routers would only repeat the item. If the broadcasts to a router
+// are lost, the periodic exchange of views delivers the item to that router.
 const relayCount = 4
 
 // connectivityInterval is the time between two evaluations of connectivity while the view does
@@ -36,7 +37,7 @@
 	Gossip       gossip.Settings
 }
 
-// DefaultSettings returns the settings that apply where the operators' settings file sets none.
+// DefaultSettings returns the defaults for the operators' settings file.
 func DefaultSettings() Settings {
 	return Settings{
 		Membership:   membership.DefaultSettings(),
@@ -50,10 +51,10 @@
 	*membership.Machine
 	Store        *gossip.Store
 	connectivity *connectivity.Machine
-	nextCheckAt  float64 // when connectivity is evaluated next, ms
+	nextCheckAt  float64 // time of the next evaluation of connectivity, ms
 }
 
-// Output is what the caller must carry out after a step.
+// Output is the result of a step. The caller must carry it out.
 type Output struct {
 	membership.Output
 	Changes             []gossip.Change
@@ -61,7 +62,8 @@
 	ConnectivityChanged bool
 }
 
-// New returns the node of a router. seeds are addresses at which other routers may listen.
+// New returns the node of a router. The argument seeds holds addresses at which other routers may
+// listen.
 func New(settings Settings, self membership.Update, seeds []netip.AddrPort, rng *rand.Rand, now float64) *Node {
 	store := gossip.New(settings.Gossip, self.ID, self.Revision)
 	return &Node{
@@ -72,7 +74,8 @@
 	}
 }
 
-// Step advances the node to now, in ms, and handles a received packet, which may be nil.
+// Step advances the node to the time now, in ms. It handles the received packet, unless the packet
+// is nil.
 func (n *Node) Step(now float64, p *membership.Packet) Output {
 	out := Output{Output: n.Machine.Step(now, p)}
 	before := n.connectivity.Status()
@@ -111,8 +114,8 @@
 	}
 }
 
-// relays reports whether this router broadcasts an item: the relayCount present routers with
-// the lowest rank for the item do.
+// relays reports whether this router is one of an item's relays. The relays are the relayCount
+// present routers with the lowest ranks for the item.
 func (n *Node) relays(encoded []byte) bool {
 	hash := xxhash.Sum64(encoded)
 	self := rank(n.Self().ID, hash)
@@ -125,8 +128,8 @@
 	return lower < relayCount
 }
 
-// rank returns a router's rank for the item with a hash. All routers compute the same rank, and
-// so select the same relays.
+// rank returns a router's rank for the item with the given hash. All routers compute the same
+// ranks, and therefore select the same relays.
 func rank(id membership.ID, hash uint64) uint64 {
 	mixed := (uint64(id) ^ hash) * 0x9e3779b97f4a7c15
 	return mixed ^ mixed>>32
--- a/internal/fleet/recoveryprobe/coordinator.go
+++ b/internal/fleet/recoveryprobe/coordinator.go
@@ -15,7 +15,7 @@
 const (
 	stepInterval     = 50 * time.Millisecond
 	mailboxSize      = 256
-	holderCandidates = 2 // highest-ranked routers that receive reports while the lease holder is unknown
+	holderCandidates = 2 // number of highest-ranked routers that receive reports while the lease holder is unknown
 )
 
 // Options are the settings and the dependencies of a Coordinator. None of the functions may block.
@@ -25,12 +25,12 @@
 	Self membership.ID
 
 	// LastKnownHolder returns a lease's holder according to the latest response of the lease
-	// registry, or 0 if it is not known.
+	// registry, or 0 if the holder is not known.
 	LastKnownHolder func(leaseName string) membership.ID
 	// Ejected returns the servers that this router's outlier detection has ejected.
 	Ejected func() []routing.ServerID
-	// ExtendEjection keeps an ejected server ejected for ms milliseconds from now.
-	ExtendEjection func(server routing.ServerID, ms float64)
+	// ExtendEjection keeps an ejected server ejected for the given duration from now, in ms.
+	ExtendEjection func(server routing.ServerID, duration float64)
 	// RequireProbe ejects a server until one request to it has succeeded.
 	RequireProbe func(server routing.ServerID)
 }
@@ -71,8 +71,8 @@
 		select {
 		case <-ctx.Done():
 			return
-		case next := <-c.mailbox:
-			if !c.machine.HandleMessage(c.options.Clock.Now(), next.from, next.message) {
+		case received := <-c.mailbox:
+			if !c.machine.HandleMessage(c.options.Clock.Now(), received.from, received.message) {
 				c.options.Metrics.Add("first_words_refused", 1)
 			}
 		case <-ticker.C:
@@ -83,8 +83,8 @@
 
 func (c *Coordinator) step() {
 	out := c.machine.Step(c.options.Clock.Now(), c.input())
-	for server, ms := range out.EjectionExtensions {
-		c.options.ExtendEjection(server, ms)
+	for server, duration := range out.EjectionExtensions {
+		c.options.ExtendEjection(server, duration)
 		c.options.Metrics.Add("first_holds", 1)
 	}
 	for _, server := range out.Probes {
@@ -117,8 +117,8 @@
 		c.options.Send(to, fragment.EjectionReport, message.Append(nil))
 		return
 	}
-	// The lease is checked again right before the send, so that a holder whose process was paused
-	// sends nothing under a lease that has ended.
+	// Check the lease again right before the send. The process may have been paused since the
+	// step, and a router must not send results after its lease has ended.
 	if current, ok := c.options.Valid(c.leaseName); !ok || current != message.FencingToken {
 		c.options.Metrics.Add("first_held_back", 1)
 		return
@@ -129,8 +129,8 @@
 // Stopped returns a channel that is closed when Run has returned.
 func (c *Coordinator) Stopped() <-chan struct{} { return c.done }
 
-// Receive queues another router's message for Run. It never blocks; it drops and counts a message
-// that is malformed, is on the wrong channel, or finds the mailbox full.
+// Receive queues another router's message for Run. It never blocks. It drops and counts the message
+// if the message is malformed or on the wrong channel, or if the mailbox is full.
 func (c *Coordinator) Receive(from membership.ID, channel fragment.Channel, encoded []byte) {
 	message, ok := Decode(encoded)
 	fromHolder := message.FencingToken != 0
--- a/internal/fleet/recoveryprobe/holder.go
+++ b/internal/fleet/recoveryprobe/holder.go
@@ -9,12 +9,12 @@
 	"garnetline/routing"
 )
 
-// ejectionDelay is the time in ms within which the routing module of this router ejects a server
-// that this router must probe. A server that is not ejected by then has just answered a request
-// and so has recovered.
+// ejectionDelay is the time, in ms, within which this router's routing module ejects a server that
+// this router must probe. If the server is not ejected after this time, the server has just
+// answered a request, and has therefore recovered.
 const ejectionDelay = 150.0
 
-// stepAsHolder does the work of a step that only the lease holder does.
+// stepAsHolder does the part of a step that only the lease holder does.
 func (m *Machine) stepAsHolder(now float64, input Input, out *Output) {
 	m.holderLastSeenAt = math.Inf(-1)
 	clear(m.holderResults)
@@ -33,7 +33,7 @@
 }
 
 // collectReports drops the reports of routers that are gone or unresponsive. It returns the
-// servers that other routers have ejected, each with the time of its latest ejection.
+// servers that other routers have ejected, with the time of each server's latest ejection.
 func (m *Machine) collectReports(now float64, zonePeers []membership.ID) map[routing.ServerID]float64 {
 	reportTimeout := 3*m.settings.ReportInterval + m.settings.HolderTimeout
 	lastEjectedAt := map[routing.ServerID]float64{}
@@ -56,7 +56,7 @@
 	if known && result.recovered && lastEjectedAt <= result.at {
 		return
 	}
-	if _, ejectedHere := m.ejectedAt[server]; ejectedHere { // the routing module probes it when its ejection time ends
+	if _, ejectedHere := m.ejectedAt[server]; ejectedHere { // the routing module probes the server when its ejection time ends
 		m.results[server] = probeResult{at: now}
 		return
 	}
@@ -71,8 +71,8 @@
 	}
 }
 
-// scheduleResults adds a message to each router with the results of the servers that the router
-// has ejected.
+// scheduleResults adds a message for each router that has reported ejected servers. The message has
+// the probe results of these servers.
 func (m *Machine) scheduleResults(now float64, fencingToken uint64, out *Output) {
 	if now-m.lastSentAt < m.settings.ReportInterval/2 {
 		return
--- a/internal/fleet/recoveryprobe/machine.go
+++ b/internal/fleet/recoveryprobe/machine.go
@@ -19,8 +19,8 @@
 	settings      Settings
 	self          membership.ID
 	ejectedAt     map[routing.ServerID]float64 // when this router ejected each server
-	lastSentAt    float64                      // -Inf: the next message is due at once
-	nextPeerIndex int                          // of the round robin over peers while the holder is unknown
+	lastSentAt    float64                      // -Inf: the next message is due immediately
+	nextPeerIndex int                          // position of the round robin over the peers while the lease holder is unknown
 
 	// State received from the lease holder.
 	fence            lease.Fence
@@ -62,7 +62,7 @@
 	}
 }
 
-// Step advances the Machine to now.
+// Step advances the Machine to the time now, in ms.
 func (m *Machine) Step(now float64, input Input) Output {
 	out := Output{EjectionExtensions: map[routing.ServerID]float64{}, Messages: map[membership.ID]Message{}}
 	m.recordEjections(now, input.Ejected)
@@ -79,14 +79,14 @@
 	return out
 }
 
-// recordEjections records the servers that this router has ejected, or has returned to, since the
-// previous step.
+// recordEjections records the servers that this router has ejected since the previous step, and the
+// servers that it has returned to.
 func (m *Machine) recordEjections(now float64, ejected []routing.ServerID) {
 	for server := range m.ejectedAt {
 		if !slices.Contains(ejected, server) {
 			delete(m.ejectedAt, server)
 			m.sendAtOnce()
-			m.results[server] = probeResult{recovered: true, at: now} // found by this router's own probe
+			m.results[server] = probeResult{recovered: true, at: now} // this router's own probe succeeded
 		}
 	}
 	for _, server := range ejected {
@@ -104,8 +104,8 @@
 	return now-m.holderLastSeenAt <= m.settings.HolderTimeout
 }
 
-// scheduleReports adds the reports of this router's ejected servers, to the lease holder or, while
-// it is unknown, to the routers that may hold the lease.
+// scheduleReports adds the reports of this router's ejected servers. The lease holder receives
+// them. While the holder is unknown, the routers that may hold the lease receive them.
 func (m *Machine) scheduleReports(now float64, input Input, out *Output) {
 	holderKnown := m.holder != 0 && m.holderSeen(now)
 	if len(m.ejectedAt) == 0 {
@@ -132,9 +132,9 @@
 			out.Messages[candidate] = report
 		}
 	}
-	// The lease holder may be none of the candidates. Without a report it would not learn of the
-	// ejected server, and all routers would probe on their own. So each report also goes to one
-	// further peer, in turn.
+	// The lease holder may be none of the candidates. Without a report, the holder would not learn
+	// of the ejected server, and all routers would probe on their own. Therefore each report also
+	// goes to one more peer, which is chosen in round-robin order.
 	if peerCount := len(input.ZonePeers); peerCount > 0 {
 		m.nextPeerIndex++
 		out.Messages[input.ZonePeers[m.nextPeerIndex%peerCount]] = report
@@ -151,8 +151,8 @@
 	return message
 }
 
-// extendEjections keeps the servers ejected here that the lease holder is still probing, and those
-// that have recovered but that are not due for this router's return yet.
+// extendEjections extends this router's ejections of two kinds of servers. Either the lease holder
+// is still probing the server, or the server has recovered but this router may not return to it yet.
 func (m *Machine) extendEjections(now float64, zonePeers []membership.ID, out *Output) {
 	for server, ejectedAt := range m.ejectedAt {
 		result, known := m.holderResults[server]
@@ -161,8 +161,8 @@
 		case !result.recovered:
 			out.EjectionExtensions[server] = m.holderLastSeenAt + m.settings.HolderTimeout - now
 		case ejectedAt > result.at:
-			// The server failed here after the holder found it recovered: this router's own ejection
-			// time applies.
+			// The server failed requests of this router after the holder found it recovered: this
+			// router's own ejection time applies.
 		default:
 			if returnAt := m.returnTime(result.at, zonePeers); returnAt > now {
 				out.EjectionExtensions[server] = returnAt - now
@@ -172,17 +172,17 @@
 }
 
 // returnTime returns when this router may return to a server that recovered at recoveredAt. The
-// routers of the zone return one after another in the order of their ranks, and a router keeps its
-// position whether or not the others have the server ejected.
+// routers of the zone return one after another in the order of their ranks. The position of a
+// router does not depend on which other routers have the server ejected.
 func (m *Machine) returnTime(recoveredAt float64, zonePeers []membership.ID) float64 {
 	routers := append(slices.Clone(zonePeers), m.self)
 	position := lease.Rank(returnOrderKey, m.self, routers)
 	return recoveredAt + 1000*float64(position)/m.settings.ReturnRate
 }
 
-// HandleMessage handles another router's message. It reports whether the message was accepted: it
-// rejects results with an older fencing token than the latest one, and reports while
-// maxPeerReports reports are stored.
+// HandleMessage handles another router's message, and reports whether it accepted the message. It
+// rejects results whose fencing token is older than the latest token. It also rejects every report
+// while maxPeerReports reports are stored.
 func (m *Machine) HandleMessage(now float64, from membership.ID, message Message) bool {
 	if message.FencingToken == 0 {
 		return m.handleReport(now, from, message.Servers)
@@ -200,7 +200,7 @@
 }
 
 // handleReport stores another router's report of its ejected servers. An empty report deletes the
-// stored one.
+// stored report of that router.
 func (m *Machine) handleReport(now float64, from membership.ID, servers []ServerStatus) bool {
 	if len(m.peerReports) >= maxPeerReports {
 		return false
--- a/internal/fleet/recoveryprobe/machine_test.go
+++ b/internal/fleet/recoveryprobe/machine_test.go
@@ -14,7 +14,8 @@
 const server = routing.ServerID(7)
 
 // zone simulates the routers of one zone and one server. Each router has the ejection times of the
-// routing module without a lease: 500 ms, doubled up to 4 s, with one request after each.
+// routing module without a lease: the first is 500 ms, and each further time is twice as long, up
+// to 4 s. A router sends one request after each ejection time.
 type zone struct {
 	rng          *rand.Rand
 	now          float64 // ms
@@ -23,14 +24,14 @@
 	routers      []*zoneRouter
 	holder       int // index of the lease holder; -1: none
 	fencingToken uint64
-	probes       []float64 // times of requests to the running server from routers that had it ejected
+	probes       []float64 // times of requests to the running server from routers that had ejected the server
 	withLease    bool
 }
 
 type zoneRouter struct {
 	machine      *Machine
 	id           membership.ID
-	failures     int // consecutive failures; above 0: the server is ejected here
+	failures     int // consecutive failures; above 0: this router has the server ejected
 	ejectedUntil float64
 	lastSuccess  float64
 	unreachable  bool // this router cannot reach the server
@@ -53,9 +54,9 @@
 	return z
 }
 
-// run simulates ms milliseconds in steps of 10 ms. Each router has a request every 50 ms.
-func (z *zone) run(ms float64) {
-	for end := z.now + ms; z.now < end; z.now += 10 {
+// run simulates the given duration, in ms, in steps of 10 ms. Each router has a request every 50 ms.
+func (z *zone) run(duration float64) {
+	for end := z.now + duration; z.now < end; z.now += 10 {
 		for i, router := range z.routers {
 			if int(z.now/10)%5 == i%5 && z.now >= router.ejectedUntil {
 				z.request(router)
@@ -91,8 +92,8 @@
 		input.FencingToken = z.fencingToken
 	}
 	out := router.machine.Step(z.now, input)
-	if ms := out.EjectionExtensions[server]; ms > 0 && router.failures > 0 {
-		router.ejectedUntil = max(router.ejectedUntil, z.now+min(ms, 5000))
+	if extension := out.EjectionExtensions[server]; extension > 0 && router.failures > 0 {
+		router.ejectedUntil = max(router.ejectedUntil, z.now+min(extension, 5000))
 	}
 	if slices.Contains(out.Probes, server) && router.failures == 0 && z.now > router.lastSuccess+500 {
 		router.failures = 1
@@ -117,9 +118,9 @@
 	return count
 }
 
-// failAndRecover makes the server fail for 10 s. It returns how many probes the recovered server
-// receives within 1 s of the first one, and the ms from the recovery until no router has the server
-// ejected.
+// failAndRecover makes the server fail for 10 s. It returns the number of probes that the recovered
+// server receives within 1 s of the first probe. It also returns the time from the recovery until no
+// router has the server ejected, in ms.
 func (z *zone) failAndRecover() (probesInFirstSecond int, recoveryTime float64) {
 	z.run(1000)
 	z.serverUp = false
@@ -138,8 +139,8 @@
 	return probesInFirstSecond, z.now - recoveredAt
 }
 
-// A server that recovers receives one probe first; then the other routers return to it at the
-// return rate, even if messages are lost. Without a lease, all routers return as soon as their
+// A server that recovers receives one probe first. Then the other routers return to the server at
+// the return rate, even if messages are lost. Without a lease, all routers return as soon as their
 // ejection times end.
 func TestRoutersReturnGradually(t *testing.T) {
 	returnRate := DefaultSettings().ReturnRate
@@ -150,22 +151,22 @@
 			routers, withLease, recoveryTime/1000, withoutLease, recoveryTimeWithout/1000)
 		bound := 1 + int(returnRate)
 		if withLease > bound || routers >= 300 && withoutLease < 2*bound {
-			t.Errorf("%d routers: got %d probes in the first second, %d without a lease", routers, withLease, withoutLease)
+			t.Errorf("%d routers: got %d probes in the first second with a lease and %d without, want at most %d with a lease (from 300 routers on, at least twice as many without)", routers, withLease, withoutLease, bound)
 		}
 		if recoveryTime > 1000*(float64(routers)/returnRate+5) {
-			t.Errorf("%d routers: all routers returned only after %.0f ms", routers, recoveryTime)
+			t.Errorf("%d routers: all routers returned only after %.0f ms, want at most 5 s more than the return rate requires", routers, recoveryTime)
 		}
 		lossy := newZone(2, routers, true)
 		lossy.messageLoss = 0.2
 		probes, recoveryTime := lossy.failAndRecover()
 		if probes > 1+int(returnRate)+routers/20 || recoveryTime > 1000*(float64(routers)/returnRate+6) {
-			t.Errorf("%d routers, 20%% message loss: got %d probes in the first second, all routers returned after %.0f ms", routers, probes, recoveryTime)
+			t.Errorf("%d routers, 20%% message loss: got %d probes in the first second, and all routers returned after %.0f ms; too many probes, or more than 6 s later than the return rate requires", routers, probes, recoveryTime)
 		}
 	}
 }
 
-// No router waits for a lease holder that is gone or unresponsive, and a router that cannot reach
-// the server does not delay the return of the others.
+// No router waits for a lease holder that is gone or unresponsive. A router that cannot reach the
+// server does not delay the return of the other routers.
 func TestProbesWithoutHolder(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -185,12 +186,12 @@
 		z.serverUp = true
 		z.run(12_000)
 		if count := z.ejectedCount(); count != test.ejected {
-			t.Errorf("%s: wrong number of routers that have the server ejected: got %d", test.name, count)
+			t.Errorf("%s: got %d routers that have the server ejected, want %d", test.name, count, test.ejected)
 		}
 	}
 }
 
-// A server that only one router cannot reach stays in use at all other routers.
+// If only one router cannot reach a server, all other routers keep using the server.
 func TestUnreachableFromOneRouter(t *testing.T) {
 	z := newZone(4, 10, true)
 	z.routers[5].unreachable = true
@@ -206,11 +207,11 @@
 	z.holder = 17
 	probes, recoveryTime := z.failAndRecover()
 	if recoveryTime < 10*1000/DefaultSettings().ReturnRate || z.routers[3].machine.holder != 18 {
-		t.Errorf("holder not found, or routers returned too early: got %d probes in the first second, all routers returned after %.0f ms", probes, recoveryTime)
+		t.Errorf("holder not found, or routers returned too early: got %d probes in the first second, and all routers returned after %.0f ms", probes, recoveryTime)
 	}
 }
 
-// A message with an older fencing token than the latest is rejected.
+// A message is rejected if its fencing token is older than the latest token.
 func TestOlderTokenIsRejected(t *testing.T) {
 	machine := NewMachine(DefaultSettings(), 1)
 	if !machine.HandleMessage(0, 2, Message{FencingToken: 9}) || machine.HandleMessage(0, 3, Message{FencingToken: 8}) {
--- a/internal/fleet/recoveryprobe/message.go
+++ b/internal/fleet/recoveryprobe/message.go
@@ -14,8 +14,8 @@
 // fieldRecovered is the field number of ServerStatus.Recovered in a message item.
 const fieldRecovered = zonemessage.FirstItemField
 
-// Message is a message between routers of a zone. It lists the servers that the sender has ejected
-// or, if the sender is the lease holder, the probe results of servers.
+// Message is a message between routers of a zone. A message of the lease holder lists the probe
+// results of servers. A message of another router lists the servers that this router has ejected.
 type Message struct {
 	FencingToken uint64 // 0 unless sent by the lease holder
 	Servers      []ServerStatus
@@ -24,7 +24,7 @@
 // ServerStatus is the entry of one server in a Message.
 type ServerStatus struct {
 	Server    routing.ServerID
-	Age       float64 // ms since the ejection or, in a message of the lease holder, since the result
+	Age       float64 // ms since the ejection, or since the result in a message of the lease holder
 	Recovered bool    // set by the lease holder only
 }
 
@@ -46,8 +46,8 @@
 	return wireformat.AppendUint(item.Encode(), fieldRecovered, recovered)
 }
 
-// Decode decodes a message. ok is false if the message is malformed or has more than MaxServers
-// servers.
+// Decode decodes a message. The result ok is false if the message is malformed or has more than
+// MaxServers servers.
 func Decode(b []byte) (message Message, ok bool) {
 	message.FencingToken, message.Servers, ok = zonemessage.Parse(b, MaxServers, decodeServerStatus)
 	return message, ok
--- a/internal/fleet/recoveryprobe/recoveryprobe.go
+++ b/internal/fleet/recoveryprobe/recoveryprobe.go
@@ -1,13 +1,13 @@
 // Package recoveryprobe coordinates the half-open probes of ejected servers within one zone. The
 // lease holder sends a single request to an ejected server. The other routers send the server
-// nothing until they learn the result, and then return to it at a limited rate.
+// nothing until they learn the result. They then return to a recovered server at a limited rate.
 //
 // The package can only delay a router's own probe. A router that has received no message from the
 // lease holder for HolderTimeout probes on its own schedule, as it would without a lease. No router
 // sends requests to a server before its own ejection time has ended.
 //
 // Machine makes the decisions, without I/O and without a clock of its own. Coordinator runs it in
-// one goroutine; all methods of Coordinator but Run may be called by any goroutine.
+// one goroutine. Any goroutine may call the methods of Coordinator except Run.
 package recoveryprobe
 
 import (
@@ -26,16 +26,16 @@
 // LeaseName returns the name of a zone's lease.
 func LeaseName(zone string) string { return leaseNamePrefix + zone }
 
-// Settings are the times, in milliseconds, and the rate that a Machine works with.
+// Settings are the parameters of a Machine. All times are in milliseconds.
 type Settings struct {
-	ReportInterval float64 // between a router's reports of its ejected servers, while it has any
-	HolderTimeout  float64 // for which a message of the lease holder is valid
+	ReportInterval float64 // time between two reports of a router that has ejected servers
+	HolderTimeout  float64 // time for which a message of the lease holder is valid
 	ReturnRate     float64 // routers per second that return to a recovered server
-	ResultTTL      float64 // for which the lease holder stores a result
-	ProbeInterval  float64 // least time between two probes of one server by the lease holder
+	ResultTTL      float64 // time for which the lease holder stores a result
+	ProbeInterval  float64 // shortest time between two probes of the same server by the lease holder
 }
 
-// DefaultSettings returns the settings that apply where the operators' settings file sets none.
+// DefaultSettings returns the defaults for the operators' settings file.
 func DefaultSettings() Settings {
 	return Settings{ReportInterval: 200, HolderTimeout: 1000, ReturnRate: 30, ResultTTL: 60_000, ProbeInterval: 1000}
 }
@@ -45,12 +45,12 @@
 	Ejected          []routing.ServerID // servers ejected by this router's outlier detection
 	FencingToken     uint64             // 0 unless this router holds the lease
 	ZonePeers        []membership.ID    // other routers of the zone that are alive
-	HolderCandidates []membership.ID    // routers that may hold the lease; 0 entries are ignored
+	HolderCandidates []membership.ID    // routers that may hold the lease; entries that are 0 are ignored
 }
 
-// Output is what the caller of a Machine must carry out.
+// Output lists the work that the caller of a Machine must do.
 type Output struct {
-	EjectionExtensions map[routing.ServerID]float64 // ms from now for which a server must stay ejected
-	Probes             []routing.ServerID           // servers to eject here until one request to each has succeeded
-	Messages           map[membership.ID]Message    // by receiver
+	EjectionExtensions map[routing.ServerID]float64 // time from now for which each server must stay ejected, ms
+	Probes             []routing.ServerID           // servers that this router must eject until one request to the server has succeeded
+	Messages           map[membership.ID]Message    // messages to send, by receiver
 }
--- a/internal/fleet/simulation_test.go
+++ b/internal/fleet/simulation_test.go
@@ -1,7 +1,7 @@
 //go:build amd64
 
-// The test runs on amd64 only: on other architectures, fused multiply-add changes the last bits
-// of some times and so the hash.
+// The test runs on amd64 only. On other architectures, fused multiply-add changes the last bits of
+// some times, and thereby the hash.
 
 package fleet_test
 
@@ -61,15 +61,17 @@
 	s.net.Step(host, func() { action(host.Machine.(*fleet.Node), s.net.Now) })
 }
 
-// run runs the fleet for ms milliseconds and reports the packet count and the hash so far.
-func (s *simulation) run(phase string, ms float64) {
-	s.net.Run(s.net.Now + ms)
+// run runs the fleet for the given duration, in ms. It adds the packet count and the hash so far to
+// the report.
+func (s *simulation) run(phase string, duration float64) {
+	s.net.Run(s.net.Now + duration)
 	fmt.Fprintf(&s.report, "%s %d %016x\n", phase, s.packets, s.hash.Sum64())
 }
 
-// Twelve routers on a simulated network send the packets of the golden file at the same times,
-// through loss, a stall, an upgrade, a crash, a partition that heals and a shutdown. The test
-// guards against changes of behavior when code is refactored.
+// Twelve routers on a simulated network send packets through loss, a stall, an upgrade, a crash, a
+// partition that heals and a shutdown. After each phase, the packet count and the hash over all
+// packets and their times are those in the golden file. The test guards against changes of behavior
+// when code is refactored.
 func TestGoldenSimulation(t *testing.T) {
 	const routers = 12
 	sim := newSimulation(routers)
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -12,12 +12,12 @@
 	Fleet             string         `json:"fleet"`
 	RouterID          string         `json:"seat"`
 	Incarnation       uint64         `json:"life"`
-	At                float64        `json:"at_ms"`  // Unix ms of the view
+	At                float64        `json:"at_ms"`  // time of the view, Unix ms
 	Bound             bool           `json:"bound"`  // this process has bound the socket
 	Connectivity      string         `json:"stance"` // together, partial or alone
 	ConnectivitySince float64        `json:"stance_since_ms"`
-	Present           int            `json:"there"`   // routers that are alive or suspect, including this one
-	Known             int            `json:"known"`   // routers present recently: the divisor of shared budgets
+	Present           int            `json:"there"`   // number of routers that are alive or suspect, including this router
+	Known             int            `json:"known"`   // number of routers that were recently present; divisor of shared budgets
 	HealthScore       int            `json:"health"`  // evidence that this router itself is slow; 0: none
 	Superseded        bool           `json:"yielded"` // a later process has this router's ID
 	Members           []MemberStatus `json:"members"`
@@ -32,7 +32,7 @@
 	Refutations uint64  `json:"refutations"`
 	State       string  `json:"state"`
 	StateSince  float64 `json:"since_ms"`
-	ReportedBy  string  `json:"by,omitempty"` // name of the router that reported the state; its ID if the name is not known
+	ReportedBy  string  `json:"by,omitempty"` // name of the router that reported the state, or the router's ID if the name is not known
 	Zone        string  `json:"zone"`
 	Version     string  `json:"version"`
 	Addr        string  `json:"addr"`
--- a/internal/fleet/status_test.go
+++ b/internal/fleet/status_test.go
@@ -11,7 +11,7 @@
 	"garnetline/internal/golden"
 )
 
-// The admin API encodes the status of a fleet under the JSON keys of the golden file.
+// The admin API encodes the status of a fleet with the JSON keys of the golden file.
 func TestGoldenStatus(t *testing.T) {
 	self := membership.Update{ID: 0xab, Revision: membership.FirstRevision(4) + 1, Name: "r1", Zone: "north", Version: "1.2", Addr: netip.MustParseAddrPort("10.1.2.3:7946")}
 	suspect := membership.Update{ID: 0xcd, Revision: membership.FirstRevision(2) + 3, State: membership.Suspect, ReportedBy: 0xab, Name: "r2", Zone: "south", Version: "1.1", Addr: netip.MustParseAddrPort("[fd00::2]:7946")}
--- a/internal/fleet/transport/commands.go
+++ b/internal/fleet/transport/commands.go
@@ -8,7 +8,7 @@
 )
 
 // SetReceiver sets the function that is called with the messages of other routers' state
-// machines. It must be called before Run.
+// machines. SetReceiver must be called before Run.
 func (t *Transport) SetReceiver(receiver Receiver) { t.options.Receiver = receiver }
 
 // Send sends a message to a state machine of another router. Send never blocks; the message may
@@ -30,8 +30,8 @@
 // Stopped returns a channel that is closed when Run has returned.
 func (t *Transport) Stopped() <-chan struct{} { return t.done }
 
-// enqueue queues a command for Run to call. It never blocks: a command that finds the queue full
-// is dropped and counted.
+// enqueue queues a command for Run to call. It never blocks: if the queue is full, it drops and
+// counts the command.
 func (t *Transport) enqueue(command func(now float64)) {
 	select {
 	case t.commands <- command:
@@ -55,14 +55,14 @@
 	t.enqueue(func(now float64) { t.node.Publish(now, item) })
 }
 
-// Reload replaces the keys and the seeds; the other settings remain as they were at the start.
+// Reload replaces the keys and the seeds. The other settings keep their values from the start.
 func (t *Transport) Reload(settings Settings) {
 	t.keyring.Store(settings.Keyring)
 	t.enqueue(func(float64) { t.node.SetSeeds(settings.Seeds) })
 }
 
-// notifyChanges queues changes that items of other routers caused, for TakeChanges. The limits
-// of the gossip store also limit the queue.
+// notifyChanges queues changes for TakeChanges. Items of other routers caused these changes. The
+// limits of the gossip store also limit the queue.
 func (t *Transport) notifyChanges(changes []gossip.Change) {
 	t.mu.Lock()
 	t.changes = append(t.changes, changes...)
--- a/internal/fleet/transport/counters.go
+++ b/internal/fleet/transport/counters.go
@@ -6,8 +6,8 @@
 	"garnetline/internal/fleet/packetcrypto"
 )
 
-// Names of the transport's counters. Each membership event is counted as well, under
-// eventCounterPrefix followed by the kind of the event.
+// Names of the transport's counters. Each membership event is counted as well: the name of its
+// counter is eventCounterPrefix followed by the kind of the event.
 const (
 	counterPacketsSent      = "fleet_packets_out"
 	counterBytesSent        = "fleet_bytes_out"
--- a/internal/fleet/transport/identity.go
+++ b/internal/fleet/transport/identity.go
@@ -12,25 +12,27 @@
 )
 
 const (
-	// identityFilePrefix precedes the router's name in the name of the file.
+	// identityFilePrefix precedes the router's name in the name of the identity file.
 	identityFilePrefix = "garnetline-fleet-"
-	// identityFormat is the content of the file: the router's ID and its latest incarnation.
+	// identityFormat is the format of the file's content: the router's ID and its latest
+	// incarnation.
 	identityFormat = "%v %d\n"
 	// identityScanFormat parses the content that identityFormat writes.
 	identityScanFormat = "%x %d\n"
-	maxIdentityLen     = 64 // bytes read from the file at most
+	maxIdentityLen     = 64 // maximum number of bytes read from the file
 
-	// maxIncarnation is the exclusive upper bound of the incarnations that are accepted from
-	// the file, so that revisions do not overflow.
+	// maxIncarnation is the exclusive upper bound of an incarnation in the file. The bound
+	// prevents an overflow of revisions.
 	maxIncarnation = 1 << 39
 )
 
 // identityFile is the path of the file that holds a router's ID and the number of its latest
-// incarnation; it is empty if nothing is stored. The old and the new process of a router share
-// the file: the old one learns from the incarnation in it that the new one has started.
+// incarnation. The path is empty if nothing is stored. The old and the new process of a router
+// share the file: the incarnation in the file tells the old process that the new process has
+// started.
 type identityFile string
 
-// newIdentityFile returns the identity file of a router in its state directory, which may be
+// newIdentityFile returns the path of a router's identity file. The path is empty if stateDir is
 // empty.
 func newIdentityFile(stateDir, name string) identityFile {
 	if stateDir == "" {
@@ -39,8 +41,9 @@
 	return identityFile(filepath.Join(stateDir, identityFilePrefix+name))
 }
 
-// startIncarnation increments the incarnation in the file and returns it with the ID. If the
-// file is missing or cannot be parsed, it stores and returns a new ID with incarnation 1.
+// startIncarnation increments the incarnation in the file. It returns the ID and the new
+// incarnation. If the file is missing or cannot be parsed, it stores and returns a new ID with
+// incarnation 1.
 func (f identityFile) startIncarnation() (id membership.ID, incarnation uint64, err error) {
 	if f == "" {
 		return newRouterID(), 1, nil
@@ -68,7 +71,8 @@
 	return id, incarnation, file.Sync()
 }
 
-// latestIncarnation returns the number of the latest incarnation, or 0 if it is not known.
+// latestIncarnation returns the number of the latest incarnation, or 0 if it
+// cannot be read.
 func (f identityFile) latestIncarnation() uint64 {
 	if f == "" {
 		return 0
--- a/internal/fleet/transport/limiter.go
+++ b/internal/fleet/transport/limiter.go
@@ -1,15 +1,16 @@
 package transport
 
 // rateLimiter is a pair of token buckets that limits the packets and the bytes sent per second.
-// Each bucket holds the tokens of one second.
+// Each bucket holds at most the tokens of one second.
 type rateLimiter struct {
 	packetsPerSecond, bytesPerSecond float64
 	packetTokens, byteTokens         float64
 	refilledAt                       float64 // ms; 0: never
 }
 
-// allow takes the tokens of a packet of size bytes, unless that would leave less than the share
-// reserve of either bucket. It reports whether it took them.
+// allow takes the tokens of a packet of the given size, in bytes, and reports whether it took them.
+// The argument reserve is a share of each bucket's capacity. allow takes no tokens if either bucket
+// would then hold less than this share.
 func (l *rateLimiter) allow(now float64, size int, reserve float64) bool {
 	l.refill(now)
 	packets := l.packetTokens - 1
--- a/internal/fleet/transport/packets.go
+++ b/internal/fleet/transport/packets.go
@@ -9,18 +9,19 @@
 )
 
 // loadReportReserve is the share of the rate limits that load reports of servers leave to other
-// packets. Load reports are the ones to drop, because the next report replaces a dropped one.
+// packets. Load reports are dropped first, because the next report replaces a dropped report.
 const loadReportReserve = 0.25
 
-// sendPackets encrypts and sends packets. It drops and counts those beyond the rate limits.
+// sendPackets encrypts and sends packets. It drops and counts the packets that exceed the
+// rate limits.
 func (t *Transport) sendPackets(now float64, packets []membership.OutgoingPacket) {
 	t.sendWithReserve(now, packets, 0)
 }
 
-// sendWithReserve sends packets like sendPackets, but leaves the share reserve of the rate limits
-// to packets of higher priority. Without a reserve, a router that polls 60 servers for 80 routers
-// has more load reports than the limits allow, and they delay lease renewals, messages between
-// voters and responses to probes.
+// sendWithReserve sends packets like sendPackets, but leaves a share of the rate limits to packets
+// of higher priority. The argument reserve is this share. Without a reserve, a router that polls 60
+// servers for 80 routers has more load reports than the limits allow. These reports would delay
+// lease renewals, messages between voters and responses to probes.
 func (t *Transport) sendWithReserve(now float64, packets []membership.OutgoingPacket, reserve float64) {
 	if !t.bound {
 		return
--- a/internal/fleet/transport/publish.go
+++ b/internal/fleet/transport/publish.go
@@ -6,13 +6,14 @@
 )
 
 const (
-	minPublishInterval = 20.0   // ms between two snapshots at least
-	maxPublishInterval = 1000.0 // ms between two snapshots while nothing changes
+	minPublishInterval = 20.0   // shortest time between two snapshots, ms
+	maxPublishInterval = 1000.0 // time between two snapshots while nothing changes, ms
 )
 
-// publishIfDue publishes a snapshot if something changed or the latest snapshot is
-// maxPublishInterval old, but not within minPublishInterval of the latest one. It returns the
-// time of the next step: wakeAt, or earlier if a snapshot must wait until then.
+// publishIfDue publishes a snapshot if something changed, or if the latest snapshot is
+// maxPublishInterval old. If the latest snapshot is more recent than minPublishInterval, the new
+// snapshot is delayed. publishIfDue returns the latest time of the next step: the argument wakeAt,
+// or the time of a delayed snapshot if that is earlier.
 func (t *Transport) publishIfDue(now float64, viewChanged bool, wakeAt float64) float64 {
 	age := now - t.publishedAt
 	t.publishPending = t.publishPending || viewChanged || age >= maxPublishInterval
--- a/internal/fleet/transport/transport.go
+++ b/internal/fleet/transport/transport.go
@@ -2,8 +2,8 @@
 // socket, the fleet.Node that packets and timers advance, and the files for the router's next
 // process.
 //
-// One goroutine, Transport.Run, owns all of these. The other methods may be called by any
-// goroutine, and none of them blocks except SetDisabled, which waits while a queue is full.
+// The goroutine that calls Transport.Run owns all of these. Any goroutine may call the other
+// methods. None of them blocks except SetDisabled, which waits while the command queue is full.
 // Readers get the state of the fleet as immutable snapshots.
 package transport
 
@@ -34,7 +34,7 @@
 )
 
 const (
-	queueCapacity     = 256   // packets, and as many commands, in the queues
+	queueCapacity     = 256   // capacity of the packet queue and of the command queue
 	bindRetryInterval = 100.0 // ms
 )
 
@@ -50,7 +50,7 @@
 	BytesPerSecond   float64 // limit of the encrypted bytes sent
 }
 
-// Receiver is called with a message from a state machine of another router. It must not block.
+// Receiver handles a message from a state machine of another router. It must not block.
 type Receiver func(from membership.ID, incarnation uint64, channel fragment.Channel, message []byte)
 
 // Options are the settings and the dependencies of a Transport.
@@ -94,8 +94,8 @@
 }
 
 // New starts the next incarnation of the router's identity and returns its transport, which Run
-// runs. It returns an error if the identity file cannot be updated, or if the socket cannot be
-// bound where its port is needed at once.
+// runs. It returns an error if the identity file cannot be updated. If the port of AdvertiseAddr
+// is 0, New binds the socket to learn its port, and returns an error if the bind fails.
 func New(options Options) (*Transport, error) {
 	t := &Transport{
 		options:      options,
@@ -122,7 +122,7 @@
 	}
 	now := t.now()
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	if self.Addr.Port() == 0 { // the port is known only after the bind; no previous process can hold it
+	if self.Addr.Port() == 0 { // the port is known only after the bind; no previous process can hold this port
 		if err := t.bind(); err != nil {
 			return nil, fmt.Errorf("fleet: bind UDP socket: %w", err)
 		}
@@ -166,8 +166,8 @@
 	t.serve(ctx, timer)
 }
 
-// waitForSocket retries until the socket is bound: while the router's previous process still
-// runs, that process holds the address. It returns false if ctx ends first.
+// waitForSocket retries until the socket is bound. The bind fails while the router's previous
+// process still runs and holds the address. waitForSocket returns false if ctx ends first.
 func (t *Transport) waitForSocket(ctx context.Context, timer *time.Timer) bool {
 	logged := false
 	for !t.bound {
@@ -217,7 +217,7 @@
 }
 
 // step steps the node with a packet, which may be nil, and carries out the output. It returns
-// the time of the next step.
+// the latest time of the next step.
 func (t *Transport) step(p *membership.Packet) (wakeAt float64) {
 	now := t.now()
 	out := t.node.Step(now, p)
@@ -241,7 +241,8 @@
 	return wakeAt
 }
 
-// deliver reassembles the messages of other routers and calls the receiver with each complete one.
+// deliver reassembles the messages of other routers and calls the receiver with each
+// complete message.
 func (t *Transport) deliver(now float64, payloads []membership.Payload) {
 	if t.options.Receiver == nil {
 		return
--- a/internal/fleet/transport/transport_test.go
+++ b/internal/fleet/transport/transport_test.go
@@ -89,7 +89,7 @@
 		waitForBans(t, transport, 1)
 	})
 	options := testOptions(t, dir)
-	options.InitialBans = []routing.ServerID{5, 6} // 6 was banned while the router was in no fleet
+	options.InitialBans = []routing.ServerID{5, 6} // server 6 was banned while the router was in no fleet
 	second := runProcess(t, options, func(transport *Transport) { waitForBans(t, transport, 2) })
 	if second.RouterID != first.RouterID || second.Incarnation != 2 {
 		t.Errorf("first process is router %s incarnation %d, second is router %s incarnation %d, want the same router with incarnation 2", first.RouterID, first.Incarnation, second.RouterID, second.Incarnation)
@@ -119,7 +119,7 @@
 }
 
 func TestRateLimiter(t *testing.T) {
-	// The byte limit allows 6.7 packets per second, and a burst of one second's tokens.
+	// The byte limit allows 6.7 packets per second, plus a burst of one second's tokens.
 	if n := allowedIn5s(rateLimiter{packetsPerSecond: 10, bytesPerSecond: 1000}); n < 33 || n > 40 {
 		t.Errorf("byte limit: got %d packets of 150 bytes in 5 s, want 33 to 40", n)
 	}
@@ -127,15 +127,15 @@
 		t.Errorf("packet limit: got %d packets in 5 s, want 50 to 60", n)
 	}
 	limiter := rateLimiter{packetsPerSecond: 100, bytesPerSecond: 1e6}
-	for now := 1.0; now < 5001; now++ { // more load reports than the limit allows, and other packets
+	for now := 1.0; now < 5001; now++ { // offer more load reports than the limit allows, and some other packets
 		limiter.allow(now, 150, loadReportReserve)
 		if int(now)%50 == 0 && !limiter.allow(now, 150, 0) {
-			t.Fatalf("at %.0f ms: packet without a reserve rejected, want load reports to leave tokens for it", now)
+			t.Fatalf("at %.0f ms: packet without a reserve was rejected, want tokens left for the packet by the load reports", now)
 		}
 	}
 }
 
-// BenchmarkStatus measures reading the snapshot.
+// BenchmarkStatus measures reading the latest status.
 func BenchmarkStatus(b *testing.B) {
 	transport := newTransport(b, testOptions(b, ""))
 	b.ReportAllocs()
