--- a/internal/fleet/consensus/cluster_test.go
+++ b/internal/fleet/consensus/cluster_test.go
@@ -18,13 +18,13 @@
 
 var errStorageFull = errors.New("disk full")
 
-// memoryStorage is a Storage in memory. What was saved survives a crash, unless unsynced is set.
+// memoryStorage is a Storage in memory. Saved data survives a crash, unless unsynced is set.
 type memoryStorage struct {
 	state     wal.State
 	failing   bool
-	saveDelay float64 // ms that the next save takes; that save negates the value
+	saveDelay float64 // duration of the next save in ms; Save negates it to mark it as used
 	saves     int
-	unsynced  bool      // saves are not synced: a crash takes the state back to synced
+	unsynced  bool      // saves are not synced: a crash resets state to synced
 	synced    wal.State // state that the simulated kernel has written to the disk without a sync
 }
 
@@ -43,7 +43,7 @@
 	if s.unsynced && s.saves%7 == 0 {
 		s.synced = wal.State{HardState: s.state.HardState, Snapshot: s.state.Snapshot, Entries: slices.Clone(s.state.Entries)}
 	}
-	s.saveDelay = -s.saveDelay // marks the delay as taken by this save
+	s.saveDelay = -s.saveDelay // marks the delay as used by this save
 	if snapshot != nil {
 		s.state.Snapshot = proto.Clone(snapshot).(*raftpb.Snapshot)
 		s.state.Entries = slices.DeleteFunc(s.state.Entries, func(e *raftpb.Entry) bool {
@@ -66,20 +66,20 @@
 func (s *memoryStorage) Rewrite(state wal.State) error { s.state = state; return nil }
 func (s *memoryStorage) NeedsRewrite() bool            { return false }
 
-// envelope is a message in flight. One of message, request and response is set.
+// envelope is a message in flight. Exactly one of message, request and response is set.
 type envelope struct {
-	from, to int // number of a voter, or of a router, whose numbers follow the voters'
+	from, to int // number of a voter or router; the numbers of the routers follow those of the voters
 	arriveAt float64
 	message  *raftpb.Message
 	request  *ClientRequest
 	response *lease.Response
 }
 
-// firstRouterID is the ID of the first router. The IDs of the others follow it.
+// firstRouterID is the ID of the first router. The other routers have the IDs after it.
 const firstRouterID = 100
 
-// cluster simulates voters and routers on one clock, from which each router's own clock differs
-// in its rate. Voters are numbered from 0; the routers' numbers follow.
+// cluster simulates voters and routers on one clock. Each router has a clock of its own, which
+// runs at a different rate. Voters are numbered from 0; the routers' numbers follow.
 type cluster struct {
 	t        testing.TB
 	rng      *rand.Rand
@@ -95,12 +95,12 @@
 
 	partitioned func(from, to int) bool
 	lossRate    float64
-	leaderKnown bool // routers always know the leader, as real ones do by leader hints
+	leaderKnown bool // routers always know the leader; real routers learn it from leader hints
 	inFlight    []envelope
 
 	routers   []*router
 	grants    int
-	violation string // set if two routers held one lease at the same time
+	violation string // set if two routers held the same lease at the same time
 	history   []porcupine.Operation
 }
 
@@ -109,10 +109,10 @@
 	id           membership.ID
 	clockRate    float64
 	wakeAt       float64
-	stalledUntil float64 // by the cluster's clock
+	stalledUntil float64 // time on the cluster's clock until which the router does not run
 	queued       []lease.Response
 	likelyLeader int
-	historyIndex map[uint64]int // index of an open operation in cluster.history, by request ID
+	historyIndex map[uint64]int // index in cluster.history of each operation without a response, by request ID
 }
 
 func newCluster(tb testing.TB, seed uint64, voters, routers int, leases ...string) *cluster {
@@ -181,7 +181,7 @@
 
 func (c *cluster) stop(i int) { c.down[i], c.leading[i] = true, false }
 
-// leader returns the number of the first voter that leads, or -1 if there is none.
+// leader returns the number of the first voter that leads, or -1 if no voter leads.
 func (c *cluster) leader() int { return slices.Index(c.leading, true) }
 
 func (c *cluster) heal() { c.partitioned = func(int, int) bool { return false } }
@@ -200,7 +200,7 @@
 	}
 	e.arriveAt, e.from = c.now+1+c.rng.ExpFloat64()*3, from
 	if from < len(c.nodes) {
-		e.arriveAt += max(0, c.blockedUntil[from]-c.now) // it is sent only after the storage has saved it
+		e.arriveAt += max(0, c.blockedUntil[from]-c.now) // the message is sent only after the storage has saved the voter's state
 	}
 	c.inFlight = append(c.inFlight, e)
 }
@@ -216,7 +216,7 @@
 	}
 	c.wakeAt[i], c.leading[i] = out.WakeAt, out.Leading
 	for _, m := range out.Messages {
-		c.send(i, envelope{to: int(m.GetTo()) - 1, message: proto.Clone(m).(*raftpb.Message)}) // a copy, as from a network
+		c.send(i, envelope{to: int(m.GetTo()) - 1, message: proto.Clone(m).(*raftpb.Message)}) // the receiver gets a copy, as from a network
 		if m.GetType() == raftpb.MsgSnap {
 			c.nodes[i].ReportSnapshotSent(m.GetTo()) // as the voter of package leasemanager does
 		}
@@ -276,9 +276,9 @@
 	}
 }
 
-// run advances the simulation by a time in ms.
-func (c *cluster) run(ms float64) {
-	for end := c.now + ms; c.now < end; c.now += 2 {
+// run advances the simulation by duration, in ms.
+func (c *cluster) run(duration float64) {
+	for end := c.now + duration; c.now < end; c.now += 2 {
 		c.deliverDue()
 		for i := range c.nodes {
 			if !c.down[i] && c.wakeAt[i] <= c.now && c.blockedUntil[i] <= c.now {
@@ -316,7 +316,7 @@
 	}
 }
 
-// held returns the number of pairs of a router and one of these leases that it holds.
+// held returns the number of routers that hold each of the given leases, summed over the leases.
 func (c *cluster) held(leases ...string) (n int) {
 	for _, name := range leases {
 		for k := range c.routers {
@@ -334,7 +334,7 @@
 	return valid
 }
 
-// holder returns the index of the router that holds a lease, or -1 if there is none.
+// holder returns the index of the router that holds a lease, or -1 if no router holds it.
 func (c *cluster) holder(name string) int {
 	return slices.IndexFunc(c.routers, func(r *router) bool { _, valid := r.Valid(c.clock(r), name); return valid })
 }
--- a/internal/fleet/consensus/golden_test.go
+++ b/internal/fleet/consensus/golden_test.go
@@ -103,7 +103,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := restarted.Step(now, Input{}); err != nil { // it applies the entries after the snapshot
+	if _, err := restarted.Step(now, Input{}); err != nil { // this step applies the entries after the snapshot
 		t.Fatal(err)
 	}
 	if got, want := string(restarted.State().Snapshot()), string(node.State().Snapshot()); got != want {
--- a/internal/fleet/consensus/logger.go
+++ b/internal/fleet/consensus/logger.go
@@ -3,7 +3,7 @@
 import "fmt"
 
 // discardLogger implements raft.Logger. It drops ordinary messages, because Status reports the
-// state that operators need, and turns raft's fatal errors into panics.
+// state that operators need. It turns raft's fatal errors into panics.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any)            {}
--- a/internal/fleet/consensus/messages.go
+++ b/internal/fleet/consensus/messages.go
@@ -19,7 +19,7 @@
 // BanRequest asks for the operators' bans. If Set is not nil, the voters set that ban first.
 type BanRequest struct {
 	KnownVersion uint64                 // version of the bans that the router already has
-	Set          *leaseregistry.Command // command that sets a ban; nil if the request only reads
+	Set          *leaseregistry.Command // command that sets a ban; nil if the request only reads the bans
 }
 
 // ClientResponse is a response, with the ID of the router that it is sent to.
@@ -32,7 +32,7 @@
 // BanResponse reports the operators' bans.
 type BanResponse struct {
 	RequestID, Version uint64
-	Rejection          string // why the ban was not set; empty if it was set or if the request only read
+	Rejection          string // why the ban was not set; empty if the ban was set or the request only reads the bans
 	Bans               []byte // encoded by leaseregistry.State.BansSnapshot; nil if the router's version is current
 }
 
@@ -45,13 +45,13 @@
 	ConfChange *raftpb.ConfChangeV2
 }
 
-// Output lists what the caller of a step has to do.
+// Output holds the results of a step. The caller must send the messages and responses.
 type Output struct {
 	Messages  []*raftpb.Message // to send to other voters, whose raft IDs are in the messages
 	Responses []ClientResponse  // to send to routers
 	Applied   []AppliedCommand
-	Released  []lease.Response // leases that were released to nobody; their candidates are to be notified
-	WakeAt    float64          // latest time of the next step, in ms
+	Released  []lease.Response // leases that were released to nobody; the caller must notify their candidates
+	WakeAt    float64          // time in ms by which the caller must make the next step
 	LeaderID  uint64           // raft ID of the leader; 0 if no leader is known
 	Leading   bool             // whether this node is the leader and serves requests
 }
--- a/internal/fleet/consensus/node.go
+++ b/internal/fleet/consensus/node.go
@@ -1,8 +1,8 @@
 // Package consensus implements one voter of the lease registry. A Node combines the raft state
 // machine, the registry to which committed commands are applied and, on the leader, the expiry
-// of the leases. Its caller steps it with messages and the current time. A Node stores through
-// Storage everything that must survive a crash, and only then returns messages and responses,
-// which the caller sends.
+// of the leases. The caller steps the Node with messages and the current time. A Node first
+// writes all data that must survive a crash to its Storage. Only then does it return messages
+// and responses for the caller to send.
 //
 // Only one goroutine, that of the node's owner (package leasemanager), may use a Node.
 package consensus
@@ -22,7 +22,7 @@
 	"garnetline/internal/fleet/leaseregistry"
 )
 
-// ErrHalted reports that the storage of a node failed. Such a node sends nothing any more.
+// ErrHalted reports that the storage of a node failed. A halted node sends no more messages.
 var ErrHalted = errors.New("voter halted: its storage failed, so it no longer votes or responds")
 
 // Node is one voter or learner of the lease registry. It is not safe for concurrent use.
@@ -46,20 +46,22 @@
 
 	// State that is used only while this node is the leader.
 
-	leaseExpiry      *lease.ExpiryTracker       // nil unless this node leads and has applied an entry of its term
+	leaseExpiry      *lease.ExpiryTracker       // nil unless this node leads and has applied an entry of its own term
 	leadingTerm      uint64                     // term in which leaseExpiry was created
 	queuedRequests   []ClientRequest            // requests received since the last read was started
-	pendingReads     map[uint64][]ClientRequest // requests that share a read, by its ID
+	pendingReads     map[uint64][]ClientRequest // requests that wait for a read, by read ID
 	lastReadID       uint64
 	lastReadAt       float64                  // when the latest read was started, in ms
 	pendingProposals map[uint64]ClientRequest // requests whose command was proposed, by request ID
 	proposalsByLease map[string]int           // number of proposed commands that are not applied yet, by lease
 }
 
-// NewNode returns the node with the given raft ID. recovered is the state that its storage held.
-// If that state is empty, bootstrapVoters holds the names of the registry's first voters by
-// their raft IDs, including this node; it is nil for a node that joins existing voters. now is
-// the time of the boot clock in ms.
+// NewNode returns the node with the given raft ID. recovered is the state that the storage held.
+// now is the time of the boot clock in ms.
+//
+// bootstrapVoters is used only if recovered is empty. For one of the registry's first voters, it
+// holds the names of all first voters by raft ID, including this node. For a node that joins
+// existing voters, it is nil.
 func NewNode(settings Settings, id uint64, storage Storage, recovered wal.State, bootstrapVoters map[uint64]string, now float64) (*Node, error) {
 	n := &Node{
 		settings:         settings,
@@ -88,8 +90,8 @@
 	return n, err
 }
 
-// bootstrapState returns the initial state, which is the same for all of the first voters: a
-// snapshot of a registry that holds only their names.
+// bootstrapState returns the initial state: a snapshot of a registry that holds only the names
+// of the first voters. All first voters start with the same state.
 func (n *Node) bootstrapState(voterNames map[uint64]string) wal.State {
 	n.registry.VoterNames = maps.Clone(voterNames)
 	first := uint64(1)
@@ -144,9 +146,9 @@
 	}
 }
 
-// Step advances the node to now, in ms of the boot clock, and handles one event. Once the
-// storage has failed, this and every later call returns ErrHalted, joined with the storage's
-// error, and an empty output.
+// Step advances the node's clock to the time now, in ms of the boot clock, and handles one
+// event. If the storage fails, this call and all later calls return an empty output and
+// ErrHalted, joined with the storage's error.
 func (n *Node) Step(now float64, in Input) (Output, error) {
 	out := Output{WakeAt: math.Inf(1)}
 	if n.haltErr != nil {
@@ -172,9 +174,9 @@
 	return out, nil
 }
 
-// tick advances raft's logical clock by at most one tick in each step, however late the step
-// is. Otherwise a node that resumes after a suspension would conclude that all other nodes had
-// been unresponsive.
+// tick advances raft's logical clock by at most one tick in each step, however late the step is.
+// With more ticks, a node that resumes after a suspension would conclude that all other nodes
+// had been unresponsive.
 func (n *Node) tick() {
 	if n.now < n.nextTickAt {
 		return
@@ -183,8 +185,8 @@
 	n.raftNode.Tick()
 }
 
-// handleInput passes an event to raft or queues a request. It ignores raft's errors: a message
-// that raft rejects has no use, and the sender of a rejected proposal repeats it.
+// handleInput passes an event to raft or queues a request. It ignores raft's errors. A message
+// that raft rejects has no use, and the sender of a rejected proposal sends the proposal again.
 func (n *Node) handleInput(in Input) {
 	switch {
 	case in.Message != nil:
--- a/internal/fleet/consensus/node_test.go
+++ b/internal/fleet/consensus/node_test.go
@@ -10,7 +10,7 @@
 	"garnetline/internal/fleet/consensus/wal"
 )
 
-// randomFault makes a random fault begin or restarts all voters.
+// randomFault starts a random fault, or starts all voters that are down.
 func (c *cluster) randomFault() {
 	members := len(c.nodes) + len(c.routers)
 	switch c.rng.IntN(6) {
@@ -59,7 +59,7 @@
 		}
 		grants += cluster.grants
 		if !porcupine.CheckOperations(leaseModel, cluster.history) {
-			t.Errorf("seed %d: %d requests and responses are not linearizable", seed, len(cluster.history))
+			t.Errorf("seed %d: the history of %d requests and their responses is not linearizable", seed, len(cluster.history))
 		}
 	}
 	if grants < 30 {
@@ -85,7 +85,7 @@
 			cluster.run(2)
 		}
 		if !cluster.holds(to, "a") {
-			misdirected++ // the new holder found no leader for a whole TTL, and another may get the lease
+			misdirected++ // the target found no leader for a whole TTL, and another router may have got the lease
 		}
 		gaps = append(gaps, cluster.now-releasedAt)
 		cluster.run(200)
@@ -98,15 +98,15 @@
 	// These routers do not know the leader and try the voters at random, whereas real routers
 	// get leader hints.
 	if gaps[50] > 250 || gaps[90] > 700 || misdirected > 5 || cluster.violation != "" {
-		t.Errorf("without a holder for %.0f ms in the median and %.0f ms at most, %d leases went to another router than the target; violation %q, want none", gaps[50], gaps[99], misdirected, cluster.violation)
+		t.Errorf("lease \"a\" had no holder for %.0f ms in the median and %.0f ms at most, want at most 250 ms in the median and 700 ms in 90%% of the transfers; %d transfers went to a router other than the target, want at most 5; violation %q, want none", gaps[50], gaps[99], misdirected, cluster.violation)
 	}
 	if !slices.Contains(cluster.down, true) {
 		t.Error("the voter whose storage failed is still running, want it stopped")
 	}
 }
 
-// The log must stay short, and a voter that was down while the entries it lacks were compacted
-// must catch up by a snapshot.
+// The log must stay short. While a voter is down, the other voters compact entries that it lacks.
+// After its restart, that voter must catch up by a snapshot.
 func TestSnapshots(t *testing.T) {
 	cluster := newCluster(t, 10, 3, 2, "a")
 	cluster.settings.SnapshotEntries, cluster.settings.RetainedEntries = 40, 10
@@ -170,10 +170,10 @@
 	}
 }
 
-// The leadership is transferred periodically, with periods from a few message round trips to more
-// than a TTL, while holders renew and transfer their leases. No two routers may hold a lease at
-// the same time, and the leases must be held for at least half of the time, or for a third if a
-// leader lasts hardly longer than a request and its grant take.
+// The leadership is transferred periodically, with periods from a few message round trips to
+// more than a TTL, while holders renew and transfer their leases. No two routers may hold a
+// lease at the same time. The leases must be held for at least half of the time. For periods
+// below 150 ms, in which a leader can hardly complete a grant, a third of the time is enough.
 func TestFlappingLeadership(t *testing.T) {
 	for _, period := range []float64{40, 150, 400, 900, 1150, 1300} {
 		cluster := newCluster(t, uint64(period), 5, 4, "a", "b")
@@ -200,7 +200,7 @@
 		}
 		t.Logf("period %.0f ms: leases are held for %.0f%% of the time, %d grants", period, 100*float64(held)/float64(samples), cluster.grants)
 		if cluster.violation != "" || held < samples/3 || period >= 150 && held < samples/2 {
-			t.Errorf("period %.0f ms: leases are held in %d of %d samples; violation %q, want none", period, held, samples, cluster.violation)
+			t.Errorf("period %.0f ms: leases are held in %d of %d samples, want at least half, or a third for periods below 150 ms; violation %q, want none", period, held, samples, cluster.violation)
 		}
 		cluster.run(6000)
 		if n := cluster.held("a", "b"); n != 2 {
@@ -209,10 +209,10 @@
 	}
 }
 
-// keepTransferring runs a cluster of two routers that transfer lease "a" to each other as
-// often as they can.
-func (c *cluster) keepTransferring(ms float64) {
-	for end := c.now + ms; c.now < end; c.run(12) {
+// keepTransferring runs a cluster of two routers for duration, in ms. The routers transfer lease
+// "a" to each other as often as they can.
+func (c *cluster) keepTransferring(duration float64) {
+	for end := c.now + duration; c.now < end; c.run(12) {
 		for k := range c.routers {
 			if c.holds(k, "a") {
 				c.transfer("a", k, 1-k, nil)
@@ -228,7 +228,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	c.inFlight = nil // a new voter shifts the routers' numbers
+	c.inFlight = nil // the new voter changes the routers' numbers, so messages in flight would go astray
 	c.nodes, c.wakeAt = append(c.nodes, node), append(c.wakeAt, c.now)
 	c.down, c.leading = append(c.down, false), append(c.leading, false)
 	c.storages = append(c.storages, storage)
@@ -267,7 +267,7 @@
 		}
 	}
 	change(raftpb.ConfChangeAddLearnerNode, func() bool { return joiner.Status().AppliedIndex > appliedBefore })
-	cluster.isolate(joinerID - 1) // until the leader has compacted the entries that it lacks
+	cluster.isolate(joinerID - 1) // until the leader has compacted entries that the joiner lacks
 	for end := cluster.now + 20_000; leader().Status().AppliedIndex < appliedBefore+60 && cluster.now < end; {
 		cluster.keepTransferring(100)
 	}
@@ -278,20 +278,20 @@
 	cluster.lossRate = 0
 	applied, snapshotIndex := leader().Status().AppliedIndex, storage.state.Snapshot.GetMetadata().GetIndex()
 	if applied < appliedBefore+60 || snapshotIndex <= appliedBefore+40 {
-		t.Errorf("%d commands were applied while the node joined, by a snapshot at index %d", applied-appliedBefore, snapshotIndex)
+		t.Errorf("%d commands were applied while the node joined, want at least 60; its snapshot has index %d, want an index more than 40 above the index at the start", applied-appliedBefore, snapshotIndex)
 	}
 	cluster.stop(0)
 	before := leader().Status().AppliedIndex
 	cluster.run(8000)
 	cluster.keepTransferring(2000)
 	if cluster.violation != "" || leader().Status().AppliedIndex < before+20 || joiner.Status().AppliedIndex+10 < leader().Status().AppliedIndex {
-		t.Errorf("violation %q, want none; status of the leader %+v, of the new voter %+v", cluster.violation, leader().Status(), joiner.Status())
+		t.Errorf("violation %q, want none; got status %+v of the leader and %+v of the new voter, want at least 20 new entries at the leader and a lag of at most 10 entries", cluster.violation, leader().Status(), joiner.Status())
 	}
 }
 
-// One save of a storage takes two seconds, repeatedly, at the leader or at another voter, and the
-// messages that depend on it are sent only afterwards. No two routers may hold a lease at the
-// same time, and all leases must be held again at the end.
+// In each round, one save of the leader's or another voter's storage takes two seconds. The
+// messages that depend on the save are sent only after it. No two routers may hold a lease at
+// the same time, and all leases must be held again at the end.
 func TestSlowDisk(t *testing.T) {
 	for seed := range uint64(6) {
 		cluster := newCluster(t, 40+seed, 3, 4, "a", "b")
--- a/internal/fleet/consensus/requests.go
+++ b/internal/fleet/consensus/requests.go
@@ -12,8 +12,9 @@
 // readIDLen is the length in bytes of the read ID that raft.ReadState.RequestCtx holds.
 const readIDLen = 8
 
-// updateLeadership starts or stops serving requests. A leader starts once it has applied an
-// entry of its own term, because only then does it know all leases that earlier leaders granted.
+// updateLeadership makes the node start or stop serving requests. A leader starts to serve
+// requests when it has applied an entry of its own term. Before that, it may not know all leases
+// that earlier leaders granted.
 func (n *Node) updateLeadership() {
 	status := n.raftNode.BasicStatus()
 	if status.RaftState != raft.StateLeader {
@@ -50,8 +51,9 @@
 }
 
 // readIsDue reports whether a read for the queued requests should start now. Reads run one at a
-// time, and all requests received during one read share the next. A read that has not finished
-// after one tick interval does not delay the next, because its responses may have been lost.
+// time. All requests that are received during a read share the next read. After one tick
+// interval the next read starts even if the previous read has not finished, because the
+// responses to the previous read may have been lost.
 func (n *Node) readIsDue() bool {
 	if n.leaseExpiry == nil || len(n.queuedRequests) == 0 {
 		return false
@@ -69,9 +71,10 @@
 	n.raftNode.ReadIndex(binary.BigEndian.AppendUint64(nil, n.lastReadID))
 }
 
-// finishRead serves the requests of a confirmed read: a quorum still followed this leader after
-// it had received them. It discards earlier reads, whose confirmations were lost; the routers
-// repeat the requests of those.
+// finishRead serves the requests of a confirmed read. The confirmation shows that a quorum still
+// followed this leader after the leader had received the requests. finishRead discards all
+// earlier reads, whose confirmations were lost. The routers repeat the requests of the discarded
+// reads.
 func (n *Node) finishRead(read raft.ReadState) {
 	if len(read.RequestCtx) != readIDLen {
 		return
@@ -100,9 +103,9 @@
 	case request.Ban != nil:
 		n.serveBanRequest(request)
 	case n.proposalsByLease[request.Lease] > 0:
-		// The request is dropped while a command for the same lease is being committed. If that
-		// command grants the lease to another router, a renewal served now would give the old
-		// holder a whole TTL more.
+		// A command for the same lease is being committed, so the request is dropped. If that
+		// command grants the lease to another router, a renewal served now would extend the old
+		// holder's lease by a whole TTL.
 	case !withinLimits(request):
 	case request.Release:
 		n.serveRelease(request, current)
@@ -152,8 +155,9 @@
 	return command
 }
 
-// serveRelease proposes the holder's release or transfer of a lease. To a router that is not the
-// holder it only responds with the state of the lease.
+// serveRelease proposes the holder's release or transfer of a lease. If the request does not
+// come from the holder with the current token, serveRelease only responds with the state of the
+// lease.
 func (n *Node) serveRelease(request ClientRequest, current *leaseregistry.Lease) {
 	if current == nil || current.Holder != request.From || current.FencingToken != request.FencingToken {
 		n.respondLease(request, current)
@@ -181,8 +185,9 @@
 	n.respondBans(request, nil)
 }
 
-// proposeFor proposes a command for a request, which gets its response once the command is
-// applied. If raft drops the proposal there is no response, and the router repeats the request.
+// proposeFor proposes a command for a request. completeProposal responds to the request when the
+// command is applied. If raft rejects the proposal, nobody responds, and the router repeats the
+// request.
 func (n *Node) proposeFor(request ClientRequest, command *leaseregistry.Command) {
 	if n.raftNode.Propose(command.Append(nil)) != nil {
 		return
@@ -238,8 +243,8 @@
 	}
 }
 
-// respondBans responds with the operators' bans. err says why the requested ban was not set; it
-// is nil if the ban was set or if the request only read.
+// respondBans responds with the operators' bans. err says why the requested ban was not set. It
+// is nil if the ban was set, or if the request only reads the bans.
 func (n *Node) respondBans(request ClientRequest, err error) {
 	response := &BanResponse{RequestID: request.ID, Version: n.registry.BanVersion()}
 	if err != nil {
--- a/internal/fleet/consensus/safeguards_test.go
+++ b/internal/fleet/consensus/safeguards_test.go
@@ -26,8 +26,9 @@
 	node int
 }
 
-// runSchedule runs a schedule on three voters, with or without synced storages, and describes the
-// guarantee that was violated; it returns an empty string if there was no violation.
+// runSchedule runs a schedule on three voters. If unsynced is set, their storages do not sync.
+// It returns a description of the violated guarantee, or an empty string if there was no
+// violation.
 func runSchedule(t *testing.T, seed uint64, unsynced bool, schedule []fault) (violation string) {
 	t.Helper()
 	defer func() {
@@ -83,8 +84,8 @@
 	return schedule
 }
 
-// shrink removes each fault without which the schedule still causes a violation. Elections differ
-// from run to run, so each shorter schedule is run up to three times.
+// shrink removes every fault that the schedule does not need to cause a violation. Elections
+// differ from run to run, so each shorter schedule is run up to three times.
 func shrink(t *testing.T, seed uint64, schedule []fault, violation string) ([]fault, string) {
 	t.Helper()
 	for i := 0; i < len(schedule); {
@@ -104,9 +105,9 @@
 	return schedule, violation
 }
 
-// Random schedules show why a storage must sync: without syncs, a crash takes back votes and
-// acknowledgements that a voter has already sent, and a guarantee is violated. The first such
-// schedule is shrunk. With syncs, the same schedules must cause no violation.
+// Without syncs, a crash undoes votes and acknowledgements that a voter has already sent. Some
+// random schedules must therefore violate a guarantee. The first of these schedules is shrunk.
+// With syncs, none of the random schedules may cause a violation.
 func TestWithoutSyncs(t *testing.T) {
 	found := 0
 	for seed := range uint64(40) {
@@ -134,8 +135,9 @@
 	}
 }
 
-// Without pre-vote, a voter that was isolated returns with a later term, which forces the leader
-// to step down although a majority follows it. With pre-vote the leader must stay.
+// Without pre-vote, a voter that was isolated returns with a later term. This term forces the
+// leader to step down although a majority follows it. With pre-vote, the leader must keep its
+// leadership.
 func TestWithoutPreVote(t *testing.T) {
 	defer func() { preVoteEnabled = true }()
 	lost := map[bool]int{}
@@ -158,7 +160,7 @@
 			}
 		}
 	}
-	t.Logf("a follower is isolated and healed: the leader changes in %d of 10 runs, without pre-vote in %d", lost[true], lost[false])
+	t.Logf("a follower is isolated and healed: the leader changes in %d of 10 runs with pre-vote and in %d of 10 runs without it", lost[true], lost[false])
 	if lost[true] > 0 || lost[false] < 8 {
 		t.Error("want no change of leader with pre-vote, and a change in at least 8 of 10 runs without it")
 	}
--- a/internal/fleet/consensus/settings.go
+++ b/internal/fleet/consensus/settings.go
@@ -5,11 +5,11 @@
 // Settings are the intervals and limits of a node.
 type Settings struct {
 	TickInterval       float64 // interval of raft's logical clock, in ms
-	ElectionTicks      int     // ticks without a leader before an election; raft draws from this to twice this value
+	ElectionTicks      int     // ticks without a leader before an election; raft draws a number from ElectionTicks to 2*ElectionTicks-1
 	HeartbeatTicks     int     // ticks between a leader's heartbeats
-	RetainedEntries    int     // entries kept from before a snapshot, for followers that lag
+	RetainedEntries    int     // entries before a snapshot that stay in the log for followers that lag
 	SnapshotEntries    int     // length of the log, in entries, at which a snapshot is taken
-	MaxPendingRequests int     // requests that may wait at the leader; further ones are dropped
+	MaxPendingRequests int     // requests that may wait at the leader; further requests are dropped
 	Lease              lease.Settings
 }
 
--- a/internal/fleet/consensus/status.go
+++ b/internal/fleet/consensus/status.go
@@ -16,7 +16,7 @@
 	ID, LeaderID, Term, CommitIndex, AppliedIndex uint64
 	Leading                                       bool // whether the node is the leader and serves requests
 	Voters, Learners                              []uint64
-	Halted                                        bool // whether its storage failed
+	Halted                                        bool // whether the node's storage failed
 }
 
 // Status returns the current state of the node.
@@ -61,11 +61,11 @@
 	return lag
 }
 
-// ReportUnreachable tells raft that a message to a node could not be sent. snapshot says whether
-// that message was a snapshot.
-func (n *Node) ReportUnreachable(id uint64, snapshot bool) {
+// ReportUnreachable tells raft that a message to a node could not be sent. isSnapshot says
+// whether the message was a snapshot.
+func (n *Node) ReportUnreachable(id uint64, isSnapshot bool) {
 	n.raftNode.ReportUnreachable(id)
-	if snapshot {
+	if isSnapshot {
 		n.raftNode.ReportSnapshot(id, raft.SnapshotFailure)
 	}
 }
--- a/internal/fleet/consensus/storage.go
+++ b/internal/fleet/consensus/storage.go
@@ -43,7 +43,7 @@
 }
 
 // compactLog takes a snapshot and shortens raft's log when the log has grown past
-// Settings.SnapshotEntries, and rewrites the storage when most of its data is obsolete.
+// Settings.SnapshotEntries. It rewrites the storage when most of the stored data is obsolete.
 func (n *Node) compactLog() error {
 	first, err := n.raftLog.FirstIndex()
 	if err != nil {
--- a/internal/fleet/consensus/wal/golden_test.go
+++ b/internal/fleet/consensus/wal/golden_test.go
@@ -28,8 +28,8 @@
 		ConfState: &raftpb.ConfState{Voters: []uint64{1, 2, 3}, Learners: []uint64{4}}}}
 }
 
-// appendGoldenState writes records of every kind. The last ones make some of the earlier ones
-// obsolete.
+// appendGoldenState writes records of every kind. The last records make some of the earlier
+// records obsolete.
 func appendGoldenState(l *Log) error {
 	if err := l.SaveMetadata([]byte{8, 9}); err != nil {
 		return err
--- a/internal/fleet/consensus/wal/record.go
+++ b/internal/fleet/consensus/wal/record.go
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// FormatVersion is the version of the file format that this program writes. Older versions can
-// be read too.
+// FormatVersion is the version of the file format that this program writes. The program can also
+// read older versions.
 const FormatVersion = 1
 
 // Sizes of a record and its parts, in bytes. A record consists of a length, a checksum, a kind and
@@ -22,10 +22,11 @@
 	kindLen      = 1
 	prefixLen    = lengthLen + checksumLen
 	headerLen    = prefixLen + kindLen
-	maxRecordLen = 16 << 20 // of kind and body together
+	maxRecordLen = 16 << 20 // length of kind and body together
 )
 
-// The kinds of records. The first record of a log, and no other record, is of kindOwner.
+// The kinds of records. The first record of a log is of kindOwner. No other record is of this
+// kind.
 const (
 	kindOwner byte = 1 + iota
 	kindHardState
@@ -40,8 +41,8 @@
 var (
 	ErrNotLog       = errors.New("wal: not a voter's log")
 	ErrNewerFormat  = errors.New("wal: of a newer format than this program knows")
-	errShortWrite   = errors.New("wal: short write")
-	errRecordTooBig = errors.New("wal: record too big")
+	errShortWrite   = errors.New("wal: the file accepted only a part of the bytes of a write")
+	errRecordTooBig = errors.New("wal: body of a record is too long")
 )
 
 // OwnerError reports a log that belongs to another voter, for example because a directory was
@@ -99,7 +100,7 @@
 		return b, err
 	}
 	if len(body) >= maxRecordLen {
-		return b, fmt.Errorf("%w: %d bytes", errRecordTooBig, len(body))
+		return b, fmt.Errorf("%w: expected fewer than %d bytes, got %d", errRecordTooBig, maxRecordLen, len(body))
 	}
 	return appendRecord(b, kind, body), nil
 }
@@ -121,17 +122,17 @@
 	return payload[0], payload[kindLen:], prefixLen + payloadLen, true
 }
 
-// readRecords reads records up to the first that is torn or up to the end. valid is the length in
-// bytes of the records before that.
-func readRecords(content []byte, owner string) (valid int, state State, err error) {
+// readRecords reads the records up to the first torn record, or up to the end of content.
+// validLen is the length in bytes of the records that it has read.
+func readRecords(content []byte, owner string) (validLen int, state State, err error) {
 	for {
-		kind, body, length, ok := nextRecord(content[valid:])
+		kind, body, length, ok := nextRecord(content[validLen:])
 		if !ok {
-			return valid, state, nil
+			return validLen, state, nil
 		}
-		isFirst := valid == 0
+		isFirst := validLen == 0
 		if isFirst != (kind == kindOwner) {
-			return valid, state, ErrNotLog
+			return validLen, state, ErrNotLog
 		}
 		if isFirst {
 			err = checkOwner(body, owner)
@@ -139,9 +140,9 @@
 			err = state.apply(kind, body)
 		}
 		if err != nil {
-			return valid, state, err
+			return validLen, state, err
 		}
-		valid += length
+		validLen += length
 	}
 }
 
@@ -149,11 +150,12 @@
 type State struct {
 	HardState *raftpb.HardState
 	Snapshot  *raftpb.Snapshot // nil if there is none
-	Entries   []*raftpb.Entry  // after the snapshot
-	Metadata  []byte           // of the log's owner: its raft ID and the raft IDs that it has heard from
+	Entries   []*raftpb.Entry  // entries after the snapshot
+	Metadata  []byte           // metadata of the log's owner: its raft ID and the raft IDs that it has heard from
 }
 
-// apply updates the state by a record.
+// apply updates the state with a record. It returns a CorruptRecordError if the record cannot be
+// decoded.
 func (s *State) apply(kind byte, body []byte) error {
 	var err error
 	switch kind {
@@ -180,8 +182,8 @@
 	return nil
 }
 
-// appendEntry appends an entry. The entry replaces all entries from its index on, since a new
-// leader has overwritten them.
+// appendEntry appends an entry. It first removes all entries from the new entry's index on,
+// because a new leader has overwritten them. It ignores an entry that the snapshot includes.
 func (s *State) appendEntry(entry *raftpb.Entry) {
 	for len(s.Entries) > 0 && s.Entries[len(s.Entries)-1].GetIndex() >= entry.GetIndex() {
 		s.Entries = s.Entries[:len(s.Entries)-1]
@@ -191,7 +193,7 @@
 	}
 }
 
-// entriesAfter returns the entries whose index is above the given one.
+// entriesAfter returns the entries whose index is greater than the given index.
 func entriesAfter(entries []*raftpb.Entry, index uint64) []*raftpb.Entry {
 	for len(entries) > 0 && entries[0].GetIndex() <= index {
 		entries = entries[1:]
--- a/internal/fleet/consensus/wal/wal.go
+++ b/internal/fleet/consensus/wal/wal.go
@@ -1,8 +1,8 @@
-// Package wal stores the raft log of one voter in a write-ahead log: an append-only file of
-// records with length and checksum, which is rewritten as a whole when snapshots have made most
-// of it obsolete. Data that Save has stored without an error survives a crash. After a failure a
-// log accepts no more writes: the content of the disk is unknown then, and the voter must not
-// vote.
+// Package wal stores the raft log of one voter in a write-ahead log. The log is an append-only
+// file of records with length and checksum. It is rewritten as a whole when snapshots have made
+// most of it obsolete. Data that Save has stored without an error survives a crash. After a
+// failure, the content of the disk is unknown and the voter must not vote. The log then accepts
+// no more writes.
 //
 // Only the node that a Log belongs to may use it, with one call at a time.
 package wal
@@ -16,7 +16,7 @@
 
 const (
 	fileName    = "log"
-	newFileName = "log.new" // the new log, until it replaces the old one
+	newFileName = "log.new" // new log during a rewrite; it replaces the old log at the end
 
 	// A log is rewritten when it is longer than minRewriteSize, in bytes, and longer than
 	// rewriteFactor times its length after the last rewrite.
@@ -32,17 +32,19 @@
 	fs            FS
 	owner         string
 	file          File
-	size          int64 // in bytes
+	size          int64 // length of the log in bytes
 	rewrittenSize int64 // size when the log was opened or last rewritten
 	failure       error // set once a call has failed or the log is closed
 	buffer        []byte
 }
 
-// Open opens the log of a voter and returns the state that it holds. If there is no log, or none
-// with a complete record, Open starts a new one and fresh is true. owner names the voter. Open
-// returns an OwnerError for a log of another owner, ErrNewerFormat for a newer format, ErrNotLog
-// for a file that is no log, and a CorruptRecordError for a record that cannot be decoded. An
-// incomplete record at the end, which a crash can leave, is truncated.
+// Open opens the log of a voter and returns the state that the log holds. owner is the name of
+// the voter. If the log does not exist or has no complete record, Open starts a new log, and
+// fresh is true. Open truncates an incomplete record at the end, which a crash can leave.
+//
+// Open returns an OwnerError for a log of another owner, ErrNewerFormat for a newer format,
+// ErrNotLog for a file that is not a log, and a CorruptRecordError for a record that cannot be
+// decoded.
 func Open(dir FS, owner string) (l *Log, state State, fresh bool, err error) {
 	if err := dir.Remove(newFileName); err != nil { // left by a crash during a rewrite
 		return nil, state, false, err
@@ -54,7 +56,7 @@
 	if err != nil {
 		return nil, state, false, err
 	}
-	valid, state, err := readRecords(content, owner)
+	validLen, state, err := readRecords(content, owner)
 	if err != nil {
 		return nil, state, false, err
 	}
@@ -62,9 +64,9 @@
 	if err != nil {
 		return nil, state, false, err
 	}
-	l = &Log{fs: dir, owner: owner, file: file, size: int64(valid)}
-	fresh = valid == 0
-	if err := l.prepare(valid < len(content), fresh); err != nil {
+	l = &Log{fs: dir, owner: owner, file: file, size: int64(validLen)}
+	fresh = validLen == 0
+	if err := l.prepare(validLen < len(content), fresh); err != nil {
 		return nil, state, fresh, errors.Join(err, file.Close())
 	}
 	l.rewrittenSize = l.size
@@ -93,7 +95,7 @@
 // SaveMetadata writes the voter's metadata, and returns when it is on the disk.
 func (l *Log) SaveMetadata(metadata []byte) error { return l.save(State{Metadata: metadata}) }
 
-// save writes those parts of a state that are set in a single write, and syncs the file.
+// save writes the parts of a state that are not nil, all in a single write, and syncs the file.
 func (l *Log) save(state State) error {
 	if l.failure != nil {
 		return l.failure
@@ -154,7 +156,8 @@
 	return err
 }
 
-// NeedsRewrite reports whether the log has grown enough since the last rewrite to be rewritten.
+// NeedsRewrite reports whether the log has grown so much since the last rewrite that it should
+// be rewritten again.
 func (l *Log) NeedsRewrite() bool {
 	return l.failure == nil && l.size > minRewriteSize && l.size > rewriteFactor*l.rewrittenSize
 }
--- a/internal/fleet/consensus/wal/wal_test.go
+++ b/internal/fleet/consensus/wal/wal_test.go
@@ -12,12 +12,12 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// memoryFS is a directory in memory. A crash takes back what was not synced, and the calls fail
-// from a given one on.
+// memoryFS is a directory in memory. A crash discards data that was not synced. All calls from
+// number failAtCall on fail.
 type memoryFS struct {
 	syncedFiles  map[string]*memoryFile // by their names after a crash
 	visibleFiles map[string]*memoryFile // by their current names
-	failAtCall   int                    // number of the first call that fails, as all later ones do; 0: none fails
+	failAtCall   int                    // number of the first call that fails; all later calls fail too; 0: no call fails
 	calls        int
 	crashed      bool
 }
@@ -161,20 +161,21 @@
 }
 
 // writeUntilFailure saves one state after another until a call fails. It returns the two states
-// that the log may hold afterwards: the last one that was acknowledged, and the one in progress.
+// that the log may hold after the failure: the last state that was acknowledged, and the state
+// that was being written.
 func writeUntilFailure(m *memoryFS, steps int) (acknowledged, inProgress State, err error) {
 	log, acknowledged, _, err := Open(m, "f/1")
 	inProgress = acknowledged
 	if err != nil {
 		return acknowledged, inProgress, err
 	}
-	defer func() { _ = log.Close() }() // fails where the directory does
+	defer func() { _ = log.Close() }() // fails if the calls of the directory fail
 	for i := uint64(1); i <= uint64(steps); i++ {
 		last := acknowledged.Snapshot.GetMetadata().GetIndex() + uint64(len(acknowledged.Entries))
 		inProgress.Entries = append([]*raftpb.Entry(nil), acknowledged.Entries...)
 		e := entry(last+1, i, fmt.Sprint("e", i))
 		if i%4 == 0 && len(acknowledged.Entries) > 0 {
-			e = entry(last, i, "over") // an entry of another leader that overwrites the last one
+			e = entry(last, i, "over") // an entry of another leader that overwrites the last entry
 		}
 		h := hardState(i, i%3+1, last)
 		inProgress.appendEntry(e)
@@ -196,8 +197,8 @@
 	return acknowledged, inProgress, nil
 }
 
-// The machine crashes at each call in turn. Afterwards the log must hold either the complete
-// acknowledged state or the state in progress.
+// The machine crashes at a different call in each run. After the crash, the log must hold either
+// the complete acknowledged state or the state in progress.
 func TestFailureAtEveryCall(t *testing.T) {
 	intact := newMemoryFS()
 	if _, _, err := writeUntilFailure(intact, 12); err != nil {
@@ -295,8 +296,9 @@
 	}
 }
 
-// In a real directory, a saved state must be found when the log is opened again, a torn record at
-// the end must be truncated, and a long log must ask for a rewrite and be short after it.
+// In a real directory, a saved state must be found when the log is opened again. A torn record
+// at the end must be truncated. NeedsRewrite must return true for a long log, and the log must
+// be short after the rewrite.
 func TestDir(t *testing.T) {
 	dir := Dir(t.TempDir() + "/voter")
 	log, _, fresh, err := Open(dir, "dir/1")
@@ -338,9 +340,9 @@
 	f.Add(append(appendRecord(nil, kindOwner, ownerBody("f/1")), appendRecord(nil, kindEntry, e)...))
 	f.Add(appendRecord(nil, kindOwner, ownerBody("f/1"))[:7])
 	f.Fuzz(func(t *testing.T, b []byte) {
-		valid, state, err := readRecords(b, "f/1")
-		if valid > len(b) || err == nil && valid > 0 && len(state.Entries) > len(b)/headerLen {
-			t.Fatalf("got %d valid bytes of %d and %d entries, want no more of either than the input can hold", valid, len(b), len(state.Entries))
+		validLen, state, err := readRecords(b, "f/1")
+		if validLen > len(b) || err == nil && validLen > 0 && len(state.Entries) > len(b)/headerLen {
+			t.Fatalf("got %d valid bytes of %d and %d entries, want no more of either than the input can hold", validLen, len(b), len(state.Entries))
 		}
 	})
 }
--- a/internal/fleet/fragment/fragment.go
+++ b/internal/fleet/fragment/fragment.go
@@ -1,6 +1,6 @@
-// Package fragment splits messages between routers that are longer than a packet into fragments,
-// and reassembles them. It does no I/O. If a fragment is lost, its whole message is lost, and the
-// protocol that sent the message must send it again.
+// Package fragment splits a message between routers into fragments if the message is longer than
+// a packet, and reassembles it at the receiver. The package does no I/O. If a fragment is lost,
+// its whole message is lost, and the protocol that sent the message must send it again.
 //
 // A Reassembler is not safe for concurrent use: the goroutine that owns it makes all calls.
 package fragment
@@ -13,7 +13,8 @@
 	"garnetline/internal/fleet/membership"
 )
 
-// Channel is the kind of a message, by which the receiver selects the state machine to handle it.
+// Channel is the kind of a message. The receiver uses it to select the state machine that
+// handles the message.
 type Channel uint8
 
 // The channels. Their numbers are sent in packets and must not change.
@@ -23,7 +24,7 @@
 	LeaseResponse                     // response to a LeaseRequest
 	LoadReport                        // load of servers, from the lease holder that polls them
 	VoterHello                        // between voters, with information about the sender
-	LeaderHint                        // which voter leads, from a voter that does not
+	LeaderHint                        // name of the leading voter, from a voter that does not lead
 	BanRequest                        // from a router to a voter, about the operators' bans
 	BanResponse                       // response to a BanRequest
 	EjectionReport                    // servers that a router has ejected, to the router that probes them
@@ -43,7 +44,7 @@
 const MaxMessageLen = maxFragmentLen * maxFragments
 
 // Split splits a message into payloads. It returns nil if the message is longer than MaxMessageLen.
-// Messages that are in transit at the same time must have different ids.
+// Messages that are in transit at the same time must have different values of id.
 func Split(id uint64, channel Channel, message []byte) (payloads [][]byte) {
 	count := max(1, (len(message)+maxFragmentLen-1)/maxFragmentLen)
 	if count > maxFragments {
@@ -129,8 +130,8 @@
 	return head.channel, slices.Concat(partial.fragments...), true
 }
 
-// find returns the index of the partial message of a fragment. It adds one if no other
-// fragment of the message has arrived.
+// find returns the index of the partial message that a fragment belongs to. It adds a partial
+// message if no other fragment of the message has arrived.
 func (r *Reassembler) find(payload membership.Payload, head header) int {
 	i := slices.IndexFunc(r.partial, func(p *partialMessage) bool {
 		return p.from == payload.From && p.incarnation == payload.Incarnation && p.id == head.id && p.channel == head.channel
@@ -138,7 +139,7 @@
 	if i >= 0 {
 		return i
 	}
-	if len(r.partial) == maxPartial { // drop the message that was started first
+	if len(r.partial) == maxPartial { // drop the oldest partial message
 		r.partial = r.partial[1:]
 	}
 	r.partial = append(r.partial, &partialMessage{
--- a/internal/fleet/fragment/fragment_test.go
+++ b/internal/fleet/fragment/fragment_test.go
@@ -11,13 +11,13 @@
 // inFlight is a set of messages that are in transit at the same time.
 type inFlight struct {
 	payloads []membership.Payload
-	want     map[string]bool // messages that must be reassembled and are not yet
+	want     map[string]bool // expected messages that have not been reassembled yet
 	complete map[string]bool // messages that were reassembled
 }
 
-// send adds the fragments of a message, some of them twice. If lost is set, it omits the last
-// fragment.
-func (m *inFlight) send(t *testing.T, rng *rand.Rand, id uint64, message []byte, lost bool) {
+// send adds the fragments of a message, some of them twice. If dropLast is true and there are
+// several fragments, send omits the last fragment.
+func (m *inFlight) send(t *testing.T, rng *rand.Rand, id uint64, message []byte, dropLast bool) {
 	t.Helper()
 	fragments := Split(id, Raft, message)
 	for _, data := range fragments {
@@ -25,12 +25,12 @@
 			t.Fatalf("got a payload of %d bytes, want at most membership.MaxPayloadLen", len(data))
 		}
 	}
-	lost = lost && len(fragments) > 1
-	if !lost {
+	dropLast = dropLast && len(fragments) > 1
+	if !dropLast {
 		m.want[string(message)] = true
 	}
 	for i, data := range fragments {
-		if lost && i == len(fragments)-1 {
+		if dropLast && i == len(fragments)-1 {
 			break
 		}
 		payload := membership.Payload{From: 7, Incarnation: 1, Data: data}
--- a/internal/fleet/lease/fingerprint.go
+++ b/internal/fleet/lease/fingerprint.go
@@ -9,7 +9,7 @@
 
 // This file supports exhaustive searches of the states that holders and a registry can reach.
 
-// Clone returns a copy of the holder that shares no mutable state with it.
+// Clone returns a copy of the holder that shares no mutable state with the original.
 func (h *Holder) Clone() *Holder {
 	clone := *h
 	clone.leases = make(map[string]*leaseState, len(h.leases))
@@ -25,18 +25,20 @@
 	return &clone
 }
 
-// Clone returns a copy of the tracker that shares no mutable state with it.
+// Clone returns a copy of the tracker that shares no mutable state with the original.
 func (t *ExpiryTracker) Clone() *ExpiryTracker {
 	return &ExpiryTracker{t.settings, maps.Clone(t.expiry)}
 }
 
-// maxFingerprintMs bounds the times in a fingerprint, in ms. Times further ahead count as equal.
+// maxFingerprintMs bounds the times in a fingerprint, in ms. Two times that are both further
+// ahead count as equal.
 const maxFingerprintMs = 1e9
 
-// AppendFingerprint appends an encoding of everything that determines the holder's behaviour from
-// now on. Times are relative to now, and only those pending requests are included for which
-// answerable reports that a response may still come. Two holders with the same fingerprint and
-// the same responses in flight behave in the same way.
+// AppendFingerprint appends an encoding of the state that determines the holder's future
+// behavior. Times are relative to the time now. answerable reports whether a response to a
+// pending request may still arrive. The encoding includes only the pending requests for which
+// answerable returns true. Two holders with the same fingerprint and the same responses in
+// flight behave in the same way.
 func (h *Holder) AppendFingerprint(b []byte, now float64, answerable func(requestID uint64) bool) []byte {
 	number := func(v uint64) { b = binary.AppendUvarint(b, v) }
 	timeLeft := func(at float64) { number(uint64(min(max(at-now, 0), maxFingerprintMs))) }
@@ -51,7 +53,7 @@
 		for _, id := range slices.Sorted(maps.Keys(state.pendingRequests)) {
 			if answerable(id) {
 				number(h.lastRequestID - id)
-				number(uint64(min(now-state.pendingRequests[id], 2*h.settings.TTL))) // an older request cannot be granted in time
+				number(uint64(min(now-state.pendingRequests[id], 2*h.settings.TTL))) // a request older than two TTLs cannot be granted in time
 			}
 		}
 		number(math.MaxUint64)
@@ -64,8 +66,8 @@
 	return b
 }
 
-// AppendFingerprint appends an encoding of everything that determines the tracker's results from
-// now on.
+// AppendFingerprint appends an encoding of the state that determines the tracker's future
+// results. Times are relative to the time now.
 func (t *ExpiryTracker) AppendFingerprint(b []byte, now float64) []byte {
 	for _, name := range slices.Sorted(maps.Keys(t.expiry)) {
 		b = binary.AppendUvarint(b, uint64(max(0, t.expiry[name]-now)))
--- a/internal/fleet/lease/holder.go
+++ b/internal/fleet/lease/holder.go
@@ -1,9 +1,10 @@
-// Package lease implements the two sides of a lease, without I/O. Holder is the side of a router,
-// which knows until when its lease is valid. ExpiryTracker is the side of the registry's leader,
-// which knows when it may grant the lease to another router. Neither side reads the other's
-// clock. The holder counts the lease from before it sent its request and the leader from when
-// it granted or renewed the lease, and both allow for clock drift and a safety margin. Thus the
-// lease expires at the holder before it can be granted to another router.
+// Package lease implements the two sides of a lease, without I/O. Holder is a router's side: it
+// knows until when the router's lease is valid. ExpiryTracker is the side of the registry's
+// leader: it knows when the leader may grant the lease to another router. Neither side reads the
+// other's clock. The holder counts the lease from a time before it sent its request. The leader
+// counts the lease from the time at which it granted or renewed the lease. Both sides allow for
+// clock drift and a safety margin. The lease therefore expires at the holder before it can be
+// granted to another router.
 //
 // A Holder may be used only by the goroutine of its owner (package leasemanager), and an
 // ExpiryTracker only by that of its owner (package consensus).
@@ -19,15 +20,16 @@
 )
 
 const (
-	maxPendingRequests = 16 // per lease; the oldest is discarded
+	maxPendingRequests = 16 // per lease; if there are more, the oldest request is discarded
 
-	// Divisors of the TTL. A holder renews after TTL/renewalDivisor, and each rank requests the
-	// lease TTL/rankDivisor later than the rank before it.
+	// Divisors of the TTL. A holder renews its lease after TTL/renewalDivisor. The candidate of
+	// each rank requests a lease TTL/rankDivisor later than the candidate of the rank before.
 	renewalDivisor = 3
 	rankDivisor    = 2
 
-	// noticeDivisor divides the retry interval. After a notice that nobody holds the lease, each
-	// rank requests it RetryInterval/noticeDivisor later than the rank before it.
+	// noticeDivisor divides the retry interval. After a notice that nobody holds the lease, the
+	// candidate of each rank requests the lease RetryInterval/noticeDivisor later than the
+	// candidate of the rank before.
 	noticeDivisor = 4
 
 	maxBackoffDoublings = 16 // bounds the exponent of the backoff
@@ -50,14 +52,14 @@
 	pendingRequests map[uint64]float64 // time of sending, by request ID
 	nextRequestAt   float64
 	backoffUntil    float64
-	highestToken    uint64        // highest token of all responses
-	lastKnownHolder membership.ID // according to the latest response; 0 if nobody holds it or if unknown
-	releasing       *Request      // release that is repeated until the registry confirms it; nil if there is none
+	highestToken    uint64        // highest token in any response so far
+	lastKnownHolder membership.ID // according to the latest response; 0 if nobody holds the lease or the holder is unknown
+	releasing       *Request      // release that is repeated until the registry confirms it; nil if no release is pending
 	releaseAttempts int
 }
 
 // NewHolder returns a holder that wants no lease yet. The IDs of its requests count up from
-// firstRequestID+1. Each incarnation must pass another firstRequestID.
+// firstRequestID+1. Each incarnation of the router must pass a different firstRequestID.
 func NewHolder(settings Settings, self membership.ID, firstRequestID uint64) *Holder {
 	return &Holder{settings: settings, self: self, leases: map[string]*leaseState{}, lastRequestID: firstRequestID}
 }
@@ -72,9 +74,9 @@
 	return state
 }
 
-// SetRank sets the router's rank for a lease. With a negative rank the router does not want the
-// lease, and releases it if it holds it. Higher ranks request the lease later, so that they get
-// it only if no router with a lower rank wants it.
+// SetRank sets the router's rank for a lease. A router with a negative rank does not want the
+// lease, and releases the lease if it holds it. A router with a higher rank requests the lease
+// later. It therefore gets the lease only if no router with a lower rank wants it.
 func (h *Holder) SetRank(now float64, name string, rank int) {
 	state := h.stateOf(name)
 	if rank < 0 && state.fencingToken != 0 {
@@ -86,26 +88,27 @@
 	state.rank = rank
 }
 
-// Release releases a lease to the router to, or to nobody if to is 0. From now on the lease is not
-// valid at this router. Step repeats the release until the registry confirms it or the lease has
-// expired there.
-func (h *Holder) Release(now float64, name string, to membership.ID, handoff []byte) {
+// Release releases a lease to the router successor, or to nobody if successor is 0. The lease
+// immediately ceases to be valid at this router. Step repeats the release until the registry
+// confirms it, or until the lease has expired at the registry.
+func (h *Holder) Release(now float64, name string, successor membership.ID, handoff []byte) {
 	state := h.stateOf(name)
 	if state.fencingToken == 0 {
 		return
 	}
-	state.releasing = &Request{Lease: name, FencingToken: state.fencingToken, Release: true, TransferTo: to, Handoff: handoff}
+	state.releasing = &Request{Lease: name, FencingToken: state.fencingToken, Release: true, TransferTo: successor, Handoff: handoff}
 	state.releaseAttempts = 0
 	state.fencingToken, state.expiresAt = 0, 0
 	state.nextRequestAt = now
-	// Without this backoff, a lease that operators transferred to a router that did not want it
-	// came back, as soon as that router released it, to the router that had given it away.
+	// Without this backoff, a lease that operators transfer could return to the router that gave
+	// it away: the target may not want the lease and release it, and this router would request
+	// it again.
 	state.backoffUntil = max(state.backoffUntil, now+h.settings.TTL)
 	clear(state.pendingRequests)
 }
 
 // Valid returns the fencing token of a lease; ok is false if this router does not hold the lease
-// now. Callers must check it again before each write to a socket.
+// now. Callers must call Valid again before each write to a socket.
 func (h *Holder) Valid(now float64, name string) (token uint64, ok bool) {
 	state := h.leases[name]
 	if state == nil || state.fencingToken == 0 || now >= state.expiresAt {
@@ -114,7 +117,7 @@
 	return state.fencingToken, true
 }
 
-// AllReleased reports whether no release waits for the registry's confirmation any more.
+// AllReleased reports whether no release is pending any more.
 func (h *Holder) AllReleased() bool {
 	for _, state := range h.leases {
 		if state.releasing != nil {
@@ -154,8 +157,8 @@
 	return names
 }
 
-// Step advances the holder to now, in ms. It returns the requests to send, the leases that
-// expired, and the time in ms of the next step.
+// Step advances the holder to the time now, in ms. It returns the requests to send, the leases
+// that expired, and the time in ms of the next step.
 func (h *Holder) Step(now float64) (requests []Request, changes []Change, wakeAt float64) {
 	wakeAt = math.Inf(1)
 	for _, name := range slices.Sorted(maps.Keys(h.leases)) {
@@ -197,8 +200,8 @@
 	return Request{ID: h.lastRequestID, Lease: name, FencingToken: state.fencingToken}
 }
 
-// releaseRequest returns the pending release with a new request ID. It ends the release if the
-// lease expires at the registry before the next repetition would be sent.
+// releaseRequest returns the pending release with a new request ID. It ends the pending release
+// if the lease expires at the registry before the release would be repeated.
 func (h *Holder) releaseRequest(state *leaseState) Request {
 	request := *state.releasing
 	request.ID = h.lastRequestID
--- a/internal/fleet/lease/messages.go
+++ b/internal/fleet/lease/messages.go
@@ -13,8 +13,8 @@
 }
 
 // Response is the state of a lease in response to a request. A Response with RequestID 0 is a
-// notice: either the lease was transferred to the receiving router, which Holder names, or Holder
-// is 0 and nobody holds the lease.
+// notice. If Holder names the receiving router, the notice says that the lease was transferred
+// to that router. If Holder is 0, the notice says that nobody holds the lease.
 type Response struct {
 	RequestID    uint64
 	Lease        string
@@ -22,7 +22,7 @@
 	FencingToken uint64        // according to the registry
 	Holder       membership.ID // according to the registry; 0 if nobody holds the lease
 	Remaining    float64       // longest time in ms for which the lease may still be valid
-	Losses       uint64        // the registry's loss count of the router for this lease
+	Losses       uint64        // the registry's count of how often the requesting router lost this lease
 	Handoff      []byte        // with Granted: data that the last holder left
 }
 
@@ -46,12 +46,12 @@
 	Cause        ChangeCause
 }
 
-// Fence is the receiver's side of fencing tokens: it maps each lease to the highest token seen. It
-// is not safe for concurrent use.
+// Fence is the receiver's side of fencing tokens. It maps each lease to the highest token that
+// the receiver has seen. It is not safe for concurrent use.
 type Fence map[string]uint64
 
-// Admit reports whether to accept an operation with this token, and records the token if so. It
-// rejects a token if it has seen a higher one of the same lease.
+// Admit reports whether to accept an operation with the fencing token of a lease. It rejects a
+// token if it has seen a higher token of the same lease. It records a token that it accepts.
 func (f Fence) Admit(name string, token uint64) bool {
 	if token < f[name] {
 		return false
--- a/internal/fleet/lease/rank.go
+++ b/internal/fleet/lease/rank.go
@@ -11,7 +11,7 @@
 )
 
 // rendezvousScore returns the score by which the candidates of a lease are ordered. All versions
-// must compute the same score.
+// of the program must compute the same score.
 func rendezvousScore(name string, id membership.ID) uint64 {
 	var key [8]byte
 	binary.LittleEndian.PutUint64(key[:], uint64(id))
@@ -20,7 +20,7 @@
 
 // Rank returns a router's rank among the candidates of a lease, from 0, by rendezvous hashing. All
 // routers with the same candidates compute the same ranks, and a router that is added or removed
-// does not change the relative order of the others. Rank returns -1 if self is not a candidate.
+// does not change the order of the other routers. Rank returns -1 if self is not a candidate.
 func Rank(name string, self membership.ID, candidates []membership.ID) int {
 	if !slices.Contains(candidates, self) {
 		return -1
@@ -35,7 +35,8 @@
 	return rank
 }
 
-// TopRanked returns the first n candidates of a lease by rank, or all of them if there are fewer.
+// TopRanked returns the first n candidates of a lease by rank, or all candidates if there are
+// fewer than n.
 func TopRanked(name string, candidates []membership.ID, n int) []membership.ID {
 	ranked := slices.SortedFunc(slices.Values(candidates), func(a, b membership.ID) int {
 		return cmp.Or(cmp.Compare(rendezvousScore(name, b), rendezvousScore(name, a)), cmp.Compare(b, a))
--- a/internal/fleet/lease/response.go
+++ b/internal/fleet/lease/response.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// HandleResponse handles a response or a notice of the registry, received at now in ms. It returns
-// the leases that this router got or lost by it.
+// HandleResponse handles a response or a notice of the registry that was received at the time
+// now, in ms. It returns the leases that this router got or lost because of the response.
 func (h *Holder) HandleResponse(now float64, response Response) []Change {
 	state := h.leases[response.Lease]
 	if state == nil {
@@ -22,7 +22,7 @@
 	}
 	sentAt, pending := state.pendingRequests[response.RequestID]
 	if !pending || response.FencingToken < state.highestToken {
-		return nil // to a request of an earlier incarnation or a discarded one, or older than a response seen
+		return nil // the request was discarded or sent by an earlier incarnation, or a newer response was handled
 	}
 	state.highestToken = response.FencingToken
 	delete(state.pendingRequests, response.RequestID)
@@ -37,7 +37,7 @@
 	switch {
 	case response.Granted && response.FencingToken > state.releasing.FencingToken:
 		// The registry has meanwhile granted an earlier request of this process. The router does
-		// not accept that grant, but releases it.
+		// not accept that grant, but releases the lease.
 		state.releasing.FencingToken = response.FencingToken
 		state.releaseAttempts = 0
 		state.nextRequestAt = now
@@ -55,8 +55,8 @@
 	}
 	switch {
 	case response.Holder == h.self:
-		// The router requests the lease or, if it does not want it, releases it until the
-		// registry confirms the release.
+		// If the router wants the lease, it requests the lease. Otherwise it sends a release
+		// until the registry confirms the release.
 		state.nextRequestAt, state.backoffUntil = now, 0
 		if state.rank < 0 {
 			state.releasing = &Request{Lease: response.Lease, FencingToken: response.FencingToken, Release: true}
@@ -69,8 +69,8 @@
 	}
 }
 
-// handleRejection handles a response that does not grant the lease: another router, another process
-// of this router or nobody holds it.
+// handleRejection handles a response that does not grant the lease. Another router, another
+// process of this router or nobody holds the lease.
 func (h *Holder) handleRejection(now float64, state *leaseState, response Response) (changes []Change) {
 	if state.fencingToken != 0 && response.FencingToken != state.fencingToken {
 		changes = append(changes, Change{Lease: response.Lease, Cause: CauseTokenReplaced})
@@ -82,8 +82,8 @@
 	return changes
 }
 
-// handleGrant handles a response that grants or renews the lease. sentAt is the time at which the
-// request was sent, from which the lease counts.
+// handleGrant handles a response that grants or renews the lease. sentAt is the time at which
+// the request was sent. The lease counts from sentAt.
 func (h *Holder) handleGrant(now, sentAt float64, state *leaseState, response Response) (changes []Change) {
 	expiresAt := sentAt + h.settings.holderPeriod()
 	if now >= expiresAt && now >= state.expiresAt { // the response came after the end of the lease that it grants
--- a/internal/fleet/leasemanager/bootstrap.go
+++ b/internal/fleet/leasemanager/bootstrap.go
@@ -10,12 +10,13 @@
 
 const (
 	helloInterval = 300.0 // ms between hellos of a voter that has not started or that asks to join
-	maxHeardFrom  = 64    // number of raft IDs that a voter remembers having heard from
+	maxHeardFrom  = 64    // maximum number of raft IDs in voterMetadata.HeardFrom
 )
 
-// maintainMembers runs periodically. A voter whose node has not started sends hellos, to learn
-// whether it was a voter before, and tries to start. A node that is neither voter nor learner sends
-// hellos that ask to join. The leader promotes learners.
+// maintainMembers runs every helloInterval. A voter whose node has not started sends hellos and
+// tries to start. The replies tell it whether it was a voter before. A node that is neither
+// voter nor learner sends hellos that ask to join. The leader promotes a learner that has caught
+// up.
 func (v *voter) maintainMembers(now float64) {
 	if v.node == nil {
 		v.sendHellos(hello{Name: v.name, RaftID: v.bootstrapID, NoLog: true})
@@ -31,7 +32,7 @@
 	}
 }
 
-// sendHellos sends a hello to all other voters that the operators' file names.
+// sendHellos sends a hello to every voter that the operators' file names, except this voter.
 func (v *voter) sendHellos(message hello) {
 	for _, name := range v.settings.Voters {
 		if name != v.name {
@@ -40,13 +41,15 @@
 	}
 }
 
-// bootstrap starts the node of a voter without a log. Once all other voters have replied that they
-// do not know this one, it starts as one of the first voters. As soon as one of them replies that
-// this voter has voted before or that a registry exists, it starts under a new raft ID without a
-// vote.
+// bootstrap starts the node of a voter that has no log. The replies of the other voters to its
+// hellos decide how the node starts.
 //
-// Otherwise a voter whose disk was emptied could vote a second time in a term in which it had
-// voted before, and two leaders could be elected.
+// A reply can show that this voter has voted before, or that a registry already exists. As soon
+// as one reply shows this, the node starts under a new raft ID and without a vote. If all other
+// voters have replied and no reply shows this, the node starts as one of the first voters.
+//
+// Without this check, a voter whose disk was emptied could vote twice in the same term, and two
+// leaders could be elected.
 func (v *voter) bootstrap(now float64) {
 	voters := map[uint64]string{v.bootstrapID: v.name}
 	registryExists, replyMissing := false, false
@@ -76,8 +79,8 @@
 	v.fault = v.startNode(voters, now)
 }
 
-// recordHeardFrom stores on the disk that this voter has received a message from a raft ID. If it
-// returns false, storing failed and the message must not be handled.
+// recordHeardFrom stores on the disk that this voter has received a message from a raft ID. It
+// returns false if the raft ID could not be stored. The caller must then drop the message.
 func (v *voter) recordHeardFrom(id uint64) bool {
 	if slices.Contains(v.metadata.HeardFrom, id) {
 		return true
@@ -95,8 +98,8 @@
 	return true
 }
 
-// isTrusted reports whether a hello may come from this sender: either the sender names itself, or it
-// is a voter that forwards another's request to join.
+// isTrusted reports whether to accept a hello from a sender. A sender may describe itself. A
+// voter may also forward the join request of another router.
 func (v *voter) isTrusted(received hello, sender string) bool {
 	return received.Name == sender || received.JoinRequest && v.isVoterName(sender)
 }
--- a/internal/fleet/leasemanager/codec.go
+++ b/internal/fleet/leasemanager/codec.go
@@ -13,8 +13,8 @@
 )
 
 // This file encodes and decodes the messages between routers and voters and the metadata in a
-// voter's log. All are protobuf messages of numbers and strings, whose field numbers must not
-// change. Messages that exceed the registry's limits are rejected.
+// voter's log. All of them are protobuf messages of numbers and strings. Their field numbers
+// must not change. The decoders reject messages that exceed the registry's limits.
 
 // maxRemainingMs bounds a decoded duration in ms, so that its conversion to float64 is exact.
 const maxRemainingMs = 1 << 40
@@ -117,8 +117,8 @@
 	return response, ok && response.Lease != ""
 }
 
-// leaderHint is the response of a voter that is not the leader. It names the leader that the voter
-// knows.
+// leaderHint is the response of a voter that does not lead. It names the leader that the
+// responding voter knows.
 type leaderHint struct {
 	RequestID uint64
 	Leader    string // name of the leading voter
@@ -183,12 +183,12 @@
 		return true
 	})
 	if ok && request.Set != nil {
-		request.Set.RequestID = requestID // by which the leader finds the request when the command is applied
+		request.Set.RequestID = requestID // the leader uses it to find the request when the command is applied
 	}
 	return requestID, request, ok
 }
 
-// isBanCommand reports whether a command sets the ban of a valid server ID, which has 32 bits.
+// isBanCommand reports whether a command sets a ban and its server ID fits into 32 bits.
 func isBanCommand(command *leaseregistry.Command) bool {
 	return command.Op == leaseregistry.OpSetBan && command.Server>>32 == 0
 }
@@ -229,15 +229,15 @@
 	return response, ok
 }
 
-// hello is a message by which voters find each other, reply and ask to join. It is independent of
-// raft's messages.
+// hello is a message between voters. A voter sends hellos to find the other voters, to reply to
+// their hellos and to ask to join the registry. Hellos are independent of raft's messages.
 type hello struct {
 	Name            string // name of the voter that the hello describes
-	RaftID          uint64 // raft ID of that voter, or the one that it would start with
+	RaftID          uint64 // raft ID of that voter; before it has started, the ID that it would start with
 	NoLog           bool   // the voter has no log
 	Reply           bool   // the hello is a reply to another hello
-	HeardFromSender bool   // with Reply: the voter has heard from the raft ID of the hello that it replies to
-	SenderIsVoter   bool   // with Reply: that raft ID is one of the voters that the voter knows
+	HeardFromSender bool   // with Reply: the replying voter has received raft messages from the RaftID of the other hello
+	SenderIsVoter   bool   // with Reply: the replying voter knows the RaftID of the other hello as a voter
 	JoinRequest     bool   // the voter asks to be added under RaftID
 }
 
--- a/internal/fleet/leasemanager/holder.go
+++ b/internal/fleet/leasemanager/holder.go
@@ -16,7 +16,7 @@
 	minStepInterval = 1.0   // ms between steps of the holder
 )
 
-// Lease is a lease that this router holds. /fleet/duties shows its JSON to operators.
+// Lease is a lease that this router holds. The page /fleet/duties shows it to operators as JSON.
 type Lease struct {
 	Name         string  `json:"Duty"`
 	FencingToken uint64  `json:"Token"`
@@ -25,7 +25,7 @@
 }
 
 // Valid returns the fencing token of a lease; ok is false if this router does not hold the lease
-// now. Callers must check it again at each write to a socket. It does not block.
+// now. Callers must call Valid again before each write to a socket. Valid does not block.
 func (m *Manager) Valid(name string) (token uint64, ok bool) {
 	for _, held := range *m.leases.Load() {
 		if held.Name == name {
@@ -35,8 +35,8 @@
 	return 0, false
 }
 
-// Leases returns the leases that this router held at the last change. Some may have expired since.
-// Callers must not modify the slice.
+// Leases returns the leases that this router held when they were last published. Some of them
+// may have expired since then. Callers must not modify the slice.
 func (m *Manager) Leases() []Lease { return *m.leases.Load() }
 
 // LastKnownHolder returns the holder of a lease according to the latest response that this router
@@ -49,14 +49,14 @@
 	return (*holders)[name]
 }
 
-// runHolder runs the holder's goroutine. Once ctx has ended, it releases the held leases, and returns
-// when the registry has confirmed the releases or releaseTimeout has passed.
+// runHolder runs the holder's goroutine. When ctx ends, runHolder releases the held leases. It
+// then returns as soon as the registry has confirmed the releases or releaseTimeout has passed.
 func (m *Manager) runHolder(ctx context.Context) {
 	defer close(m.holderDone)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	nextRankAt := 0.0
-	var releaseDeadline <-chan time.Time // not nil once all leases are being released
+	var releaseDeadline <-chan time.Time // nil until the shutdown has started to release the leases
 	for {
 		select {
 		case <-ctx.Done():
@@ -86,7 +86,7 @@
 // stepHolder sends the requests that are due, and returns the time in ms of the next step.
 func (m *Manager) stepHolder(now float64) (wakeAt float64) {
 	requests, changes, wakeAt := m.holder.Step(now)
-	m.publishLeases(now) // a released lease must be invalid here before the registry learns of the release
+	m.publishLeases(now) // a released lease must be invalid on this router before the registry learns of the release
 	for _, request := range requests {
 		m.sendRequest(request.ID, outgoingMessage{channel: fragment.LeaseRequest, payload: EncodeRequest(request)})
 	}
@@ -120,15 +120,15 @@
 	return len(held) > 0
 }
 
-// release releases a lease to the router to or, if to is 0, to the first-ranked candidate other
-// than this router.
-func (m *Manager) release(now float64, name string, to membership.ID) {
+// release releases a lease to the router successor. If successor is 0, the first-ranked
+// candidate other than this router gets the lease.
+func (m *Manager) release(now float64, name string, successor membership.ID) {
 	others := slices.DeleteFunc(m.eligibleMembers(), func(id membership.ID) bool { return id == m.self })
-	if first := lease.TopRanked(name, others, 1); to == 0 && len(first) > 0 {
-		to = first[0]
+	if first := lease.TopRanked(name, others, 1); successor == 0 && len(first) > 0 {
+		successor = first[0]
 	}
-	m.holder.Release(now, name, to, m.handoffs[name])
-	m.options.Log.Info().Str("lease", name).Str("to", m.memberName(to)).Msg("lease transferred")
+	m.holder.Release(now, name, successor, m.handoffs[name])
+	m.options.Log.Info().Str("lease", name).Str("to", m.memberName(successor)).Msg("lease transferred")
 }
 
 // updateRanks sets this router's rank for each lease in leaseNames.
@@ -144,8 +144,9 @@
 	}
 }
 
-// eligibleMembers returns the routers that may hold a lease: all that are alive, including this one,
-// or none if another process has taken over this router's identity.
+// eligibleMembers returns the routers that may hold a lease. These are all routers that are
+// alive, including this router. There are none if another process has taken over this router's
+// identity.
 func (m *Manager) eligibleMembers() []membership.ID {
 	view := m.options.Transport.Members()
 	if view.Superseded {
--- a/internal/fleet/leasemanager/manager.go
+++ b/internal/fleet/leasemanager/manager.go
@@ -1,10 +1,11 @@
-// Package leasemanager runs this router's side of the fleet's leases: the voter, if this router is
-// one, and the holder, which requests, renews and releases leases. The held leases are published,
-// so that a goroutine that acts under a lease can check it at each write to a socket without
-// blocking.
+// Package leasemanager runs this router's part of the fleet's leases. The holder requests,
+// renews and releases leases. If this router is a voter, the package also runs the voter. The
+// holder publishes the leases that it holds, so that a goroutine that acts under a lease can
+// check the lease before each write to a socket without blocking.
 //
-// A Manager owns two goroutines, one for the voter and one for the holder, each with an inbox.
-// Its exported methods may be called from any goroutine; those that wait take a context.
+// A Manager owns two goroutines, one for the voter and one for the holder. Each goroutine has an
+// inbox. The exported methods of a Manager may be called from any goroutine. The methods that
+// wait take a context.
 package leasemanager
 
 import (
@@ -27,10 +28,10 @@
 )
 
 const (
-	inboxSize = 512 // messages per goroutine; further messages are dropped
+	inboxSize = 512 // messages in the inbox of each goroutine; messages to a full inbox are dropped
 
-	// A shutdown waits up to leadershipTransferTimeout for another leader, and then up to
-	// releaseTimeout until the registry has confirmed the releases.
+	// A shutdown waits up to leadershipTransferTimeout until another voter leads. It then waits
+	// up to releaseTimeout until the registry has confirmed the releases.
 	leadershipTransferTimeout = 800 * time.Millisecond
 	leadershipPollInterval    = 10 * time.Millisecond
 	releaseTimeout            = 2000 * time.Millisecond
@@ -48,16 +49,16 @@
 var (
 	ErrNotHeld       = errors.New("this router does not hold the lease")
 	ErrNoSuchRouter  = errors.New("no other router with this name is present")
-	ErrNotVoter      = errors.New("this router is not a voter")
-	ErrNotLeader     = errors.New("this router's voter is not the leader")
-	ErrUnknownVoter  = errors.New("no voter or learner with this name")
-	ErrOnlyVoterLeft = errors.New("cannot remove the only voter")
+	ErrNotVoter      = errors.New("this router is not a voter of the lease registry")
+	ErrNotLeader     = errors.New("this router's voter is not the leader of the lease registry")
+	ErrUnknownVoter  = errors.New("the lease registry has no voter or learner with this name")
+	ErrOnlyVoterLeft = errors.New("cannot remove the only voter of the lease registry")
 )
 
 // Settings are the settings of leases in the operators' file.
 type Settings struct {
 	Fleet     string   // name of the fleet
-	Voters    []string // names of the routers that are the voters when the registry first starts
+	Voters    []string // names of the routers that are the first voters of a new registry
 	Consensus consensus.Settings
 }
 
@@ -102,7 +103,7 @@
 	holderInbox        chan func(now float64)
 	holderDone         chan struct{}
 	leaseNames         []string                   // leases that this router is willing to hold
-	handoffs           map[string][]byte          // data of the last holder, by lease
+	handoffs           map[string][]byte          // data that the previous holder left, by lease name
 	pendingRequests    map[uint64]outgoingMessage // messages that have no response yet, by request ID
 	unansweredRequests int                        // number of requests sent since the last response
 	likelyLeader       membership.ID              // voter that responded last or that a hint named; 0 if unknown
@@ -114,9 +115,9 @@
 	status       atomic.Pointer[Status]
 }
 
-// New returns a manager, whose Run the caller must call. It opens the voter's log if this router is
-// a voter, and returns an error if the log cannot be used. leaseNames are the leases that this
-// router is willing to hold.
+// New returns a manager. The caller must call its Run method. If this router is a voter, New
+// opens the voter's log, and returns an error if the log cannot be used. leaseNames are the
+// leases that this router is willing to hold.
 func New(options Options, self membership.ID, leaseNames []string) (*Manager, error) {
 	manager := &Manager{
 		options:         options,
@@ -142,8 +143,8 @@
 	return manager, nil
 }
 
-// Run runs the voter and the holder. When ctx ends, the voter first transfers its leadership and the
-// holder then releases its leases; the voter runs until that is done.
+// Run runs the voter and the holder. When ctx ends, the voter transfers its leadership. The
+// holder then releases its leases. The voter stops last.
 func (m *Manager) Run(ctx context.Context) {
 	if m.voter == nil {
 		close(m.voterDone)
@@ -166,12 +167,14 @@
 	m.runHolder(holderCtx)
 }
 
-// Stopped returns a channel that is closed once Run has ended the release of all leases.
+// Stopped returns a channel that is closed when the holder has stopped. The registry has
+// confirmed the releases of all leases by then, or releaseTimeout has passed.
 func (m *Manager) Stopped() <-chan struct{} { return m.holderDone }
 
-// transferLeadership transfers the registry's leadership if this router's voter is the leader, and
-// waits until another voter leads. The routers that take over this router's leases then find a
-// leader that is not about to stop.
+// transferLeadership ends the updates of the ranks. If this router's voter is the leader,
+// transferLeadership transfers the leadership. It then waits until another voter leads, or until
+// leadershipTransferTimeout has passed. The routers that take over this router's leases then
+// find a leader that is not about to stop.
 func (m *Manager) transferLeadership() {
 	m.stopping.Store(true)
 	deadline := time.Now().Add(leadershipTransferTimeout)
@@ -184,7 +187,7 @@
 	}
 }
 
-// Deliver handles a message of another router. It never blocks, and drops the message if the inbox
+// Deliver handles a message from another router. It never blocks, and drops the message if the inbox
 // is full.
 func (m *Manager) Deliver(from membership.ID, incarnation uint64, channel fragment.Channel, payload []byte) {
 	switch channel {
@@ -227,8 +230,8 @@
 	}
 }
 
-// send passes a message to the transport or, if this router is the receiver, to its own goroutines.
-// It drops a message to a voter that is not present.
+// send passes a message to the transport. If this router is the receiver, send passes the
+// message to its own goroutines. It drops a message to a voter that is not present.
 func (m *Manager) send(message outgoingMessage) {
 	to := message.routerID
 	if message.voterName != "" {
@@ -244,7 +247,7 @@
 	m.options.Transport.Send(to, message.channel, message.payload)
 }
 
-// memberName returns the name of a router, or an empty string if it is unknown.
+// memberName returns the name of a router, or an empty string if the router is unknown.
 func (m *Manager) memberName(id membership.ID) string {
 	for _, member := range m.options.Transport.Members().Members {
 		if member.ID == id {
@@ -254,7 +257,7 @@
 	return ""
 }
 
-// memberID returns the ID of the present router with a name, or 0 if there is none.
+// memberID returns the ID of the router with the given name, or 0 if no such router is present.
 func (m *Manager) memberID(name string) membership.ID {
 	for _, member := range m.options.Transport.Members().Members {
 		if member.Name == name && member.State.Present() {
@@ -264,25 +267,25 @@
 	return 0
 }
 
-// Transfer transfers the lease name, which this router holds, to the router with the name to or, if
-// to is empty, to the first-ranked other candidate. It returns ErrNotHeld, ErrNoSuchRouter or the
-// error of ctx.
-func (m *Manager) Transfer(ctx context.Context, name, to string) error {
+// Transfer transfers a lease that this router holds to the router named targetName. If
+// targetName is empty, the first-ranked other candidate gets the lease. Transfer returns
+// ErrNotHeld, ErrNoSuchRouter or the error of ctx.
+func (m *Manager) Transfer(ctx context.Context, leaseName, targetName string) error {
 	result := make(chan error, 1)
 	transfer := func(now float64) {
-		if _, held := m.holder.Valid(now, name); !held {
+		if _, held := m.holder.Valid(now, leaseName); !held {
 			result <- ErrNotHeld
 			return
 		}
 		target := membership.ID(0)
-		if to != "" {
-			target = m.memberID(to)
+		if targetName != "" {
+			target = m.memberID(targetName)
 			if target == 0 || target == m.self {
 				result <- ErrNoSuchRouter
 				return
 			}
 		}
-		m.release(now, name, target)
+		m.release(now, leaseName, target)
 		result <- nil
 	}
 	select {
@@ -293,9 +296,9 @@
 	return awaitResult(ctx, result)
 }
 
-// ChangeVoter adds or removes a voter. Only the leader's router can do this. An added voter joins
-// when it next asks to join. ChangeVoter returns ErrNotVoter, ErrNotLeader, ErrUnknownVoter,
-// ErrOnlyVoterLeft or the error of ctx.
+// ChangeVoter adds or removes a voter. Only the router of the leader can do this. An added voter
+// becomes a learner only after its next join request. ChangeVoter returns ErrNotVoter,
+// ErrNotLeader, ErrUnknownVoter, ErrOnlyVoterLeft or the error of ctx.
 func (m *Manager) ChangeVoter(ctx context.Context, name string, add bool) error {
 	if m.voter == nil {
 		return ErrNotVoter
--- a/internal/fleet/leasemanager/members.go
+++ b/internal/fleet/leasemanager/members.go
@@ -10,10 +10,11 @@
 	"garnetline/internal/fleet/leaseregistry"
 )
 
-// maxPromotionLag is the greatest lag, in entries, with which a learner is promoted to a voter.
+// maxPromotionLag is the maximum number of entries by which a learner may lag when it is
+// promoted to a voter.
 const maxPromotionLag = 50
 
-// isVoterName reports whether one of the registry's voters has a name.
+// isVoterName reports whether one of the registry's voters has the given name.
 func (v *voter) isVoterName(name string) bool {
 	if v.node == nil || name == "" {
 		return false
@@ -21,9 +22,10 @@
 	return slices.ContainsFunc(v.node.Status().Voters, func(id uint64) bool { return v.voterName(id) == name })
 }
 
-// addLearner returns the input that makes a joining voter a learner, if the voter lost its disk or
-// was added by operators. Its name must be in the registry first: if it is not, the input proposes
-// that instead.
+// addLearner returns the input that makes a joining voter a learner. The input is empty if the
+// joining voter is already a learner, or if it is neither a known voter that lost its disk nor
+// added by operators. The name of a learner must be in the registry first. If the name is
+// missing, the input proposes the name instead.
 func (v *voter) addLearner(joining hello) consensus.Input {
 	if !v.isVoterName(joining.Name) && !v.approvedNames[joining.Name] {
 		return consensus.Input{}
@@ -41,9 +43,10 @@
 	return consensus.Input{ConfChange: &raftpb.ConfChangeV2{Changes: []*raftpb.ConfChangeSingle{{Type: &kind, NodeId: &id}}}}
 }
 
-// promoteLearner promotes a learner that has caught up to a voter. If another raft ID with the same
-// name is still a voter, it removes that one first. It proposes one change at a time, because raft
-// rejects a second.
+// promoteLearner promotes a learner that has caught up to a voter. If an older raft ID with the
+// same name is still a voter, promoteLearner first removes the older raft ID, and promotes the
+// learner in a later call. Each call proposes a single change, because raft rejects a change
+// while another change is pending.
 func (v *voter) promoteLearner(status consensus.Status) {
 	for _, id := range status.Learners {
 		if lag := v.node.LearnerLag(id); lag < 0 || lag > maxPromotionLag {
@@ -61,11 +64,11 @@
 	}
 }
 
-// changeVoter adds or removes a voter for operators if this voter leads. An added voter joins when
-// it next asks to join.
+// changeVoter adds or removes a voter for operators if this voter leads. An added voter becomes
+// a learner only after its next join request.
 func (v *voter) changeVoter(name string, add bool) error {
 	if v.node == nil || !v.leading {
-		return fmt.Errorf("%w; the leader is %q", ErrNotLeader, v.leaderName())
+		return fmt.Errorf("%w; known leader: %q", ErrNotLeader, v.leaderName())
 	}
 	if add {
 		v.approvedNames[name] = true
@@ -77,11 +80,11 @@
 			continue
 		}
 		if len(status.Voters) <= 1 {
-			return fmt.Errorf("%s: %w", name, ErrOnlyVoterLeft)
+			return fmt.Errorf("voter %q: %w", name, ErrOnlyVoterLeft)
 		}
 		delete(v.approvedNames, name)
 		v.queuedInputs = append(v.queuedInputs, confChange(raftpb.ConfChangeRemoveNode, id))
 		return nil
 	}
-	return fmt.Errorf("%s: %w", name, ErrUnknownVoter)
+	return fmt.Errorf("voter %q: %w", name, ErrUnknownVoter)
 }
--- a/internal/fleet/leasemanager/requests.go
+++ b/internal/fleet/leasemanager/requests.go
@@ -10,10 +10,11 @@
 )
 
 const (
-	maxPendingRequests = 64 // requests that a leader hint can still redirect; the oldest is discarded
+	maxPendingRequests = 64 // requests kept for a leader hint to redirect; the oldest request is discarded
 
-	// Of the requests since the last response, every rotateAfter-th goes to the next voter
-	// of Settings.Voters, and every forgetLeaderAfter-th clears the likely leader.
+	// Requests are counted since the last response. Every rotateAfter-th request goes to the
+	// next voter in Settings.Voters. Every forgetLeaderAfter-th request clears the likely
+	// leader.
 	rotateAfter       = 3
 	forgetLeaderAfter = 4
 )
@@ -26,8 +27,8 @@
 	})
 }
 
-// sendRequest sends a request to the likely leader. If that is unknown, and with every rotateAfter-th
-// request, it sends the request to a voter of Settings.Voters instead.
+// sendRequest sends a request to the likely leader. It sends the request to a voter of
+// Settings.Voters instead if the likely leader is unknown, and for every rotateAfter-th request.
 func (m *Manager) sendRequest(requestID uint64, message outgoingMessage) {
 	m.pendingRequests[requestID] = message
 	if len(m.pendingRequests) > maxPendingRequests {
@@ -49,8 +50,8 @@
 	}
 }
 
-// handleLeaderHint sends a request again, to the leader that a voter named. It does so only once for
-// each request.
+// handleLeaderHint resends a pending request to the leader that the hint names. It resends each
+// request at most once.
 func (m *Manager) handleLeaderHint(hint leaderHint) {
 	message, pending := m.pendingRequests[hint.RequestID]
 	if !pending {
--- a/internal/fleet/leasemanager/status.go
+++ b/internal/fleet/leasemanager/status.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// Status is the state of this router's voter. /fleet/duties shows its JSON to operators.
+// Status is the state of this router's voter. The page /fleet/duties shows it to operators as
+// JSON.
 type Status struct {
 	Voter        bool          `json:"elector"` // whether this router is a voter
 	Leader       string        `json:"leader"`
@@ -11,7 +12,7 @@
 	Learners     []string      `json:"learners"`
 	Term         uint64        `json:"term"`
 	AppliedIndex uint64        `json:"applied"`
-	Fault        string        `json:"fault,omitempty"` // why the voter halted; empty if it has not
+	Fault        string        `json:"fault,omitempty"` // why the voter halted; empty if the voter has not halted
 	Leases       []LeaseStatus `json:"duties"`          // leases in this voter's copy of the registry
 }
 
@@ -25,7 +26,8 @@
 // Status returns the state of this router's voter. Callers must not modify it.
 func (m *Manager) Status() *Status { return m.status.Load() }
 
-// publishStatus publishes the state of the voter, and logs changes of the leader and the voters.
+// publishStatus publishes the state of the voter. It logs when the leader or the voters have
+// changed.
 func (m *Manager) publishStatus() {
 	current := m.currentStatus()
 	previous := m.status.Swap(current)
@@ -37,8 +39,8 @@
 	}
 }
 
-// shouldLogVoters reports whether the voters have changed, or have just become known and differ from
-// the operators' file.
+// shouldLogVoters reports whether the voters have changed. If the previous voters are unknown,
+// it reports whether the current voters differ from those in the operators' file.
 func (m *Manager) shouldLogVoters(previous, current *Status) bool {
 	if previous.Voters != nil {
 		return !slices.Equal(previous.Voters, current.Voters)
--- a/internal/fleet/leasemanager/voter.go
+++ b/internal/fleet/leasemanager/voter.go
@@ -14,13 +14,13 @@
 	"garnetline/internal/fleet/membership"
 )
 
-// voter is this router's member of the lease registry: a consensus node, and the state that is needed
-// to start it, to join other voters and to know their names. Its only I/O is that of its log. Only
-// its goroutine steps it.
+// voter is this router's voter of the lease registry. It holds a consensus node. It also holds
+// the state that it needs to start the node, to join other voters and to know their names. The
+// voter's log is its only I/O. Only the goroutine that runs runVoter steps the voter.
 type voter struct {
 	settings    Settings
 	name        string
-	bootstrapID uint64 // raft ID that the voter has if it is one of the first voters
+	bootstrapID uint64 // raft ID of this voter as one of the first voters of a registry
 	log         *wal.Log
 	recovered   wal.State // content of the log at the start
 
@@ -30,15 +30,15 @@
 	fault    error // set once the log or the node has failed
 
 	hellos        map[string]hello  // latest hello of each other voter, by its name
-	nextHelloAt   float64           // in ms
+	nextHelloAt   float64           // time of the next hellos, in ms
 	approvedNames map[string]bool   // names of voters that operators added
-	queuedInputs  []consensus.Input // steps to make after the current event
+	queuedInputs  []consensus.Input // inputs of the steps that follow the current event
 
 	wakeAt float64      // time of the next step, in ms
 	output *voterOutput // output of the current step; nil between steps
 }
 
-// voterOutput lists what the caller of a step has to send.
+// voterOutput lists the messages and notices that the caller of a step must send.
 type voterOutput struct {
 	messages []outgoingMessage
 	released []lease.Response // leases that nobody holds; the first-ranked candidates are notified
@@ -62,12 +62,12 @@
 	payload     []byte
 }
 
-// bootstrapRaftID returns the raft ID of one of the first voters of a new registry. All versions must
-// compute the same ID.
+// bootstrapRaftID returns the raft ID of one of the first voters of a new registry. All versions
+// of the program must compute the same ID.
 func bootstrapRaftID(fleet, name string) uint64 { return xxhash.Sum64String(fleet+"\x00"+name) | 1 }
 
-// newVoter opens a voter's log, and starts its node if the log holds its raft ID. now is the time of
-// the boot clock in ms, as in all steps.
+// newVoter opens a voter's log, and starts the node if the log holds the voter's raft ID. now is
+// the time of the boot clock in ms, as in all steps.
 func newVoter(settings Settings, name string, logDir wal.FS, now float64) (*voter, error) {
 	created := &voter{
 		settings:      settings,
@@ -94,15 +94,16 @@
 	return created, nil
 }
 
-// startNode starts the node. bootstrapVoters holds the voters of a new registry, and is nil if the
-// node restarts or joins an existing one.
+// startNode starts the node. bootstrapVoters holds the names of the first voters of a new
+// registry by raft ID. It is nil if the node restarts or joins an existing registry.
 func (v *voter) startNode(bootstrapVoters map[uint64]string, now float64) error {
 	var err error
 	v.node, err = consensus.NewNode(v.settings.Consensus, v.metadata.RaftID, v.log, v.recovered, bootstrapVoters, now)
 	return err
 }
 
-// step handles one event, if handle is not nil, and returns the messages and notices to send.
+// step calls handle for one event and then steps the node. handle may be nil. step returns the
+// messages and notices to send.
 func (v *voter) step(now float64, handle func(v *voter) consensus.Input) voterOutput {
 	var out voterOutput
 	v.output = &out
@@ -127,8 +128,9 @@
 
 // stepNode steps the node if it has started.
 //
-// It resets wakeAt even if the node has not started. Otherwise a voter that waits for the others
-// before it starts would keep a wake time in the past, and use a whole CPU until they arrive.
+// It resets wakeAt even if the node has not started. Otherwise a voter that waits for the hellos
+// of the other voters would keep a wake time in the past, and use a whole CPU until the hellos
+// arrive.
 func (v *voter) stepNode(now float64, input consensus.Input) {
 	v.wakeAt = math.Inf(1)
 	if v.node == nil || v.fault != nil {
@@ -148,7 +150,8 @@
 	}
 }
 
-// sendRaft sends a raft message to a peer, or reports to the node that it cannot be sent.
+// sendRaft sends a raft message to a peer. If the message cannot be sent, sendRaft reports this
+// to the node.
 func (v *voter) sendRaft(message *raftpb.Message) {
 	payload, err := proto.Marshal(message)
 	name := v.voterName(message.GetTo())
@@ -205,8 +208,8 @@
 	return consensus.Input{}
 }
 
-// handleRaft returns a raft message for this voter as the node's next input. Before that, it stores
-// on the disk that this voter has heard from the sender.
+// handleRaft returns a raft message for this voter as the node's next input. It first stores on
+// the disk that this voter has heard from the sender.
 func (v *voter) handleRaft(incoming incomingMessage) consensus.Input {
 	message := &raftpb.Message{}
 	if v.node == nil || proto.Unmarshal(incoming.payload, message) != nil {
@@ -236,8 +239,8 @@
 	return consensus.Input{Request: &request}
 }
 
-// voterName returns the name of the voter or learner with a raft ID, or an empty string if it is
-// unknown.
+// voterName returns the name of the voter or learner with the given raft ID, or an empty string
+// if the name is unknown.
 func (v *voter) voterName(id uint64) string {
 	if name := v.node.State().VoterNames[id]; name != "" {
 		return name
--- a/internal/fleet/leasemanager/voter_golden_test.go
+++ b/internal/fleet/leasemanager/voter_golden_test.go
@@ -50,7 +50,8 @@
 	return g
 }
 
-// start starts a voter with a log that is empty or, if metadata is not nil, holds only metadata.
+// start starts a voter. The voter's log holds only the given metadata, or is empty if metadata
+// is nil.
 func (g *recordedGroup) start(name string, metadata []byte) {
 	g.t.Helper()
 	dir := wal.Dir(g.t.TempDir())
@@ -123,24 +124,24 @@
 	}
 }
 
-// runUntil advances the clock of clockedVoter, and makes the others send hellos at each step, until
-// done returns true.
-func (g *recordedGroup) runUntil(condition string, done func() bool, others ...string) {
+// runUntil advances the clock of clockedVoter until done returns true. At each step it also
+// makes the voters in helloSenders send hellos.
+func (g *recordedGroup) runUntil(condition string, done func() bool, helloSenders ...string) {
 	g.t.Helper()
 	for deadline := g.now + 10_000; !done(); g.now += 10 {
 		if g.now > deadline {
 			g.t.Fatalf("%s: not reached within 10 s", condition)
 		}
 		g.step(clockedVoter, g.now)
-		for _, name := range others {
+		for _, name := range helloSenders {
 			g.voters[name].nextHelloAt = 0
 			g.step(name, 0)
 		}
 	}
 }
 
-// The bytes that voters send each other must not change, when they start for the first time, elect a
-// leader, grant a lease and add a voter that lost its disk.
+// The bytes that voters send to each other must not change. The voters start for the first time,
+// elect a leader, grant a lease and add a voter that lost its disk.
 func TestGoldenVoterExchange(t *testing.T) {
 	g := newRecordedGroup(t, clockedVoter, "r02", "r03")
 	g.runUntil("all voters have started", func() bool {
--- a/internal/fleet/leasemanager/voter_loop.go
+++ b/internal/fleet/leasemanager/voter_loop.go
@@ -16,7 +16,7 @@
 	haltedInterval = 1000.0
 
 	// maxReleaseNotices is the number of routers that are notified of a lease that nobody holds.
-	// If more were notified, most would request the lease in vain.
+	// Only one of them can get the lease, so most further notices would cause useless requests.
 	maxReleaseNotices = 4
 )
 
@@ -63,9 +63,10 @@
 
 // announceReleased notifies the first-ranked candidates of a lease that nobody holds it.
 //
-// Without the notice, a lease that was transferred to a router that did not want it, and that
-// released it to nobody at once, had no holder for 1 to 2 s: the other routers knew how long the
-// previous grant might last, and requested the lease only after that time.
+// Without the notice, a lease could have no holder for 1 to 2 s: it is transferred to a router
+// that does not want it, and that router immediately releases it to nobody. The other routers
+// only know how long the previous grant may last, and would not request the lease before that
+// time has passed.
 func (m *Manager) announceReleased(released lease.Response) {
 	for _, id := range lease.TopRanked(released.Lease, m.eligibleMembers(), maxReleaseNotices) {
 		m.send(outgoingMessage{routerID: id, channel: fragment.LeaseResponse, payload: EncodeResponse(released)})
--- a/internal/fleet/leasemanager/voter_test.go
+++ b/internal/fleet/leasemanager/voter_test.go
@@ -21,7 +21,7 @@
 	dir         string
 	now         float64
 	voters      map[string]*voter
-	unreachable map[string]bool // by name
+	unreachable map[string]bool // names of the voters that no message reaches or leaves
 }
 
 func newVoterGroup(t *testing.T, names ...string) *voterGroup {
@@ -50,13 +50,13 @@
 	g.voters[name] = v
 }
 
-// run advances the group's clock by ms and delivers all messages.
-func (g *voterGroup) run(ms float64) {
+// run advances the group's clock by duration, in ms, and delivers all messages.
+func (g *voterGroup) run(duration float64) {
 	type delivery struct {
 		from string
 		outgoingMessage
 	}
-	for end := g.now + ms; g.now < end; g.now += 10 {
+	for end := g.now + duration; g.now < end; g.now += 10 {
 		var inFlight []delivery
 		step := func(name string, handle func(*voter) consensus.Input) {
 			for _, message := range g.voters[name].step(g.now, handle).messages {
@@ -80,7 +80,7 @@
 	}
 }
 
-// The states that state returns.
+// Results of voterGroup.state.
 const (
 	stateWaits = "waits"
 	stateVoter = "votes true, leader known true"
@@ -95,10 +95,10 @@
 	return fmt.Sprintf("votes %v, leader known %v", slices.Contains(status.Voters, v.metadata.RaftID), status.LeaderID != 0)
 }
 
-// The first voters must not start before each has heard from all. A voter whose disk is emptied must
-// not vote under its old raft ID again, neither while it is partitioned nor when it hears from the
-// others, and must be added again. A voter that restarts with its disk must continue to vote under
-// the same raft ID.
+// The first voters must not start before each of them has heard from all others. A voter whose
+// disk is emptied must not vote again under its old raft ID, whether it is partitioned or hears
+// from the others. That voter must be added again. A voter that restarts with its disk must
+// continue to vote under the same raft ID.
 func TestBootstrapAndLostDisk(t *testing.T) {
 	group := newVoterGroup(t, "a", "b", "c")
 	group.unreachable["c"] = true
@@ -123,7 +123,7 @@
 	if group.state("b") != stateWaits {
 		t.Errorf("voter with an emptied disk, partitioned: got state %q, want it to wait", group.state("b"))
 	}
-	for _, name := range []string{"a", "c"} { // one voter that has heard from b is enough to stop its vote
+	for _, name := range []string{"a", "c"} { // one reachable voter that has heard from b must be enough to keep b from voting
 		if slices.Contains(group.voters[name].metadata.HeardFrom, firstID) {
 			group.unreachable[name] = false
 			break
--- a/internal/fleet/leaseregistry/command.go
+++ b/internal/fleet/leaseregistry/command.go
@@ -16,7 +16,7 @@
 // The operations.
 const (
 	OpGrant     Op = 1 + iota // grants a lease if its token is still ExpectedToken
-	OpRelease                 // releases the holder's lease, which nobody holds then
+	OpRelease                 // releases the holder's lease; nobody holds the lease afterwards
 	OpTransfer                // transfers the holder's lease to another router
 	OpSetBan                  // sets a server's ban if its version is still ExpectedToken
 	OpNameVoter               // sets or removes the name of a voter
@@ -28,7 +28,7 @@
 	Lease         string
 	Holder        membership.ID    // the new holder; OpRelease: the router that releases the lease
 	Incarnation   uint64           // identifies the holder's process
-	ExpectedToken uint64           // token of the lease or version of the ban before the command; 0: none yet
+	ExpectedToken uint64           // token of the lease or version of the ban before the command; 0: no lease or ban yet
 	Handoff       []byte           // OpRelease, OpTransfer: data for the next holder
 	Server        routing.ServerID // OpSetBan: the server that the ban is about
 	Disabled      bool             // OpSetBan: whether the server is disabled
@@ -58,7 +58,7 @@
 	fieldRequestID     protowire.Number = 14
 )
 
-// Upper bounds of decoded numbers, within which the conversions are exact.
+// Upper bounds of decoded numbers. The conversions of numbers up to these bounds are exact.
 const (
 	maxOp     = 255
 	maxUnixMs = 1 << 50
--- a/internal/fleet/leaseregistry/snapshot.go
+++ b/internal/fleet/leaseregistry/snapshot.go
@@ -19,7 +19,8 @@
 	snapshotVoterName protowire.Number = 3
 )
 
-// Field numbers of a lease. Each router ID of the loss counters is followed by that router's count.
+// Field numbers of a lease. The loss counters are pairs of fields: the ID of a router, followed
+// by the count of that router.
 const (
 	leaseName         protowire.Number = 1
 	leaseHolder       protowire.Number = 2
--- a/internal/fleet/leaseregistry/state.go
+++ b/internal/fleet/leaseregistry/state.go
@@ -22,7 +22,7 @@
 	MaxLeases     = 4096
 	MaxBans       = 4096
 	MaxNameLen    = 64  // of a lease or voter, in bytes
-	MaxTextLen    = 200 // of the author of a ban, and of its reason, in bytes
+	MaxTextLen    = 200 // of the name of a ban's author, and of a ban's reason, in bytes
 	MaxHandoffLen = 512 // of the data that a holder leaves to its successor, in bytes
 
 	maxVoterNames   = 64
@@ -68,10 +68,10 @@
 	return &State{Leases: map[string]*Lease{}, Bans: map[routing.ServerID]*Ban{}, VoterNames: map[uint64]string{}}
 }
 
-// Apply applies the command at a log index, which becomes the new token or version. It returns
-// ErrTokenMismatch if the lease or ban no longer matches what the command expects, ErrFull if a
-// limit is reached, and ErrUnknownCommand for an unknown operation. With an error the state is
-// unchanged.
+// Apply applies a command. index is the log index of the command. It becomes the new token of
+// the lease or the new version of the ban. Apply returns ErrTokenMismatch if the lease or ban no
+// longer matches the command, ErrFull if a limit is reached, and ErrUnknownCommand for an
+// unknown operation. If Apply returns an error, the state is unchanged.
 func (s *State) Apply(index uint64, command *Command) error {
 	switch command.Op {
 	case OpGrant:
@@ -178,10 +178,10 @@
 
 // recordLoss increments the holder's loss counter and halves those of all other routers.
 //
-// Without the halving, about ninety losses spread over eight routers made each of them back off
-// for the longest time, so that nobody held the lease. With it, only a router that loses the
-// lease repeatedly while others keep it reaches a high count; where all lose it in turn, no
-// router does.
+// Without the halving, about ninety losses spread over eight routers would make each of these
+// routers back off for the longest time, and nobody would hold the lease. With the halving, only
+// a router that loses the lease repeatedly while others keep it reaches a high count. If all
+// routers lose the lease in turn, no router reaches a high count.
 func (l *Lease) recordLoss() {
 	for id, losses := range l.Losses {
 		if id == l.Holder {
@@ -199,7 +199,8 @@
 	}
 }
 
-// evictLoss removes the lowest loss counter, and among equal ones that of the lowest router ID.
+// evictLoss removes the lowest loss counter. If several counters are equally low, it removes
+// that of the router with the lowest ID.
 func (l *Lease) evictLoss() {
 	ids := slices.SortedFunc(maps.Keys(l.Losses), func(a, b membership.ID) int {
 		return cmp.Or(cmp.Compare(l.Losses[a], l.Losses[b]), cmp.Compare(a, b))
--- a/internal/fleet/leaseregistry/state_test.go
+++ b/internal/fleet/leaseregistry/state_test.go
@@ -27,12 +27,12 @@
 	}
 }
 
-// checkTokens checks the tokens of the leases after a command against those before it, and then
-// records the new ones in tokens.
+// checkTokens compares the tokens of the leases after a command with the tokens before it, which
+// the map tokens holds. It then records the new tokens in the map.
 func checkTokens(t *rapid.T, state *State, command *Command, tokens map[string]uint64) {
 	for name, lease := range state.Leases {
 		if lease.FencingToken < tokens[name] {
-			t.Fatalf("lease %s: got token %d after token %d, want no lower one", name, lease.FencingToken, tokens[name])
+			t.Fatalf("lease %s: got token %d after token %d, want no lower token", name, lease.FencingToken, tokens[name])
 		}
 		if lease.FencingToken != tokens[name] && command.ExpectedToken != tokens[name] {
 			t.Fatalf("lease %s was changed by a command that expects token %d, but its token was %d", name, command.ExpectedToken, tokens[name])
@@ -41,8 +41,8 @@
 	}
 }
 
-// For random commands, a token must only grow, a command that does not expect the current token
-// must not change a lease, a rejected command must change nothing, and a snapshot must restore the
+// For random commands, a token must only grow. A command that does not expect the current token
+// must not change a lease. A rejected command must change nothing. A snapshot must restore the
 // same state.
 func TestRandomCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -67,8 +67,9 @@
 	})
 }
 
-// A router that loses the lease repeatedly while others keep it must get a high loss count. Where
-// all routers lose it in turn, no count may grow high, so that none backs off for long.
+// A router that loses the lease repeatedly while others keep it must get a high loss count. If
+// all routers lose the lease in turn, every count must stay low, so that no router backs off for
+// long.
 func TestLosses(t *testing.T) {
 	state, token := New(), uint64(0)
 	grant := func(to membership.ID, lost bool) *Lease {
--- a/internal/fleet/loadreport/collector.go
+++ b/internal/fleet/loadreport/collector.go
@@ -18,12 +18,13 @@
 // Options are the settings and the dependencies of a Collector. None of the functions may block.
 type Options struct {
 	zonelease.Options
-	MinInterval float64 // least ms between two polls of one server
-	MaxInterval float64 // ms to which the time between polls of one server grows while its load does not change
+	MinInterval float64 // minimum time between two polls of the same server, in ms
+	MaxInterval float64 // maximum time between two polls, in ms; the time grows up to it while the server's load does not change
 
 	// Servers returns the servers of the zone that are ready.
 	Servers func() []Server
-	// ReportLoad is called with a server's load, which was measured age ms ago.
+	// ReportLoad is called with the load of a server. age is the time in ms since the load was
+	// measured.
 	ReportLoad func(server routing.ServerID, load routing.LoadReport, age float64)
 }
 
@@ -106,8 +107,8 @@
 	c.sendReports(now, fencingToken)
 }
 
-// updateServers starts polling servers that have become ready and stops polling those that no
-// longer are. The caller holds mu.
+// updateServers starts polling servers that have become ready and stops polling servers that are
+// no longer ready. The caller holds mu.
 func (c *Collector) updateServers() {
 	ready := c.options.Servers()
 	for _, server := range ready {
@@ -118,11 +119,11 @@
 	c.removeServers(func(server Server) bool { return !slices.Contains(ready, server) })
 }
 
-// removeServers stops polling the servers for which remove returns true. A server whose poll is
-// under way is removed by a later step. The caller holds mu.
-func (c *Collector) removeServers(remove func(Server) bool) {
+// removeServers stops polling the servers for which shouldRemove returns true. A server whose
+// poll is under way is removed by a later step. The caller holds mu.
+func (c *Collector) removeServers(shouldRemove func(Server) bool) {
 	for id, server := range c.servers {
-		if !server.polling && remove(server.Server) {
+		if !server.polling && shouldRemove(server.Server) {
 			server.close()
 			delete(c.servers, id)
 		}
@@ -130,10 +131,10 @@
 }
 
 // BatchInterval returns the time in ms for which reports are collected before they are sent to the
-// other routers of the zone, whose number is peers. It grows with peers, so that a router sends
-// about 200 batches per second at most, whatever the number of servers. Without batches, the lease
-// holder of a zone with 30 routers and 20 servers sent 772 packets per second, while a router may
-// send 500.
+// other routers of the zone. peers is the number of those routers. The interval grows with peers,
+// so that a router sends at most about 200 batches per second, whatever the number of servers.
+// Without batches, the lease holder of a zone with 30 routers and 20 servers would send 772 packets
+// per second, while a router may send 500.
 func BatchInterval(peers int) float64 { return max(40, 5*float64(peers)) }
 
 // sendReports sends the measurements since the previous batch to the zone's other routers, if
@@ -158,8 +159,8 @@
 	}
 }
 
-// Receive handles a packet of another router's reports. It rejects reports with an older fencing
-// token than the latest, because their sender has lost the lease.
+// Receive handles a packet of another router's reports. It rejects reports whose fencing token
+// is lower than the highest token received, because their sender has lost the lease.
 func (c *Collector) Receive(packet []byte) {
 	fencingToken, reports, ok := decodePacket(packet)
 	if !ok || fencingToken == 0 {
--- a/internal/fleet/loadreport/collector_test.go
+++ b/internal/fleet/loadreport/collector_test.go
@@ -52,9 +52,9 @@
 }
 
 // holderPackets runs a router that first has no lease and then gets it with fencing token 7. It
-// returns the packets that the router sends to its peers, at least as many as wanted unless 20 s
-// pass.
-func holderPackets(t *testing.T, servers []Server, wanted int) [][]byte {
+// returns the packets that the router sends to its peers. It waits until there are at least
+// minPackets packets, for up to 20 s.
+func holderPackets(t *testing.T, servers []Server, minPackets int) [][]byte {
 	t.Helper()
 	var fencingToken atomic.Uint64
 	var packetsMu sync.Mutex
@@ -92,7 +92,7 @@
 		t.Error("polled the servers without the lease")
 	}
 	fencingToken.Store(7)
-	for end := time.Now().Add(20 * time.Second); sentPackets() < wanted && time.Now().Before(end); {
+	for end := time.Now().Add(20 * time.Second); sentPackets() < minPackets && time.Now().Before(end); {
 		time.Sleep(5 * time.Millisecond)
 	}
 	stop()
--- a/internal/fleet/loadreport/loadreport.go
+++ b/internal/fleet/loadreport/loadreport.go
@@ -2,8 +2,9 @@
 // zone polls; it sends the reports to the other routers of the zone. If each router polled on its
 // own, every server would have to answer the polls of all routers.
 //
-// The lease is checked again right before a poll is written, so that a router whose process was
-// paused after it had decided to poll writes nothing under a lease that has ended.
+// The Collector checks the lease again right before it writes a poll. Without this check, a router
+// could write a poll under a lease that has ended, because its process may have been paused after
+// it decided to poll.
 //
 // Collector runs one goroutine, and one more for each poll that is under way. All its methods but
 // Run may be called by any goroutine.
--- a/internal/fleet/loadreport/poll.go
+++ b/internal/fleet/loadreport/poll.go
@@ -16,13 +16,13 @@
 const (
 	pollTimeout       = 300.0   // ms
 	maxResponseSize   = 1 << 10 // bytes
-	significantChange = 0.1     // change of the link utilization after which the next poll follows at MinInterval
+	significantChange = 0.1     // change of the link utilization above which the next poll follows after MinInterval
 	intervalGrowth    = 1.5     // factor by which the time between polls grows while the load does not change
 )
 
 // errLeaseLost is the error of a poll that was not written because this router no longer holds
 // the lease.
-var errLeaseLost = errors.New("lease lost before the poll was written")
+var errLeaseLost = errors.New("the lease was lost before the poll was written")
 
 // polledServer is a server that is polled. The poll that is under way owns conn and sequence; the
 // Collector's mu guards the other fields.
--- a/internal/fleet/loadreport/report.go
+++ b/internal/fleet/loadreport/report.go
@@ -13,7 +13,7 @@
 const MaxReportsPerPacket = 50
 
 // Field numbers of a report in a packet. A field holds the value in thousandths plus 1, so that a
-// measured 0 is not omitted; a field that is absent is unknown.
+// measured 0 is not omitted; the value of an absent field is unknown.
 const (
 	fieldInflight protowire.Number = zonemessage.FirstItemField + iota
 	fieldCPUUtilization
@@ -39,8 +39,8 @@
 	return packet
 }
 
-// decodePacket decodes a packet of encodePacket. ok is false if the packet is malformed or has more
-// than MaxReportsPerPacket reports.
+// decodePacket decodes a packet that encodePacket returned. ok is false if the packet is
+// malformed or has more than MaxReportsPerPacket reports.
 func decodePacket(packet []byte) (fencingToken uint64, reports []report, ok bool) {
 	return zonemessage.Parse(packet, MaxReportsPerPacket, decodeReport)
 }
--- a/internal/fleet/packetcrypto/keyring.go
+++ b/internal/fleet/packetcrypto/keyring.go
@@ -22,10 +22,10 @@
 
 // Errors of Keyring.Open: the reasons why a packet is rejected.
 var (
-	ErrForeignPacket   = errors.New("not a fleet packet: too short or without the magic bytes")
-	ErrVersionMismatch = errors.New("fleet packet of another protocol version")
-	ErrFleetMismatch   = errors.New("fleet packet of another fleet")
-	ErrNoMatchingKey   = errors.New("fleet packet modified or encrypted with an unknown key")
+	ErrForeignPacket   = errors.New("not a fleet packet: expected a header with the magic bytes \"gf\", a nonce and a ciphertext")
+	ErrVersionMismatch = errors.New("fleet packet has another protocol version than this router")
+	ErrFleetMismatch   = errors.New("fleet packet belongs to another fleet than this router")
+	ErrNoMatchingKey   = errors.New("fleet packet cannot be decrypted: it was modified, or encrypted with a key that this router does not have")
 )
 
 // Layout of a packet. The header is authenticated but not encrypted: two magic bytes, the version,
@@ -49,7 +49,8 @@
 // MinSecretLen is the minimum length of a secret, in bytes.
 const MinSecretLen = 16
 
-// Keyring encrypts packets with its first key and decrypts packets of each of its keys.
+// Keyring encrypts packets with its first key. It decrypts packets that were encrypted with any
+// of its keys.
 type Keyring struct {
 	fleetHash [fleetHashLen]byte
 	keys      []key
@@ -61,7 +62,7 @@
 }
 
 // NewKeyring returns the keyring of a fleet with a key for each secret. It returns a
-// fielderror.Error if there is no secret or one is shorter than MinSecretLen.
+// fielderror.Error if there is no secret, or if a secret is shorter than MinSecretLen.
 func NewKeyring(fleet string, secrets []string) (*Keyring, error) {
 	if len(secrets) == 0 {
 		return nil, fielderror.Errorf("keys", "expected at least one key, got none")
@@ -95,7 +96,7 @@
 	var nonce [chacha20poly1305.NonceSizeX]byte
 	rand.Read(nonce[:]) // returns no error: it ends the program if the system has no randomness
 	b = append(b, nonce[:]...)
-	cipher, _ := chacha20poly1305.NewX(sealingKey.secret[:]) // fails only for a key of another length
+	cipher, _ := chacha20poly1305.NewX(sealingKey.secret[:]) // fails only for a key of the wrong length
 	return cipher.Seal(b, nonce[:], packet, b[start:start+headerLen])
 }
 
--- a/internal/fleet/wireformat/fields.go
+++ b/internal/fleet/wireformat/fields.go
@@ -14,7 +14,8 @@
 	return parseFields(message, false, visit)
 }
 
-// ParseFieldsFixed64 is like ParseFields but also accepts fields of 64-bit numbers of fixed length.
+// ParseFieldsFixed64 is like ParseFields, but it also accepts fixed64 fields, which hold 64-bit
+// numbers.
 func ParseFieldsFixed64(message []byte, visit VisitFunc) bool {
 	return parseFields(message, true, visit)
 }
--- a/internal/fleet/wireformat/fields_test.go
+++ b/internal/fleet/wireformat/fields_test.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// collect returns the fields of a message as text, up to the first one that is not valid.
+// collect returns the fields of a message as text, up to the first invalid field.
 func collect(parse func([]byte, VisitFunc) bool, message []byte) (fields []string, ok bool) {
 	ok = parse(message, func(number protowire.Number, value uint64, content []byte) bool {
 		fields = append(fields, fmt.Sprintf("%d=%d %q", number, value, content))
@@ -49,7 +49,7 @@
 	}
 }
 
-// Zero values are omitted, which strict decoders rely on.
+// Zero values are omitted. Strict decoders rely on this.
 func TestAppendOmitsZeroValues(t *testing.T) {
 	b := AppendString(AppendUint(AppendUint(AppendString(nil, 1, ""), 2, 0), 3, 5), 4, "x")
 	if got, ok := collect(ParseFields, b); !ok || !slices.Equal(got, []string{`3=5 ""`, `4=0 "x"`}) {
--- a/internal/fleet/zonemessage/zonemessage.go
+++ b/internal/fleet/zonemessage/zonemessage.go
@@ -28,7 +28,8 @@
 	FirstItemField protowire.Number = 3
 )
 
-// MaxNumber is the upper bound that decoders apply to a number: they replace a larger number by it.
+// MaxNumber is the maximum value of a decoded number. Decoders replace a larger number by
+// MaxNumber.
 const MaxNumber = 1 << 40
 
 // Item holds the fields that all items of a message have.
--- a/internal/fleet/zonemessage/zonemessage_test.go
+++ b/internal/fleet/zonemessage/zonemessage_test.go
@@ -78,13 +78,13 @@
 			t.Fatalf("got %d items, want at most maxItems", len(items))
 		}
 		for _, item := range items {
-			if item.Server+1 == 0 { // encoded as 0, which senders omit, so that it cannot be encoded again
+			if item.Server+1 == 0 { // this server ID would be encoded as 0 and omitted, so the item cannot be encoded again
 				return
 			}
 		}
 		tokenAgain, itemsAgain, ok := Parse(encode(fencingToken, items...), maxItems, parseCommon)
 		if !ok || tokenAgain != fencingToken || !reflect.DeepEqual(itemsAgain, items) {
-			t.Errorf("encoded again: got token %d, items %+v, after decoding token %d, items %+v, ok %v", fencingToken, items, tokenAgain, itemsAgain, ok)
+			t.Errorf("after a second encoding: want token %d, items %+v, got token %d, items %+v, ok %v", fencingToken, items, tokenAgain, itemsAgain, ok)
 		}
 	})
 }
