--- a/internal/fleet/consensus/history_test.go
+++ b/internal/fleet/consensus/history_test.go
@@ -42,8 +42,8 @@
 
 func microseconds(ms float64) int64 { return int64(ms * 1000) }
 
-// leaseModel models a lease of the registry as requests observe it: fencing tokens only grow, and
-// each response shows the state of the lease at some time between the request and the response.
+// leaseModel models the observable state of a lease. Fencing tokens only grow. Each response
+// shows the state of the lease at some time between the request and the response.
 var leaseModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byLease := map[string][]porcupine.Operation{}
--- a/internal/fleet/consensus/node.go
+++ b/internal/fleet/consensus/node.go
@@ -206,8 +206,8 @@
 	return Output{WakeAt: math.Inf(1)}, n.haltErr
 }
 
-// processReady handles the work that raft has ready. It stores the new state before it emits
-// messages and applies committed entries.
+// processReady handles the work that raft has ready. It first stores the new state. It then
+// emits messages and applies committed entries.
 func (n *Node) processReady() error {
 	for n.raftNode.HasReady() {
 		ready := n.raftNode.Ready()
@@ -229,8 +229,8 @@
 	return nil
 }
 
-// storeReady stores the state that raft hands over, first in the storage and then in raft's
-// in-memory log.
+// storeReady stores the new state that raft returns in ready, first in the storage and then in
+// raft's in-memory log.
 func (n *Node) storeReady(ready raft.Ready) error {
 	hardState, snapshot := ready.HardState, ready.Snapshot
 	if raft.IsEmptyHardState(hardState) {
--- a/internal/fleet/consensus/node_test.go
+++ b/internal/fleet/consensus/node_test.go
@@ -32,10 +32,10 @@
 	}
 }
 
-// Voters are killed, restarted with their storages and partitioned, routers stall for longer than
-// a lease lasts, packets are lost and clocks run at different rates. No two routers may hold a
-// lease at the same time, the responses must be linearizable, and all leases must be held again
-// after the faults end.
+// Voters are killed, restarted with their storages and partitioned. Routers stall for longer
+// than a lease lasts, packets are lost, and clocks run at different rates. No two routers may
+// hold a lease at the same time. The responses must be linearizable. All leases must be held
+// again after the faults end.
 func TestClusterUnderFaults(t *testing.T) {
 	leases := []string{"a", "b", "c"}
 	grants := 0
@@ -67,8 +67,9 @@
 	}
 }
 
-// A lease is transferred many times. It must never have two holders and must be without a holder
-// only for a short time. A voter whose storage fails must stop while the others continue.
+// A lease is transferred many times. It must never have two holders, and it must be without a
+// holder only for a short time. A voter whose storage fails must stop while the other voters
+// continue.
 func TestTransfersAndDiskFailure(t *testing.T) {
 	cluster := newCluster(t, 9, 5, 3, "a")
 	cluster.run(4000)
@@ -95,8 +96,8 @@
 		}
 	}
 	slices.Sort(gaps)
-	// These routers do not know the leader and try the voters at random, whereas real routers
-	// get leader hints.
+	// The simulated routers do not know the leader and try the voters at random. Real routers get
+	// leader hints.
 	if gaps[50] > 250 || gaps[90] > 700 || misdirected > 5 || cluster.violation != "" {
 		t.Errorf("lease \"a\" had no holder for %.0f ms in the median and %.0f ms at most, want at most 250 ms in the median and 700 ms in 90%% of the transfers; %d transfers went to a router other than the target, want at most 5; violation %q, want none", gaps[50], gaps[99], misdirected, cluster.violation)
 	}
@@ -235,9 +236,9 @@
 	return storage
 }
 
-// A node joins while commands arrive so fast that the log is compacted repeatedly. It must catch
-// up by snapshots and become a voter, and the registry must continue with its vote when another
-// voter stops.
+// A node joins while commands arrive so fast that the log is compacted repeatedly. The node must
+// catch up by snapshots and become a voter. When another voter stops, the registry must continue
+// with the vote of the new voter.
 func TestJoinDuringLogCompaction(t *testing.T) {
 	const joinerID = 4
 	cluster := newCluster(t, 12, 3, 2, "a")
--- a/internal/fleet/consensus/requests.go
+++ b/internal/fleet/consensus/requests.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// serveRequest responds to a request at once, or proposes a command and leaves the response to
-// completeProposal.
+// serveRequest either responds to a request immediately or proposes a command. completeProposal
+// responds after the command is applied.
 func (n *Node) serveRequest(request ClientRequest) {
 	current := n.registry.Leases[request.Lease]
 	switch {
@@ -196,8 +196,9 @@
 	n.proposalsByLease[request.Lease]++
 }
 
-// completeProposal announces the release or transfer that a command has caused, and responds to
-// the request if this leader proposed the command. err is the result of applying the command.
+// completeProposal announces the release or transfer that a command has caused. If this leader
+// proposed the command, it also responds to the request. err is the result of applying the
+// command.
 func (n *Node) completeProposal(command *leaseregistry.Command, err error) {
 	if n.leaseExpiry == nil {
 		return
--- a/internal/fleet/consensus/settings.go
+++ b/internal/fleet/consensus/settings.go
@@ -35,6 +35,7 @@
 	maxInflightAppends = 64
 )
 
-// preVoteEnabled turns on raft's pre-vote: before a node starts a new term, it asks the others
-// whether they would vote for it. Only tests turn it off, to show the disruption it prevents.
+// preVoteEnabled turns on raft's pre-vote: before a node starts a new term, it asks the other
+// voters whether they would vote for it. Only tests turn pre-vote off, to show the disruption
+// that it prevents.
 var preVoteEnabled = true
--- a/internal/fleet/consensus/status.go
+++ b/internal/fleet/consensus/status.go
@@ -46,8 +46,8 @@
 	})
 }
 
-// LearnerLag returns by how many entries a learner lags behind the commit index, or -1 if this
-// node is not the leader or has not heard from the learner.
+// LearnerLag returns the number of entries by which a learner lags behind the commit index. It
+// returns -1 if this node is not the leader or has not heard from the learner.
 func (n *Node) LearnerLag(id uint64) int {
 	lag := -1
 	n.raftNode.WithProgress(func(peer uint64, _ raft.ProgressType, progress tracker.Progress) {
--- a/internal/fleet/consensus/storage.go
+++ b/internal/fleet/consensus/storage.go
@@ -50,7 +50,7 @@
 		return err
 	}
 	grown := n.appliedIndex > first+uint64(n.settings.SnapshotEntries)
-	// A learner rejects a snapshot that does not list it as a member, so a snapshot is also
+	// A learner rejects a snapshot whose member list lacks the learner, so a snapshot is also
 	// taken after each change of members.
 	if grown || n.confChanged {
 		_, err := n.raftLog.CreateSnapshot(n.appliedIndex, n.confState, n.registry.Snapshot())
--- a/internal/fleet/consensus/wal/fs.go
+++ b/internal/fleet/consensus/wal/fs.go
@@ -77,8 +77,8 @@
 
 func (d Dir) path(name string) string { return filepath.Join(string(d), name) }
 
-// syncDelayFile is an operating system file whose Sync is delayed by a failpoint in builds for
-// tests.
+// syncDelayFile is a file of the operating system. In builds for tests, a failpoint can delay
+// its Sync.
 type syncDelayFile struct{ *os.File }
 
 func (f syncDelayFile) Sync() error {
--- a/internal/fleet/consensus/wal/golden_test.go
+++ b/internal/fleet/consensus/wal/golden_test.go
@@ -44,8 +44,8 @@
 	return l.Save(last.HardState, last.Entries, last.Snapshot)
 }
 
-// The format of the log must not change: a log with every kind of record, appended or rewritten,
-// must equal its golden file, and the golden file must be readable.
+// The format of the log must not change. A log with every kind of record, appended or rewritten,
+// must equal its golden file. The golden file must be readable.
 func TestGoldenLog(t *testing.T) {
 	for file, write := range map[string]func(l *Log) error{
 		"appended.log":  appendGoldenState,
--- a/internal/fleet/consensus/wal/wal.go
+++ b/internal/fleet/consensus/wal/wal.go
@@ -86,13 +86,13 @@
 	return nil
 }
 
-// Save appends raft's hard state, entries and a snapshot, and returns when they are on the disk.
+// Save appends raft's hard state, entries and a snapshot. It returns after they are on the disk.
 // Each argument may be nil.
 func (l *Log) Save(hardState *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error {
 	return l.save(State{HardState: hardState, Entries: entries, Snapshot: snapshot})
 }
 
-// SaveMetadata writes the voter's metadata, and returns when it is on the disk.
+// SaveMetadata writes the voter's metadata. It returns after the metadata is on the disk.
 func (l *Log) SaveMetadata(metadata []byte) error { return l.save(State{Metadata: metadata}) }
 
 // save writes the parts of a state that are not nil, all in a single write, and syncs the file.
--- a/internal/fleet/consensus/wal/wal_test.go
+++ b/internal/fleet/consensus/wal/wal_test.go
@@ -246,8 +246,8 @@
 	}
 }
 
-// Open must reject the log of another fleet or voter, a log of a newer format and a file that is no
-// valid log, each with an error that names the cause.
+// Open must reject the log of another fleet or voter, a log of a newer format, and a file that
+// is not a valid log. Each error must name its cause.
 func TestRejectsForeignLogs(t *testing.T) {
 	withOwner := func(kind byte, body []byte) []byte {
 		return appendRecord(appendRecord(nil, kindOwner, ownerBody("f/1")), kind, body)
--- a/internal/fleet/fragment/fragment.go
+++ b/internal/fleet/fragment/fragment.go
@@ -104,8 +104,8 @@
 	expiresAt   float64
 }
 
-// Add adds a payload that arrived at now, in ms. If the payload completes a message, Add returns the
-// message and its channel, and complete is true.
+// Add adds a payload that arrived at the time now, in ms. If the payload completes a message,
+// Add returns the message and its channel, and complete is true.
 func (r *Reassembler) Add(now float64, payload membership.Payload) (channel Channel, message []byte, complete bool) {
 	head, content, ok := parseHeader(payload.Data)
 	if !ok {
--- a/internal/fleet/lease/holder.go
+++ b/internal/fleet/lease/holder.go
@@ -136,8 +136,8 @@
 	return 0, 0
 }
 
-// LastKnownHolder returns the holder of a lease according to the registry's latest response, or 0
-// if nobody held the lease or the holder is unknown.
+// LastKnownHolder returns the holder of a lease according to the registry's latest response. It
+// returns 0 if nobody held the lease or the holder is unknown.
 func (h *Holder) LastKnownHolder(name string) membership.ID {
 	if state := h.leases[name]; state != nil {
 		return state.lastKnownHolder
@@ -164,8 +164,8 @@
 	for _, name := range slices.Sorted(maps.Keys(h.leases)) {
 		state := h.leases[name]
 		if state.fencingToken != 0 && now >= state.expiresAt {
-			// The lease was not renewed in time. This router stops using it without a
-			// confirmation by the registry.
+			// The lease was not renewed in time. This router stops using the lease and does not
+			// wait for a confirmation by the registry.
 			changes = append(changes, Change{Lease: name, Cause: CauseExpired})
 			state.fencingToken, state.expiresAt = 0, 0
 			state.nextRequestAt = now + h.settings.TTL
@@ -181,8 +181,8 @@
 	return requests, changes, wakeAt
 }
 
-// newRequest returns the request to send now: the pending release if there is one, otherwise a
-// request for a grant or a renewal.
+// newRequest returns the request to send now. This is the pending release if there is one, and
+// otherwise a request for a grant or a renewal.
 func (h *Holder) newRequest(now float64, name string, state *leaseState) Request {
 	h.lastRequestID++
 	state.nextRequestAt = now + h.settings.RetryInterval
--- a/internal/fleet/lease/response.go
+++ b/internal/fleet/lease/response.go
@@ -109,8 +109,8 @@
 	return changes
 }
 
-// scheduleRetry sets when to request the lease again after a rejection. A router that has lost the
-// lease before backs off exponentially with its loss count, up to Settings.MaxBackoff.
+// scheduleRetry sets when to request the lease again after a rejection. A router with a loss
+// count above 0 backs off exponentially with the count, up to Settings.MaxBackoff.
 func (s *leaseState) scheduleRetry(settings Settings, now float64, response Response) {
 	if s.rank < 0 {
 		s.nextRequestAt = math.Inf(1)
--- a/internal/fleet/leasemanager/bootstrap.go
+++ b/internal/fleet/leasemanager/bootstrap.go
@@ -123,8 +123,8 @@
 	return consensus.Input{}
 }
 
-// handleJoinRequest adds the requesting voter as a learner if this voter leads. Otherwise it forwards
-// the request to the leader, which the requesting voter may not know.
+// handleJoinRequest adds the requesting voter as a learner if this voter leads. Otherwise it
+// forwards the request to the leader, because the requesting voter may not know the leader.
 func (v *voter) handleJoinRequest(received hello) consensus.Input {
 	if v.leading && !slices.Contains(v.node.Status().Voters, received.RaftID) {
 		return v.addLearner(received)
--- a/internal/fleet/leasemanager/holder.go
+++ b/internal/fleet/leasemanager/holder.go
@@ -39,8 +39,8 @@
 // may have expired since then. Callers must not modify the slice.
 func (m *Manager) Leases() []Lease { return *m.leases.Load() }
 
-// LastKnownHolder returns the holder of a lease according to the latest response that this router
-// received, or 0 if nobody held the lease or the holder is unknown.
+// LastKnownHolder returns the holder of a lease according to the latest response that this
+// router received. It returns 0 if nobody held the lease or the holder is unknown.
 func (m *Manager) LastKnownHolder(name string) membership.ID {
 	holders := m.knownHolders.Load()
 	if holders == nil {
--- a/internal/fleet/leasemanager/voter.go
+++ b/internal/fleet/leasemanager/voter.go
@@ -44,8 +44,8 @@
 	released []lease.Response // leases that nobody holds; the first-ranked candidates are notified
 }
 
-// outgoingMessage is a message to a voter, which is addressed by name, or to a router, which is
-// addressed by ID.
+// outgoingMessage is a message to a voter or to a router. A voter is addressed by its name, a
+// router by its ID.
 type outgoingMessage struct {
 	voterName string
 	routerID  membership.ID
--- a/internal/fleet/leasemanager/voter_loop.go
+++ b/internal/fleet/leasemanager/voter_loop.go
@@ -73,6 +73,6 @@
 	}
 }
 
-// closeLog closes the voter's log when the voter has stopped. An error has no consequence, because
-// everything that was saved is already on the disk.
+// closeLog closes the voter's log when the voter has stopped. It ignores an error of Close,
+// because all saved data is already on the disk.
 func (m *Manager) closeLog() { _ = m.voter.log.Close() }
--- a/internal/fleet/leaseregistry/snapshot.go
+++ b/internal/fleet/leaseregistry/snapshot.go
@@ -11,8 +11,8 @@
 	"garnetline/routing"
 )
 
-// Field numbers of a snapshot, which has one field for each lease, ban and voter's name. These
-// numbers, and those of the three messages below, are stored and must not change.
+// Field numbers of a snapshot, which has one field for each lease, each ban and each name of a
+// voter. All field numbers in this file are stored and must not change.
 const (
 	snapshotLease     protowire.Number = 1
 	snapshotBan       protowire.Number = 2
--- a/internal/fleet/loadreport/collector.go
+++ b/internal/fleet/loadreport/collector.go
@@ -137,8 +137,8 @@
 // per second, while a router may send 500.
 func BatchInterval(peers int) float64 { return max(40, 5*float64(peers)) }
 
-// sendReports sends the measurements since the previous batch to the zone's other routers, if
-// BatchInterval has passed. The caller holds mu.
+// sendReports sends the measurements since the previous batch to the zone's other routers. It
+// does nothing until BatchInterval has passed since that batch. The caller holds mu.
 func (c *Collector) sendReports(now float64, fencingToken uint64) {
 	if now < c.nextSendAt || len(c.unsent) == 0 {
 		return
--- a/internal/fleet/loadreport/collector_test.go
+++ b/internal/fleet/loadreport/collector_test.go
@@ -19,7 +19,7 @@
 )
 
 // The lease holder polls the servers and sends its peers several reports in one packet. A peer
-// accepts the reports with their age, and rejects those with an older fencing token. A router
+// accepts the reports with their age, and rejects reports with an older fencing token. A router
 // without the lease does not poll.
 func TestReportsAreBatched(t *testing.T) {
 	packets := holderPackets(t, startServers(t, 5), 20)
--- a/internal/fleet/packetcrypto/keyring.go
+++ b/internal/fleet/packetcrypto/keyring.go
@@ -1,7 +1,7 @@
 // Package packetcrypto encrypts packets between routers with a key from the operators' settings
-// file, so that only those who have the key can write or read packets. It distinguishes the reasons
-// for which a received packet is rejected: foreign bytes, another version of the protocol, another
-// fleet, an unknown key.
+// file. Only those who have the key can write or read packets. The package distinguishes the
+// reasons for which a received packet is rejected: foreign bytes, another version of the
+// protocol, another fleet, or an unknown key.
 //
 // A Keyring is immutable and may be used by several goroutines at a time.
 package packetcrypto
@@ -100,8 +100,9 @@
 	return cipher.Seal(b, nonce[:], packet, b[start:start+headerLen])
 }
 
-// Open authenticates and decrypts a packet and appends it to b. It returns ErrForeignPacket,
-// ErrVersionMismatch, ErrFleetMismatch or ErrNoMatchingKey if it rejects the packet.
+// Open authenticates and decrypts a packet, and appends the decrypted packet to b. If it rejects
+// the packet, it returns ErrForeignPacket, ErrVersionMismatch, ErrFleetMismatch or
+// ErrNoMatchingKey.
 func (r *Keyring) Open(b, sealed []byte) ([]byte, error) {
 	switch {
 	case len(sealed) < Overhead || sealed[0] != magic0 || sealed[1] != magic1:
--- a/internal/fleet/zonemessage/zonemessage.go
+++ b/internal/fleet/zonemessage/zonemessage.go
@@ -57,8 +57,8 @@
 }
 
 // Parse returns the fencing token and the items of a message; parseItem decodes each item. ok is
-// false if the message is malformed, has more than maxItems items, or parseItem returns false for an
-// item.
+// false if the message is malformed, if it has more than maxItems items, or if parseItem returns
+// false for an item.
 func Parse[T any](message []byte, maxItems int, parseItem func(encoded []byte) (T, bool)) (fencingToken uint64, items []T, ok bool) {
 	ok = wireformat.ParseFields(message, func(number protowire.Number, value uint64, content []byte) bool {
 		switch number {
@@ -74,8 +74,8 @@
 	return fencingToken, items, ok
 }
 
-// ParseItem returns the fields that all items have, and calls visit with each additional field. It
-// returns false if the item is malformed.
+// ParseItem returns the fields that all items have, and calls visit with each additional field.
+// The bool is false if the item is malformed.
 func ParseItem(encoded []byte, visit func(number protowire.Number, value uint64)) (Item, bool) {
 	var item Item
 	ok := wireformat.ParseFields(encoded, func(number protowire.Number, value uint64, _ []byte) bool {
--- a/internal/fleet/zonemessage/zonemessage_test.go
+++ b/internal/fleet/zonemessage/zonemessage_test.go
@@ -22,8 +22,8 @@
 	return message
 }
 
-// A decoded message has the token and the items that were encoded, with ages in whole milliseconds
-// that are not negative.
+// A decoded message has the token and the items that were encoded. The decoded ages are whole
+// milliseconds and not negative.
 func TestRoundTrip(t *testing.T) {
 	message := encode(9, Item{Server: 0, Age: 1.75}, Item{Server: 1 << 40, Age: -3}, Item{Server: 7, Age: 1e6})
 	want := []Item{{Server: 0, Age: 1}, {Server: 1 << 40, Age: 0}, {Server: 7, Age: 1e6}}
