--- a/internal/fleet/consensus/storage.go
+++ b/internal/fleet/consensus/storage.go
@@ -43,14 +43,14 @@
 }
 
 // compactLog takes a snapshot and shortens raft's log when the log has grown past
-// Settings.SnapshotEntries, and rewrites the storage when most of its data is obsolete.
+// Settings.SnapshotEntries. It rewrites the storage when most of the stored data is obsolete.
 func (n *Node) compactLog() error {
 	first, err := n.raftLog.FirstIndex()
 	if err != nil {
 		return err
 	}
 	grown := n.appliedIndex > first+uint64(n.settings.SnapshotEntries)
-	// A learner rejects a snapshot that does not list it as a member, so a snapshot is also
+	// A learner rejects a snapshot whose member list lacks the learner, so a snapshot is also
 	// taken after each change of members.
 	if grown || n.confChanged {
 		_, err := n.raftLog.CreateSnapshot(n.appliedIndex, n.confState, n.registry.Snapshot())
--- a/internal/fleet/consensus/wal/golden_test.go
+++ b/internal/fleet/consensus/wal/golden_test.go
@@ -28,8 +28,8 @@
 		ConfState: &raftpb.ConfState{Voters: []uint64{1, 2, 3}, Learners: []uint64{4}}}}
 }
 
-// appendGoldenState writes records of every kind. The last ones make some of the earlier ones
-// obsolete.
+// appendGoldenState writes records of every kind. The last records make some of the earlier
+// records obsolete.
 func appendGoldenState(l *Log) error {
 	if err := l.SaveMetadata([]byte{8, 9}); err != nil {
 		return err
@@ -44,8 +44,8 @@
 	return l.Save(last.HardState, last.Entries, last.Snapshot)
 }
 
-// The format of the log must not change: a log with every kind of record, appended or rewritten,
-// must equal its golden file, and the golden file must be readable.
+// The format of the log must not change. A log with every kind of record, appended or rewritten,
+// must equal its golden file. The golden file must be readable.
 func TestGoldenLog(t *testing.T) {
 	for file, write := range map[string]func(l *Log) error{
 		"appended.log":  appendGoldenState,
--- a/internal/fleet/leaseregistry/snapshot.go
+++ b/internal/fleet/leaseregistry/snapshot.go
@@ -11,15 +11,16 @@
 	"garnetline/routing"
 )
 
-// Field numbers of a snapshot, which has one field for each lease, ban and voter's name. These
-// numbers, and those of the three messages below, are stored and must not change.
+// Field numbers of a snapshot, which has one field for each lease, each ban and each name of a
+// voter. All field numbers in this file are stored and must not change.
 const (
 	snapshotLease     protowire.Number = 1
 	snapshotBan       protowire.Number = 2
 	snapshotVoterName protowire.Number = 3
 )
 
-// Field numbers of a lease. Each router ID of the loss counters is followed by that router's count.
+// Field numbers of a lease. The loss counters are pairs of fields: the ID of a router, followed
+// by the count of that router.
 const (
 	leaseName         protowire.Number = 1
 	leaseHolder       protowire.Number = 2
--- a/internal/fleet/wireformat/fields.go
+++ b/internal/fleet/wireformat/fields.go
@@ -2,9 +2,9 @@
 
 import "google.golang.org/protobuf/encoding/protowire"
 
-// VisitFunc is called with each field of a message: the field number and, depending on the type of
-// the field, the value of a number or the content of a string. content is a slice of the message
-// and not a copy. VisitFunc returns false if the field is not valid, which ends the parsing.
+// VisitFunc is called with each field of a message. value is the value of a number field, and
+// content is the content of a string field. content is a slice of the message and not a copy.
+// VisitFunc returns false if the field is not valid; the parsing then ends.
 type VisitFunc func(number protowire.Number, value uint64, content []byte) bool
 
 // ParseFields calls visit with each field of a message of varints and strings. It returns false if
@@ -14,7 +14,8 @@
 	return parseFields(message, false, visit)
 }
 
-// ParseFieldsFixed64 is like ParseFields but also accepts fields of 64-bit numbers of fixed length.
+// ParseFieldsFixed64 is like ParseFields, but it also accepts fixed64 fields, which hold 64-bit
+// numbers.
 func ParseFieldsFixed64(message []byte, visit VisitFunc) bool {
 	return parseFields(message, true, visit)
 }
