--- a/routing/actions.go
+++ b/routing/actions.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Action is something that the caller of Handle must do. The caller carries out actions in the order
-// in which Handle returned them. The set of actions is closed.
+// Action is an instruction to the caller of Handle. The caller carries out actions in the order in
+// which Handle returned them. The set of actions is closed.
 type Action interface{ action() }
 
 // SendAttempt sends an attempt for a request to a server. The caller must report an Outcome for each
@@ -12,13 +12,13 @@
 type SendAttempt struct {
 	ID           RequestID
 	Server       ServerID
-	FillSource   ServerID      // server that fills a miss; Server itself: no fill
+	FillSource   ServerID      // server that fills a miss; equal to Server: no fill
 	CopyRank     int           // rank of the copy that the server keeps, 1 to 3; 0: keep no copy
 	MaxAge       time.Duration // maximum age of the copy served; 0: any age
 	Deadline     time.Duration // time at which to abandon the attempt, by the clock of Handle
 	JoinFill     bool          // join a fill in progress
 	Revalidate   bool          // serve a copy that is about to expire, and fetch a new one in the background
-	OnlyIfCached bool          // the source sends only what it has cached, and fetches nothing
+	OnlyIfCached bool          // the source may send a cached copy, but must not fetch the object
 }
 
 // Ranks of the copy that a cache keeps; see SendAttempt.CopyRank.
@@ -27,17 +27,17 @@
 	popularCopyRank  = 2
 )
 
-// Reject is a final answer: the request was not executed, and the client may retry it after
-// RetryAfter. A request of an idempotent class may have been executed nevertheless.
+// Reject is a final answer after which the client may retry the request, once RetryAfter has passed.
+// A request of an Idempotent class may have been executed; a request of another class was not executed.
 type Reject struct {
 	ID         RequestID
 	RetryAfter time.Duration
 }
 
-// Fail is a final answer that leaves open whether the request was executed.
+// Fail is a final answer that tells the client only that the request may have been executed.
 type Fail struct{ ID RequestID }
 
-// CancelAttempt abandons an attempt in flight, which then ends with the result Canceled.
+// CancelAttempt abandons an attempt in flight. The attempt then ends with the result Canceled.
 type CancelAttempt struct {
 	ID      RequestID
 	Attempt int // index among the attempts of its request
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// enqueue queues a request while it can still be answered in time, and ends it otherwise. Only the
-// first call for a request sets a timer. A request that is queued again must therefore not wait past
-// queueUntil, even if its expected latency has fallen since: no other timer would end its wait.
+// enqueue queues a request if it can still be answered in time, and ends the request otherwise. Only
+// the first call for a request sets a timer, which fires at queueUntil. A request that is queued again
+// must therefore not wait past queueUntil, even if its expected latency has fallen since the first
+// call: no later timer would end the wait.
 func (r *Router) enqueue(request *request) {
 	latestStart := request.objectiveAt - r.expectedLatency(request)
 	if request.valuePerSecond == 0 {
@@ -25,8 +26,8 @@
 	r.queue = append(r.queue, request)
 }
 
-// rejectOrFail sends the final answer to a request that will not be served. While an attempt is in
-// flight it does nothing, since the outcome of the attempt decides the answer.
+// rejectOrFail sends the final answer to a request that will not be served. If an attempt of the
+// request is in flight, rejectOrFail does nothing: the outcome of that attempt decides the answer.
 func (r *Router) rejectOrFail(request *request) {
 	if request.inflight > 0 {
 		return
@@ -63,7 +64,8 @@
 	}
 }
 
-// expectedLatency returns how long a request that had to queue is likely to take once it is sent.
+// expectedLatency returns the expected time from the end of a request's wait in the queue to its
+// response.
 func (r *Router) expectedLatency(request *request) time.Duration {
 	if request.class.Write {
 		return request.class.LatencyObjective / expectedWriteDivisor
@@ -74,16 +76,18 @@
 		return secondsToDuration(r.fillLatency + pace*transferTime.Seconds())
 	}
 	queuedLatency := secondsToDuration(queuedPace * transferTime.Seconds())
-	// Responses that are too large to be in time at the queued pace may also queue for a short time.
+	// At the queued pace, a large response would miss its objective even without a wait. Its request may
+	// still queue for a short time.
 	receivedAt := request.deadline - request.Timeout
 	minQueueTime := request.class.LatencyObjective / minQueueDivisor
 	longestLatency := request.objectiveAt - receivedAt - minQueueTime
 	return max(transferTime, min(queuedLatency, longestLatency))
 }
 
-// saturated reports whether the attempts that this router has in flight at a cache have reached the
-// given fraction of its quota there. The quota follows from what the cache's link sends at full pace.
-// Where outcomes report no cache status, an overload would otherwise show only by late responses.
+// saturated reports whether the number of attempts that this router has in flight at a cache has
+// reached the given fraction of the router's quota at that cache. The quota derives from the number of
+// transfers that the cache's link carries at full pace. Where outcomes report no cache status, only
+// late responses would show an overload without this quota.
 func (r *Router) saturated(server *server, fraction float64) bool {
 	if !r.countsInflight() {
 		return false
@@ -93,10 +97,11 @@
 	return float64(server.inflight) >= limit*fraction
 }
 
-// zoneSaturated reports whether the attempts that this router has in flight at all caches together
-// have reached its quota of the zone. Without this limit, eight routers that may each have two
-// attempts in flight at a cache that sends six overload the link of their zone, and the retries of
-// the requests that they reject keep it overloaded.
+// zoneSaturated reports whether the number of attempts that this router has in flight at all caches
+// together has reached the sum of its quotas at these caches. Without this limit, routers with small
+// quotas would overload the link of their zone. For example, eight routers with two attempts each would
+// have 16 attempts in flight at a cache that sends six at full pace. Clients would retry the rejected
+// requests, and the retries would keep the link overloaded.
 func (r *Router) zoneSaturated() bool {
 	if !r.countsInflight() {
 		return false
@@ -112,9 +117,9 @@
 	return float64(inflight) >= max(inflightFloor(limited), quota)
 }
 
-// canFailOver reports whether a candidate cache has ample headroom to take a request whose home cache
-// is saturated. No request fails over while this router's quota at the home cache is below
-// minInflight.
+// canFailOver reports whether a request may move from its saturated home cache to a candidate cache.
+// The candidate must have ample headroom. No request moves while this router's quota at the home cache
+// is below minInflight.
 func (r *Router) canFailOver(home, candidate *server) bool {
 	homeQuota := r.zoneFraction * overcommitFactor * home.Weight
 	if homeQuota < minInflight {
@@ -123,10 +128,11 @@
 	return !r.saturated(candidate, failoverHeadroom)
 }
 
-// inflightFloor returns the number of attempts that a router may always have in flight, however small
-// its quota is. The floor is higher while no cache's limiter is active: after a purge of everything
-// had made all responses late, eighty routers with a floor of two queued at the same time and rejected
-// a quarter of the requests while the caches had headroom.
+// inflightFloor returns the number of attempts that a router may always have in flight, even if its
+// quota is smaller. limited tells whether the limiter of a cache is active. The floor is higher while
+// no limiter is active. Without this difference, eighty routers with a floor of two would all queue
+// requests when a purge of everything makes all responses late. They would reject a quarter of the
+// requests while the caches still had headroom.
 func inflightFloor(limited bool) float64 {
 	if limited {
 		return minInflight
@@ -134,7 +140,7 @@
 	return minInflight + extraInflight
 }
 
-// countsInflight reports whether the number of attempts in flight is limited by the weights of caches.
+// countsInflight reports whether the weights of caches limit the number of attempts in flight.
 func (r *Router) countsInflight() bool {
 	if r.cacheStatusKnown {
 		return false
@@ -148,7 +154,7 @@
 	quota := overcommitFactor * r.zoneFraction
 	slowdownKnown := r.settings.BodyBytesPerSecond > 0
 	if slowdownKnown && r.slowdownOf(server) < saturatedSlowdown {
-		quota = max(quota, 1) // the cache responds in time, so other routers have few attempts in flight there
+		quota = max(quota, 1) // other routers have few attempts in flight at a cache that responds in time
 	}
 	return quota * server.Weight * r.keyFraction(server)
 }
--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestRequestQueuedTwiceIsAnswered checks that a request that is queued again, after fills have become
-// faster, gets its answer. Its timer has fired while an attempt was in flight, so no timer would end
-// a second wait.
+// TestRequestQueuedTwiceIsAnswered checks that a request gets its answer although it is queued twice. Its
+// only timer fires between the two waits, while an attempt is in flight, so no timer would end the second
+// wait. Fills become faster in the meantime, which would allow a longer wait.
 func TestRequestQueuedTwiceIsAnswered(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	router := harness.router
@@ -14,7 +14,7 @@
 	router.linkLimiter.limit = 1
 	router.linkLimiter.inflight = 1
 	if actions := harness.finish(lookup, 0, NotCached, CacheStatusUnknown); len(sendActions(actions)) != 0 {
-		t.Fatalf("actions %v, want the request queued", actions)
+		t.Fatalf("got actions %v, want the request queued", actions)
 	}
 
 	queued := router.requests[lookup.ID]
@@ -30,13 +30,13 @@
 	router.fillPace = 1
 	router.linkLimiter.inflight = 9
 	if actions := harness.finish(lookup, 1, Rejected, FillRejected); !isRejected(actions) {
-		t.Errorf("actions %v, want a rejection", actions)
+		t.Errorf("got actions %v, want a rejection", actions)
 	}
 }
 
 // TestSaturatedHomeHasFailoverTargets checks that requests for a saturated home cache go to caches with
-// ample headroom, and are queued when there are none. Without failover all requests queued, and a sixth
-// was rejected while the next cache had headroom for two thirds more.
+// ample headroom, and are queued if no cache has ample headroom. Without failover, all requests would
+// queue, and a sixth of them would be rejected although the next cache could carry two thirds more load.
 func TestSaturatedHomeHasFailoverTargets(t *testing.T) {
 	const weight = 4
 	config := settings()
@@ -71,8 +71,9 @@
 	}
 }
 
-// TestWritesAreNotQueuedForSaturatedCaches checks that a write is sent to a saturated cache at once: it
-// has few bytes and the highest priority. When writes queued, a third of them was rejected unsent.
+// TestWritesAreNotQueuedForSaturatedCaches checks that a write is sent without a wait even if its cache is
+// saturated. Writes have few bytes and the highest priority. If they queued, a third of them would be
+// rejected without being sent.
 func TestWritesAreNotQueuedForSaturatedCaches(t *testing.T) {
 	config := settings()
 	config.WeightIsCapacity = true
@@ -88,9 +89,9 @@
 	}
 }
 
-// TestCachesAtFullPaceTakeMore checks that a router may use the caches' whole links while the caches
-// respond in time, and only its quota of them once the caches slow down. With a fixed quota, a router
-// that served its zone alone for a while rejected a tenth of the requests while the links were half used.
+// TestCachesAtFullPaceTakeMore checks that a router may use the whole links of the caches while the caches
+// respond in time, and only its quota of these links while the caches are slow. With a fixed quota, a
+// router that serves its zone alone would reject a tenth of the requests while the links are half used.
 func TestCachesAtFullPaceTakeMore(t *testing.T) {
 	tests := []struct {
 		name      string
@@ -118,9 +119,10 @@
 }
 
 // TestManyRoutersShareTheirCaches checks that all routers of a zone together have no more attempts in
-// flight than the zone's caches can send, although each router may have minInflight at any one cache.
-// Without the limit, eight routers had 16 attempts in flight at caches that send six: the link of the
-// zone was overloaded, and half of the requests were rejected long after a burst of 5 s.
+// flight than the caches of the zone can serve, although each router may always have minInflight attempts
+// in flight at one cache. Without the limit, eight routers would have 16 attempts in flight at a cache
+// that sends six at full pace. A burst of 5 s would overload the link of the zone, and half of the
+// requests would still be rejected long after the burst.
 func TestManyRoutersShareTheirCaches(t *testing.T) {
 	harness := newSmallQuotaHarness(t)
 	inflight := 0
@@ -134,10 +136,10 @@
 	}
 }
 
-// TestSmallQuotasDoNotMoveObjects checks that requests stay at the home cache while this router's quota
-// of a cache is so small that two attempts at the same time are a matter of chance. When such requests
-// failed over, 44% of the objects changed their cache without any fault, and the fills that this caused
-// saturated the link.
+// TestSmallQuotasDoNotMoveObjects checks that requests stay at the home cache if this router's quota of
+// each cache is less than two attempts. With so small a quota, two simultaneous attempts are a matter of
+// chance and show no overload. If such requests failed over, 44% of the objects would change their cache
+// without any fault, and the resulting fills would saturate the link.
 func TestSmallQuotasDoNotMoveObjects(t *testing.T) {
 	harness := newSmallQuotaHarness(t)
 	home := harness.requestOne(Request{Object: 7}).Server
@@ -153,9 +155,9 @@
 	}
 }
 
-// TestQueuedRequestIsRejectedWhenTooLate checks that a queued request is rejected once a response at the
-// pace of a saturated cache can no longer be in time. When such requests were still sent, a third of the
-// responses arrived after their deadline, and the work was lost.
+// TestQueuedRequestIsRejectedWhenTooLate checks that a queued request is rejected as soon as it is too late
+// for a response in time at the pace of a saturated cache. If such requests were still sent, a third of
+// the responses would arrive after their deadline, and the work would be wasted.
 func TestQueuedRequestIsRejectedWhenTooLate(t *testing.T) {
 	harness := newSmallQuotaHarness(t)
 	for range int(inflightFloor(false)) {
@@ -170,26 +172,26 @@
 	transferSeconds := harness.transferSecondsOf(queued)
 	timeLeft := queued.objectiveAt - queued.queueUntil
 	if least := secondsToDuration(2 * transferSeconds); timeLeft < least {
-		t.Errorf("got queued until %v before its objective, want at least %v", timeLeft, least)
+		t.Errorf("got a wait that ends %v before the latency objective, want at least %v before", timeLeft, least)
 	}
 	if queued.queueUntil <= startedAt {
-		t.Errorf("got queued until %v, want after %v", queued.queueUntil, startedAt)
+		t.Errorf("got a wait that ends at %v, want an end after its start at %v", queued.queueUntil, startedAt)
 	}
 	harness.now = queued.queueUntil
 	if actions := harness.expireQueued(queued.ID); !isRejected(actions) {
-		t.Errorf("actions %v, want a rejection", actions)
+		t.Errorf("got actions %v, want a rejection", actions)
 	}
 }
 
-// TestSmallQuotaRouterKeepsThreeInflight checks that a router with a twentieth of its zone's requests,
-// which sees too little of any cache for an exact quota, may have three attempts in flight, and two if
-// caches have rejected recently. When all copies became invalid at the same time, eighty routers with
-// small quotas each queued everything beyond two attempts, and rejected queued requests while the caches
-// still had headroom. Where caches were saturated, three attempts in flight made the overload worse.
+// TestSmallQuotaRouterKeepsThreeInflight checks that a router with a small quota may have three attempts in
+// flight, but only two if caches have rejected recently. The router receives a twentieth of its zone's
+// requests and therefore sees too few responses of any cache for an exact quota. If the limit were always
+// two, eighty such routers would queue and reject requests after a purge of everything, while the caches
+// still had headroom. If the limit were always three, it would make an overload of the caches worse.
 func TestSmallQuotaRouterKeepsThreeInflight(t *testing.T) {
 	tests := []struct {
 		name       string
-		rejections int // rejections by each cache; three activate its limiter
+		rejections int // rejections by each cache; three of them activate the cache's limiter
 		want       int
 	}{
 		{name: "no cache rejected recently", rejections: 0, want: 3},
--- a/routing/bounded.go
+++ b/routing/bounded.go
@@ -1,7 +1,8 @@
 package routing
 
-// boundedTable is a map of limited size. It consists of two halves: when the recent half is full, it
-// replaces the previous half, and entries that exist only in the old previous half are dropped.
+// boundedTable is a map of limited size that consists of two halves. put stores entries in the recent
+// half. When the recent half is full, it becomes the previous half, and a new recent half begins. The
+// entries of the former previous half are dropped.
 type boundedTable[V any] struct {
 	recent   map[uint64]V
 	previous map[uint64]V
--- a/routing/decay.go
+++ b/routing/decay.go
@@ -11,7 +11,7 @@
 	value     float64
 }
 
-// add decays the sum with a time constant, adds amount and returns the new sum.
+// add decays the sum with the given time constant, adds the given amount and returns the new sum.
 func (s *decayingSum) add(now, timeConstant time.Duration, amount float64) float64 {
 	s.value = s.value*decay(now-s.updatedAt, timeConstant) + amount
 	s.updatedAt = now
@@ -24,22 +24,23 @@
 	excess    float64 // amount by which the ratio exceeds 1, at updatedAt
 }
 
-// value returns the ratio at now, which must not be before the latest observation.
+// value returns the ratio at the time now, which must not precede the latest observation.
 func (r *decayingRatio) value(now, timeConstant time.Duration) float64 {
 	if r.excess == 0 {
-		return 1 // same value as the expression below, without computing the exponential
+		return 1 // the expression below has the same value, but computes an exponential
 	}
 	return 1 + r.excess*decay(now-r.updatedAt, timeConstant)
 }
 
-// observe moves the ratio towards an observation by the fraction gain of their difference.
+// observe moves the ratio towards an observation. gain is the fraction of their difference by which the
+// ratio moves.
 func (r *decayingRatio) observe(now, timeConstant time.Duration, gain, observation float64) {
 	value := r.value(now, timeConstant)
 	r.updatedAt = now
 	r.excess = max(0, value+(observation-value)*gain-1)
 }
 
-// decay returns the fraction of a decaying quantity that is left after elapsed.
+// decay returns the fraction of an exponentially decaying quantity that is left after the elapsed time.
 func decay(elapsed, timeConstant time.Duration) float64 {
 	return math.Exp(-elapsed.Seconds() / timeConstant.Seconds())
 }
--- a/routing/decision_trace_test.go
+++ b/routing/decision_trace_test.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	traceLines    = 60   // number of lines at the start of a trace that are kept as text
+	traceLines    = 60   // number of lines at the start of a trace that the golden file holds as text
 	traceHashStep = 1000 // number of lines between two hashes
 )
 
-// traceScenario is a set of settings and the behavior of the simulated fleet.
+// traceScenario describes the settings of the router, and the fleet and traffic of one simulation.
 type traceScenario struct {
 	name     string
 	seed     uint64
@@ -30,7 +30,7 @@
 	loads    bool    // outcomes carry load reports
 	rate     float64 // requests per second
 	length   time.Duration
-	updated  bool // the settings are replaced halfway
+	updated  bool // the settings are replaced after half of the length
 }
 
 // withWeight returns a function that gives all servers the same weight.
@@ -43,8 +43,8 @@
 	}
 }
 
-// meteredSettings returns a function that changes settings to a deployment without cache status, with
-// weights that are capacities, with known bytes of responses and with so many routers in the zone.
+// meteredSettings returns a function that changes settings to those of a deployment in which weights are
+// capacities and outcomes report the bytes of responses. The zone has the given number of routers.
 func meteredSettings(routers int) func(*routing.Settings) {
 	return func(settings *routing.Settings) {
 		settings.WeightIsCapacity = true
@@ -139,7 +139,8 @@
 	}
 }
 
-// traceFleet returns four caches in the router's zone, one in another zone, three parents and an origin.
+// traceFleet returns four caches in the router's zone, one cache in another zone, three parents and an
+// origin.
 func traceFleet() []routing.Server {
 	return []routing.Server{
 		{ID: 21, Zone: 2, Kind: 0, Phase: routing.Ready},
@@ -177,16 +178,17 @@
 	fmt.Fprintf(&w.kept, "%d lines, sha256 %x\n", w.count, w.hash.Sum(nil)[:12])
 }
 
-// TestDecisionTrace compares all decisions of the package with recorded ones. A simulated fleet with a
-// fixed seed sends a router requests, outcomes, timers, endpoint updates and purges, and each action
-// that the router returns is printed field by field. A golden file holds the first actions of a scenario
-// as lines and all actions as a running hash. A refactoring must leave the golden files unchanged.
+// TestDecisionTrace compares all decisions of the package with recorded decisions. A simulated fleet with
+// a fixed seed sends a router requests, outcomes, timers, endpoint updates and purges, and each action
+// that the router returns is printed field by field. The golden file of a scenario holds the first lines
+// of the printed trace, and running hashes of all lines. A refactoring must leave the golden files
+// unchanged.
 //
 //	UPDATE_GOLDEN=1 go test ./routing -run Trace            rewrites the golden files in testdata
 //	DECISION_TRACE_DIR=/tmp/x go test ./routing -run Trace  also writes all lines to that directory
 //
-// The recorded decisions depend on floating point arithmetic on amd64. A machine that fuses
-// multiplication and addition may decide differently.
+// The golden files are recorded on amd64. On an architecture that fuses multiplication and addition,
+// floating point results may differ, and the router may decide differently.
 func TestDecisionTrace(t *testing.T) {
 	for _, scenario := range traceScenarios() {
 		t.Run(scenario.name, func(t *testing.T) {
@@ -231,7 +233,7 @@
 	}
 }
 
-// TestGuardTrace compares the results of guards for purges and stale watch streams with recorded ones.
+// TestGuardTrace compares the results of guards for purges and stale watch streams with recorded results.
 func TestGuardTrace(t *testing.T) {
 	text := &strings.Builder{}
 	guards := traceGuards()
@@ -246,7 +248,7 @@
 	golden.Compare(t, "guard.txt", []byte(text.String()))
 }
 
-// printGuard prints the results of a guard for several times, objects and groups.
+// printGuard prints the results of a guard for each combination of several times, objects and groups.
 func printGuard(text *strings.Builder, index int, guard *routing.Guard) {
 	const second = time.Second
 	times := []time.Duration{
--- a/routing/ejection_test.go
+++ b/routing/ejection_test.go
@@ -16,29 +16,29 @@
 	return started
 }
 
-// available reports whether a server may be chosen now.
+// available reports whether the router may choose a server at the harness time.
 func (h *harness) available(id ServerID) bool {
-	h.handle(ClientDisconnected{}) // an unknown request: only sets the router's time
+	h.handle(ClientDisconnected{}) // sets the router's time; the request is unknown, so nothing else happens
 	return h.router.available(h.router.readyServer(id))
 }
 
-// wantEjected fails the test unless exactly these servers are ejected.
-func (h *harness) wantEjected(want ...ServerID) {
+// wantEjected fails the test unless exactly the expected servers are ejected.
+func (h *harness) wantEjected(expected ...ServerID) {
 	h.Helper()
-	if got := h.router.AppendEjected(nil); !slices.Equal(got, want) {
-		h.Errorf("got ejected servers %v, want %v", got, want)
+	if got := h.router.AppendEjected(nil); !slices.Equal(got, expected) {
+		h.Errorf("got ejected servers %v, want %v", got, expected)
 	}
 }
 
-// wantAvailable fails the test unless the availability of a server is as wanted.
-func (h *harness) wantAvailable(id ServerID, want bool) {
+// wantAvailable fails the test unless the availability of a server is as expected.
+func (h *harness) wantAvailable(id ServerID, expected bool) {
 	h.Helper()
-	if got := h.available(id); got != want {
-		h.Errorf("got server %d available %v, want %v", id, got, want)
+	if got := h.available(id); got != expected {
+		h.Errorf("got server %d available %v, want %v", id, got, expected)
 	}
 }
 
-// TestExtendEjectionNeverStartsEjection checks that a report of another router never ejects a server.
+// TestExtendEjectionNeverStartsEjection checks that an ExtendEjection event never ejects a server.
 func TestExtendEjectionNeverStartsEjection(t *testing.T) {
 	harness := newEjectionHarness(t)
 	harness.handle(ExtendEjection{Server: firstCache, Until: harness.now + second})
@@ -48,8 +48,8 @@
 	harness.wantEjected()
 }
 
-// TestRequireProbe checks that a server that other routers ejected is probed with one request, unless it
-// served recently.
+// TestRequireProbe checks that a RequireProbe event makes the router probe the server with one request,
+// unless the server served this router recently.
 func TestRequireProbe(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestExtendEjectionIsBounded checks that a report of another router prolongs an ejection by a bounded
-// time and never ends it.
+// TestExtendEjectionIsBounded checks that an ExtendEjection event prolongs an ejection by at most
+// maxEjectionExtension, and never ends an ejection.
 func TestExtendEjectionIsBounded(t *testing.T) {
 	harness := newEjectionHarness(t)
 	harness.now += 600 * millisecond
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -9,9 +9,9 @@
 		r.emit(SetTimer{Delay: subscribeRetryInterval, Token: timerSubscribe})
 		return
 	}
-	first := !r.initialized
+	isFirstList := !r.initialized
 	r.initialized = true
-	if first && r.settings.MustSubscribe {
+	if isFirstList && r.settings.MustSubscribe {
 		r.emit(Subscribe{})
 	}
 	if update.Snapshot {
@@ -20,16 +20,16 @@
 		}
 	}
 	for _, listed := range update.Servers {
-		r.applyEndpoint(listed, first)
+		r.applyEndpoint(listed, isFirstList)
 	}
 	r.indexReady()
 	r.servers = slices.DeleteFunc(r.servers, r.expired)
 	r.dispatchQueue()
 }
 
-// applyEndpoint applies one entry of the endpoint list. It ignores caches of other zones. first is
-// true for entries of the first list.
-func (r *Router) applyEndpoint(listed Server, first bool) {
+// applyEndpoint applies one entry of the endpoint list. It ignores caches of other zones. inFirstList is
+// true for an entry of the first endpoint list.
+func (r *Router) applyEndpoint(listed Server, inFirstList bool) {
 	role := r.roleOf(listed)
 	if role == cache && listed.Zone != r.settings.Zone {
 		return
@@ -40,7 +40,7 @@
 		r.servers = append(r.servers, &server{warmingSince: r.now, lastResponseAt: longAgo})
 	}
 	server := r.servers[index]
-	r.startWarming(server, listed, first)
+	r.startWarming(server, listed, inFirstList)
 	server.Server = listed
 	server.role = role
 	server.ready = listed.Phase == Ready
@@ -58,8 +58,8 @@
 	}
 }
 
-// indexReady lists the ready servers by role. Where the total weight of a role has fallen, it scales
-// the throughput of the role down by the same factor.
+// indexReady lists the ready servers by role. If the total weight of a role has fallen, indexReady
+// reduces the throughput of the role by the same factor.
 func (r *Router) indexReady() {
 	before := r.totalWeight
 	r.readyByRole = [roleCount][]*server{}
@@ -75,8 +75,9 @@
 	}
 }
 
-// expired reports whether a server that is not ready can be dropped: this router has sent it no work
-// for serverRetention, so that a late start event can no longer concern it.
+// expired reports whether the router can drop its record of a server. The server must not be ready, and
+// this router must have sent it no work for serverRetention. After that time, no late event about a start
+// of the server is expected.
 func (r *Router) expired(server *server) bool {
 	if server.ready {
 		return false
@@ -89,7 +90,7 @@
 	return lastUsedAt < r.now-serverRetention
 }
 
-// readyServer returns the server with an ID if it is listed as ready, or nil.
+// readyServer returns the server with the given ID if it is listed as ready, and nil otherwise.
 func (r *Router) readyServer(id ServerID) *server {
 	for _, server := range r.servers {
 		if server.ID == id && server.ready {
--- a/routing/events.go
+++ b/routing/events.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// RequestID identifies a request of one Router. The caller chooses it. The value has no meaning and
-// may be used again once the request has been answered.
+// RequestID identifies a request of one Router. The caller chooses the value, which has no other meaning.
+// The caller may use the value again once the request has been answered.
 type RequestID uint64
 
 // ObjectID identifies an object; all chunks of an object share it. All routers use the same ObjectID
@@ -30,8 +30,8 @@
 	return fmt.Sprintf("%s%0*x", serverIDPrefix, serverIDDigits, uint64(id))
 }
 
-// ParseServerID parses the text form that String returns. It returns an error that quotes text if
-// text has another form.
+// ParseServerID parses the text form that String returns. If the given text has another form, the error
+// quotes it.
 func ParseServerID(text string) (ServerID, error) {
 	digits, hasPrefix := strings.CutPrefix(text, serverIDPrefix)
 	number, err := strconv.ParseUint(digits, 16, 32)
@@ -44,7 +44,7 @@
 // Phase is the state of a server in the endpoint list.
 type Phase int
 
-// The phases of a server. Only servers in phase Ready are sent new attempts.
+// The phases of a server. Only servers in phase Ready get new attempts.
 const (
 	Removed Phase = iota
 	Ready
@@ -54,8 +54,8 @@
 // Server is one entry of the endpoint list.
 type Server struct {
 	ID        ServerID
-	Zone      int           // from 0 to below Settings.Zones
-	Kind      int           // from 0 to below Settings.Kinds
+	Zone      int           // from 0 to Settings.Zones-1
+	Kind      int           // from 0 to Settings.Kinds-1
 	Cell      int           // subdivision of its zone, for KeyScopeCell
 	Phase     Phase         // whether it accepts new attempts
 	Weight    float64       // concurrent transfers at full pace if Settings.WeightIsCapacity
@@ -81,12 +81,12 @@
 	TimedOut                     // no response arrived by SendAttempt.Deadline
 	ConnectFailed                // no connection to the server was established
 	ConnectionLost               // the connection broke before the response was complete
-	Canceled                     // the attempt was abandoned by the caller or after a CancelAttempt
+	Canceled                     // the caller abandoned the attempt, on its own or after a CancelAttempt
 	NotSent                      // the caller did not write the attempt to a connection
 	NotCached                    // no copy was found, and the attempt must not cause a fill
 )
 
-// NotExecuted reports whether a result proves that the attempt was not executed.
+// NotExecuted reports whether the result proves that the server did not execute the attempt.
 func (r Result) NotExecuted() bool {
 	switch r {
 	case Rejected, ConnectFailed, NotSent, NotCached:
@@ -104,8 +104,8 @@
 const (
 	CacheStatusUnknown CacheStatus = iota // not reported
 	Hit                                   // the target had a copy
-	Filled                                // a fill from a copy of the source
-	FilledByOrigin                        // a fill for which the origin had to be asked
+	Filled                                // the target filled its miss from a copy of the source
+	FilledByOrigin                        // as Filled, but the source had to fetch the object from the origin
 	JoinedFill                            // the fill of another request delivered the object
 	StaleHit                              // the target had a copy past its freshness lifetime
 	SourceRejected                        // the source refused the fill for now
@@ -118,14 +118,14 @@
 // sourceFailed reports whether the source of a fill, or the origin behind it, failed.
 func (s CacheStatus) sourceFailed() bool { return s >= SourceRejected && s != FillRejected }
 
-// filled reports whether the copy was obtained by a fill that the attempt itself caused.
+// filled reports whether the attempt itself caused a fill, and the fill delivered the object.
 func (s CacheStatus) filled() bool { return s == Filled || s == FilledByOrigin }
 
 // Event is an input of a Router, passed to Handle. The set of events is closed.
 type Event interface{ event() }
 
-// EndpointUpdate is a change of the endpoint list. The caller sends it for each watch event and, with
-// Failed set, when a subscription failed.
+// EndpointUpdate is a change of the endpoint list. The caller sends an EndpointUpdate for each watch
+// event. When a subscription has failed, the caller sends an EndpointUpdate with Failed set.
 type EndpointUpdate struct {
 	Snapshot bool     // Servers is the whole list: all other servers are removed
 	Failed   bool     // a subscription failed, and Servers is empty
@@ -133,14 +133,14 @@
 }
 
 // Request is a client's request. Each request gets exactly one final answer: an attempt that is
-// served, a Reject or a Fail. There is none after ClientDisconnected.
+// served, a Reject or a Fail. A request that ends by ClientDisconnected gets no answer.
 type Request struct {
 	ID          RequestID
 	Class       int // index in Settings.Classes; a request of an unlisted class is rejected
 	Object      ObjectID
 	Chunk       int           // number of the chunk within the object
 	PurgeGroup  int           // group with which the object is purged
-	Timeout     time.Duration // time from now until the client gives up
+	Timeout     time.Duration // time from this event until the client gives up
 	SizeKB      float64       // size of the response in KB; 0: not known
 	ClientRetry bool          // the request repeats an earlier one of the client; not used by this package
 }
@@ -171,27 +171,28 @@
 	Age    time.Duration // time since the purge was made
 }
 
-// ClientDisconnected ends a request that needs no answer any more.
+// ClientDisconnected ends a request whose client has disconnected and no longer expects an answer.
 type ClientDisconnected struct{ ID RequestID }
 
-// PeerLoadReport is the load of a cache as received by another router of the zone.
+// PeerLoadReport is a load report that a cache sent to another router of the zone.
 type PeerLoadReport struct {
 	Server ServerID
 	Load   LoadReport
-	Age    time.Duration // time since the cache measured it
+	Age    time.Duration // time since the cache measured the load
 }
 
-// ExtendEjection prolongs this router's ejection of a server, because another router probes the server
-// first. It never ejects a server and never ends an ejection.
+// ExtendEjection prolongs this router's ejection of a server, so that another router can probe the
+// server first. The event never ejects a server and never ends an ejection.
 type ExtendEjection struct {
 	Server ServerID
-	Until  time.Duration // new end of the ejection, by the clock of Handle; at most a few seconds from now
+	Until  time.Duration // new end of the ejection, by the clock of Handle; at most a few seconds ahead
 }
 
-// RequireProbe makes this router probe a server that other routers ejected: the server gets one request
-// and, until it has responded, no others. The event has no effect if the server recently served
-// this router. Without the probe, a lease holder at which the server had failed only a few times
-// kept sending to it and therefore considered it recovered.
+// RequireProbe makes this router probe a server that other routers have ejected. The server gets one
+// request, and gets no further request until it has responded. The event has no effect if the server
+// recently served this router. In each zone, the router that holds a lease probes an ejected server before
+// the other routers do. Without the event, a lease holder that has seen only a few failures of the server
+// would keep sending requests to it, and would therefore consider the server recovered.
 type RequireProbe struct{ Server ServerID }
 
 func (EndpointUpdate) event()     {}
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -7,7 +7,8 @@
 	"garnetline/routing"
 )
 
-// Example passes a list of servers and a request to a router, and prints the action that it returns.
+// Example passes a list of servers and a request to a router, and prints the attempt that the router
+// returns.
 func Example() {
 	router, err := routing.New(routing.Settings{
 		Zones: 2, Zone: 1, Kinds: 3, ParentKind: 1, OriginKind: 2,
--- a/routing/fleet_simulation_test.go
+++ b/routing/fleet_simulation_test.go
@@ -14,8 +14,8 @@
 // simulationStart is the time at which a simulation begins. Times in a trace are relative to it.
 const simulationStart = 1000 * time.Second
 
-// simulation runs a scenario on one router. The recorded decisions depend on the order in which it
-// draws random numbers.
+// simulation runs a scenario on one router. The recorded decisions depend on the order in which the
+// simulation draws random numbers.
 type simulation struct {
 	traceScenario
 	random         *rand.Rand
@@ -34,7 +34,7 @@
 	conditions
 }
 
-// conditions are the conditions, apart from the state of servers, that change during a simulation.
+// conditions are the properties of load, link and caches that change during a simulation.
 type conditions struct {
 	load            float64 // present request rate as a multiple of the scenario's rate
 	linkUtilization float64 // utilization of the zone's link
@@ -73,7 +73,7 @@
 	return simulated
 }
 
-// run runs the scenario to its end, then handles the outstanding timers and outcomes.
+// run runs the scenario to its end, and then handles the outstanding timers and outcomes.
 func (s *simulation) run() {
 	s.handle(routing.EndpointUpdate{Snapshot: true, Servers: s.list()})
 	s.after(0, s.sendRequest)
@@ -100,7 +100,7 @@
 	s.trace.printHash()
 }
 
-// handle passes an event to the router, prints the actions that it returns and carries them out.
+// handle passes an event to the router, prints the returned actions and carries them out.
 func (s *simulation) handle(event routing.Event) {
 	for _, action := range s.router.Handle(s.now, event, nil) {
 		s.print(action)
@@ -122,7 +122,7 @@
 	}
 }
 
-// print adds an action to the trace, with the keys that the golden files use.
+// print adds a line for an action to the trace. The golden files hold the keys of the line.
 func (s *simulation) print(action routing.Action) {
 	elapsed := s.now - simulationStart
 	switch action := action.(type) {
@@ -145,7 +145,7 @@
 	}
 }
 
-// printServers prints the servers that the router has ejected, and schedules itself again in a second.
+// printServers adds the servers that the router has ejected to the trace, once a second.
 func (s *simulation) printServers() {
 	ejected := ""
 	for _, id := range s.router.AppendEjected(nil) {
@@ -155,7 +155,7 @@
 	s.after(time.Second, s.printServers)
 }
 
-// schedule adds an event to the queue, to be handled at a time.
+// schedule adds an event to the queue. The event is handled at the given time.
 func (s *simulation) schedule(at time.Duration, event *simulatedEvent) {
 	event.at = at
 	event.order = s.scheduled
@@ -163,15 +163,15 @@
 	heap.Push(&s.queue, event)
 }
 
-// after schedules a call of step after a delay. The call is skipped if the scenario has ended by then.
+// after schedules a call of step after a delay. The call is skipped if the scenario ends before it is due.
 func (s *simulation) after(delay time.Duration, step func()) {
 	s.schedule(s.now+delay, &simulatedEvent{step: step})
 }
 
-// simulatedEvent is an event due at a time: a step, a timer, or the outcome of an attempt.
+// simulatedEvent is an event of a simulation: a step, a timer, or the outcome of an attempt.
 type simulatedEvent struct {
-	at      time.Duration
-	order   int // order among the events of the same time
+	at      time.Duration // time at which the event is due
+	order   int           // order among the events that are due at the same time
 	timer   *uint64
 	outcome *routing.Outcome
 	attempt *simulatedAttempt // attempt that outcome ends
--- a/routing/guard.go
+++ b/routing/guard.go
@@ -5,45 +5,47 @@
 	"time"
 )
 
-// Guard holds what must be checked again when an attempt is written to its connection, because the
-// attempt may have been queued after the Router decided on it. A Guard is immutable: any goroutine may
-// use it.
+// Guard checks an attempt again when the attempt is written to its connection. The attempt may have
+// waited in a queue since the Router decided on it, and servers may have been removed or objects purged
+// in the meantime. A Guard is immutable, so any goroutine may use it.
 type Guard struct {
 	Ready          map[ServerID]bool // servers that are listed and neither draining nor removed
-	Purges         []PurgeRecord     // purges that may have left older copies
-	PurgeRetention time.Duration     // time after which a purge has left no older copy
-	PurgeGrace     time.Duration     // time after which a purge must be obeyed
+	Purges         []PurgeRecord     // purges from before which copies may still exist
+	PurgeRetention time.Duration     // time after a purge until no older copies are left
+	PurgeGrace     time.Duration     // time within which a purge must take effect
 	PurgesSeen     bool              // purges occur in this deployment
 	LastEventAt    time.Duration     // time of the latest event of the watch stream; 0: no event yet
 }
 
-// Excludes reports whether a server must get no new attempts, neither as target nor as source. Without
-// this check, an attempt that waits in a queue while its server is listed as draining would be sent
-// after the drain grace. A nil Guard excludes no server.
+// Excludes reports whether a server must get no new attempts, neither as target nor as source. A nil
+// Guard excludes every server. Without this check, an attempt could wait in a queue while its server is
+// drained, and would then be sent after the end of the drain grace.
 func (g *Guard) Excludes(id ServerID) bool { return g == nil || !g.Ready[id] }
 
-// MaxAge returns the maximum age at now of a copy that may serve an attempt, where age is the maximum
-// at the time of the decision. 0 stands for any age. Without this check, an attempt that was decided
-// on just before a purge and is written after it would be answered from the old copy.
-func (g *Guard) MaxAge(now, age time.Duration, object ObjectID, group int) time.Duration {
-	exceedsGrace := age == 0 || age > g.PurgeGrace
+// MaxAge returns the maximum age, at the time now, of a copy that may serve an attempt. maxAge is the
+// maximum age that the Router decided on for the attempt. 0 stands for any age. Without this check, an
+// attempt that is decided on just before a purge and written just after the purge would be answered from
+// the old copy.
+func (g *Guard) MaxAge(now, maxAge time.Duration, object ObjectID, group int) time.Duration {
+	exceedsGrace := maxAge == 0 || maxAge > g.PurgeGrace
 	if exceedsGrace && g.watchStale(now) {
-		age = g.PurgeGrace
+		maxAge = g.PurgeGrace
 	}
 	for _, purge := range g.Purges {
 		if !g.binds(purge, now) || !purge.covers(object, group) {
 			continue
 		}
 		sincePurge := max(now-purge.At, time.Microsecond)
-		if age == 0 || sincePurge < age {
-			age = sincePurge
+		if maxAge == 0 || sincePurge < maxAge {
+			maxAge = sincePurge
 		}
 	}
-	return age
+	return maxAge
 }
 
 // MayBeStale reports whether purged copies of an object may still exist. A negative group means that
-// the object's group is not known; then a purge of any group counts. A nil Guard reports false.
+// the object's group is not known. In this case, the purge of any group may apply to the object. A nil
+// Guard reports false.
 func (g *Guard) MayBeStale(now time.Duration, object ObjectID, group int) bool {
 	if g == nil {
 		return false
@@ -63,9 +65,9 @@
 	return purge.At+g.PurgeRetention > now
 }
 
-// watchStale reports whether purges may exist that have not arrived, because the watch stream is cut
-// off: such purges must be obeyed too. While this lasts, only copies younger than the purge grace are
-// served, which costs hits.
+// watchStale reports whether the watch stream is cut off, so that this router may have missed purges.
+// Missed purges must be obeyed too. Therefore, only copies younger than the purge grace are served while
+// the stream is cut off, which lowers the hit ratio.
 func (g *Guard) watchStale(now time.Duration) bool {
 	if !g.PurgesSeen || g.LastEventAt == 0 {
 		return false
@@ -86,7 +88,7 @@
 	At     time.Duration // time of the purge, by the clock of Handle
 }
 
-// covers reports whether a purge applies to an object that belongs to group.
+// covers reports whether a purge applies to the given object, which belongs to the given group.
 func (p PurgeRecord) covers(object ObjectID, group int) bool {
 	if p.Object != 0 {
 		return p.Object == object
@@ -94,7 +96,8 @@
 	return p.Group == group
 }
 
-// handlePurge records a purge and drops earlier purges that have left no older copy.
+// handlePurge records a purge. It drops earlier purges whose retention has ended: no copies from before
+// them are left.
 func (r *Router) handlePurge(event Purge) {
 	retention := r.settings.PurgeRetention
 	r.purgeLog.PurgeRetention = retention
--- a/routing/guard_test.go
+++ b/routing/guard_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// TestStaleWatchBoundsCopyAge checks that copies must be younger than the purge grace while the watch
-// stream is cut off, in a deployment with purges: the stream may miss purges that must be obeyed.
+// TestStaleWatchBoundsCopyAge checks that only copies younger than the purge grace are served while the
+// watch stream is cut off, in a deployment with purges. The router may have missed purges, which must be
+// obeyed too.
 func TestStaleWatchBoundsCopyAge(t *testing.T) {
 	const grace = 500 * millisecond
 	watched := Guard{
@@ -32,16 +33,17 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if got := test.guard.MaxAge(test.now, test.bound, 7, 1); got != test.wantAge {
-				t.Errorf("got age %v, want %v", got, test.wantAge)
+				t.Errorf("got maximum age %v, want %v", got, test.wantAge)
 			}
 			if got := test.guard.MayBeStale(test.now, 7, 1); got != test.wantStale {
-				t.Errorf("got may be stale %v, want %v", got, test.wantStale)
+				t.Errorf("got MayBeStale %v, want %v", got, test.wantStale)
 			}
 		})
 	}
 }
 
-// TestPurgeBoundsCopyAge checks that a purge limits the age of copies until no older copies are left.
+// TestPurgeBoundsCopyAge checks that only copies newer than a purge are served, until the end of the purge
+// retention.
 func TestPurgeBoundsCopyAge(t *testing.T) {
 	const object, group = 7, 4
 	tests := []struct {
@@ -71,19 +73,19 @@
 			harness.now += test.wait
 			sent := harness.requestOne(Request{Class: test.class, Object: object, PurgeGroup: group, SizeKB: 1})
 			if sent.MaxAge != test.want {
-				t.Errorf("got age %v, want %v", sent.MaxAge, test.want)
+				t.Errorf("got maximum age %v, want %v", sent.MaxAge, test.want)
 			}
 		})
 	}
 }
 
-// TestExpiredPurgesAreRemoved checks that a purge that has left no older copy is removed.
+// TestExpiredPurgesAreRemoved checks that the record of a purge is removed after the purge retention.
 func TestExpiredPurgesAreRemoved(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	harness.handle(Purge{Object: 7})
 	harness.now += 7 * second
 	harness.handle(Purge{Object: 9})
 	if got := len(harness.router.purgeLog.Purges); got != 1 {
-		t.Errorf("got %d purges, want 1", got)
+		t.Errorf("got %d recorded purges, want 1", got)
 	}
 }
--- a/routing/hanging_parent_test.go
+++ b/routing/hanging_parent_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// hangingParent is a harness with a parent whose fills never end, while attempts that name it as source
-// and are hits are still served.
+// hangingParent is a harness with a parent whose fills never end. Hits are still served, also those of
+// attempts that name this parent as source.
 type hangingParent struct {
 	*harness
 	parent ServerID
-	hung   int // number of fills sent to the parent
+	hung   int // number of fills sent to the parent, none of which ends
 	checks []dueCheck
 }
 
@@ -20,7 +20,7 @@
 	at time.Duration
 }
 
-// fireChecks fires the timers that are due and ends the attempts that the router cancels.
+// fireChecks fires the check timers that are due, and ends the attempts that the router cancels.
 func (h *hangingParent) fireChecks() {
 	for len(h.checks) > 0 && h.checks[0].at <= h.now {
 		check := h.checks[0]
@@ -36,7 +36,8 @@
 	}
 }
 
-// serve ends attempts in time, except fills by the hanging parent.
+// serve ends attempts in time, except fills by the hanging parent. fill tells whether the attempts cause
+// fills.
 func (h *hangingParent) serve(actions []Action, fill bool) {
 	for _, sent := range sendActions(actions) {
 		if fill && sent.FillSource == h.parent {
@@ -48,8 +49,9 @@
 	}
 }
 
-// TestHangingParentIsEjectedDespiteHits checks that a parent whose fills never end is ejected although
-// hits that name it as source succeed. Otherwise one attempt in three to it ends late or not at all.
+// TestHangingParentIsEjectedDespiteHits checks that a parent whose fills never end is ejected, although
+// hits that name the parent as source succeed. Without the ejection, one in three attempts that name the
+// parent as source would end late or not at all.
 func TestHangingParentIsEjectedDespiteHits(t *testing.T) {
 	const mostHung = 65 // of about 100
 	harness := &hangingParent{harness: newHarness(t, settings(), fleet())}
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -38,7 +38,8 @@
 	onceClass
 )
 
-// settings returns the settings of the only router of its zone. One other zone has a router too.
+// settings returns the settings of a router that is the only router of its zone. Another zone also has one
+// router.
 func settings() Settings {
 	return Settings{
 		Zones: 3, Zone: 1, Kinds: 3, ParentKind: parentKind, OriginKind: originKind,
@@ -72,7 +73,7 @@
 	}
 }
 
-// fleet returns three caches in the router's zone, one in another zone, two parents and an origin.
+// fleet returns three caches in the router's zone, one cache in another zone, two parents and an origin.
 func fleet() []Server {
 	return []Server{
 		{ID: firstCache, Zone: 1, Kind: cacheKind, Phase: Ready},
@@ -85,7 +86,7 @@
 	}
 }
 
-// fleetOfWeight returns the test fleet with the same weight for all servers.
+// fleetOfWeight returns the test fleet with the given weight for all servers.
 func fleetOfWeight(weight float64) []Server {
 	list := fleet()
 	for i := range list {
@@ -94,7 +95,7 @@
 	return list
 }
 
-// harness drives a Router and holds the state of its caller.
+// harness passes events to a Router and holds the state of the Router's caller.
 type harness struct {
 	*testing.T
 	router *Router
@@ -108,7 +109,7 @@
 	return newSeededHarness(t, config, list, 1)
 }
 
-// newSeededHarness creates a router with a seed and passes it a list of servers.
+// newSeededHarness creates a router with the given seed and passes it a list of servers.
 func newSeededHarness(t *testing.T, config Settings, list []Server, seed uint64) *harness {
 	t.Helper()
 	router, err := New(config, seed)
@@ -120,8 +121,8 @@
 	return started
 }
 
-// newSmallQuotaHarness creates one of eight routers of a zone. Its quota of each of the three caches is
-// less than two of the cache's six transfers.
+// newSmallQuotaHarness creates one of eight routers of a zone. The zone has three caches, each of which
+// sends six transfers at full pace. The router's quota of each cache is less than two transfers.
 func newSmallQuotaHarness(t *testing.T) *harness {
 	t.Helper()
 	config := settings()
@@ -129,19 +130,19 @@
 	config.RoutersByZone = []int{0, 8, 1}
 	config.BodyBytesPerSecond = 100_000
 	started := newHarness(t, config, fleetOfWeight(6))
-	for _, server := range started.caches() { // makes the caches look busy with attempts of other routers
+	for _, server := range started.caches() { // the caches look busy with attempts of other routers
 		server.slowdown.observe(started.now, slowdownTimeConstant, 1, 1.5*saturatedSlowdown)
 	}
 	return started
 }
 
-// handle passes an event to the router at the present time.
+// handle passes an event to the router at the harness time.
 func (h *harness) handle(event Event) []Action {
 	return h.router.Handle(h.now, event, nil)
 }
 
-// request sends a request and returns the actions that follow. By default the request has a new ID and
-// the deadline of its class.
+// request sends a request and returns the resulting actions. A request without an ID gets a new ID. A
+// request without a timeout gets the deadline of its class.
 func (h *harness) request(request Request) []Action {
 	if request.ID == 0 {
 		request.ID = h.nextID
@@ -153,18 +154,20 @@
 	return h.handle(request)
 }
 
-// requestOne sends a request that must lead to one attempt, and returns the attempt.
+// requestOne sends a request and returns the attempt that results. It fails the test unless there is
+// exactly one attempt.
 func (h *harness) requestOne(request Request) SendAttempt {
 	h.Helper()
 	return h.singleAttempt(h.request(request))
 }
 
-// singleAttempt returns the attempt in actions, which must contain exactly one.
+// singleAttempt returns the only attempt among the given actions. It fails the test unless there is exactly
+// one attempt.
 func (h *harness) singleAttempt(actions []Action) SendAttempt {
 	h.Helper()
 	attempts := sendActions(actions)
 	if len(attempts) != 1 {
-		h.Fatalf("got %d attempts, want 1: %v", len(attempts), actions)
+		h.Fatalf("got %d attempts, want 1; actions %v", len(attempts), actions)
 	}
 	return attempts[0]
 }
@@ -179,11 +182,11 @@
 	})
 }
 
-// finishWithoutStatus reports the end of an attempt at a cache that reports no cache status.
-func (h *harness) finishWithoutStatus(sent SendAttempt, index int, result Result, took time.Duration) []Action {
+// finishWithoutStatus reports the end of an attempt with an outcome that holds no cache status.
+func (h *harness) finishWithoutStatus(sent SendAttempt, index int, result Result, duration time.Duration) []Action {
 	return h.handle(Outcome{
 		ID: sent.ID, Attempt: index, Server: sent.Server, Result: result,
-		Duration: took, RequestDone: result == Served,
+		Duration: duration, RequestDone: result == Served,
 	})
 }
 
@@ -200,7 +203,7 @@
 func (h *harness) caches() []*server  { return h.router.readyByRole[cache] }
 func (h *harness) parents() []*server { return h.router.readyByRole[parent] }
 
-// sendActions returns the attempts among actions.
+// sendActions returns the SendAttempt actions among the given actions.
 func sendActions(actions []Action) []SendAttempt {
 	var attempts []SendAttempt
 	for _, action := range actions {
@@ -211,10 +214,10 @@
 	return attempts
 }
 
-// isRejected reports whether a request was answered with a Reject.
+// isRejected reports whether the actions contain a Reject.
 func isRejected(actions []Action) bool { return containsAction[Reject](actions) }
 
-// isFailed reports whether a request was answered with a Fail.
+// isFailed reports whether the actions contain a Fail.
 func isFailed(actions []Action) bool { return containsAction[Fail](actions) }
 
 func containsAction[A Action](actions []Action) bool {
--- a/routing/hotkeys_test.go
+++ b/routing/hotkeys_test.go
@@ -10,19 +10,19 @@
 	first := harness.requestOne(request)
 	second := harness.requestOne(request)
 	if first.JoinFill || !second.JoinFill {
-		t.Errorf("got first joins %v, second joins %v, want false, true", first.JoinFill, second.JoinFill)
+		t.Errorf("got JoinFill %v for the first attempt and %v for the second, want false and true", first.JoinFill, second.JoinFill)
 	}
 	if first.Server != second.Server || first.FillSource != second.FillSource {
 		t.Errorf("got second attempt %v, want the home servers of the first attempt, %v", second, first)
 	}
 	harness.now += 5 * popularityTimeConstant
 	if later := harness.requestOne(request); later.JoinFill {
-		t.Errorf("got a late attempt %v that joins a fill, want one that does not", later)
+		t.Errorf("got attempt %v that joins a fill after the request count has decayed, want one that joins no fill", later)
 	}
 }
 
-// TestPopularityScalesWithZoneFraction checks that popularity has the same meaning with any number of
-// routers in a zone.
+// TestPopularityScalesWithZoneFraction checks that an object is popular if it is requested often in the
+// zone, even if each router of the zone receives only a small fraction of the requests.
 func TestPopularityScalesWithZoneFraction(t *testing.T) {
 	config := settings()
 	config.RoutersByZone = []int{0, 10, 1}
--- a/routing/inflight.go
+++ b/routing/inflight.go
@@ -1,6 +1,7 @@
 package routing
 
-// track counts an attempt as started (delta 1) or ended (delta -1) at its request, servers and limiters.
+// track updates the numbers of attempts in flight of an attempt's request, servers and limiters. delta is
+// 1 when the attempt starts and -1 when the attempt ends.
 func (r *Router) track(attempt *attempt, delta int) {
 	attempt.ended = delta < 0
 	attempt.request.inflight += delta
--- a/routing/limiter.go
+++ b/routing/limiter.go
@@ -3,12 +3,12 @@
 import "time"
 
 // limiter is an adaptive concurrency limit for the transfers that share a bottleneck: a link, a
-// source's fills, fetches from the origin, writes, or all attempts sent to one cache. While the
-// limiter of a fill path is active, a request first looks up a copy without causing a fill. Only
-// requests that are known to miss wait until one of the few allowed fills can start. Without the
-// limit, more work on a full link or a slow server slows all transfers until none ends in time.
+// source's fills, fetches from the origin, writes, or all attempts sent to one cache. While a limiter on
+// the path of a fill is active, a request first looks up a copy without causing a fill. If the lookup
+// misses, the request waits until the limiter allows its fill. Without the limit, more work on a full
+// link or a slow server would slow all transfers, until no transfer ends in time.
 type limiter struct {
-	utilization   float64 // smoothed; 1: the load that the bottleneck should have
+	utilization   float64 // smoothed; 1 is the target load of the bottleneck
 	active        bool
 	inflight      int           // transfers of this router in flight
 	limit         float64       // limit of inflight, valid while active
@@ -27,8 +27,8 @@
 	return belowLimit && now >= l.pausedUntil
 }
 
-// track adds delta to the number of transfers in flight. When a transfer ends under a limit below 1, it
-// starts a pause.
+// track adds delta to the number of transfers in flight. When a transfer ends while the limit is below 1,
+// track starts a pause.
 func (l *limiter) track(now time.Duration, delta int) {
 	l.inflight += delta
 	if delta > 0 {
@@ -42,10 +42,11 @@
 	}
 }
 
-// observe records one observation of the bottleneck's utilization. The limit starts at the number of
-// transfers in flight, or at the router's share of initialZoneLimit if that is higher. It is removed
-// only when it has not been needed for a while; otherwise all waiting requests would overload the
-// bottleneck again. zoneFraction is the fraction of its zone's requests that the router receives.
+// observe records one observation of the bottleneck's utilization. When the limiter becomes active, the
+// limit is the number of transfers in flight, or the router's share of initialZoneLimit if that share is
+// higher. The limiter becomes inactive only after the limit has not been needed for a while. Otherwise,
+// all waiting requests would start together and overload the bottleneck again. zoneFraction is the
+// fraction of its zone's requests that the router receives.
 func (l *limiter) observe(now time.Duration, utilization, zoneFraction float64) {
 	steps := min(float64((now-l.updatedAt)/limitUpdateInterval), maxLimitSteps)
 	weight := min(max(steps, 1), maxObservationSteps)
@@ -60,8 +61,8 @@
 	}
 }
 
-// updateLimit deactivates the limiter, or lowers or raises its limit. steps is the number of update
-// intervals since the last change.
+// updateLimit deactivates the limiter, lowers or raises its limit, or leaves the limit as it is. steps is
+// the number of update intervals since the previous call.
 func (l *limiter) updateLimit(steps, zoneFraction float64) {
 	used := min(float64(l.inflight)+1, l.limit)
 	idle := l.utilization < limiterActivation/limiterEndDivisor
@@ -77,7 +78,8 @@
 	}
 }
 
-// recordPace derives the utilization of a bottleneck from the pace of a served attempt, and records it.
+// recordPace derives the utilization of a bottleneck from the pace of a served attempt, and records this
+// utilization. The pace is the response time divided by the transfer time.
 func (r *Router) recordPace(attempt *attempt, outcome *Outcome, transfer transfer) {
 	responseTime := outcome.Duration - outcome.FillWait
 	pace := responseTime.Seconds() / max(transfer.seconds, minPaceSeconds)
@@ -85,10 +87,10 @@
 	fillWaitUnknown := status.filled() && r.settings.HitStatusOnly
 	switch {
 	case status == CacheStatusUnknown:
-		// Without this observation only rejections would be observed, and the limiter would never end.
+		// Without this observation, only rejections would be observed, and the limiter would stay active.
 		attempt.target.limiter.observe(r.now, unknownStatusUtilization, r.zoneFraction)
 	case !transfer.known || fillWaitUnknown:
-		// The pace is not known.
+		// The pace is unknown, so nothing is recorded.
 	case status.filled():
 		r.recordFillPace(attempt, outcome.FillWait, pace)
 	case status == Hit || status == StaleHit:
@@ -106,8 +108,8 @@
 	attempt.source.limiter.observe(r.now, utilization, r.zoneFraction)
 }
 
-// recordOriginLoad records the utilization of the origin. It counts less for writes than for reads, so
-// that writes are still admitted when reads are limited.
+// recordOriginLoad records the utilization of the origin. The limiter of writes records a lower value
+// than the limiter of reads, so that writes are still admitted when reads are limited.
 func (r *Router) recordOriginLoad(attempt *attempt, utilization float64) {
 	r.originLimiter.observe(r.now, utilization, r.zoneFraction)
 	if attempt.request.class.Write {
--- a/routing/limiter_test.go
+++ b/routing/limiter_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// reportLink reports the utilization of the zone's link in the outcomes of several attempts.
-func (h *harness) reportLink(utilization float64, times int) {
+// reportLink reports the utilization of the zone's link in the outcomes of the given number of attempts.
+func (h *harness) reportLink(utilization float64, attempts int) {
 	h.Helper()
-	for range times {
+	for range attempts {
 		sent := h.requestOne(Request{Object: 999, SizeKB: 1})
 		outcome := Outcome{
 			ID: sent.ID, Server: sent.Server, Result: Served, CacheStatus: Hit,
@@ -20,8 +20,8 @@
 	}
 }
 
-// TestSaturatedLinkLimitsFills checks that, with a saturated link, requests first look up a copy, and that
-// fills of known misses are limited.
+// TestSaturatedLinkLimitsFills checks that requests first look up a copy while the link is saturated, and
+// that fills of known misses are limited.
 func TestSaturatedLinkLimitsFills(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	harness.reportLink(5, 20)
@@ -38,19 +38,20 @@
 	}
 }
 
-// TestIdleLinkEndsLimiter checks that requests take the ordinary path again once a saturated link is idle.
+// TestIdleLinkEndsLimiter checks that requests may cause fills again, without a lookup first, after a
+// saturated link has become idle.
 func TestIdleLinkEndsLimiter(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	harness.reportLink(5, 20)
 	harness.reportLink(0, 40)
 	sent := harness.requestOne(Request{Object: 5, SizeKB: 1})
 	if sent.FillSource == sent.Server {
-		t.Errorf("got attempt %v without a fill source, want one with a source", sent)
+		t.Errorf("got attempt %v without a fill source, want an attempt with a fill source", sent)
 	}
 }
 
-// TestSlowOriginIsLimited checks that, with a slow origin, a known miss first asks the parent only for
-// what the parent has cached, and that fetches of what the parent lacks are limited.
+// TestSlowOriginIsLimited checks two rules for a slow origin. The fill of a known miss first asks the
+// parent only for a cached copy. If the parent has no copy, the fetch from the origin is limited.
 func TestSlowOriginIsLimited(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	for range 10 {
@@ -64,7 +65,7 @@
 			continue
 		}
 		if !fills[0].OnlyIfCached {
-			t.Fatalf("got attempt %v, want a fill only from the cache of the parent", fills[0])
+			t.Fatalf("got attempt %v, want a fill that asks the parent only for a cached copy", fills[0])
 		}
 		fromParent++
 		fromOrigin += len(sendActions(harness.finish(fills[0], 1, NotCached, SourceMiss)))
@@ -77,9 +78,9 @@
 	}
 }
 
-// TestOriginLimitIsZoneQuota checks that a router's limit at an overloaded origin is its quota of its
-// zone's limit, that pauses enforce a limit below 1, and that writes are queued too while the origin
-// answers none in time.
+// TestOriginLimitIsZoneQuota checks that a router's limit at an overloaded origin is the router's share of
+// the limit of its zone, and that pauses enforce a limit below 1. It also checks that writes are queued
+// while the origin answers no write in time.
 func TestOriginLimitIsZoneQuota(t *testing.T) {
 	const routers = 20
 	config := settings()
@@ -98,7 +99,7 @@
 	}
 	limiter := &router.originLimiter
 	if want := minZoneLimit / routers; limiter.limit > want*1.01 {
-		t.Errorf("got limit %[2]v for one of %[1]d routers, want %[3]v", routers, limiter.limit, want)
+		t.Errorf("got limit %[2]v for one of %[1]d routers, want at most %[3]v", routers, limiter.limit, want)
 	}
 
 	limiter.track(harness.now, 1)
@@ -110,7 +111,7 @@
 	}
 	harness.now += 2 * second
 	if !limiter.admits(harness.now) {
-		t.Error("got no transfer admitted after the pause, want one")
+		t.Error("got no transfer admitted after the pause, want one more transfer admitted")
 	}
 
 	write := harness.requestOne(Request{Class: writeClass, Object: 1, SizeKB: 10})
@@ -122,8 +123,8 @@
 	}
 }
 
-// TestLimiterEndsWithoutStatus checks that the limiter of a cache that rejected for a while ends when the
-// cache serves again, although outcomes report no cache status.
+// TestLimiterEndsWithoutStatus checks that the limiter of a cache that has rejected attempts becomes
+// inactive when the cache serves again, although outcomes report no cache status.
 func TestLimiterEndsWithoutStatus(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	limiter := &harness.caches()[0].limiter
@@ -145,10 +146,10 @@
 	}
 }
 
-// TestFillsDoNotLimitParentWithHitStatusOnly checks that fills of small objects do not make a parent look
-// saturated where responses report hits and fills but not how long a fill waited. Otherwise known misses
-// are limited without need. It also checks that the reported statuses do not count as the status of
-// failures, which is never reported there.
+// TestFillsDoNotLimitParentWithHitStatusOnly checks that, with HitStatusOnly, fills of small objects do not
+// make a parent look saturated. With this setting, outcomes do not report how long a fill waited. If the
+// wait counted as transfer time, known misses would be limited without need. The test also checks that
+// the router does not conclude from the reported hits and fills that outcomes report failures too.
 func TestFillsDoNotLimitParentWithHitStatusOnly(t *testing.T) {
 	tests := []struct {
 		name          string
@@ -167,17 +168,17 @@
 				return parent.limiter.active
 			})
 			if want := !test.hitStatusOnly; parentLimited != want {
-				t.Errorf("got a limited parent %v, want %v", parentLimited, want)
+				t.Errorf("got an active limiter of a parent %v, want %v", parentLimited, want)
 			}
 			if got, want := harness.router.cacheStatusKnown, !test.hitStatusOnly; got != want {
-				t.Errorf("got the status of failures known %v, want %v", got, want)
+				t.Errorf("got cacheStatusKnown %v, want %v", got, want)
 			}
 		})
 	}
 }
 
-// fillSlowly sends requests for small objects whose fills take 200 ms for 10 ms of transfer. It stops
-// when a parent is limited.
+// fillSlowly sends requests for small objects. Each fill takes 200 ms, of which 10 ms are transfer time.
+// fillSlowly stops when the limiter of a parent is active.
 func (h *harness) fillSlowly(requests int) {
 	h.Helper()
 	for i := range requests {
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// available reports whether a server may be chosen: it is ready and not ejected. After an ejection and
-// until it has responded, it may be chosen only while no other attempt to it is in flight.
+// available reports whether a server may be chosen. The server must be ready and not ejected. After the
+// end of an ejection, the server is probed with one attempt at a time until it has succeeded: it may be
+// chosen only while no other attempt at it is in flight.
 func (r *Router) available(server *server) bool {
 	if !server.ready || r.now < server.ejectedUntil {
 		return false
@@ -12,8 +13,9 @@
 	return !probing || server.inflight == 0
 }
 
-// AppendEjected appends to ids the servers listed as ready that are ejected, or that have not responded
-// since their ejection ended, and returns the extended slice.
+// AppendEjected appends server IDs to ids and returns the extended slice. It appends the IDs of servers
+// that are listed as ready and are ejected. It also appends those of ready servers whose ejection has
+// ended, but that have not succeeded since.
 func (r *Router) AppendEjected(ids []ServerID) []ServerID {
 	for _, server := range r.servers {
 		if server.ready && server.ejections > 0 {
@@ -36,7 +38,7 @@
 }
 
 // recordFailure records a failure of a server and may eject the server. Each consecutive ejection lasts
-// twice as long as the one before, up to maxEjectionTime.
+// twice as long as the previous ejection, up to maxEjectionTime.
 func (r *Router) recordFailure(server *server) {
 	server.consecutiveFailures++
 	if r.now < server.ejectedUntil {
@@ -51,10 +53,10 @@
 	}
 }
 
-// recordSuccess records a success of a server and ends its ejection unless the server is still an
-// outlier. A server that was unresponsive and responds again has most likely restarted, so its slow
-// start begins here, before the endpoint list reports the restart. A server that was only cut off from
-// the network gets less load than it could take.
+// recordSuccess records a success of a server. It ends the ejection of the server if the server is no
+// outlier. A server that was unresponsive and responds again has most likely restarted. recordSuccess
+// therefore begins a slow start of the server, before the endpoint list reports the restart. If the
+// server was only cut off from the network, it gets less load than it could take during the slow start.
 func (r *Router) recordSuccess(server *server) {
 	if server.unresponsive && server.ejections > 1 && server.warmingSince < r.now-maxEjectionTime {
 		server.warmingSince = r.now
@@ -68,9 +70,9 @@
 	}
 }
 
-// isOutlier reports whether a server's error rate is far above that of its best peer. Without this
-// check, a parent that fails its fills looks healthy, because hits that name it as source succeed, and
-// its errors are attributed to caches.
+// isOutlier reports whether a server's error rate is far above the lowest error rate among its peers.
+// Without this check, a parent whose fills fail would look healthy: hits that name the parent as source
+// succeed, and the failures of its fills would be attributed to caches.
 func (r *Router) isOutlier(server *server) bool {
 	least := server.errorRate
 	for _, peer := range r.readyByRole[server.role] {
@@ -79,11 +81,12 @@
 	return server.errorRate > outlierErrorMargin+outlierErrorRatio*least
 }
 
-// recordErrorRates updates the error rates of both servers of an attempt, which has failed or not.
+// recordErrorRates updates the error rates of the target and the source of an attempt. failed tells
+// whether the attempt failed.
 func (r *Router) recordErrorRates(attempt *attempt, failed bool) {
 	for _, server := range [...]*server{attempt.target, attempt.source} {
 		elapsed := (r.now - server.errorRateUpdatedAt).Seconds()
-		gain := min(errorRateGain, elapsed) // simultaneous failures have one cause and count once
+		gain := min(errorRateGain, elapsed) // simultaneous failures have one cause, so they count as one failure
 		server.errorRate *= 1 - gain
 		server.errorRateUpdatedAt = r.now
 		if failed && !r.cacheStatusKnown {
@@ -124,7 +127,7 @@
 	case served:
 		r.recordServed(attempt, &outcome)
 	case originSlow || attempt.failedWithSharedFill(outcome.CacheStatus):
-		// The origin is at fault, or a fill source that this router does not know.
+		// The fault lies with the origin, or with a fill source that this router does not know.
 	default:
 		r.attributeFailure(attempt, &outcome)
 	}
@@ -152,9 +155,10 @@
 	r.learnTransferTime(attempt.request, outcome, transfer)
 }
 
-// sourceServed reports whether a success counts for the source too. An unknown status counts for it:
-// otherwise a source would never count as responding where outcomes report no cache status, would be
-// at fault for every slow attempt, and all parents would be ejected.
+// sourceServed reports whether the success of an attempt also counts as a success of the source. A success
+// with an unknown cache status counts for the source. Otherwise, where outcomes report no cache status, no
+// source would ever count as responding. Every slow attempt would be attributed to its source, and all
+// parents would be ejected.
 func (s CacheStatus) sourceServed() bool {
 	return s.filled() || s == JoinedFill || s == CacheStatusUnknown
 }
@@ -187,14 +191,15 @@
 	case outcome.Result == ServerError:
 		r.recordFailure(attempt.moreErrorProne())
 	case outcome.Result == ConnectFailed || attempt.sentAt >= target.connectionLostAt:
-		target.connectionLostAt = r.now // attempts sent before now are lost with the same connection
+		target.connectionLostAt = r.now // attempts sent before this time fail with the same connection
 		r.recordFailure(target)
 	}
 }
 
-// checkOverdue handles an attempt that takes longer than expected: it may eject a server, and cancel the
-// attempt so that its request is sent to another server. It detects unresponsive servers, which neither
-// serve nor reject. With little traffic it may eject a server that is only slow.
+// checkOverdue handles an attempt that takes longer than expected. It may eject a server, and it may
+// cancel the attempt so that the request is sent to another server. This check detects unresponsive
+// servers, which neither serve nor reject. If a router has little traffic, checkOverdue may eject a server
+// that is only slow.
 func (r *Router) checkOverdue(attempt *attempt) {
 	request := attempt.request
 	r.recordOverdue(attempt)
@@ -212,8 +217,8 @@
 	}
 }
 
-// recordOverdue records the load of the origin and the slowdown of the target that the duration of an
-// unfinished attempt shows.
+// recordOverdue derives the load of the origin and the slowdown of the target from the time that an
+// unfinished attempt has taken, and records them.
 func (r *Router) recordOverdue(attempt *attempt) {
 	elapsed := r.now - attempt.sentAt
 	if elapsed > r.longestObjective && attempt.suggestsOriginOverload() {
@@ -229,15 +234,17 @@
 	r.recordSlowdown(target, max(slowdown, r.slowdownOf(target)))
 }
 
-// checkInterval returns the time from the start of an attempt, or from its last check, to the next check.
+// checkInterval returns the time between two checks of an attempt. The first check follows the start of
+// the attempt after the same time.
 func (r *Router) checkInterval(request *request) time.Duration {
 	return max(minCheckInterval, request.class.LatencyObjective/checkObjectiveDivisor+r.transferTime(request))
 }
 
 // findOverdueFault returns the server that an overdue attempt most likely waits for, and whether that
-// server is at fault. The suspect is the target if it has not responded since the attempt was sent, and
-// otherwise the source. If the suspect has responded too, as a source seems to do by hits that name it,
-// then after several checks the server with the higher error rate is at fault if it is an outlier.
+// server is at fault. The suspect is the target if the target has not responded since the attempt was
+// sent, and the source otherwise. A suspect that has not responded either is at fault. A source also
+// counts as responding when hits that name it succeed. If the suspect counts as responding, the error
+// rates decide after several checks: the server with the higher rate is at fault if it is an outlier.
 func (r *Router) findOverdueFault(attempt *attempt) (suspect *server, atFault bool) {
 	suspect = attempt.target
 	if attempt.target.lastResponseAt > attempt.sentAt {
@@ -261,25 +268,28 @@
 	return suspect, true
 }
 
-// respondedRecently reports whether a server has responded after since or, if it is a cache, within
-// recentResponseWindow. A router with few requests receives few responses of each cache. Without the
-// window, such routers considered caches unresponsive that were only slow after a purge of everything:
-// eighty routers canceled their attempts, and other caches had to fill the objects again.
-func (r *Router) respondedRecently(server *server, since time.Duration) bool {
-	if server.lastResponseAt > since {
+// respondedRecently reports whether a server has responded since the time sentAt. For a cache, a response
+// within recentResponseWindow is enough, because a router with few requests receives few responses from
+// each cache. Without the window, such a router would consider a cache unresponsive that is only slow,
+// for example after a purge of everything. Eighty such routers would cancel their attempts, and other
+// caches would have to fill the objects again.
+func (r *Router) respondedRecently(server *server, sentAt time.Duration) bool {
+	if server.lastResponseAt > sentAt {
 		return true
 	}
 	return server.role == cache && server.lastResponseAt > r.now-recentResponseWindow
 }
 
-// suggestsOriginOverload reports whether a slow attempt indicates that the origin is overloaded. It does
-// not if the source has responded to others since: otherwise the loss of a single response to a write
-// makes all misses wait for the origin's limiter.
+// suggestsOriginOverload reports whether a slow attempt indicates that the origin is overloaded. The
+// attempt does not indicate an overload if its source has responded to another attempt since this
+// attempt was sent. Without this condition, the loss of a single response to a write would activate the
+// origin's limiter, and all misses would wait.
 func (a *attempt) suggestsOriginOverload() bool {
 	return a.asksOrigin() && a.source.lastResponseAt <= a.sentAt
 }
 
-// extendEjection prolongs an ejection by a bounded time. It never starts or ends an ejection.
+// extendEjection prolongs an ejection, up to maxEjectionExtension after the event. It never starts or
+// ends an ejection.
 func (r *Router) extendEjection(event ExtendEjection) {
 	server := r.readyServer(event.Server)
 	if server == nil || server.ejections == 0 {
@@ -290,7 +300,8 @@
 	}
 }
 
-// requireProbe makes the next request to a server a probe, unless the server served this router recently.
+// requireProbe makes the next request to a server a probe. It does nothing if the server recently served
+// this router and has not failed since.
 func (r *Router) requireProbe(event RequireProbe) {
 	server := r.readyServer(event.Server)
 	if server == nil || server.ejections > 0 {
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// sendMany sends requests for different objects at the same time, and returns their attempts.
+// sendMany sends a request for each of several objects, all at the same time, and returns their attempts.
 func (h *harness) sendMany(objects int) []SendAttempt {
 	var attempts []SendAttempt
 	for i := range objects {
@@ -12,7 +12,8 @@
 	return attempts
 }
 
-// TestSourceFailuresDoNotEjectHomeCache checks that failures of a source do not count for the cache.
+// TestSourceFailuresDoNotEjectHomeCache checks that failures of a fill source do not count as failures of
+// the cache.
 func TestSourceFailuresDoNotEjectHomeCache(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	request := Request{Object: 5, SizeKB: 1}
@@ -26,8 +27,8 @@
 	}
 }
 
-// TestFailingCacheIsEjectedAndProbed checks that a cache with consecutive failures is ejected, and probed
-// after its ejection.
+// TestFailingCacheIsEjectedAndProbed checks that a cache with consecutive failures is ejected, and that the
+// cache is probed after the ejection.
 func TestFailingCacheIsEjectedAndProbed(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	request := Request{Object: 5, SizeKB: 1}
@@ -50,8 +51,8 @@
 	}
 }
 
-// TestUnresponsiveCacheIsDetected checks that overdue attempts reveal an unresponsive cache, and that their
-// requests are sent to other caches.
+// TestUnresponsiveCacheIsDetected checks that the router detects an unresponsive cache by overdue attempts,
+// and sends the requests of these attempts to other caches.
 func TestUnresponsiveCacheIsDetected(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	var overdue []SendAttempt
@@ -67,20 +68,21 @@
 		if canceled {
 			actions = harness.handle(Outcome{ID: sent.ID, Server: sent.Server, Result: Canceled})
 		}
-		for _, next := range sendActions(actions) {
+		for _, retried := range sendActions(actions) {
 			moved++
-			if next.Server == unresponsive {
-				t.Errorf("got attempt %v at the unresponsive cache, want another cache", next)
+			if retried.Server == unresponsive {
+				t.Errorf("got attempt %v at the unresponsive cache, want another cache", retried)
 			}
 		}
 	}
 	if moved == 0 {
-		t.Error("got no request sent to another cache, want at least 1")
+		t.Error("got no overdue request sent to another cache, want at least 1")
 	}
 }
 
-// TestSharedFillFailureIsNotAttributedToCache checks that a lookup that joined a failing fill of another
-// request counts as a miss, not as a failure of the cache. Otherwise a slow origin ejects caches.
+// TestSharedFillFailureIsNotAttributedToCache checks the case that a lookup joins the fill of another
+// request and this fill fails. The lookup must count as a miss, not as a failure of the cache. Otherwise,
+// a slow origin would cause ejections of caches.
 func TestSharedFillFailureIsNotAttributedToCache(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	for range 10 {
@@ -96,8 +98,8 @@
 	}
 }
 
-// TestSlowFetchIsAttributedToTheOrigin checks that a parent's fetch that timed out counts as a failure of
-// the origin, not of the parent.
+// TestSlowFetchIsAttributedToTheOrigin checks that a fetch from the origin that times out at a parent counts
+// as a failure of the origin, not of the parent.
 func TestSlowFetchIsAttributedToTheOrigin(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	router := harness.router
@@ -129,10 +131,10 @@
 	}
 }
 
-// TestSlowCacheThatRespondedRecentlyIsNotUnresponsive checks that an attempt at a cache that responded a
-// second ago and is slow now is not canceled. After a purge of everything all responses were slow.
-// Routers with few requests, which had received no response since they sent an attempt, canceled it, and
-// another cache had to fill the object again.
+// TestSlowCacheThatRespondedRecentlyIsNotUnresponsive checks that an attempt at a slow cache is not canceled
+// if the cache responded a second ago. After a purge of everything, all responses are slow. A router with
+// few requests may then receive no response from the cache while its attempt is in flight. If the router
+// canceled the attempt, another cache would have to fill the object again.
 func TestSlowCacheThatRespondedRecentlyIsNotUnresponsive(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	request := Request{Object: 5, SizeKB: 1}
@@ -142,7 +144,7 @@
 	harness.now += second
 	slow := harness.requestOne(request)
 	if slow.Server != first.Server {
-		t.Fatalf("got the second attempt at cache %v, want cache %v", slow.Server, first.Server)
+		t.Fatalf("got the second attempt at cache %v, want its home cache %v", slow.Server, first.Server)
 	}
 	harness.now += 700 * millisecond
 	if actions := harness.checkNewest(slow.ID); containsAction[CancelAttempt](actions) {
@@ -153,14 +155,15 @@
 	}
 }
 
-// TestSlowFillsWithoutStatusDoNotEjectParents checks that slow attempts do not eject parents where outcomes
-// report no cache status. Otherwise both parents are ejected, and the origin has to fill everything.
+// TestSlowFillsWithoutStatusDoNotEjectParents checks that slow attempts do not cause ejections of parents if
+// outcomes report no cache status. Otherwise, both parents would be ejected, and the origin would have to
+// fill all misses.
 func TestSlowFillsWithoutStatusDoNotEjectParents(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	for i := range 100 {
 		harness.now += 20 * millisecond
 		slow := harness.requestOne(Request{Object: ObjectID(1 + i)})
-		for j := range 6 { // requests that are served meanwhile
+		for j := range 6 { // requests that are served while the slow attempt is in flight
 			harness.now += millisecond
 			other := harness.requestOne(Request{Object: ObjectID(1000 + 10*i + j)})
 			harness.finishWithoutStatus(other, 0, Served, millisecond)
@@ -176,14 +179,14 @@
 	}
 }
 
-// failureRule reports whether an attempt fails. hit tells whether the cache has the object.
+// failureRule reports whether an attempt fails. hit tells whether the cache has a copy of the object.
 type failureRule func(sent SendAttempt, hit bool) bool
 
 func nothingFails(SendAttempt, bool) bool { return false }
 
-// runWithFailures sends 600 requests whose attempts fail according to a rule, without cache status. It
-// returns the number of attempts that failed and the number of requests that were rejected.
-func (h *harness) runWithFailures(fails failureRule) (failures, rejections int) {
+// runWithFailures sends 600 requests. The given rule decides which attempts fail. No outcome reports a cache
+// status. runWithFailures returns the number of failed attempts and the number of rejected requests.
+func (h *harness) runWithFailures(rule failureRule) (failures, rejections int) {
 	for i := range 600 {
 		h.now += 20 * millisecond
 		hit := i%3 > 0
@@ -192,7 +195,7 @@
 			sent := sendActions(actions)[0]
 			h.now += 10 * millisecond
 			result := Served
-			if fails(sent, hit) {
+			if rule(sent, hit) {
 				result = ServerError
 				failures++
 			}
@@ -205,30 +208,31 @@
 	return failures, rejections
 }
 
-// wantFewFailures sends requests whose attempts fail according to a rule, and fails the test if too many
-// attempts fail or too many requests are rejected.
-func (h *harness) wantFewFailures(cause string, fails failureRule) {
+// wantFewFailures calls runWithFailures with the given rule. It fails the test if more than 40 attempts fail
+// or more than two requests are rejected.
+func (h *harness) wantFewFailures(cause string, rule failureRule) {
 	h.Helper()
-	failures, rejections := h.runWithFailures(fails)
+	failures, rejections := h.runWithFailures(rule)
 	if failures > 40 || rejections > 2 {
 		h.Errorf("%s: got %d errors and %d rejections, want at most 40 and 2", cause, failures, rejections)
 	}
 }
 
-// wantNoEjection fails the test if any of the servers is ejected.
-func (h *harness) wantNoEjection(when string, servers []*server) {
+// wantNoEjection fails the test if any of the given servers is ejected.
+func (h *harness) wantNoEjection(phase string, servers []*server) {
 	h.Helper()
 	for _, server := range servers {
 		if server.ejections > 0 {
-			h.Errorf("%s: got server %d ejected at error rate %.2f, want no ejection", when, server.ID, server.errorRate)
+			h.Errorf("%s: got server %d ejected at error rate %.2f, want no ejection", phase, server.ID, server.errorRate)
 		}
 	}
 }
 
-// TestErrorsWithoutStatusEjectFailingServer checks that a failing server is ejected although it also takes
-// part in attempts that succeed, that the servers that shared its failed attempts are not ejected, and
-// that its requests are retried at other servers at once. It is used again after it has recovered.
-// Without this detection, one attempt in three ended as an error and no server was ever ejected.
+// TestErrorsWithoutStatusEjectFailingServer checks that a failing server is ejected, although it also takes
+// part in attempts that succeed. The other servers of its failed attempts must not be ejected. Failed
+// requests must be retried at other servers immediately, and the failing server must be used again after it
+// has recovered. Without this detection, one in three attempts would end with an error, and no server would
+// ever be ejected.
 func TestErrorsWithoutStatusEjectFailingServer(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 
@@ -254,9 +258,9 @@
 	harness.wantNoEjection("all fail alike", harness.router.servers)
 }
 
-// TestFewErrorsAmongManyDoNotEject checks that simultaneous failures count as one failure, and that a busy
-// server is not ejected for a few failures among hundreds of requests. Otherwise three failures ejected
-// a cache with 70 requests in flight.
+// TestFewErrorsAmongManyDoNotEject checks that simultaneous failures count as one failure. It also checks that
+// a few failures among many requests do not eject a busy server. Otherwise, three failures would eject a
+// cache with 70 requests in flight.
 func TestFewErrorsAmongManyDoNotEject(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	attempts := harness.sendMany(60)
@@ -276,8 +280,8 @@
 	}
 }
 
-// TestLostConnectionIsOneFailure checks that the loss of a connection with many requests counts as one
-// failure.
+// TestLostConnectionIsOneFailure checks that the loss of a connection with many attempts in flight counts as
+// one failure.
 func TestLostConnectionIsOneFailure(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	attempts := harness.sendMany(40)
@@ -294,8 +298,8 @@
 }
 
 // TestLostResponseDoesNotLimitOrigin checks that the loss of the response to a write does not activate the
-// origin's limiter while other responses are in time, since reads would then be queued or sent as lookups
-// first. An origin that answers nothing at all must activate the limiter.
+// origin's limiter while other responses are in time. An active limiter would delay reads, which would be
+// queued or need a lookup first. If the origin answers nothing at all, the limiter must become active.
 func TestLostResponseDoesNotLimitOrigin(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	limiter := &harness.router.originLimiter
@@ -310,7 +314,8 @@
 		harness.finishWithoutStatus(lost, 0, TimedOut, 3*second)
 	}
 	if limiter.active || limiter.utilization > limiterActivation/2 {
-		t.Errorf("got an origin limiter with active %v and utilization %.2f, want it inactive and lower", limiter.active, limiter.utilization)
+		t.Errorf("got an origin limiter with active %v and utilization %.2f, want active false and utilization at most %.2f",
+			limiter.active, limiter.utilization, limiterActivation/2)
 	}
 	for range 3 {
 		stuck := harness.requestOne(write)
--- a/routing/random_stream_test.go
+++ b/routing/random_stream_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// randomStream sends a valid stream of events, generated from a seed, to one router, and checks the
-// invariants that the actions of one router must keep.
+// randomStream generates a valid stream of events from a seed and passes them to a router. It checks that the
+// router's actions keep the invariants.
 type randomStream struct {
 	*harness
 	seed           uint64
@@ -21,7 +21,7 @@
 	timers         []streamTimer
 	attempts       map[RequestID]int           // number of attempts sent, by request
 	inflightCounts map[RequestID]int           // number of attempts in flight, by request
-	deadline       map[RequestID]time.Duration // deadlines of requests without a final answer
+	deadline       map[RequestID]time.Duration // deadline of each request that has no final answer yet
 	excluded       map[ServerID]bool           // servers that are not listed as ready
 }
 
@@ -38,7 +38,7 @@
 	token uint64
 }
 
-// runRandomStream sends a stream of 3,000 steps to a router and returns the actions.
+// runRandomStream passes a random stream of 3,000 steps to a router and returns the router's actions.
 func runRandomStream(t *testing.T, seed uint64, step stepFunc) []Action {
 	t.Helper()
 	stream := &randomStream{
@@ -61,10 +61,10 @@
 	return stream.all
 }
 
-// checkDeadlines fails the test if a request has no answer within a short time after its deadline. newest
-// is the highest ID to check.
+// checkDeadlines fails the test if a request has no answer shortly after its deadline. newest is the highest
+// ID to check.
 func (s *randomStream) checkDeadlines(newest RequestID) {
-	const allowance = 28 * millisecond // a timer fires up to a step of 20 ms late
+	const allowance = 28 * millisecond // a timer fires up to 20 ms late, the longest time between two steps
 	for id := RequestID(1); id <= newest; id++ {
 		deadline, pending := s.deadline[id]
 		if pending && deadline+allowance < s.now {
@@ -99,7 +99,7 @@
 		s.Fatalf("seed %d: got an attempt for a finished request: %v", s.seed, sent)
 	}
 	if s.excluded[sent.Server] || s.excluded[sent.FillSource] {
-		s.Fatalf("seed %d: got an attempt with a server that is not ready: %v", s.seed, sent)
+		s.Fatalf("seed %d: got an attempt with a target or source that is not ready: %v", s.seed, sent)
 	}
 	s.inflightCounts[sent.ID]++
 	if s.inflightCounts[sent.ID] > 1 {
@@ -108,13 +108,13 @@
 	s.inflight = append(s.inflight, streamAttempt{SendAttempt: sent, index: s.attempts[sent.ID]})
 	s.attempts[sent.ID]++
 	if most := s.router.settings.MaxAttempts; s.attempts[sent.ID] > most {
-		s.Fatalf("seed %d: got %d attempts, want at most %d: %v", s.seed, s.attempts[sent.ID], most, sent)
+		s.Fatalf("seed %d: got %d attempts of a request, want at most %d: %v", s.seed, s.attempts[sent.ID], most, sent)
 	}
 }
 
 func (s *randomStream) checkAnswer(id RequestID, answer Action) {
 	if _, pending := s.deadline[id]; !pending {
-		s.Fatalf("seed %d: got an answer to a request that has none outstanding: %v", s.seed, answer)
+		s.Fatalf("seed %d: got an answer to a request that is already answered or ended: %v", s.seed, answer)
 	}
 	delete(s.deadline, id)
 }
@@ -221,7 +221,7 @@
 	return router.Handle(now, event, nil)
 }
 
-// TestRandomStreamsKeepInvariants checks the invariants for random streams of events.
+// TestRandomStreamsKeepInvariants checks that routers keep the invariants for random streams of events.
 func TestRandomStreamsKeepInvariants(t *testing.T) {
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -231,7 +231,7 @@
 }
 
 // TestSameEventsGiveTheSameActions checks that a router returns the same actions for the same events, even
-// if another router is in use at the same time.
+// if another router handles other events in between.
 func TestSameEventsGiveTheSameActions(t *testing.T) {
 	want := runRandomStream(t, 3, handleEvent)
 	other := newHarness(t, settings(), fleet())
@@ -240,6 +240,6 @@
 		return router.Handle(now, event, nil)
 	})
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("got %d actions in a replay, want the same %d actions", len(got), len(want))
+		t.Errorf("got %d actions in a replay that differ from the %d actions of the first run, want equal actions", len(got), len(want))
 	}
 }
--- a/routing/records.go
+++ b/routing/records.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// role is the function that a server has for this router.
+// role tells whether a server is a cache, a parent or the origin for this router.
 type role int
 
 const (
@@ -16,24 +16,24 @@
 	roleCount
 )
 
-// longAgo is a time long before any event.
+// longAgo is a time long before the time of any event.
 const longAgo = time.Duration(math.MinInt64 / 4)
 
-// server holds what the router knows of one listed server.
+// server is the record of one server of the endpoint list.
 type server struct {
 	Server
 	role                role
 	ready               bool          // listed as ready
 	warmingSince        time.Duration // start of its slow start
-	unresponsive        bool          // it let an attempt become overdue and has not succeeded since
+	unresponsive        bool          // an attempt at it became overdue, and it has not succeeded since
 	consecutiveFailures int           // failures since its latest success
 	ejections           int           // consecutive ejections; 0: neither ejected nor to be probed
 	ejectedUntil        time.Duration // end of its ejection; 0: not ejected
 	errorRate           float64       // smoothed error rate of the attempts that it takes part in
 	errorRateUpdatedAt  time.Duration // time of the latest update of errorRate
 	connectionLostAt    time.Duration // time at which a lost connection was last counted as a failure
-	lastResponseAt      time.Duration // time of its latest response; for a source also of its latest fill
-	slowdown            decayingRatio // response time divided by the time that the bytes need
+	lastResponseAt      time.Duration // time of its latest response or, as source, latest successful fill
+	slowdown            decayingRatio // response time divided by the transfer time at full pace
 	inflight            int           // attempts in flight that have it as target or source
 	recentWork          []decayingSum // work sent to it, oldest first
 	score               float64       // rendezvous score in the latest rankServers; the lowest ranks first
@@ -45,15 +45,15 @@
 	request       *request
 	index         int     // index among the attempts of its request
 	target        *server // server that the attempt is sent to
-	source        *server // server that fills a miss; the target itself: no fill
+	source        *server // server that fills a miss; equal to target: no fill
 	sentAt        time.Duration
 	ended         bool
-	notExecuted   bool // it ended and was certainly not executed
+	notExecuted   bool // it has ended, and the server certainly did not execute it
 	cacheOnly     bool // lookup that causes no fill
 	fill          bool // fill of a known miss
 	fromOrigin    bool // fill that the origin must serve
-	onlyIfCached  bool // its source sends only what it has cached
-	overdueChecks int  // overdue checks at which all its servers seemed responsive
+	onlyIfCached  bool // its source may send a cached copy, but must not fetch
+	overdueChecks int  // number of checks that found it overdue while its servers responded
 }
 
 // asksOrigin reports whether the origin takes part in an attempt.
@@ -71,13 +71,13 @@
 	inflight         int           // attempts that have not ended
 	excluded         []*server     // servers that failed this request
 	cacheMissed      bool          // a lookup found no copy in the cache
-	sourceMissed     bool          // its parent has no copy either
+	sourceMissed     bool          // the source has no copy either
 	queued           bool          // the request is in the queue
-	queueUntil       time.Duration // latest time in the queue; set when first queued
+	queueUntil       time.Duration // latest time until which it may queue; set when first queued
 	valuePerSecond   float64       // priority weight per second of transfer time; set when first queued
 }
 
-// latestAttempt returns the newest attempt of a request, which must have one.
+// latestAttempt returns the newest attempt of a request. The request must have at least one attempt.
 func (q *request) latestAttempt() *attempt { return q.attempts[len(q.attempts)-1] }
 
 // A timer token holds a request ID and, in its low bits, the kind of the timer.
--- a/routing/rendezvous.go
+++ b/routing/rendezvous.go
@@ -3,7 +3,7 @@
 import "math"
 
 // Weighted rendezvous hashing determines the home servers of objects. All routers must compute the same
-// homes, so the results of the functions in this file must never change.
+// home servers, so the results of the functions in this file must never change.
 
 // rendezvousScore returns the score of a server for a key. The server with the lowest score is the home
 // of the key. A server is home of a fraction of all keys that is proportional to its capacity.
@@ -20,7 +20,7 @@
 	return x ^ x>>31
 }
 
-// uniform maps a key evenly to numbers above 0 and below 1.
+// uniform maps keys to evenly distributed numbers above 0 and below 1.
 func uniform(key uint64) float64 {
 	const mantissaBits = 53
 	return (float64(mix64(key)>>(64-mantissaBits)) + 0.5) / (1 << mantissaBits)
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -1,11 +1,12 @@
 package routing
 
-// retry decides what follows a failed attempt: a fill after a miss, or an attempt at another server.
+// retry continues a request after a failed attempt: with a fill after a miss, and otherwise with an
+// attempt that avoids the server that is most likely at fault.
 func (r *Router) retry(request *request, attempt *attempt, outcome Outcome) {
 	notCached := outcome.Result == NotCached
 	cacheMiss := attempt.cacheOnly && notCached
 	sourceMiss := outcome.CacheStatus == SourceMiss || attempt.onlyIfCached && notCached
-	// If outcomes report no cache status, either the cache or its source may have rejected.
+	// If outcomes report no cache status, the rejection may come from the cache or from its source.
 	ambiguous := !r.cacheStatusKnown && outcome.Result == Rejected && !request.class.Write
 	suspectSource := ambiguous && attempt.index == 0
 	switch {
@@ -45,7 +46,8 @@
 	}
 }
 
-// firstMaybeExecuted returns the first attempt that may have been executed, or nil.
+// firstMaybeExecuted returns the first attempt of a request that may have been executed, or nil if there
+// is none.
 func (q *request) firstMaybeExecuted() *attempt {
 	for _, attempt := range q.attempts {
 		if !attempt.notExecuted {
@@ -55,8 +57,8 @@
 	return nil
 }
 
-// inKeyScope reports whether a request may be sent to a server as far as its idempotency key is
-// concerned: if the request may have been executed already, the server must discard the repeat.
+// inKeyScope reports whether the idempotency key of a request allows an attempt at a server. If the
+// request may have been executed already, the server must know the key, so that it discards the repeat.
 func (q *request) inKeyScope(server *server) bool {
 	executed := q.firstMaybeExecuted()
 	if executed == nil || q.class.Idempotency != IdempotentWithKey {
@@ -75,8 +77,8 @@
 	}
 }
 
-// failedWithSharedFill reports whether a lookup failed because it had joined the fill of another request
-// and that fill failed.
+// failedWithSharedFill reports whether the attempt is a lookup that joined the fill of another request
+// and failed together with that fill.
 func (a *attempt) failedWithSharedFill(status CacheStatus) bool {
 	return a.cacheOnly && status.sourceFailed()
 }
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestRetriesFollowIdempotency checks that a request that may have been executed is retried only as its
-// class allows.
+// TestRetriesFollowIdempotency checks that a request that may have been executed is retried only if the
+// idempotency of its class allows a retry.
 func TestRetriesFollowIdempotency(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -14,7 +14,7 @@
 		result  Result
 		after   time.Duration
 		retried bool
-		failed  bool // if not retried: answered with Fail, not Reject
+		failed  bool // a request that is not retried is answered with Fail, not Reject
 	}{
 		{name: "idempotent, error", class: bigClass, result: ServerError, retried: true},
 		{name: "with key, error, in window", class: writeClass, result: ServerError, retried: true},
@@ -35,10 +35,10 @@
 			actions := harness.finish(sent, 0, test.result, CacheStatusUnknown)
 			retried := len(sendActions(actions)) == 1
 			if retried != test.retried {
-				t.Errorf("got retried %v, want %v: %v", retried, test.retried, actions)
+				t.Errorf("got retried %v, want %v; actions %v", retried, test.retried, actions)
 			}
 			if failed := isFailed(actions); !retried && failed != test.failed {
-				t.Errorf("got failed %v, want %v: %v", failed, test.failed, actions)
+				t.Errorf("got answered with Fail %v, want %v; actions %v", failed, test.failed, actions)
 			}
 		})
 	}
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestFinalAnswerIsNotDelayed checks that a write that may have been executed and must not be repeated is
-// answered at once.
+// TestFinalAnswerIsNotDelayed checks that a NonIdempotent write that may have been executed is answered as
+// soon as its attempt fails.
 func TestFinalAnswerIsNotDelayed(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	sent := harness.requestOne(Request{Class: onceClass, Object: 1, SizeKB: 10})
@@ -66,8 +66,9 @@
 	}
 }
 
-// TestParentMissWithoutStatus checks that a router without cache status learns that a parent has no copy
-// from a failed fill that may only use copies of the parent. Nothing else reports it there.
+// TestParentMissWithoutStatus checks that a router detects a miss at a parent although outcomes report no
+// cache status. A fill that may use only a cached copy of the parent ends as NotCached, which is the only
+// sign of the miss.
 func TestParentMissWithoutStatus(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	harness.router.originLimiter.active = true
@@ -75,7 +76,7 @@
 	lookup := harness.requestOne(Request{Object: 7})
 	fromParent := harness.singleAttempt(harness.finishWithoutStatus(lookup, 0, NotCached, millisecond))
 	if !fromParent.OnlyIfCached {
-		t.Fatalf("got attempt %+v, want a fill only from the cache of the parent", fromParent)
+		t.Fatalf("got attempt %+v, want a fill that asks the parent only for a cached copy", fromParent)
 	}
 	fromOrigin := harness.singleAttempt(harness.finishWithoutStatus(fromParent, 1, NotCached, millisecond))
 	if fromOrigin.Server != fromParent.Server || fromOrigin.OnlyIfCached {
@@ -83,8 +84,8 @@
 	}
 }
 
-// TestReadsWithoutStatusHaveFewAttempts checks that three rejections without cache status end a read:
-// further attempts would add to the overload.
+// TestReadsWithoutStatusHaveFewAttempts checks that a read ends after three rejections without cache status.
+// Further attempts would add to the overload.
 func TestReadsWithoutStatusHaveFewAttempts(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	sent := harness.requestOne(Request{Object: 7})
@@ -97,9 +98,9 @@
 	}
 }
 
-// TestRejectionWithoutStatusChangesTheSource checks that after a rejection without cache status, which the
-// source may have caused, the home cache gets a second attempt with another source. Otherwise, while a
-// parent is lost, every miss of its objects is tried at one cache after another and rejected.
+// TestRejectionWithoutStatusChangesTheSource checks that a rejection without cache status leads to a second
+// attempt at the home cache with another source, since the first source may have caused the rejection.
+// Otherwise, while a parent is lost, each miss of its objects would be retried at all caches and rejected.
 func TestRejectionWithoutStatusChangesTheSource(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	first := harness.requestOne(Request{Object: 7})
--- a/routing/router.go
+++ b/routing/router.go
@@ -10,40 +10,41 @@
 type Router struct {
 	settings          Settings
 	seed              uint64
-	longestObjective  time.Duration // longest of all classes; an origin that takes as long is overloaded
+	longestObjective  time.Duration // longest of all classes; an origin this slow is overloaded
 	zoneFraction      float64       // fraction of its zone's requests that this router receives
 	slowStarts        [roleCount]SlowStart
 	servers           []*server
 	readyByRole       [roleCount][]*server
-	totalWeight       [roleCount]float64        // total of the ready servers
-	throughput        [roleCount]decayingSum    // seconds of transfer time per second, served to this router
+	totalWeight       [roleCount]float64        // total weight of the ready servers
+	throughput        [roleCount]decayingSum    // seconds of transfer time served to this router per second
 	peakThroughput    [roleCount]float64        // highest throughput seen, per unit of weight
 	initialized       bool                      // the first endpoint list has arrived
 	requests          map[RequestID]*request    // unfinished requests
 	queue             []*request                // queued requests, oldest first
 	meanTransferTimes []float64                 // by class, in seconds
-	transferTimes     boundedTable[float64]     // shortest one seen, in seconds, by chunk key
+	transferTimes     boundedTable[float64]     // shortest transfer time seen, in seconds, by chunk key
 	popularity        boundedTable[decayingSum] // decayed request counts by object
 	originLimiter     limiter                   // of fetches from the origin
 	linkLimiter       limiter                   // of fills through the zone's link
 	purgeLog          Guard                     // only Purges and PurgeRetention are used
-	cacheStatusKnown  bool                      // outcomes report the cache status, also of failures
-	fillLatency       float64                   // smoothed time until a fill begins, in seconds
+	cacheStatusKnown  bool                      // outcomes report the cache status of failures too
+	fillLatency       float64                   // smoothed time until the first byte of a fill, in seconds
 	fillPace          float64                   // smoothed duration of a fill divided by its transfer time
-	ranking           []*server                 // result of the latest rankServers; its memory is reused
+	ranking           []*server                 // result of the latest rankServers, whose memory is reused
 	now               time.Duration             // time of the event being handled
-	actions           []Action                  // actions that this event calls for
+	actions           []Action                  // actions of the event being handled
 }
 
 // New returns a Router that knows no servers yet. Routers of a zone should have different seeds, so
-// that their random choices differ. An error wraps a *SettingError.
+// that their random choices differ. If a setting is invalid, the returned error wraps a *SettingError.
 func New(settings Settings, seed uint64) (*Router, error) {
 	r := &Router{seed: seed, requests: map[RequestID]*request{}}
 	return r, r.UpdateSettings(settings)
 }
 
-// UpdateSettings replaces the settings and keeps what is known of servers, objects and requests. A
-// class is identified by its index. Invalid settings change nothing; the error wraps a *SettingError.
+// UpdateSettings replaces the settings and keeps the records of servers, objects and requests. A class
+// of the old settings continues as the class with the same index. If a setting is invalid,
+// UpdateSettings changes nothing and returns an error that wraps a *SettingError.
 func (r *Router) UpdateSettings(settings Settings) error {
 	if err := settings.validate(); err != nil {
 		return fmt.Errorf("routing: %w", err)
@@ -57,15 +58,15 @@
 	r.longestObjective = time.Millisecond // not 0, since it is a divisor
 	for i, class := range settings.Classes {
 		r.longestObjective = max(r.longestObjective, class.LatencyObjective)
-		if i == len(r.meanTransferTimes) { // initial estimate: rather too long than too short
+		if i == len(r.meanTransferTimes) { // initial estimate; too long is better than too short
 			r.meanTransferTimes = append(r.meanTransferTimes, class.LatencyObjective.Seconds())
 		}
 	}
 	return nil
 }
 
-// Handle handles one event at the time now. It appends the actions that the event calls for to actions
-// and returns the extended slice. Times count from an arbitrary fixed moment and must never decrease.
+// Handle handles one event at the time now. It appends the resulting actions to the given slice and
+// returns the extended slice. Times count from an arbitrary fixed moment and must never decrease.
 func (r *Router) Handle(now time.Duration, event Event, actions []Action) []Action {
 	r.now = now
 	r.actions = actions
@@ -121,7 +122,8 @@
 	}
 }
 
-// handleRequest forwards, queues or answers a client's request. It ignores a request whose ID is in use.
+// handleRequest forwards, queues or answers a client's request. It ignores a request whose ID is that of
+// an unfinished request.
 func (r *Router) handleRequest(event Request) {
 	if r.requests[event.ID] != nil {
 		return
@@ -132,7 +134,7 @@
 		return
 	}
 	request := r.newRequest(&event)
-	if r.hasSize(request) { // requests rejected later count too, since larger ones are rejected more often
+	if r.hasSize(request) { // rejected requests count too: larger requests are rejected more often
 		r.learnMeanTransferTime(request, event.SizeKB/r.settings.TransferKBPerSecond)
 	}
 	if !request.class.Write {
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestEveryRequestIsAnswered checks that every request gets a final answer, whichever servers are listed
-// and although all its attempts time out.
+// TestEveryRequestIsAnswered checks that every request gets a final answer, even if some kinds of servers
+// are missing and all attempts time out.
 func TestEveryRequestIsAnswered(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -79,7 +79,7 @@
 		actions = h.finish(attempts[0], index, TimedOut, CacheStatusUnknown)
 	}
 	if !isRejected(actions) && !isFailed(actions) {
-		h.Fatalf("got no answer after %d attempts: %v", mostAttempts, actions)
+		h.Fatalf("got no answer after %d attempts; actions %v", mostAttempts, actions)
 	}
 }
 
@@ -91,7 +91,7 @@
 	}
 }
 
-// TestUnknownEventsAreIgnored checks that late events and events of unknown requests lead to no actions.
+// TestUnknownEventsAreIgnored checks that late events and events of unknown requests cause no actions.
 func TestUnknownEventsAreIgnored(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	sent := harness.requestOne(Request{Object: 1, SizeKB: 10})
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestRemovedServersExpire checks that the number of known servers stays bounded while servers are added
-// and removed all the time.
+// TestRemovedServersExpire checks that the number of server records stays bounded while servers are
+// continually added and removed.
 func TestRemovedServersExpire(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	for i := range 500 {
@@ -131,11 +131,11 @@
 	}
 	got := len(harness.router.servers)
 	if most := int(serverRetention/second) + 10; got > most {
-		t.Errorf("got %d servers, want at most %d", got, most)
+		t.Errorf("got %d server records, want at most %d", got, most)
 	}
 }
 
-// benchmarkFleet returns zones of five caches, one parent for every four zones, and an origin.
+// benchmarkFleet returns five caches in each zone, one parent for every four zones, and an origin.
 func benchmarkFleet(zones int) []Server {
 	list := []Server{{ID: 1, Kind: originKind, Phase: Ready}}
 	for zone := range zones {
--- a/routing/selection.go
+++ b/routing/selection.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// On the ordinary path, a request goes to the home cache of its chunk, which rendezvous hashing selects
-// among the zone's caches. A miss is filled from the home parent of the object, which is selected among
-// all parents. A request for a popular object joins a fill in progress. All other code of this file
-// handles the cases in which the ordinary path cannot be used.
+// On the ordinary path, a request goes to the home cache of its chunk. Rendezvous hashing selects the
+// home cache among the caches of the zone, and the home parent of an object among all parents. The home
+// parent fills a miss. A request for a popular object joins a fill in progress. All other code of this
+// file handles the cases in which the ordinary path cannot be used.
 
 // route is the path of an attempt.
 type route struct {
-	target   *server // server that the attempt is sent to; nil: there is none
-	source   *server // server that fills a miss; the target itself, or nil: no fill
-	admitted bool    // the attempt may be sent now
+	target   *server // server that the attempt is sent to; nil: no server is left
+	source   *server // server that fills a miss; equal to target, or nil: no fill
+	admitted bool    // the attempt may be sent without waiting
 }
 
 // selectRoute selects the target of a request's next attempt and the server that fills a miss.
@@ -39,10 +39,10 @@
 	}
 }
 
-// selectCache selects one of the caches that can take a request. caches are ordered best first. If the
-// home cache is saturated, the next cache with ample headroom is the failover target; if there is none,
-// the request waits for the home cache. The route has no target if no cache is left. anyLimited reports
-// whether a limiter excluded a cache.
+// selectCache selects a cache for a request. The list caches holds the caches that can take the request,
+// best first. If the home cache is saturated, selectCache selects the next cache with ample headroom. If
+// no cache has ample headroom, the request waits for the home cache. If no cache is left, the route has
+// no target. anyLimited reports whether a limiter excluded a cache.
 func (r *Router) selectCache(
 	request *request, caches []*server, source *server,
 ) (selected route, anyLimited bool) {
@@ -70,8 +70,8 @@
 	return route{}, anyLimited
 }
 
-// fillSource returns the server that fills a miss at a cache. It is the cache itself if the attempt must
-// cause no fill.
+// fillSource returns the server that fills a miss at a cache. If the attempt must cause no fill,
+// fillSource returns the cache itself.
 func (r *Router) fillSource(request *request, target, source *server) *server {
 	if source == nil || r.requiresLookup(request, source) {
 		return target
@@ -79,7 +79,7 @@
 	return source
 }
 
-// mustQueue reports whether a request must wait, regardless of the cache that is selected.
+// mustQueue reports whether a request must wait in the queue, whichever cache would be selected.
 func (r *Router) mustQueue(request *request, sourceAdmits bool) bool {
 	if request.cacheMissed {
 		fillAdmitted := sourceAdmits && r.linkLimiter.admits(r.now)
@@ -93,8 +93,8 @@
 	return !request.class.Write && r.zoneSaturated()
 }
 
-// requiresLookup reports whether a request must look up a copy before it may cause a fill, because a
-// limiter on the fill path is active.
+// requiresLookup reports whether a request must first look up a copy without causing a fill. This is
+// the case while a limiter on the path of the fill is active.
 func (r *Router) requiresLookup(request *request, source *server) bool {
 	if request.cacheMissed || request.class.Write {
 		return false
@@ -102,7 +102,8 @@
 	return r.linkLimiter.active || r.originLimiter.active || source.limiter.active
 }
 
-// bypassCaches returns a route directly to the source. The origin, if there is one, fills a miss there.
+// bypassCaches returns a route directly to the source. A miss at the source is filled by the origin if an
+// origin is listed as ready.
 func (r *Router) bypassCaches(source *server, sourceAdmits bool) route {
 	filler := source
 	if len(r.readyByRole[origin]) > 0 {
@@ -112,10 +113,11 @@
 	return route{target: source, source: filler, admitted: sourceAdmits && pathAdmits}
 }
 
-// selectSource returns the home parent of an object, or the failover target of that parent if it is
-// ejected or can take no more while it warms up. It returns the origin for a write and where no parents
-// or too few are left: with one of two parents unresponsive, the other's link was full and responses
-// were late. admits reports whether the limiter of the source admits one more transfer.
+// selectSource returns the fill source of a request. The source is the home parent of the object. If the
+// home parent is ejected, or warms up and can take no more work, the source is the next parent in
+// rendezvous order. The source is the origin for a write, and if no parents or too few parents are left.
+// Without the origin, if one of two parents is unresponsive, the link of the other parent would be full
+// and responses would be late. admits reports whether the limiter of the source admits one more transfer.
 func (r *Router) selectSource(request *request) (source *server, admits bool) {
 	sources := r.rankServers(parent, mix64(uint64(request.Object)), request)
 	if len(sources) == 0 || request.class.Write || r.tooFewParentsLeft(sources) {
@@ -127,8 +129,9 @@
 	return sources[0], sources[0].limiter.admits(r.now)
 }
 
-// tooFewParentsLeft reports whether an unresponsive parent ranks above the parents in ranked, these are
-// too few to take over its objects, and the origin can take them over instead.
+// tooFewParentsLeft reports whether the origin should replace an unresponsive parent. This is so if three
+// conditions hold: an unresponsive parent precedes all parents of the list ranked, the list is too short
+// to take over the objects of that parent, and the origin can take them over.
 func (r *Router) tooFewParentsLeft(ranked []*server) bool {
 	parents := r.readyByRole[parent]
 	if r.settings.OriginStopsOnOverload || len(r.readyByRole[origin]) == 0 {
@@ -144,9 +147,9 @@
 	})
 }
 
-// rankServers returns the servers of a role that can take a request, in the rendezvous order of key, best
-// first. The result is valid until the next call. A warming or slow server is home of only as many keys
-// as it can carry. If no parent is available, ejections of parents are ignored.
+// rankServers returns the servers of a role that can take a request, in the rendezvous order of the given
+// key, best first. The result is valid until the next call. The number of keys of a warming or slow
+// server is reduced to match its capacity. If no parent is available, ejections of parents are ignored.
 func (r *Router) rankServers(role role, key uint64, request *request) []*server {
 	ignoreEjections := role == parent && !slices.ContainsFunc(r.readyByRole[role], r.available)
 	ranked := r.ranking[:0]
@@ -176,9 +179,9 @@
 	return 1
 }
 
-// keyFraction returns the fraction of its keys that a server keeps. It is below 1 for a server that is
-// far slower than its best peer: otherwise requests queue for a cache at a tenth of its usual pace as for
-// a saturated home, and a third of all requests is rejected.
+// keyFraction returns the fraction of its keys that a server keeps. The fraction is below 1 for a server
+// that is far slower than its fastest peer. Without this reduction, requests would queue for a cache at a
+// tenth of its usual pace as they do for a saturated cache, and a third of all requests would be rejected.
 func (r *Router) keyFraction(server *server) float64 {
 	slowdown := r.slowdownOf(server)
 	least := slowdown
@@ -194,7 +197,7 @@
 	server.slowdown.observe(r.now, slowdownTimeConstant, slowdownGain, min(slowdown, slowdownCap))
 }
 
-// slowdownOf returns the present smoothed slowdown of a server.
+// slowdownOf returns the smoothed slowdown of a server at the time of the present event.
 func (r *Router) slowdownOf(server *server) float64 {
 	return server.slowdown.value(r.now, slowdownTimeConstant)
 }
@@ -224,7 +227,8 @@
 	r.emit(SetTimer{Delay: r.checkInterval(request), Token: timerToken(request, timerCheckAttempt)})
 }
 
-// startAttempt creates an attempt and counts it at its servers, limiters and slow start budgets.
+// startAttempt creates an attempt and adds it to the counts of its servers and limiters, and to the work
+// that slow starts limit.
 func (r *Router) startAttempt(request *request, route route) *attempt {
 	target, source := route.target, route.source
 	toCache := target.role == cache
--- a/routing/selection_test.go
+++ b/routing/selection_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// without returns the test fleet without some servers.
-func without(removed ...ServerID) []Server {
+// fleetWithout returns the test fleet without the removed servers.
+func fleetWithout(removed ...ServerID) []Server {
 	return slices.DeleteFunc(fleet(), func(listed Server) bool { return slices.Contains(removed, listed.ID) })
 }
 
-// TestRoutersAgreeOnHomes checks that all routers compute the same home servers, and that the removal of a
-// server moves only the objects of that server.
+// TestRoutersAgreeOnHomes checks that all routers compute the same home servers. It also checks that, when a
+// server is removed, only the objects of that server get a new home.
 func TestRoutersAgreeOnHomes(t *testing.T) {
 	router := newHarness(t, settings(), fleet())
 	peer := newHarness(t, settings(), fleet())
-	smaller := newHarness(t, settings(), without(secondCache, secondParent))
+	smaller := newHarness(t, settings(), fleetWithout(secondCache, secondParent))
 	homes := map[ServerID]int{}
 	for i := range 300 {
 		request := Request{Object: ObjectID(i + 1), SizeKB: 1}
@@ -27,10 +27,10 @@
 			t.Fatalf("object %d: got attempts %v and %v of two routers, want the same servers", i, sent, byPeer)
 		}
 		if sent.Server != secondCache && sent.Server != bySmaller.Server {
-			t.Fatalf("object %d: got cache %d, want its home cache %d, which is still listed", i, bySmaller.Server, sent.Server)
+			t.Fatalf("object %d: got cache %d, want its home cache %d, which is still listed as ready", i, bySmaller.Server, sent.Server)
 		}
 		if sent.FillSource != secondParent && sent.FillSource != bySmaller.FillSource {
-			t.Fatalf("object %d: got parent %d, want its home parent %d, which is still listed", i, bySmaller.FillSource, sent.FillSource)
+			t.Fatalf("object %d: got parent %d, want its home parent %d, which is still listed as ready", i, bySmaller.FillSource, sent.FillSource)
 		}
 		homes[sent.Server]++
 		homes[sent.FillSource]++
@@ -40,13 +40,13 @@
 	}
 	for _, id := range []ServerID{firstCache, secondCache, thirdCache, firstParent, secondParent} {
 		if homes[id] < 50 {
-			t.Errorf("server %d: got home of %d of 300 objects, want at least 50", id, homes[id])
+			t.Errorf("got server %d as home of %d of 300 objects, want at least 50", id, homes[id])
 		}
 	}
 }
 
-// TestDrainingServersGetNoAttempts checks that a draining or removed server is neither target nor source
-// of an attempt.
+// TestDrainingServersGetNoAttempts checks that a draining or removed server is neither the target nor the
+// source of new attempts.
 func TestDrainingServersGetNoAttempts(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -57,7 +57,7 @@
 			{ID: secondParent, Kind: parentKind, Phase: Removed},
 		}}},
 		{name: "left out of a snapshot", update: EndpointUpdate{
-			Snapshot: true, Servers: without(secondCache, secondParent),
+			Snapshot: true, Servers: fleetWithout(secondCache, secondParent),
 		}},
 	}
 	for _, test := range tests {
@@ -67,7 +67,7 @@
 			for i := range 100 {
 				sent := harness.requestOne(Request{Object: ObjectID(i + 1), SizeKB: 1})
 				if sent.Server == secondCache || sent.FillSource == secondParent {
-					t.Fatalf("got attempt %v, want none with a server that is not ready", sent)
+					t.Fatalf("got attempt %v, want no attempt with a draining or removed server", sent)
 				}
 				harness.finish(sent, 0, Served, Hit)
 			}
@@ -75,14 +75,15 @@
 	}
 }
 
-// TestBypassToTheParent checks that a request that no cache can take is sent directly to its home parent,
-// with the origin as fill source. With the parent as its own source, misses there could not be filled.
+// TestBypassToTheParent checks that a request is sent directly to its home parent if no cache can take it.
+// The fill source must be the origin: with the parent as its own source, a miss at the parent could not be
+// filled.
 func TestBypassToTheParent(t *testing.T) {
 	harness := newHarness(t, settings(), fleet()[3:])
 	sent := harness.requestOne(Request{Object: 5, SizeKB: 1})
 	toParent := sent.Server == firstParent || sent.Server == secondParent
 	if !toParent || sent.FillSource != originServer {
-		t.Errorf("got attempt %v, want one at a parent with the origin as source", sent)
+		t.Errorf("got attempt %v, want an attempt at a parent with the origin as source", sent)
 	}
 }
 
@@ -100,8 +101,8 @@
 	endsAt time.Duration
 }
 
-// run sends requests for different objects, one every 20 ms, while the slow cache takes slowdown times as
-// long as the others. It returns the number of attempts at the slow cache.
+// run sends requests for different objects, one every 20 ms. The response time of the slow cache is that of
+// the other caches multiplied by slowdown. run returns the number of attempts at the slow cache.
 func (h *slowCache) run(requests int, slowdown time.Duration) int {
 	const responseTime = 150 * millisecond
 	attemptsAtSlow := 0
@@ -120,7 +121,7 @@
 	return attemptsAtSlow
 }
 
-// endDue ends the attempts that are due.
+// endDue ends the attempts whose end is due, as served.
 func (h *slowCache) endDue() {
 	h.inflight = slices.DeleteFunc(h.inflight, func(attempt timedAttempt) bool {
 		if attempt.endsAt > h.now {
@@ -134,9 +135,9 @@
 	})
 }
 
-// TestSlowCacheKeepsFewKeys checks that a cache at a tenth of its usual pace keeps only a few of its keys,
-// and gets them back after it has recovered. Otherwise requests for its keys queue as for a saturated
-// home cache, and a third of all requests is rejected.
+// TestSlowCacheKeepsFewKeys checks that a cache at a tenth of its usual pace keeps only a few of its keys, and
+// gets the other keys back after it has recovered. Otherwise, requests would queue for this cache as they do
+// for a saturated home cache, and a third of all requests would be rejected.
 func TestSlowCacheKeepsFewKeys(t *testing.T) {
 	config := settings()
 	config.BodyBytesPerSecond = 100_000
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -11,7 +11,7 @@
 // The kinds of idempotency that a class can have.
 const (
 	Idempotent        Idempotency = iota // may be executed any number of times
-	IdempotentWithKey                    // servers discard repeats within the key scope and the key window
+	IdempotentWithKey                    // within the key scope and the key window, servers discard repeats
 	NonIdempotent                        // must not be executed twice
 )
 
@@ -21,24 +21,25 @@
 // The key scopes.
 const (
 	KeyScopeAll  KeyScope = iota // all servers
-	KeyScopeZone                 // servers of the zone that received the key first
-	KeyScopeCell                 // servers of the cell that received the key first
+	KeyScopeZone                 // servers of the zone in which the key was first received
+	KeyScopeCell                 // servers of the cell in which the key was first received
 )
 
-// Class describes one class of requests.
+// Class describes one class of requests. The comment "not used here" marks fields of Class and Settings that
+// only other packages use.
 type Class struct {
 	Name                    string
 	Idempotency             Idempotency
 	KeyScope                KeyScope      // for IdempotentWithKey
-	KeyWindow               time.Duration // for IdempotentWithKey; time from the first possible execution
-	LatencyObjective        time.Duration // a response within this time has the full PriorityWeight
+	KeyWindow               time.Duration // for IdempotentWithKey; begins with the first possible execution
+	LatencyObjective        time.Duration // a response within this time counts with the full PriorityWeight
 	ObjectiveTransferFactor float64       // multiple of the transfer time that is added to the objective
 	Deadline                time.Duration // longest time from a request until its client gives up
 	PriorityWeight          float64       // value of one request relative to other classes
-	LateWeightFactor        float64       // fraction of PriorityWeight of a late response; not used here
+	LateWeightFactor        float64       // fraction of PriorityWeight for a late response; not used here
 	Write                   bool          // the origin executes the request; responses are never cached
 	FreshnessLifetime       time.Duration // maximum age of a fresh copy; 0: fresh until purged
-	MaxStale                time.Duration // how long past FreshnessLifetime a copy may be served; not used here
+	MaxStale                time.Duration // longest staleness of a served copy; not used here
 }
 
 // MaxDeadline returns the longest deadline of all classes, or 0 if there are no classes.
@@ -50,12 +51,13 @@
 	return longest
 }
 
-// SlowStart describes how the capacity of a server grows after its start, and which load overloads it.
+// SlowStart describes how the capacity of a server grows after its start, and how much load overloads
+// the server.
 type SlowStart struct {
 	InitialCapacity float64       // fraction of the full capacity at the start, 0 to 1
 	Duration        time.Duration // time from the start until the server has its full capacity
 	OverloadFactor  float64       // multiple of the present capacity that overloads the server
-	OverloadWindow  time.Duration // time for which the server withstands such a load
+	OverloadWindow  time.Duration // time for which the server withstands the load of OverloadFactor
 }
 
 // Settings describe the deployment to a Router.
@@ -73,20 +75,20 @@
 	CanCancel           bool          // attempts can be canceled
 	CanJoinFill         bool          // a request can join a fill in progress at a cache
 	AllowBypass         bool          // attempts may be sent directly to parents and the origin
-	TransferKBPerSecond float64       // full pace of one transfer to a client, in KB per second; 0: not known
+	TransferKBPerSecond float64       // full pace of one transfer to a client, in KB per second; 0: unknown
 	BodyBytesPerSecond  float64       // full pace in bytes of Outcome.BodyBytes per second; 0: not known
 	WeightIsCapacity    bool          // Server.Weight is the number of transfers at full pace
 	// HitStatusOnly: the cache status of an outcome reports hits and fills but no failures, and
-	// FillWait is not reported. The pace of a fill is then ignored: a fill with 10 ms of transfer
-	// that has waited 150 ms for its source would look like a source that is fifteen times too slow,
-	// and all known misses would be limited. Faults that the status does not report are detected as
-	// without cache status.
+	// FillWait is not reported. The router then ignores the pace of fills. Otherwise, a fill that
+	// waits 150 ms for its source and transfers for 10 ms would make the source look fifteen times
+	// too slow, and all known misses would be limited. Failures are detected in the same way as if
+	// outcomes reported no cache status.
 	HitStatusOnly         bool
 	OriginStopsOnOverload bool          // an overloaded origin stops answering for a while
 	MustSubscribe         bool          // endpoint updates are sent only after a Subscribe
 	DrainGrace            time.Duration // time for which a draining server accepts requests; not used here
-	PurgeGrace            time.Duration // time after which a purge must be obeyed
-	PurgeRetention        time.Duration // time after which a purge has left no older copy
+	PurgeGrace            time.Duration // time within which a purge must take effect
+	PurgeRetention        time.Duration // time after a purge until no older copies are left
 	CacheSlowStart        SlowStart     // slow start of each cache
 	ParentSlowStart       SlowStart     // slow start of each parent
 }
@@ -94,7 +96,7 @@
 // SettingError reports an invalid setting. New and UpdateSettings return it wrapped.
 type SettingError struct {
 	Setting string // name of the field of Settings
-	Reason  string // what was expected and found
+	Reason  string // expected value and actual value
 }
 
 // Error returns the name of the setting and the reason why it is invalid.
--- a/routing/simulated_events_test.go
+++ b/routing/simulated_events_test.go
@@ -7,9 +7,9 @@
 	"garnetline/routing"
 )
 
-// milliseconds returns a random duration of at least least and less than least+span milliseconds.
-func (s *simulation) milliseconds(least, span int) time.Duration {
-	return time.Duration(least+s.random.IntN(span)) * time.Millisecond
+// milliseconds returns a random duration in milliseconds, from minimum to below minimum+span.
+func (s *simulation) milliseconds(minimum, span int) time.Duration {
+	return time.Duration(minimum+s.random.IntN(span)) * time.Millisecond
 }
 
 // sendRequest sends a request and schedules the next one.
@@ -22,13 +22,14 @@
 		s.after(delay, func() { s.disconnect(request.ID) })
 	}
 	if s.random.IntN(400) == 0 {
-		s.handle(request) // an ID that is in use or was used before
+		s.handle(request) // a repeat of an ID, which is in use or was used before
 	}
 	interval := s.random.ExpFloat64() / (s.rate * s.load)
 	s.after(time.Duration(interval*float64(time.Second)), s.sendRequest)
 }
 
-// drawRequest returns a random request. It records the request as open if the settings list its class.
+// drawRequest returns a random request. If the settings list the class of the request, drawRequest records
+// the request as open.
 func (s *simulation) drawRequest() routing.Request {
 	class := []int{0, 0, 0, 1, 1, 1, 1, 2, 3, 4, 5}[s.random.IntN(11)]
 	deadline := s.routerSettings.Classes[class].Deadline
@@ -60,7 +61,7 @@
 	s.handle(routing.ClientDisconnected{ID: id})
 }
 
-// changeConditions ends the present fault, starts a random other one and schedules the next change.
+// changeConditions ends the present fault, starts a randomly chosen fault and schedules the next change.
 func (s *simulation) changeConditions() {
 	s.conditions = conditions{load: 1, linkUtilization: 0.4, hitRatio: 0.7}
 	for _, server := range s.servers {
@@ -75,8 +76,8 @@
 	s.after(s.milliseconds(1500, 3500), s.changeConditions)
 }
 
-// beginFault starts the fault with a number: of the chosen server, the origin, the load or a kind of
-// server.
+// beginFault starts the fault with the given number. The fault affects the chosen server, the origin, the
+// load, or all servers of one kind.
 func (s *simulation) beginFault(fault int, chosen *simulatedServer) {
 	switch fault {
 	case 0:
@@ -108,7 +109,7 @@
 	}
 }
 
-// beginKindFault starts a fault of all servers of a kind.
+// beginKindFault starts the fault with the given number, which affects all servers of one kind.
 func (s *simulation) beginKindFault(fault int) {
 	const cacheKind = 0
 	parentKind := s.routerSettings.ParentKind
@@ -158,8 +159,8 @@
 	s.handle(routing.EndpointUpdate{Snapshot: true, Servers: s.list()})
 }
 
-// sendUpdates sends a random event that no request causes, such as an endpoint update, a purge or a report
-// of another router, and schedules the next one.
+// sendUpdates sends a random event that does not result from a request, such as an endpoint update, a purge
+// or a report of another router. It schedules the next such event.
 func (s *simulation) sendUpdates() {
 	chosen := s.servers[s.random.IntN(len(s.servers))]
 	switch s.random.IntN(12) {
@@ -205,7 +206,8 @@
 	})
 }
 
-// updateSettings replaces the router's settings: an additional class, other quotas and another slow start.
+// updateSettings replaces the router's settings. The new settings have an additional class, other quotas and
+// another slow start.
 func (s *simulation) updateSettings() {
 	added := routing.Class{
 		Name: "new", LatencyObjective: 300 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1,
--- a/routing/simulated_servers_test.go
+++ b/routing/simulated_servers_test.go
@@ -36,7 +36,8 @@
 	return list
 }
 
-// server returns the server with an ID. For an unknown ID it returns a server that accepts no connections.
+// server returns the server with the given ID. For an unknown ID, it returns a server that accepts no
+// connections.
 func (s *simulation) server(id routing.ServerID) *simulatedServer {
 	for _, server := range s.servers {
 		if server.listed.ID == id {
@@ -83,7 +84,7 @@
 	s.schedule(s.now+delay, &simulatedEvent{outcome: &outcome, attempt: attempt})
 }
 
-// breakConnections ends all attempts in flight at a server with a lost connection.
+// breakConnections ends all attempts in flight at a server with the result ConnectionLost.
 func (s *simulation) breakConnections(id routing.ServerID) {
 	for _, attempt := range slices.Clone(s.inflight) {
 		if attempt.send.Server == id && !attempt.ended {
@@ -102,7 +103,7 @@
 	}
 }
 
-// finish reports the end of an attempt, unless it has ended already.
+// finish reports the end of an attempt to the router, unless the attempt has already ended.
 func (s *simulation) finish(attempt *simulatedAttempt, outcome routing.Outcome) {
 	if attempt.ended {
 		return
@@ -122,7 +123,7 @@
 	s.handle(outcome)
 }
 
-// drawOutcome returns a random outcome of an attempt and the time until it.
+// drawOutcome returns a random outcome of an attempt and the time from now until this outcome.
 func (s *simulation) drawOutcome(attempt *simulatedAttempt) (routing.Outcome, time.Duration) {
 	target := s.server(attempt.send.Server)
 	outcome := routing.Outcome{Load: noLoad()}
@@ -162,7 +163,8 @@
 	return outcome, quick
 }
 
-// drawFillOutcome returns a random outcome of an attempt with a fill, and the time until it.
+// drawFillOutcome returns a random outcome of an attempt with a fill, and the time from now until this
+// outcome.
 func (s *simulation) drawFillOutcome(
 	attempt *simulatedAttempt, outcome routing.Outcome, quick time.Duration,
 ) (routing.Outcome, time.Duration) {
@@ -195,10 +197,11 @@
 	return s.served(attempt, outcome, seconds, 0.01*source.slowdown)
 }
 
-// served returns a success that waits for its source and is then sent, and the time until its end. wait
-// and sending are in seconds.
+// served returns the outcome of a served attempt, and the time from now until this outcome. The attempt waits
+// for its source for waitSeconds, and its response is then sent in transferSeconds. Both times are varied
+// randomly by a common factor.
 func (s *simulation) served(
-	attempt *simulatedAttempt, outcome routing.Outcome, sending, wait float64,
+	attempt *simulatedAttempt, outcome routing.Outcome, transferSeconds, waitSeconds float64,
 ) (routing.Outcome, time.Duration) {
 	outcome.Result = routing.Served
 	outcome.RequestDone = true
@@ -206,14 +209,14 @@
 		outcome.BodyBytes = int(s.sizeKB(attempt.request) / 1000 * s.routerSettings.BodyBytesPerSecond)
 	}
 	if s.statuses && !s.routerSettings.HitStatusOnly {
-		outcome.FillWait = time.Duration(wait * float64(time.Second))
+		outcome.FillWait = time.Duration(waitSeconds * float64(time.Second))
 	}
-	took := (wait + sending) * (0.7 + 0.8*s.random.Float64())
-	return outcome, outcome.FillWait + time.Duration(took*float64(time.Second))
+	seconds := (waitSeconds + transferSeconds) * (0.7 + 0.8*s.random.Float64())
+	return outcome, outcome.FillWait + time.Duration(seconds*float64(time.Second))
 }
 
-// status returns a random one of several cache statuses, or CacheStatusUnknown if the deployment does not
-// report it.
+// status returns one of the given cache statuses, chosen at random. It returns CacheStatusUnknown if the
+// simulated deployment does not report the chosen status.
 func (s *simulation) status(statuses ...routing.CacheStatus) routing.CacheStatus {
 	status := statuses[0]
 	if len(statuses) > 1 {
@@ -231,7 +234,7 @@
 	return float64(5 + (uint64(request.Object)*7919+uint64(request.Chunk)*104729)%400)
 }
 
-// transferSeconds returns the time in seconds that it takes to send an attempt's response at full pace.
+// transferSeconds returns the time in seconds needed to send an attempt's response at full pace.
 func (s *simulation) transferSeconds(attempt *simulatedAttempt) float64 {
 	return s.sizeKB(attempt.request) / 1000
 }
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// startWarming records the start time of a listed server. A new server warms up from its start time or,
-// if that is not reported, from now. A server of the first endpoint list without a start time does not
-// warm up.
-func (r *Router) startWarming(server *server, listed Server, first bool) {
-	if first {
+// startWarming records the start time of a listed server. A new server warms up from its start time. If
+// the start time is not reported, the server warms up from the time of its first entry in the endpoint
+// list. inFirstList is true for an entry of the first endpoint list. A server of that list does not warm
+// up if its start time is not reported.
+func (r *Router) startWarming(server *server, listed Server, inFirstList bool) {
+	if inFirstList {
 		server.warmingSince = longAgo
 	}
 	if listed.StartedAt != 0 && listed.StartedAt != server.StartedAt {
@@ -20,7 +21,7 @@
 	}
 }
 
-// capacityFraction returns the fraction of its full capacity that a server has at a time.
+// capacityFraction returns the capacity of a server at the given time, as a fraction of its full capacity.
 func (r *Router) capacityFraction(server *server, at time.Duration) float64 {
 	slowStart := &r.slowStarts[server.role]
 	warmed := max(0, (at-server.warmingSince).Seconds()/max(slowStart.Duration.Seconds(), minSlowStartSeconds))
@@ -28,11 +29,12 @@
 	return min(1, max(minCapacityFraction, fraction))
 }
 
-// withinSlowStartBudget reports whether this router may send more work to a warming server. The budget
-// derives from the throughput of the server's peers. If the budget is less than the work of one attempt,
-// the router sends one attempt in a fraction of the overload windows. It chooses these at random, so
-// that the routers together stay within their budgets. Without this rule, many routers that each send
-// little find an empty server at the same time, and the minimum of each adds up to an overload.
+// withinSlowStartBudget reports whether this router may send the given work to a server. Only a warming
+// server has a budget, which derives from the throughput of the server's peers. If the budget is less
+// than the work of one attempt, the router sends one attempt in some overload windows and none in the
+// others. It chooses these windows at random, so that all routers together stay within the sum of their
+// budgets. Without this rule, many routers with little traffic would each send one attempt at the same
+// time, and these attempts together would overload the server.
 func (r *Router) withinSlowStartBudget(server *server, work float64) bool {
 	if r.capacityFraction(server, r.now) >= 1 {
 		return true
@@ -51,7 +53,7 @@
 	return uniform(draw) < budget/work
 }
 
-// sentInWindow returns the work that this router sent to a server within the last overload window, in
+// sentInWindow returns the work that this router sent to a server during the latest overload window, in
 // seconds of transfer time.
 func (r *Router) sentInWindow(server *server) float64 {
 	windowStart := r.now - r.slowStarts[server.role].OverloadWindow
@@ -74,10 +76,11 @@
 	return overload * capacity * r.expectedThroughput(server.role) * r.weight(server) * window.Seconds()
 }
 
-// expectedThroughput returns the work per second and per unit of weight that this router assumes a role
-// to carry. It is the highest throughput seen, or the router's quota of the throughput implied by weights
-// that count transfers, whichever is higher. Without the quota, a router that has restarted, or whose
-// zone restarts completely, has seen no throughput and rejects all requests.
+// expectedThroughput returns the work per second and per unit of weight that this router expects servers
+// of a role to carry. The result is the highest throughput seen. If weights are capacities, the result is
+// at least the router's share of the throughput that the weights imply. Without this lower bound, a router
+// that has seen no throughput would reject all requests. This is the case after a restart of the router,
+// or of its whole zone.
 func (r *Router) expectedThroughput(role role) float64 {
 	promised := 0.0
 	if r.settings.WeightIsCapacity && r.settings.TransferKBPerSecond > 0 {
@@ -89,8 +92,8 @@
 	return max(r.peakThroughput[role], promised)
 }
 
-// recordSentWork records work sent to a server. Work sent before the endpoint list reports a restart of
-// the server counts too.
+// recordSentWork records work sent to a server. When the endpoint list reports a restart of the server,
+// work that was sent earlier stays recorded.
 func (r *Router) recordSentWork(server *server, work float64) {
 	expired := r.now - r.slowStarts[server.role].OverloadWindow
 	server.recentWork = slices.DeleteFunc(server.recentWork, func(piece decayingSum) bool {
@@ -99,8 +102,8 @@
 	server.recentWork = append(server.recentWork, decayingSum{r.now, work})
 }
 
-// recordThroughput records work that a server completed. Work that a server completes after its removal
-// is ignored, because it does not show what the remaining servers carry.
+// recordThroughput records work that a server completed. It ignores work that a server completes after
+// its removal, because this work does not show the throughput of the remaining servers.
 func (r *Router) recordThroughput(server *server, work float64) {
 	if !server.ready {
 		return
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestSlowStartBudget checks that the work sent to a warming server stays within its budget, even just
-// after the start of this router, when it has not learned the transfer time of any class. Otherwise a
-// burst of lookups counts as no work.
+// TestSlowStartBudget checks that the work sent to a warming server stays within its budget. This must hold
+// even just after the start of the router, which has then learned no transfer times. If an unknown transfer
+// time counted as no work, a burst of lookups could exceed the budget.
 func TestSlowStartBudget(t *testing.T) {
 	list := fleet()
 	list[1].StartedAt = 1000 * second
@@ -16,10 +16,10 @@
 	tests := []struct {
 		name    string
 		servers []Server
-		most    float64 // seconds of transfer time
+		most    float64 // maximum work sent, in seconds of transfer time
 	}{
-		// A peer carries at most 20 requests of 0.1 s per second here. The slow start begins at a fifth of
-		// that, and twice this amount may be sent for 2 s.
+		// A peer carries at most 20 requests of 0.1 s per second. The slow start begins at a fifth of this
+		// load. Twice the load of the slow start may be sent for 2 s.
 		{name: "beside a warm peer", servers: slices.Concat(list[:2], upstreams), most: 2 * 0.4 * 20 * 2.0},
 		// The router does not know the cache's capacity.
 		{name: "alone", servers: slices.Concat(list[1:2], upstreams), most: 1.5},
@@ -45,9 +45,9 @@
 	}
 }
 
-// TestSlowStartBudgetHoldsForAllRouters checks that many routers with few requests each, which find a
-// warming cache or parent at the same time, together stay within its budget. Otherwise the minimum that
-// each router always sends overloads the server.
+// TestSlowStartBudgetHoldsForAllRouters checks that many routers with few requests each together stay within
+// the budget of a warming cache or parent, although they all start to use it at the same time. If each
+// router always sent at least one attempt, the attempts of all routers would overload the server.
 func TestSlowStartBudgetHoldsForAllRouters(t *testing.T) {
 	const routers = 60
 	list := fleet()
@@ -70,8 +70,9 @@
 			}
 		}
 	}
-	// All servers carried 480 requests of at most 0.6 s in 2 s. Two caches and one parent are not
-	// warming up, so that a cache carries at most 72 s of work per second, and a parent 144 s.
+	// All servers together carry 480 requests of at most 0.6 s in 2 s. Two caches and one parent are not
+	// warming up. Each of these caches therefore carries at most 72 s of work per second, and the parent
+	// at most 144 s.
 	if most := 2 * 0.36 * 72 * 2.0; sent[secondCache] > most {
 		t.Errorf("got %.0f s of work sent to the warming cache, want at most %.0f", sent[secondCache], most)
 	}
@@ -80,8 +81,9 @@
 	}
 }
 
-// TestSmallSlowStartBudgetIsRandom checks that, if the budget is less than the work of one attempt, a random
-// fraction of the routers sends an attempt, so that the routers together stay within the budget.
+// TestSmallSlowStartBudgetIsRandom checks the case that the budget is less than the work of one attempt. A
+// random fraction of the routers must then send an attempt, so that the routers together stay within the
+// sum of their budgets.
 func TestSmallSlowStartBudgetIsRandom(t *testing.T) {
 	const routers, work = 1000, 0.4
 	list := fleet()
@@ -99,13 +101,13 @@
 	}
 	expected := routers * slowStartMargin * 2 * 0.2 * 0.01 * 2 / work
 	if float64(senders) > 2*expected || senders == 0 {
-		t.Errorf("got a first request from %d of %d routers, want 1 to %.0f", senders, routers, 2*expected)
+		t.Errorf("got a first attempt allowed for %d of %d routers, want from 1 to %.0f", senders, routers, 2*expected)
 	}
 }
 
 // TestRemovedServersDoNotChangeThroughput checks that work completed by removed servers does not change the
-// throughput of their role. Otherwise, in a zone that has lost all its caches, the first cache that
-// returns gets an unlimited budget.
+// throughput of their role. Otherwise, after a zone has lost all its caches, the first cache that returns
+// would get an unlimited budget.
 func TestRemovedServersDoNotChangeThroughput(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	sent := harness.requestOne(Request{Object: 1, SizeKB: 500})
@@ -117,12 +119,13 @@
 	}
 }
 
-// TestSlowStartBudgetFromWeights checks that a router that has restarted, and has seen no throughput, sends
-// its quota and no more if all caches are warming up and their weights count transfers.
+// TestSlowStartBudgetFromWeights checks that a router sends work to warming caches although it has restarted
+// and has seen no throughput. The weights of the caches are capacities, from which the router derives its
+// budget. The work must stay within that budget.
 func TestSlowStartBudgetFromWeights(t *testing.T) {
 	config := settings()
 	config.WeightIsCapacity = true
-	list := without(secondCache, thirdCache, remoteCache)
+	list := fleetWithout(secondCache, thirdCache, remoteCache)
 	warming := &list[0]
 	warming.Weight = 10
 	warming.StartedAt = 1000 * second
@@ -140,13 +143,13 @@
 			harness.finishWithoutStatus(sent, 0, Served, 100*millisecond)
 		}
 	}
-	// The slow start is at 0.2 to 0.36 of 10 transfers. Twice that for 2 s is an overload.
+	// The capacity rises from 0.2 to 0.36 of 10 transfers. Twice the capacity for 2 s is an overload.
 	if most := 2 * 0.2 * 10 * 2.0; work == 0 || work > most {
 		t.Errorf("got %.1f s of work sent to a warming cache, want more than 0 and at most %.1f", work, most)
 	}
 }
 
-// warmingZone is a zone with several routers, whose caches all restart at the same time.
+// warmingZone is a zone with several routers. All caches of the zone restart at the same time.
 type warmingZone struct {
 	routers     []*harness
 	caches      []Server
@@ -160,7 +163,7 @@
 	seconds float64
 }
 
-// newWarmingZone creates several routers with different seeds.
+// newWarmingZone creates a zone with the given number of routers, which have different seeds.
 func newWarmingZone(t *testing.T, config Settings, list []Server, routers int) *warmingZone {
 	t.Helper()
 	zone := &warmingZone{caches: list[:3], restartedAt: 1010 * second, sent: map[ServerID][]sentWork{}}
@@ -170,7 +173,7 @@
 	return zone
 }
 
-// restart notifies all routers that all caches have just started.
+// restart notifies all routers that all caches of the zone have just started.
 func (z *warmingZone) restart() {
 	for i := range z.caches {
 		z.caches[i].StartedAt = z.restartedAt
@@ -181,8 +184,8 @@
 	}
 }
 
-// requestInterval returns the time between two requests to a router. The routers take turns in receiving
-// ten times the traffic of the others.
+// requestInterval returns the time between two requests to the router with the given index. At any time, one
+// router receives ten times the traffic of each other router. This router changes every 2 s.
 func (z *warmingZone) requestInterval(index int, now time.Duration) time.Duration {
 	const interval = 200 * millisecond
 	busyRouter := int(now/(2*second)) % len(z.routers)
@@ -192,7 +195,7 @@
 	return interval
 }
 
-// request sends a request to a router and serves its attempt at once.
+// request sends a request to the router with the given index, and serves the resulting attempt immediately.
 func (z *warmingZone) request(index int, now time.Duration) {
 	router := z.routers[index]
 	router.now = now
@@ -209,8 +212,8 @@
 }
 
 // TestManyRoutersDoNotOverloadWarmingCaches checks that the routers of a zone together do not overload caches
-// that restart at the same time, although each router only keeps to its own quota, has seen a high
-// throughput before the restart, and sometimes has several times the traffic of the others.
+// that restart at the same time. Each router knows only its own quota, and has seen a high throughput before
+// the restart. At any time, one router has ten times the traffic of each other router.
 func TestManyRoutersDoNotOverloadWarmingCaches(t *testing.T) {
 	const routers = 8
 	config := settings()
@@ -238,19 +241,20 @@
 	}
 }
 
-// checkLoad fails the test if a server was sent an overload or almost nothing.
+// checkLoad fails the test if the highest load sent to a server is above the overload limit, or below a fifth
+// of this limit.
 func checkLoad(t *testing.T, sent []sentWork, listed Server, slowStart SlowStart) {
 	t.Helper()
 	most := highestLoad(sent, slowStart, listed.Weight, listed.StartedAt)
-	t.Logf("cache %d: peak load of %.2f of the overload limit", listed.ID, most)
+	t.Logf("cache %d: peak load of %.2f times the overload limit", listed.ID, most)
 	if most < 0.2 || most > 1 {
-		t.Errorf("cache %d: got a load of %.2f of the overload limit within %v, want 0.2 to 1",
+		t.Errorf("cache %d: got a peak load of %.2f times the overload limit of a %v window, want from 0.2 to 1",
 			listed.ID, most, slowStart.OverloadWindow)
 	}
 }
 
-// highestLoad returns the most work that a server was sent within any overload window, as a fraction of
-// the work that overloads the server at that time of its slow start.
+// highestLoad returns the highest load sent to a server during any overload window. The load of a window is
+// the work sent during the window, divided by the work that overloads the server at the start of the window.
 func highestLoad(sent []sentWork, slowStart SlowStart, weight float64, startedAt time.Duration) float64 {
 	most := 0.0
 	for i, last := range sent {
--- a/routing/source_files_test.go
+++ b/routing/source_files_test.go
@@ -13,26 +13,26 @@
 	"testing"
 )
 
-// Limits for every source file of the package other than tests.
+// Limits for all source files of the package except test files.
 const (
 	maxFileLines     = 499
 	maxFunctionLines = 59
 	maxLineColumns   = 110
 )
 
-// decisionFiles are the files with routing decisions or tuned values.
+// decisionFiles are the files that hold routing decisions or tuned values.
 var decisionFiles = []string{
 	"admission.go", "constants.go", "endpoints.go", "guard.go", "hotkeys.go", "limiter.go", "outlier.go", "retry.go",
 	"router.go", "selection.go", "slowstart.go", "transfertime.go",
 }
 
-// mechanismFiles are the files with types, records and arithmetic but without decisions.
+// mechanismFiles are the files that hold types, records and arithmetic, but no decisions.
 var mechanismFiles = []string{
 	"actions.go", "bounded.go", "decay.go", "doc.go", "events.go", "inflight.go", "records.go", "rendezvous.go",
 	"settings.go",
 }
 
-// sourceFiles returns the names of the package's Go files other than tests.
+// sourceFiles returns the names of the package's Go files, without test files.
 func sourceFiles(t *testing.T) []string {
 	t.Helper()
 	all, err := filepath.Glob("*.go")
@@ -64,14 +64,15 @@
 	return paths
 }
 
-// TestPolicyFilesDecide checks that every file of the package is listed either in decisionFiles or in
-// mechanismFiles, and that deploy/balancer.toml lists exactly the decision files as policy.
+// TestPolicyFilesDecide checks that every source file of the package is listed in either decisionFiles or
+// mechanismFiles. It also checks that the policy entry of deploy/balancer.toml lists exactly the decision
+// files.
 func TestPolicyFilesDecide(t *testing.T) {
 	files := sourceFiles(t)
 	listed := slices.Concat(decisionFiles, mechanismFiles)
 	slices.Sort(listed)
 	if !slices.Equal(files, listed) {
-		t.Errorf("got files %v in the package, want %v", files, listed)
+		t.Errorf("got source files %v in the package, want the decision and mechanism files %v", files, listed)
 	}
 	var want []string
 	for _, name := range decisionFiles {
@@ -85,7 +86,8 @@
 	}
 }
 
-// TestSourceFilesKeepTheirLimits checks the length of files, functions and lines of the package.
+// TestSourceFilesKeepTheirLimits checks that the files, functions and lines of the package do not exceed
+// their maximum lengths.
 func TestSourceFilesKeepTheirLimits(t *testing.T) {
 	for _, name := range sourceFiles(t) {
 		t.Run(name, func(t *testing.T) {
@@ -159,7 +161,8 @@
 	}
 }
 
-// checkConstantComments checks that the first constant of each paragraph has a comment.
+// checkConstantComments checks that the first constant of each paragraph has a comment. A paragraph is a
+// sequence of constants without empty lines or comments between them.
 func checkConstantComments(t *testing.T, file *ast.File) {
 	t.Helper()
 	for _, declaration := range file.Decls {
--- a/routing/transfertime.go
+++ b/routing/transfertime.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// transfer is the time that it takes to send a response at full pace.
+// transfer is the time needed to send a response at full pace.
 type transfer struct {
 	seconds  float64
 	known    bool // specific to the request, not the mean of its class
 	measured bool // computed from the bytes of this response
 }
 
-// hasSize reports whether a request came with the size of its object.
+// hasSize reports whether a transfer time can be computed from the size that came with a request.
 func (r *Router) hasSize(request *request) bool {
 	return request.SizeKB > 0 && r.settings.TransferKBPerSecond > 0
 }
@@ -20,9 +20,9 @@
 	return secondsToDuration(seconds)
 }
 
-// transferSeconds returns the transfer time of a request in seconds. It is computed from the size of the
-// object, if known; otherwise it is the learned transfer time of the chunk or, if there is none, the
-// mean of the class. known is false for the mean.
+// transferSeconds returns the transfer time of a request in seconds. If the size of the response is known,
+// the transfer time is computed from the size. Otherwise, the result is the learned transfer time of the
+// chunk. If none has been learned, the result is the mean of the class, and known is false.
 func (r *Router) transferSeconds(request *request) (seconds float64, known bool) {
 	if r.hasSize(request) {
 		return request.SizeKB / r.settings.TransferKBPerSecond, true
@@ -33,8 +33,8 @@
 	return *request.meanTransferTime, false
 }
 
-// measureTransfer returns the transfer time of a served request. It is computed from the bytes of the
-// response, if reported, and otherwise the result of transferSeconds.
+// measureTransfer returns the transfer time of a served request. If the outcome reports the bytes of the
+// response, the transfer time is computed from the bytes. Otherwise, it is the result of transferSeconds.
 func (r *Router) measureTransfer(request *request, outcome *Outcome) transfer {
 	hasBodyBytes := outcome.BodyBytes > 0 && r.settings.BodyBytesPerSecond > 0
 	if hasBodyBytes && !request.class.Write {
@@ -69,7 +69,7 @@
 	*mean += (seconds - *mean) * meanTransferTimeGain
 }
 
-// secondsToDuration converts seconds, rounding towards zero.
+// secondsToDuration converts seconds to a duration, rounding towards zero.
 func secondsToDuration(seconds float64) time.Duration {
 	return time.Duration(seconds * float64(time.Second))
 }
--- a/routing/unresponsive_parent_test.go
+++ b/routing/unresponsive_parent_test.go
@@ -7,9 +7,9 @@
 )
 
 // TestUnresponsiveParentIsReplaced checks that an unresponsive parent is probed with one request at a time
-// when its ejection ends. If few parents are left, the origin fills the objects of that parent; if an
-// overload stops the origin, the other parents do. Otherwise an unresponsive parent gets many requests
-// at once, or the link of the other parent is saturated.
+// after its ejection has ended. Otherwise, it would get many requests at the same time. If few parents are
+// left, the origin must fill the objects of that parent. Otherwise, the link of the other parent would be
+// saturated. If an overload would stop the origin, the other parents must fill these objects.
 func TestUnresponsiveParentIsReplaced(t *testing.T) {
 	tests := []struct {
 		name        string
@@ -27,7 +27,7 @@
 			harness := newUnresponsiveParent(t, config)
 			harness.run(3000)
 			if ejections := harness.parent.ejections; ejections < 3 {
-				t.Errorf("got %d ejections, want at least 3", ejections)
+				t.Errorf("got %d ejections of the unresponsive parent, want at least 3", ejections)
 			}
 			if harness.mostInflight > 1 {
 				t.Errorf("got %d attempts in flight at an unresponsive parent, want at most 1", harness.mostInflight)
@@ -44,7 +44,7 @@
 	*harness
 	parent       *server
 	inflight     []inflightAttempt // attempts whose fill source is the parent
-	mostInflight int               // most attempts in flight after the second ejection
+	mostInflight int               // largest number of attempts in flight after the second ejection
 	homes        map[ObjectID]ServerID
 	failovers    map[ServerID]int // number of fills in place of the ejected parent, by source
 }
@@ -65,7 +65,7 @@
 	return started
 }
 
-// run sends requests for 200 objects in turn, one every 5 ms.
+// run sends one request every 5 ms, for each of 200 objects in rotation.
 func (h *unresponsiveParent) run(requests int) {
 	const objects = 200
 	for i := range requests {
@@ -81,7 +81,7 @@
 	}
 }
 
-// serve ends each attempt at once, except those that the unresponsive parent fills.
+// serve ends each attempt immediately, except attempts whose fill source is the unresponsive parent.
 func (h *unresponsiveParent) serve(actions []Action, object ObjectID) {
 	for _, sent := range sendActions(actions) {
 		if sent.FillSource == h.parent.ID {
@@ -95,7 +95,7 @@
 	}
 }
 
-// checkAttempts fires the check timers of attempts in flight and ends the attempts that are canceled.
+// checkAttempts fires the check timers of attempts in flight, and ends the attempts that the router cancels.
 func (h *unresponsiveParent) checkAttempts() {
 	for i := 0; i < len(h.inflight); i++ {
 		attempt := &h.inflight[i]
