--- a/routing/settings.go
+++ b/routing/settings.go
@@ -39,7 +39,7 @@
 	LateWeightFactor        float64       // fraction of PriorityWeight for a late response; not used here
 	Write                   bool          // the origin executes the request; responses are never cached
 	FreshnessLifetime       time.Duration // maximum age of a fresh copy; 0: fresh until purged
-	MaxStale                time.Duration // longest staleness of a served copy; not used here
+	MaxStale                time.Duration // longest age past FreshnessLifetime of a served copy; not used here
 }
 
 // MaxDeadline returns the longest deadline of all classes, or 0 if there are no classes.
--- a/routing/simulated_servers_test.go
+++ b/routing/simulated_servers_test.go
@@ -197,9 +197,9 @@
 	return s.served(attempt, outcome, seconds, 0.01*source.slowdown)
 }
 
-// served returns the outcome of a served attempt, and the time from now until this outcome. The attempt waits
-// for its source for waitSeconds, and its response is then sent in transferSeconds. Both times are varied
-// randomly by a common factor.
+// served returns the outcome of a served attempt, and the time from now until this outcome. This time depends
+// on the wait for the source (waitSeconds), on the transfer of the response (transferSeconds) and on a
+// random factor.
 func (s *simulation) served(
 	attempt *simulatedAttempt, outcome routing.Outcome, transferSeconds, waitSeconds float64,
 ) (routing.Outcome, time.Duration) {
