--- a/internal/operatorconfig/config.go
+++ b/internal/operatorconfig/config.go
@@ -22,7 +22,7 @@
 	blockDNS    = "dns"
 	blockTrace  = "trace"
 	blockFleet  = "fleet"
-	blockLeases = "duties" // original name of the leases, which the file keeps
+	blockLeases = "duties" // original name of the leases, which the file still uses
 )
 
 // Config is the content of the operators' file.
@@ -115,5 +115,5 @@
 	return nil
 }
 
-// within reports whether low <= value <= high. It is false for NaN.
-func within(value, low, high float64) bool { return value >= low && value <= high }
+// inRange reports whether low <= value <= high. It is false for NaN.
+func inRange(value, low, high float64) bool { return value >= low && value <= high }
--- a/internal/operatorconfig/config_test.go
+++ b/internal/operatorconfig/config_test.go
@@ -27,8 +27,8 @@
 
 func (e *relativePathError) Error() string { return e.text }
 
-// Guards that the shipped file has the default values, and that values missing in a file get
-// their defaults.
+// TestShippedFileMatchesDefault checks that the shipped file has the default values, and that
+// values missing in a file get their defaults.
 func TestShippedFileMatchesDefault(t *testing.T) {
 	config, err := Load("../../deploy/garnetline.hcl")
 	if err != nil || config.DNS != Default().DNS || config.Log != Default().Log || config.Trace.Enabled || !reflect.DeepEqual(withoutNilLists(config.Fleet), withoutNilLists(Default().Fleet)) {
@@ -40,8 +40,8 @@
 	}
 }
 
-// Guards that the error for an invalid file is one line that names the file, line and field, and
-// that Load then returns the defaults instead of a part of the file.
+// TestErrorsNameFileLineAndField checks that the error for an invalid file is one line that names
+// the file, line and field, and that Load then returns the defaults instead of a part of the file.
 func TestErrorsNameFileLineAndField(t *testing.T) {
 	for text, want := range map[string]string{
 		"log {\n  level = \"loud\"\n}":                                                              "x.hcl:2: log: level: ",
@@ -76,7 +76,8 @@
 	}
 }
 
-// Guards that CheckReload names the block with a field that only a restart can change.
+// TestCheckReload checks that CheckReload names the block with a field that only a restart can
+// change.
 func TestCheckReload(t *testing.T) {
 	current, next := Default(), Default()
 	next.Log.Level, next.Trace.OrdinaryPerSecond = "debug", 9
@@ -101,8 +102,8 @@
 	return fleet
 }
 
-// Guards that keys and join are the only fields of the fleet block that can change while a router
-// runs.
+// TestFleetCheckReload checks that keys and join are the only fields of the fleet block that can
+// change while a router runs.
 func TestFleetCheckReload(t *testing.T) {
 	current, next := Default(), Default()
 	next.Fleet.Keys, next.Fleet.Join = []string{"x"}, []string{"y"}
@@ -115,8 +116,8 @@
 	}
 }
 
-// Guards that a caller can get the file, line, block and field of an error without parsing its
-// text.
+// TestConfigError checks that a caller can get the file, line, block and field of an error without
+// parsing its text.
 func TestConfigError(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.hcl")
 	for text, want := range map[string]ConfigError{
--- a/internal/operatorconfig/error.go
+++ b/internal/operatorconfig/error.go
@@ -57,9 +57,9 @@
 	return diagnostics
 }
 
-// blockError returns a ConfigError for err, which validate returned for block. Its line is that
-// of the field if err is a fielderror.Error and the block sets the field, and otherwise that of
-// the block.
+// blockError returns a ConfigError for err, which validate returned for block. If err is a
+// fielderror.Error and the block sets the invalid field, the error has the line of the field.
+// Otherwise it has the line of the block.
 func blockError(file *hcl.File, path, block string, err error) error {
 	result := &ConfigError{File: path, Block: block, Err: err}
 	var invalid *fielderror.Error
--- a/internal/operatorconfig/fleet.go
+++ b/internal/operatorconfig/fleet.go
@@ -20,11 +20,11 @@
 type Fleet struct {
 	Enabled   bool     `hcl:"enabled,optional"`
 	Name      string   `hcl:"name,optional"`      // packets from a fleet with another name are dropped
-	Listen    string   `hcl:"listen,optional"`    // UDP address; the system chooses a port in place of port 0
-	Advertise string   `hcl:"advertise,optional"` // address that other routers send to; "" for Listen
+	Listen    string   `hcl:"listen,optional"`    // UDP address; with port 0, the system chooses a port
+	Advertise string   `hcl:"advertise,optional"` // address that other routers send to; "" means Listen
 	Join      []string `hcl:"join,optional"`      // addresses at which other routers may be reachable
 	Keys      []string `hcl:"keys,optional"`      // the first key encrypts; all keys can decrypt
-	Zone      string   `hcl:"zone,optional"`      // "" for the zone in the platform's configuration
+	Zone      string   `hcl:"zone,optional"`      // "" means the zone in the platform's configuration
 
 	ProbeInterval       float64 `hcl:"probe_ms,optional"`
 	ProbeTimeout        float64 `hcl:"timeout_ms,optional"`
@@ -35,11 +35,11 @@
 	PacketsPerSecond    float64 `hcl:"packets_per_s,optional"`
 	BytesPerSecond      float64 `hcl:"bytes_per_s,optional"`
 
-	RecentWindow   float64 `hcl:"lately_ms,optional"`              // a router that was present within this time is expected to be present
-	TogetherShare  float64 `hcl:"together_share,optional"`         // least share of the expected routers for the state together
+	RecentWindow   float64 `hcl:"lately_ms,optional"`              // a router that was present within this time counts as expected
+	TogetherShare  float64 `hcl:"together_share,optional"`         // minimum share of the expected routers that must be present in the state together
 	SilenceTimeout float64 `hcl:"alone_after_silence_ms,optional"` // the state is alone if no packet arrives for this long
-	DowngradeDelay float64 `hcl:"less_room_after_ms,optional"`     // time that the evidence for a state that permits less must last
-	UpgradeDelay   float64 `hcl:"more_room_after_ms,optional"`     // time that the evidence for a state that permits more must last
+	DowngradeDelay float64 `hcl:"less_room_after_ms,optional"`     // the state changes to one that permits less after its evidence has lasted this long
+	UpgradeDelay   float64 `hcl:"more_room_after_ms,optional"`     // the state changes to one that permits more after its evidence has lasted this long
 }
 
 func defaultFleet() Fleet {
@@ -72,8 +72,8 @@
 	return err
 }
 
-// TransportSettings returns the settings of the transport, and those of membership and
-// connectivity, which use the transport. An error is a fielderror.Error.
+// TransportSettings returns the settings of the transport. They include the settings of membership
+// and connectivity, which use the transport. An error is a fielderror.Error.
 func (f *Fleet) TransportSettings() (transport.Settings, error) {
 	settings := transport.Settings{
 		FleetName:        f.Name,
@@ -85,7 +85,7 @@
 		return settings, err
 	}
 	if f.Name == "" || len(f.Name) > maxNameLength || len(f.Zone) > maxNameLength {
-		return settings, fielderror.Errorf("name", "expected a name of 1 to %[1]d bytes and a zone of at most %[1]d bytes", maxNameLength)
+		return settings, fielderror.Errorf("name", "expected a name of 1 to %[1]d bytes and a zone of at most %[1]d bytes, got a name of %[2]d bytes and a zone of %[3]d bytes", maxNameLength, len(f.Name), len(f.Zone))
 	}
 	if err := f.parseAddresses(&settings); err != nil {
 		return settings, err
@@ -115,8 +115,8 @@
 		{"less_room_after_ms", f.DowngradeDelay, 0, 600_000},
 		{"more_room_after_ms", f.UpgradeDelay, f.DowngradeDelay, 600_000},
 	} {
-		if !within(field.value, field.low, field.high) {
-			return fielderror.Errorf(field.name, "expected a number from %v to %v", field.low, field.high)
+		if !inRange(field.value, field.low, field.high) {
+			return fielderror.Errorf(field.name, "expected a number from %v to %v, got %v", field.low, field.high, field.value)
 		}
 	}
 	return nil
@@ -135,7 +135,7 @@
 		}
 	}
 	if settings.AdvertiseAddr.Addr().IsUnspecified() {
-		return fielderror.Errorf("advertise", "expected a specific IP address in advertise or listen, got an unspecified one")
+		return fielderror.Errorf("advertise", "expected a specific IP address in advertise or listen, got the unspecified address %v", settings.AdvertiseAddr)
 	}
 	for i, text := range f.Join {
 		seed, err := netip.ParseAddrPort(text)
--- a/internal/operatorconfig/golden_test.go
+++ b/internal/operatorconfig/golden_test.go
@@ -46,8 +46,8 @@
 	return out.String()
 }
 
-// Guards the name of every block and key of the operators' file, the value that it is parsed to
-// and its default. testdata/full.hcl has every key.
+// TestGoldenKeys checks the name of every block and key of the operators' file, the value that it
+// is parsed to and its default. testdata/full.hcl has every key.
 func TestGoldenKeys(t *testing.T) {
 	config, err := Load("testdata/full.hcl")
 	if err != nil {
@@ -61,8 +61,8 @@
 	golden.Compare(t, "default.golden", []byte(formatConfig(&config)))
 }
 
-// Guards the settings of transport, membership, connectivity and leases that result from the
-// values in testdata/full.hcl.
+// TestGoldenTransport checks the settings of transport, membership, connectivity and leases that
+// result from the values in testdata/full.hcl.
 func TestGoldenTransport(t *testing.T) {
 	config, err := Load("testdata/full.hcl")
 	if err != nil {
@@ -82,8 +82,8 @@
 	golden.Compare(t, "fleet.golden", []byte(out.String()))
 }
 
-// Guards that the error for an invalid file is one line, and which file, line, block and field it
-// names. For an HCL error, it guards the file, line and summary.
+// TestGoldenErrors checks that the error for an invalid file is one line, and which file, line,
+// block and field it names. For an HCL error, it checks the file, line and summary.
 func TestGoldenErrors(t *testing.T) {
 	const fleet = "fleet {\n enabled = true\n keys = [\"sixteen bytes or more\"]\n "
 	const duties = fleet + "}\nduties {\n enabled = true\n electors = [\"a\", \"b\", \"c\"]\n "
@@ -106,7 +106,7 @@
 	} {
 		_, err := loadText(t, text)
 		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Fatalf("%q: got error %v, want one of a single line", text, err)
+			t.Fatalf("%q: got error %v, want an error of one line", text, err)
 		}
 		parts := strings.SplitN(err.Error(), ": ", 4)
 		fmt.Fprintf(&out, "%q -> %s\n", text, strings.Join(parts[:min(3, len(parts)-1)], ": "))
@@ -114,7 +114,7 @@
 	golden.Compare(t, "errors.golden", []byte(out.String()))
 }
 
-// Guards which blocks and fields only a restart can change.
+// TestGoldenRestart checks which blocks and fields only a restart can change.
 func TestGoldenRestart(t *testing.T) {
 	current := Default()
 	var out strings.Builder
--- a/internal/operatorconfig/leases.go
+++ b/internal/operatorconfig/leases.go
@@ -26,17 +26,17 @@
 	defaultReportMultiple  = 4 // default ratio of the longest to the shortest interval between load reports
 	maxSlowReportInterval  = 600_000.0
 	minVoters              = 3
-	maxVoters              = 5 // a number between minVoters and maxVoters is invalid too
+	maxVoters              = 5 // the number of voters is minVoters or maxVoters; a number between them is invalid
 )
 
-// Leases configures the leases by which the voters of the lease registry assign a task to a
-// single router, which does it on behalf of all. Times are in milliseconds.
+// Leases configures the leases. With a lease, the voters of the lease registry assign a task to a
+// single router, which does the task on behalf of all routers. Times are in milliseconds.
 type Leases struct {
 	Enabled         bool     `hcl:"enabled,optional"`
 	Voters          []string `hcl:"electors,optional"` // names of the three or five routers that replicate the registry
 	WALDir          string   `hcl:"folder,optional"`   // directory of a voter's write-ahead log
 	Duration        float64  `hcl:"lease_ms,optional"`
-	SafetyMargin    float64  `hcl:"margin_ms,optional"` // the holder stops this much earlier, and the registry waits this much longer
+	SafetyMargin    float64  `hcl:"margin_ms,optional"` // the holder gives up its lease this much earlier, and the registry grants the lease again this much later
 	MaxClockDrift   float64  `hcl:"drift,optional"`     // largest ratio by which the rates of two clocks may differ
 	RetryInterval   float64  `hcl:"retry_ms,optional"`  // a request without a response is repeated at another voter after this time
 	ElectionTimeout float64  `hcl:"election_ms,optional"`
@@ -54,7 +54,7 @@
 }
 
 // RecoveryProbe configures the lease by which one router of a zone probes ejected servers before
-// the others use them.
+// the other routers use them.
 type RecoveryProbe struct {
 	ReturnRate float64 `hcl:"routers_per_s,optional"` // routers per second that resume sending to the server after the probe succeeded
 }
@@ -63,7 +63,7 @@
 // disabled. Times are in milliseconds.
 type Bans struct {
 	PollInterval float64 `hcl:"every_ms,optional"`      // between reads of the registry
-	ReadyTimeout float64 `hcl:"ready_wait_ms,optional"` // time that a starting router waits for its first read
+	ReadyTimeout float64 `hcl:"ready_wait_ms,optional"` // time that a starting router waits for its first read of the registry
 }
 
 func defaultLeases() Leases {
@@ -113,8 +113,8 @@
 		return fielderror.Errorf("enabled", "expected the fleet block to be enabled too")
 	case len(l.Voters) != minVoters && len(l.Voters) != maxVoters:
 		return fielderror.Errorf("electors", "expected %d or %d names, got %d", minVoters, maxVoters, len(l.Voters))
-	case !within(l.ElectionTimeout, minElectionTimeout, maxElectionTimeout):
-		return fielderror.Errorf("election_ms", "expected a time from %.0f to %.0f ms", minElectionTimeout, maxElectionTimeout)
+	case !inRange(l.ElectionTimeout, minElectionTimeout, maxElectionTimeout):
+		return fielderror.Errorf("election_ms", "expected a time from %.0f to %.0f ms, got %v", minElectionTimeout, maxElectionTimeout, l.ElectionTimeout)
 	}
 	if err := l.validateVoters(); err != nil {
 		return err
@@ -126,7 +126,7 @@
 	seen := map[string]bool{}
 	for _, name := range l.Voters {
 		if name == "" || len(name) > maxNameLength || seen[name] {
-			return fielderror.Errorf("electors", "expected a unique name of valid length, got %q", name)
+			return fielderror.Errorf("electors", "expected unique names of 1 to %[2]d bytes, got %[1]q", name, maxNameLength)
 		}
 		seen[name] = true
 	}
@@ -138,8 +138,8 @@
 	if p.ReturnRate == 0 {
 		p.ReturnRate = recoveryprobe.DefaultSettings().ReturnRate
 	}
-	if !within(p.ReturnRate, 1, maxReturnRate) {
-		return fielderror.Errorf("first_try", "%w", fielderror.Errorf("routers_per_s", "expected a rate from 1 to %.0f", maxReturnRate))
+	if !inRange(p.ReturnRate, 1, maxReturnRate) {
+		return fielderror.Errorf("first_try", "%w", fielderror.Errorf("routers_per_s", "expected a rate from 1 to %.0f, got %v", maxReturnRate, p.ReturnRate))
 	}
 	return nil
 }
@@ -152,10 +152,11 @@
 	if b.ReadyTimeout == 0 {
 		b.ReadyTimeout = defaultBanReadyTimeout
 	}
-	pollOK := within(b.PollInterval, minBanPollInterval, maxBanPollInterval)
-	readyOK := within(b.ReadyTimeout, minBanReadyTimeout, maxBanReadyTimeout)
+	pollOK := inRange(b.PollInterval, minBanPollInterval, maxBanPollInterval)
+	readyOK := inRange(b.ReadyTimeout, minBanReadyTimeout, maxBanReadyTimeout)
 	if !pollOK || !readyOK {
-		return fielderror.Errorf("bans", "every_ms or ready_wait_ms is out of range")
+		return fielderror.Errorf("bans", "expected every_ms from %.0f to %.0f and ready_wait_ms from %.0f to %.0f, got every_ms = %v and ready_wait_ms = %v",
+			minBanPollInterval, maxBanPollInterval, minBanReadyTimeout, maxBanReadyTimeout, b.PollInterval, b.ReadyTimeout)
 	}
 	return nil
 }
@@ -168,10 +169,11 @@
 	if r.MaxInterval == 0 {
 		r.MaxInterval = defaultReportMultiple * r.MinInterval
 	}
-	minOK := within(r.MinInterval, minReportInterval, maxReportInterval)
-	maxOK := within(r.MaxInterval, r.MinInterval, maxSlowReportInterval)
+	minOK := inRange(r.MinInterval, minReportInterval, maxReportInterval)
+	maxOK := inRange(r.MaxInterval, r.MinInterval, maxSlowReportInterval)
 	if !minOK || !maxOK {
-		return fielderror.Errorf("prober", "every_ms or most_ms is out of range")
+		return fielderror.Errorf("prober", "expected every_ms from %.0f to %.0f and most_ms from every_ms to %.0f, got every_ms = %v and most_ms = %v",
+			minReportInterval, maxReportInterval, maxSlowReportInterval, r.MinInterval, r.MaxInterval)
 	}
 	return nil
 }
--- a/internal/operatorconfig/reload.go
+++ b/internal/operatorconfig/reload.go
@@ -11,28 +11,28 @@
 // while the program runs.
 var errRestartOnly = errors.New("only a restart can change this block")
 
-// CheckReload returns a ConfigError for the first block in which c and next differ in a field
+// CheckReload returns a ConfigError for the first block in which c and updated differ in a field
 // that cannot change while the program runs.
-func (c *Config) CheckReload(next Config) error {
-	if c.DNS != next.DNS {
+func (c *Config) CheckReload(updated Config) error {
+	if c.DNS != updated.DNS {
 		return &ConfigError{Block: blockDNS, Err: errRestartOnly}
 	}
-	if err := c.Trace.checkReload(&next.Trace); err != nil {
+	if err := c.Trace.checkReload(&updated.Trace); err != nil {
 		return &ConfigError{Block: blockTrace, Err: err}
 	}
-	if err := c.Fleet.checkReload(&next.Fleet); err != nil {
+	if err := c.Fleet.checkReload(&updated.Fleet); err != nil {
 		return &ConfigError{Block: blockFleet, Err: err}
 	}
-	if !reflect.DeepEqual(c.Leases, next.Leases) {
+	if !reflect.DeepEqual(c.Leases, updated.Leases) {
 		return &ConfigError{Block: blockLeases, Err: errRestartOnly}
 	}
 	return nil
 }
 
-// checkReload returns an error if t and next differ in a field that only a restart can change.
-func (t *Trace) checkReload(next *Trace) error {
-	if t.Enabled != next.Enabled || t.Dir != next.Dir || t.Secret != next.Secret ||
-		t.PropagateToServers != next.PropagateToServers || !sameCollector(t.Collector, next.Collector) {
+// checkReload returns an error if t and updated differ in a field that only a restart can change.
+func (t *Trace) checkReload(updated *Trace) error {
+	if t.Enabled != updated.Enabled || t.Dir != updated.Dir || t.Secret != updated.Secret ||
+		t.PropagateToServers != updated.PropagateToServers || !sameCollector(t.Collector, updated.Collector) {
 		return errors.New("only a restart can change enabled, folder, secret, peers and collector")
 	}
 	return nil
@@ -46,10 +46,10 @@
 	return *a == *b
 }
 
-// checkReload returns an error if f and next differ in a field other than Keys and Join, the only
-// ones that can change while the program runs.
-func (f *Fleet) checkReload(next *Fleet) error {
-	current, replacement := *f, *next
+// checkReload returns an error if f and updated differ in a field other than Keys and Join. Only
+// these two fields can change while the program runs.
+func (f *Fleet) checkReload(updated *Fleet) error {
+	current, replacement := *f, *updated
 	current.Keys, replacement.Keys = nil, nil
 	current.Join, replacement.Join = nil, nil
 	if !reflect.DeepEqual(current, replacement) {
