--- a/internal/platformconfig/config.go
+++ b/internal/platformconfig/config.go
@@ -1,6 +1,6 @@
 // Package platformconfig reads the platform's configuration of a router: a JSON file and a
 // few environment variables. A Config is never modified after Load or Parse returned it: a
-// reload replaces the whole Config, so any goroutine may read one without a lock. The package
+// reload replaces the whole Config, so any goroutine may read a Config without a lock. The package
 // also defines the events of the change log, because the file lists the events that happened
 // before the router's start.
 package platformconfig
@@ -63,9 +63,10 @@
 // known.results[0].fleet, or the name of an environment variable.
 type FieldError = fielderror.Error
 
-// Load reads the configuration from the file at path, or from the file that EDGE_CONFIG names
-// if path is "". env returns the value of an environment variable, and "" if it is not set. The
-// error is a FieldError for EDGE_CONFIG if there is no readable file, and otherwise one of Parse.
+// Load reads the configuration from the file at path, or from the file that EDGE_CONFIG names if
+// path is "". env returns the value of an environment variable, and "" if it is not set. If no file
+// is named, or the file cannot be read, the error is a FieldError for EDGE_CONFIG. Other errors are
+// those of Parse.
 func Load(path string, env func(string) string) (*Config, error) {
 	if path == "" {
 		path = env(envConfig)
@@ -80,20 +81,20 @@
 	return Parse(data, env)
 }
 
-// CheckReload returns a FieldError for the first field that differs between c and next and
-// that cannot change while the program runs. Such fields are the addresses that the program
-// listens on, and the zones, kinds and classes, which endpoint lists and open requests refer to
-// by index.
-func (c *Config) CheckReload(next *Config) error {
-	current, replacement := &c.Settings, &next.Settings
+// CheckReload returns a FieldError for the first field that differs between c and updated and that
+// only a restart can change. Such fields are the addresses that the program listens on, and the
+// zones, kinds and classes. Endpoint lists and open requests refer to zones, kinds and classes by
+// index.
+func (c *Config) CheckReload(updated *Config) error {
+	current, replacement := &c.Settings, &updated.Settings
 	for _, fixed := range []struct {
 		field string
 		same  bool
 	}{
-		{"listen", c.Listen == next.Listen},
-		{"mgmt", c.AdminListen == next.AdminListen},
-		{"settings.areas", slices.Equal(c.Zones, next.Zones)},
-		{"settings.machine_types", slices.Equal(c.Kinds, next.Kinds)},
+		{"listen", c.Listen == updated.Listen},
+		{"mgmt", c.AdminListen == updated.AdminListen},
+		{"settings.areas", slices.Equal(c.Zones, updated.Zones)},
+		{"settings.machine_types", slices.Equal(c.Kinds, updated.Kinds)},
 		{"settings.zone", current.Zone == replacement.Zone},
 		{"settings.family_info.second_tier_kind", current.ParentKind == replacement.ParentKind},
 		{"settings.family_info.root_kind", current.OriginKind == replacement.OriginKind},
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// sameSemantics reports whether an open request of class a can continue as one of class b.
+// sameSemantics reports whether an open request of class a can continue as a request of class b.
 func sameSemantics(a, b routing.Class) bool {
 	return a.Name == b.Name && a.Idempotency == b.Idempotency && a.Write == b.Write
 }
--- a/internal/platformconfig/config_test.go
+++ b/internal/platformconfig/config_test.go
@@ -45,7 +45,8 @@
 	}
 }
 
-// Guards that the error for an invalid value names the field that holds it.
+// TestParseErrorNamesField checks that the error for an invalid value names the field that holds
+// it.
 func TestParseErrorNamesField(t *testing.T) {
 	for _, test := range []struct{ text, replacement, field string }{
 		{`"127.0.0.1:5050"`, `"nowhere"`, "listen"},
@@ -85,7 +86,8 @@
 	}
 }
 
-// Guards that a caller can get the field and the cause of an error without parsing its text.
+// TestFieldError checks that a caller can get the field and the cause of an error without parsing
+// its text.
 func TestFieldError(t *testing.T) {
 	_, err := Parse([]byte(strings.Replace(validConfig, `"s-00c41f7a"`, `"s-1"`, 1)), noEnvironment)
 	var fieldError *FieldError
--- a/internal/platformconfig/document.go
+++ b/internal/platformconfig/document.go
@@ -75,7 +75,7 @@
 	var wrongType *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &wrongType):
-		return nil, fielderror.Errorf(wrongType.Field, "unexpected JSON %s", wrongType.Value)
+		return nil, fielderror.Errorf(wrongType.Field, "JSON %s has the wrong type for this field", wrongType.Value)
 	case err != nil:
 		return nil, fmt.Errorf("config: %w", err)
 	}
--- a/internal/platformconfig/events.go
+++ b/internal/platformconfig/events.go
@@ -32,7 +32,7 @@
 
 // Purge is a purge of an object, or of a group of objects.
 type Purge struct {
-	Object routing.ObjectID // 0 if the purge is of Group
+	Object routing.ObjectID // 0 if the purge applies to Group
 	Group  int
 	At     float64 // time of the purge, Unix ms
 }
@@ -96,7 +96,8 @@
 	return nil
 }
 
-// parseEvent converts one event. path is its position in the file, for errors.
+// parseEvent converts one event. path is the position of the event in the file; errors begin with
+// it.
 func (c *Config) parseEvent(doc eventDocument, path string) (WatchEvent, error) {
 	event := WatchEvent{Seq: doc.Seq}
 	switch {
@@ -167,13 +168,13 @@
 	return &Purge{Object: routing.ObjectID(object), At: doc.Time}, nil
 }
 
-// StartTime converts the start time of a server, in Unix milliseconds, to the form that the
-// routing module uses. It returns 0, which means a start long ago, if ms is 0 or negative.
-func StartTime(ms float64) time.Duration {
-	if ms <= 0 {
+// StartTime converts the start time of a server, in Unix milliseconds, to the form that the routing
+// module uses. It returns 0, which means a start long ago, if unixMillis is 0 or negative.
+func StartTime(unixMillis float64) time.Duration {
+	if unixMillis <= 0 {
 		return 0
 	}
-	return clock.Duration(ms)
+	return clock.Duration(unixMillis)
 }
 
 // indexOf returns the index of name in names, or -1 if name is missing or empty.
--- a/internal/platformconfig/golden_test.go
+++ b/internal/platformconfig/golden_test.go
@@ -10,8 +10,8 @@
 	"garnetline/routing"
 )
 
-// Guards the value that each key of the platform's JSON is parsed to. testdata/full.json has
-// every key.
+// TestGoldenConfig checks the value that each key of the platform's JSON is parsed to.
+// testdata/full.json has every key.
 func TestGoldenConfig(t *testing.T) {
 	env := func(name string) string {
 		return map[string]string{"TMPDIR": "/state", "EDGE_LISTEN_FD": "7"}[name]
@@ -91,8 +91,8 @@
 	}
 }
 
-// Guards the names of the keys of the platform's JSON. The keys below settings are not part of
-// document; TestGoldenConfig guards them with testdata/full.json.
+// TestGoldenKeys checks the names of the keys of the platform's JSON. The keys below settings are
+// not part of document; TestGoldenConfig checks them with testdata/full.json.
 func TestGoldenKeys(t *testing.T) {
 	var out strings.Builder
 	writeJSONKeys(&out, "", reflect.TypeOf(document{}))
@@ -135,8 +135,8 @@
 	{`"settings":{`, `"settings":[{`},
 }
 
-// Guards which field the error of an invalid configuration names, which is the text before its
-// first colon, and that the error is one line.
+// TestGoldenErrors checks which field the error of an invalid configuration names, and that the
+// error is one line. The name of the field is the text before the first colon.
 func TestGoldenErrors(t *testing.T) {
 	var out strings.Builder
 	for _, change := range invalidChanges {
@@ -149,7 +149,7 @@
 		}
 		_, err := Parse([]byte(text), noEnvironment)
 		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Fatalf("%s: got error %v, want one of a single line", change.replacement, err)
+			t.Fatalf("%s: got error %v, want an error of one line", change.replacement, err)
 		}
 		field, _, _ := strings.Cut(err.Error(), ": ")
 		fmt.Fprintf(&out, "%s -> %s\n", change.replacement, field)
@@ -173,7 +173,7 @@
 	golden.Compare(t, "errors.golden", []byte(out.String()))
 }
 
-// Guards which fields only a restart can change.
+// TestGoldenRestart checks which fields only a restart can change.
 func TestGoldenRestart(t *testing.T) {
 	config, err := Parse([]byte(validConfig), noEnvironment)
 	if err != nil {
--- a/internal/platformconfig/settings.go
+++ b/internal/platformconfig/settings.go
@@ -70,7 +70,7 @@
 }
 
 // parseMicroseconds converts the value at path from microseconds to milliseconds and stores it in
-// *milliseconds, which stays unchanged if there is no value.
+// *milliseconds. If there is no value at path, *milliseconds stays unchanged.
 func parseMicroseconds(values map[string]string, path string, milliseconds *float64) error {
 	text := values[path]
 	if text == "" {
