--- a/cmd/garnetline/admin.go
+++ b/cmd/garnetline/admin.go
@@ -5,8 +5,8 @@
 	"garnetline/internal/dispatch"
 )
 
-// adminHandler returns the handler of the admin API. With a fleet that keeps bans in the lease
-// registry, it disables and enables servers through the registry.
+// adminHandler returns the handler of the admin API. If the fleet keeps bans in the lease registry,
+// the handler disables and enables servers through the registry.
 func (d *daemon) adminHandler() *admin.Handler {
 	handler := &admin.Handler{SetDisabled: d.watcher.SetDisabled, Ready: d.ready, Metrics: d.adminMetrics}
 	if d.fleet != nil {
@@ -18,9 +18,9 @@
 	return handler
 }
 
-// ready reports whether the router can serve requests: the dispatcher has an endpoint list, the
-// watcher has synced or timed out, no shutdown has begun, and the fleet lets the router report
-// itself ready.
+// ready reports whether the router can serve requests. It is true if the dispatcher has an endpoint
+// list, the watcher has synced or timed out, no shutdown has begun, and the Ready method of the
+// fleet returns true.
 func (d *daemon) ready() bool {
 	return d.listReceived.Load() && d.watcherSynced() && !d.stopping.Load() && d.fleet.Ready()
 }
@@ -36,7 +36,8 @@
 	}
 }
 
-// adminMetrics returns the values that GET /metrics shows, without those of the fleet.
+// adminMetrics returns the router's own values for GET /metrics. The fleet's metrics are not among
+// them: the admin handler appends them separately.
 func (d *daemon) adminMetrics() admin.Metrics {
 	listed, unavailable := d.watcher.ServerCounts()
 	values := admin.Metrics{
--- a/cmd/garnetline/admin_client.go
+++ b/cmd/garnetline/admin_client.go
@@ -19,13 +19,15 @@
 )
 
 const (
-	// adminCallTimeout bounds the dial, and then the request and its response together.
+	// adminCallTimeout bounds the dial. After the dial, it bounds the request and its response
+	// together.
 	adminCallTimeout = 2 * time.Second
-	// maxAdminResponse is the number of bytes after which a response body is cut.
+	// maxAdminResponse is the maximum number of bytes that are read from a response body. The rest
+	// of a longer body is ignored.
 	maxAdminResponse = 64 << 20
 )
 
-// callAdmin sends one request to the admin API of the router that the flags name, and returns
+// callAdmin sends one request to the admin API at the address that adminAddress returns. It returns
 // the body of the response. A status other than 200 is an error.
 func callAdmin(ctx context.Context, command *cli.Command, method, path string) ([]byte, error) {
 	address, err := adminAddress(command)
@@ -45,8 +47,8 @@
 	return err
 }
 
-// adminAddress returns the address of the admin API: the first that is set of --mgmt, EDGE_MGMT
-// and the configuration's.
+// adminAddress returns the address of the admin API. The flag --mgmt comes first, then EDGE_MGMT,
+// then the address in the configuration file.
 func adminAddress(command *cli.Command) (string, error) {
 	if address := command.String("mgmt"); address != "" {
 		return address, nil
@@ -56,10 +58,10 @@
 	}
 	config, err := platformconfig.Load(command.String("config"), os.Getenv)
 	if err != nil {
-		return "", fmt.Errorf("mgmt: no address in --mgmt or EDGE_MGMT, and %w", err)
+		return "", fmt.Errorf("mgmt: no address in --mgmt or EDGE_MGMT, and the configuration cannot be loaded: %w", err)
 	}
 	if !config.AdminListen.IsValid() {
-		return "", errors.New("mgmt: no address in --mgmt or EDGE_MGMT, and the configuration has none")
+		return "", errors.New("mgmt: expected an address in --mgmt, EDGE_MGMT or the configuration, got none")
 	}
 	return config.AdminListen.String(), nil
 }
@@ -85,11 +87,11 @@
 	case status == http.StatusNotFound && path == "/fleet":
 		return nil, fmt.Errorf("%s: the router has no fleet: its settings file has no fleet block, or the block is not enabled", address)
 	case status == http.StatusNotFound && strings.HasPrefix(path, "/fleet/bans"):
-		return nil, fmt.Errorf("%s: the router keeps no bans in a lease registry: its settings file has no bans block in a duties block, or the duties block is not enabled", address)
+		return nil, fmt.Errorf("%s: the router does not keep bans in a lease registry: its settings file has no bans block in a duties block, or the duties block is not enabled", address)
 	case status == http.StatusNotFound:
-		return nil, fmt.Errorf("%s: the router takes part in no leases: its settings file has no duties block, or the block is not enabled", address)
+		return nil, fmt.Errorf("%s: the router does not take part in leases: its settings file has no duties block, or the block is not enabled", address)
 	case status != http.StatusOK:
-		return nil, fmt.Errorf("%s: %s", address, strings.TrimSpace(string(body)))
+		return nil, fmt.Errorf("%s: admin API returned status %d: %s", address, status, strings.TrimSpace(string(body)))
 	}
 	return body, nil
 }
--- a/cmd/garnetline/bans_command.go
+++ b/cmd/garnetline/bans_command.go
@@ -30,8 +30,8 @@
 		}}
 }
 
-// changeBan disables or enables the server that the first argument names. operation is
-// "disable" or "enable".
+// changeBan disables or enables the server that the command's first argument names. The operation
+// is "disable" or "enable".
 func changeBan(ctx context.Context, command *cli.Command, out io.Writer, operation string) error {
 	server := command.Args().First()
 	if server == "" {
@@ -75,7 +75,8 @@
 	return table.flush()
 }
 
-// inOrOut returns the table's word for a server that is enabled (in) or disabled (out).
+// inOrOut returns the word that the table shows for a server: "out" if the server is disabled, "in"
+// otherwise.
 func inOrOut(disabled bool) string {
 	if disabled {
 		return "out"
--- a/cmd/garnetline/bench_test.go
+++ b/cmd/garnetline/bench_test.go
@@ -17,17 +17,17 @@
 // benchmarkClients is the number of clients that send requests concurrently.
 const benchmarkClients = 4
 
-// benchmarkTrace returns a trace block that retains ordinaryPerSecond ordinary traces a second.
-// more is appended to the block.
-func benchmarkTrace(dir, ordinaryPerSecond, more string) string {
+// benchmarkTrace returns a trace block that retains ordinaryPerSecond ordinary traces a second. The
+// text extraSettings is appended to the block.
+func benchmarkTrace(dir, ordinaryPerSecond, extraSettings string) string {
 	return fmt.Sprintf("trace {\n enabled = true\n folder = %q\n ordinary_per_s = %s\n undecided_kb = 65536\n honour_sampled = false\n%s}\n",
-		dir, ordinaryPerSecond, more)
+		dir, ordinaryPerSecond, extraSettings)
 }
 
 // BenchmarkDaemon measures the CPU time per request of a daemon in a separate process: with tracing
 // off, with the traces of some ordinary requests retained, and with all traces retained. If
-// GARNETLINE_EARLIER names a program built from an earlier version, the same run measures that
-// program too, in turn with the others.
+// GARNETLINE_EARLIER names a program built from an earlier version, the benchmark measures that
+// program too.
 func BenchmarkDaemon(b *testing.B) {
 	body := strings.Repeat("x", 2048)
 	server := daemontest.NewServer(b, func(id, _ string) string { return fakeserver.Answer(id, "DONE", "tag=t1,minted=1", body) })
@@ -44,7 +44,7 @@
 	noTrace := func(string) string { return "" }
 	for _, variant := range []struct {
 		name, program string
-		settings      func(traceDir string) string // the operators' file; "" for none
+		settings      func(traceDir string) string // content of the operators' file; "" means no file
 	}{
 		{"earlier", os.Getenv("GARNETLINE_EARLIER"), noTrace},
 		{"off", os.Args[0], noTrace},
@@ -98,8 +98,9 @@
 	b.ReportMetric(peakMemory/1024, "rss-MB")
 }
 
-// peakMemoryKB returns the peak resident memory of a process, in KB, from /proc. The peak that wait
-// reports is no use, because it includes the memory of the parent process before exec.
+// peakMemoryKB returns the peak resident memory of a process, in KB, from /proc. It does not use
+// the peak that the wait system call reports, because that value includes the memory of the parent
+// process before exec.
 func peakMemoryKB(b *testing.B, pid int) float64 {
 	b.Helper()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
--- a/cmd/garnetline/check_command.go
+++ b/cmd/garnetline/check_command.go
@@ -10,8 +10,8 @@
 	"garnetline/internal/operatorconfig"
 )
 
-// check validates the platform configuration and the operators' settings file and prints a
-// summary of both. It checks the settings file alone if no platform configuration is named.
+// check validates the platform configuration and the operators' settings file, and prints a summary
+// of both. If no platform configuration is named, it checks only the settings file.
 func check(command *cli.Command, out io.Writer) error {
 	lines := &printer{out: out}
 	operators, err := checkFiles(command, lines)
@@ -30,7 +30,8 @@
 	return printConnectivityBehavior(out)
 }
 
-// checkFiles reads the files, prints one line about them, and returns the operators' settings.
+// checkFiles reads the configuration files that the command names. It prints one line about them
+// and returns the operators' settings.
 func checkFiles(command *cli.Command, lines *printer) (operatorconfig.Config, error) {
 	if settingsAlone(command) {
 		operators, err := operatorconfig.Load(command.String("settings"))
@@ -49,7 +50,8 @@
 	return loaded.operators, nil
 }
 
-// settingsAlone reports whether the command line and EDGE_CONFIG name no file but --settings.
+// settingsAlone reports whether the --settings file is the only file that the command line and
+// EDGE_CONFIG name.
 func settingsAlone(command *cli.Command) bool {
 	return command.String("config") == "" && os.Getenv("EDGE_CONFIG") == "" &&
 		command.String("settings") != "" && command.String("dns") == ""
--- a/cmd/garnetline/daemon.go
+++ b/cmd/garnetline/daemon.go
@@ -24,8 +24,8 @@
 )
 
 // daemon is one running router: its configuration, and its parts in the order in which build
-// creates them. The goroutine that calls run owns active and drained; all other fields are set
-// before the parts start.
+// creates them. Only the goroutine that calls run may use the fields active and drained. All other
+// fields are set before the parts start.
 type daemon struct {
 	log     *zerolog.Logger
 	metrics *metrics.Registry
@@ -33,7 +33,7 @@
 	signals chan os.Signal
 
 	startup  daemonConfig                          // configuration at the start of the process
-	active   daemonConfig                          // configuration after the last reload
+	active   daemonConfig                          // configuration in use: startup, or that of the last successful reload
 	platform atomic.Pointer[platformconfig.Config] // active.platform, read by all parts
 	load     func() (daemonConfig, error)          // reads the configuration files again
 
@@ -54,8 +54,8 @@
 	cleanups  []func() // run by close in reverse order
 }
 
-// serve runs a router until SIGTERM or SIGINT has shut it down, or a part fails. load reads the
-// configuration files again for a reload.
+// serve runs a router until SIGTERM or SIGINT has shut it down, or until a part fails. For each
+// reload, it calls load, which reads the configuration files again.
 func serve(ctx context.Context, initial daemonConfig, load func() (daemonConfig, error)) error {
 	log := logs.New(os.Stderr)
 	if err := logs.SetLevel(initial.operators.Log.Level); err != nil {
@@ -79,20 +79,22 @@
 	return router.run()
 }
 
-// onClose registers cleanup, which close calls before the functions registered earlier.
+// onClose registers a function that close has to call. close calls the registered functions in
+// reverse order.
 func (d *daemon) onClose(cleanup func()) {
 	d.cleanups = append(d.cleanups, cleanup)
 }
 
-// close runs the registered cleanups in reverse order: the part started last stops first.
+// close calls the registered functions in reverse order, so that the part that started last stops
+// first.
 func (d *daemon) close() {
 	for i := len(d.cleanups) - 1; i >= 0; i-- {
 		d.cleanups[i]()
 	}
 }
 
-// start builds the parts and starts them. If it returns an error, close still stops the parts
-// that were started.
+// start builds the parts and starts them. If start returns an error, the caller still has to call
+// close, which stops the parts that were started.
 func (d *daemon) start(ctx context.Context) error {
 	d.onClose(d.logCounters)
 	d.receiveSignals()
@@ -118,16 +120,16 @@
 	return nil
 }
 
-// receiveSignals registers the signal handlers. It runs before the router opens a socket: a
-// signal without a handler would terminate the process at once.
+// receiveSignals registers the signal handlers. It has to run before the router opens a socket,
+// because a signal without a handler terminates the process immediately.
 func (d *daemon) receiveSignals() {
 	d.signals = make(chan os.Signal, 4)
 	signal.Notify(d.signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
 	d.onClose(func() { signal.Stop(d.signals) })
 }
 
-// run handles signals until all requests are answered after a SIGTERM or SIGINT, or until a
-// listener fails.
+// run handles signals. It returns nil when all requests are answered after a SIGTERM or SIGINT. It
+// returns an error if a listener fails before the shutdown begins.
 func (d *daemon) run() error {
 	for {
 		select {
--- a/cmd/garnetline/daemon_config.go
+++ b/cmd/garnetline/daemon_config.go
@@ -17,16 +17,17 @@
 	operators operatorconfig.Config
 }
 
-// checkReload returns an error if a running daemon cannot change from c to next.
-func (c daemonConfig) checkReload(next daemonConfig) error {
-	if err := c.platform.CheckReload(next.platform); err != nil {
+// checkReload returns an error if a running daemon cannot change its configuration from c to
+// updated.
+func (c daemonConfig) checkReload(updated daemonConfig) error {
+	if err := c.platform.CheckReload(updated.platform); err != nil {
 		return err
 	}
-	return c.operators.CheckReload(next.operators)
+	return c.operators.CheckReload(updated.operators)
 }
 
-// loadConfig reads the configuration files that the flags and EDGE_CONFIG name. The deprecated
-// --dns file replaces the dns block of the operators' file.
+// loadConfig reads the configuration files that the flags and EDGE_CONFIG name. If the deprecated
+// flag --dns names a file, that file replaces the dns block of the operators' file.
 func loadConfig(command *cli.Command) (daemonConfig, error) {
 	var loaded daemonConfig
 	var err error
--- a/cmd/garnetline/daemon_parts.go
+++ b/cmd/garnetline/daemon_parts.go
@@ -70,8 +70,7 @@
 	return nil
 }
 
-// handleWatchEvent passes a watch event on to the dispatcher. The watcher calls it from its own
-// goroutine.
+// handleWatchEvent passes a watch event to the dispatcher. It runs on the watcher's goroutine.
 func (d *daemon) handleWatchEvent(event platformconfig.WatchEvent) {
 	d.dispatcher.HandleWatchEvent(event)
 	d.listReceived.Store(true)
@@ -86,7 +85,8 @@
 		return err
 	}
 	d.onClose(func() {
-		// ctx may be canceled by now, which would end the shutdown at once.
+		// ctx may be canceled already. With a canceled context, Shutdown would not wait for open
+		// lookups.
 		shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), dnsShutdownTimeout)
 		defer cancel()
 		d.dns.Shutdown(shutdownCtx) //nolint:errcheck // lookups still open after the timeout get no response
@@ -94,14 +94,15 @@
 	return nil
 }
 
-// startParts starts the goroutines of the dispatcher, the watcher, and the recorder and the fleet
-// if these are enabled.
+// startParts starts the goroutines of the dispatcher and the watcher. It also starts those of the
+// recorder and the fleet, if these parts are enabled.
 func (d *daemon) startParts(ctx context.Context) {
 	go d.dispatcher.Run(ctx)
 	if d.recorder != nil {
 		go d.recorder.Run()
 		d.onClose(func() {
-			// The recorder shuts down after the dispatcher, which reports the last requests to it.
+			// The recorder shuts down after the dispatcher, because the dispatcher reports the last
+			// requests to the recorder.
 			d.stopParts()
 			<-d.dispatcher.Stopped()
 			d.recorder.Shutdown()
@@ -110,7 +111,8 @@
 	if d.fleet != nil {
 		go d.fleet.Run(ctx)
 		d.onClose(func() {
-			// When the fleet has stopped, its socket is closed and a successor process can bind it.
+			// The fleet has closed its socket when Stopped is closed. A successor process can then
+			// bind the address.
 			d.stopParts()
 			<-d.fleet.Stopped()
 		})
@@ -118,8 +120,8 @@
 	go d.watcher.Run(ctx)
 }
 
-// acceptClients accepts and serves client connections. On an inherited socket it first waits
-// until the watcher has synced or timed out; until then the other process that holds the socket
+// acceptClients accepts and serves client connections. With an inherited socket, it first waits
+// until the watcher has synced or timed out. Meanwhile, the other process that holds the socket
 // accepts the connections.
 func (d *daemon) acceptClients(listener net.Listener) {
 	if d.startup.platform.ListenFD != 0 {
--- a/cmd/garnetline/daemon_reload.go
+++ b/cmd/garnetline/daemon_reload.go
@@ -19,8 +19,9 @@
 	d.log.Info().Msg("configuration reloaded")
 }
 
-// loadNext reads a configuration and checks that a running router can change to it. It sets the
-// log level last, when nothing else can fail, so that a rejected reload changes nothing.
+// loadNext reads the configuration files and checks that a running router can change to the new
+// configuration. It sets the log level last, after all steps that can fail, so that a rejected
+// reload changes nothing.
 func (d *daemon) loadNext() (daemonConfig, error) {
 	next, err := d.load()
 	if err != nil {
@@ -32,15 +33,15 @@
 	return next, logs.SetLevel(next.operators.Log.Level)
 }
 
-// apply makes next the active configuration of all parts.
-func (d *daemon) apply(next daemonConfig) {
-	d.active = next
-	applyRuntimeLimits(next.platform.Limits)
-	d.platform.Store(next.platform)
-	d.dispatcher.Reload(next.platform.Settings)
-	d.watcher.Reload(next.platform)
-	d.fleet.Reload(next.operators.Fleet)
+// apply makes updated the active configuration of all parts.
+func (d *daemon) apply(updated daemonConfig) {
+	d.active = updated
+	applyRuntimeLimits(updated.platform.Limits)
+	d.platform.Store(updated.platform)
+	d.dispatcher.Reload(updated.platform.Settings)
+	d.watcher.Reload(updated.platform)
+	d.fleet.Reload(updated.operators.Fleet)
 	if d.recorder != nil {
-		d.recorder.UpdateSettings(recorderSettings(next.operators.Trace, next.platform.Settings.Classes))
+		d.recorder.UpdateSettings(recorderSettings(updated.operators.Trace, updated.platform.Settings.Classes))
 	}
 }
--- a/cmd/garnetline/daemon_shutdown.go
+++ b/cmd/garnetline/daemon_shutdown.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// acceptAfterSignal is how long a router accepts requests after the signal to shut down:
-	// the platform's front end goes on sending requests to it for 0.6 s.
+	// acceptAfterSignal is how long a router accepts new requests after the signal to shut down.
+	// The platform's front end still sends requests to the router for 0.6 s after the signal.
 	acceptAfterSignal = 700 * time.Millisecond
-	// killDelay is the shortest time, in ms after acceptAfterSignal, until the platform kills
-	// the process. If the longest deadline of a class is shorter, that one applies instead.
+	// killDelay is the shortest time, in ms, from the end of acceptAfterSignal until the platform
+	// kills the process. If the longest deadline of all classes is shorter than killDelay, that
+	// deadline applies instead.
 	killDelay = 3000.0
-	// killMargin is the time, in ms before the kill, that is left for responses to reach the
-	// clients.
+	// killMargin is the time, in ms, between the last response and the kill. A response needs this
+	// time to reach its client.
 	killMargin = 200.0
 )
 
-// beginShutdown starts the graceful shutdown: the router reports itself not ready, accepts
-// requests for acceptAfterSignal, and closes drained when all requests are answered.
+// beginShutdown starts the graceful shutdown. The router reports itself not ready and accepts
+// requests for acceptAfterSignal. When all requests are answered, it closes d.drained.
 func (d *daemon) beginShutdown() {
 	d.stopping.Store(true)
 	d.fleet.Leave()
@@ -38,9 +39,9 @@
 	}()
 }
 
-// drainTime returns the time, in ms after the signal, by which all open requests are answered.
-// Without this bound, a request of a class with a long deadline would wait for a hanging cache
-// until the process is killed, and would get no response.
+// drainTime returns the time, in ms after the signal, by which all open requests have to be
+// answered. Without this bound, a request of a class with a long deadline would wait for a hanging
+// cache until the process is killed, and would get no response.
 func drainTime(classes []routing.Class) float64 {
 	untilKill := min(clock.Millis(routing.MaxDeadline(classes)), killDelay)
 	return clock.Millis(acceptAfterSignal) + max(untilKill-killMargin, 0)
--- a/cmd/garnetline/docs_test.go
+++ b/cmd/garnetline/docs_test.go
@@ -12,8 +12,9 @@
 	output string
 }
 
-// documentedTraceCommands returns the trace commands of a page. Each is an indented block whose
-// first line begins with "$ bin/garnetline trace"; the other lines are the output of the command.
+// documentedTraceCommands returns the trace commands of a page. The page shows each command in an
+// indented block. The first line of the block begins with "$ bin/garnetline trace"; the other lines
+// are the output of the command.
 func documentedTraceCommands(page string) []documentedCommand {
 	var found []documentedCommand
 	for block := range strings.SplitSeq(page, "\n\n") {
--- a/cmd/garnetline/fleet.go
+++ b/cmd/garnetline/fleet.go
@@ -24,9 +24,9 @@
 // With a higher score the router considers itself too slow.
 const maxEligibleHealthScore = 3
 
-// fleetServices holds the services that a router runs together with the other routers of its
-// fleet. It is nil if the operators' file enables no fleet: then there is no socket and no
-// goroutine, and Leave, Reload, Ready and ManagesBans may still be called.
+// fleetServices holds the services that a router runs together with the other routers of its fleet.
+// The pointer is nil if the operators' file enables no fleet. The router then has no fleet socket
+// and no fleet goroutine. The methods Leave, Reload, Ready and ManagesBans accept a nil receiver.
 type fleetServices struct {
 	*transport.Transport
 	watcher    *discovery.Watcher
@@ -34,11 +34,11 @@
 	clock      clock.Clock
 	metrics    *metrics.Registry
 
-	leases        *leasemanager.Manager      // nil: the operators' file enables no leases
-	loadReports   *loadreport.Collector      // nil: this router polls no servers on behalf of the others
-	recoveryProbe *recoveryprobe.Coordinator // nil: this router probes ejected servers on its own schedule
-	bans          *bans.Manager              // nil: bans are not kept in the lease registry
-	background    []backgroundService        // those of loadReports, recoveryProbe and bans that are not nil
+	leases        *leasemanager.Manager      // nil if the operators' file enables no leases
+	loadReports   *loadreport.Collector      // nil if this router never polls servers on behalf of other routers
+	recoveryProbe *recoveryprobe.Coordinator // nil if this router probes ejected servers on its own schedule
+	bans          *bans.Manager              // nil if bans are not kept in the lease registry
+	background    []backgroundService        // loadReports, recoveryProbe and bans, without those that are nil
 
 	mu   sync.Mutex
 	stop context.CancelFunc // set by Run
@@ -52,7 +52,7 @@
 	Stopped() <-chan struct{}
 }
 
-// joinFleet creates the services of the fleet and connects the endpoint list's watcher to the
+// joinFleet creates the services of the fleet. It connects the watcher of the endpoint list to the
 // transport between the routers. It returns nil if the operators' file enables no fleet.
 func joinFleet(router *daemon) (*fleetServices, error) {
 	platform, operators := router.startup.platform, router.startup.operators
@@ -91,8 +91,9 @@
 	return services, nil
 }
 
-// storedBans returns the servers that operators have disabled at this router, as its state
-// directory stores them. It counts a directory that cannot be read as marks_unread.
+// storedBans returns the servers that operators have disabled at this router. It reads them from
+// the router's state directory. If it cannot read the directory, it increments the counter
+// marks_unread and returns no servers.
 func (d *daemon) storedBans() []routing.ServerID {
 	stored, err := disabled.NewStore(d.startup.platform.StateDir).List()
 	if err != nil {
@@ -116,8 +117,8 @@
 		f.Transport.Run(ctx)
 		return
 	}
-	// The transport stops after the lease manager, because the leases are transferred before
-	// the other routers are notified that this router leaves.
+	// The transport stops after the lease manager. The manager needs it to transfer the leases,
+	// which happens before the other routers are notified that this router leaves.
 	transportCtx, stopTransport := context.WithCancel(context.WithoutCancel(ctx))
 	for _, service := range f.background {
 		go service.Run(ctx)
@@ -134,8 +135,8 @@
 	}
 }
 
-// Leave makes Run release this router's leases, notify the other routers that it leaves, and
-// close the socket. Leave does not wait for that.
+// Leave makes Run release this router's leases, notify the other routers that this router leaves,
+// and close the socket. Leave does not wait for Run to finish.
 func (f *fleetServices) Leave() {
 	if f == nil {
 		return
@@ -158,9 +159,9 @@
 	}
 }
 
-// Ready reports whether the fleet lets this router report itself ready. It is false until the
-// ban manager, if there is one, is ready, and while the router has lost all three of its peers, its
-// servers and the change log.
+// Ready reports whether the fleet permits this router to report itself ready. It returns false
+// until the ban manager, if there is one, is ready. It also returns false while the router has lost
+// its peers, its servers and the change log, all three at the same time.
 func (f *fleetServices) Ready() bool {
 	if f == nil {
 		return true
@@ -178,9 +179,9 @@
 	return state.Ready(serversLost, f.watcher.Stale(f.clock.Now()))
 }
 
-// eligible reports whether this router may hold leases. It may not if a successor process runs,
-// if its local health score is too high, if no other router is present, if its fleet socket is
-// not bound, or if its endpoint list is stale.
+// eligible reports whether this router may hold leases. It may not if a successor process has taken
+// over, if its local health score is too high, if no other router is present, if its fleet socket
+// is not bound, or if its endpoint list is stale.
 func (f *fleetServices) eligible() bool {
 	view := f.Members()
 	return !view.Superseded && view.HealthScore <= maxEligibleHealthScore && view.Present > 1 &&
--- a/cmd/garnetline/fleet_admin.go
+++ b/cmd/garnetline/fleet_admin.go
@@ -20,8 +20,8 @@
 	Held     []leasemanager.Lease `json:"held"` // leases that this router holds
 }
 
-// Handle answers a request to the admin API at or below /fleet. It returns ok false if there is
-// no such method and path.
+// Handle answers a request to the admin API at or below /fleet. It returns ok == false if the API
+// does not support the path or the method.
 func (f *fleetServices) Handle(ctx context.Context, method, path string) (status int, body []byte, ok bool) {
 	switch method {
 	case http.MethodGet:
@@ -46,7 +46,8 @@
 	return 0, nil, false
 }
 
-// handlePost answers a POST request. parts are the segments of its path; the first is "fleet".
+// handlePost answers a POST request. The argument parts holds the segments of the request's path.
+// The first segment is "fleet".
 func (f *fleetServices) handlePost(ctx context.Context, parts []string) (status int, body []byte, ok bool) {
 	if f.leases == nil || len(parts) < 2 {
 		return 0, nil, false
@@ -55,7 +56,7 @@
 	case parts[1] == "bans" && len(parts) == 7 && f.bans != nil && (parts[2] == "disable" || parts[2] == "enable"):
 		return resultPage(f.changeBan(ctx, parts[2:]))
 	case parts[1] == "duty" && len(parts) >= 4 && parts[2] == "move":
-		// The name of a lease contains a slash; the router's name, which may be left out, follows
+		// The name of a lease contains a slash. The name of a router may follow the lease after
 		// "/to/".
 		lease, router, _ := strings.Cut(strings.Join(parts[3:], "/"), "/to/")
 		return resultPage(f.leases.Transfer(ctx, lease, router))
@@ -65,9 +66,9 @@
 	return 0, nil, false
 }
 
-// changeBan disables or enables a server in the lease registry. parts are path segments:
-// "disable" or "enable", the server's id, the ban's version that the operator saw or 0, the
-// operator's name, and the reason.
+// changeBan disables or enables a server in the lease registry. The argument parts holds five path
+// segments: "disable" or "enable"; the server's id; the version of the ban that the operator saw,
+// or 0; the operator's name; the reason.
 func (f *fleetServices) changeBan(ctx context.Context, parts []string) error {
 	server, err := routing.ParseServerID(parts[1])
 	if err != nil {
@@ -75,7 +76,7 @@
 	}
 	knownVersion, err := strconv.ParseUint(parts[2], 10, 64)
 	if err != nil {
-		return fmt.Errorf("version: expected a non-negative integer, got %q", parts[2])
+		return fmt.Errorf("ban version: expected a non-negative integer, got %q", parts[2])
 	}
 	setBy, err := url.PathUnescape(parts[3])
 	if err != nil {
@@ -103,8 +104,8 @@
 	return http.StatusOK, append(text, '\n'), true
 }
 
-// resultPage returns the response to a request that changes something: 200 if err is nil, else
-// 503 with the text of err.
+// resultPage returns the response to a request that changes the fleet: status 200 if err is nil,
+// otherwise status 503 with the text of err.
 func resultPage(err error) (status int, body []byte, ok bool) {
 	if err != nil {
 		return http.StatusServiceUnavailable, []byte(err.Error() + "\n"), true
--- a/cmd/garnetline/fleet_command.go
+++ b/cmd/garnetline/fleet_command.go
@@ -112,7 +112,7 @@
 	return printTable(out, &page)
 }
 
-// transferLease asks the called router to transfer a lease that it holds to another router.
+// transferLease asks the called router to transfer one of its leases to another router.
 func transferLease(ctx context.Context, command *cli.Command, out io.Writer) error {
 	lease, router := command.Args().Get(0), command.Args().Get(1)
 	if lease == "" {
--- a/cmd/garnetline/fleet_leases.go
+++ b/cmd/garnetline/fleet_leases.go
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// walDir returns the directory of a voter's write-ahead log. It is "" if neither the operators'
-// file nor the platform configuration has a directory.
+// walDir returns the directory of a voter's write-ahead log. It returns "" if neither the
+// operators' file nor the platform configuration names a directory.
 func walDir(settings operatorconfig.Leases, platform *platformconfig.Config) string {
 	if settings.WALDir != "" || platform.StateDir == "" {
 		return settings.WALDir
@@ -135,8 +135,8 @@
 	f.background = append(f.background, f.loadReports)
 }
 
-// zoneOptions returns the options common to the services that the holder of a lease runs for a
-// whole zone.
+// zoneOptions returns the options that the load report and recovery probe services have in common.
+// Each service works for a whole zone, at the router that holds the service's lease.
 func (f *fleetServices) zoneOptions(zone string, bootClock clock.Clock) zonelease.Options {
 	return zonelease.Options{
 		Zone:      zone,
@@ -148,7 +148,7 @@
 	}
 }
 
-// polledServers returns the ready caches of a zone, whose load is polled.
+// polledServers returns the servers whose load is polled: the ready caches of a zone.
 func (f *fleetServices) polledServers(zoneIndex int) []loadreport.Server {
 	var servers []loadreport.Server
 	for _, endpoint := range f.watcher.ReadyServers(zoneIndex, 0) {
--- a/cmd/garnetline/fleet_metrics.go
+++ b/cmd/garnetline/fleet_metrics.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// fleetCounters are the names, without the prefix fleet_, of the counters that GET /metrics shows
-// of the fleet.
+// fleetCounters lists the fleet's counters that GET /metrics shows. The names are without their
+// prefix fleet_.
 var fleetCounters = []string{
 	"packets_in", "packets_out", "bytes_in", "bytes_out",
 	"failed", "refuted", "conflict", "strangers",
--- a/cmd/garnetline/fleet_tables.go
+++ b/cmd/garnetline/fleet_tables.go
@@ -51,7 +51,8 @@
 	return table.flush()
 }
 
-// reachedHow says how a router receives news of a member: from itself, directly, or by others.
+// reachedHow returns how a router receives news of a member: "itself" for the router's own entry,
+// "direct" from the member, or "by others". It returns "-" for a member that failed or left.
 func reachedHow(member *fleet.MemberStatus) string {
 	switch {
 	case member.Self:
@@ -93,7 +94,7 @@
 	return table.flush()
 }
 
-// formatTime returns the local time of day of a time in Unix milliseconds.
+// formatTime formats a time in Unix milliseconds as the local time of day.
 func formatTime(unixMillis float64) string {
 	return time.Unix(0, int64(clock.Duration(unixMillis))).Format("15:04:05.000")
 }
--- a/cmd/garnetline/fleet_test.go
+++ b/cmd/garnetline/fleet_test.go
@@ -34,7 +34,8 @@
 	return cluster
 }
 
-// lineWriter sends what is written to it on a channel, and drops it if the channel is full.
+// lineWriter is an io.Writer that sends each written text on its channel. If the channel is full,
+// the text is dropped.
 type lineWriter chan string
 
 func (w lineWriter) Write(b []byte) (int, error) {
@@ -91,7 +92,7 @@
 		})
 	}
 
-	for page, want := range map[string]string{"duties": "takes part in no leases", "bans": "keeps no bans in a lease registry"} {
+	for page, want := range map[string]string{"duties": "does not take part in leases", "bans": "does not keep bans in a lease registry"} {
 		err := newFleetCommand(io.Discard).Run(t.Context(), []string{"fleet", page, "--mgmt", router.AdminAddr})
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("fleet %s without its block in the settings: got %v, want an error with %q", page, err, want)
@@ -121,10 +122,10 @@
 	}
 }
 
-// footprint is what can be observed of a router from outside.
+// footprint holds the properties of a router that can be observed from outside.
 type footprint struct {
 	sockets     int
-	fleetStatus int      // status of GET /fleet of the admin API
+	fleetStatus int      // HTTP status of GET /fleet
 	metricNames string   // # TYPE lines of GET /metrics
 	requests    []string // received by the server, without client timeouts
 }
@@ -162,9 +163,9 @@
 	}
 }
 
-// permanentSockets returns the number of sockets of a router without its short-lived connections
-// to clients and the admin API. It counts the sockets until 20 counts in a row bring no lower
-// number, and returns the lowest.
+// permanentSockets returns the number of sockets of a router without its short-lived connections to
+// clients and the admin API. It counts the sockets repeatedly and returns the lowest count. It
+// stops when 20 successive counts have brought no lower one.
 func permanentSockets(t *testing.T, cluster *testcluster.Cluster, router *testcluster.Router) int {
 	t.Helper()
 	const polls = 20
@@ -210,8 +211,8 @@
 	return types.String()
 }
 
-// withoutClientTimeouts cuts each request before the field with the client's remaining time, which
-// differs from run to run.
+// withoutClientTimeouts cuts each request before the field patience. This field holds the client's
+// remaining time, which differs from run to run.
 func withoutClientTimeouts(requests []string) []string {
 	var cut []string
 	for _, fields := range requests {
@@ -221,15 +222,15 @@
 	return cut
 }
 
-// A router without a fleet block behaves like one without an operators' file: same sockets, no page
-// and no metrics of a fleet, same requests to its servers. With a fleet block it has one more
-// socket, and sends the same requests.
+// A router without a fleet block behaves like a router without an operators' file: it has the same
+// sockets, no fleet page and no fleet metrics, and sends the same requests to its servers. A router
+// with a fleet block has one more socket, and sends the same requests.
 func TestFleetIsOffWithoutFleetBlock(t *testing.T) {
 	withoutFile := measureFootprint(t, testcluster.Options{NoSettingsFile: true})
 	withoutBlock := measureFootprint(t, testcluster.Options{})
 	withBlock := measureFootprint(t, testcluster.Options{Fleet: true})
 	if withoutFile.fleetStatus != 404 || withoutBlock.fleetStatus != 404 || withBlock.fleetStatus != 200 {
-		t.Errorf("/fleet: %d without a file, %d without a block, %d with one; want 404, 404, 200", withoutFile.fleetStatus, withoutBlock.fleetStatus, withBlock.fleetStatus)
+		t.Errorf("GET /fleet: got status %d without a file, %d without a block, %d with a block; want 404, 404, 200", withoutFile.fleetStatus, withoutBlock.fleetStatus, withBlock.fleetStatus)
 	}
 	if withoutFile.sockets != withoutBlock.sockets {
 		t.Errorf("got %d sockets without a file and %d without a block, want the same number", withoutFile.sockets, withoutBlock.sockets)
@@ -248,8 +249,9 @@
 	}
 }
 
-// check validates an operators' file alone if no platform configuration is named. With a fleet it
-// prints the table of what a router does in each connectivity state.
+// The command check validates only the operators' file if no platform configuration is named. If
+// the file enables a fleet, check also prints the table of a router's behavior in each connectivity
+// state.
 func TestCheckSettingsFileAlone(t *testing.T) {
 	const keys = " keys = [\"sixteen bytes or more\"]\n"
 	for name, test := range map[string]struct {
--- a/cmd/garnetline/fleet_watch.go
+++ b/cmd/garnetline/fleet_watch.go
@@ -15,8 +15,8 @@
 // watchInterval is the time between two requests for the fleet status.
 const watchInterval = 200 * time.Millisecond
 
-// fleetView is what watchFleet compares between two polls: the description of each subject, such
-// as a router or a banned server, by the subject's name.
+// fleetView describes the state of each subject, such as a router or a banned server. The key is
+// the name of the subject. watchFleet compares the views of two successive polls.
 type fleetView map[string]string
 
 // watchFleet prints the changes in a router's view of its fleet until ctx ends. It returns an
@@ -53,7 +53,8 @@
 	}
 }
 
-// fleetViewOf returns the view of a status, or of the error if the request for the status failed.
+// fleetViewOf returns the view of status. If the request for the status failed, callErr is not nil
+// and the view holds only that error.
 func fleetViewOf(status *fleet.Status, callErr error) fleetView {
 	view := fleetView{}
 	if callErr != nil {
@@ -71,11 +72,12 @@
 	return view
 }
 
-// changesTo returns a line for each subject that next describes differently. A subject that is
-// missing from next counts as removed only if next is complete.
-func (v fleetView) changesTo(next fleetView, complete bool) []string {
+// changesTo returns a line for each subject whose description in current is new or differs from
+// that in v. If complete is true, it also returns a line for each subject that is missing from
+// current. If complete is false, a missing subject does not count as removed.
+func (v fleetView) changesTo(current fleetView, complete bool) []string {
 	var lines []string
-	for subject, text := range next {
+	for subject, text := range current {
 		if v[subject] != text {
 			lines = append(lines, subject+": "+text)
 		}
@@ -84,7 +86,7 @@
 		return lines
 	}
 	for subject := range v {
-		if _, present := next[subject]; !present {
+		if _, present := current[subject]; !present {
 			lines = append(lines, subject+": no more")
 		}
 	}
--- a/cmd/garnetline/golden_test.go
+++ b/cmd/garnetline/golden_test.go
@@ -13,14 +13,16 @@
 	"garnetline/internal/golden"
 )
 
-// Operators' scripts depend on the commands, their arguments and their flags.
+// TestCommandsAndFlags compares the commands, arguments and flags with a golden file, because
+// operators' scripts depend on them.
 func TestCommandsAndFlags(t *testing.T) {
 	var text strings.Builder
 	describeCommand(&text, newCommand(io.Discard), "")
 	golden.Compare(t, "commands.golden", []byte(text.String()))
 }
 
-// Operators' scripts depend on the JSON keys of the lease registry and of the leases held.
+// TestLeasePageKeys compares the JSON keys of the lease page with a golden file, because operators'
+// scripts depend on them. The page shows the lease registry and the leases held.
 func TestLeasePageKeys(t *testing.T) {
 	text, err := json.Marshal(leasePage{Registry: &leasemanager.Status{}, Held: []leasemanager.Lease{{}}})
 	if err != nil {
--- a/cmd/garnetline/helpers_test.go
+++ b/cmd/garnetline/helpers_test.go
@@ -14,7 +14,8 @@
 	"garnetline/internal/platformconfig"
 )
 
-// TestMain runs the program instead of the tests if a test started this binary as the program.
+// TestMain runs the tests. In a process that a test started as the garnetline program, TestMain
+// runs the program instead.
 func TestMain(m *testing.M) {
 	if daemontest.IsProgram() {
 		main()
@@ -31,7 +32,7 @@
 	result chan error // receives the result of serve
 }
 
-// startServe starts serve with the default operators' configuration. loadNext is called for each
+// startServe starts serve with the default operators' configuration. serve calls loadNext for each
 // reload.
 func startServe(config *platformconfig.Config, loadNext func() (daemonConfig, error)) *inProcessDaemon {
 	daemon := &inProcessDaemon{result: make(chan error, 1)}
@@ -41,15 +42,15 @@
 	return daemon
 }
 
-// loadConfigFrom reads a platform configuration with no environment variables, and combines it with
-// the default operators' configuration.
+// loadConfigFrom reads the platform configuration at path and ignores all environment variables. It
+// combines the result with the default operators' configuration.
 func loadConfigFrom(path string) (daemonConfig, error) {
 	platform, err := platformconfig.Load(path, func(string) string { return "" })
 	return daemonConfig{platform, operatorconfig.Default()}, err
 }
 
-// waitSubscribed waits until the daemon has subscribed to its change log, and returns the sequence
-// number that it requested.
+// waitSubscribed waits until the daemon has subscribed to its change log. It returns the sequence
+// number in the subscription.
 func (d *inProcessDaemon) waitSubscribed(t *testing.T, requested <-chan uint64) uint64 {
 	t.Helper()
 	select {
@@ -69,7 +70,8 @@
 	}
 }
 
-// signalSelf sends a signal to this process, in which serve handles it.
+// signalSelf sends a signal to this test process. The serve call that runs in the process handles
+// it.
 func signalSelf(t *testing.T, signal syscall.Signal) {
 	t.Helper()
 	if err := syscall.Kill(os.Getpid(), signal); err != nil {
@@ -77,8 +79,9 @@
 	}
 }
 
-// runDaemon starts serve, waits until the router is healthy, and returns its address. shutDown
-// sends SIGTERM and waits for serve to return; it is also called when the test ends.
+// runDaemon starts serve, waits until the router is healthy, and returns its address. The function
+// shutDown sends SIGTERM and waits for serve to return. The end of the test calls shutDown too;
+// only the first call has an effect.
 func runDaemon(t *testing.T, config daemontest.Config) (addr string, shutDown func()) {
 	t.Helper()
 	config.ListenAddr = daemontest.FreeAddr(t)
--- a/cmd/garnetline/metrics_test.go
+++ b/cmd/garnetline/metrics_test.go
@@ -15,8 +15,9 @@
 	"garnetline/internal/metrics"
 )
 
-// TestMetricsPage compares the body of GET /metrics, which operators' monitoring reads, byte by
-// byte with a golden file: names, types and labels. UPDATE_GOLDEN=1 rewrites the golden file.
+// TestMetricsPage compares the body of GET /metrics byte by byte with a golden file. Operators'
+// monitoring depends on the names, types and labels in it. UPDATE_GOLDEN=1 rewrites the golden
+// file.
 func TestMetricsPage(t *testing.T) {
 	ring, err := packetcrypto.NewKeyring("f", []string{"sixteen bytes or more"})
 	if err != nil {
--- a/cmd/garnetline/printer.go
+++ b/cmd/garnetline/printer.go
@@ -31,7 +31,8 @@
 	return &table{printer: printer{out: columns}, columns: columns}
 }
 
-// flush writes the table to its writer. It returns the first error of all writes.
+// flush writes the aligned table to the writer given to newTable. It returns the first error of any
+// write to the table.
 func (t *table) flush() error {
 	if t.err != nil {
 		return t.err
--- a/cmd/garnetline/request_lifecycle_test.go
+++ b/cmd/garnetline/request_lifecycle_test.go
@@ -15,7 +15,8 @@
 	"garnetline/routing"
 )
 
-// send sends a request on a new connection, and asks the router to close it after the response.
+// send sends a request on a new connection. The request asks the router to close the connection
+// after the response.
 func send(t *testing.T, addr, method, target string, transaction int, header ...string) *daemontest.Client {
 	t.Helper()
 	client := daemontest.Dial(t, addr)
@@ -24,8 +25,8 @@
 	return client
 }
 
-// unsafeWriteTest is a daemon whose writes are not idempotent, with two caches whose behavior
-// depends on the object of a write.
+// unsafeWriteTest is a daemon with two caches whose writes are not idempotent. The object of a
+// write selects how the caches reply to it.
 type unsafeWriteTest struct {
 	t        *testing.T
 	addr     string
@@ -34,7 +35,7 @@
 	servers  []*fakeserver.Server
 }
 
-// Outcomes of a write. The last digit of the object's id selects one.
+// Outcomes of a write. The last digit of the object's id selects the outcome.
 const (
 	writeLosesConnection = iota + 1
 	writeFails
@@ -115,10 +116,10 @@
 	return count
 }
 
-// The router never retries a non-idempotent write that a cache may have executed, however the
-// attempt ended: connection lost, server error, no reply in time, client gone, or a malformed reply
-// to another request on the same connection. It retries a write that a cache rejected, which
-// therefore was not executed.
+// The router never retries a non-idempotent write that a cache may have executed. The attempt can
+// end with a lost connection, a server error, no reply in time, a client that is gone, or a
+// malformed reply to another request on the same connection. The router retries a write that a
+// cache rejected, because the cache has not executed that write.
 func TestNonIdempotentWriteRunsOnce(t *testing.T) {
 	test := newUnsafeWriteTest(t)
 	const longTimeout = 3 * time.Second
@@ -185,7 +186,7 @@
 	}
 }
 
-// readUntil reads until ok returns true after a read.
+// readUntil reads repeatedly. It calls ok after each read and returns when ok returns true.
 func (w *watchEventTest) readUntil(condition string, ok func() bool) {
 	w.t.Helper()
 	daemontest.WaitUntil(w.t, condition, func() bool {
@@ -199,7 +200,8 @@
 	return strings.Join(append(w.first.Requests(), w.second.Requests()...), "\n")
 }
 
-// home returns the cache that serves the object, the other cache, and the server id of the first.
+// home returns the cache that serves the test's object, the other cache, and the server id of the
+// cache that serves the object.
 func (w *watchEventTest) home() (home, other *fakeserver.Server, id uint32) {
 	if len(w.second.Requests()) > len(w.first.Requests()) {
 		return w.second, w.first, 2
@@ -207,9 +209,9 @@
 	return w.first, w.second, 1
 }
 
-// A purge, and a drain that is announced while requests are served, apply to the requests that are
-// sent next: each has a bound on the age of a copy, and no request goes to the draining cache or
-// names it as the fill source.
+// A watch event applies to the requests that the router sends after it. After a purge, each request
+// has a bound on the age of a copy. After the announcement of a drain, no request goes to the
+// draining cache or names it as the fill source.
 func TestWatchEventsApplyToNextRequests(t *testing.T) {
 	test := newWatchEventTest(t)
 	test.changeLog.Purge(0xaa, uint64(time.Now().UnixMilli()-30))
@@ -238,9 +240,9 @@
 	}
 }
 
-// After SIGTERM, requests must not wait for hanging caches until the process is killed. Requests
-// that are open at a cache, and those that the router still accepts, are answered in time, and a
-// second SIGTERM changes nothing.
+// After SIGTERM, the router answers all requests before the process is killed, even if the caches
+// hang. These are the requests that are open at a cache and those that the router accepts after the
+// signal. A second SIGTERM changes nothing.
 func TestShutdownWhileCachesHang(t *testing.T) {
 	received := make(chan bool, 8)
 	server := daemontest.NewServer(t, func(string, string) string {
@@ -259,7 +261,7 @@
 	signalSelf(t, syscall.SIGTERM)
 	go shutDown() // the second signal
 	for name, client := range map[string]*daemontest.Client{"before": beforeSignal, "after": put(2)} {
-		if got := client.Receive(t).Status; got != http.StatusBadGateway { // within 20 s, not 50
+		if got := client.Receive(t).Status; got != http.StatusBadGateway { // Receive waits only 20 s, the client timeout is 50 s
 			t.Errorf("request sent %s the signal: got status %d, want 502", name, got)
 		}
 	}
--- a/cmd/garnetline/serve_test.go
+++ b/cmd/garnetline/serve_test.go
@@ -38,8 +38,8 @@
 	return fakeserver.Answer(id, "DONE", "tag=t7,minted=1", binaryBody)
 }
 
-// A daemon runs from start to shutdown on real sockets: it serves requests and retries a failed
-// attempt; after SIGTERM it accepts new requests for a while, and then ends without an error.
+// A daemon runs from start to shutdown on real sockets. It serves requests and retries a failed
+// attempt. After SIGTERM it accepts new requests for a while. Then serve returns without an error.
 func TestServeFromStartToShutdown(t *testing.T) {
 	server := &failOnceServer{}
 	first := daemontest.NewServer(t, server.reply)
@@ -81,7 +81,7 @@
 	daemon.wait(t)
 	if late, err := daemontest.DialContext(t.Context(), addr); err == nil {
 		daemontest.Close(t, late)
-		t.Error("still listening after the shutdown")
+		t.Error("the daemon still accepts connections after the shutdown")
 	}
 }
 
@@ -150,15 +150,15 @@
 	return test
 }
 
-// load reads the file when the daemon reloads, and reports the result on loaded.
+// load reads the file when the daemon reloads. It sends the error of the read, or nil, on loaded.
 func (r *reloadTest) load() (daemonConfig, error) {
 	next, err := loadConfigFrom(r.path)
 	r.loaded <- err
 	return next, err
 }
 
-// write writes a configuration file with an address and a change log, and returns what it reads
-// from that file.
+// write writes a configuration file with the given listen address and change log. It reads the file
+// back and returns the configuration.
 func (r *reloadTest) write(addr string, changeLog net.Addr) daemonConfig {
 	r.t.Helper()
 	config := r.config
@@ -172,16 +172,18 @@
 	return next
 }
 
-// reload sends SIGHUP and returns the error with which the daemon read the file, if any.
+// reload sends SIGHUP, waits until the daemon has read the file, and returns the error of that
+// read.
 func (r *reloadTest) reload() error {
 	r.t.Helper()
 	signalSelf(r.t, syscall.SIGHUP)
 	return <-r.loaded
 }
 
-// SIGHUP applies a new configuration file: the daemon subscribes to the new change log at once, from
-// the last sequence number, and still answers the open request. A reload works during a shutdown
-// too. An invalid file changes nothing, and the daemon goes on.
+// SIGHUP applies a new configuration file. The daemon immediately subscribes to the new change log,
+// from the last known sequence number, and still answers the open request. A reload also works
+// during a shutdown. After the reload of an invalid file, the daemon continues with the old
+// configuration.
 func TestReloadReplacesTheConfiguration(t *testing.T) {
 	test := newReloadTest(t)
 	first := daemontest.NewIdleChangeLog(t)
@@ -230,7 +232,8 @@
 	daemon.wait(t)
 }
 
-// checkSubscription checks that the daemon subscribes to a change log from the last sequence number.
+// checkSubscription checks that the daemon subscribes to a change log from the last known sequence
+// number.
 func checkSubscription(t *testing.T, name string, changeLog *fakeserver.IdleChangeLog) {
 	t.Helper()
 	if seq := <-changeLog.RequestedSeqs; seq != daemontest.KnownSeq {
--- a/cmd/garnetline/trace_command.go
+++ b/cmd/garnetline/trace_command.go
@@ -22,12 +22,13 @@
 )
 
 const (
-	// followInterval is the time between two reads of the directories for new traces.
+	// followInterval is the time between two searches of the directories for new traces.
 	followInterval = 300 * time.Millisecond
-	// followLookBack is how long ago, in ms, a trace that is written now may have begun. It covers
-	// the longest wait of a client plus one sampling window of ordinary traces.
+	// followLookBack is the maximum time, in ms, between the start of a trace and the moment when
+	// it is written. It covers the longest wait of a client plus one sampling window of ordinary
+	// traces.
 	followLookBack = 120_000
-	// waterfallWidth is the width of the waterfall's bars in trace show, in characters.
+	// waterfallWidth is the width, in characters, of the bars that the command trace show prints.
 	waterfallWidth = 40
 	// defaultMostTraces is the default of --most.
 	defaultMostTraces = 50
@@ -102,7 +103,8 @@
 	return lines.err
 }
 
-// showTrace prints one trace as a waterfall, merged from the pieces that the routers retained.
+// showTrace prints one trace as a waterfall. It merges the pieces of the trace. Each piece is the
+// part of the trace that one router retained.
 func showTrace(command *cli.Command, out io.Writer) error {
 	id, ok := trace.ParseID(command.Args().First())
 	if !ok {
@@ -163,7 +165,7 @@
 	for _, name := range command.StringSlice("outcome") {
 		outcome, ok := trace.ParseOutcome(name)
 		if !ok {
-			return filter, fmt.Errorf("--outcome: unknown outcome %q", name)
+			return filter, fmt.Errorf("--outcome: expected failed, refused, served, same or left, got %q", name)
 		}
 		filter.Outcomes |= 1 << outcome
 	}
@@ -177,7 +179,8 @@
 	return filter, nil
 }
 
-// openIndexes reads the trace directories that the flags name, or else the one in the settings.
+// openIndexes reads the trace directories that --folder names. Without --folder, it reads the
+// directory that the settings file names.
 func openIndexes(command *cli.Command) ([]*store.Index, error) {
 	folders := command.StringSlice("folder")
 	if len(folders) == 0 {
@@ -210,9 +213,9 @@
 	return queryTraces(command, filter, visit)
 }
 
-// queryTraces calls visit with each trace that filter selects, until visit returns false. If a
-// directory that was opened cannot be queried completely, queryTraces still queries the others,
-// and returns the first such error.
+// queryTraces calls visit with each trace that filter selects, until visit returns false. If the
+// query of one directory fails, queryTraces still queries the other directories. It returns the
+// first error.
 func queryTraces(command *cli.Command, filter store.Filter, visit func(*trace.Trace) bool) error {
 	indexes, err := openIndexes(command)
 	for _, index := range indexes {
@@ -239,7 +242,7 @@
 		return true
 	})
 	if err == nil && len(pieces) == 0 {
-		err = fmt.Errorf("trace %v: not found", id)
+		err = fmt.Errorf("trace %v: not found in the trace directories", id)
 	}
 	return pieces, err
 }
@@ -261,7 +264,7 @@
 	lines.linef("%s", row)
 }
 
-// followTraces prints what is retained from now on, until ctx ends.
+// followTraces prints a line for each trace that is retained after the call, until ctx ends.
 func followTraces(ctx context.Context, command *cli.Command, out io.Writer) error {
 	lines := &printer{out: out}
 	printTraceHeader(lines)
@@ -269,7 +272,7 @@
 	if err != nil {
 		return err
 	}
-	var known map[trace.SpanID]bool // the first span of each piece that the previous read found
+	var known map[trace.SpanID]bool // ids of the first spans of the pieces that the previous query found
 	ticker := time.NewTicker(followInterval)
 	defer ticker.Stop()
 	for first := true; ; first = false {
--- a/cmd/garnetline/trace_golden_test.go
+++ b/cmd/garnetline/trace_golden_test.go
@@ -11,8 +11,8 @@
 	"garnetline/internal/trace/store"
 )
 
-// TestTraceCommandOutput compares what the trace commands print about the example traces of the
-// documentation with golden files. UPDATE_GOLDEN=1 rewrites the files in testdata.
+// TestTraceCommandOutput compares the output of the trace commands with golden files. The commands
+// read the example traces of the documentation. UPDATE_GOLDEN=1 rewrites the files in testdata.
 func TestTraceCommandOutput(t *testing.T) {
 	const folder = "../../docs/example-traces"
 	index, err := store.Read(filepath.FromSlash(folder))
--- a/cmd/garnetline/trace_propagation_test.go
+++ b/cmd/garnetline/trace_propagation_test.go
@@ -15,10 +15,11 @@
 
 const (
 	propagationRequests = 400
-	// firstPlainHit is the index from which on all requests are cache hits. The router sends the
-	// last verdicts with them.
+	// firstPlainHit is the index from which all further requests are cache hits. The router sends
+	// the last verdicts with these requests. A verdict tells a cache to retain a trace.
 	firstPlainHit = 300
-	// One of clientSampleInterval requests is sampled by its client.
+	// clientSampleInterval is the interval of client sampling: one of this many requests is sampled
+	// by its client.
 	clientSampleInterval = 50
 )
 
@@ -32,7 +33,7 @@
 
 	routerTraces []*trace.Trace
 	byID         map[trace.ID][]*trace.Trace // the traces of all processes
-	verdicts     int                         // number that the caches received
+	verdicts     int                         // number of verdicts that the caches received
 	retainedSelf int                         // number of traces that the caches retained without a verdict
 }
 
@@ -74,7 +75,7 @@
 	}
 }
 
-// propagationRequest returns request i. Requests for objects whose ids end in e fail at times; an
+// propagationRequest returns request i. Some requests for objects whose ids end in e fail. An
 // object whose id ends in f is filled once at each cache.
 func propagationRequest(random *rand.Rand, i int) string {
 	object := fmt.Sprintf("%015x%c", 1+random.IntN(12), "0123e0123f"[random.IntN(10)])
@@ -82,7 +83,7 @@
 	switch {
 	case i >= firstPlainHit:
 		object = fmt.Sprintf("%015x0", 1+i)
-	case i%clientSampleInterval == clientSampleInterval-1: // it may join a fill whose own trace is not retained otherwise
+	case i%clientSampleInterval == clientSampleInterval-1: // the request may join a fill whose trace would otherwise be dropped
 		object = fmt.Sprintf("%015xf", 1+i%3)
 		header = append(header, fmt.Sprintf("Traceparent: 00-%032x-%016x-01", 1<<30+i, 7))
 	}
@@ -114,8 +115,8 @@
 	}
 }
 
-// propagationCounts counts the work spans of caches, the links to fills, and the work spans of the
-// parent that were checked, so that a test can fail if there were too few.
+// propagationCounts counts the spans and links that were checked: the work spans of caches, the
+// links to fills, and the work spans of the parent. The test fails if too few were checked.
 type propagationCounts struct{ works, joinedFills, parentWorks int }
 
 // check checks the merged trace of each request that the router retained.
@@ -141,9 +142,10 @@
 	return counts
 }
 
-// checkServerWork checks that each work span of a cache lies within the attempt that is its parent
-// span, and each work span of the parent server within the fill that is its parent span. It returns
-// the number of work spans of each attempt, and the number of work spans of the parent server.
+// checkServerWork checks the work spans of all servers. The work span of a cache has to lie within
+// the attempt that is its parent span. The work span of the parent server has to lie within the
+// fill that is its parent span. checkServerWork returns the number of work spans of each attempt,
+// and the number of work spans of the parent server.
 func (p *propagationTest) checkServerWork(spans []trace.Span) (workByAttempt map[trace.SpanID]int, parentWork int) {
 	p.t.Helper()
 	byID := map[trace.SpanID]trace.Span{}
@@ -210,11 +212,11 @@
 	return found
 }
 
-// If the operators' file has peers = true, the servers continue the router's traces, and their
-// parent continues theirs. Each attempt that arrived has a work span of its cache as a child, within
-// the time of the attempt although the server's clock is an hour ahead. A server retains the traces
-// that the router retains and those that failed, and no others. A verdict to retain a request that
-// joined a fill also retains that fill.
+// If the operators' file has peers = true, the caches continue the router's traces, and the parent
+// server continues the caches' traces. Each attempt that arrived has a work span of its cache as a
+// child. This span lies within the time of the attempt, although the server's clock is an hour
+// ahead. A server retains the traces that the router retains and those that failed, and no other
+// traces. A verdict to retain a request that joined a fill also retains that fill.
 func TestServersContinueTraces(t *testing.T) {
 	test := newPropagationTest(t)
 	test.run()
--- a/cmd/garnetline/trace_test.go
+++ b/cmd/garnetline/trace_test.go
@@ -32,8 +32,8 @@
 // slowReply is longer than the class's latency objective.
 const slowReply = 500 * time.Millisecond
 
-// The requests of the failure test. Each of failureClients clients sends requestsPerClient requests,
-// whose index modulo kinds selects the kind of the request.
+// The requests of the failure test. Each of failureClients clients sends requestsPerClient
+// requests. The index of a request modulo kinds selects the request's kind.
 const (
 	failureClients    = 12
 	requestsPerClient = 25
@@ -56,10 +56,10 @@
 	results [failureClients][][]clientAttempt // by client and index of the request
 }
 
-// clientAttempt is one transmission of a request by its client: the first one or a retry.
+// clientAttempt is one transmission of a request by its client: the first transmission or a retry.
 type clientAttempt struct {
 	transaction string
-	status      int // of the response; 0 if there was none
+	status      int // status of the response; 0 if there was no response
 }
 
 func newFailureTest(t *testing.T) *failureTest {
@@ -89,28 +89,28 @@
 	return test
 }
 
-// choose returns yes if condition is true, else no.
-func choose(condition bool, yes, no serverBehavior) serverBehavior {
+// choose returns ifTrue if condition is true, and ifFalse otherwise.
+func choose(condition bool, ifTrue, ifFalse serverBehavior) serverBehavior {
 	if condition {
-		return yes
+		return ifTrue
 	}
-	return no
+	return ifFalse
 }
 
-// replyBy returns the replies of a server that handles its n-th request, counted from 1, with
-// behavior(n).
+// replyBy returns the reply function of a server. The server handles its n-th request, counted from
+// 1, with behavior(n).
 func (f *failureTest) replyBy(behavior func(n int) serverBehavior) fakeserver.Reply {
 	received := 0
 	return func(id, _ string) string {
 		f.mu.Lock()
 		received++
 		f.arrivals[id]++
-		does := behavior(received)
-		if does == behaveSlowly {
+		action := behavior(received)
+		if action == behaveSlowly {
 			f.slow[id] = true
 		}
 		f.mu.Unlock()
-		switch does {
+		switch action {
 		case closeConnection:
 			return fakeserver.CloseConnection
 		case failWithError:
@@ -124,7 +124,7 @@
 	}
 }
 
-// run sends the requests of all clients, the clients concurrently, and waits until they are done.
+// run runs all clients concurrently, and waits until they have sent their requests.
 func (f *failureTest) run() {
 	var clients sync.WaitGroup
 	for client := range failureClients {
@@ -161,7 +161,8 @@
 	return attempts
 }
 
-// request returns transmission n of a request, 0 or 1, and the router to which it goes.
+// request returns the text of one transmission of a request, and the router to which the client
+// sends it. n is 0 for the first transmission and 1 for the retry.
 func (f *failureTest) request(client, index, n int, transaction string) (*tracedRouter, string) {
 	number := client*requestsPerClient + index
 	header := []string{"X-Txn: " + transaction, daemontest.ClientTimeout(900 * time.Millisecond)}
@@ -249,7 +250,7 @@
 // transmission. It returns the number of traced retries.
 func (f *failureTest) checkRetries(retained retainedTraces, attempts []clientAttempt) int {
 	f.t.Helper()
-	if len(attempts) == 0 { // the connection failed, which sendRequest reported
+	if len(attempts) == 0 { // sendRequest has reported that the connection failed
 		return 0
 	}
 	first := retained.byTransaction[attempts[0].transaction]
@@ -267,7 +268,8 @@
 	return traced
 }
 
-// checkClientAttempt checks that a request that has to be traced is traced, with all its attempts.
+// checkClientAttempt checks that a transmission is traced if it has to be, and that its trace has
+// all attempts.
 func (f *failureTest) checkClientAttempt(retained retainedTraces, attempt clientAttempt, isRetry bool) {
 	f.t.Helper()
 	id := attempt.transaction
@@ -280,7 +282,7 @@
 		return
 	}
 	sent, lost := countSent(found)
-	// An attempt that was written to a connection that was then lost may not arrive.
+	// An attempt may not have arrived if its connection was lost after the write.
 	if f.arrivals[id] > sent || f.arrivals[id] < sent-lost {
 		f.t.Errorf("request %s: %d attempts are traced as sent, of which %d lost their connections, but %d arrived at servers", id, sent, lost, f.arrivals[id])
 	}
@@ -313,8 +315,8 @@
 	}
 }
 
-// checkSpanTrees checks that the spans of each trace form one tree: the ids are unique, and each
-// parent is a span of the trace or its root.
+// checkSpanTrees checks that the spans of each trace form one tree: each span id is unique, and the
+// parent of each span is another span of the trace or the trace's root.
 func checkSpanTrees(t *testing.T, byID map[trace.ID][]*trace.Trace) {
 	t.Helper()
 	for id, parts := range byID {
@@ -381,10 +383,10 @@
 	}
 }
 
-// Servers of two routers fail fast, hang and close connections. Every request that failed, was
-// rejected, was retried or was slow is traced with all its attempts, which are compared with the
-// attempts that the servers received. A client's retry at the other router is in the trace of its
-// first transmission. No idempotency key is retained.
+// The servers of two routers fail fast, hang and close connections. Every request that failed, was
+// rejected, was retried or was slow is traced with all its attempts. The test compares these
+// attempts with those that the servers received. A client's retry at the other router is in the
+// trace of its first transmission. No idempotency key is retained.
 func TestEveryFailedRequestIsTraced(t *testing.T) {
 	test := newFailureTest(t)
 	test.run()
@@ -398,9 +400,10 @@
 	test.checkCommands(retained)
 }
 
-// The traces of a killed router remain, in a directory that can be opened again. SIGHUP reloads the
-// operators' file: a file that is invalid, or that changes a setting that only a restart can change,
-// is rejected with one log event that names the file, the line and the field.
+// The traces of a killed router remain on disk, and the directory can be opened again. SIGHUP
+// reloads the operators' file. The router rejects a file that is invalid, or that changes a setting
+// that only a restart can change. It then logs one event that names the file, the line and the
+// field.
 func TestTracesSurviveReloadAndKill(t *testing.T) {
 	server := daemontest.NewServer(t, func(id, _ string) string { return fakeserver.Answer(id, "BROKE", "-", "") })
 	config := oneCache(daemontest.NewIdleChangeLog(t), server)
@@ -444,8 +447,8 @@
 	}
 }
 
-// Without an operators' file there is no recorder. A class block overrides only the settings that it
-// names.
+// Without an operators' file there is no recorder. A class block overrides only the settings that
+// the block contains.
 func TestTraceSettings(t *testing.T) {
 	if recorder, err := newRecorder(&daemon{}); recorder != nil || err != nil {
 		t.Errorf("without settings: got %v, %v, want no recorder", recorder, err)
--- a/cmd/garnetline/upgrade_test.go
+++ b/cmd/garnetline/upgrade_test.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// The router does not bind the address of an inherited socket again, which would fail and end the
-// program at once. Its shutdown leaves the socket open for other processes.
+// The router uses an inherited socket without binding its address again. A second bind would fail
+// and end the program. The shutdown of the router leaves the socket open for other processes.
 func TestInheritedSocketIsLeftOpen(t *testing.T) {
 	changeLog := daemontest.NewIdleChangeLog(t)
 	config := oneCache(changeLog, daemontest.NewServer(t, servesAll))
@@ -108,7 +108,7 @@
 	daemontest.Dial(t, config.ListenAddr) // the inherited socket still accepts
 }
 
-// duplicate returns a duplicate of a listener's descriptor. serve closes it.
+// duplicate returns a duplicate of a listener's descriptor. serve closes the duplicate.
 func duplicate(t *testing.T, listener *net.TCPListener) int {
 	t.Helper()
 	file, err := listener.File()
--- a/internal/admin/disabled/golden_test.go
+++ b/internal/admin/disabled/golden_test.go
@@ -13,8 +13,8 @@
 )
 
 // TestGoldenFiles compares the directory, names, sizes and modes of the stored files with a golden
-// file, because processes of other versions read them. testdata/state is a state directory that an
-// earlier version wrote.
+// file, because other versions of the program read the files too. testdata/state is a state
+// directory that an earlier version wrote.
 func TestGoldenFiles(t *testing.T) {
 	state := t.TempDir()
 	want := map[routing.ServerID]bool{7: true, 0xc41f7a: true, 0xffffffff: true}
--- a/internal/admin/disabled/store.go
+++ b/internal/admin/disabled/store.go
@@ -1,7 +1,7 @@
 // Package disabled stores which servers operators have disabled, so that the next process of the
-// same router knows them. Each disabled server is one empty file, so that a process and its
-// successor, which use the same directory for a while, never overwrite each other's entries. A
-// Store has no state in memory and is safe for concurrent use.
+// same router knows them. Each disabled server is one empty file. A process and its successor use
+// the same directory for a while; with one file for each server, they never overwrite each other's
+// entries. A Store has no state in memory and is safe for concurrent use.
 package disabled
 
 import (
@@ -32,9 +32,9 @@
 }
 
 // List returns the disabled servers. It ignores files whose names are not server ids, and returns
-// no servers if the directory does not exist. It returns an error if the directory cannot be
-// read, for example because the process has no free file descriptors: taking the directory for
-// empty would enable every disabled server.
+// no servers if the directory does not exist. It returns an error if the directory cannot be read,
+// for example because the process has no free file descriptors. Without the error, every disabled
+// server would be enabled.
 func (s Store) List() (map[routing.ServerID]bool, error) {
 	if s == "" {
 		return nil, nil
--- a/internal/admin/disabled/store_test.go
+++ b/internal/admin/disabled/store_test.go
@@ -9,8 +9,9 @@
 	"garnetline/routing"
 )
 
-// TestStore checks the servers that a successor process reads, and that a directory that cannot be
-// read is an error: if it were taken for empty, every disabled server would be enabled.
+// TestStore checks the servers that a successor process reads. It also checks that List returns an
+// error for a directory that cannot be read. Without the error, every disabled server would be
+// enabled.
 func TestStore(t *testing.T) {
 	state := t.TempDir()
 	store := NewStore(state)
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -86,12 +86,12 @@
 func TestGoldenJSON(t *testing.T) {
 	var out strings.Builder
 	for _, page := range []struct {
-		path string
-		of   any
+		path    string
+		content any
 	}{
 		{"/fleet ", fleet.Status{}}, {"/fleet/duties register", leasemanager.Status{}}, {"/fleet/duties held[]", leasemanager.Lease{}}, {"/fleet/bans ", bans.Status{}},
 	} {
-		jsonKeys(&out, page.path, reflect.TypeOf(page.of))
+		jsonKeys(&out, page.path, reflect.TypeOf(page.content))
 	}
 	golden.Compare(t, "json.golden", []byte(out.String()))
 }
--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -21,7 +21,7 @@
 
 // Paths of the API. A server id follows pathDisable and pathEnable.
 const (
-	pathFleet   = "/fleet" // and all paths below it
+	pathFleet   = "/fleet" // Fleet answers this path and all paths below it
 	pathReady   = "/ready"
 	pathMetrics = "/metrics"
 	pathDisable = "/caches/disable/"
@@ -34,8 +34,8 @@
 	Ready func() bool
 	// Metrics returns the current values of the metrics.
 	Metrics func() Metrics
-	// SetDisabled disables or enables a server. It returns discovery.ErrUnknownServer if there is
-	// no such server.
+	// SetDisabled disables a server if disabled is true, and enables it otherwise. It returns
+	// discovery.ErrUnknownServer if the server is unknown.
 	SetDisabled func(ctx context.Context, server routing.ServerID, disabled bool) error
 	// Fleet answers the requests at and below /fleet. It is nil if the router has no fleet.
 	Fleet Fleet
@@ -43,10 +43,10 @@
 
 // Fleet is the part of the admin API that covers the fleet of routers.
 type Fleet interface {
-	// Handle answers a request at or below /fleet. It returns ok false if there is no such method
-	// and path.
+	// Handle answers a request at or below /fleet. It returns ok == false if it does not support the
+	// path or the method.
 	Handle(ctx context.Context, method, path string) (status int, body []byte, ok bool)
-	// AppendMetrics appends further metrics in the text format of Prometheus.
+	// AppendMetrics appends the fleet's metrics in the text format of Prometheus.
 	AppendMetrics(metrics []byte) []byte
 }
 
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Metrics holds the values that GET /metrics shows, without those of the fleet.
+// Metrics holds the router's own values for GET /metrics. The fleet's metrics are not among them.
 type Metrics struct {
 	Classes            []ClassMetrics
 	Relayed            int64 // attempts whose request was completely written to a server
--- a/internal/daemontest/config.go
+++ b/internal/daemontest/config.go
@@ -18,8 +18,8 @@
 	Origin = "origin"
 )
 
-// KnownSeq is the sequence number of the last watch event that a configuration contains. The
-// router requests the events after it from its change log.
+// KnownSeq is the sequence number of the last watch event that a configuration contains. The router
+// requests the events after this number from its change log.
 const KnownSeq = 4
 
 // PlatformSettings are the default settings of a test's platform configuration: one zone, a class
--- a/internal/daemontest/process.go
+++ b/internal/daemontest/process.go
@@ -18,7 +18,7 @@
 const programVariable = "GARNETLINE_TEST_PROGRAM"
 
 // IsProgram reports whether TestMain has to run the program instead of the tests. It is true in a
-// process that was started with ProgramEnv, as StartProcess does.
+// process that was started with the variables of ProgramEnv, for example by StartProcess.
 func IsProgram() bool { return os.Getenv(programVariable) != "" }
 
 // ProgramEnv returns the environment variables that make a test binary run the program.
@@ -94,7 +94,7 @@
 	p.waited = true
 	var exit *exec.ExitError
 	err := p.cmd.Wait()
-	// The test's context may have been canceled just before, which kills the process too.
+	// If the test's context is canceled, package exec has already killed the process.
 	if err != nil && !errors.As(err, &exit) && !errors.Is(err, context.Canceled) {
 		tb.Error(err)
 	}
--- a/internal/daemontest/servers.go
+++ b/internal/daemontest/servers.go
@@ -77,8 +77,8 @@
 	tb.Cleanup(func() { Close(tb, resource) })
 }
 
-// WaitUntil calls ok until it returns true. It ends the test if that takes longer than Timeout;
-// condition describes what it waits for.
+// WaitUntil calls ok repeatedly until ok returns true. It ends the test if this takes longer than
+// Timeout. The text condition describes the expected state in the failure message.
 func WaitUntil(tb testing.TB, condition string, ok func() bool) {
 	tb.Helper()
 	deadline := time.Now().Add(Timeout)
