--- a/cmd/garnetline/fleet_admin.go
+++ b/cmd/garnetline/fleet_admin.go
@@ -76,7 +76,7 @@
 	}
 	knownVersion, err := strconv.ParseUint(parts[2], 10, 64)
 	if err != nil {
-		return fmt.Errorf("ban version: expected a non-negative integer, got %q", parts[2])
+		return fmt.Errorf("version: expected a non-negative integer, got %q", parts[2])
 	}
 	setBy, err := url.PathUnescape(parts[3])
 	if err != nil {
