--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -13,19 +13,19 @@
 // outputBufferSize is the size of the write buffer in bytes.
 const outputBufferSize = 1 << 16
 
-// noInstance is the value of adapter.replyTo while the reply has no actions.
+// noInstance is the value of adapter.replyInstance while the reply has no actions.
 const noInstance = -1
 
 // adapter runs the routers of all instances in this process.
 type adapter struct {
-	routers map[int]*routing.Router // by instance
-	reply   []byte                  // reply to the current batch
-	replyTo int                     // instance of the last action in reply, or noInstance
-	actions []routing.Action        // actions of the current event; the slice is reused
+	routers       map[int]*routing.Router // by instance
+	reply         []byte                  // reply to the current batch
+	replyInstance int                     // instance of the last action in reply, or noInstance
+	actions       []routing.Action        // actions for the current event; the slice is reused for each event
 }
 
-// run reads batches from input and writes their replies to output until the input ends. It flushes
-// each reply at once, because the simulator waits for it.
+// run reads batches from input and writes one reply for each batch to output until the input ends.
+// It flushes every reply immediately, because the simulator waits for the reply.
 func run(input io.Reader, output io.Writer) error {
 	reader := simproto.NewReader(input)
 	writer := bufio.NewWriterSize(output, outputBufferSize)
@@ -55,7 +55,7 @@
 // call. It returns an error if the settings of an instance are invalid.
 func (a *adapter) answer(batch *simproto.Batch) ([]byte, error) {
 	a.reply = a.reply[:0]
-	a.replyTo = noInstance
+	a.replyInstance = noInstance
 	for i := range batch.Messages {
 		message := &batch.Messages[i]
 		switch message.Kind {
@@ -83,8 +83,8 @@
 		return
 	}
 	a.actions = router.Handle(batch.Now, message.Event, a.actions[:0])
-	if len(a.actions) > 0 && a.replyTo != message.Instance {
-		a.replyTo = message.Instance
+	if len(a.actions) > 0 && a.replyInstance != message.Instance {
+		a.replyInstance = message.Instance
 		a.reply = simproto.AppendInstance(a.reply, message.Instance)
 	}
 	for _, action := range a.actions {
--- a/internal/simproto/batch.go
+++ b/internal/simproto/batch.go
@@ -12,7 +12,7 @@
 // The kinds of messages in a batch.
 const (
 	InstanceEvent MessageKind = iota // an event for a running instance
-	InstanceStart                    // an instance starts, with its settings and no other state
+	InstanceStart                    // an instance starts with the given settings and without earlier state
 	InstanceStop                     // an instance was killed and its state is lost
 )
 
--- a/internal/simproto/benchmark_test.go
+++ b/internal/simproto/benchmark_test.go
@@ -11,7 +11,8 @@
 	"garnetline/routing"
 )
 
-// invalidBatch is the start of the last batch in testdata/session.txt, which has an invalid line.
+// invalidBatch is the first line of the last batch in testdata/session.txt. The batch has an invalid
+// line.
 const invalidBatch = "TURN 8412252\n"
 
 // readSession returns the valid batches of testdata/session.txt and their number.
--- a/internal/simproto/classes.go
+++ b/internal/simproto/classes.go
@@ -6,12 +6,13 @@
 	"garnetline/routing"
 )
 
-// maxClasses limits the number of classes in settings. The settings state that number in one value,
-// so an unlimited value could make the reader allocate any amount of memory.
+// maxClasses limits the number of classes in settings. The settings contain this number as a value,
+// and the reader allocates memory for as many classes. Without the limit, a single large value could
+// exhaust the memory.
 const maxClasses = 1000
 
-// Paths of class settings that are used in more than one place. The paths below family_info hold
-// lists with one value for each class.
+// Paths of class settings that are used in more than one place. A setting whose path begins with
+// family_info is a list with one value for each class.
 const (
 	pathClasses        = "classes"
 	pathClassCount     = "classes.count"
@@ -36,14 +37,14 @@
 )
 
 // classes returns the request classes. It records an error and returns nil if there are more than
-// maxClasses, or if a list does not have one value for each class.
+// maxClasses, or if a list is present but does not have one value for each class.
 func (s settingReader) classes() []routing.Class {
 	writes := s.list(pathClassWrite)
 	freshness := s.list(pathClassFreshness)
 	maxStale := s.list(pathClassMaxStale)
 	count := s.integer(pathClassCount, 0)
 	if count > maxClasses {
-		s.fields.failf(pathClassCount, "too many classes")
+		s.fields.failf(pathClassCount, "expected at most %d classes, got %d", maxClasses, count)
 		return nil
 	}
 	if !s.checkClassList(pathClassWrite, writes, count) ||
@@ -68,8 +69,8 @@
 	return classes
 }
 
-// checkClassList reports whether a list is absent or has one value for each class. If neither
-// holds, it records an error.
+// checkClassList reports whether a list is absent or has one value for each class. Otherwise it
+// records an error.
 func (s settingReader) checkClassList(path string, values []string, classes int) bool {
 	if len(values) == 0 || len(values) == classes {
 		return true
--- a/internal/simproto/errors.go
+++ b/internal/simproto/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// messageField is the Field of a ParseError that concerns a whole line and no single value.
+// messageField is the Field of a ParseError that concerns a whole line rather than a single value.
 const messageField = "message"
 
 // ParseError reports input that does not follow the protocol. Reader returns a *ParseError.
--- a/internal/simproto/errors_golden_test.go
+++ b/internal/simproto/errors_golden_test.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// runningInstance is the start of a batch, lines 1 to 3, in which instance 3 starts.
+	// runningInstance holds lines 1 to 3 of a batch in which instance 3 starts.
 	runningInstance = "TURN 1\nSELECT 3\nBEGIN 7 telemetry.fields=cpu,x0\n"
 
-	// twoClasses holds the first settings of an instance with two classes. More settings can be
-	// appended.
+	// twoClasses holds the settings of an instance with two classes. It ends with a space, so that
+	// a test case can append further settings.
 	twoClasses = "classes.count=2 classes.0.name=a classes.1.name=b "
 )
 
@@ -134,8 +134,8 @@
 	golden.Compare(t, "errors.txt", []byte(text.String()))
 }
 
-// distinctPart returns an input on one line, without the lines that all results of invalidLine
-// share.
+// distinctPart returns an input as a single line for the golden file. It omits the lines of
+// runningInstance and the last line of the batch, which many inputs share.
 func distinctPart(input string) string {
 	input = strings.TrimPrefix(input, runningInstance)
 	return strings.ReplaceAll(strings.TrimSuffix(input, "\nEND\n"), "\n", `\n`)
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -21,8 +21,8 @@
 	"not_stored":      routing.NotCached,
 }
 
-// readEvent parses the current line as the event with the given message name. It returns a nil
-// event for messages that no routing decision uses; their lines must be valid too.
+// readEvent parses the current line as the event with the given message name. If no routing decision
+// uses the message, readEvent only validates the line and returns a nil event.
 func (r *Reader) readEvent(name string) (routing.Event, error) {
 	fields := &r.fields
 	var event routing.Event
@@ -51,8 +51,8 @@
 	return event, fields.end()
 }
 
-// endpointUpdate reads an update of the endpoint list. The update refers to its servers by the
-// number of a server list that was read earlier.
+// endpointUpdate reads an update of the endpoint list. The line of an update contains no servers. It
+// contains the number of a server list that was read earlier.
 func (r *Reader) endpointUpdate() routing.EndpointUpdate {
 	fields := &r.fields
 	form := updateForm(fields.unsigned("form", uint64(formFailed)))
@@ -63,7 +63,7 @@
 	}
 	servers, known := r.serverLists[fields.unsigned("roster_id", maxServerList)]
 	if !known {
-		fields.failf("roster_id", "no earlier CATALOG has this number")
+		fields.failf("roster_id", "no earlier CATALOG defines a server list with this number")
 	}
 	return routing.EndpointUpdate{Snapshot: form != formDelta, Servers: servers}
 }
@@ -99,7 +99,7 @@
 }
 
 // outcome reads the line that reports the end of an attempt. loadFields are the names of the values
-// in its load report.
+// in the load report on that line.
 func (f *fieldReader) outcome(loadFields []string) routing.Outcome {
 	return routing.Outcome{
 		ID:          f.requestID(),
@@ -132,7 +132,7 @@
 }
 
 // skipProbeResult validates the line that reports the result of a probe. loadFields are the names
-// of the values in its load report.
+// of the values in the load report on that line.
 func (f *fieldReader) skipProbeResult(loadFields []string) {
 	f.duration("cost_time_us")
 	f.result()
@@ -156,9 +156,9 @@
 	return result
 }
 
-// loadReport reads the load of a server. The values are in the order of names. A value that was
-// not reported is NaN.
-func (f *fieldReader) loadReport(names []string) routing.LoadReport {
+// loadReport reads the load report of a server. loadFields are the names of the reported values, in
+// the order of the values. A value that was not reported is NaN.
+func (f *fieldReader) loadReport(loadFields []string) routing.LoadReport {
 	const field = "pressure"
 	report := routing.LoadReport{
 		Inflight:        math.NaN(),
@@ -171,8 +171,8 @@
 		return report
 	}
 	values := strings.Split(text, ",")
-	if len(values) != len(names) {
-		f.failf(field, "got %d values, expected %d", len(values), len(names))
+	if len(values) != len(loadFields) {
+		f.failf(field, "got %d values in the load report, expected %d", len(values), len(loadFields))
 		return report
 	}
 	for i, value := range values {
@@ -184,14 +184,15 @@
 			f.failf(field, "expected a finite number, got %q", value)
 			return report
 		}
-		setLoad(&report, names[i], number)
+		setLoad(&report, loadFields[i], number)
 	}
 	return report
 }
 
-// setLoad sets the field of a load report that the protocol calls name. Other names are ignored.
-func setLoad(report *routing.LoadReport, name string, value float64) {
-	switch name {
+// setLoad sets one value of a load report. loadField is the protocol's name of the value. Values
+// that the router does not use are ignored.
+func setLoad(report *routing.LoadReport, loadField string, value float64) {
+	switch loadField {
 	case loadInflight:
 		report.Inflight = value
 	case loadCPUUtilization:
--- a/internal/simproto/fields.go
+++ b/internal/simproto/fields.go
@@ -13,11 +13,11 @@
 // objectDigits is the number of hexadecimal digits in an object ID.
 const objectDigits = 16
 
-// noObject marks an absent object in the protocol, as absentValue does.
+// noObject is an object ID in the protocol that means "no object". An absentValue means the same.
 const noObject = "0"
 
-// fieldReader reads the values of one line in order. It keeps the first error until end returns
-// it; values that are read after an error must not be used.
+// fieldReader reads the values of one line in order. It keeps the first error, which the method end
+// returns. Values that were read after an error must not be used.
 type fieldReader struct {
 	line    int    // line number, for errors
 	rest    string // unread part of the line
@@ -25,17 +25,17 @@
 	err     *ParseError
 }
 
-// failf records an error about a field, unless an error was recorded before.
+// failf records an error about a field. If an earlier error is recorded, failf does nothing.
 func (f *fieldReader) failf(field, format string, values ...any) {
 	if f.err == nil {
 		f.err = &ParseError{Line: f.line, Field: field, Reason: fmt.Sprintf(format, values...)}
 	}
 }
 
-// end returns the first error of the line. Unread values at the end of the line are an error too.
+// end returns the first error of the line. If the line has unread values, that is also an error.
 func (f *fieldReader) end() error {
 	if f.hasMore {
-		f.failf("end of line", "too many values")
+		f.failf("end of line", "expected no more values, got %q", f.rest)
 	}
 	if f.err != nil {
 		return f.err
@@ -46,13 +46,13 @@
 // next returns the next value as text. It records an error if the value is missing or empty.
 func (f *fieldReader) next(field string) string {
 	if !f.hasMore {
-		f.failf(field, "missing")
+		f.failf(field, "expected a value, got the end of the line")
 		return absentValue
 	}
 	var value string
 	value, f.rest, f.hasMore = strings.Cut(f.rest, " ")
 	if value == "" {
-		f.failf(field, "empty")
+		f.failf(field, "expected a value or %q, got an empty string", absentValue)
 	}
 	return value
 }
@@ -65,7 +65,7 @@
 	}
 	number, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || number > limit {
-		f.failf(field, "%q is not a whole number up to %d", text, limit)
+		f.failf(field, "expected a whole number from 0 to %[2]d, got %[1]q", text, limit)
 		return 0
 	}
 	return number
@@ -113,12 +113,12 @@
 	}
 	number, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != objectDigits {
-		f.failf(field, "%q does not consist of %d hexadecimal digits", text, objectDigits)
+		f.failf(field, "expected an object ID of %[2]d hexadecimal digits, got %[1]q", text, objectDigits)
 	}
 	return routing.ObjectID(number)
 }
 
-// parseNonNegative parses a finite non-negative number. It returns 0 with an error.
+// parseNonNegative parses a finite non-negative number. If it returns an error, the number is 0.
 func parseNonNegative(text string) (float64, error) {
 	number, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(number) || math.IsInf(number, 0) || number < 0 {
--- a/internal/simproto/protocol.go
+++ b/internal/simproto/protocol.go
@@ -45,7 +45,7 @@
 	maxRequestID    = 1<<52 - 1
 	maxServerID     = 1<<32 - 1
 	maxTimerToken   = 1 << 63
-	maxServerList   = 15                   // number of a server list
+	maxServerList   = 15                   // largest number that identifies a server list
 	maxIndex        = 1 << 31              // list indexes, instance numbers, counts and bit sets
 	maxMicroseconds = math.MaxInt64 / 1000 // largest number of microseconds in a time.Duration
 )
@@ -57,15 +57,15 @@
 const (
 	formSnapshot       updateForm = iota
 	formDelta                     // only the entries that changed
-	formCachedSnapshot            // the whole list as the instance last received it
+	formCachedSnapshot            // the whole list as the instance received it last
 	formFailed                    // the subscription failed; the update has no list
 )
 
 // requestOptionClientRetry is the bit in a request's options that marks a retry by the client.
 const requestOptionClientRetry = 2
 
-// Bits of an attempt's flags. The protocol also defines the bit with the value 4, which keeps no
-// copy at the parent; this package never sets it.
+// Bits of an attempt's flags. The protocol also defines a bit with the value 4, which tells the
+// parent not to keep a copy. This package never sets that bit.
 const (
 	flagJoinFill     = 1
 	flagOnlyIfCached = 2
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -22,10 +22,10 @@
 	input    *bufio.Reader
 	line     int         // number of the current line, starting at 1
 	fields   fieldReader // values of the current line
-	instance int         // instance of the following messages, or noInstance
+	instance int         // instance that the last SELECT names, or noInstance
 
-	// serverLists holds server lists by number. They outlive their batch, because updates in
-	// later batches may refer to them.
+	// serverLists holds the server lists by number. A list is kept after the end of its batch,
+	// because updates in later batches may refer to it.
 	serverLists map[uint64][]routing.Server
 	// loadFields holds the names of the values in a load report, by instance.
 	loadFields map[int][]string
@@ -73,7 +73,7 @@
 		return err
 	}
 	if name != messageBatchStart {
-		return r.errorf("expected TURN, got %q", name)
+		return r.errorf("expected TURN at the start of a batch, got %q", name)
 	}
 	batch.Now = r.fields.duration("clock_us")
 	return r.fields.end()
@@ -97,8 +97,9 @@
 	return name, nil
 }
 
-// incompleteLine returns the error for a line that was not read to its end: text is the part that
-// was read, err the error of the read. The result is io.EOF if the input ends between two lines.
+// incompleteLine returns the error to report for a line whose end could not be read. text is the
+// part of the line that was read, and err is the error of the read. The result is io.EOF if the
+// input ends between two lines.
 func (r *Reader) incompleteLine(text string, err error) error {
 	if !errors.Is(err, io.EOF) {
 		return fmt.Errorf("read input: %w", err)
@@ -111,7 +112,7 @@
 }
 
 // readMessage parses the current line as the message with the given name. It appends the message to
-// the batch if it concerns an instance and is used by routing decisions.
+// the batch if the message is addressed to an instance and routing decisions use it.
 func (r *Reader) readMessage(name string, batch *Batch) error {
 	switch name {
 	case messageSelectInstance:
@@ -121,7 +122,7 @@
 		return r.readServerList()
 	}
 	if r.instance == noInstance {
-		return r.errorf("message %q is unknown or precedes the first SELECT of its batch", name)
+		return r.errorf("expected SELECT, CATALOG or END because the batch has not selected an instance, got %q", name)
 	}
 	switch name {
 	case messageInstanceStart:
@@ -140,7 +141,8 @@
 	return nil
 }
 
-// readInstanceStart reads the seed and the settings of an instance that starts.
+// readInstanceStart reads the seed and the settings of an instance that starts, and appends the
+// message to the batch.
 func (r *Reader) readInstanceStart(batch *Batch) error {
 	message := Message{Instance: r.instance, Kind: InstanceStart}
 	message.Seed = r.fields.unsigned("random_seed", math.MaxUint64)
@@ -167,7 +169,7 @@
 			return err
 		}
 		if name != messageServer {
-			return r.errorf("expected ITEM, got %q", name)
+			return r.errorf("expected ITEM for each of %d servers, got %q", count, name)
 		}
 		server, err := r.fields.server()
 		if err != nil {
--- a/internal/simproto/reader_test.go
+++ b/internal/simproto/reader_test.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// withoutNaN replaces NaN, the number of requests in flight in a load report that lacks it, by -1,
-// because NaN does not equal itself.
+// withoutNaN makes an event comparable. In a load report without the number of requests in flight,
+// that number is NaN, which does not equal itself. withoutNaN replaces it by -1.
 func withoutNaN(event routing.Event) routing.Event {
 	outcome, ok := event.(routing.Outcome)
 	if !ok || !math.IsNaN(outcome.Load.Inflight) {
@@ -116,7 +116,8 @@
 	return outcome
 }
 
-// A router handles only events that its decisions use, so the Reader must not return the others.
+// The Reader must not return events that no routing decision uses, because a router cannot handle
+// them.
 func TestReaderSkipsUnusedEvents(t *testing.T) {
 	for _, line := range []string{
 		"FIRST_BYTE 5 300 51530247 1",
@@ -125,7 +126,7 @@
 	} {
 		messages, err := readAll(batchOf(startLines + line + "\n"))
 		if err != nil || len(messages) != 1 {
-			t.Errorf("%s: got messages %v, error %v; want only the start", line, messages, err)
+			t.Errorf("%s: got messages %v, error %v; want only the start message", line, messages, err)
 		}
 	}
 }
@@ -174,7 +175,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			_, err := readAll(test.input)
 			if err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Fatalf("got error %v, want one that contains %q", err, test.want)
+				t.Fatalf("got error %v, want an error that contains %q", err, test.want)
 			}
 			var parseError *ParseError
 			if !errors.As(err, &parseError) {
--- a/internal/simproto/setting_reader.go
+++ b/internal/simproto/setting_reader.go
@@ -14,7 +14,8 @@
 	fields *fieldReader
 }
 
-// value returns the value at a path, and whether it is present.
+// value returns the value at a path, and whether it is present. An empty value and absentValue count
+// as absent.
 func (s settingReader) value(path string) (value string, present bool) {
 	value = s.values[path]
 	return value, value != "" && value != absentValue
@@ -37,7 +38,7 @@
 	}
 	index := slices.Index(names, value)
 	if index < 0 {
-		s.fields.failf(path, "unknown value %q", value)
+		s.fields.failf(path, "unknown value %q, expected one of %q", value, names)
 		return 0
 	}
 	return index
@@ -80,8 +81,8 @@
 	return present && s.parseBoolean(path, value)
 }
 
-// parseInteger parses an integer of at least -1. The value -1 means that there is no such
-// kind.
+// parseInteger parses an integer of at least -1. In a setting that names a server kind, -1 means
+// that there are no servers of this kind.
 func (s settingReader) parseInteger(path, value string) int {
 	number, err := strconv.ParseInt(value, 10, 32)
 	if err != nil || number < -1 {
@@ -91,17 +92,17 @@
 	return int(number)
 }
 
-// parseDuration parses a duration in whole microseconds.
+// parseDuration parses a duration in whole microseconds, from 0 to maxMicroseconds.
 func (s settingReader) parseDuration(path, value string) time.Duration {
 	number, err := strconv.ParseUint(value, 10, 64)
 	if err != nil || number > maxMicroseconds {
-		s.fields.failf(path, "expected a duration in whole microseconds, got %q", value)
+		s.fields.failf(path, "expected a duration from 0 to %d whole microseconds, got %q", uint64(maxMicroseconds), value)
 		return 0
 	}
 	return time.Duration(number) * time.Microsecond
 }
 
-// parseBoolean parses a boolean, written as a word or as a digit.
+// parseBoolean parses a boolean, written as true, false, 1 or 0.
 func (s settingReader) parseBoolean(path, value string) bool {
 	switch value {
 	case "true", "1":
--- a/internal/simproto/settings.go
+++ b/internal/simproto/settings.go
@@ -33,9 +33,10 @@
 	discoveryOnRequest  = "on_request"
 )
 
-// ParseSettings parses settings given by their paths in the simulator's protocol. It also returns
-// the names of the values in a load report, in the order of the values. Unknown paths are ignored,
-// and an absent or empty setting has its default. The text of an error begins with the path.
+// ParseSettings parses settings. The keys of values are the paths of settings in the simulator's
+// protocol. ParseSettings also returns the names of the values in a load report, in the order of the
+// values. Unknown paths are ignored, and an absent or empty setting has its default. The text of an
+// error begins with the path.
 func ParseSettings(values map[string]string) (routing.Settings, []string, error) {
 	var fields fieldReader
 	settings, loadFields := settingReader{values: values, fields: &fields}.settings()
--- a/internal/simproto/settings_test.go
+++ b/internal/simproto/settings_test.go
@@ -21,7 +21,7 @@
 func TestSettingsOfStartedInstance(t *testing.T) {
 	settings := readSettings(t, startLines)
 	if settings.Zones != 2 || settings.Zone != 1 {
-		t.Errorf("got zone %d of %d, want 1 of 2", settings.Zone, settings.Zones)
+		t.Errorf("got zone %d of %d zones, want zone 1 of 2", settings.Zone, settings.Zones)
 	}
 	if settings.ParentKind != 1 || settings.OriginKind != 2 {
 		t.Errorf("got kinds %d of parents and %d of the origin, want 1 and 2", settings.ParentKind, settings.OriginKind)
@@ -63,12 +63,12 @@
 	}
 }
 
-// With two invalid settings the reported error must always be the same. Checks in the iteration
-// order of a map would report either of them.
+// If two settings are invalid, the same one must be reported every time. Without a fixed order of
+// the checks, such as with iteration over a map, the reported setting would change from run to run.
 func TestFirstContradictionIsReported(t *testing.T) {
 	for range 20 {
 		_, _, err := ParseSettings(map[string]string{pathParentInitial: "2", pathCacheInitial: "3"})
-		want := "rules.cold_from: expected a fraction of a server's capacity of at most 1, got 3"
+		want := "rules.cold_from: expected a fraction of a server's capacity from 0 to 1, got 3"
 		if err == nil || err.Error() != want {
 			t.Fatalf("got error %v, want %s", err, want)
 		}
@@ -78,6 +78,6 @@
 func TestParseSettingsReturnsLoadReportFields(t *testing.T) {
 	_, loadFields, err := ParseSettings(map[string]string{"telemetry.fields": "active,x1"})
 	if err != nil || len(loadFields) != 2 || loadFields[0] != "active" || loadFields[1] != "x1" {
-		t.Errorf("got fields %q, error %v; want active and x1", loadFields, err)
+		t.Errorf("got load report fields %q, error %v; want active and x1", loadFields, err)
 	}
 }
--- a/internal/simproto/writer.go
+++ b/internal/simproto/writer.go
@@ -19,8 +19,8 @@
 }
 
 // AppendAction appends the line of one action to a reply. The caller appends the line of the
-// action's instance first. AppendAction panics on an unknown type of action, because the protocol
-// has a line for every type that package routing defines.
+// action's instance first. The protocol has a line for every type of action that package routing
+// defines. AppendAction panics on any other type, because it can only come from a programming error.
 func AppendAction(dst []byte, action routing.Action) []byte {
 	switch action := action.(type) {
 	case routing.SendAttempt:
@@ -40,8 +40,8 @@
 	}
 }
 
-// appendSendAttempt appends the line of an attempt. In the protocol, as in routing.SendAttempt, a
-// deadline or maximum age of 0 means that there is none.
+// appendSendAttempt appends the line of an attempt. A deadline of 0 means that there is no deadline,
+// and a maximum age of 0 means that there is no maximum age, as in routing.SendAttempt.
 func appendSendAttempt(dst []byte, attempt routing.SendAttempt) []byte {
 	return appendLine(dst, replySendAttempt,
 		int64(attempt.ID),
