--- a/internal/atomicfile/atomicfile.go
+++ b/internal/atomicfile/atomicfile.go
@@ -5,8 +5,8 @@
 import "os"
 
 const (
-	// temporarySuffix is appended to a path for the file with the new content, which is renamed to
-	// the path once it is written.
+	// temporarySuffix is appended to the path of a state file to form the path of a temporary file.
+	// Replace writes the new content to the temporary file and then renames it to the state file.
 	temporarySuffix = ".new"
 	// ownerOnly is the mode of state files, which other users must not read.
 	ownerOnly = 0o600
--- a/internal/atomicfile/atomicfile_test.go
+++ b/internal/atomicfile/atomicfile_test.go
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	if err := Replace(path, []byte("lost")); err == nil {
-		t.Error("got no error, though the temporary file cannot be written")
+		t.Error("got no error, want an error because the temporary file cannot be written")
 	}
 	if got, err := os.ReadFile(path); err != nil || string(got) != "kept" {
 		t.Errorf("got content %q and error %v after a failed Replace, want the old content", got, err)
--- a/internal/bodies/allocator.go
+++ b/internal/bodies/allocator.go
@@ -1,10 +1,10 @@
 // Package bodies decides which request bodies are retained, in memory or on disk, so that another
-// attempt can send them again. No other package uses it yet. It does no I/O and has no clock; the
-// caller passes times as Unix milliseconds.
+// attempt can send them again. No other package uses package bodies yet. The package does no I/O and
+// has no clock. The caller passes times as Unix milliseconds.
 //
 // A body that is not retained completely from its first byte on can be sent only once. The
 // decisions of this package therefore determine which requests can be retried (see
-// Body.Repeatable), and they are made before the first byte is sent.
+// Body.Repeatable). The first decision about a body is made before its first byte is sent.
 package bodies
 
 import "fmt"
@@ -43,8 +43,8 @@
 	return allocator, allocator.UpdateBudget(budget)
 }
 
-// UpdateBudget replaces the budget. Bodies that no longer fit into it keep their location until
-// they grow. UpdateBudget returns an error and changes nothing if a limit is negative.
+// UpdateBudget replaces the budget. Bodies that no longer fit into the new budget keep their location
+// until they grow. UpdateBudget returns an error and changes nothing if a limit is negative.
 func (a *Allocator) UpdateBudget(budget Budget) error {
 	if err := budget.validate(); err != nil {
 		return fmt.Errorf("bodies: %w", err)
@@ -57,9 +57,9 @@
 }
 
 // Admit decides about a body before any of its bytes has been received. class is an index into the
-// classes given to New, size the announced size in bytes, or -1 if the size is unknown. The action
-// is Continue or Reject. With Reject the returned body is nil: the owner need not read any of it and
-// has nothing to close.
+// classes given to New. size is the announced size in bytes, or -1 if the size is unknown. The action
+// is Continue or Reject. If it is Reject, the returned body is nil, and the owner need not receive or
+// close the body.
 func (a *Allocator) Admit(now float64, class int, size int64) (*Body, Action) {
 	if size > a.classes[class].MaxBytes {
 		a.Counts.Rejected++
@@ -73,8 +73,8 @@
 	return body, Continue
 }
 
-// allocate reserves size bytes for a body without a reservation, in memory or else on disk. If
-// neither has the capacity, the body is not retained.
+// allocate reserves size bytes for a body that has no reservation yet: in memory if possible,
+// otherwise on disk. If neither is possible, the body is not retained.
 func (a *Allocator) allocate(now float64, body *Body, size int64) {
 	class := &a.classes[body.class]
 	switch {
@@ -87,8 +87,9 @@
 	}
 }
 
-// reserveOnDisk reserves one more body on disk, size bytes of disk, and the writing of these bytes.
-// It reports false and reserves nothing if a quota or the write rate does not allow it.
+// reserveOnDisk reserves disk capacity for one more body of size bytes. The write rate must allow
+// these bytes as well. If a quota or the write rate does not allow them, reserveOnDisk reserves
+// nothing and returns false.
 func (a *Allocator) reserveOnDisk(now float64, class int, size int64) bool {
 	if !a.diskBodies.reserve(class, 1) {
 		return false
@@ -100,26 +101,27 @@
 	return true
 }
 
-// growOnDisk reserves more bytes of disk for a body, and the writing of these bytes. It reports
-// false and reserves nothing if the quota or the write rate does not allow it.
-func (a *Allocator) growOnDisk(now float64, class int, more int64) bool {
-	if !a.disk.reserve(class, more) {
+// growOnDisk reserves disk capacity for a number of bytes that are added to a body. The write rate
+// must allow these bytes as well. If the quota or the write rate does not allow them, growOnDisk
+// reserves nothing and returns false.
+func (a *Allocator) growOnDisk(now float64, class int, addedBytes int64) bool {
+	if !a.disk.reserve(class, addedBytes) {
 		return false
 	}
-	if !a.diskWrites.allow(now, float64(more)) {
-		a.disk.release(class, more)
+	if !a.diskWrites.allow(now, float64(addedBytes)) {
+		a.disk.release(class, addedBytes)
 		return false
 	}
 	return true
 }
 
-// Grow accounts for more bytes that were received of a body and returns the action that the owner
-// must take. The owner calls it before it stores these bytes.
-func (a *Allocator) Grow(now float64, body *Body, more int64) Action {
-	if body.closed || more <= 0 {
+// Grow records that addedBytes further bytes of a body were received, and returns the action that
+// the owner must take. The owner calls Grow before it stores these bytes.
+func (a *Allocator) Grow(now float64, body *Body, addedBytes int64) Action {
+	if body.closed || addedBytes <= 0 {
 		return Continue
 	}
-	size := body.Received + more
+	size := body.Received + addedBytes
 	if size > a.classes[body.class].MaxBytes {
 		return a.endTooLong(body)
 	}
@@ -130,7 +132,8 @@
 	return a.grow(now, body, size)
 }
 
-// endTooLong ends a body that exceeds the MaxBytes of its class.
+// endTooLong ends a body that exceeds the MaxBytes of its class. It returns Abort if part of the body
+// has been sent, and Reject otherwise.
 func (a *Allocator) endTooLong(body *Body) Action {
 	a.release(body)
 	if body.FirstByteSent {
@@ -145,12 +148,12 @@
 // capacity, and stops retaining the body if disk has none either.
 func (a *Allocator) grow(now float64, body *Body, size int64) Action {
 	class := &a.classes[body.class]
-	more := size - body.reserved
+	addedBytes := size - body.reserved
 	switch {
-	case body.Location == InMemory && size <= class.MaxMemoryBytes && a.memory.reserve(body.class, more):
+	case body.Location == InMemory && size <= class.MaxMemoryBytes && a.memory.reserve(body.class, addedBytes):
 		body.reserved = size
 		return Continue
-	case body.Location == OnDisk && size <= class.MaxDiskBytes && a.growOnDisk(now, body.class, more):
+	case body.Location == OnDisk && size <= class.MaxDiskBytes && a.growOnDisk(now, body.class, addedBytes):
 		body.reserved = size
 		return Continue
 	case body.Location == InMemory && size <= class.MaxDiskBytes && a.reserveOnDisk(now, body.class, size):
@@ -189,9 +192,9 @@
 	body.closed = true
 }
 
-// release releases the reservation of a body and marks the body as not retained. Apart from grow,
-// which releases the memory of a body that it moves to disk, only release frees the reservation of
-// an admitted body.
+// release releases the reservation of a body and marks the body as not retained. Every reservation of
+// an admitted body is released here, with one exception: grow releases the memory of a body that it
+// moves to disk.
 func (a *Allocator) release(body *Body) {
 	switch body.Location {
 	case InMemory:
@@ -205,7 +208,7 @@
 	body.reserved = 0
 }
 
-// Usage returns the capacity that is reserved of each budget.
+// Usage returns how much of each limit of the budget is reserved.
 func (a *Allocator) Usage() Usage {
 	return Usage{
 		MemoryBytes: a.memory.usedByAll(),
--- a/internal/bodies/allocator_test.go
+++ b/internal/bodies/allocator_test.go
@@ -67,9 +67,9 @@
 	}
 }
 
-// replay applies the steps to a new body and returns its final state. It checks after each step that
-// a body that was sent without being retained is not repeatable, and at the end that a closed or
-// not retained body has no reservation.
+// replay applies the steps to a new body and returns its final state. After each step it checks that
+// the body is not repeatable if bytes of it were sent and not retained. After the last step it checks
+// that a body that is closed or not retained has no reservation.
 func (s *stateSearch) replay(announced int64, steps []int) bodyState {
 	s.t.Helper()
 	const now = 1000.0
@@ -79,7 +79,7 @@
 	if body == nil {
 		s.t.Fatalf("%d bytes announced: got action %v, want an admitted body", announced, action)
 	}
-	sentUnretained := false // the first byte was sent, and the body was not retained then or later
+	sentUnretained := false // the first byte was sent, and after this or a later step the body was not retained
 	for _, step := range steps {
 		switch step {
 		case stepGrowByOne, stepGrowByTwo:
@@ -105,8 +105,8 @@
 	return bodyState{body.Location, body.Received, body.reserved, body.FirstByteSent, body.closed}
 }
 
-// In no reachable state of a small body can the body be sent again after it was sent without being
-// retained, and no state leaks a reservation.
+// Visits every reachable state of a small body. After bytes of the body were sent and not retained,
+// the body must not be repeatable. A body that is closed or not retained must not have a reservation.
 func TestReachableStatesOfOneBody(t *testing.T) {
 	const wantStates = 54
 	search := &stateSearch{t: t, seen: map[bodyState]bool{}}
@@ -118,8 +118,9 @@
 	}
 }
 
-// When all classes want to borrow, the class with the highest priority weight gets the largest part
-// even if other classes come first, and the guaranteed capacity of each class stays free for it.
+// When all classes try to borrow, the class with the highest priority weight gets the largest part,
+// even if other classes borrow first. The guaranteed capacity of each class stays reserved for that
+// class.
 func TestHighestPriorityWeightBorrowsMost(t *testing.T) {
 	const (
 		total              = 1000
@@ -132,7 +133,7 @@
 		allocator.Admit(0, uploadClass, 20)
 	}
 	if got := allocator.Usage().MemoryBytes; got == 0 || got > total-guaranteed {
-		t.Errorf("uploads use %d of %d bytes, want more than 0 and at least %d left", got, total, guaranteed)
+		t.Errorf("uploads use %d of %d bytes, want more than 0 used and at least %d unused", got, total, guaranteed)
 	}
 	for range 100 {
 		allocator.Admit(0, solutionClass, 40)
--- a/internal/bodies/body.go
+++ b/internal/bodies/body.go
@@ -18,9 +18,10 @@
 // Action is what the owner of a body must do after a decision.
 type Action uint8
 
-// The actions. Reject and Abort end the request without another attempt. After StopRetaining the
-// received bytes go into the attempt in flight. If nothing has been sent yet, they go into the next
-// attempt, which is the last one. If an attempt has already ended, there is no other attempt.
+// The actions. Reject and Abort end the request without another attempt. After StopRetaining, the
+// owner sends the received bytes in the attempt in flight. If no byte of the body has been sent yet,
+// the owner sends them in the next attempt, which is the last one. If an attempt has sent part of the
+// body and ended, the owner makes no other attempt.
 const (
 	Continue      Action = iota // the body stays where it is
 	MoveToDisk                  // move the received bytes to disk and store the following ones there
@@ -50,13 +51,14 @@
 }
 
 // Repeatable reports whether another attempt can send the body: either the body is retained from
-// its first byte on, or none of it has been sent. The end of the body may not have been received
-// yet. Repeatable does not check whether the class allows a retry, or until when.
+// its first byte on, or none of it has been sent. The result can be true before the whole body has
+// been received. It is false for a closed body. Repeatable does not check whether, or for how long,
+// the class allows a retry.
 func (b *Body) Repeatable() bool {
 	return !b.closed && (b.Location != NotRetained || !b.FirstByteSent)
 }
 
-// Counts holds the numbers of bodies by decision since the Allocator was created.
+// Counts holds, for each decision, the number of bodies since the Allocator was created.
 type Counts struct {
 	InMemory         int64 // admitted and first located in memory
 	OnDisk           int64 // admitted and first located on disk
--- a/internal/bodies/budget.go
+++ b/internal/bodies/budget.go
@@ -11,44 +11,46 @@
 	MemoryBytes        int64
 	DiskBytes          int64
 	DiskBodies         int64   // number of bodies on disk
-	DiskBytesPerSecond float64 // limit of the write rate; with 0 nothing may be written
+	DiskBytesPerSecond float64 // limit of the write rate; 0 means that nothing may be written to disk
 }
 
 func (b Budget) validate() error {
 	if b.MemoryBytes >= 0 && b.DiskBytes >= 0 && b.DiskBodies >= 0 && b.DiskBytesPerSecond >= 0 {
 		return nil
 	}
-	return fmt.Errorf("budget: {Memory:%d Disk:%d Files:%d Write:%v}: expected no negative number",
+	return fmt.Errorf("budget: expected limits of at least 0, got MemoryBytes %d, DiskBytes %d, DiskBodies %d, DiskBytesPerSecond %v",
 		b.MemoryBytes, b.DiskBytes, b.DiskBodies, b.DiskBytesPerSecond)
 }
 
-// Class is the policy for the bodies of one class. A body is retained in memory up to
-// MaxMemoryBytes, on disk up to MaxDiskBytes, passed through up to MaxBytes, and rejected beyond
-// that.
+// Class is the policy for the bodies of one class. A body of up to MaxMemoryBytes is retained in
+// memory, and a larger body of up to MaxDiskBytes on disk. A still larger body of up to MaxBytes is
+// passed through. A body of more than MaxBytes is rejected.
 type Class struct {
 	Name           string
 	MaxMemoryBytes int64
 	MaxDiskBytes   int64
 	MaxBytes       int64
-	// PriorityWeight decides which class may borrow more when a budget is short.
+	// PriorityWeight is a finite number above 0. When a budget is short, a class with a higher weight
+	// may borrow more.
 	PriorityWeight float64
-	// GuaranteedFraction is the fraction, 0 to 1, of each budget that other classes cannot use.
+	// GuaranteedFraction is the fraction of each budget, from 0 to 1, that other classes cannot use.
 	GuaranteedFraction float64
 }
 
-// fractionRounding is how much the sum of all guaranteed fractions may exceed 1, because sums of
-// decimal fractions are not exact in floating point.
+// fractionRounding is the amount by which the sum of all guaranteed fractions may exceed 1. It is
+// needed because sums of decimal fractions are not exact in floating point.
 const fractionRounding = 1e-9
 
-// validateClasses returns an error if the classes cannot share a budget. The error names the class
-// and, where one value is invalid, the field by its name in the operators' settings.
+// validateClasses returns an error if the classes cannot share a budget. The error names the class.
+// If a field of the class is invalid, the error also contains the field's name in the operators'
+// settings.
 func validateClasses(classes []Class) error {
 	guaranteed := 0.0
 	seen := map[string]bool{}
 	for i := range classes {
 		class := &classes[i]
 		if class.Name == "" || seen[class.Name] {
-			return fmt.Errorf("class %q: expected a unique and non-empty name", class.Name)
+			return fmt.Errorf("classes[%d]: expected a unique and non-empty name, got %q", i, class.Name)
 		}
 		if err := class.validate(); err != nil {
 			return fmt.Errorf("class %q: %w", class.Name, err)
@@ -57,7 +59,7 @@
 		guaranteed += class.GuaranteedFraction
 	}
 	if guaranteed > 1+fractionRounding {
-		return errors.New("guarantee: expected a sum of at most 1 over all classes")
+		return errors.New("guarantee: expected the guarantees of all classes to add up to at most 1")
 	}
 	return nil
 }
@@ -68,7 +70,7 @@
 	validGuarantee := c.GuaranteedFraction >= 0 && c.GuaranteedFraction <= 1
 	switch {
 	case !validSizes:
-		return errors.New("most: expected at least 0 and no less than memory and disk")
+		return errors.New("memory, disk, most: expected memory and disk from 0 to most")
 	case !validWeight:
 		return errors.New("worth: expected a finite number above 0")
 	case !validGuarantee:
--- a/internal/bodies/budget_test.go
+++ b/internal/bodies/budget_test.go
@@ -12,15 +12,15 @@
 		classes []Class
 		want    string
 	}{
-		{"size", []Class{{Name: "a", PriorityWeight: 1, MaxMemoryBytes: 9}}, `bodies: class "a": most: expected at least 0 and no less than memory and disk`},
+		{"size", []Class{{Name: "a", PriorityWeight: 1, MaxMemoryBytes: 9}}, `bodies: class "a": memory, disk, most: expected memory and disk from 0 to most`},
 		{"no weight", []Class{{Name: "a"}}, `bodies: class "a": worth: expected a finite number above 0`},
 		{"infinite weight", []Class{{Name: "a", PriorityWeight: math.Inf(1)}}, `bodies: class "a": worth: expected a finite number above 0`},
 		{"guarantee", []Class{{Name: "a", PriorityWeight: 1, GuaranteedFraction: math.NaN()}}, `bodies: class "a": guarantee: expected a number from 0 to 1`},
 		{"guarantees together", []Class{
 			{Name: "a", PriorityWeight: 1, GuaranteedFraction: 0.6},
 			{Name: "b", PriorityWeight: 1, GuaranteedFraction: 0.6},
-		}, "bodies: guarantee: expected a sum of at most 1 over all classes"},
-		{"name twice", []Class{{Name: "a", PriorityWeight: 1}, {Name: "a", PriorityWeight: 1}}, `bodies: class "a": expected a unique and non-empty name`},
+		}, "bodies: guarantee: expected the guarantees of all classes to add up to at most 1"},
+		{"name twice", []Class{{Name: "a", PriorityWeight: 1}, {Name: "a", PriorityWeight: 1}}, `bodies: classes[1]: expected a unique and non-empty name, got "a"`},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -33,7 +33,7 @@
 
 // UpdateBudget rejects a negative limit and keeps the previous budget.
 func TestInvalidBudget(t *testing.T) {
-	const want = "bodies: budget: {Memory:5 Disk:6 Files:-1 Write:2.5}: expected no negative number"
+	const want = "bodies: budget: expected limits of at least 0, got MemoryBytes 5, DiskBytes 6, DiskBodies -1, DiskBytesPerSecond 2.5"
 	allocator := newAllocator(t, Budget{MemoryBytes: 100}, testClasses())
 	err := allocator.UpdateBudget(Budget{MemoryBytes: 5, DiskBytes: 6, DiskBodies: -1, DiskBytesPerSecond: 2.5})
 	if err == nil || err.Error() != want {
--- a/internal/bodies/fuzz_test.go
+++ b/internal/bodies/fuzz_test.go
@@ -10,27 +10,30 @@
 
 // allocatorModel tracks the bodies of an allocator and checks the invariants of its accounting.
 type allocatorModel struct {
-	t         *testing.T
-	allocator *Allocator
-	budget    Budget
-	now       float64 // ms
-	bodies    []*Body // closed ones included
-	sentOnce  map[*Body]bool
+	t            *testing.T
+	allocator    *Allocator
+	budget       Budget
+	now          float64        // ms
+	bodies       []*Body        // all admitted bodies, including closed bodies
+	unrepeatable map[*Body]bool // bodies that were not repeatable after a step
 }
 
-// FuzzAllocatorAccounting applies random steps, some of which shrink the budget, and checks that
-// the reserved capacity is the sum of what open bodies hold, that new reservations do not exceed a
-// budget, that each class gets its guarantee whatever other classes use, that a body that is not
-// repeatable never becomes repeatable, and that nothing is reserved after all bodies are closed.
+// FuzzAllocatorAccounting applies random steps, some of which shrink the budget. It checks these
+// invariants:
+//   - The reserved capacity is the sum of the reservations of all open bodies.
+//   - New reservations do not exceed a budget.
+//   - Each class gets its guarantee, no matter how much other classes use.
+//   - A body that is not repeatable never becomes repeatable.
+//   - Nothing is reserved after all bodies are closed.
 func FuzzAllocatorAccounting(f *testing.F) {
 	fuzzutil.AddRandomSeeds(f, 24, 800)
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		budget := Budget{MemoryBytes: 100, DiskBytes: 300, DiskBodies: 3, DiskBytesPerSecond: 200}
 		model := &allocatorModel{
-			t:         t,
-			allocator: newAllocator(t, budget, testClasses()),
-			budget:    budget,
-			sentOnce:  map[*Body]bool{},
+			t:            t,
+			allocator:    newAllocator(t, budget, testClasses()),
+			budget:       budget,
+			unrepeatable: map[*Body]bool{},
 		}
 		for i := 0; i+1 < len(steps) && i < 2*fuzzMaxSteps; i += 2 {
 			before := model.allocator.Usage()
@@ -88,7 +91,7 @@
 	if action.endsRequest() {
 		m.allocator.Close(body)
 	}
-	if body.Repeatable() && (m.sentOnce[body] || !repeatable) {
+	if body.Repeatable() && (m.unrepeatable[body] || !repeatable) {
 		m.t.Fatal("got a repeatable body that was not repeatable before")
 	}
 }
@@ -124,7 +127,7 @@
 		m.allocator.Close(body)
 		m.allocator.Close(body)
 	}
-	m.sentOnce[body] = m.sentOnce[body] || !body.Repeatable()
+	m.unrepeatable[body] = m.unrepeatable[body] || !body.Repeatable()
 }
 
 func (m *allocatorModel) updateBudget(argument int64) {
@@ -148,7 +151,7 @@
 	if got.MemoryBytes > max(before.MemoryBytes, m.budget.MemoryBytes) ||
 		got.DiskBytes > max(before.DiskBytes, m.budget.DiskBytes) ||
 		got.DiskBodies > max(before.DiskBodies, m.budget.DiskBodies) {
-		m.t.Fatalf("got %+v reserved after %+v, want no more than that or the budget %+v", got, before, m.budget)
+		m.t.Fatalf("got %+v reserved, want no more than the previous %+v or the budget %+v", got, before, m.budget)
 	}
 	var want Usage
 	for _, body := range m.bodies {
--- a/internal/bodies/policytable.go
+++ b/internal/bodies/policytable.go
@@ -6,8 +6,8 @@
 	"text/tabwriter"
 )
 
-// Idempotency tells whether a request of a class may be retried after an attempt that a server may
-// have executed.
+// Idempotency tells whether a request of a class may be retried although a server may have executed
+// an earlier attempt.
 type Idempotency uint8
 
 // The kinds of idempotency.
@@ -17,7 +17,7 @@
 	NonIdempotent
 )
 
-// Texts of the table about retries.
+// Texts in the policy table that tell whether a request is retried.
 const (
 	textRetried         = "retried"
 	textRetriedInWindow = "retried within the key's window"
@@ -25,7 +25,8 @@
 	textRetriedIfUnsent = "failed, unless none of it was sent"
 )
 
-// retryText returns the text for a retained body after an attempt that may have been executed.
+// retryText returns the text for a request with a retained body after an attempt that a server may
+// have executed.
 func (i Idempotency) retryText() string {
 	switch i {
 	case Idempotent:
@@ -38,9 +39,9 @@
 	return ""
 }
 
-// WritePolicyTable writes a table for operators that shows, for each class and each range of body
-// sizes, where bodies are retained and when they are retried. Classes that are missing from
-// idempotency are Idempotent.
+// WritePolicyTable writes a table for operators. For each class and each range of body sizes, the
+// table shows where bodies are retained and when their requests are retried. The keys of idempotency
+// are class names. A class that is missing from idempotency is treated as Idempotent.
 func WritePolicyTable(w io.Writer, classes []Class, idempotency map[string]Idempotency) error {
 	table := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	lines := &lineWriter{w: table}
@@ -54,28 +55,29 @@
 	return table.Flush()
 }
 
-// writeClass writes one line for each location that a body of the class can have, with the range of
-// sizes, and one for bodies that are too long.
+// writeClass writes one line for each location that a body of the class can have. The line contains
+// the range of body sizes for that location. writeClass then writes a line for bodies that are too
+// long.
 func writeClass(lines *lineWriter, class Class, idempotency Idempotency) {
 	ranges := []struct {
-		to       int64 // bytes
+		maxSize  int64 // bytes
 		location Location
 	}{
 		{class.MaxMemoryBytes, InMemory},
 		{class.MaxDiskBytes, OnDisk},
 		{class.MaxBytes, NotRetained},
 	}
-	from := int64(1)
+	minSize := int64(1)
 	for _, sizes := range ranges {
-		if sizes.to < from {
+		if sizes.maxSize < minSize {
 			continue
 		}
 		maybeExecuted, notExecuted := idempotency.retryText(), textRetried
 		if sizes.location == NotRetained {
 			maybeExecuted, notExecuted = textFailed, textRetriedIfUnsent
 		}
-		lines.printf("%s\t%d to %d bytes\t%v\t%s\t%s\n", class.Name, from, sizes.to, sizes.location, maybeExecuted, notExecuted)
-		from = sizes.to + 1
+		lines.printf("%s\t%d to %d bytes\t%v\t%s\t%s\n", class.Name, minSize, sizes.maxSize, sizes.location, maybeExecuted, notExecuted)
+		minSize = sizes.maxSize + 1
 	}
 	lines.printf("%s\tmore\t-\trejected with status 413; aborted if part of it was sent\t\n", class.Name)
 }
--- a/internal/bodies/quota.go
+++ b/internal/bodies/quota.go
@@ -1,10 +1,11 @@
 package bodies
 
-// quota is one budget, of bytes or of a number of bodies, that classes share. Each class has a
-// guaranteed fraction of the budget; the rest can be borrowed by any class. The class with the
-// highest priority weight may borrow all of the rest. The other classes may borrow only until a
-// smaller part of it is lent, so that the class with the highest weight still finds capacity when
-// all classes want it (trunk reservation, as in telephone networks).
+// quota is a budget that all classes share. Its unit is bytes or bodies. Each class has a guaranteed
+// fraction of the budget. The rest of the budget is borrowable: any class may borrow from it. The
+// class with the highest priority weight may borrow until all classes together have borrowed the
+// whole rest. For a class with a lower weight, this limit is a smaller part of the rest. The class
+// with the highest weight therefore still finds capacity when all classes need it. Telephone networks
+// use the same technique under the name of trunk reservation.
 type quota struct {
 	total               int64
 	guaranteedFractions []float64 // fractions of total, by class
@@ -21,8 +22,8 @@
 	}
 }
 
-// resize sets the total and the fractions of the classes. Existing reservations stay, and no new one
-// is granted until all of them fit the total.
+// resize sets the total and the fractions of the classes. Existing reservations stay. While they
+// exceed the total, no new reservation is granted.
 func (q *quota) resize(total int64, classes []Class) {
 	q.total = total
 	q.borrowed = 0
@@ -33,8 +34,9 @@
 	}
 }
 
-// borrowableFraction returns up to which fraction of the borrowable capacity a class may borrow: the
-// sum of the priority weights that are no higher than its own, divided by the sum of all.
+// borrowableFraction returns the fraction of the borrowable capacity that limits what a class may
+// borrow. The fraction is the sum of all priority weights up to the weight of the class, divided by
+// the sum of all priority weights.
 func borrowableFraction(classes []Class, class int) float64 {
 	sum, upToOwn := 0.0, 0.0
 	for i := range classes {
@@ -52,7 +54,7 @@
 	return int64(float64(q.total) * q.guaranteedFractions[class])
 }
 
-// borrowedOf returns how much of the used capacity exceeds the guarantee of a class.
+// borrowedOf returns by how much a class would exceed its guarantee if it used the given capacity.
 func (q *quota) borrowedOf(class int, used int64) int64 { return max(0, used-q.guaranteed(class)) }
 
 // borrowable returns the capacity that is not guaranteed to any class.
@@ -73,19 +75,20 @@
 	return sum
 }
 
-// reserve reserves n units for a class and reports whether there was capacity. While more is used
-// than a reduced total, it fails for every class, even within a guarantee.
+// reserve reserves n units for a class and reports whether there was capacity. After resize has
+// reduced the total below the used capacity, reserve fails for every class, even within the guarantee
+// of the class, until the used capacity fits the total again.
 func (q *quota) reserve(class int, n int64) bool {
 	if q.usedByAll()+n > q.total {
 		return false
 	}
-	more := q.borrowedOf(class, q.used[class]+n) - q.borrowedOf(class, q.used[class])
+	newlyBorrowed := q.borrowedOf(class, q.used[class]+n) - q.borrowedOf(class, q.used[class])
 	limit := float64(q.borrowable()) * q.borrowableFractions[class]
-	if more > 0 && float64(q.borrowed+more) > limit {
+	if newlyBorrowed > 0 && float64(q.borrowed+newlyBorrowed) > limit {
 		return false
 	}
 	q.used[class] += n
-	q.borrowed += more
+	q.borrowed += newlyBorrowed
 	return true
 }
 
@@ -95,7 +98,7 @@
 	q.used[class] -= n
 }
 
-// tokenBucket limits a rate. It allows bursts of up to the tokens of one second.
+// tokenBucket limits a rate. A burst can use at most the tokens that are added in one second.
 type tokenBucket struct {
 	rate      float64 // tokens per second
 	tokens    float64
@@ -108,8 +111,8 @@
 	b.tokens = min(b.tokens, rate)
 }
 
-// allow takes n tokens at the time now, in Unix ms, and reports whether there were enough. If not, it
-// takes none.
+// allow takes n tokens and reports whether there were enough. If there are fewer than n tokens, it
+// takes none. The argument now is the current time in Unix ms.
 func (b *tokenBucket) allow(now, n float64) bool {
 	added := b.rate * max(0, now-b.updatedAt) / 1000
 	b.tokens = min(b.rate, b.tokens+added)
--- a/internal/bodies/spool/body.go
+++ b/internal/bodies/spool/body.go
@@ -8,18 +8,18 @@
 // sealedBlock is a block of a body that has been encrypted and written.
 type sealedBlock struct {
 	blockAddress
-	counter uint64 // from which its nonce is made
+	counter uint64 // number from which the nonce of the block is made
 	size    int    // number of plaintext bytes
 }
 
-// Body is one body in a spool. It has a single writer. The bytes up to Size may be read while more
-// are written. A Body must be closed.
+// Body is one body in a spool. It has a single writer. While further bytes are written, other
+// goroutines may read the bytes up to Size. A Body must be closed.
 type Body struct {
 	spool *Spool
 
 	mu      sync.Mutex
 	blocks  []sealedBlock
-	pending []byte // last bytes of the body, less than a block, which are not written yet
+	pending []byte // last bytes of the body, fewer than BlockSize, not written to a file yet
 	size    int64
 	err     error // if not nil, the body cannot be used any more
 }
@@ -68,7 +68,7 @@
 }
 
 // ReadAt implements io.ReaderAt for the bytes that have been written so far and returns io.EOF at
-// their end. After a block could not be read or decrypted, the body cannot be used any more.
+// their end. If a block cannot be read or decrypted, the body cannot be used any more.
 func (b *Body) ReadAt(buffer []byte, offset int64) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -92,7 +92,8 @@
 	return n, nil
 }
 
-// block returns the plaintext of the block with the given index, which may be the pending one.
+// block returns the plaintext of the block with the given index. The index after that of the last
+// sealed block stands for the pending bytes.
 func (b *Body) block(index int) ([]byte, error) {
 	if index == len(b.blocks) {
 		return b.pending, nil
--- a/internal/bodies/spool/filesystem.go
+++ b/internal/bodies/spool/filesystem.go
@@ -24,8 +24,8 @@
 	Truncate(size int64) error
 }
 
-// FileSystem is the set of file system operations that a spool needs. The spool returns its errors
-// to the caller.
+// FileSystem is the set of file system operations that a spool needs. The spool returns the errors of
+// these operations to its caller.
 type FileSystem interface {
 	// Create creates a file. The file is in use by this process until it is closed.
 	Create(path string) (File, error)
@@ -52,8 +52,8 @@
 	return preallocatedFile{file}, nil
 }
 
-// lock locks a file until it is closed. It returns an error at once if another process holds the
-// lock.
+// lock locks a file until the file is closed. If another process holds the lock, it returns an error
+// without waiting.
 func lock(file *os.File) error {
 	return syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 }
--- a/internal/bodies/spool/seal.go
+++ b/internal/bodies/spool/seal.go
@@ -29,8 +29,8 @@
 	return cipher.NewGCM(block)
 }
 
-// seal encrypts a block and authenticates it together with its index in the body. counter must be
-// unique within the spool.
+// seal encrypts a block and authenticates it together with its index in the body. The argument
+// counter must be different for each block of the spool, because a nonce must not be used twice.
 func (s *Spool) seal(plain []byte, counter uint64, index int) []byte {
 	return s.aead.Seal(nil, encodeNonce(counter), plain, additionalData(index))
 }
--- a/internal/bodies/spool/spool.go
+++ b/internal/bodies/spool/spool.go
@@ -3,9 +3,9 @@
 // that are preallocated and reused, and each block is sealed, that is, encrypted and authenticated,
 // with a key that exists only in memory.
 //
-// A stolen disk therefore discloses nothing, and a block that was partially written, was modified,
-// or belongs to another body fails authentication. No process reads the files of an ended process:
-// a later process lists them when it opens its spool and removes them.
+// A stolen disk therefore discloses no body. A block that was partially written, was modified, or
+// belongs to another body fails authentication. No process reads the files of an ended process. A
+// later process lists these files when it opens its spool, and removes them.
 package spool
 
 import (
@@ -27,7 +27,7 @@
 // Errors of a spool. Methods also return the errors of the FileSystem.
 var (
 	// ErrFull reports that the spool has no free block and may not add another segment.
-	ErrFull = errors.New("spool: full")
+	ErrFull = errors.New("spool: no free block, and no segment can be added")
 	// ErrCorruptBlock reports a stored block that differs from the block that was written.
 	ErrCorruptBlock = errors.New("spool: stored block failed authentication")
 	// ErrClosed reports that a body, or its spool, has been closed.
@@ -38,7 +38,7 @@
 type Options struct {
 	FileSystem       FileSystem
 	Directory        string
-	Name             string // prefix of this process's file names; files of other processes must not have it
+	Name             string // prefix of this process's file names; file names of other processes must not begin with it
 	BlocksPerSegment int
 	MaxSegments      int // limit of the number of segment files
 }
@@ -51,7 +51,7 @@
 	mu           sync.Mutex
 	segments     []File
 	free         []blockAddress
-	sealedBlocks uint64 // number of blocks allocated so far; nonces are made from it, so that each is unique
+	blockCounter uint64 // number of blocks allocated since Open; each block's nonce is made from its current value
 	usedBlocks   int
 	staleFiles   []string // paths of the files of ended processes
 	closed       bool
@@ -75,7 +75,7 @@
 // removes.
 func Open(options Options) (*Spool, error) {
 	if options.BlocksPerSegment < 1 || options.MaxSegments < 1 || options.Name == "" {
-		return nil, fmt.Errorf("spool: BlocksPerSegment %d, MaxSegments %d, Name %q: expected positive numbers and a non-empty name",
+		return nil, fmt.Errorf("spool: expected BlocksPerSegment and MaxSegments of at least 1 and a non-empty Name, got %d, %d and %q",
 			options.BlocksPerSegment, options.MaxSegments, options.Name)
 	}
 	staleFiles, err := listStaleFiles(options)
@@ -112,8 +112,8 @@
 	return stale, nil
 }
 
-// RemoveStaleFile removes one file of an ended process and reports whether more files are left. The
-// spool does not call it itself: it is background work that the caller schedules.
+// RemoveStaleFile removes one file of an ended process and reports whether other such files are left.
+// The spool never calls RemoveStaleFile itself. The caller schedules it as background work.
 func (s *Spool) RemoveStaleFile() (more bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,15 +129,15 @@
 }
 
 // Preallocate adds a segment before its blocks are needed. It returns ErrFull if the spool is closed
-// or has MaxSegments segments. It is background work that the caller schedules.
+// or has MaxSegments segments. The caller schedules Preallocate as background work.
 func (s *Spool) Preallocate() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.addSegment()
 }
 
-// addSegment creates and preallocates a segment, so that a full disk causes an error here and not in
-// the middle of a body. The caller holds mu.
+// addSegment creates a segment and preallocates its disk space. A full disk therefore causes an error
+// when the segment is added, rather than when a block is written. The caller holds mu.
 func (s *Spool) addSegment() error {
 	if s.closed || len(s.segments) >= s.MaxSegments {
 		return ErrFull
@@ -168,7 +168,7 @@
 type allocatedBlock struct {
 	blockAddress
 	file    File
-	counter uint64 // from which its nonce is made; unique within the spool
+	counter uint64 // number from which the nonce of the block is made; unique within the spool
 }
 
 // allocateBlock returns a free block. It adds a segment if there is no free block.
@@ -187,8 +187,8 @@
 	address := s.free[last]
 	s.free = s.free[:last]
 	s.usedBlocks++
-	s.sealedBlocks++
-	return allocatedBlock{blockAddress: address, file: s.segments[address.segment], counter: s.sealedBlocks}, nil
+	s.blockCounter++
+	return allocatedBlock{blockAddress: address, file: s.segments[address.segment], counter: s.blockCounter}, nil
 }
 
 // freeBlocks returns the blocks of a body to the free list. No other function frees blocks.
--- a/internal/bodies/spool/spool_test.go
+++ b/internal/bodies/spool/spool_test.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// Each file system call fails in turn, in each way that a write can fail. A read must return either
-// the bytes that were written or an error, never part of the body or another body, and all blocks
-// must be freed.
+// Runs the same operations once for each file system call and each write fault, and makes that call
+// fail. A read must return either the bytes that were written or an error. It must never return part
+// of the body or bytes of another body. All blocks must be freed.
 func TestEachFailingCallLosesNoBlock(t *testing.T) {
 	for fault := range writeFaultEnd {
 		t.Run(fmt.Sprintf("write fault %d", fault), func(t *testing.T) {
@@ -52,8 +52,8 @@
 }
 
 // runRounds writes and reads two bodies in each of three rounds, so that blocks are reused. It
-// returns the number of file system calls. One failing call may fail at most the two bodies of a
-// round.
+// returns the number of file system calls. One failing call may make at most two bodies unusable:
+// those of one round.
 func runRounds(t *testing.T, fileSystem *faultyFileSystem) int {
 	t.Helper()
 	const maxFailedBodies = 2
@@ -81,7 +81,8 @@
 	return fileSystem.calls
 }
 
-// runRound writes to two bodies alternately, reads and closes them, and returns how many failed.
+// runRound writes to two bodies alternately, reads and closes them, and returns how many of them
+// could not be read.
 func runRound(t *testing.T, spool *Spool, fileSystem *faultyFileSystem, rng *rand.Rand, round int) int {
 	t.Helper()
 	var want [2][]byte
@@ -134,7 +135,7 @@
 			t.Fatal(err)
 		}
 		if more != (left > 0) {
-			t.Errorf("got more files left %t, want %t", more, left > 0)
+			t.Errorf("RemoveStaleFile: got %t for more files left, want %t", more, left > 0)
 		}
 		checkUsage(t, spool, Usage{StaleFiles: left})
 	}
@@ -169,7 +170,7 @@
 	}
 }
 
-// checkFiles compares the names of the files in a directory.
+// checkFiles checks that a directory contains exactly the files with the expected names.
 func checkFiles(t *testing.T, directory string, want ...string) {
 	t.Helper()
 	got, err := OSFileSystem{}.List(directory)
@@ -181,8 +182,8 @@
 	}
 }
 
-// The bytes of a body are not on disk as plaintext. They can be read through the spool, but not after
-// the spool is closed.
+// The files on disk do not contain the plaintext of a body. The body can be read through the spool
+// until the spool is closed.
 func TestBodyIsSealedOnDisk(t *testing.T) {
 	const (
 		blocksPerSegment = 4
@@ -214,8 +215,8 @@
 	}
 }
 
-// Concurrent writers can read their bodies completely, even before a body has its last bytes, and a
-// writer that finds the spool full gets ErrFull.
+// Several writers use the spool concurrently. After each write, a writer can read all bytes that it
+// has written to its body. If the spool has no free block, the writer gets ErrFull.
 func TestConcurrentBodies(t *testing.T) {
 	spool := openSpool(t, Options{FileSystem: OSFileSystem{}, Directory: t.TempDir(), Name: "n", BlocksPerSegment: 8, MaxSegments: 4})
 	defer closeSpool(t, spool)
@@ -264,7 +265,8 @@
 }
 
 // checkTooLarge writes a body that is too large for an empty spool with four segments of eight blocks.
-// It checks that the write fails with ErrFull, uses all blocks, and that Close frees them.
+// It checks that the write fails with ErrFull, that the body uses all blocks, and that Close frees
+// them.
 func checkTooLarge(t *testing.T, spool *Spool) {
 	t.Helper()
 	const blocks = 8 * 4
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -18,8 +18,8 @@
 	Now() float64 // Unix milliseconds
 }
 
-// System is a clock that reads the wall clock once, when it is created, and afterwards follows
-// the monotonic clock, so that a step of the wall clock does not move deadlines.
+// System is a clock that reads the wall clock once, when it is created. Afterwards it follows the
+// monotonic clock, so that a step of the wall clock does not move deadlines.
 type System struct {
 	start     time.Time
 	startUnix float64 // wall clock at start, Unix ms
@@ -35,9 +35,10 @@
 	return s.startUnix + Millis(time.Since(s.start))
 }
 
-// stepRounding is the multiple, in ms, to which a step of the wall clock is rounded. Rounding
-// makes the result exactly 0 if there was no step, so that equal times from other machines are
-// still equal after their conversion.
+// stepRounding is the unit, in ms, to a multiple of which a step of the wall clock is rounded. The
+// readings of the two clocks differ slightly even if there was no step. Rounding makes the step
+// exactly 0 in that case, so that equal times from other machines are still equal after their
+// conversion.
 const stepRounding = 20.0
 
 // WallClockStep returns by how many milliseconds the wall clock has been set forward since s was
@@ -53,8 +54,8 @@
 // since c was created, or 0 if c does not track the wall clock. To convert a time that another
 // machine read from its wall clock to the time of c, subtract the step.
 //
-// Without this conversion, setting the wall clock back by some seconds makes every purge look
-// long past, so that the router serves old copies as if there had been no purge.
+// Without this conversion, if the wall clock were set back by some seconds, every purge would appear
+// to be too old, and the router would serve copies from before the purge.
 func WallClockStep(c Clock) float64 {
 	if stepper, ok := c.(wallClockStepper); ok {
 		return stepper.WallClockStep()
@@ -66,18 +67,19 @@
 type wallClockStepper interface{ WallClockStep() float64 }
 
 // Boot is a clock that counts milliseconds since the machine booted, including the time that the
-// machine was suspended. Leases are measured with it, because a lease must not last longer on a
-// machine that was suspended during a part of it.
+// machine was suspended. Leases are measured with a Boot clock, because a lease must also expire
+// while the machine of its holder is suspended.
 //
-// If the system has no such clock, Boot follows the monotonic clock, which stops while the
-// machine is suspended. Then only the fencing token stops a lease holder whose lease expired
-// during a suspension.
+// If the operating system has no clock of this kind, Boot follows the monotonic clock, which stops
+// while the machine is suspended. If a lease expires during a suspension, only the fencing token
+// then stops the lease holder.
 type Boot struct{ start time.Time }
 
 // NewBoot returns a Boot clock.
 func NewBoot() Boot { return Boot{time.Now()} }
 
-// Now returns the milliseconds since a moment that is the same for the whole process.
+// Now returns the milliseconds since the machine booted. If the operating system cannot tell this
+// time, Now returns the milliseconds since b was created.
 func (b Boot) Now() float64 {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards that milliseconds and durations are converted to each other, that a value out of range
-// becomes the nearest limit of the range, and that the clocks return the expected times.
+// Guards the conversions between milliseconds and durations: a value outside the range of a duration
+// becomes the nearest limit of the range. Also guards that the clocks return the expected times.
 func TestConversions(t *testing.T) {
 	for ms, want := range map[float64]time.Duration{0: 0, 1.5: 1500 * time.Microsecond, -2: -2 * time.Millisecond,
 		1e300: math.MaxInt64, math.Inf(-1): math.MinInt64} {
@@ -32,8 +32,9 @@
 	}
 }
 
-// Guards that the step is exactly 0 if the wall clock was not set, although the readings of the two
-// clocks differ slightly, and that a step in either direction is returned.
+// Guards that WallClockStep returns a step in either direction, and exactly 0 if the wall clock was
+// not set. Without rounding, the result would not be exactly 0, because the readings of the wall
+// clock and the monotonic clock differ slightly.
 func TestWallClockStep(t *testing.T) {
 	system := NewSystem()
 	if got := WallClockStep(system); got != 0 {
--- a/internal/clock/manual.go
+++ b/internal/clock/manual.go
@@ -2,16 +2,17 @@
 
 import "sync"
 
-// Manual is a clock for tests. Its time changes only by Advance, and its wall clock step only by
-// StepWallClock.
+// Manual is a clock for tests. Only Advance changes its time, and only StepWallClock changes its
+// wall clock step.
 type Manual struct {
 	mu   sync.Mutex
 	now  float64 // Unix milliseconds
-	step float64 // ms by which the wall clock was moved forward
+	step float64 // ms by which the wall clock was set forward
 }
 
-// NewManual returns a clock whose time is now, in Unix milliseconds, and whose wall clock step is 0.
-func NewManual(now float64) *Manual { return &Manual{now: now} }
+// NewManual returns a clock that starts at the given time, in Unix milliseconds, with a wall clock
+// step of 0.
+func NewManual(start float64) *Manual { return &Manual{now: start} }
 
 // Now returns the current time in Unix milliseconds.
 func (m *Manual) Now() float64 {
@@ -20,22 +21,22 @@
 	return m.now
 }
 
-// Advance moves the clock forward by ms milliseconds.
-func (m *Manual) Advance(ms float64) {
+// Advance moves the clock forward by the given number of milliseconds.
+func (m *Manual) Advance(milliseconds float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.now += ms
+	m.now += milliseconds
 }
 
-// StepWallClock moves the wall clock forward by ms milliseconds, or back if ms is negative. The
-// result of Now does not change.
-func (m *Manual) StepWallClock(ms float64) {
+// StepWallClock sets the wall clock forward by the given number of milliseconds, or back if the
+// number is negative. The result of Now does not change.
+func (m *Manual) StepWallClock(milliseconds float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.step += ms
+	m.step += milliseconds
 }
 
-// WallClockStep returns the sum of the steps by StepWallClock, in milliseconds.
+// WallClockStep returns the sum of all steps that StepWallClock has made, in milliseconds.
 func (m *Manual) WallClockStep() float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/logs/golden_test.go
+++ b/internal/logs/golden_test.go
@@ -12,7 +12,7 @@
 )
 
 // Guards the format of the log, which operators' tools parse: the keys of time, level, message and
-// error, and the counters as one event sorted by name.
+// error. Also guards that all counters are in one event, in the order of their names.
 func TestGoldenEvents(t *testing.T) {
 	defer zerolog.SetGlobalLevel(zerolog.GlobalLevel())
 	defer func(previous func() time.Time) { zerolog.TimestampFunc = previous }(zerolog.TimestampFunc)
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -45,13 +45,13 @@
 func ParseLevel(name string) (zerolog.Level, error) {
 	index := slices.Index(Levels, name)
 	if index < 0 {
-		return zerolog.NoLevel, fmt.Errorf("expected one of %[2]v, got %[1]q", name, Levels)
+		return zerolog.NoLevel, fmt.Errorf("unknown log level %q, expected one of %v", name, Levels)
 	}
 	return zerologLevels[index], nil
 }
 
-// New returns a logger that writes to w. The logger is safe for concurrent use if w is. An
-// *os.File is, because each event is a single call of Write.
+// New returns a logger that writes to w. The logger is safe for concurrent use if w is safe for
+// concurrent use. An *os.File is safe, because the logger writes each event by a single call of Write.
 func New(w io.Writer) *zerolog.Logger {
 	logger := zerolog.New(w).With().Timestamp().Logger()
 	return &logger
@@ -68,7 +68,8 @@
 	return nil
 }
 
-// WriteCounters writes the values of counters as one event of level info, sorted by name.
+// WriteCounters writes counters as one event of level info. The keys of values are the names of the
+// counters, and the event contains the counters in the order of their names.
 func WriteCounters(logger *zerolog.Logger, values map[string]int64) {
 	event := logger.Info()
 	for _, name := range slices.Sorted(maps.Keys(values)) {
--- a/internal/metrics/names_test.go
+++ b/internal/metrics/names_test.go
@@ -21,8 +21,8 @@
 var counterName = regexp.MustCompile(`^[a-z][a-z0-9_*]*$`)
 
 // Guards the names of all counters, which operators read in the log and on /metrics: no name may
-// be changed, added or removed by accident. The test collects the names that the module's sources
-// pass to Registry.Add and Registry.Counter.
+// be changed, added or removed by accident. The test collects the names from the sources of the
+// module, where they are arguments of Registry.Add and Registry.Counter.
 func TestCounterNames(t *testing.T) {
 	found := map[string]bool{}
 	for _, files := range sources(t, "../..") {
@@ -50,8 +50,8 @@
 	return byDir
 }
 
-// addCounterNames adds the names that a package passes as the first argument of Add(name, n) and
-// Counter(name) to found.
+// addCounterNames adds counter names to the set found. It adds each name that the files of a package
+// pass as the first argument of Add(name, n) or Counter(name).
 func addCounterNames(files []*ast.File, found map[string]bool) {
 	declared := declarations{}
 	for _, file := range files {
@@ -90,8 +90,8 @@
 	return call.Args[0]
 }
 
-// declarations maps each name that a package declares to expressions: a constant or variable to
-// its value, a function or method to the results that it returns.
+// declarations maps each name that a package declares to expressions. The expression of a constant
+// or variable is its value. The expressions of a function or method are the results that it returns.
 type declarations map[string][]ast.Expr
 
 func (d declarations) addFile(file *ast.File) {
@@ -132,11 +132,12 @@
 const (
 	// unknown replaces a part of a name that is known only at run time.
 	unknown = "*"
-	// maxDepth limits how many declarations are followed, since declarations can be recursive.
+	// maxDepth limits how many nested expressions are followed, since declarations can be recursive.
 	maxDepth = 8
 )
 
-// values returns the possible values of a string expression, as far as the source shows them.
+// values returns the possible values of a string expression. It replaces each part that the source
+// does not show by unknown.
 func (d declarations) values(expr ast.Expr, depth int) []string {
 	if depth == 0 {
 		return []string{unknown}
@@ -186,7 +187,8 @@
 	return all
 }
 
-// elements returns the elements of a composite literal; for an element with a key, its value.
+// elements returns the elements of a composite literal. If an element has a key, only its value is
+// returned.
 func elements(literal *ast.CompositeLit) []ast.Expr {
 	elements := slices.Clone(literal.Elts)
 	for i, element := range elements {
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -21,9 +21,9 @@
 	return &Registry{counters: map[string]*atomic.Int64{}}
 }
 
-// Counter returns the counter with the given name and creates it on first use. Names must be
-// chosen by the program, never by a peer, since a counter is never removed and the set must stay
-// small.
+// Counter returns the counter with the given name and creates it on first use. The program must
+// choose the names, never a peer: a counter is never removed, so names from a peer could make the set
+// grow without limit.
 func (r *Registry) Counter(name string) *atomic.Int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
