--- a/internal/bodies/allocator_test.go
+++ b/internal/bodies/allocator_test.go
@@ -67,9 +67,9 @@
 	}
 }
 
-// replay applies the steps to a new body and returns its final state. After each step it checks that
-// the body is not repeatable if bytes of it were sent and not retained. After the last step it checks
-// that a body that is closed or not retained has no reservation.
+// replay applies the steps to a new body and returns its final state. After each step it checks
+// sentUnretained: if that is true, the body must not be repeatable. After the last step it checks that
+// a body that is closed or not retained has no reservation.
 func (s *stateSearch) replay(announced int64, steps []int) bodyState {
 	s.t.Helper()
 	const now = 1000.0
@@ -79,7 +79,7 @@
 	if body == nil {
 		s.t.Fatalf("%d bytes announced: got action %v, want an admitted body", announced, action)
 	}
-	sentUnretained := false // the first byte was sent, and after this or a later step the body was not retained
+	sentUnretained := false // whether, after any step so far, the first byte was sent and the body was not retained
 	for _, step := range steps {
 		switch step {
 		case stepGrowByOne, stepGrowByTwo:
@@ -105,8 +105,8 @@
 	return bodyState{body.Location, body.Received, body.reserved, body.FirstByteSent, body.closed}
 }
 
-// Visits every reachable state of a small body. After bytes of the body were sent and not retained,
-// the body must not be repeatable. A body that is closed or not retained must not have a reservation.
+// Visits every reachable state of a small body. A body that was sent while it was not retained must
+// not be repeatable. A body that is closed or not retained must not have a reservation.
 func TestReachableStatesOfOneBody(t *testing.T) {
 	const wantStates = 54
 	search := &stateSearch{t: t, seen: map[bodyState]bool{}}
--- a/internal/bodies/quota.go
+++ b/internal/bodies/quota.go
@@ -34,9 +34,10 @@
 	}
 }
 
-// borrowableFraction returns the fraction of the borrowable capacity that limits what a class may
-// borrow. The fraction is the sum of all priority weights up to the weight of the class, divided by
-// the sum of all priority weights.
+// borrowableFraction returns the limit of a class as a fraction of the borrowable capacity. The class
+// may borrow only if the capacity that all classes borrow together stays within this limit. The
+// fraction is the sum of the priority weights that are no higher than the weight of the class, divided
+// by the sum of all priority weights.
 func borrowableFraction(classes []Class, class int) float64 {
 	sum, upToOwn := 0.0, 0.0
 	for i := range classes {
@@ -75,9 +76,9 @@
 	return sum
 }
 
-// reserve reserves n units for a class and reports whether there was capacity. After resize has
-// reduced the total below the used capacity, reserve fails for every class, even within the guarantee
-// of the class, until the used capacity fits the total again.
+// reserve reserves n units for a class and reports whether there was capacity. If resize has reduced
+// the total below the used capacity, reserve fails for every class, even for a class that uses less
+// than its guarantee. reserve succeeds again when enough capacity has been released.
 func (q *quota) reserve(class int, n int64) bool {
 	if q.usedByAll()+n > q.total {
 		return false
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -35,10 +35,10 @@
 	return s.startUnix + Millis(time.Since(s.start))
 }
 
-// stepRounding is the unit, in ms, to a multiple of which a step of the wall clock is rounded. The
-// readings of the two clocks differ slightly even if there was no step. Rounding makes the step
-// exactly 0 in that case, so that equal times from other machines are still equal after their
-// conversion.
+// stepRounding is a number of milliseconds. WallClockStep rounds a step to a multiple of it. Even if
+// there was no step, the readings of the wall clock and the monotonic clock differ slightly. Rounding
+// makes the step exactly 0 in that case, so that equal times from other machines are still equal
+// after their conversion.
 const stepRounding = 20.0
 
 // WallClockStep returns by how many milliseconds the wall clock has been set forward since s was
--- a/internal/metrics/names_test.go
+++ b/internal/metrics/names_test.go
@@ -24,11 +24,11 @@
 // be changed, added or removed by accident. The test collects the names from the sources of the
 // module, where they are arguments of Registry.Add and Registry.Counter.
 func TestCounterNames(t *testing.T) {
-	found := map[string]bool{}
+	names := map[string]bool{}
 	for _, files := range sources(t, "../..") {
-		addCounterNames(files, found)
+		addCounterNames(files, names)
 	}
-	got := strings.Join(slices.Sorted(maps.Keys(found)), "\n") + "\n"
+	got := strings.Join(slices.Sorted(maps.Keys(names)), "\n") + "\n"
 	golden.Compare(t, "counters.golden", []byte(got))
 }
 
@@ -50,9 +50,9 @@
 	return byDir
 }
 
-// addCounterNames adds counter names to the set found. It adds each name that the files of a package
-// pass as the first argument of Add(name, n) or Counter(name).
-func addCounterNames(files []*ast.File, found map[string]bool) {
+// addCounterNames collects the counter names of a package. It sets names[name] to true for each name
+// that the files pass as the first argument of Add(name, n) or Counter(name).
+func addCounterNames(files []*ast.File, names map[string]bool) {
 	declared := declarations{}
 	for _, file := range files {
 		declared.addFile(file)
@@ -62,7 +62,7 @@
 			if argument := counterArgument(node); argument != nil {
 				for _, name := range declared.values(argument, maxDepth) {
 					if counterName.MatchString(name) {
-						found[name] = true
+						names[name] = true
 					}
 				}
 			}
@@ -130,17 +130,17 @@
 }
 
 const (
-	// unknown replaces a part of a name that is known only at run time.
-	unknown = "*"
+	// unknownPart replaces a part of a name that is known only at run time.
+	unknownPart = "*"
 	// maxDepth limits how many nested expressions are followed, since declarations can be recursive.
 	maxDepth = 8
 )
 
 // values returns the possible values of a string expression. It replaces each part that the source
-// does not show by unknown.
+// does not show by unknownPart.
 func (d declarations) values(expr ast.Expr, depth int) []string {
 	if depth == 0 {
-		return []string{unknown}
+		return []string{unknownPart}
 	}
 	switch expr := expr.(type) {
 	case *ast.BasicLit:
@@ -162,12 +162,12 @@
 	case *ast.CompositeLit:
 		return d.valuesOfAll(elements(expr), depth)
 	}
-	return []string{unknown}
+	return []string{unknownPart}
 }
 
 func (d declarations) valuesOfAll(exprs []ast.Expr, depth int) []string {
 	if len(exprs) == 0 {
-		return []string{unknown}
+		return []string{unknownPart}
 	}
 	var all []string
 	for _, expr := range exprs {
