--- a/internal/trace/active.go
+++ b/internal/trace/active.go
@@ -7,40 +7,40 @@
 )
 
 const (
-	// minWait is the minimum duration, in ms, of a Wait span. A shorter time before an attempt
-	// is processing in the router, not waiting.
+	// minWait is the minimum duration, in ms, of a Wait span. A shorter delay before an attempt
+	// is the router's processing time and gets no span.
 	minWait = 0.2
-	// inlineSpans is the number of spans that an ActiveTrace holds without an allocation. It
-	// is enough for a request that is served by its second attempt, with a new connection for
-	// each attempt.
+	// inlineSpans is the number of spans that fit into an ActiveTrace without a further
+	// allocation. It is enough for a request that is served by its second attempt, if both
+	// attempts need a new connection.
 	inlineSpans     = 6
 	millisPerSecond = 1000
 	// requestSpanIndex is the index of the Request span in Spans.
 	requestSpanIndex = 0
 	// noAttempt is the value of attemptIndex while no attempt is in flight.
 	noAttempt = -1
-	// untracedAttempt is the value of attemptIndex while an attempt without a span is in
-	// flight. The Request span has this index, so no attempt with a span can have it.
+	// untracedAttempt is the value of attemptIndex while an attempt without a span is in flight.
+	// It is the index of the Request span, so it differs from the index of every Attempt span.
 	untracedAttempt = requestSpanIndex
 )
 
-// ActiveTrace records the partial trace of one request at one router, until the request has
-// been answered and no attempt is in flight. It is not safe for concurrent use: only the
-// dispatcher's goroutine may use it.
+// ActiveTrace records the partial trace of one request at one router. The recording ends when
+// the request has been answered and no attempt is in flight. An ActiveTrace is not safe for
+// concurrent use: only the dispatcher's goroutine may use it.
 type ActiveTrace struct {
 	Trace
 	requestSpan  SpanID
 	spanSeed     uint64  // number from which the latest span ID was derived
-	idleSince    float64 // Unix ms, when the last attempt ended; before the first attempt, the trace's start
+	idleSince    float64 // Unix ms, end of the latest attempt, or start of the trace if no attempt has ended
 	attemptIndex int     // index in Spans of the attempt in flight, noAttempt or untracedAttempt
 	responded    bool
 	untraced     bool // at least one attempt was counted without recording a span
 	spanBuffer   [inlineSpans]Span
 }
 
-// Begin starts the partial trace of the request that the given Trace describes. The Spans of
-// the given Trace are ignored. Span IDs are derived from the seed, which must differ between
-// the partial traces of one trace.
+// Begin starts to record a partial trace. The argument request supplies the fields that describe
+// the request. Its Spans are ignored. Span IDs are derived from seed. Each partial trace of a
+// trace needs a different seed, so that the span IDs differ.
 func Begin(request Trace, seed uint64) *ActiveTrace {
 	active := &ActiveTrace{
 		Trace:        request,
@@ -65,8 +65,7 @@
 	return span.ID
 }
 
-// addWait records a Wait span that ends at now, in Unix ms. It starts at the end of the last
-// attempt, or when the request was received if there was no attempt.
+// addWait records a Wait span that starts at a.idleSince and ends at the time now, in Unix ms.
 func (a *ActiveTrace) addWait(now float64) {
 	a.addSpan(Span{
 		Parent:        a.requestSpan,
@@ -77,12 +76,12 @@
 	})
 }
 
-// waited reports whether the time from the last attempt until now, in Unix ms, is long enough
-// for a Wait span.
+// waited reports whether the time from a.idleSince to now, both in Unix ms, is long enough for a
+// Wait span.
 func (a *ActiveTrace) waited(now float64) bool { return now-a.idleSince >= minWait }
 
-// AttemptStarted records the decision, made at now in Unix ms, to send an attempt. It returns
-// the span context to send to the server with the attempt.
+// AttemptStarted records that the router decided to send an attempt at the time now, in Unix ms.
+// It returns the span context that the router sends to the server with the attempt.
 func (a *ActiveTrace) AttemptStarted(now float64, decision routing.SendAttempt) SpanContext {
 	if a.waited(now) {
 		a.addWait(now)
@@ -103,8 +102,8 @@
 	return SpanContext{Trace: a.ID, Span: attempt, Sampled: a.ClientSampled}
 }
 
-// attemptFlags returns the flags of an attempt that are known when the attempt is decided:
-// all but FlagSent.
+// attemptFlags returns the flags of an attempt that the routing decision determines. These are
+// all flags except FlagSent.
 func attemptFlags(decision routing.SendAttempt) uint8 {
 	flags := uint8(0)
 	if decision.JoinFill {
@@ -119,17 +118,17 @@
 	return flags
 }
 
-// WireTimes is what the transport reports about an attempt. Times are in Unix ms; the time of
-// an event that did not happen is zero.
+// WireTimes holds the values that the transport reports about an attempt. Times are in Unix ms.
+// A zero time means that the event did not happen.
 type WireTimes struct {
-	DialedAt    float64 // when a connection was requested because of the attempt
-	ConnectedAt float64 // when that connection was established
-	WrittenAt   float64 // when the command was written completely
+	DialedAt    float64 // when the dial that the attempt waited for began
+	ConnectedAt float64 // when the connection was established
+	WrittenAt   float64 // when the whole command had been written
 	MaxAge      float64 // ms, maximum age of an acceptable copy, as sent in the command
 }
 
-// AttemptEnded records the result of the attempt in flight, which ended at now in Unix ms. It
-// does nothing if no attempt is in flight.
+// AttemptEnded records the result of the attempt in flight. The attempt ended at the time now,
+// in Unix ms. AttemptEnded does nothing if no attempt is in flight.
 func (a *ActiveTrace) AttemptEnded(now float64, result routing.Result, bytes int, load routing.LoadReport, timing WireTimes) {
 	if a.attemptIndex < 0 {
 		return
@@ -151,8 +150,8 @@
 	a.attemptIndex = noAttempt
 }
 
-// addConnect records the connection that was established for an attempt. The connection may
-// have been requested for an earlier attempt; its span starts no earlier than this attempt.
+// addConnect records a Connect span below an attempt. The connection may have been requested for
+// an earlier attempt. In that case the span starts at the start of the given attempt.
 func (a *ActiveTrace) addConnect(attempt *Span, timing WireTimes) {
 	a.addSpan(Span{
 		Parent:        attempt.ID,
@@ -164,8 +163,8 @@
 	})
 }
 
-// UntracedAttemptStarted counts an attempt without recording a span. It is used for a request
-// for whose spans no memory could be reserved.
+// UntracedAttemptStarted counts an attempt without recording a span. Callers use it instead of
+// AttemptStarted if no memory could be reserved for the spans of the request.
 func (a *ActiveTrace) UntracedAttemptStarted() {
 	a.untraced = true
 	a.Attempts++
@@ -178,8 +177,8 @@
 	a.attemptIndex = noAttempt
 }
 
-// Responded records the final response, or that the client disconnected, at now in Unix ms.
-// Calls after the first one have no effect.
+// Responded records that the request ended at the time now, in Unix ms: the router sent the
+// final response, or the client disconnected. Only the first call has an effect.
 func (a *ActiveTrace) Responded(now float64, outcome Outcome) {
 	if a.responded {
 		return
@@ -198,7 +197,7 @@
 // in flight.
 func (a *ActiveTrace) Done() bool { return a.responded && a.attemptIndex == noAttempt }
 
-// Finished returns the complete partial trace. Callers must not call it before Done reports
+// Finished returns the complete partial trace. Callers may call it only after Done has reported
 // true.
 func (a *ActiveTrace) Finished() *Trace {
 	request := &a.Spans[requestSpanIndex]
--- a/internal/trace/active_test.go
+++ b/internal/trace/active_test.go
@@ -24,13 +24,14 @@
 	return found
 }
 
-// sendAttempt records an attempt, from start to end in Unix ms, whose result is Served.
+// sendAttempt records an attempt with the result Served. The start and the end are in Unix ms.
 func sendAttempt(active *ActiveTrace, start, end float64, timing WireTimes) {
 	active.AttemptStarted(start, routing.SendAttempt{Server: 5})
 	active.AttemptEnded(end, routing.Served, 10, routing.LoadReport{}, timing)
 }
 
-// TestWaitSpanRequiresMinimumDuration checks which requests get a Wait span, and its times.
+// TestWaitSpanRequiresMinimumDuration checks which requests get a Wait span, and checks the
+// times of the span.
 func TestWaitSpanRequiresMinimumDuration(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -66,7 +67,7 @@
 }
 
 // TestConnectStartsWithinAttempt checks that a Connect span does not start before its attempt,
-// also when the connection was requested for an earlier attempt.
+// even when the connection was requested for an earlier attempt.
 func TestConnectStartsWithinAttempt(t *testing.T) {
 	active := beginTrace()
 	sendAttempt(active, activeStart+10, activeStart+30, WireTimes{DialedAt: activeStart + 2, ConnectedAt: activeStart + 12, WrittenAt: activeStart + 13})
@@ -87,20 +88,20 @@
 	}
 }
 
-// TestDoneAfterResponseAndLastAttempt checks that a partial trace is not done, and so not
-// stored, while an attempt is in flight, and that its outcome does not change after the
-// response.
+// TestDoneAfterResponseAndLastAttempt checks that a partial trace is not done while an attempt
+// is in flight. A trace that is not done is not stored. The test also checks that the outcome
+// does not change after the first response.
 func TestDoneAfterResponseAndLastAttempt(t *testing.T) {
 	active := beginTrace()
 	active.AttemptStarted(activeStart+1, routing.SendAttempt{Server: 5})
 	active.Responded(activeStart+2, ClientDisconnected)
 	if active.Done() {
-		t.Error("done while an attempt is in flight")
+		t.Error("Done returned true while an attempt is in flight, want false")
 	}
 	active.AttemptEnded(activeStart+3, routing.Served, 10, routing.LoadReport{}, WireTimes{})
 	active.Responded(activeStart+4, Served)
 	if !active.Done() {
-		t.Fatal("not done after the response and the end of the last attempt")
+		t.Fatal("Done returned false after the response and the end of the last attempt, want true")
 	}
 	finished := active.Finished()
 	if finished.Outcome != ClientDisconnected || finished.End != activeStart+2 {
@@ -111,18 +112,18 @@
 	}
 }
 
-// TestUntracedAttemptsAreCounted checks that attempts are counted but get no spans when no
-// memory could be reserved for the request's trace.
+// TestUntracedAttemptsAreCounted checks the trace of a request for which no memory could be
+// reserved. Its attempts are counted but get no spans.
 func TestUntracedAttemptsAreCounted(t *testing.T) {
 	active := beginTrace()
 	active.UntracedAttemptStarted()
 	active.Responded(activeStart+2, Served)
 	if active.Done() {
-		t.Error("done while an attempt is in flight")
+		t.Error("Done returned true while an attempt is in flight, want false")
 	}
 	active.UntracedAttemptEnded()
 	if !active.Done() {
-		t.Error("not done after the end of the attempt")
+		t.Error("Done returned false after the end of the attempt, want true")
 	}
 	if active.Attempts != 1 || len(active.Spans) != 1 {
 		t.Errorf("got %d attempts and %d spans, want 1 attempt and only the Request span", active.Attempts, len(active.Spans))
--- a/internal/trace/codec.go
+++ b/internal/trace/codec.go
@@ -14,9 +14,9 @@
 
 // Limits and sizes of the parts of one record.
 const (
-	maxTextLength = math.MaxUint8 // bytes of a string: its length is stored in one byte
-	maxSpans      = 4096          // maximum number of spans, and maximum number of links
-	spanHeadSize  = 5             // bytes of a span's one-byte fields
+	maxTextLength = math.MaxUint8 // maximum bytes of a string, because the length of a string is stored in one byte
+	maxSpans      = 4096          // maximum number of spans and, separately, of links
+	spanHeadSize  = 5             // total bytes of a span's one-byte fields
 )
 
 // Append appends the stored form of a trace to dst and returns the extended buffer. Times are
@@ -46,8 +46,8 @@
 	return appendLinks(dst, t.Links)
 }
 
-// appendSpan appends a span. Its start is stored relative to traceStart, the start of its
-// trace in Unix microseconds.
+// appendSpan appends a span. The start of the span is stored as its distance from traceStart,
+// the start of the trace in Unix microseconds.
 func appendSpan(dst []byte, span *Span, traceStart uint64) []byte {
 	dst = append(dst, byte(span.Kind), span.AttemptNumber, span.Result, span.Flags, span.CopyRank)
 	dst = binary.AppendUvarint(dst, uint64(span.ID))
@@ -63,7 +63,8 @@
 	return binary.AppendVarint(dst, int64(micros(span.End)-start))
 }
 
-// appendLinks appends links without a count, because links extend to the end of the record.
+// appendLinks appends links. It stores no number of links, because the links are the last part
+// of a record.
 func appendLinks(dst []byte, links []Link) []byte {
 	for _, link := range links {
 		dst = binary.AppendUvarint(dst, uint64(link.From))
@@ -73,8 +74,8 @@
 	return dst
 }
 
-// appendText appends the length of a string as one byte, then the string, truncated to
-// maxTextLength bytes.
+// appendText truncates a string to maxTextLength bytes. It appends the length of the result as
+// one byte, and then the result.
 func appendText(dst []byte, text string) []byte {
 	text = text[:min(len(text), maxTextLength)]
 	dst = append(dst, byte(len(text)))
@@ -83,41 +84,41 @@
 
 const microsPerMilli = 1000
 
-// micros converts milliseconds to microseconds. A negative time is converted to its two's
-// complement, so that the difference of two converted times is correct.
+// micros converts a time from milliseconds to microseconds. A negative time is converted to its
+// two's complement, so that the difference of two converted times is correct.
 func micros(ms float64) uint64 { return uint64(int64(math.Round(ms * microsPerMilli))) }
 
-// millis is the inverse of micros.
+// millis converts a time from microseconds to milliseconds. It is the inverse of micros.
 func millis(us uint64) float64 { return float64(int64(us)) / microsPerMilli }
 
-// Decode decodes a record that Append wrote. The argument must hold exactly one record, without
+// Decode decodes a record that Append wrote. The argument must contain exactly one record and no
 // further bytes. All errors wrap ErrCorruptRecord.
 func Decode(record []byte) (*Trace, error) {
 	fields := decoder{remaining: record}
 	t := &Trace{}
 	start := fields.readHead(t)
 	spanCount := fields.uint(maxSpans)
-	// A span takes more than one byte. A span count above the number of remaining bytes is
-	// rejected, so that a corrupt count cannot cause a large allocation.
+	// A span takes more than one byte. Therefore a span count above the number of remaining
+	// bytes is corrupt. Decode rejects such a count before it can cause a large allocation.
 	if fields.failed || math.IsNaN(t.Weight) || spanCount > uint64(len(fields.remaining)) {
-		return nil, fmt.Errorf("%w: invalid or truncated fields before the spans", ErrCorruptRecord)
+		return nil, fmt.Errorf("%w: a field before the spans is missing or out of range in a record of %d bytes", ErrCorruptRecord, len(record))
 	}
 	t.Spans = make([]Span, spanCount)
 	for i := range t.Spans {
 		fields.readSpan(&t.Spans[i], start)
 		if fields.failed || t.Spans[i].Kind >= kindCount {
-			return nil, fmt.Errorf("%w: invalid or truncated span %d", ErrCorruptRecord, i)
+			return nil, fmt.Errorf("%w: a field of the span at index %d of %d is missing or out of range", ErrCorruptRecord, i, spanCount)
 		}
 	}
 	t.Links = fields.readLinks()
 	if fields.failed || len(fields.remaining) > 0 {
-		return nil, fmt.Errorf("%w: invalid links, more links than allowed, or trailing bytes", ErrCorruptRecord)
+		return nil, fmt.Errorf("%w: a link is incomplete or has an invalid ID, or the record has more than %d links", ErrCorruptRecord, maxSpans)
 	}
 	return t, nil
 }
 
-// decoder reads the fields of a record in sequence. After a field that is missing or out of
-// range, failed is true and all further fields are read as zero.
+// decoder reads the fields of a record in sequence. If a field is missing or out of range, the
+// decoder sets failed and reads all further fields as zero.
 type decoder struct {
 	remaining []byte
 	failed    bool
@@ -147,9 +148,9 @@
 	return start
 }
 
-// readSpan reads a span of a trace that started at traceStart, in Unix microseconds.
+// readSpan reads a span. traceStart is the start of the trace in Unix microseconds.
 func (d *decoder) readSpan(span *Span, traceStart uint64) {
-	head := d.take(spanHeadSize)
+	head := d.readBytes(spanHeadSize)
 	span.Kind = Kind(head[0])
 	span.AttemptNumber = head[1]
 	span.Result = head[2]
@@ -169,7 +170,7 @@
 	span.End = millis(end)
 }
 
-// readLinks reads links until the end of the record, at most maxSpans of them.
+// readLinks reads links up to the end of the record, but no more than maxSpans links.
 func (d *decoder) readLinks() []Link {
 	var links []Link
 	for len(d.remaining) > 0 && len(links) < maxSpans {
@@ -179,19 +180,19 @@
 	return links
 }
 
-// take reads size bytes. If fewer bytes remain, the decoder fails and take returns size zero
-// bytes.
-func (d *decoder) take(size int) []byte {
+// readBytes reads the given number of bytes. If fewer bytes remain, the decoder fails, and
+// readBytes returns a slice of the given length that contains only zeros.
+func (d *decoder) readBytes(size int) []byte {
 	if len(d.remaining) < size {
 		d.fail()
 		return make([]byte, size)
 	}
-	taken := d.remaining[:size]
+	read := d.remaining[:size]
 	d.remaining = d.remaining[size:]
-	return taken
+	return read
 }
 
-// uint reads an unsigned varint. A value above limit makes the decoder fail.
+// uint reads an unsigned varint. The decoder fails if the value is above limit.
 func (d *decoder) uint(limit uint64) uint64 {
 	value, size := binary.Uvarint(d.remaining)
 	if size <= 0 || value > limit {
@@ -226,9 +227,9 @@
 
 func (d *decoder) spanID() SpanID { return SpanID(d.uint(math.MaxUint64)) }
 
-func (d *decoder) traceID() ID { return ID(d.take(idSize)) }
+func (d *decoder) traceID() ID { return ID(d.readBytes(idSize)) }
 
 func (d *decoder) text() string {
-	length := d.take(1)[0]
-	return string(d.take(int(length)))
+	length := d.readBytes(1)[0]
+	return string(d.readBytes(int(length)))
 }
--- a/internal/trace/codec_test.go
+++ b/internal/trace/codec_test.go
@@ -11,8 +11,8 @@
 	"garnetline/routing"
 )
 
-// randomTrace records a partial trace with random attempts, outcome and links, in a sequence of
-// calls that a router could make.
+// randomTrace records a partial trace with random attempts, a random outcome and random links.
+// It calls the methods of ActiveTrace in an order in which a router could call them.
 func randomTrace(tb testing.TB, id ID, rng *rand.Rand, start float64) *Trace {
 	tb.Helper()
 	active := Begin(Trace{
@@ -32,7 +32,7 @@
 	}
 	active.Responded(now, Outcome(rng.IntN(int(outcomeCount))))
 	if !active.Done() {
-		tb.Fatal("the partial trace is not done after its response")
+		tb.Fatal("Done returned false after the response, want true")
 	}
 	finished := active.Finished()
 	for range rng.IntN(3) {
@@ -42,8 +42,8 @@
 	return finished
 }
 
-// randomAttempt records an attempt that starts at now and returns the time of its end, both in
-// Unix ms. The client may disconnect before the attempt ends.
+// randomAttempt records an attempt that starts at the time now. It returns the time at which the
+// attempt ends. Both times are in Unix ms. The client may disconnect before the attempt ends.
 func randomAttempt(active *ActiveTrace, rng *rand.Rand, now float64) float64 {
 	active.AttemptStarted(now, routing.SendAttempt{
 		Server:     routing.ServerID(rng.Uint32()),
@@ -66,8 +66,9 @@
 	return endedAt
 }
 
-// equalTraces reports whether two traces are equal, with tolerance for times, which are stored
-// rounded to the microsecond. Two missing load reports, which are NaN, are equal.
+// equalTraces reports whether two traces are equal. Times may differ slightly, because they are
+// stored rounded to the microsecond. Two NaN values, which stand for missing load reports, count
+// as equal.
 func equalTraces(got, want *Trace) bool {
 	if len(got.Spans) != len(want.Spans) {
 		return false
@@ -106,7 +107,7 @@
 }
 
 func equalTimes(a, b float64) bool {
-	const tolerance = 0.002 // ms, twice the rounding error of an end
+	const tolerance = 0.002 // ms, twice the maximum rounding error of the end of a span
 	return math.Abs(a-b) < tolerance
 }
 
@@ -114,8 +115,9 @@
 	return a == b || math.IsNaN(float64(a)) && math.IsNaN(float64(b))
 }
 
-// FuzzDecode checks that encoding and decoding a trace returns an equal trace, that Decode does
-// not return a complete trace for a truncated record, and that no input makes Decode panic.
+// FuzzDecode checks that encoding and then decoding a trace returns an equal trace. It also
+// checks that Decode does not return a complete trace for a truncated record, and that no input
+// makes Decode panic.
 func FuzzDecode(f *testing.F) {
 	fuzzutil.AddRandomSeeds(f, 16, 200)
 	f.Fuzz(func(t *testing.T, input []byte) {
@@ -140,8 +142,8 @@
 	})
 }
 
-// checkReencoding checks that a trace that Decode returns for an arbitrary input can be encoded
-// and decoded again.
+// checkReencoding decodes an arbitrary input. If Decode returns a trace, checkReencoding checks
+// that the trace can be encoded and decoded again.
 func checkReencoding(t *testing.T, input []byte) {
 	t.Helper()
 	decoded, err := Decode(input)
--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -11,7 +11,7 @@
 	"garnetline/routing"
 )
 
-// goldenTrace is a partial trace with a value in every stored field.
+// goldenTrace returns a partial trace with a value in every stored field.
 func goldenTrace() *Trace {
 	const start = 1_700_000_000_000.0
 	active := Begin(Trace{
@@ -48,8 +48,8 @@
 	return finished
 }
 
-// TestRecordMatchesGolden checks that the stored form of a trace does not change: retained
-// traces stay on disk when a router is updated, and the new version must read them.
+// TestRecordMatchesGolden checks that the stored form of a trace does not change. Retained
+// traces stay on disk when a router is updated, and the new version must be able to read them.
 // UPDATE_GOLDEN=1 rewrites testdata.
 func TestRecordMatchesGolden(t *testing.T) {
 	want := goldenTrace()
@@ -63,10 +63,10 @@
 	}
 }
 
-// TestDerivedValuesMatchGolden checks that values which routers of different versions, collectors
-// and operators share do not change: the IDs of the root span and of other spans, the sampling
-// order, the traceparent header, and the names of kinds and outcomes. UPDATE_GOLDEN=1 rewrites
-// testdata.
+// TestDerivedValuesMatchGolden checks that derived values do not change: the IDs of the root
+// span and of other spans, the sampling order, the traceparent header, and the names of kinds
+// and outcomes. Routers of different versions, collectors and operators share these values.
+// UPDATE_GOLDEN=1 rewrites testdata.
 func TestDerivedValuesMatchGolden(t *testing.T) {
 	var text bytes.Buffer
 	for n := range byte(8) {
--- a/internal/trace/id.go
+++ b/internal/trace/id.go
@@ -11,7 +11,7 @@
 	idSize     = 16         // bytes of an ID
 	idTextSize = 2 * idSize // hex digits of an ID in text form
 	// orderSteps is the number of values that Order can return. A float64 represents each of
-	// them exactly.
+	// these values exactly.
 	orderSteps = 1 << 53
 )
 
@@ -32,18 +32,20 @@
 	return id, err == nil && id != ID{}
 }
 
-// Order returns a number in (0, 1] that depends only on the ID and is uniformly distributed.
-// Routers sample traces by Order, so that all routers choose the same traces.
+// Order returns a number in (0, 1] that depends only on the ID. The numbers are uniformly
+// distributed over random IDs. All routers sample traces by Order, so that they choose the same
+// traces.
 func (id ID) Order() float64 {
 	return (float64(xxhash.Sum64(id[:])>>11) + 1) / orderSteps
 }
 
-// Root returns the ID of the root span, which represents the client's request with all its
-// retries. It depends only on the trace's ID, so that routers derive the same root span ID
+// Root returns the ID of the root span. The root span represents the client's request with all
+// its retries. The ID depends only on the trace's ID, so that all routers derive the same ID
 // without communication.
 func (id ID) Root() SpanID { return id.Span(0) }
 
-// Span returns a span ID that is derived from the trace's ID and n. It is never zero.
+// Span returns a span ID that is derived from the trace's ID and the number n. The span ID is
+// never zero.
 func (id ID) Span(n uint64) SpanID {
 	var seed [idSize + 8]byte
 	copy(seed[:], id[:])
--- a/internal/trace/id_test.go
+++ b/internal/trace/id_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestOrderIsUniform checks that Order is uniformly distributed over random IDs, which the
-// weights of sampled traces depend on.
+// TestOrderIsUniform checks that Order is uniformly distributed over random IDs. The weights of
+// sampled traces are wrong if it is not.
 func TestOrderIsUniform(t *testing.T) {
 	const (
 		ids       = 100_000
--- a/internal/trace/merge.go
+++ b/internal/trace/merge.go
@@ -6,16 +6,17 @@
 	"slices"
 )
 
-// Merge combines the partial traces of the trace with the given ID into a list of spans. The
-// first span is the root, which lasts from the earliest start to the latest end. The other
-// spans follow in the order of their starts, each of them once. Merge ignores partial traces
-// of other traces and returns nil if there is nothing to combine. A span whose parent is
-// missing, for example because a router was killed, becomes a child of the root.
+// Merge combines the partial traces with the given trace ID into a list of spans. The first span
+// is the root. It lasts from the earliest start to the latest end of the partial traces. The
+// other spans follow in the order of their starts, without duplicates. Merge ignores partial
+// traces with another ID. It returns nil if no partial trace has the given ID. A span becomes a
+// child of the root if its own parent is missing, for example because a router was killed.
 //
-// A server's clock may differ from the router's. If a server's partial trace does not lie
-// within the attempt or fill that caused it, Merge shifts the whole partial trace: to the
-// middle of the causing span, which assumes equal network delays in both directions, or to the
-// start of the causing span if the partial trace is the longer one.
+// The clocks of a server and a router may differ. Therefore a server's partial trace may seem to
+// lie outside the attempt or fill that caused it. In that case Merge shifts all spans of the
+// partial trace by the same time. It moves the partial trace to the middle of the attempt or
+// fill, which assumes equal network delays in both directions. If the partial trace is longer
+// than the attempt or fill, Merge moves it to the start of the attempt or fill.
 func Merge(id ID, partials []*Trace) []Span {
 	merged := merger{
 		root:  Span{ID: id.Root(), Kind: Client, Start: math.Inf(1), End: math.Inf(-1)},
@@ -41,14 +42,13 @@
 // merger holds the state of one call of Merge.
 type merger struct {
 	root  Span
-	spans map[SpanID]Span // all but the root
+	spans map[SpanID]Span // all spans except the root
 }
 
 // empty reports whether no partial trace was added.
 func (m *merger) empty() bool { return math.IsInf(m.root.Start, 0) }
 
-// extendRoot extends the root span to include the time from the start to the end of a partial
-// trace.
+// extendRoot extends the root span so that it covers a partial trace from start to end.
 func (m *merger) extendRoot(partial *Trace) {
 	m.root.Start = min(m.root.Start, partial.Start)
 	m.root.End = max(m.root.End, partial.End)
@@ -68,10 +68,11 @@
 }
 
 // addServerTraces adds the partial traces that servers recorded. The partial trace of a parent
-// server is a child of a fill of a cache, and its shift depends on the shift of the cache's
-// partial trace. Therefore addServerTraces repeats until no more partial traces have a known
-// parent span. The remaining ones, whose router's partial trace is lost, are added without a
-// shift.
+// server is the child of a cache's fill. Its shift depends on the shift of the cache's partial
+// trace, which must therefore be added first. For this reason addServerTraces goes through the
+// partial traces repeatedly, until no remaining partial trace has a known parent span. The
+// remaining partial traces have no known parent span because the partial trace of their router
+// is lost. addServerTraces adds them without a shift.
 func (m *merger) addServerTraces(partials []*Trace) {
 	for {
 		remaining := slices.DeleteFunc(partials, m.addBelowParent)
@@ -86,8 +87,8 @@
 	}
 }
 
-// addBelowParent adds the partial trace of a server if the parent of its first span is known,
-// and reports whether the parent is known.
+// addBelowParent adds the partial trace of a server if m already contains the parent of its
+// first span. It reports whether it added the partial trace.
 func (m *merger) addBelowParent(partial *Trace) bool {
 	parent, known := m.spans[partial.Spans[0].Parent]
 	if known {
@@ -96,7 +97,7 @@
 	return known
 }
 
-// addShifted adds the spans of a partial trace with shift, in ms, added to their times.
+// addShifted adds the spans of a partial trace after it has moved their times by shift, in ms.
 func (m *merger) addShifted(partial *Trace, shift float64) {
 	for _, span := range partial.Spans {
 		span.Start += shift
--- a/internal/trace/merge_test.go
+++ b/internal/trace/merge_test.go
@@ -8,8 +8,9 @@
 	"garnetline/routing"
 )
 
-// TestMergeReturnsOneRoot checks that the merged spans have one root and that each other span has
-// a parent, also when a router was killed before it stored the first span of its partial trace.
+// TestMergeReturnsOneRoot checks that the merged spans have one root and that each other span
+// has a parent. This must also hold when a router was killed before it stored the first span of
+// its partial trace.
 func TestMergeReturnsOneRoot(t *testing.T) {
 	id := ID{7}
 	for seed := range uint64(200) {
@@ -83,7 +84,7 @@
 }
 
 // TestMergeShiftsServerSpansIntoAttempt checks that a server's spans lie within the attempt that
-// caused them, also when the server's clock differs from the router's by seconds.
+// caused them, even when the clocks of the server and the router differ by seconds.
 func TestMergeShiftsServerSpansIntoAttempt(t *testing.T) {
 	id := ID{3}
 	active := Begin(Trace{ID: id, Router: "n1", Start: 1000}, 1)
@@ -106,10 +107,10 @@
 			checkWithinParent(t, fill, cacheWork, 20)
 			checkWithinParent(t, spans[parentWorkID], fill, 10)
 			if got := fill.Start - cacheWork.Start; got != 5 {
-				t.Errorf("got the fill %v ms after the start of the work, want 5", got)
+				t.Errorf("got the fill %v ms after the start of the work, want 5 ms", got)
 			}
 			if withinAttempt := clockOffset >= 0 && clockOffset <= 3; withinAttempt && cacheWork.Start != cacheStart {
-				t.Errorf("got a work span that starts at %v, want %v, unshifted within the attempt", cacheWork.Start, cacheStart)
+				t.Errorf("got a work span that starts at %v, want %v without a shift, because it lies within the attempt", cacheWork.Start, cacheStart)
 			}
 		})
 	}
@@ -143,7 +144,7 @@
 			}
 			root, work := spans[0], spans[1]
 			if root.Kind != Client || work.Parent != root.ID {
-				t.Errorf("got a first span of kind %v and parent %x of the second, want the client's request and %x", root.Kind, work.Parent, root.ID)
+				t.Errorf("got a first span of kind %v and a second span with parent %x, want kind client and parent %x", root.Kind, work.Parent, root.ID)
 			}
 		})
 	}
--- a/internal/trace/spancontext.go
+++ b/internal/trace/spancontext.go
@@ -24,18 +24,19 @@
 	flagsStart        = spanIDEnd + 1
 	traceparentLength = flagsStart + 2
 
-	// maxTraceparentLength is the maximum length, in bytes, that is accepted for a header of a
-	// later version, which may have more fields.
+	// maxTraceparentLength is the maximum accepted length of a header, in bytes. A header of a
+	// later version may have more fields than version 00.
 	maxTraceparentLength = 256
 
 	traceparentVersion = "00"
-	invalidVersion     = "ff" // the specification forbids it
+	invalidVersion     = "ff" // forbidden by the specification
 	sampledFlag        = 1
 )
 
-// ParseTraceparent parses a traceparent header. It reports false for a header that is malformed,
-// longer than 256 bytes, of version ff, or has an all-zero ID; the caller must then start a
-// new trace. In a header of a version after 00, it reads the fields that version 00 defines.
+// ParseTraceparent parses a traceparent header. It reports false if the header is malformed, is
+// longer than 256 bytes, has the version ff or contains an all-zero ID. In that case the caller
+// must start a new trace. If the version is later than 00, ParseTraceparent reads only the
+// fields that version 00 defines.
 func ParseTraceparent(header string) (SpanContext, bool) {
 	if !validTraceparentLayout(header) {
 		return SpanContext{}, false
@@ -49,8 +50,8 @@
 	return SpanContext{Trace: id, Span: SpanID(span), Sampled: flags&sampledFlag != 0}, true
 }
 
-// validTraceparentLayout reports whether the version, the length and the positions of the dashes
-// are valid.
+// validTraceparentLayout reports whether a header has a valid version, a valid length and dashes
+// at the required positions.
 func validTraceparentLayout(header string) bool {
 	if len(header) < traceparentLength || len(header) > maxTraceparentLength {
 		return false
--- a/internal/trace/spancontext_test.go
+++ b/internal/trace/spancontext_test.go
@@ -7,8 +7,8 @@
 
 const validTraceparent = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
 
-// TestParseTraceparentReadsEachVersion checks that headers of version 00 and of a later version
-// are parsed.
+// TestParseTraceparentReadsEachVersion checks that ParseTraceparent accepts headers of version
+// 00 and of a later version.
 func TestParseTraceparentReadsEachVersion(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestParseTraceparentRejectsMalformed checks that an invalid header does not become the parent
-// of a request. The specification requires receivers to ignore such headers.
+// TestParseTraceparentRejectsMalformed checks that ParseTraceparent reports false for invalid
+// headers. The specification requires receivers to ignore them.
 func TestParseTraceparentRejectsMalformed(t *testing.T) {
 	const good = validTraceparent
 	for _, test := range []struct {
@@ -56,7 +56,8 @@
 	}
 }
 
-// FuzzTraceparent checks that a parsed header is equal after it is written and parsed again.
+// FuzzTraceparent parses a header, writes the result as a header and parses that header again.
+// Both results must be equal.
 func FuzzTraceparent(f *testing.F) {
 	f.Add(validTraceparent)
 	f.Add("cc-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-03-more")
