--- a/internal/trace/instrument/instrument.go
+++ b/internal/trace/instrument/instrument.go
@@ -8,14 +8,15 @@
 	"garnetline/routing"
 )
 
-// Dispatcher returns a tracer for dispatch.Dispatcher.SetTracer that records traces with r.
+// Dispatcher returns a tracer that records traces with the given recorder. The tracer is an
+// argument for dispatch.Dispatcher.SetTracer.
 func Dispatcher(r *recorder.Recorder) dispatch.Tracer { return dispatchTracer{r} }
 
-// dispatchTracer implements dispatch.Tracer by a trace recorder.
+// dispatchTracer implements dispatch.Tracer with a trace recorder.
 type dispatchTracer struct{ recorder *recorder.Recorder }
 
-// Open begins the trace of a request at now, in Unix ms. For a request with a client, the trace
-// starts when the router received the request.
+// Open begins the trace of a request at the time now, in Unix ms. If the request has a client,
+// the trace starts when the router received the request.
 func (t dispatchTracer) Open(now float64, request *dispatch.Request, class *routing.Class) dispatch.RequestTrace {
 	traced := recorder.Request{
 		TransactionID:  request.TransactionID,
@@ -33,7 +34,8 @@
 	return t.recorder.Open(now, traced, class)
 }
 
-// Close ends the trace of a request at now, in Unix ms. done must come from Open.
-func (t dispatchTracer) Close(now float64, done dispatch.RequestTrace) {
-	t.recorder.Close(now, done.(*recorder.RequestTrace))
+// Close ends the trace of a request at the time now, in Unix ms. Open must have returned the
+// given trace.
+func (t dispatchTracer) Close(now float64, opened dispatch.RequestTrace) {
+	t.recorder.Close(now, opened.(*recorder.RequestTrace))
 }
--- a/internal/trace/instrument/instrument_test.go
+++ b/internal/trace/instrument/instrument_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// Close passes the request on to the recorder, which retains the trace.
+// Close passes the trace to the recorder, which retains it.
 func TestClosedRequestIsRetained(t *testing.T) {
 	counters := metrics.New()
 	tracer := newTracer(counters)
--- a/internal/trace/propagation/benchmark_test.go
+++ b/internal/trace/propagation/benchmark_test.go
@@ -8,11 +8,11 @@
 	"garnetline/internal/trace"
 )
 
-// BenchmarkRetryGuess measures the errors of the retry heuristic for requests without a traceparent
-// and without an idempotency key. Clients share a number of addresses and request objects from a
-// Zipf distribution. A tenth of the requests is rejected, and half of the rejected requests are
-// retried after a second. "wrong%" is the share of first requests that are taken for retries, and
-// "missed%" the share of retries that are not recognized.
+// BenchmarkRetryGuess measures the errors of the retry heuristic for requests without a
+// traceparent and without an idempotency key. Each client has one of a given number of addresses
+// and requests objects from a Zipf distribution. A tenth of the requests are rejected, and half
+// of the rejected requests are retried after a second. "wrong%" is the share of first requests
+// that are mistaken for retries. "missed%" is the share of retries that are not recognized.
 func BenchmarkRetryGuess(b *testing.B) {
 	for _, addresses := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("addresses=%d", addresses), func(b *testing.B) {
@@ -23,9 +23,9 @@
 
 // pendingRetry is a retry that a client sends at a later time.
 type pendingRetry struct {
-	at      float64 // ms
+	at      float64 // ms, when the client sends the retry
 	request Request
-	traceID trace.ID // of the rejected request
+	traceID trace.ID // trace ID of the rejected request
 }
 
 func benchmarkRetryGuess(b *testing.B, addresses int) {
--- a/internal/trace/propagation/correlator.go
+++ b/internal/trace/propagation/correlator.go
@@ -4,15 +4,16 @@
 // The first rule that applies to a request selects its trace:
 //
 //  1. The client's traceparent header names the trace.
-//  2. For classes with idempotency keys, the trace is derived from the key. It is the same at
-//     all routers, so that a retry at another router joins the trace.
-//  3. An earlier request of the same client for the same chunk ended within the retry window
-//     without being served by this router. The request is taken for its retry and joins its trace.
+//  2. For classes with idempotency keys, the trace ID is derived from the key. All routers
+//     derive the same trace ID, so that a retry at another router joins the trace.
+//  3. The router failed to serve an earlier request of the same client for the same chunk, and
+//     the retry window after the end of that request is not over. The new request is treated as
+//     a retry and joins the trace of the earlier request.
 //  4. Otherwise the request begins a new trace.
 //
-// Rule 3 is a heuristic. It is wrong if two clients share an address and one of them requests the
-// same chunk after the other was rejected. It misses retries that arrive at another router.
-// BenchmarkRetryGuess reports the rates of both errors.
+// Rule 3 is a heuristic. It is wrong if two clients share an address, the first client's request
+// is rejected and the second client then requests the same chunk. The rule misses retries that arrive
+// at another router. BenchmarkRetryGuess reports the rates of both errors.
 package propagation
 
 import (
@@ -38,9 +39,9 @@
 // Correlation is the trace that a request belongs to.
 type Correlation struct {
 	ID            trace.ID
-	ClientSpan    trace.SpanID // span that the client sent; 0 if none
+	ClientSpan    trace.SpanID // span ID that the client sent; 0 if the client sent none
 	ClientSampled bool         // whether the client samples the trace
-	Retry         uint8        // number of earlier tries of the request that this router knows of
+	Retry         uint8        // number of earlier requests of the trace that are known to this router
 	unservedKey   uint64       // key in the table of unserved requests; 0 if the request has no key
 }
 
@@ -55,8 +56,8 @@
 }
 
 // New returns a Correlator. Routers with the same secret derive the same trace ID from an
-// idempotency key. retryWindow is in ms, see SetRetryWindow. The seed must differ between
-// routers and between restarts of a router, since the IDs of new traces are derived from it.
+// idempotency key. retryWindow is in ms, see SetRetryWindow. The IDs of new traces are derived
+// from the seed, so the seed must differ between routers and between restarts of a router.
 func New(secret string, retryWindow float64, seed uint64) *Correlator {
 	return &Correlator{
 		secret:      []byte(secret),
@@ -67,9 +68,9 @@
 	}
 }
 
-// SetRetryWindow sets how long, in ms, after the end of an unserved request an equal request is
-// taken for its retry.
-func (c *Correlator) SetRetryWindow(ms float64) { c.retryWindow = ms }
+// SetRetryWindow sets the retry window, in ms. The window begins when a request ends without
+// being served. The Correlator treats an equal request within the window as a retry.
+func (c *Correlator) SetRetryWindow(retryWindow float64) { c.retryWindow = retryWindow }
 
 // Correlate returns the trace of a request that arrived at now, in Unix ms.
 func (c *Correlator) Correlate(now float64, request Request) Correlation {
@@ -95,9 +96,9 @@
 	return correlation
 }
 
-// RequestEnded records that a request ended at now, in Unix ms. Correlate must have returned
-// correlation for it. served tells whether the client received a usable response, after which it
-// does not retry.
+// RequestEnded records that a request ended at the time now, in Unix ms. The argument
+// correlation is the result of Correlate for the request. The argument served reports whether
+// the client received a usable response. A client with a usable response does not retry.
 func (c *Correlator) RequestEnded(now float64, correlation Correlation, served bool) {
 	if correlation.unservedKey == 0 {
 		return
@@ -136,10 +137,10 @@
 	return id
 }
 
-// unservedKey returns the key of a request in the table of unserved requests. The key is a hash of
-// the idempotency key or, without one, of the object, chunk, class and client address, so that the
-// table stores no client data in plain text. It is 0 if the request has neither an idempotency key
-// nor a client address.
+// unservedKey returns the key of a request in the table of unserved requests. The key is a hash
+// of the idempotency key, if the request has one. Otherwise the key is a hash of the object,
+// chunk, class and client address. Because of the hashes, the table stores no client data in
+// plain text. The key is 0 if the request has neither an idempotency key nor a client address.
 func (c *Correlator) unservedKey(request Request) uint64 {
 	if request.ClientAddress == "" && request.IdempotencyKey == "" {
 		return 0
@@ -174,6 +175,6 @@
 // hashString adds a string to a digest. Writing to a digest never fails.
 func hashString(digest *xxhash.Digest, added string) { _, _ = digest.WriteString(added) }
 
-// nonZeroSum returns the hash of a digest. It replaces 0 by 1, because 0 means that there is no
-// hash.
+// nonZeroSum returns the hash of a digest, or 1 if the hash is 0. The value 0 means that there
+// is no hash.
 func nonZeroSum(digest *xxhash.Digest) uint64 { return max(digest.Sum64(), 1) }
--- a/internal/trace/propagation/correlator_test.go
+++ b/internal/trace/propagation/correlator_test.go
@@ -19,8 +19,9 @@
 	return Request{ClientAddress: "1.1.1.1", Class: "part", Object: 7, Chunk: 3}
 }
 
-// newCorrelatorWithUnserved returns a correlator, and the correlation of a chunkRequest that ended
-// unserved at 10 ms.
+// newCorrelatorWithUnserved returns a correlator that has recorded one unserved request. The
+// request is a chunkRequest that ended at 10 ms. The second result is the correlation of this
+// request.
 func newCorrelatorWithUnserved(t *testing.T) (*Correlator, Correlation) {
 	t.Helper()
 	correlator := New("s", retryWindow, 1)
@@ -62,11 +63,12 @@
 		t.Errorf("trace ID %q discloses the idempotency key", first.ID[:])
 	}
 	if other := New("other", retryWindow, 1).Correlate(0, Request{IdempotencyKey: key}); other.ID == first.ID {
-		t.Errorf("got trace %v for two secrets, want two traces", other.ID)
+		t.Errorf("got trace %v for one key with each of two secrets, want different traces", other.ID)
 	}
 }
 
-// A request within the retry window of an equal unserved request is its retry, and joins its trace.
+// A request joins the trace of an equal unserved request as its retry, if it arrives within the
+// retry window.
 func TestRetryJoinsTraceWithinWindow(t *testing.T) {
 	correlator, first := newCorrelatorWithUnserved(t)
 	if got := correlator.Correlate(10+retryWindow, chunkRequest()); got.ID != first.ID || got.Retry != 1 {
@@ -82,7 +84,7 @@
 	correlator := New("s", retryWindow, 1)
 	first := correlator.Correlate(0, chunkRequest())
 	if got := correlator.Correlate(1, chunkRequest()); got.ID == first.ID {
-		t.Errorf("got trace %v, want a new one while the first request is open", got.ID)
+		t.Errorf("got trace %v, want a new trace while the first request is open", got.ID)
 	}
 }
 
@@ -92,11 +94,12 @@
 	correlator.RequestEnded(1012, first, false)
 	correlator.RequestEnded(1013, first, true)
 	if got := correlator.Correlate(1014, chunkRequest()); got.ID == first.ID {
-		t.Errorf("got trace %v, want a new one after the first request was served", got.ID)
+		t.Errorf("got trace %v, want a new trace after the first request was served", got.ID)
 	}
 }
 
-// A request is a retry only if its client, chunk, class and object are those of the unserved one.
+// A request is a retry only if its client, chunk, class and object equal those of the unserved
+// request.
 func TestDifferentRequestIsNoRetry(t *testing.T) {
 	tests := map[string]func(*Request){
 		"client": func(r *Request) { r.ClientAddress = "1.1.1.2" },
--- a/internal/trace/propagation/unserved.go
+++ b/internal/trace/propagation/unserved.go
@@ -2,19 +2,21 @@
 
 import "garnetline/internal/trace"
 
-// generationCapacity is the largest number of requests in one generation of an unservedTable.
+// generationCapacity is the maximum number of requests in one generation of an unservedTable.
 const generationCapacity = 1 << 14
 
-// unservedRequest is a request that ended without being served, so that its client may retry it.
+// unservedRequest describes a request that ended without being served. The client may retry the
+// request.
 type unservedRequest struct {
 	traceID trace.ID
 	endedAt float64 // Unix ms
-	retry   uint8   // Correlation.Retry of the request; wraps to 0 after 255
+	retry   uint8   // Correlation.Retry of the request; overflows from 255 to 0
 }
 
 // unservedTable holds the most recent unserved requests in two generations. When the current
-// generation is full, it replaces the previous one, whose requests are dropped. This bounds the
-// table without a timer or a list in order of age.
+// generation is full, it becomes the previous generation. The requests of the old previous
+// generation are then dropped. This limits the size of the table without a timer or a list
+// ordered by age.
 type unservedTable struct {
 	current  map[uint64]unservedRequest
 	previous map[uint64]unservedRequest
@@ -24,7 +26,8 @@
 	return unservedTable{current: map[uint64]unservedRequest{}}
 }
 
-// lookup returns the request under a key, and whether there is one. Key 0 has none.
+// lookup returns the request with the given key and reports whether the table contains it. The
+// table contains no request with key 0.
 func (t *unservedTable) lookup(key uint64) (unservedRequest, bool) {
 	if key == 0 {
 		return unservedRequest{}, false
@@ -36,7 +39,7 @@
 	return request, found
 }
 
-// add adds a request, or replaces the one under its key.
+// add adds a request. It replaces an earlier request with the same key.
 func (t *unservedTable) add(key uint64, request unservedRequest) {
 	if len(t.current) >= generationCapacity {
 		t.previous = t.current
@@ -45,7 +48,7 @@
 	t.current[key] = request
 }
 
-// remove removes the request under a key, if there is one.
+// remove removes the request with the given key, if the table contains one.
 func (t *unservedTable) remove(key uint64) {
 	delete(t.current, key)
 	delete(t.previous, key)
--- a/internal/trace/recorder/harness_test.go
+++ b/internal/trace/recorder/harness_test.go
@@ -112,13 +112,14 @@
 	return &harness{Recorder: recorder, t: t, sink: sink, clock: clk, log: log}
 }
 
-// testRequest describes a request that a test records, with consecutive attempts.
+// testRequest describes a request that a test records. Each attempt starts when the previous
+// attempt ends.
 type testRequest struct {
 	request       Request
 	outcome       trace.Outcome
 	attempts      int
 	responseBytes int
-	duration      float64 // ms, of all attempts together
+	duration      float64 // ms, total of all attempts
 }
 
 // record opens the trace of a request, records its attempts and its response, and closes the trace.
--- a/internal/trace/recorder/options.go
+++ b/internal/trace/recorder/options.go
@@ -15,14 +15,15 @@
 type Options struct {
 	Clock   clock.Clock
 	Router  string // name of this router in traces
-	Secret  string // the same at all routers; key of the hashes of idempotency keys and objects
+	Secret  string // key for hashing idempotency keys and objects; must be equal at all routers
 	Seed    uint64 // must differ between routers and between starts, so that span IDs differ
 	Metrics *metrics.Registry
 	Log     *zerolog.Logger
 	Sink    Sink
-	// NotifyRetained notifies a server that a trace is retained. It is called at most once for
-	// each server to which an attempt of the trace was sent, on the dispatcher's goroutine, and must
-	// not block. If it is nil, servers are not notified.
+	// NotifyRetained notifies a server that a trace is retained. For each retained trace, it is
+	// called at most once for each server to which an attempt was sent. It is called on the
+	// dispatcher's goroutine and must not block. If NotifyRetained is nil, servers are not
+	// notified.
 	NotifyRetained func(server routing.ServerID, id trace.ID)
 	// ClientBytesPerSecond returns the current estimate of the transfer rate to a client, or 0
 	// if the rate is unknown.
@@ -33,7 +34,7 @@
 type Settings struct {
 	UndecidedBytes      int     // memory budget, in bytes, for traces of requests in flight and for sampling candidates
 	RetryWindow         float64 // ms, see propagation.Correlator.SetRetryWindow
-	RetainClientSampled bool    // retain the traces whose client set the sampled flag in traceparent
+	RetainClientSampled bool    // retain a trace if its client set the sampled flag in traceparent
 	DefaultClass        sampling.Class
-	Classes             map[string]sampling.Class // by class name; other classes have the policy DefaultClass
+	Classes             map[string]sampling.Class // by class name; DefaultClass is the policy of all other classes
 }
--- a/internal/trace/recorder/recorder.go
+++ b/internal/trace/recorder/recorder.go
@@ -1,8 +1,8 @@
-// Package recorder records the traces of a dispatcher's requests and passes the traces that package
-// sampling retains to a sink.
+// Package recorder records the traces of a dispatcher's requests. Package sampling decides which
+// traces are retained, and the recorder passes these to a sink.
 //
-// The work on the dispatcher's goroutine is bounded and never blocks. Retained traces pass through
-// a bounded queue to a separate goroutine, which calls the sink.
+// The work on the dispatcher's goroutine is bounded and never blocks. Retained traces pass
+// through a bounded queue to a separate goroutine, which calls the sink.
 package recorder
 
 import (
@@ -20,8 +20,9 @@
 	// queueCapacity is the maximum number of retained traces that wait for the sink. Further
 	// traces are lost and counted.
 	queueCapacity = 1024
-	// flushInterval is the interval at which Run flushes the sink. It limits the age of the
-	// retained traces that are lost when the process is killed.
+	// flushInterval is the interval at which Run flushes the sink. A killed process loses the
+	// retained traces that the sink has not flushed. The interval limits the age of these
+	// traces.
 	flushInterval = 250 * time.Millisecond
 	// reservedBytes is the number of bytes reserved for the trace of a request in flight. It is
 	// the size of a trace with the spans of two attempts.
@@ -29,7 +30,7 @@
 )
 
 // spanSeedShift is the number of bits by which the request number is shifted in the seed of span
-// IDs, so that the 2^20 seeds of a request do not overlap with those of the next request.
+// IDs. Each request can use 2^20 seeds, which do not overlap with the seeds of the next request.
 const spanSeedShift = 20
 
 // Names of the metrics. All of them are counters.
@@ -71,7 +72,8 @@
 // goroutine.
 func (r *Recorder) UpdateSettings(settings Settings) { r.pendingSettings.Store(&settings) }
 
-// applySettings applies the latest settings of UpdateSettings, if they are not applied yet.
+// applySettings applies the latest settings that were passed to UpdateSettings. It does nothing
+// if they have been applied already.
 func (r *Recorder) applySettings() {
 	settings := r.pendingSettings.Swap(nil)
 	if settings == nil {
@@ -113,15 +115,16 @@
 	return t
 }
 
-// Close ends the trace of a request at now, in Unix ms, and passes it to the sampler. It must be
-// called once, on the dispatcher's goroutine, after trace.ActiveTrace.Done reports true.
+// Close ends the trace of a request at the time now, in Unix ms, and passes the trace to the
+// sampler. The caller must call Close once, on the dispatcher's goroutine, after
+// trace.ActiveTrace.Done has reported true.
 func (r *Recorder) Close(now float64, t *RequestTrace) {
 	finished := t.Finished()
 	if bytesPerSecond := r.ClientBytesPerSecond(); bytesPerSecond > 0 {
 		finished.SizeAllowance = t.transferFactor * float64(t.responseBytes) / bytesPerSecond * 1000
 	}
-	// Tick closes windows that have ended, so that this trace becomes a candidate of the current
-	// window.
+	// Tick closes windows that have ended. Without this call, the trace could become a candidate
+	// of a window that has ended.
 	r.enqueue(r.sampler.Tick(now)...)
 	if !t.spansReserved {
 		r.sampler.RecordUntraced(finished)
@@ -147,9 +150,9 @@
 		Msg("request " + t.Outcome.String())
 }
 
-// enqueue passes retained traces to Run through the queue and notifies their servers. If the queue
-// is full, a trace is lost, and RecordLost makes the next retained trace report it unless the
-// lost trace was only sampled.
+// enqueue passes retained traces to Run through the queue and notifies the servers of these
+// traces. If the queue is full, enqueue drops the trace and calls RecordLost. The next retained
+// trace then reports the dropped trace as lost, unless the dropped trace was only sampled.
 func (r *Recorder) enqueue(retained ...*trace.Trace) {
 	for _, t := range retained {
 		select {
@@ -164,8 +167,8 @@
 }
 
 // notifyServers notifies each server to which an attempt was sent that the trace is retained. It
-// omits a server if the first attempt at that server was not sent. Run owns the trace by now, so
-// notifyServers must not modify it.
+// omits a server if the first attempt at that server was not sent. The trace already belongs to
+// the goroutine of Run, so notifyServers must not modify it.
 func (r *Recorder) notifyServers(t *trace.Trace) {
 	if r.NotifyRetained == nil {
 		return
@@ -180,7 +183,7 @@
 	}
 }
 
-// hasAttemptAt reports whether the spans contain an attempt at a server.
+// hasAttemptAt reports whether the spans contain an attempt at the given server.
 func hasAttemptAt(spans []trace.Span, server routing.ServerID) bool {
 	return slices.ContainsFunc(spans, func(span trace.Span) bool {
 		return span.Kind == trace.Attempt && span.Server == server
@@ -213,9 +216,9 @@
 	r.reportSinkError(r.Sink.Close(r.Clock.Now()))
 }
 
-// reportSinkError counts an error of the sink and does nothing if err is nil. It logs the 1st, 2nd,
-// 4th, 8th error and so on, so that repeated errors, for example of a full disk, do not flood the
-// log.
+// reportSinkError counts an error of the sink. It does nothing if err is nil. It logs only the
+// 1st, 2nd, 4th, 8th error and so on. If it logged each error, repeated errors, for example of a
+// full disk, would flood the log.
 func (r *Recorder) reportSinkError(err error) {
 	if err == nil {
 		return
@@ -227,9 +230,9 @@
 	}
 }
 
-// Shutdown closes the sampling windows, waits until Run has passed all retained traces to the sink
-// and has closed the sink, and then returns. The dispatcher must have stopped before, and Run must
-// have been started.
+// Shutdown closes the sampling windows. It returns after Run has passed all retained traces to
+// the sink and has closed the sink. Run must have been started, and the dispatcher must have
+// stopped, before Shutdown is called.
 func (r *Recorder) Shutdown() {
 	r.enqueue(r.sampler.Close()...)
 	close(r.shutdown)
--- a/internal/trace/recorder/recorder_test.go
+++ b/internal/trace/recorder/recorder_test.go
@@ -12,13 +12,14 @@
 	"garnetline/routing"
 )
 
-// TestSlowAllowsForResponseSize checks that a request that takes longer than the latency objective
-// of its class is retained as slow, unless the size of the response allows for the extra time, and
-// that ordinary traces are sampled.
+// TestSlowAllowsForResponseSize checks that the trace of a request is retained as slow if the
+// request exceeds the latency objective of its class. The size of the response can allow extra
+// time. A trace within the extra time is ordinary, and the test checks that ordinary traces are
+// sampled.
 func TestSlowAllowsForResponseSize(t *testing.T) {
 	recorder := newHarness(t, &fakeSink{}, Settings{DefaultClass: ordinaryPerSecond(5)})
 	recorder.record(testRequest{request: Request{Object: 1}, outcome: trace.Served, attempts: 1, duration: 450})
-	// 100 bytes are 100 ms of transfer, and the class allows twice that.
+	// The transfer of 100 bytes takes 100 ms, and the class allows twice that time.
 	recorder.record(testRequest{request: Request{Object: 2}, outcome: trace.Served, attempts: 1, responseBytes: 100, duration: 450})
 	recorder.record(testRequest{request: Request{Object: 3}, outcome: trace.Failed})
 	recorder.record(testRequest{request: Request{Object: 4}, outcome: trace.Served, attempts: 2, duration: 10})
@@ -38,9 +39,10 @@
 	}
 }
 
-// TestBlockedSinkLosesAndCountsTraces checks that a blocked sink does not block the dispatcher:
-// retained traces that do not fit into the queue are lost and counted, and the next retained trace
-// reports them. It also checks that the number of logged sink errors is limited.
+// TestBlockedSinkLosesAndCountsTraces checks that a blocked sink does not block the dispatcher.
+// Retained traces that do not fit into the queue are lost and counted. The next retained trace
+// reports the number of lost traces. The test also checks that the number of logged sink errors
+// is limited.
 func TestBlockedSinkLosesAndCountsTraces(t *testing.T) {
 	const requests = queueCapacity + 200
 	sink := &fakeSink{gate: make(chan bool), err: errors.New("disk full")}
@@ -50,7 +52,7 @@
 	}
 	lost := recorder.counter(metricQueueFull)
 	if lost < requests-queueCapacity-2 || lost > requests-queueCapacity {
-		t.Errorf("got %d of %d traces lost, want only those that do not fit into a queue of %d", lost, requests, queueCapacity)
+		t.Errorf("got %d of %d traces lost, want only the traces that do not fit into a queue of %d", lost, requests, queueCapacity)
 	}
 	close(sink.gate)
 	sink.waitAdded(t, requests-lost)
@@ -68,7 +70,7 @@
 }
 
 // TestRequestsWithoutMemoryAreCounted checks that a request without memory for its spans is not
-// traced, and that its trace is counted as lost if it would have been retained.
+// traced. If there is a reason to retain its trace, the trace is counted as lost.
 func TestRequestsWithoutMemoryAreCounted(t *testing.T) {
 	recorder := newHarness(t, &fakeSink{}, Settings{UndecidedBytes: 2*reservedBytes + 10, RetryWindow: 1000})
 	inFlight := recorder.Open(recorder.clock.Now(), Request{}, &partClass)
@@ -92,9 +94,10 @@
 	}
 }
 
-// TestDisconnectedRequestWaitsForItsAttempt checks that a request whose client disconnected is not
-// done while an attempt is in flight, and that a retry by the client is nevertheless recognized,
-// with and without memory for the spans.
+// TestDisconnectedRequestWaitsForItsAttempt checks a request whose client disconnected while an
+// attempt is in flight. The request is not done before the attempt ends, but a retry by the
+// client is already recognized. The test covers requests with and without memory for their
+// spans.
 func TestDisconnectedRequestWaitsForItsAttempt(t *testing.T) {
 	const client = "1.1.1.1"
 	tests := map[string]struct {
@@ -112,7 +115,7 @@
 			opened.AttemptStarted(recorder.clock.Now(), routing.SendAttempt{Server: 1})
 			opened.Responded(recorder.clock.Now(), trace.ClientDisconnected)
 			if opened.Done() {
-				t.Error("the request is done while an attempt is in flight")
+				t.Error("Done returned true while an attempt is in flight, want false")
 			}
 			retry := recorder.correlator.Correlate(recorder.clock.Now(), propagation.Request{Class: partClass.Name, ClientAddress: client})
 			if retry.ID != opened.ID {
@@ -120,7 +123,7 @@
 			}
 			opened.AttemptEnded(recorder.clock.Now(), routing.Canceled, 0, routing.LoadReport{}, trace.WireTimes{})
 			if !opened.Done() {
-				t.Error("the request is not done after the end of its attempt")
+				t.Error("Done returned false after the end of the attempt, want true")
 			}
 			recorder.Close(recorder.clock.Now(), opened)
 			recorder.Shutdown()
@@ -134,9 +137,9 @@
 	}
 }
 
-// TestIdempotentRequestsShareTheirRetainedTrace checks that every trace of a class with RetainAll is
-// retained, that two requests with the same idempotency key have the same trace ID, and that the
-// traces do not contain the key.
+// TestIdempotentRequestsShareTheirRetainedTrace checks that every trace of a class with
+// RetainAll is retained. Two requests with the same idempotency key must have the same trace ID,
+// and their traces must not contain the key.
 func TestIdempotentRequestsShareTheirRetainedTrace(t *testing.T) {
 	const key = "secretkey"
 	settings := Settings{Classes: map[string]sampling.Class{formClass.Name: {RetainAll: true}}}
@@ -151,7 +154,7 @@
 		t.Fatalf("got %d retained traces, want 2", len(got))
 	}
 	if got[0].ID != got[1].ID {
-		t.Errorf("got trace IDs %v and %v, want the same for both requests with the key", got[0].ID, got[1].ID)
+		t.Errorf("got trace IDs %v and %v for two requests with the same key, want equal IDs", got[0].ID, got[1].ID)
 	}
 	if got[0].Reasons != trace.ReasonIdempotent {
 		t.Errorf("got a trace retained for reasons %b, want %b", got[0].Reasons, trace.ReasonIdempotent)
@@ -161,8 +164,8 @@
 	}
 }
 
-// TestNewSettingsApplyToNextRequest checks that a trace that its client samples is retained only
-// until new settings turn this off.
+// TestNewSettingsApplyToNextRequest checks that traces that clients sample are retained until
+// new settings disable this.
 func TestNewSettingsApplyToNextRequest(t *testing.T) {
 	sampled := Request{Object: 6, ReceivedAt: startTime, TraceParent: "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"}
 	classes := map[string]sampling.Class{formClass.Name: {RetainAll: true}} // the new settings do not contain this class
@@ -173,7 +176,7 @@
 	recorder.Shutdown()
 	got := recorder.sink.traces
 	if len(got) != 1 {
-		t.Fatalf("got %d retained traces, want only that of the first request", len(got))
+		t.Fatalf("got %d retained traces, want only the trace of the first request", len(got))
 	}
 	if got[0].Reasons != trace.ReasonClientSampled || got[0].ClientSpan == 0 {
 		t.Errorf("got a trace retained for reasons %b with client span %v, want reasons %b and the client's span", got[0].Reasons, got[0].ClientSpan, trace.ReasonClientSampled)
--- a/internal/trace/recorder/request.go
+++ b/internal/trace/recorder/request.go
@@ -18,7 +18,7 @@
 	ClientAddress  string  // without the port; empty if unknown
 }
 
-// propagationRequest returns the parts of the request that determine which trace it belongs to.
+// propagationRequest returns the properties of the request that determine its trace.
 func (q *Request) propagationRequest(class *routing.Class) propagation.Request {
 	request := propagation.Request{
 		TraceParent:   q.TraceParent,
@@ -33,19 +33,19 @@
 	return request
 }
 
-// RequestTrace is the trace of one request in flight. Its methods must be called on the dispatcher's
-// goroutine and never block.
+// RequestTrace is the trace of one request in flight. Its methods must be called on the
+// dispatcher's goroutine. They never block.
 type RequestTrace struct {
 	*trace.ActiveTrace
 	correlator     *propagation.Correlator
 	correlation    propagation.Correlation
-	spansReserved  bool    // memory is reserved for the spans; without it, attempts are only counted
+	spansReserved  bool    // whether memory is reserved for the spans; if not, attempts are only counted
 	transferFactor float64 // routing.Class.ObjectiveTransferFactor
 	responseBytes  int     // bytes received in the last attempt
 }
 
-// AttemptStarted records the start of an attempt at now, in Unix ms. It returns the span context to
-// send with the attempt. The span context is empty if the request is not traced.
+// AttemptStarted records that an attempt started at the time now, in Unix ms. It returns the
+// span context to send with the attempt. The span context is empty if the request is not traced.
 func (t *RequestTrace) AttemptStarted(now float64, decision routing.SendAttempt) trace.SpanContext {
 	if t.spansReserved {
 		return t.ActiveTrace.AttemptStarted(now, decision)
@@ -54,8 +54,8 @@
 	return trace.SpanContext{}
 }
 
-// AttemptEnded records the end, at now in Unix ms, of the attempt in flight. bytes is the number of
-// bytes received from the server.
+// AttemptEnded records that the attempt in flight ended at the time now, in Unix ms. The
+// argument bytes is the number of bytes received from the server.
 func (t *RequestTrace) AttemptEnded(now float64, result routing.Result, bytes int, load routing.LoadReport, timing trace.WireTimes) {
 	t.responseBytes = bytes
 	if t.spansReserved {
@@ -65,9 +65,9 @@
 	t.UntracedAttemptEnded()
 }
 
-// Responded records at now, in Unix ms, the response to the client or that the client disconnected.
-// It also tells the correlator that the request ended, because the client may retry from now on,
-// even while an attempt is still in flight.
+// Responded records that the router responded, or that the client disconnected, at the time now,
+// in Unix ms. It also reports the end of the request to the correlator, because the client may
+// retry after this time, even while an attempt is still in flight.
 func (t *RequestTrace) Responded(now float64, outcome trace.Outcome) {
 	t.ActiveTrace.Responded(now, outcome)
 	t.correlator.RequestEnded(now, t.correlation, isServed(outcome))
--- a/internal/trace/recorder/sinks_test.go
+++ b/internal/trace/recorder/sinks_test.go
@@ -7,8 +7,8 @@
 	"garnetline/internal/trace"
 )
 
-// TestSinksCallAll checks that each call reaches all sinks, even after a sink that fails, and
-// returns the errors of all sinks.
+// TestSinksCallAll checks that each call reaches all sinks, even if an earlier sink fails. Each
+// call must return the errors of all sinks.
 func TestSinksCallAll(t *testing.T) {
 	errFirst, errLast := errors.New("first"), errors.New("last")
 	first := &fakeSink{err: errFirst, added: make(chan struct{}, 1)}
--- a/internal/trace/serverspans/buffer.go
+++ b/internal/trace/serverspans/buffer.go
@@ -1,23 +1,27 @@
-// Package serverspans buffers the spans of a cache server until the router decides to retain their
-// trace. It does no I/O and has no clock. Callers pass times in ms, all from the same clock.
+// Package serverspans buffers the spans of a cache server until the router decides to retain
+// their trace. It does no I/O and has no clock. Callers pass times in ms, all from the same
+// clock.
 //
-// A router sends a decision only for a trace that is retained, because decisions on discarded
-// traces would cost a message for each ordinary request. If no decision arrives before the
-// timeout, a partial trace is retained if the server's own part failed, since the router may have
-// been killed, and is discarded otherwise. A fill that several requests joined is stored once, in
-// the trace of the request that began it. A decision to retain the trace of any joined request
-// retains the fill too, even if the client of the first request has disconnected.
+// A router sends a decision only if it retains a trace. A decision for each discarded trace
+// would cost a message for each ordinary request. If no decision arrives before the timeout,
+// the router has discarded the trace or was killed. Therefore a partial trace is retained
+// at the timeout if the server's own part failed, and is discarded otherwise.
+//
+// Several requests can join one fill. The fill is stored once, in the partial trace of the
+// request that began the fill. A decision to retain the trace of any joined request also retains
+// the fill, even if the client of the first request has disconnected.
 package serverspans
 
 import "garnetline/internal/trace"
 
-// partialTrace holds the spans of a server in one trace while they wait for a decision.
+// partialTrace holds the spans that a server recorded for one request, while the server waits
+// for the router's decision.
 type partialTrace struct {
 	trace       *trace.Trace
 	expiresAt   float64         // ms
 	failed      bool            // whether the server's own part failed
-	joinedFills []*partialTrace // partial traces with the fills that this one joined
-	released    bool            // whether it was retained, discarded or evicted
+	joinedFills []*partialTrace // partial traces whose fills this partial trace joined
+	released    bool            // whether the partial trace was retained, discarded or evicted
 }
 
 // Counts holds the numbers of partial traces that a Buffer has released since it was created.
@@ -25,7 +29,7 @@
 	Retained       int64 // retained by a decision
 	RetainedFailed int64 // retained without a decision, because the server's own part failed
 	Discarded      int64 // discarded at the timeout
-	Evicted        int64 // evicted to meet the memory limit, including failed ones, which are retained
+	Evicted        int64 // evicted to meet the memory limit; includes failed partial traces, which are retained
 }
 
 // Buffer holds partial traces until a decision or a timeout. It is not safe for concurrent use.
@@ -37,11 +41,11 @@
 	bytes           int
 	byTrace         map[trace.ID][]*partialTrace
 	byFill          map[trace.SpanID]*partialTrace
-	byArrival       []*partialTrace // oldest first; may contain released ones, which are skipped
+	byArrival       []*partialTrace // oldest first; may contain released partial traces, which are skipped
 }
 
-// New returns a Buffer that holds partial traces for up to decisionTimeout, in ms. maxBytes limits
-// the total size of the partial traces.
+// New returns a Buffer that holds each partial trace for at most decisionTimeout, in ms.
+// maxBytes limits the total size of the partial traces.
 func New(decisionTimeout float64, maxBytes int) *Buffer {
 	return &Buffer{
 		decisionTimeout: decisionTimeout,
@@ -51,9 +55,10 @@
 	}
 }
 
-// Add adds a partial trace at now, in ms. failed tells whether the server's own part failed. To
-// meet the memory limit, Add evicts the oldest partial traces that did not fail, and then the
-// oldest failed ones. It returns the evicted partial traces that failed; the caller retains them.
+// Add adds a partial trace at the time now, in ms. The argument failed reports whether the
+// server's own part failed. If the memory limit is exceeded, Add first evicts the oldest partial
+// traces that did not fail, and then the oldest partial traces that failed. It returns the
+// evicted partial traces that failed. The caller must retain them.
 func (b *Buffer) Add(now float64, t *trace.Trace, failed bool) []*trace.Trace {
 	added := &partialTrace{trace: t, expiresAt: now + b.decisionTimeout, failed: failed}
 	for _, link := range t.Links {
@@ -72,8 +77,8 @@
 	return b.evict()
 }
 
-// evict releases partial traces until the memory limit is met, and returns the failed ones among
-// them.
+// evict releases partial traces until the memory limit is met. It returns the released partial
+// traces that failed.
 func (b *Buffer) evict() []*trace.Trace {
 	var retained []*trace.Trace
 	for b.bytes > b.maxBytes {
@@ -88,8 +93,8 @@
 	return retained
 }
 
-// evictionCandidate returns the oldest partial trace that did not fail or, if all failed, the
-// oldest one.
+// evictionCandidate returns the oldest partial trace that did not fail. If all partial traces
+// failed, it returns the oldest partial trace.
 func (b *Buffer) evictionCandidate() *partialTrace {
 	var oldest *partialTrace
 	for _, partial := range b.byArrival {
@@ -106,11 +111,12 @@
 	return oldest
 }
 
-// Retain handles the router's decision to retain a trace. It releases and returns the server's
-// partial traces of this trace, and those with the fills that they joined.
+// Retain handles the router's decision to retain a trace. It releases and returns the partial
+// traces with the given trace ID, and also the partial traces whose fills they joined.
 //
-// Known defect: release compacts the slice in byTrace that Retain iterates over. With three or more
-// partial traces of one trace, Retain may miss some of them until a further decision on the trace.
+// Known defect: release compacts the slice in byTrace that Retain iterates over. With three or
+// more partial traces of one trace, Retain may miss some of them. A missed partial trace
+// stays in the buffer until another decision on the same trace or until the timeout.
 func (b *Buffer) Retain(id trace.ID) []*trace.Trace {
 	var retained []*trace.Trace
 	for _, partial := range b.byTrace[id] {
@@ -126,8 +132,8 @@
 	return retained
 }
 
-// Tick releases the partial traces whose timeout is at or before now, in ms. It returns the failed
-// ones, which are retained without a decision.
+// Tick releases the partial traces whose timeout is at or before the time now, in ms. It returns
+// the released partial traces that failed. The caller must retain them without a decision.
 func (b *Buffer) Tick(now float64) []*trace.Trace {
 	var retained []*trace.Trace
 	for len(b.byArrival) > 0 {
@@ -151,8 +157,9 @@
 	return retained
 }
 
-// release removes a partial trace from the maps and from the memory in use. Each partial trace must
-// be released only once. The entry in byArrival stays until Tick reaches it.
+// release removes a partial trace from the maps and subtracts its size from the memory in use.
+// Each partial trace must be released only once. The entry in byArrival stays until Tick reaches
+// it.
 func (b *Buffer) release(partial *partialTrace) {
 	partial.released = true
 	b.bytes -= partial.trace.Size()
--- a/internal/trace/serverspans/buffer_test.go
+++ b/internal/trace/serverspans/buffer_test.go
@@ -11,8 +11,9 @@
 // noFill is the fill argument of serverTrace for a server that began no fill.
 const noFill trace.SpanID = 0
 
-// serverTrace returns the partial trace of a server, with a span of its work, a span of the fill
-// that it began, and links to the fills that it joined.
+// serverTrace returns the partial trace of a server. It contains a ServerWork span with the ID
+// work and links to the joined fills. Unless fill is noFill, it also contains the Fill span of a
+// fill that the server began.
 func serverTrace(id byte, work, fill trace.SpanID, joined ...trace.Link) *trace.Trace {
 	t := &trace.Trace{
 		ID:     trace.ID{id},
@@ -26,7 +27,7 @@
 	return t
 }
 
-// add adds a partial trace, and expects no eviction.
+// add adds a partial trace and fails the test if the buffer evicts a partial trace.
 func add(t *testing.T, buffer *Buffer, now float64, added *trace.Trace, failed bool) {
 	t.Helper()
 	if evicted := buffer.Add(now, added, failed); len(evicted) != 0 {
@@ -34,7 +35,8 @@
 	}
 }
 
-// checkTraces compares the traces that a buffer returned with the expected ones, by identity.
+// checkTraces compares the traces that a buffer returned with the expected traces. Both lists
+// must contain the same pointers in the same order.
 func checkTraces(t *testing.T, event string, got []*trace.Trace, want ...*trace.Trace) {
 	t.Helper()
 	if len(got) != len(want) {
@@ -48,8 +50,9 @@
 	}
 }
 
-// A decision on a trace also retains a fill that the trace joined, although the fill belongs to
-// another trace without a decision. Both partial traces are returned only once.
+// A decision to retain a trace also retains a fill that the trace joined. The fill belongs to
+// another trace, for which no decision arrived. Each of the two partial traces is returned only
+// once.
 func TestDecisionRetainsJoinedFill(t *testing.T) {
 	buffer := New(decisionTimeout, 1<<20)
 	filling := serverTrace(1, 10, 11)
@@ -64,7 +67,8 @@
 	}
 }
 
-// At the timeout, failed partial traces are retained without a decision and others are discarded.
+// At the timeout, partial traces that failed are retained without a decision. All other partial
+// traces are discarded.
 func TestTimeoutRetainsFailedTraces(t *testing.T) {
 	buffer := New(decisionTimeout, 1<<20)
 	filling := serverTrace(1, 10, 11)
--- a/internal/trace/serverspans/fuzz_test.go
+++ b/internal/trace/serverspans/fuzz_test.go
@@ -27,8 +27,9 @@
 	failed   []*trace.Trace // added traces that failed
 }
 
-// FuzzBufferAccounting applies random steps to a buffer. It checks that the buffer stays within the
-// memory limit, returns no trace twice, returns each failed trace by the end, and is empty then.
+// FuzzBufferAccounting applies random operations to a buffer. It checks that the buffer stays
+// within the memory limit and returns no trace twice. It also checks that, after all timeouts,
+// the buffer has returned each failed trace and is empty.
 func FuzzBufferAccounting(f *testing.F) {
 	fuzzutil.AddRandomSeeds(f, 16, 500)
 	f.Fuzz(func(t *testing.T, steps []byte) {
@@ -49,8 +50,8 @@
 	})
 }
 
-// step applies one operation: adding a trace, a decision on a trace, or the passing of time. Adding
-// is twice as frequent as each of the others.
+// step applies one operation: it adds a trace, retains a trace or advances the time. It adds
+// traces twice as often as it applies either of the other operations.
 func (m *bufferModel) step(operation, argument byte) {
 	switch operation % 4 {
 	case 0, 1:
@@ -63,8 +64,8 @@
 	}
 }
 
-// add adds a partial trace of one of 16 trace IDs. By the argument, one in three begins a fill, one
-// in five joins a fill, and one in seven failed.
+// add adds a partial trace with one of 16 trace IDs. The argument determines the kind of partial
+// trace: one in three begins a fill, one in five joins a fill, and one in seven failed.
 func (m *bufferModel) add(argument byte) {
 	fill := noFill
 	if argument%3 == 0 {
@@ -85,7 +86,8 @@
 	m.check(m.buffer.Add(m.now, added, failed))
 }
 
-// check records the traces that the buffer returned, and fails if one was returned before.
+// check records the traces that the buffer returned. It fails the test if the buffer has
+// returned one of them before.
 func (m *bufferModel) check(returned []*trace.Trace) {
 	m.t.Helper()
 	for _, t := range returned {
