--- a/internal/trace/analysis/analysis.go
+++ b/internal/trace/analysis/analysis.go
@@ -1,5 +1,6 @@
 // Package analysis finds the servers, fill sources, pairs of server and fill source, and routers
-// that took part in more failed attempts than chance explains.
+// whose attempts fail more often than chance explains. The package calls the server, fill
+// source, pair and router of an attempt its participants.
 package analysis
 
 import (
@@ -23,8 +24,8 @@
 )
 
 // Suspect is a server, fill source, pair or router that took part in failed attempts. Numbers of
-// attempts are weighted: each attempt counts with the Weight of its trace, which is how many
-// traces the retained one represents.
+// attempts are weighted: each attempt adds the Weight of its trace. The weight is the number of
+// traces that the retained trace represents.
 type Suspect struct {
 	Kind           SuspectKind
 	Name           string
@@ -44,7 +45,8 @@
 		s.Kind, s.Name, 100*s.Rate, s.Total, 100*s.RateWithout, s.TotalWithout, 100*s.ConfidenceLow, 100*s.ConfidenceHigh)
 }
 
-// attemptStatus is whether an attempt counts as a success or a failure of its participants.
+// attemptStatus tells whether an attempt succeeded or failed. The status applies to all
+// participants of the attempt.
 type attemptStatus uint8
 
 const (
@@ -53,7 +55,7 @@
 	statusFailed
 )
 
-// statusOf returns the status of an attempt that ended with result. A rejection counts as a
+// statusOf returns the status of an attempt with the given result. A rejection counts as a
 // success, because a server that sheds load works as intended.
 func statusOf(result routing.Result) attemptStatus {
 	switch result {
@@ -72,7 +74,7 @@
 }
 
 // attemptCounts counts attempts, both weighted and unweighted. An attempt of weight 100 adds 100
-// to the weighted counts and 1 to the observed ones.
+// to the weighted counts and 1 to the observed counts.
 type attemptCounts struct {
 	weightedFailed float64
 	weightedTotal  float64
@@ -90,8 +92,9 @@
 	}
 }
 
-// without returns c minus part, which must count a subset of the attempts in c.
-func (c *attemptCounts) without(part *attemptCounts) attemptCounts {
+// minus returns the counts of the attempts that are counted in c but not in part. All attempts
+// in part must also be counted in c.
+func (c *attemptCounts) minus(part *attemptCounts) attemptCounts {
 	return attemptCounts{
 		weightedFailed: c.weightedFailed - part.weightedFailed,
 		weightedTotal:  c.weightedTotal - part.weightedTotal,
@@ -101,7 +104,7 @@
 }
 
 // Finder counts the attempts of traces by server, fill source, pair and router, and finds
-// suspects among these. It is not safe for concurrent use.
+// suspects among these participants. It is not safe for concurrent use.
 type Finder struct {
 	counts map[suspectKey]*attemptCounts
 	total  attemptCounts
@@ -123,8 +126,8 @@
 	}
 }
 
-// addAttempt counts an attempt for each of its participants. An attempt without a fill, whose
-// fill source is the server itself, has no fill source and no pair.
+// addAttempt counts an attempt for each of its participants. If the fill source equals the
+// server, there was no fill. The attempt then counts only for its server and its router.
 func (f *Finder) addAttempt(t *trace.Trace, attempt trace.Span, status attemptStatus) {
 	server := attempt.Server.String()
 	f.total.record(t.Weight, status)
@@ -137,7 +140,7 @@
 	}
 }
 
-// countsOf returns the counts of a suspect, and creates them on first use.
+// countsOf returns the counts of a participant, and creates them on first use.
 func (f *Finder) countsOf(kind SuspectKind, name string) *attemptCounts {
 	key := suspectKey{kind, name}
 	counts := f.counts[key]
@@ -148,17 +151,17 @@
 	return counts
 }
 
-// Suspects returns the participants of failed attempts in descending order of ConfidenceLow, so
-// that the first one raises the failure rate most surely. Participants of all attempts are left
-// out, because there is no failure rate without them to compare with.
+// Suspects returns the participants of failed attempts in descending order of ConfidenceLow. The
+// first suspect therefore has the clearest effect on the failure rate. Suspects omits a
+// participant of all attempts, because no other attempts exist to compare with.
 func (f *Finder) Suspects() []Suspect {
 	var suspects []Suspect
 	for key, counts := range f.counts {
-		without := f.total.without(counts)
-		if counts.observedFailed == 0 || without.observed <= 0 {
+		withoutSuspect := f.total.minus(counts)
+		if counts.observedFailed == 0 || withoutSuspect.observed <= 0 {
 			continue
 		}
-		suspects = append(suspects, newSuspect(key, counts, &without))
+		suspects = append(suspects, newSuspect(key, counts, &withoutSuspect))
 	}
 	slices.SortFunc(suspects, func(a, b Suspect) int {
 		return cmp.Or(
@@ -170,21 +173,22 @@
 	return suspects
 }
 
-// newSuspect compares the attempts with a suspect and those without it.
-func newSuspect(key suspectKey, with, without *attemptCounts) Suspect {
+// newSuspect returns the suspect with the given key. The argument withSuspect counts the
+// attempts that the suspect took part in, and withoutSuspect counts all other attempts.
+func newSuspect(key suspectKey, withSuspect, withoutSuspect *attemptCounts) Suspect {
 	// Rounding can make the difference of two sums of weights slightly negative.
-	failedWithout := max(without.weightedFailed, 0)
+	failedWithout := max(withoutSuspect.weightedFailed, 0)
 	suspect := Suspect{
 		Kind:          key.kind,
 		Name:          key.name,
-		Failed:        with.weightedFailed,
-		Total:         with.weightedTotal,
+		Failed:        withSuspect.weightedFailed,
+		Total:         withSuspect.weightedTotal,
 		FailedWithout: failedWithout,
-		TotalWithout:  without.weightedTotal,
-		Rate:          with.weightedFailed / with.weightedTotal,
-		RateWithout:   failedWithout / without.weightedTotal,
+		TotalWithout:  withoutSuspect.weightedTotal,
+		Rate:          withSuspect.weightedFailed / withSuspect.weightedTotal,
+		RateWithout:   failedWithout / withoutSuspect.weightedTotal,
 	}
 	suspect.ConfidenceLow, suspect.ConfidenceHigh = differenceInterval(
-		suspect.Rate, with.observed, suspect.RateWithout, without.observed)
+		suspect.Rate, withSuspect.observed, suspect.RateWithout, withoutSuspect.observed)
 	return suspect
 }
--- a/internal/trace/analysis/analysis_test.go
+++ b/internal/trace/analysis/analysis_test.go
@@ -12,9 +12,9 @@
 // failureModel decides whether an attempt fails, from its server and its fill source.
 type failureModel func(server, source routing.ServerID, rng *rand.Rand) bool
 
-// simulateFailures simulates attempts at eight servers with three fill sources and two routers,
-// and returns a Finder with their traces. All traces of failed attempts are retained, and one in
-// ten of the others, with weight 10.
+// simulateFailures simulates attempts at eight servers with three fill sources and two routers.
+// It returns a Finder with the retained traces. All failed attempts are retained, each with a
+// weight of 1. One in ten of the other attempts is retained, with a weight of 10.
 func simulateFailures(seed uint64, attempts int, fails failureModel) *Finder {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	finder := New()
@@ -39,8 +39,9 @@
 	return finder
 }
 
-// The faulty server, or a pair with it, ranks first. The server's confidence interval contains
-// the true difference and lies well above zero. No other server, source or router stands out.
+// The faulty server, or a pair with the faulty server, ranks first. The server's confidence
+// interval contains the true difference and lies well above zero. No other server, source or
+// router stands out.
 func TestFaultyServerRanksFirst(t *testing.T) {
 	const (
 		faultyServer = 3
@@ -71,8 +72,8 @@
 	}
 }
 
-// A faulty fill source is among the first nine suspects: the source and its pairs with the eight
-// servers.
+// A faulty fill source is among the first nine suspects. The other eight are expected to be its
+// pairs with the eight servers.
 func TestFaultyFillSourceRanksAmongFirst(t *testing.T) {
 	const (
 		faultySource = 101
@@ -90,9 +91,9 @@
 	t.Errorf("faulty source %s is not among the first suspects with ConfidenceLow above 0.2: %+v", faultyName, first)
 }
 
-// If all servers fail at the same rate, about 2.5% of them stand out by chance, since the lower
-// bound of a 95% interval is above zero that often. The limit is higher because the weighted
-// rates are estimates.
+// Some servers stand out by chance, even if all servers fail at the same rate: the lower bound
+// of a 95% interval is above zero for about 2.5% of the servers. The test allows more than that,
+// because the weighted rates are estimates.
 func TestEqualServersRarelyStandOut(t *testing.T) {
 	const (
 		simulations  = 40
--- a/internal/trace/analysis/confidence.go
+++ b/internal/trace/analysis/confidence.go
@@ -17,8 +17,8 @@
 	return low, high
 }
 
-// wilsonInterval returns the Wilson score interval at 95% confidence of a rate, from 0 to 1, among
-// a number of observations.
+// wilsonInterval returns the Wilson score interval, at 95% confidence, for a rate from 0 to 1 in
+// the given number of observations.
 func wilsonInterval(rate, observations float64) (low, high float64) {
 	const z = normalQuantile
 	center := rate + z*z/(2*observations)
--- a/internal/trace/export/backoff.go
+++ b/internal/trace/export/backoff.go
@@ -3,15 +3,16 @@
 import "math/rand/v2"
 
 const (
-	minBackoff = 200.0    // ms, the longest wait after the first failure
-	maxBackoff = 30_000.0 // ms, also limits the wait that a collector asks for
+	minBackoff = 200.0    // ms, upper bound of the wait after the first failure
+	maxBackoff = 30_000.0 // ms, upper bound of all waits, also of those that a collector asks for
 )
 
-// backoff computes the waits after failed calls. The bound doubles with each failure. Each wait
-// is random between half the bound and the bound, so that routers do not retry at the same time.
+// backoff computes the waits after failed calls. The upper bound of the wait doubles with each
+// failure. Each wait is random, from bound/2 to bound, so that routers do not retry at the same
+// time.
 type backoff struct {
 	random *rand.Rand
-	bound  float64 // ms; 0 if the last call did not fail
+	bound  float64 // ms, upper bound of the last wait; 0 if the last call did not fail
 }
 
 // active reports whether the last call failed.
@@ -20,9 +21,9 @@
 // reset ends the backoff after a call that succeeded.
 func (b *backoff) reset() { b.bound = 0 }
 
-// next returns the wait after a further failure, in ms. It is at least retryAfter, the wait in ms
-// that the collector asked for.
-func (b *backoff) next(retryAfter float64) float64 {
+// nextWait returns the wait after another failure, in ms. The wait is at least retryAfter, which
+// is the wait in ms that the collector asked for.
+func (b *backoff) nextWait(retryAfter float64) float64 {
 	b.bound = min(max(2*b.bound, minBackoff), maxBackoff)
 	wait := b.bound * (1 + b.random.Float64()) / 2
 	return max(wait, retryAfter)
--- a/internal/trace/export/call.go
+++ b/internal/trace/export/call.go
@@ -17,7 +17,7 @@
 	"garnetline/internal/trace/render"
 )
 
-// maxResponseSize is the largest number of bytes that are read of a response.
+// maxResponseSize is the maximum number of bytes that are read from a response.
 const maxResponseSize = 64 << 10
 
 // requestFormat is the format of a call's request line and header. Its values are the path with
@@ -29,11 +29,13 @@
 	"Connection: close\r\n" +
 	"\r\n"
 
-// errPermanent is returned if a further call with the same batch would fail too.
-var errPermanent = errors.New("permanent export failure")
+// errPermanent is wrapped by the error of a failed call if another call with the same batch
+// would fail too.
+var errPermanent = errors.New("permanent failure to export a batch of traces")
 
-// send sends a batch in one call. With an error it returns how long the collector asked to wait
-// before the next call, in ms, or 0. The error wraps errPermanent if the batch must not be resent.
+// send sends a batch in one call. If the call fails, retryAfter is the time in ms that the
+// collector asked to wait before the next call. It is 0 if the collector asked for no wait. The
+// error wraps errPermanent if the batch must not be sent again.
 func (x *Exporter) send(batch []*trace.Trace) (retryAfter float64, err error) {
 	body, err := render.Batch(batch)
 	if err != nil {
@@ -43,7 +45,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = conn.Close() }() // the call has ended in any case
+	defer func() { _ = conn.Close() }() // an error is ignored, because the call has ended
 	request := fmt.Appendf(conn.WriteBuffer(), requestFormat, x.collector.RequestURI(), x.collector.Host, len(body))
 	if err := conn.Flush(request, body, x.Timeout); err != nil {
 		return 0, err
@@ -52,8 +54,8 @@
 	return readResponse(conn)
 }
 
-// dial connects to the collector. The timeout for the response starts once the connection is
-// established.
+// dial connects to the collector. The timeout for the response starts when the connection has
+// been established.
 func (x *Exporter) dial() (*textconn.Conn, error) {
 	timeout := clock.Duration(x.Timeout)
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -63,13 +65,14 @@
 		return nil, err
 	}
 	if err := netConn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
-		_ = netConn.Close() // nothing was written to it
+		_ = netConn.Close() // nothing was written to the connection
 		return nil, err
 	}
 	return textconn.New(netConn), nil
 }
 
-// readResponse reads the collector's response to a call, and returns the results of send.
+// readResponse reads the collector's response to a call. It returns the results that send
+// returns.
 func readResponse(conn *textconn.Conn) (retryAfter float64, err error) {
 	line, err := conn.ReadLine()
 	if err != nil {
@@ -95,7 +98,7 @@
 // statusError is the HTTP status of a response that does not report success.
 type statusError int
 
-// Error returns a message with the status.
+// Error returns a message that contains the HTTP status.
 func (e statusError) Error() string {
 	return fmt.Sprintf("collector responded with HTTP status %d", int(e))
 }
@@ -111,10 +114,11 @@
 	return status, nil
 }
 
-// successful reports whether an HTTP status is one of success.
+// successful reports whether an HTTP status is from 200 to 299.
 func successful(status int) bool { return status/100 == 2 }
 
-// retryable reports whether OTLP lets a client resend the same batch after an HTTP status.
+// retryable reports whether OTLP allows a client to send a batch again after a response with the
+// given HTTP status.
 func retryable(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
@@ -123,16 +127,16 @@
 	return false
 }
 
-// parseRetryAfter converts a Retry-After header in seconds to ms, and limits it to maxBackoff.
-// It returns 0 if the header is missing or holds a date.
+// parseRetryAfter converts the value of a Retry-After header from seconds to ms, and limits it
+// to maxBackoff. It returns 0 if the header is missing or contains a date.
 func parseRetryAfter(header string) float64 {
 	const millisPerSecond = 1000
 	seconds, _ := strconv.ParseFloat(header, 64)
 	return min(max(seconds, 0)*millisPerSecond, maxBackoff)
 }
 
-// discardBody reads the response to its end or to maxResponseSize. A connection that is closed
-// with unread bytes is reset, which could make the collector discard the call.
+// discardBody reads the rest of the response, but at most maxResponseSize bytes. Closing a
+// connection with unread bytes would reset it, and the collector could then discard the call.
 func discardBody(conn *textconn.Conn) error {
 	_, err := io.Copy(io.Discard, conn.R)
 	if errors.Is(err, textconn.ErrMessageTooLong) {
--- a/internal/trace/export/call_test.go
+++ b/internal/trace/export/call_test.go
@@ -11,8 +11,8 @@
 	"garnetline/internal/trace/render"
 )
 
-// The bytes of a request stay the same across versions, since collectors could interpret other
-// bytes differently.
+// The bytes of a request must not change between versions, because collectors could interpret
+// other bytes differently.
 func TestSendWritesRequest(t *testing.T) {
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/trace/export/collector_test.go
+++ b/internal/trace/export/collector_test.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// ServeHTTP responds to a call with the result of respond, and stores the spans of a successful one.
+// ServeHTTP responds to a call with the result of respond. If the status is 200, it stores the
+// spans of the call.
 func (c *fakeCollector) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -80,8 +81,8 @@
 	}
 }
 
-// storeSpans stores the spans of one partial trace. It checks that no span ends before it starts,
-// and that all spans but one have their parent in the partial trace.
+// storeSpans stores the spans of one partial trace. It checks that no span ends before it
+// starts. It also checks that exactly one span has its parent outside the partial trace.
 func (c *fakeCollector) storeSpans(spans ptrace.SpanSlice) {
 	c.t.Helper()
 	ids := map[string]bool{}
@@ -99,7 +100,7 @@
 		}
 	}
 	if roots != 1 {
-		c.t.Errorf("got %d spans without a parent in the partial trace, want 1", roots)
+		c.t.Errorf("got %d spans whose parent is outside the partial trace, want 1", roots)
 	}
 }
 
@@ -110,7 +111,8 @@
 	return maps.Clone(c.spans)
 }
 
-// receive waits until count messages were received, for at most receiveTimeout.
+// receive receives the given number of messages. It fails the test if they do not arrive within
+// receiveTimeout.
 func receive(t *testing.T, messages <-chan struct{}, count int) {
 	t.Helper()
 	timeout := time.After(receiveTimeout)
--- a/internal/trace/export/export.go
+++ b/internal/trace/export/export.go
@@ -1,8 +1,9 @@
 // Package export sends retained traces to a collector as OTLP JSON over HTTP.
 //
-// An Exporter has a bounded queue and its own goroutine, so that a collector that is down, is
+// An Exporter has a bounded queue and its own goroutine. Therefore a collector that is down, is
 // slow or returns errors does not delay the router's requests. Traces that do not fit into the
-// queue are dropped and counted. An HTTP request to the collector is a call in this package.
+// queue are dropped and counted. This package uses the word call for an HTTP request to the
+// collector.
 package export
 
 import (
@@ -20,9 +21,10 @@
 )
 
 const (
-	// maxBatch is the largest number of traces in one call.
+	// maxBatch is the maximum number of traces in one call.
 	maxBatch = 64
-	// defaultPort and defaultPath complete a collector's URL. OTLP specifies the path.
+	// defaultPort and defaultPath replace a missing port and a missing path in a collector's
+	// URL. OTLP specifies the path.
 	defaultPort = ":80"
 	defaultPath = "/v1/traces"
 	// backoffStream is the stream of the random generator for the backoff. It makes the random
@@ -42,12 +44,12 @@
 
 // Options configure an Exporter.
 type Options struct {
-	URL       string  // of the collector; http only
-	QueueSize int     // most traces that wait in the queue
-	Timeout   float64 // ms, for connecting, and again after that for the request and the response
+	URL       string  // URL of the collector; the scheme must be http
+	QueueSize int     // maximum number of traces in the queue
+	Timeout   float64 // ms, for connecting; after connecting, the same time again for the request and the response
 	Metrics   *metrics.Registry
 	Log       *zerolog.Logger
-	Seed      uint64 // of the backoff's jitter; must differ between routers
+	Seed      uint64 // seed of the random waits after failures; must differ between routers
 }
 
 // Exporter is a recorder.Sink that sends traces to a collector.
@@ -63,8 +65,8 @@
 	backoff backoff
 }
 
-// New returns an Exporter whose goroutine runs until Close. It returns ErrInvalidURL for an
-// invalid URL, and no other error.
+// New returns an Exporter whose goroutine runs until Close. If the URL is invalid, New returns
+// an error that wraps ErrInvalidURL. It returns no other errors.
 func New(options Options) (*Exporter, error) {
 	collector, err := parseCollectorURL(options.URL)
 	if err != nil {
@@ -82,12 +84,12 @@
 	return x, nil
 }
 
-// parseCollectorURL parses the URL of a collector and adds the default port and path where they
-// are missing.
+// parseCollectorURL parses the URL of a collector. It adds the default port or the default path
+// if the URL has none.
 func parseCollectorURL(text string) (*url.URL, error) {
 	collector, err := url.Parse(text)
 	if err != nil || collector.Scheme != "http" || collector.Host == "" {
-		return nil, fmt.Errorf("%q is %w", text, ErrInvalidURL)
+		return nil, fmt.Errorf("collector URL %q is %w", text, ErrInvalidURL)
 	}
 	if collector.Port() == "" {
 		collector.Host += defaultPort
@@ -109,20 +111,20 @@
 	return nil
 }
 
-// Flush does nothing, since the goroutine sends queued traces without delay.
+// Flush does nothing, because the goroutine sends queued traces without delay.
 func (x *Exporter) Flush(float64) error { return nil }
 
 // Close stops the Exporter and waits until its goroutine has returned. If the last call failed,
-// the Exporter makes one more call, with one batch, and counts the remaining traces as not
-// exported. Close must be called only once, and Add must not be called after it.
+// the Exporter makes one more call with one batch. It counts the remaining traces as not
+// exported. Close must be called only once. Add must not be called after Close.
 func (x *Exporter) Close(float64) error {
 	close(x.quit)
 	<-x.stopped
 	return nil
 }
 
-// run sends batches until Close. It resends a batch after a backoff if the call failed, unless
-// the failure is permanent.
+// run sends batches until Close. After a failed call it waits for the backoff and sends the
+// batch again, unless the failure is permanent.
 func (x *Exporter) run() {
 	defer close(x.stopped)
 	for x.waitForBatch() {
@@ -140,8 +142,9 @@
 	}
 }
 
-// waitForBatch waits until there is a batch to send, and returns false on Close. A batch that is
-// left from a failed call is filled up with queued traces.
+// waitForBatch waits until there is a batch to send. It returns false if Close was called
+// instead. If a failed call left a batch, waitForBatch does not wait, but adds queued traces to
+// that batch.
 func (x *Exporter) waitForBatch() bool {
 	if len(x.batch) == 0 {
 		select {
@@ -155,7 +158,8 @@
 	return true
 }
 
-// fillBatch moves queued traces to the batch until it is full, without waiting.
+// fillBatch moves traces from the queue to the batch until the batch is full or the queue is
+// empty.
 func (x *Exporter) fillBatch() {
 	for len(x.batch) < maxBatch {
 		select {
@@ -167,14 +171,14 @@
 	}
 }
 
-// recordExported counts the batch as exported, and empties it.
+// recordExported counts the traces of the batch as exported, and empties the batch.
 func (x *Exporter) recordExported() {
 	x.Metrics.Add(metricExported, int64(len(x.batch)))
 	x.batch = nil
 }
 
-// recordFailure counts a failed call, and drops the batch if the failure is permanent. It logs
-// only the first failure after a success, so that a long outage does not fill the log.
+// recordFailure counts a failed call. If the failure is permanent, it drops the batch. It logs
+// only the first failure after a successful call, so that a long outage does not fill the log.
 func (x *Exporter) recordFailure(err error) {
 	if errors.Is(err, errPermanent) {
 		x.Metrics.Add(metricNotExported, int64(len(x.batch)))
@@ -186,18 +190,19 @@
 	x.Metrics.Add(metricFailures, 1)
 }
 
-// waitForBackoff waits until the next call may be made, and returns false on Close. retryAfter is
-// the shortest wait that the collector asked for, in ms.
+// waitForBackoff waits until the next call may be made. It returns false if Close is called
+// during the wait. retryAfter is the minimum wait, in ms, that the collector asked for.
 func (x *Exporter) waitForBackoff(retryAfter float64) bool {
 	select {
-	case <-time.After(clock.Duration(x.backoff.next(retryAfter))):
+	case <-time.After(clock.Duration(x.backoff.nextWait(retryAfter))):
 		return true
 	case <-x.quit:
 		return false
 	}
 }
 
-// sendLast sends one more batch, and counts all traces that are left as not exported.
+// sendLast sends one last batch. It counts the traces that remain in the batch or in the queue
+// as not exported.
 func (x *Exporter) sendLast() {
 	x.fillBatch()
 	if len(x.batch) > 0 {
--- a/internal/trace/export/export_test.go
+++ b/internal/trace/export/export_test.go
@@ -15,8 +15,8 @@
 	"garnetline/routing"
 )
 
-// failedTrace returns the partial trace of a request that failed with its only attempt. Its spans
-// are the request, the attempt, the connection and the wait. n makes the trace ID unique.
+// failedTrace returns the partial trace of a request whose only attempt failed. Its spans are
+// the request, the attempt, the connection and the wait. n makes the trace ID unique.
 func failedTrace(n byte) *trace.Trace {
 	const start = 1.7e12
 	active := trace.Begin(trace.Trace{
@@ -101,8 +101,8 @@
 	}
 }
 
-// Each span arrives exactly once after the collector failed for a time, and a batch that the
-// collector rejects permanently does not block later batches.
+// Each span arrives exactly once, even if the collector fails for some time before. A batch that
+// the collector rejects permanently does not block later batches.
 func TestExporterDeliversEachSpanOnce(t *testing.T) {
 	statuses := []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusBadRequest}
 	collector := newFakeCollector(t, func(call int) (int, string) {
@@ -137,7 +137,7 @@
 	}
 }
 
-// listen returns the address of a listener that lets clients connect and never responds.
+// listen returns the address of a listener that lets clients connect but never responds.
 func listen(t *testing.T) string {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -148,7 +148,7 @@
 	return listener.Addr().String()
 }
 
-// unusedAddress returns an address on which nothing listens.
+// unusedAddress returns a local address on which no process listens.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -161,8 +161,8 @@
 	return listener.Addr().String()
 }
 
-// A failing collector does not block Add, which would delay requests, or Close, which would delay
-// the end of the program. All traces that are lost are counted.
+// A failing collector blocks neither Add nor Close. A blocked Add would delay requests, and a
+// blocked Close would delay the end of the program. All lost traces are counted.
 func TestExporterDoesNotBlockOnFailingCollector(t *testing.T) {
 	const (
 		traces     = 10_000
--- a/internal/trace/render/golden_test.go
+++ b/internal/trace/render/golden_test.go
@@ -14,8 +14,8 @@
 // goldenStart is the time when the requests of the golden traces were received, in Unix ms.
 const goldenStart = 1_700_000_000_000.0
 
-// routerTrace returns the partial trace of a router. It has one attempt with all flags and a new
-// connection, and one more attempt for each result.
+// routerTrace returns the partial trace of a router. Its first attempt has all flags and a new
+// connection. Further attempts follow, one for each result.
 func routerTrace(id trace.ID) *trace.Trace {
 	active := trace.Begin(trace.Trace{
 		ID:            id,
@@ -53,8 +53,8 @@
 	return active.Finished()
 }
 
-// serverTrace returns the partial trace of a server for the span of an attempt. It has a fill that
-// failed.
+// serverTrace returns the partial trace that a server recorded for the given attempt. The
+// server's fill failed.
 func serverTrace(id trace.ID, attempt trace.SpanID) *trace.Trace {
 	const (
 		workID trace.SpanID = 1001
@@ -73,8 +73,8 @@
 	}
 }
 
-// rejectedTrace returns the partial trace of a second router for a rejected request without an
-// attempt. The client of the request sent a span of its own.
+// rejectedTrace returns the partial trace that a second router recorded for a rejected request.
+// The request had no attempt. The client of the request sent its own span ID.
 func rejectedTrace() *trace.Trace {
 	active := trace.Begin(trace.Trace{
 		ID:         trace.ID{9},
@@ -89,8 +89,8 @@
 	return active.Finished()
 }
 
-// The formats must not change, because collectors and operators' scripts that read the waterfall
-// depend on them. UPDATE_GOLDEN=1 rewrites testdata.
+// The formats must not change. Collectors depend on OTLP, and operators' scripts depend on the
+// waterfall. UPDATE_GOLDEN=1 rewrites testdata.
 func TestFormatsMatchGolden(t *testing.T) {
 	id := trace.ID{1, 2, 3, 15: 16}
 	fromRouter := routerTrace(id)
--- a/internal/trace/render/otlp.go
+++ b/internal/trace/render/otlp.go
@@ -14,8 +14,9 @@
 // serviceName is the service.name of the OTLP resource, and the name of the OTLP scope.
 const serviceName = "garnetline"
 
-// OTLP writes the spans of one trace as a line of OTLP JSON. partials are the partial traces that
-// the spans were merged from; the attributes of the request spans are taken from them.
+// OTLP writes the spans of one trace as a line of OTLP JSON. The argument partials contains the
+// partial traces from which the spans were merged. They supply the attributes of the request
+// spans.
 func OTLP(w io.Writer, id trace.ID, spans []trace.Span, partials []*trace.Trace) error {
 	request := otlpRequest{ResourceSpans: []otlpResourceSpans{newResourceSpans(id, spans, partials)}}
 	return json.NewEncoder(w).Encode(request)
@@ -23,9 +24,10 @@
 
 // Batch returns one OTLP JSON request with partial traces that one router retained.
 //
-// If the client sent a span of its own, that span is the parent of the router's topmost spans.
-// Otherwise the root span is included. All routers give the root span of a trace the same ID, so
-// that a collector that receives it from several routers has only one root span.
+// If the client sent its own span ID, Batch omits the root span and makes the client's span the
+// parent of the root's children. Otherwise Batch includes the root span. All routers give the
+// root span of a trace the same ID. A collector that receives the root span from several routers
+// therefore has only one root span.
 func Batch(partials []*trace.Trace) ([]byte, error) {
 	var request otlpRequest
 	for _, partial := range partials {
@@ -39,8 +41,8 @@
 	return json.Marshal(request)
 }
 
-// replaceRoot removes the root span, which must be the first one, and makes the client's span the
-// parent of its children.
+// replaceRoot removes the root span, which must be the first span. It makes the client's span
+// the parent of the root's children.
 func replaceRoot(partial *trace.Trace, spans []trace.Span) []trace.Span {
 	root := partial.ID.Root()
 	spans = spans[1:]
@@ -67,8 +69,9 @@
 	}
 }
 
-// newOTLPSpan converts a span to OTLP. Attempts have attributes and a status; the attributes of
-// request spans are added by addRequestAttributes.
+// newOTLPSpan converts a span to OTLP. It sets the attributes of attempts, and the status of
+// attempts that failed. addRequestAttributes sets the attributes and the status of request
+// spans.
 func newOTLPSpan(id trace.ID, span *trace.Span) otlpSpan {
 	converted := otlpSpan{
 		TraceID: id.String(),
@@ -115,8 +118,8 @@
 	return attributes
 }
 
-// addRequestAttributes sets the attributes and the status of a request span from the partial trace
-// whose first span has this ID.
+// addRequestAttributes sets the attributes and the status of a request span. It takes them from
+// the partial trace whose first span has the given ID.
 func addRequestAttributes(span *otlpSpan, id trace.SpanID, partials []*trace.Trace) {
 	for _, partial := range partials {
 		if len(partial.Spans) == 0 || partial.Spans[0].ID != id {
@@ -144,7 +147,8 @@
 
 func formatSpanID(id trace.SpanID) string { return fmt.Sprintf("%016x", uint64(id)) }
 
-// formatNanos returns a time in ms as a decimal number of nanoseconds, rounded to a microsecond.
+// formatNanos converts a time from ms to nanoseconds, rounded to the microsecond, and returns
+// the decimal digits.
 func formatNanos(ms float64) string {
 	const (
 		microsPerMilli = 1000
--- a/internal/trace/render/otlp_messages.go
+++ b/internal/trace/render/otlp_messages.go
@@ -2,8 +2,8 @@
 
 import "strconv"
 
-// The parts of OTLP's JSON messages that this package writes. OTLP JSON encodes 64-bit integers as
-// strings.
+// Types for the parts of OTLP's JSON messages that this package writes. OTLP JSON encodes 64-bit
+// integers as strings.
 type (
 	otlpRequest struct {
 		ResourceSpans []otlpResourceSpans `json:"resourceSpans"`
--- a/internal/trace/render/page.go
+++ b/internal/trace/render/page.go
@@ -15,16 +15,16 @@
 	drawingMargin = 20
 	rowHeight     = 20
 	rowGap        = 4
-	barTop        = 2  // below the top of the row
-	textBaseline  = 14 // below the top of the row
+	barTop        = 2  // distance below the top of the row
+	textBaseline  = 14 // distance below the top of the row
 	textIndent    = 3
 	minBarWidth   = 1
-	// maxTextStart limits where a description starts, so that those of late spans stay within the
-	// drawing.
+	// maxTextStart is the maximum horizontal start of a description. It keeps the descriptions
+	// of late spans within the drawing.
 	maxTextStart = drawingWidth * 0.6
 )
 
-// The colors of spans. The last line of a page explains them.
+// The colors of spans. The last line of a page explains the colors.
 const (
 	colorWait          = "#cccccc"
 	colorRequest       = "#bfe0bf"
@@ -47,7 +47,7 @@
 	return page.err
 }
 
-// pageWriter writes a page. It keeps the first write error and writes nothing after it.
+// pageWriter writes a page. After a write error, it keeps that error and writes nothing more.
 type pageWriter struct {
 	out io.Writer
 	err error
--- a/internal/trace/render/render.go
+++ b/internal/trace/render/render.go
@@ -11,11 +11,12 @@
 	"garnetline/routing"
 )
 
-// unknownName is shown for a result that has no name, for example one of a newer version.
+// unknownName is shown for a result without a name, for example a result that a newer version
+// stored.
 const unknownName = "unknown"
 
-// minDuration is the shortest duration, in ms, that a drawing is scaled to. It prevents a division
-// by zero for a trace that ends when it starts.
+// minDuration is the minimum duration, in ms, to which a drawing is scaled. It prevents a
+// division by zero if the start and the end of a trace are equal.
 const minDuration = 1e-3
 
 // resultNames are the displayed names of the results of attempts. They must not change, because
@@ -50,8 +51,9 @@
 // reasonNames are the displayed names of the bits of a trace.Reason, from the lowest bit.
 var reasonNames = [...]string{"failed", "refused", "retried", "slow", "ordinary", "keyed", "asked"}
 
-// flagNames are the displayed names of the bits of an attempt's flags, from the lowest bit.
-// trace.FlagSent has no name here, because attemptLabel shows when it is not set.
+// flagNames are the displayed names of the bits of an attempt's flags, from the lowest bit. The
+// list has no name for trace.FlagSent, because attemptLabel shows a text if that flag is not
+// set.
 var flagNames = [...]string{"join", "renew", "held only"}
 
 // resultName returns the displayed name of an attempt's result.
@@ -91,8 +93,8 @@
 	return "client's request"
 }
 
-// attemptLabel returns a description of an attempt: its server, fill source, result, flags and, if
-// known, the number of bytes and the server's inflight requests.
+// attemptLabel returns a description of an attempt: its server, fill source, result and flags.
+// The number of bytes and the server's inflight requests are included if they are known.
 func attemptLabel(span *trace.Span) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "attempt %d to %v", span.AttemptNumber+1, span.Server)
--- a/internal/trace/render/render_test.go
+++ b/internal/trace/render/render_test.go
@@ -15,7 +15,8 @@
 
 func (failingWriter) Write([]byte) (int, error) { return 0, errWrite }
 
-// A write error, for example on a full disk, is returned, so that a truncated output is noticed.
+// OTLP, Waterfall and Page return write errors, for example of a full disk. Otherwise a
+// truncated output would go unnoticed.
 func TestWriteErrorIsReturned(t *testing.T) {
 	id := trace.ID{1, 2, 3, 15: 16}
 	spans := trace.Merge(id, []*trace.Trace{routerTrace(id)})
@@ -35,8 +36,8 @@
 	}
 }
 
-// label does not panic with an index out of range for a number without a name, which a router of a
-// newer version can have stored.
+// label must not panic if a number has no name and is out of range for a list of names. A router
+// of a newer version can store such a number.
 func TestLabelOfUnknownNumbers(t *testing.T) {
 	const unknown = 255
 	for _, test := range []struct {
--- a/internal/trace/render/waterfall.go
+++ b/internal/trace/render/waterfall.go
@@ -9,9 +9,9 @@
 	"garnetline/internal/trace"
 )
 
-// Waterfall writes a trace as text with one line per span: its start and its duration in ms, a bar
-// in a field of the given number of columns, and a description. The spans must come from
-// trace.Merge. Waterfall returns the first write error.
+// Waterfall writes a trace as text with one line per span. A line contains the start and the
+// duration in ms, a bar in a field of the given number of columns, and a description. The spans
+// must come from trace.Merge. Waterfall returns the first write error.
 func Waterfall(w io.Writer, spans []trace.Span, columns int) error {
 	if len(spans) == 0 {
 		return nil
@@ -41,7 +41,7 @@
 	err             error // the first write error
 }
 
-// writeTree writes a span and then, indented by one more level, its descendants.
+// writeTree writes a span. Below the span it writes the descendants, indented by one more level.
 func (d *waterfall) writeTree(span *trace.Span, depth int) {
 	const indent = "  "
 	_, err := fmt.Fprintf(d.out, "%9.1f %9.1f |%s| %s%s\n",
@@ -54,7 +54,8 @@
 	}
 }
 
-// bar returns the bar of a span, at least one column long, padded with spaces to all columns.
+// bar returns the bar of a span. The bar is at least one column long. Spaces pad it to the width
+// of the field.
 func (d *waterfall) bar(span *trace.Span) string {
 	from := int(d.column(span.Start))
 	from = min(max(from, 0), d.columns-1)
@@ -68,7 +69,7 @@
 	return float64(d.columns) * (at - d.start) / d.duration
 }
 
-// barMark returns the character that the bars of a span kind consist of.
+// barMark returns the character from which the bars of the given span kind are built.
 func barMark(kind trace.Kind) string {
 	switch kind {
 	case trace.Wait:
