--- a/internal/trace/sampling/benchmark_test.go
+++ b/internal/trace/sampling/benchmark_test.go
@@ -12,16 +12,17 @@
 	benchmarkOrdinary = 10     // ordinary traces sampled per second
 )
 
-// benchmarkTrace returns the trace, with three spans, of a request that ended at now, in Unix ms.
+// benchmarkTrace returns the trace of a request that ended at the time now, in Unix ms. The
+// trace has three spans.
 func benchmarkTrace(rng *rand.Rand, now float64) *trace.Trace {
 	finished := finishedTrace(rng, className, now, 5, trace.Served)
 	finished.Spans = append(finished.Spans, trace.Span{}, trace.Span{}, trace.Span{})
 	return finished
 }
 
-// BenchmarkSampler compares the sampler (bound) with a buffer of all traces of a window (plain) at
-// 10,000 requests per second. It reports the time per trace and the maximum number of bytes held
-// (heldB).
+// BenchmarkSampler compares two designs at 10,000 requests per second. "bound" is the sampler,
+// and "plain" is a buffer of all traces of a window. The benchmark reports the time per trace
+// and the maximum number of bytes held (heldB).
 func BenchmarkSampler(b *testing.B) {
 	b.Run("bound", benchmarkBoundedSampler)
 	b.Run("plain", benchmarkWindowBuffer)
--- a/internal/trace/sampling/fuzz_test.go
+++ b/internal/trace/sampling/fuzz_test.go
@@ -17,7 +17,8 @@
 	fuzzDefaultClass    = "a"
 )
 
-// samplerModel counts the traces that a sampler must retain and those that it returned.
+// samplerModel applies operations to a sampler. It counts the traces that the sampler must
+// retain and the traces that the sampler returned or reported as lost.
 type samplerModel struct {
 	t            *testing.T
 	sampler      *Sampler
@@ -25,13 +26,13 @@
 	now          float64 // Unix ms
 	inFlight     int     // requests in flight with reserved memory
 	wantRetained int64   // traces that the sampler had to retain
-	retained     int64   // traces among wantRetained that the sampler returned
-	lost         int64   // traces that returned traces reported as lost
+	retained     int64   // traces that the sampler had to retain and returned
+	lost         int64   // sum of LostBefore of the returned traces
 }
 
-// FuzzSamplerAccounting checks with random steps that the sampler stays within its memory limit,
-// that each trace that must be retained is either returned or reported as lost, and that no
-// memory is held after the end of all requests and windows.
+// FuzzSamplerAccounting applies random operations to a sampler. It checks that the sampler stays
+// within its memory limit. Each trace that must be retained must be returned or reported as
+// lost. After the end of all requests and windows, the sampler must hold no memory.
 func FuzzSamplerAccounting(f *testing.F) {
 	fuzzutil.AddRandomSeeds(f, 16, 600)
 	f.Fuzz(func(t *testing.T, steps []byte) {
@@ -53,7 +54,7 @@
 }
 
 // step begins a request, finishes a request or advances the time. It begins requests twice as
-// often as it takes one of the other steps.
+// often as it applies either of the other operations.
 func (m *samplerModel) step(operation byte, argument int) {
 	class := fuzzDefaultClass
 	if argument%2 == 1 {
@@ -81,8 +82,8 @@
 	return slow || outcome != trace.Served && outcome != trace.NotModified
 }
 
-// begin reserves memory for a request. If there is no memory, begin records the end of the request
-// as untraced.
+// begin reserves memory for a request. If there is no memory, begin passes the request to
+// RecordUntraced.
 func (m *samplerModel) begin(class string, duration float64, outcome trace.Outcome) {
 	if m.sampler.Reserve(reservation) {
 		m.inFlight++
@@ -102,8 +103,8 @@
 	m.check(m.sampler.Finish(finishedTrace(m.rng, class, m.now, duration, outcome), reservation))
 }
 
-// check counts the traces that the sampler returned, ignoring nil, and checks the weights of the
-// sampled ones.
+// check counts the traces that the sampler returned, and checks the weights of sampled traces.
+// It ignores nil.
 func (m *samplerModel) check(returned ...*trace.Trace) {
 	m.t.Helper()
 	for _, t := range returned {
--- a/internal/trace/sampling/sampler.go
+++ b/internal/trace/sampling/sampler.go
@@ -1,23 +1,25 @@
-// Package sampling decides, when a request has ended, whether its trace is retained (tail
-// sampling). It does no I/O and reads no clock: callers pass times in Unix milliseconds.
+// Package sampling decides whether the trace of a request is retained. It makes the decision
+// when the request has ended (tail sampling). It does no I/O and reads no clock: callers pass
+// times in Unix milliseconds.
 //
-// A trace is retained at once if there is a reason for it: its request failed, was rejected, was
-// retried or was slower than the latency objective of its class, its client disconnected or
-// samples the trace, or its class retains all traces. All other traces are ordinary, and each
-// class has a rate of ordinary traces to sample.
+// A trace is retained immediately in each of these cases: the request failed, was rejected, was
+// retried or was slower than the latency objective of its class; the client disconnected or
+// samples the trace; the class retains all traces. All other traces are called ordinary. Each
+// class has a rate at which ordinary traces are sampled.
 //
 // The ordinary traces of one class and one time window are sampled together, by bottom-k
-// sampling: trace.ID.Order distributes IDs uniformly over (0, 1], and the traces with the lowest
-// orders are kept as candidates. The lowest order that was dropped is the threshold; every trace
-// of an order below it is a candidate. Therefore each sampled trace represents 1/threshold
-// traces, independent of the sequence in which traces end, and routers that record the same trace
-// make the same choice without communication.
+// sampling. The method trace.ID.Order distributes IDs uniformly over (0, 1]. The traces with the
+// lowest orders are kept as candidates. The threshold is the lowest order of a dropped trace, so
+// every trace with an order below the threshold is a candidate. Therefore each sampled trace
+// represents 1/threshold traces, independent of the sequence in which traces end. Routers that
+// record the same trace make the same choice without communication.
 //
-// The traces of requests in flight and the candidates share one memory budget. If it is
-// exceeded, the candidate with the highest order of all classes is evicted. The eviction lowers
-// the threshold of the candidate's class, so that the weights stay correct. If no candidate is
-// left, new requests are not traced. An untraced request whose trace would have been retained is
-// counted as lost, and the next retained trace carries the number of traces lost before it.
+// The traces of requests in flight and the candidates share one memory budget. If the budget is
+// exceeded, the sampler evicts the candidate with the highest order of all classes. The eviction
+// lowers the threshold of the candidate's class, so that the weights stay correct. If no
+// candidate is left, new requests are not traced. If an untraced request's trace would have been
+// retained, the trace is counted as lost. The next retained trace carries the number of traces
+// lost before it.
 package sampling
 
 import (
@@ -31,20 +33,21 @@
 type Class struct {
 	LatencyObjective  float64 // ms; slower traces are retained; zero means no objective
 	OrdinaryPerSecond float64 // ordinary traces sampled per second
-	// RetainAll retains every trace of the class. It is for classes with idempotency keys: a
-	// router cannot know whether a request with such a key was sent to another router before,
-	// and all partial traces of a retained trace are needed.
+	// RetainAll retains every trace of the class. It is meant for classes with idempotency keys.
+	// Requests with the same key belong to one trace, and all partial traces of a retained trace
+	// are needed. A router cannot know whether another router has handled a request with the
+	// same key, so it retains every trace of the class.
 	RetainAll bool
 }
 
 // Counts holds the numbers of traces that a Sampler has handled since New returned it.
 type Counts struct {
-	Retained int64 // retained at once, independent of the sampling rate
+	Retained int64 // retained immediately, independent of the sampling rate
 	Ordinary int64 // ordinary traces of finished requests
-	Sampled  int64 // ordinary traces that were retained when their window was closed
+	Sampled  int64 // ordinary traces that were retained at the end of their window
 	Evicted  int64 // candidates that were dropped because the memory budget was exceeded
 	Untraced int64 // requests that were not traced because the memory budget was exceeded
-	Lost     int64 // traces to be retained that were not recorded, or that the caller passed to RecordLost
+	Lost     int64 // traces with a reason to be retained that were untraced or that the caller passed to RecordLost
 }
 
 // Sampler decides which traces are retained. It is not safe for concurrent use.
@@ -67,8 +70,8 @@
 	return s
 }
 
-// UpdateSettings replaces the settings that were passed to New. Candidates stay. A smaller memory
-// budget applies from the next call that reserves memory or adds a candidate.
+// UpdateSettings replaces the settings that were passed to New. The current candidates stay. A
+// smaller memory budget applies from the next call that reserves memory or adds a candidate.
 func (s *Sampler) UpdateSettings(maxBytes int, defaultClass Class, classes map[string]Class) {
 	s.maxBytes = maxBytes
 	s.defaultClass = defaultClass
@@ -82,7 +85,7 @@
 	}
 }
 
-// window returns the window of a class and creates it if the class has none yet.
+// window returns the window of a class. It creates the window if the class has none.
 func (s *Sampler) window(className string) *classWindow {
 	if window := s.windows[className]; window != nil {
 		return window
@@ -132,8 +135,9 @@
 }
 
 // RecordUntraced handles the end of a request for which Reserve returned false. If the request's
-// trace would have been retained, it is counted as lost. RecordUntraced reads only the class, the
-// times, the size allowance, the outcome and the numbers of attempts and retries of t.
+// trace would have been retained, it is counted as lost. Of t, RecordUntraced reads only the
+// class, the times, the size allowance, the outcome, the number of attempts and the number of
+// retries.
 func (s *Sampler) RecordUntraced(t *trace.Trace) {
 	if retentionReasons(&s.window(t.Class).Class, t) != 0 {
 		s.unreportedLost++
@@ -141,8 +145,8 @@
 	}
 }
 
-// retentionReasons returns the reasons why a trace must be retained, apart from
-// ReasonClientSampled. It returns 0 if there are none.
+// retentionReasons returns the reasons why a trace must be retained, except ReasonClientSampled.
+// It returns 0 if there is no such reason.
 func retentionReasons(class *Class, t *trace.Trace) trace.Reason {
 	var reasons trace.Reason
 	switch t.Outcome {
@@ -163,14 +167,15 @@
 	return reasons
 }
 
-// Finish handles the end of a request for whose trace Reserve reserved size bytes, and releases
-// these bytes. If the trace is retained at once, Finish sets its reasons and weight and returns
-// it. If the trace is ordinary, Finish returns nil; if the trace is sampled, Tick or Close returns
-// it when its window is closed. Before Finish, the caller must have called Tick with the time of
-// the request's end or a later time in the same window.
+// Finish handles the end of a request. It releases the memory that Reserve reserved for the
+// trace; size is the reserved size in bytes. If the trace is retained immediately, Finish sets
+// the reasons and the weight of the trace and returns it. If the trace is ordinary, Finish
+// returns nil. If an ordinary trace is sampled, Tick or Close returns it when its window is
+// closed. The caller must call Tick before Finish, with the time of the request's end or a later
+// time in the same window.
 func (s *Sampler) Finish(t *trace.Trace, size int) *trace.Trace {
 	s.reservedBytes -= size
-	window := s.windows[t.Class] // does not call s.window, to save each trace a function call
+	window := s.windows[t.Class] // not s.window, which would cost a further function call for each trace
 	if window == nil {
 		window = s.addWindow(t.Class)
 	}
@@ -191,8 +196,8 @@
 }
 
 // addCandidate adds an ordinary trace with an order below the threshold to the candidates of its
-// window. It then drops candidates that exceed the maximum number of candidates or the memory
-// budget.
+// window. It then drops candidates until their number and the memory in use are within the
+// limits.
 //
 // Known fault: if new settings change the rate of a class to 0 while its window has candidates,
 // the threshold becomes 0 and these candidates are sampled with an infinite weight.
@@ -215,8 +220,8 @@
 }
 
 // RecordLost records that the caller dropped a trace that Finish, Tick or Close returned. The
-// trace is counted as lost unless it was only sampled. The next retained trace reports the number
-// of lost traces that the dropped trace carried.
+// trace is counted as lost unless it was only sampled. If the dropped trace itself reported lost
+// traces, the next retained trace reports them.
 func (s *Sampler) RecordLost(t *trace.Trace) {
 	s.unreportedLost += t.LostBefore
 	if t.Reasons&^trace.ReasonSampled != 0 {
@@ -225,15 +230,16 @@
 	}
 }
 
-// attachLost sets the number of lost traces that a retained trace reports, and returns the trace.
+// attachLost moves the number of unreported lost traces to a retained trace, which reports them.
+// It returns the trace.
 func (s *Sampler) attachLost(t *trace.Trace) *trace.Trace {
 	t.LostBefore = s.unreportedLost
 	s.unreportedLost = 0
 	return t
 }
 
-// Tick closes the windows that have ended at now, in Unix ms, begins their successors and returns
-// the traces that were sampled in the closed windows.
+// Tick closes the windows that have ended by the time now, in Unix ms, and begins the next
+// windows. It returns the traces that were sampled in the closed windows.
 func (s *Sampler) Tick(now float64) []*trace.Trace {
 	var sampled []*trace.Trace
 	for _, window := range s.windows {
@@ -246,8 +252,8 @@
 	return sampled
 }
 
-// Close closes all windows and returns the traces that were sampled in them. It is called at the
-// end of the program.
+// Close closes all windows and returns the traces that were sampled in them. The caller must
+// call Close at the end of the program.
 func (s *Sampler) Close() []*trace.Trace {
 	var sampled []*trace.Trace
 	for _, window := range s.windows {
@@ -256,8 +262,8 @@
 	return sampled
 }
 
-// closeWindow sets the reasons and weights of a window's candidates, appends the candidates to
-// sampled, resets the window and returns the extended slice.
+// closeWindow samples all candidates of a window. It sets their reasons and weights and appends
+// them to the slice sampled. It then resets the window and returns the extended slice.
 func (s *Sampler) closeWindow(window *classWindow, sampled []*trace.Trace) []*trace.Trace {
 	for _, candidate := range window.candidates {
 		candidate.trace.Reasons = trace.ReasonSampled
--- a/internal/trace/sampling/sampler_test.go
+++ b/internal/trace/sampling/sampler_test.go
@@ -22,8 +22,8 @@
 	return id
 }
 
-// finishedTrace returns the trace of a request with one attempt, an end in Unix ms and a duration
-// in ms.
+// finishedTrace returns the trace of a request with one attempt. The end is in Unix ms, and the
+// duration is in ms.
 func finishedTrace(rng *rand.Rand, class string, endedAt, duration float64, outcome trace.Outcome) *trace.Trace {
 	return &trace.Trace{ID: randomID(rng), Class: class, Start: endedAt - duration, End: endedAt, Outcome: outcome, Attempts: 1}
 }
@@ -35,8 +35,9 @@
 	}
 }
 
-// TestRetentionReasons checks that traces of requests that failed, were rejected, were retried or
-// were slow are retained at once, each with its reasons, and that other traces are not.
+// TestRetentionReasons checks that the traces of requests that failed, were rejected, were
+// retried or were slow are retained immediately, each with its reasons. Other traces must not be
+// retained immediately.
 func TestRetentionReasons(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -67,9 +68,9 @@
 			got := sampler.Finish(finished, reservation)
 			switch {
 			case test.want == 0 && got != nil:
-				t.Errorf("got a trace retained at once for reasons %b, want an ordinary trace", got.Reasons)
+				t.Errorf("got a trace retained immediately for reasons %b, want an ordinary trace", got.Reasons)
 			case test.want != 0 && got == nil:
-				t.Errorf("got an ordinary trace, want one retained at once for reasons %b", test.want)
+				t.Errorf("got an ordinary trace, want one retained immediately for reasons %b", test.want)
 			case got != nil && (got.Reasons != test.want || got.Weight != 1):
 				t.Errorf("got reasons %b and weight %v, want %b and 1", got.Reasons, got.Weight, test.want)
 			}
@@ -77,7 +78,8 @@
 	}
 }
 
-// weightTest describes the load of one case of TestSampledWeightsAreUnbiased.
+// weightTest is one case of TestSampledWeightsAreUnbiased. It describes the load and the
+// expected results.
 type weightTest struct {
 	name              string
 	tracesPerSecond   int // ordinary traces
@@ -88,9 +90,9 @@
 	seconds           int
 }
 
-// TestSampledWeightsAreUnbiased checks that the sum of the weights of the sampled traces is close to
-// the number of all traces, below and above the sampling rate and when memory is short. It also
-// checks the number of traces that are sampled in the last window.
+// TestSampledWeightsAreUnbiased checks that the sum of the weights of the sampled traces is
+// close to the number of all traces. It covers loads below and above the sampling rate, and a
+// lack of memory. It also checks the number of traces that are sampled in the last window.
 func TestSampledWeightsAreUnbiased(t *testing.T) {
 	const maxError = 0.04
 	tests := []weightTest{
@@ -107,7 +109,7 @@
 			weights += sumOfWeights(last)
 			traceCount := test.seconds * test.tracesPerSecond
 			if deviation := math.Abs(weights/float64(traceCount) - 1); deviation > maxError {
-				t.Errorf("got weights with a sum of %.0f for %d traces, a relative error of %.1f%%", weights, traceCount, 100*deviation)
+				t.Errorf("got weights with a sum of %.0f for %d traces, a relative error of %.1f%%, want at most %.1f%%", weights, traceCount, 100*deviation, 100*maxError)
 			}
 			if len(last) > test.maxInLastWindow {
 				t.Errorf("got %d traces sampled in the last window, want at most %d", len(last), test.maxInLastWindow)
@@ -119,8 +121,8 @@
 	}
 }
 
-// run passes the ordinary traces of all seconds to the sampler. It returns the sum of the weights
-// of the traces sampled in all windows but the last one.
+// run passes the ordinary traces of all seconds to the sampler. It returns the sum of the
+// weights of the traces that were sampled in all windows except the last window.
 func (w weightTest) run(t *testing.T, sampler *Sampler) float64 {
 	t.Helper()
 	const size = 200
@@ -133,7 +135,7 @@
 			reserve(t, sampler, size)
 			finished := finishedTrace(rng, className, now+float64(i), 5, trace.Served)
 			if sampler.Finish(finished, size) != nil {
-				t.Fatal("got an ordinary trace retained at once, want nil from Finish")
+				t.Fatal("got an ordinary trace retained immediately, want nil from Finish")
 			}
 			if sampler.Bytes() > w.maxBytes {
 				t.Fatalf("got %d bytes held, want at most %d", sampler.Bytes(), w.maxBytes)
@@ -151,8 +153,8 @@
 	return sum
 }
 
-// TestRoutersSampleTheSameTraces checks that the samplers of two routers choose the same traces
-// when requests with the same trace IDs end at both.
+// TestRoutersSampleTheSameTraces checks that the samplers of two routers choose the same traces,
+// if requests with the same trace IDs end at both routers.
 func TestRoutersSampleTheSameTraces(t *testing.T) {
 	const size, perSecond = 200, 4
 	rng := rand.New(rand.NewPCG(3, 3))
@@ -162,11 +164,11 @@
 	second.Tick(startTime)
 	for range 300 {
 		finished := finishedTrace(rng, className, startTime, 5, trace.Served)
-		same := *finished
+		copied := *finished
 		reserve(t, first, size)
 		reserve(t, second, size)
 		first.Finish(finished, size)
-		second.Finish(&same, size)
+		second.Finish(&copied, size)
 	}
 	sampled := map[trace.ID]bool{}
 	for _, t := range first.Close() {
@@ -182,9 +184,9 @@
 	}
 }
 
-// TestLostTracesAreReportedOnce checks that further requests are not traced when requests in flight
-// fill the memory budget, and that only the next retained trace reports how many of their traces
-// would have been retained.
+// TestLostTracesAreReportedOnce checks that no further requests are traced when requests in
+// flight fill the memory budget. The traces of some untraced requests would have been retained.
+// Only the next retained trace must report the number of these lost traces.
 func TestLostTracesAreReportedOnce(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
 	sampler := New(1000, Class{OrdinaryPerSecond: 5}, nil)
--- a/internal/trace/sampling/window.go
+++ b/internal/trace/sampling/window.go
@@ -7,18 +7,19 @@
 	"garnetline/internal/trace"
 )
 
-// The ordinary traces of a class are sampled together in windows of one length. The length is
-// minWindowLength, or more if the class's rate yields fewer than minTracesPerWindow in that time,
-// up to maxWindowLength. With fewer sampled traces per window, weights are still correct on
-// average, but their variance is unbounded. BenchmarkSampler reports the memory that a sampler
-// holds, and TestSampledWeightsAreUnbiased limits the error of the weights.
+// The ordinary traces of a class are sampled together in windows of equal length. The length is
+// minWindowLength if the class's rate yields at least minTracesPerWindow traces in that time.
+// Otherwise the window is longer, up to maxWindowLength. With fewer sampled traces per window,
+// weights are still correct on average, but their variance is unbounded. BenchmarkSampler
+// reports the memory that a sampler holds, and TestSampledWeightsAreUnbiased limits the error of
+// the weights.
 const (
 	minWindowLength    = 1000.0   // ms
 	maxWindowLength    = 60_000.0 // ms
 	minTracesPerWindow = 3.0
 )
 
-// noThreshold is the threshold of a window in which no trace was dropped. No order is above it.
+// noThreshold is the threshold of a window in which no trace was dropped. No order exceeds it.
 const noThreshold = 1.0
 
 // classWindow is the current window of one class.
@@ -37,7 +38,7 @@
 	return window
 }
 
-// configure sets the policy of the class. If the maximum number of candidates becomes smaller,
+// configure sets the policy of the class. If the new maximum number of candidates is lower,
 // excess candidates stay until the next candidate is added.
 func (w *classWindow) configure(class Class) {
 	w.Class = class
@@ -49,7 +50,7 @@
 	w.maxCandidates = int(math.Ceil(class.OrdinaryPerSecond * w.length / 1000))
 }
 
-// contains reports whether now, in Unix ms, is within the window.
+// contains reports whether the time now, in Unix ms, is within the window.
 func (w *classWindow) contains(now float64) bool {
 	return now >= w.startedAt && now < w.startedAt+w.length
 }
@@ -62,21 +63,23 @@
 	return dropped.size
 }
 
-// reset removes all candidates and the threshold. The next window reuses the memory.
+// reset removes all candidates and sets the threshold to noThreshold. The next window reuses the
+// memory.
 func (w *classWindow) reset() {
 	w.candidates = w.candidates[:0]
 	w.threshold = noThreshold
 }
 
-// candidate is an ordinary trace that is retained when its window is closed, unless it is dropped
-// because of its high order.
+// candidate is an ordinary trace that may be dropped because of its high order. If it is not
+// dropped, it is retained when its window is closed.
 type candidate struct {
 	order float64 // trace.ID.Order
 	size  int     // bytes
 	trace *trace.Trace
 }
 
-// candidateHeap is a heap with the candidate of the highest order, the next to be dropped, on top.
+// candidateHeap is a heap with the highest order on top. The candidate on top is the next
+// candidate to be dropped.
 type candidateHeap []candidate
 
 // Len implements heap.Interface.
--- a/internal/trace/store/benchmark_test.go
+++ b/internal/trace/store/benchmark_test.go
@@ -7,9 +7,9 @@
 	"garnetline/internal/trace"
 )
 
-// BenchmarkQuery compares queries that skip blocks by their headers (index) with queries that
-// decode and test each trace (scan), and measures reading the headers of all blocks (read), with
-// 10,000, 100,000 and 1,000,000 spans.
+// BenchmarkQuery measures queries in folders of 10,000, 100,000 and 1,000,000 spans. "index" is
+// a query that skips blocks by their headers. "scan" is a query that decodes and tests each
+// trace. "read" measures reading the headers of all blocks.
 func BenchmarkQuery(b *testing.B) {
 	const spansPerTrace = 3
 	for _, spanCount := range []int{10_000, 100_000, 1_000_000} {
--- a/internal/trace/store/block.go
+++ b/internal/trace/store/block.go
@@ -15,8 +15,8 @@
 // preambleSize is the size of a block's preamble, in bytes.
 const preambleSize = 16
 
-// preamble is the first part of a block: the sizes in bytes and the CRC-32C checksums of its
-// header and its body.
+// preamble is the first part of a block. It contains the sizes in bytes and the CRC-32C
+// checksums of the block's header and body.
 type preamble struct {
 	headerSize, bodySize         uint32
 	headerChecksum, bodyChecksum uint32
@@ -53,7 +53,8 @@
 // empty reports whether the block has no traces.
 func (b *blockBuilder) empty() bool { return b.header.traceCount == 0 }
 
-// full reports whether the block has reached its target size and is due to be written.
+// full reports whether the size of the records has reached blockTargetSize. A full block must be
+// written.
 func (b *blockBuilder) full() bool { return len(b.records) >= blockTargetSize }
 
 func (b *blockBuilder) add(t *trace.Trace) {
@@ -85,8 +86,8 @@
 	return encoded
 }
 
-// expectedSize returns an estimate of the block's size in bytes. It allows for half of the size
-// of the records, which compress to less than that.
+// expectedSize returns an estimate of the block's size in bytes. The estimate includes half of
+// the size of the records, because the records compress to less than half of their size.
 func (b *blockBuilder) expectedSize() int {
 	const typicalHeaderSize = 1024
 	return preambleSize + typicalHeaderSize + len(b.records)/2
@@ -95,8 +96,8 @@
 // blockRef is the location of a block in a segment, with the block's header. Offsets are in
 // bytes from the start of the segment.
 type blockRef struct {
-	offset       int64 // of the preamble
-	size         int64 // bytes of the whole block
+	offset       int64 // offset of the preamble
+	size         int64 // size of the whole block, in bytes
 	bodyOffset   int64
 	bodyChecksum uint32
 	header       blockHeader
@@ -105,9 +106,9 @@
 // end returns the offset of the first byte after the block.
 func (r *blockRef) end() int64 { return r.offset + r.size }
 
-// readBlockRef reads the preamble and the header of the block at an offset. It reports false if
-// they are corrupt or the block is incomplete. It does not verify the checksum of the body;
-// readBody does.
+// readBlockRef reads the preamble and the header of the block at the given offset. It reports
+// false if the preamble or the header is corrupt, or if the block is incomplete. It does not
+// verify the checksum of the body, which readBody does.
 func readBlockRef(segment io.ReaderAt, offset int64) (blockRef, bool) {
 	var encoded [preambleSize]byte
 	if _, err := segment.ReadAt(encoded[:], offset); err != nil {
@@ -152,7 +153,7 @@
 		return nil, err
 	}
 	if crc32.Checksum(body, castagnoli) != r.bodyChecksum {
-		return nil, fmt.Errorf("%w: body checksum mismatch", ErrCorruptBlock)
+		return nil, fmt.Errorf("%w: checksum mismatch in the body of the block at offset %d", ErrCorruptBlock, r.offset)
 	}
 	return body, nil
 }
@@ -166,7 +167,7 @@
 	for len(records) > 0 {
 		record, rest, ok := splitRecord(records)
 		if !ok {
-			return fmt.Errorf("%w: truncated record", ErrCorruptBlock)
+			return fmt.Errorf("%w: incomplete record in the last %d bytes of the uncompressed block body", ErrCorruptBlock, len(records))
 		}
 		decoded, err := trace.Decode(record)
 		if err != nil {
@@ -184,17 +185,18 @@
 func decompress(body []byte) ([]byte, error) {
 	size, err := s2.DecodedLen(body)
 	if err != nil || size > maxBodySize {
-		return nil, fmt.Errorf("%w: invalid or too large uncompressed size of the body", ErrCorruptBlock)
+		return nil, fmt.Errorf("%w: uncompressed size of a block body is unreadable or above the maximum of %d bytes, got size %d", ErrCorruptBlock, maxBodySize, size)
 	}
 	records, err := s2.Decode(nil, body)
 	if err != nil {
-		return nil, fmt.Errorf("%w: invalid compressed data in the body", ErrCorruptBlock)
+		return nil, fmt.Errorf("%w: invalid compressed data in a block body of %d bytes", ErrCorruptBlock, len(body))
 	}
 	return records, nil
 }
 
-// splitRecord returns the first of the records, without the length that precedes it, and the rest
-// of the records. It reports false if the first record is incomplete.
+// splitRecord splits the first record off a list of records. It returns the first record without
+// the length that precedes it, and the remaining list. It reports false if the first record is
+// incomplete.
 func splitRecord(records []byte) (record, rest []byte, ok bool) {
 	if len(records) < recordLengthSize {
 		return nil, nil, false
--- a/internal/trace/store/filter.go
+++ b/internal/trace/store/filter.go
@@ -7,21 +7,21 @@
 	"garnetline/routing"
 )
 
-// Filter selects the traces that match all of its fields. A field with its zero value matches
-// every trace.
+// Filter selects the traces that match all fields of the filter. A field with its zero value
+// matches every trace.
 type Filter struct {
 	ID            trace.ID
 	Class         string
 	TransactionID string
-	Outcomes      uint8            // bit set with the bit 1<<outcome for each trace.Outcome that matches
+	Outcomes      uint8            // set of bits: 1<<outcome for each trace.Outcome that matches
 	Server        routing.ServerID // target or fill source of at least one attempt
 	MinDuration   float64          // ms, inclusive
 	MinAttempts   int
-	Reasons       trace.Reason // a trace matches with at least one of these reasons
+	Reasons       trace.Reason // a trace matches if it has at least one of these reasons
 	From, To      float64      // Unix ms, inclusive bounds of the trace's start
 }
 
-// durationTolerance is the relative error allowed for a header's maximum duration, which is
+// durationTolerance is the allowed relative error of the maximum duration in a header, which is
 // rounded to a float32.
 const durationTolerance = 1e-6
 
--- a/internal/trace/store/golden_test.go
+++ b/internal/trace/store/golden_test.go
@@ -36,9 +36,9 @@
 	return written
 }
 
-// TestSegmentMatchesGolden checks that the segment format does not change: retained traces stay
-// on disk when a router is updated, and the new version must read them. UPDATE_GOLDEN=1 rewrites
-// testdata.
+// TestSegmentMatchesGolden checks that the segment format does not change. Retained traces stay
+// on disk when a router is updated, and the new version must be able to read them.
+// UPDATE_GOLDEN=1 rewrites testdata.
 func TestSegmentMatchesGolden(t *testing.T) {
 	folder := t.TempDir()
 	written := writeGoldenSegment(t, folder)
--- a/internal/trace/store/header.go
+++ b/internal/trace/store/header.go
@@ -9,20 +9,20 @@
 	"garnetline/internal/trace"
 )
 
-// blockHeader summarizes the traces of a block, so that queries can skip blocks without matching
-// traces.
+// blockHeader summarizes the traces of a block, so that a query can skip a block that contains
+// no matching trace.
 type blockHeader struct {
 	firstStart, lastStart float64 // Unix ms, the earliest and the latest start
 	maxDuration           float32 // ms
 	traceCount            uint32
 	spanCount             uint32
-	outcomes              uint8 // bit set with the bit 1<<outcome for each trace.Outcome that occurs
+	outcomes              uint8 // set of bits: 1<<outcome for each trace.Outcome that occurs
 	reasons               trace.Reason
 	maxAttempts           uint8
-	serversOmitted        bool // there are more than maxHeaderServers servers, and servers is empty
+	serversOmitted        bool // the block has more than maxHeaderServers servers, and the list of servers is not complete
 	classes               []string
 	servers               []uint64 // servers and fill sources of attempts, ascending
-	fingerprints          []uint32 // of the traces' IDs, ascending
+	fingerprints          []uint32 // fingerprints of the traces' IDs, ascending
 }
 
 // fingerprint returns the 32-bit hash by which a header lists a trace's ID.
@@ -30,7 +30,7 @@
 	return binary.BigEndian.Uint32(id[4:8]) ^ binary.BigEndian.Uint32(id[12:16])
 }
 
-// add includes a trace in the summary. It leaves the fingerprints unsorted; blockBuilder.finish
+// add adds a trace to the summary. It leaves the fingerprints unsorted, and blockBuilder.finish
 // sorts them.
 func (h *blockHeader) add(t *trace.Trace) {
 	if h.traceCount == 0 {
@@ -65,8 +65,8 @@
 	}
 }
 
-// insertSorted inserts a value into a sorted slice without duplicates, unless the slice already
-// contains the value.
+// insertSorted inserts a value into a sorted slice without duplicates. If the slice already
+// contains the value, insertSorted returns it unchanged.
 func insertSorted(set []uint64, value uint64) []uint64 {
 	i, found := slices.BinarySearch(set, value)
 	if found {
@@ -75,7 +75,8 @@
 	return slices.Insert(set, i, value)
 }
 
-// Offsets, in bytes, of the fixed fields of a header. The lists follow at headerFixedSize.
+// Offsets, in bytes, of the fixed fields of a header. The lists of classes, servers and
+// fingerprints start at offset headerFixedSize.
 const (
 	firstStartOffset     = 0
 	lastStartOffset      = 8
@@ -89,11 +90,11 @@
 	headerFixedSize      = 32
 
 	fingerprintSize = 4
-	maxClassLength  = math.MaxUint8 // bytes: the length is stored in one byte
+	maxClassLength  = math.MaxUint8 // bytes, because the length is stored in one byte
 )
 
-// append appends the stored form of the header: the fixed fields, the number of classes and the
-// classes, the number of servers and the servers, and the fingerprints.
+// append appends the stored form of the header. It consists of the fixed fields, the number of
+// classes, the classes, the number of servers, the servers, and the fingerprints.
 func (h *blockHeader) append(dst []byte) []byte {
 	dst = binary.BigEndian.AppendUint64(dst, math.Float64bits(h.firstStart))
 	dst = binary.BigEndian.AppendUint64(dst, math.Float64bits(h.lastStart))
@@ -139,7 +140,9 @@
 	return header, nil
 }
 
-func errCorruptHeader() error { return fmt.Errorf("%w: invalid or truncated header", ErrCorruptBlock) }
+func errCorruptHeader() error {
+	return fmt.Errorf("%w: block header is truncated or contains an invalid list", ErrCorruptBlock)
+}
 
 func parseFixedFields(encoded []byte) blockHeader {
 	order := binary.BigEndian
@@ -156,8 +159,8 @@
 	}
 }
 
-// headerLists reads the lists of a header in sequence. After a list that is corrupt, failed is
-// true and callers must discard everything that was read.
+// headerLists reads the lists of a header in sequence. If a list is corrupt, headerLists sets
+// failed, and callers must discard all lists.
 type headerLists struct {
 	remaining []byte
 	failed    bool
@@ -201,8 +204,8 @@
 	return classes
 }
 
-// readServers reads the list of servers. Each server ID is stored as the difference from the
-// previous one.
+// readServers reads the list of servers. Each server ID is stored as its difference from the
+// previous ID.
 func (l *headerLists) readServers() []uint64 {
 	count := l.uvarint()
 	if count > maxHeaderServers+2 {
@@ -218,8 +221,8 @@
 	return servers
 }
 
-// readFingerprints reads count fingerprints, one for each trace. It fails unless they are exactly
-// the remaining bytes.
+// readFingerprints reads the fingerprints, one for each trace. The argument count is the number
+// of traces. readFingerprints fails unless the fingerprints take exactly the remaining bytes.
 func (l *headerLists) readFingerprints(count uint32) []uint32 {
 	if uint64(len(l.remaining)) != fingerprintSize*uint64(count) {
 		l.fail()
--- a/internal/trace/store/index.go
+++ b/internal/trace/store/index.go
@@ -6,8 +6,8 @@
 	"garnetline/internal/trace"
 )
 
-// Index holds the headers of all blocks in a folder's segments, as they were when Read returned
-// the Index. It is safe for concurrent use.
+// Index holds the headers of all blocks in a folder's segments. Blocks that are written after
+// Read are not included. An Index is safe for concurrent use.
 type Index struct {
 	segments []indexedSegment // oldest first
 }
@@ -39,7 +39,7 @@
 func indexSegment(path string) (indexedSegment, bool) {
 	file, err := os.Open(path)
 	if err != nil {
-		return indexedSegment{}, false // for example removed by a Writer
+		return indexedSegment{}, false // for example, a Writer removed the file
 	}
 	defer closeSegment(file)
 	segment := indexedSegment{path: path}
@@ -62,9 +62,9 @@
 	return blocks, traces, spans
 }
 
-// Query calls visit with each trace that the filter selects, in the order in which the traces
-// were added, until visit returns false. It returns the number of blocks that it read and the
-// first error. After an error in one block, Query continues with the next block.
+// Query calls visit with each trace that the filter selects, until visit returns false. The
+// traces are in the order in which they were added. Query returns the number of blocks that it
+// read and the first error. After an error in one block, Query continues with the next block.
 func (x *Index) Query(filter Filter, visit func(*trace.Trace) bool) (int, error) {
 	q := &query{filter: filter, visit: visit}
 	for i := range x.segments {
@@ -94,7 +94,7 @@
 	}
 	file, err := os.Open(segment.path)
 	if err != nil {
-		return // for example removed by a Writer
+		return // for example, a Writer removed the file
 	}
 	defer closeSegment(file)
 	for i < len(segment.blocks) && !q.stopped {
@@ -103,10 +103,10 @@
 	}
 }
 
-// nextMatch returns the index of the first block at or after from that may contain a matching
-// trace, or the number of blocks if there is none.
-func (q *query) nextMatch(blocks []blockRef, from int) int {
-	for i := from; i < len(blocks); i++ {
+// nextMatch searches the blocks from startIndex to the end. It returns the index of the first
+// block that may contain a matching trace, or the number of blocks if there is no such block.
+func (q *query) nextMatch(blocks []blockRef, startIndex int) int {
+	for i := startIndex; i < len(blocks); i++ {
 		if q.filter.mayMatch(&blocks[i].header) {
 			return i
 		}
@@ -125,8 +125,8 @@
 	}
 }
 
-// visitMatching calls visit with the trace if the filter selects it. It reports whether the query
-// continues.
+// visitMatching calls visit with the trace if the filter selects the trace. It reports whether
+// the query must continue.
 func (q *query) visitMatching(t *trace.Trace) bool {
 	if q.filter.Matches(t) {
 		q.stopped = !q.visit(t)
--- a/internal/trace/store/index_test.go
+++ b/internal/trace/store/index_test.go
@@ -6,8 +6,8 @@
 	"garnetline/internal/trace"
 )
 
-// TestQueryFindsWhatScanFinds checks that a query does not miss traces by skipping their block,
-// and that it does not read all blocks for a few traces.
+// TestQueryFindsWhatScanFinds checks that a query finds all matching traces, although it skips
+// blocks. It also checks that a query with few matching traces does not read all blocks.
 func TestQueryFindsWhatScanFinds(t *testing.T) {
 	folder := t.TempDir()
 	written := writeTraces(t, folder, 20_000, 256<<10)
@@ -50,7 +50,7 @@
 				t.Errorf("got traces %+v, want only the trace with ID %v", found, test.filter.ID)
 			}
 			if test.rare && blocksRead > blocks/5 {
-				t.Errorf("got %d of %d blocks read, want at most a fifth", blocksRead, blocks)
+				t.Errorf("got %d of %d blocks read, want at most a fifth of the blocks", blocksRead, blocks)
 			}
 		})
 	}
--- a/internal/trace/store/segment.go
+++ b/internal/trace/store/segment.go
@@ -29,13 +29,13 @@
 			paths = append(paths, filepath.Join(folder, entry.Name()))
 		}
 	}
-	slices.Sort(paths) // names begin with the time, in a fixed number of digits
+	slices.Sort(paths) // each name begins with its time, in a fixed number of digits
 	return paths, nil
 }
 
-// scanSegment calls visit with each complete block of a segment until visit returns false. An
-// incomplete block, or one with a corrupt header, ends the scan without an error. scanSegment
-// returns an error that wraps ErrCorruptBlock for a file that is not a segment.
+// scanSegment calls visit with each complete block of a segment, until visit returns false. The
+// scan ends without an error at a block that is incomplete or has a corrupt header. If the file
+// is not a segment, scanSegment returns an error that wraps ErrCorruptBlock.
 func scanSegment(segment io.ReaderAt, visit func(blockRef) bool) error {
 	if err := checkMagic(segment); err != nil {
 		return err
@@ -50,7 +50,8 @@
 	}
 }
 
-// checkMagic returns an error that wraps ErrCorruptBlock unless the file begins with segmentMagic.
+// checkMagic checks that the file begins with segmentMagic. If it does not, checkMagic returns
+// an error that wraps ErrCorruptBlock.
 func checkMagic(segment io.ReaderAt) error {
 	magic := make([]byte, len(segmentMagic))
 	_, err := segment.ReadAt(magic, 0)
@@ -58,19 +59,20 @@
 		return err
 	}
 	if err != nil || string(magic) != segmentMagic {
-		return fmt.Errorf("%w: file is not a trace segment", ErrCorruptBlock)
+		return fmt.Errorf("%w: file is not a trace segment: expected it to begin with %q, got %q", ErrCorruptBlock, segmentMagic, magic)
 	}
 	return nil
 }
 
-// lockSegment locks a segment against other processes. It returns an error at once if another
-// process holds the lock. The lock lasts until the file is closed.
+// lockSegment locks a segment against other processes. If another process holds the lock, it
+// returns an error without waiting. The lock lasts until the file is closed.
 func lockSegment(segment *os.File) error {
 	return syscall.Flock(int(segment.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 }
 
-// repairSegment truncates a segment after its last intact block, and removes a file without the
-// magic line of a segment. It does nothing while another Writer holds the lock of the segment.
+// repairSegment truncates a segment after its last intact block. It removes the file if the file
+// does not begin with the magic line of a segment. It does nothing if another Writer holds the
+// lock of the segment.
 func repairSegment(path string) error {
 	segment, err := os.OpenFile(path, os.O_RDWR, 0)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -97,8 +99,8 @@
 	return nil
 }
 
-// intactSize returns the size, in bytes, of the part of a segment before its first block that is
-// incomplete or corrupt.
+// intactSize returns the size, in bytes, of the intact part of a segment. The intact part ends
+// before the first block that is incomplete or corrupt.
 func intactSize(segment io.ReaderAt) (int64, error) {
 	size := int64(len(segmentMagic))
 	err := scanSegment(segment, func(block blockRef) bool {
--- a/internal/trace/store/segment_test.go
+++ b/internal/trace/store/segment_test.go
@@ -32,7 +32,8 @@
 }
 
 // truncations returns the sizes, in bytes, to which TestOpenTruncatesIncompleteBlock truncates a
-// segment: zero, within the magic line, within the first block, and random sizes.
+// segment. They are zero, a size within the magic line, a size within the first block, and
+// random sizes.
 func truncations(segmentSize int, ends []int64) []int64 {
 	const count = 60
 	cuts := []int64{0, int64(len(segmentMagic)) - 1, ends[0] - 1}
@@ -43,8 +44,9 @@
 	return cuts
 }
 
-// TestOpenTruncatesIncompleteBlock checks that complete blocks stay readable and an incomplete
-// last block is removed when a router was killed while it wrote a segment.
+// TestOpenTruncatesIncompleteBlock checks the repair of a segment that is incomplete because its
+// router was killed. Open must remove an incomplete last block. The complete blocks must stay
+// readable.
 func TestOpenTruncatesIncompleteBlock(t *testing.T) {
 	folder := t.TempDir()
 	writeTraces(t, folder, 2000, 1<<30)
@@ -64,9 +66,9 @@
 	}
 }
 
-// checkRepaired opens and closes a Writer on a folder with a truncated segment, and checks that
-// the complete blocks of the segment are readable before and after. The ends are the end offsets
-// of the blocks of the untruncated segment.
+// checkRepaired opens and closes a Writer on a folder with a truncated segment. It checks that
+// the complete blocks of the segment are readable both before and after the repair. The argument
+// ends contains the end offsets of the blocks of the untruncated segment.
 func checkRepaired(t *testing.T, name string, incomplete []byte, ends []int64) {
 	t.Helper()
 	cut := int64(len(incomplete))
@@ -85,7 +87,7 @@
 	closeWriter(t, openWriter(t, folder, 1<<20, 1<<30), 1)
 	after, _ := queryFolder(t, folder, Filter{})
 	if len(before) != len(after) || (lastEnd > 0) != (len(after) > 0) {
-		t.Errorf("got %d traces before the repair and %d after it, want all traces of the complete blocks, which end at %d, both times", len(before), len(after), lastEnd)
+		t.Errorf("got %d traces before the repair and %d after it, want both times all traces of the blocks that end at or before offset %d", len(before), len(after), lastEnd)
 	}
 	info, err := os.Stat(path)
 	if cut < int64(len(segmentMagic)) {
@@ -103,7 +105,7 @@
 }
 
 // TestOpenLeavesSegmentOfRunningWriter checks that opening a second Writer on a folder does not
-// truncate the segment that another Writer is writing.
+// truncate the segment to which the first Writer is writing.
 func TestOpenLeavesSegmentOfRunningWriter(t *testing.T) {
 	const incompleteBlock = "half a block"
 	const flushTime = testClose + 1e12 // Unix ms, after the finished segment
@@ -129,7 +131,7 @@
 	closeWriter(t, writer, flushTime)
 }
 
-// FuzzSegment checks that reading and repairing a segment with arbitrary content does not panic.
+// FuzzSegment checks that neither reading nor repairing a segment with arbitrary content panics.
 func FuzzSegment(f *testing.F) {
 	fuzzutil.AddRandomSeeds(f, 8, 200)
 	folder := f.TempDir()
@@ -148,13 +150,14 @@
 		if err := os.WriteFile(filepath.Join(folder, "1"+segmentSuffix), content, segmentMode); err != nil {
 			t.Fatal(err)
 		}
-		// Errors are expected, because blocks are corrupt.
+		// Errors of the query are expected, because blocks are corrupt.
 		_, _ = readIndex(t, folder).Query(Filter{}, func(*trace.Trace) bool { return true })
 		closeWriter(t, openWriter(t, folder, 1<<20, 1<<30), 1)
 	})
 }
 
-// corruptSegment returns a copy of a segment in which the input determines the changed bytes.
+// corruptSegment returns a copy of a segment with changed bytes. The input determines which
+// bytes change and how.
 func corruptSegment(segment, input []byte) []byte {
 	corrupted := append([]byte(nil), segment...)
 	for i, c := range input {
--- a/internal/trace/store/store.go
+++ b/internal/trace/store/store.go
@@ -18,15 +18,15 @@
 	// segmentSuffix is the file name suffix of each segment.
 	segmentSuffix = ".traces"
 
-	// blockTargetSize is the size of uncompressed records, in bytes, at which a block is
-	// written.
+	// blockTargetSize is the size of uncompressed records, in bytes. A block is written when its
+	// records have reached this size.
 	blockTargetSize = 64 << 10
-	// maxHeaderSize and maxBodySize limit, in bytes, the parts of a block that are read. A block
-	// with a larger size in its preamble is treated as corrupt.
+	// maxHeaderSize and maxBodySize are the maximum sizes, in bytes, of a block's header and
+	// body. A block with a larger size in its preamble is treated as corrupt.
 	maxHeaderSize = 1 << 20
 	maxBodySize   = 8 << 20
-	// maxHeaderServers is the maximum number of servers that a header lists. Every query for a
-	// server reads the blocks that have more servers.
+	// maxHeaderServers is the maximum number of servers that a header lists. If a block has more
+	// servers, every query for a server reads the block.
 	maxHeaderServers = 256
 	// recordLengthSize is the size, in bytes, of the length that precedes each record.
 	recordLengthSize = 4
--- a/internal/trace/store/store_test.go
+++ b/internal/trace/store/store_test.go
@@ -21,12 +21,12 @@
 	failingServer = 7
 	// slowDuration is the duration, in ms, of the few slow attempts of newTrace.
 	slowDuration = 3000
-	// noLimit is a limit of a folder's size, in bytes, that tests never reach.
+	// noLimit is a size limit for a folder, in bytes, that tests never reach.
 	noLimit = 1 << 40
 )
 
-// newTrace returns the trace with the given index in a sequence of traces, in which attempts at
-// failingServer fail for 50 of every 5,000 traces. Each trace has two attempts.
+// newTrace returns the trace with the given index in a sequence of traces. Each trace has two
+// attempts. In 50 of every 5,000 traces, both attempts are at failingServer and fail.
 func newTrace(rng *rand.Rand, index int) *trace.Trace {
 	var id trace.ID
 	binary.BigEndian.PutUint64(id[:8], rng.Uint64())
@@ -121,8 +121,8 @@
 	return index
 }
 
-// queryFolder returns the traces of a folder that a filter selects, and the number of blocks that
-// the query read.
+// queryFolder queries a folder. It returns the traces that the filter selects and the number of
+// blocks that the query read.
 func queryFolder(tb testing.TB, folder string, filter Filter) (found []*trace.Trace, blocksRead int) {
 	tb.Helper()
 	blocksRead, err := readIndex(tb, folder).Query(filter, func(t *trace.Trace) bool {
--- a/internal/trace/store/writer.go
+++ b/internal/trace/store/writer.go
@@ -11,7 +11,8 @@
 )
 
 // Writer appends traces to the segments of a folder. It is not safe for concurrent use. Several
-// processes may each have a Writer on the same folder; each Writer creates segments of its own.
+// processes may each have a Writer on the same folder, because each Writer creates its own
+// segments.
 type Writer struct {
 	folder       string
 	segmentLimit int64 // maximum size of a segment, in bytes
@@ -24,10 +25,11 @@
 	latestName   float64  // time in the name of the latest segment, in Unix ms
 }
 
-// Open returns a Writer on a folder and creates the folder if it does not exist. It removes the
-// incomplete blocks of segments whose process was killed. segmentLimit is the maximum size of one
-// segment, and folderLimit that of all segments together, in bytes. The Writer removes the
-// oldest segments to stay within folderLimit.
+// Open returns a Writer on a folder and creates the folder if it does not exist. If a process
+// was killed while it wrote a segment, Open removes the incomplete block of that segment.
+// segmentLimit is the maximum size of one segment, in bytes. folderLimit is the maximum total
+// size of all segments, in bytes. The Writer removes the oldest segments to stay within
+// folderLimit.
 func Open(folder string, segmentLimit, folderLimit int64) (*Writer, error) {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return nil, err
@@ -54,9 +56,9 @@
 	return nil
 }
 
-// Flush writes the added traces that are not written yet. If it begins a segment, the name of the
-// segment contains now, in Unix ms. After an error, these traces are lost, and the next block
-// begins a new segment.
+// Flush writes the traces that were added but not written yet. If Flush begins a segment, the
+// name of the segment contains the time now, in Unix ms. After an error, the unwritten traces
+// are lost, and the next block begins a new segment.
 func (w *Writer) Flush(now float64) error {
 	if w.builder.empty() {
 		return nil
@@ -73,7 +75,7 @@
 	written, err := w.segment.Write(block)
 	w.segmentSize += int64(written)
 	if err != nil {
-		w.endSegment() // the segment may end in an incomplete block
+		w.endSegment() // the segment may now end with an incomplete block
 	}
 	return err
 }
@@ -85,8 +87,8 @@
 	return err
 }
 
-// beginSegment removes old segments if the folder would exceed its limit, and creates a segment.
-// now is in Unix ms.
+// beginSegment creates a segment. Before that, it removes old segments if the folder would
+// exceed its limit. The argument now is in Unix ms.
 func (w *Writer) beginSegment(now float64) error {
 	if err := w.removeOldest(); err != nil {
 		return err
@@ -108,8 +110,9 @@
 	return nil
 }
 
-// nextPath returns the path of the next segment. now is in Unix ms. The names of a Writer's
-// segments sort in the order of their creation, even if the clock is set back.
+// nextPath returns the path of the next segment. The argument now is in Unix ms. If the names of
+// a Writer's segments are sorted, they are in the order of creation, even if the clock was set
+// back.
 func (w *Writer) nextPath(now float64) string {
 	w.segmentCount++
 	w.latestName = max(now, w.latestName)
@@ -117,8 +120,8 @@
 	return filepath.Join(w.folder, name)
 }
 
-// removeOldest removes the oldest segments until one more segment of the maximum size fits within
-// the limit of the folder.
+// removeOldest removes the oldest segments until the folder has room for another segment of the
+// maximum size.
 func (w *Writer) removeOldest() error {
 	paths, err := segmentPaths(w.folder)
 	if err != nil {
@@ -129,7 +132,7 @@
 	for i, path := range paths {
 		info, err := os.Stat(path)
 		if err != nil {
-			continue // for example removed by another process
+			continue // for example, another process removed the segment
 		}
 		sizes[i] = info.Size()
 		total += sizes[i]
--- a/internal/trace/store/writer_test.go
+++ b/internal/trace/store/writer_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestWriterRemovesOldestSegments checks that the segments of a folder stay within the limit, and
-// that the Writer removes the oldest traces and keeps the newest.
+// TestWriterRemovesOldestSegments checks that the total size of a folder's segments stays within
+// the limit. The Writer must remove the oldest traces and keep the newest traces.
 func TestWriterRemovesOldestSegments(t *testing.T) {
 	const (
 		traces      = 8000
