--- a/internal/fuzzutil/fuzzutil.go
+++ b/internal/fuzzutil/fuzzutil.go
@@ -7,14 +7,15 @@
 	"testing"
 )
 
-// seedStream is the stream of the random number generator that the corpus is drawn from.
+// seedStream is the second half of the random number generator's initial state. The number of a
+// seed is the first half.
 const seedStream = 7
 
 // AddRandomSeeds adds count inputs of size random bytes each to the seed corpus of a fuzz test
 // whose only argument is a []byte. The inputs depend on count and size alone.
 //
-// Without -fuzz, go test runs a fuzz test on its seed corpus only. A test whose input is a script
-// of random steps would then check almost nothing without such inputs.
+// Without the flag -fuzz, go test runs a fuzz test only on its seed corpus. If the corpus had no
+// random inputs, a test whose input is a script of random steps would check almost nothing.
 func AddRandomSeeds(f *testing.F, count, size int) {
 	f.Helper()
 	for seed := range uint64(count) {
@@ -22,7 +23,8 @@
 	}
 }
 
-// randomBytes returns the first size random bytes of a seed.
+// randomBytes returns size random bytes that the seed determines. A longer result for the same seed
+// begins with the shorter result.
 func randomBytes(seed uint64, size int) []byte {
 	random := rand.New(rand.NewPCG(seed, seedStream))
 	content := make([]byte, size)
--- a/internal/fuzzutil/fuzzutil_test.go
+++ b/internal/fuzzutil/fuzzutil_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Failures of fuzz tests are identified by the number of their seed, so the bytes of a seed must
-// not change.
+// A failure of a fuzz test is reported with the number of its seed. The bytes of a seed must not
+// change, so that the failure can be reproduced.
 func TestRandomBytesOfSeedsStay(t *testing.T) {
 	for seed, want := range []string{
 		"e6d87ae6ae0b448cb5ee5f8f",
@@ -24,6 +24,6 @@
 	short := randomBytes(5, 10)
 	long := randomBytes(5, 300)
 	if len(short) != 10 || len(long) != 300 || !bytes.HasPrefix(long, short) {
-		t.Errorf("got %x of 10 bytes, want a prefix of the 300 bytes %x", short, long)
+		t.Errorf("got %x for size 10 and %x for size 300, want 10 bytes that are a prefix of 300 bytes", short, long)
 	}
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,13 +1,13 @@
-// Package golden compares bytes with files in testdata, for tests that pin stored data, wire
-// messages, and names that operators' scripts depend on. Only tests import it.
+// Package golden compares bytes with files in testdata. With it, tests notice changes of stored
+// data, of wire messages, and of names that operators' scripts depend on. Only tests import it.
 //
-// The files come from a version of the program with other Go identifiers, so a test fails if an
-// outer form changes together with an identifier. The command
+// An earlier version of the program wrote the files. Its Go identifiers had other names. A test
+// therefore fails if the renaming of an identifier also changes the bytes. The command
 //
 //	UPDATE_GOLDEN=1 go test ./PACKAGE
 //
-// rewrites the files. Use it only for an intended change of such a form, which programs of the
-// previous version must be able to read.
+// rewrites the files. Use it only after an intended change of the bytes. Programs of the previous
+// version must be able to read the new bytes.
 package golden
 
 import (
@@ -21,17 +21,18 @@
 	"testing"
 )
 
-// updateVariable is the environment variable that makes Compare write the files before it compares.
+// updateVariable is the name of an environment variable. If its value is not empty, Compare
+// overwrites the file before it compares.
 const updateVariable = "UPDATE_GOLDEN"
 
-// Message is one named message of a file that CompareMessages compares.
+// Message is a message with a name. CompareMessages compares it with one line of a file.
 type Message struct {
 	Name  string
 	Bytes []byte
 }
 
-// Compare fails the test unless got equals the content of testdata/name. It returns the content of
-// the file.
+// Compare fails the test if the bytes in got differ from the content of the file testdata/name. It
+// returns the content of the file.
 func Compare(tb testing.TB, name string, got []byte) []byte {
 	tb.Helper()
 	if os.Getenv(updateVariable) != "" {
@@ -44,8 +45,9 @@
 	return want
 }
 
-// CompareMessages compares messages with the file testdata/name, which has one message per line:
-// its name and its bytes in hexadecimal. It returns the messages of the file.
+// CompareMessages compares the messages in got with the file testdata/name. Each line of the file
+// contains the name of a message and the bytes of the message in hexadecimal. CompareMessages
+// returns the messages of the file.
 func CompareMessages(tb testing.TB, name string, got []Message) []Message {
 	tb.Helper()
 	var text bytes.Buffer
@@ -58,7 +60,7 @@
 		label, digits, _ := strings.Cut(lines.Text(), " ")
 		content, err := hex.DecodeString(digits)
 		if err != nil {
-			tb.Fatalf("%s: %s: %v", name, label, err)
+			tb.Fatalf("testdata/%s: decoding message %q: %v", name, label, err)
 		}
 		want = append(want, Message{Name: label, Bytes: content})
 	}
--- a/internal/netsim/event_queue.go
+++ b/internal/netsim/event_queue.go
@@ -8,14 +8,14 @@
 
 // event is the arrival of a packet, or a timer of a host.
 type event struct {
-	at          float64            // ms
-	sequence    uint64             // orders events of the same time
-	host        *Host              // whose timer it is; nil for a packet
+	at          float64            // ms of the network's time
+	sequence    uint64             // orders events that have the same time
+	host        *Host              // host of the timer; nil for a packet
 	packet      *membership.Packet // nil for a timer
-	destination netip.AddrPort     // of the packet
+	destination netip.AddrPort     // destination of the packet; not set for a timer
 }
 
-// before reports whether the event is handled before other.
+// before reports whether the event e is handled earlier than the event other.
 func (e *event) before(other *event) bool {
 	if e.at != other.at {
 		return e.at < other.at
@@ -23,8 +23,8 @@
 	return e.sequence < other.sequence
 }
 
-// eventQueue is a binary heap of events, the earliest first. It holds values, since
-// container/heap would allocate for each event.
+// eventQueue is a binary heap of events. The earliest event is the first element. The heap holds
+// values and does not use container/heap, which would allocate memory for each event.
 type eventQueue []event
 
 func (q *eventQueue) push(added event) {
@@ -47,7 +47,7 @@
 	earliest := queue[0]
 	last := len(queue) - 1
 	queue[0] = queue[last]
-	queue[last] = event{} // lets the packet be collected
+	queue[last] = event{} // lets the garbage collector free the packet
 	queue = queue[:last]
 	queue.siftDown()
 	*q = queue
@@ -67,8 +67,8 @@
 	}
 }
 
-// earlierChild returns the index of the child that is handled first. The index is past the end of
-// the queue if there is no child.
+// earlierChild returns the index of the child that is handled first. If the parent has no child,
+// the index is past the end of the queue.
 func (q eventQueue) earlierChild(parent int) int {
 	left := 2*parent + 1
 	right := left + 1
--- a/internal/netsim/failure_detection_test.go
+++ b/internal/netsim/failure_detection_test.go
@@ -17,14 +17,15 @@
 			network.Kill(crashed)
 			runUntilFailed(t, network, crashed, routers-1, 3000, 10)
 			if *ownFailures > routers-1 {
-				t.Errorf("got %d conclusions that a host failed, want at most %d", *ownFailures, routers-1)
+				t.Errorf("hosts concluded %d times that another host had failed, want at most %d", *ownFailures, routers-1)
 			}
 		})
 	}
 }
 
-// A router that receives from all others but whose own packets are lost is failed by all others and
-// fails none of them. It rejoins when the others receive from it again.
+// One router receives all packets, but the packets that it sends are lost. All other routers mark
+// it as failed, and it marks none of them as failed. It rejoins the fleet when its packets arrive
+// again.
 func TestReceiveOnlyRouterIsFailed(t *testing.T) {
 	network := convergedFleet(t, 4, 9)
 	receiveOnly := network.Hosts[4]
@@ -34,7 +35,8 @@
 	requireConvergence(t, network, 3000)
 }
 
-// A router that was paused for 30 s fails no other router when it continues, and rejoins soon.
+// A router is paused for 30 s, and all other routers mark it as failed. When it continues, it marks
+// no router as failed, and it rejoins the fleet within 3 s.
 func TestRouterThatContinuesAfterStallFailsNoPeer(t *testing.T) {
 	network := convergedFleet(t, 5, 8)
 	stalled := network.Hosts[3]
@@ -51,8 +53,8 @@
 	}
 }
 
-// A fifth of all packets is lost, others are late, duplicated or out of order, and one router
-// stalls repeatedly. No other router is failed.
+// A fifth of all packets is lost. Other packets are late, duplicated or out of order. One router
+// stalls repeatedly. No router except the stalling router is marked as failed.
 func TestLossAndOneStallingRouterFailNoOther(t *testing.T) {
 	network := convergedFleet(t, 6, 8)
 	stalling := network.Hosts[7]
@@ -67,8 +69,8 @@
 	}
 }
 
-// Clocks that differ by a day and a clock that runs a tenth too fast change nothing, since routers
-// never send each other times.
+// The clock of one router is a day ahead, and the clock of another router runs 10% too fast. Failure
+// detection works as usual, because routers do not send times to each other.
 func TestClockDifferencesChangeNothing(t *testing.T) {
 	network := convergedFleet(t, 15, 8)
 	network.Hosts[2].Clock = func(now float64) float64 { return now + 86_400_000 }
@@ -84,8 +86,8 @@
 	requireConvergence(t, network, 3000)
 }
 
-// Old packets that arrive once more change nothing: a router that left stays away, and live routers
-// stay members, even if every packet ever sent is replayed.
+// Every packet that was sent before is delivered once more. The replayed packets change nothing: a
+// router that left the fleet does not come back, and live routers remain members.
 func TestReplayedPacketsChangeNothing(t *testing.T) {
 	network := New(7)
 	network.StartFleet(5, fleet.DefaultSettings(), AllProtocols)
@@ -112,9 +114,9 @@
 	}
 	network.Run(network.Now + 30_000)
 	if *changes != 0 {
-		t.Errorf("got %d changes by %d replayed packets, want 0", *changes, len(recorded))
+		t.Errorf("got %d membership changes after %d replayed packets, want 0", *changes, len(recorded))
 	}
 	if got := network.Hosts[0].Membership().Replays; got == replaysBefore {
-		t.Errorf("got %d counted replays, want more than the %d before", got, replaysBefore)
+		t.Errorf("the first router counted %d replays, want more than the %d before the test replayed packets", got, replaysBefore)
 	}
 }
--- a/internal/netsim/helpers_test.go
+++ b/internal/netsim/helpers_test.go
@@ -8,8 +8,8 @@
 	"garnetline/internal/fleet/membership"
 )
 
-// convergedFleet returns a fleet whose routers have the same view and whose connectivity is
-// established.
+// convergedFleet starts a fleet and runs it until all routers have the same view. It then runs the
+// fleet for 8 s more, until the routers' connectivity is established.
 func convergedFleet(tb testing.TB, seed uint64, routers int) *Network {
 	tb.Helper()
 	network := New(seed)
@@ -19,40 +19,42 @@
 	return network
 }
 
-// requireConvergence runs the network until all hosts have the same view, and returns how long that
-// took, in ms. It ends the test if that takes longer than within, in ms.
-func requireConvergence(tb testing.TB, network *Network, within float64) float64 {
+// requireConvergence runs the network until all hosts have the same view, and returns how long
+// convergence took. It ends the test if convergence takes longer than the timeout. Both times are
+// in ms.
+func requireConvergence(tb testing.TB, network *Network, timeout float64) float64 {
 	tb.Helper()
 	start := network.Now
-	if !network.RunUntil(start+within, 50, network.Converged) {
+	if !network.RunUntil(start+timeout, 50, network.Converged) {
 		hostsByPresentCount := map[int]int{}
 		for _, host := range network.liveHosts() {
 			hostsByPresentCount[host.Membership().PresentCount()]++
 		}
-		tb.Fatalf("views differ after %.0f ms: hosts by number of routers that they see: %v", within, hostsByPresentCount)
+		tb.Fatalf("views still differ after %.0f ms; number of hosts by the number of routers that they see: %v", timeout, hostsByPresentCount)
 	}
 	return network.Now - start
 }
 
-// runUntilFailed runs the network until want hosts see subject as failed. It reports an error if
-// that takes longer than within, in ms.
-func runUntilFailed(tb testing.TB, network *Network, subject *Host, want int, within, step float64) {
+// runUntilFailed runs the network until the expected number of hosts sees the subject as failed. It
+// checks the number once per interval. It reports an error if the number is not reached before the
+// timeout. Both times are in ms.
+func runUntilFailed(tb testing.TB, network *Network, subject *Host, expected int, timeout, interval float64) {
 	tb.Helper()
-	failed := func() bool { return network.StateCounts(subject)[membership.Failed] == want }
-	if !network.RunUntil(network.Now+within, step, failed) {
+	failed := func() bool { return network.StateCounts(subject)[membership.Failed] == expected }
+	if !network.RunUntil(network.Now+timeout, interval, failed) {
 		tb.Errorf("after %.0f ms, %d hosts see %s as failed, want %d; by state: %v",
-			within, network.StateCounts(subject)[membership.Failed], subject.Name, want, network.StateCounts(subject))
+			timeout, network.StateCounts(subject)[membership.Failed], subject.Name, expected, network.StateCounts(subject))
 	}
 }
 
-// countEvents counts the matching events of the hosts that the network has now. The count grows as
-// the network runs.
-func countEvents(network *Network, match func(host *Host, event membership.Event) bool) *int {
+// countEvents returns a count of the events for which the predicate is true. The count starts at 0
+// and grows as the network runs. It includes only hosts that were started before the call.
+func countEvents(network *Network, predicate func(host *Host, event membership.Event) bool) *int {
 	count := 0
 	for _, host := range network.Hosts {
 		host.OnStep = func(host *Host, _ float64, out *fleet.Output) {
 			for _, event := range out.Events {
-				if match(host, event) {
+				if predicate(host, event) {
 					count++
 				}
 			}
@@ -61,33 +63,36 @@
 	return &count
 }
 
-// countOwnFailures counts, from now on, how often a host itself concludes that another host has
-// failed.
+// countOwnFailures returns a count of how often a host concludes that another host has failed.
+// Failures that a host only learns of from other hosts do not count. The count grows as the network
+// runs.
 func countOwnFailures(network *Network) *int {
 	return countEvents(network, func(host *Host, event membership.Event) bool {
 		return event.Kind == membership.EventFailed && event.Update.ReportedBy == host.Self.ID
 	})
 }
 
-// countFailuresExcept counts, from now on, how often a host sees a router other than subject fail.
+// countFailuresExcept returns a count of how often a host marks a router other than the subject as
+// failed. The count grows as the network runs.
 func countFailuresExcept(network *Network, subject *Host) *int {
 	return countEvents(network, func(_ *Host, event membership.Event) bool {
 		return event.Kind == membership.EventFailed && event.Update.ID != subject.Self.ID
 	})
 }
 
-// slotOf returns the slot in which a host runs.
+// slotOf returns the slot of a host. It is the inverse of Addr.
 func slotOf(host *Host) int {
 	ip := host.Addr.Addr().As4()
 	return int(ip[2])<<8 | int(ip[3])
 }
 
-// partitionBy returns a partition between the hosts whose slots are on different sides.
-func partitionBy(side func(slot int) int) func(from, to *Host) bool {
-	return func(from, to *Host) bool { return side(slotOf(from)) != side(slotOf(to)) }
+// partitionBy returns a function for Link.Partitioned. It separates hosts whose slots are on
+// different sides. The argument sideOf returns the side of a slot.
+func partitionBy(sideOf func(slot int) int) func(from, to *Host) bool {
+	return func(from, to *Host) bool { return sideOf(slotOf(from)) != sideOf(slotOf(to)) }
 }
 
-// isolate returns a partition between a host and all others.
+// isolate returns a function for Link.Partitioned. It separates a host from all other hosts.
 func isolate(host *Host) func(from, to *Host) bool {
 	return func(from, to *Host) bool { return from == host || to == host }
 }
--- a/internal/netsim/host.go
+++ b/internal/netsim/host.go
@@ -9,19 +9,18 @@
 )
 
 const (
-	// socketBufferPackets is the number of packets that the socket buffer of a paused process
-	// holds.
+	// socketBufferPackets is the maximum number of packets in the socket buffer of a paused process.
 	socketBufferPackets = 200
 
-	// minTimerDelay, in ms, ensures that the clock advances even if a machine always asks to be
-	// stepped at once.
+	// minTimerDelay is the minimum delay of a timer, in ms. It makes the clock advance even if a
+	// state machine always asks for an immediate step.
 	minTimerDelay = 0.05
 )
 
 // Machine is the state machine that a host runs.
 type Machine interface {
-	// Step advances the machine to now, in ms of the host's clock, and handles packet unless it is
-	// nil.
+	// Step advances the machine to the time now, in ms of the host's clock. It handles the packet
+	// if packet is not nil.
 	Step(now float64, packet *membership.Packet) fleet.Output
 	// Leave returns the packets to send before a graceful shutdown.
 	Leave(now float64) membership.Output
@@ -33,9 +32,10 @@
 type Protocols int
 
 const (
-	// AllProtocols selects those of the daemon: membership, gossip about servers, and connectivity.
+	// AllProtocols selects the state machines of the daemon: membership, gossip about servers, and
+	// connectivity.
 	AllProtocols Protocols = iota
-	// MembershipAlone selects the membership protocol without the others.
+	// MembershipAlone selects only the state machine of the membership protocol.
 	MembershipAlone
 )
 
@@ -54,7 +54,7 @@
 	Name        string
 	Addr        netip.AddrPort
 	Self        membership.Update // the update with which the process started
-	Dead        bool              // killed or shut down; set by Network
+	Dead        bool              // the process was killed or shut down; set by Network
 	PacketsSent int64
 	BytesSent   int64 // including encryption and the headers of IP and UDP
 
@@ -66,8 +66,8 @@
 	// step.
 	OnStep func(host *Host, now float64, out *fleet.Output)
 
-	pausedUntil  float64              // ms
-	nextTimerAt  float64              // ms; time of the earliest timer in the queue, infinite if there is none
+	pausedUntil  float64              // ms of the network's time
+	nextTimerAt  float64              // ms of the network's time; time of the host's earliest timer, infinite if there is none
 	socketBuffer []*membership.Packet // packets that arrived while the process is paused
 }
 
@@ -94,19 +94,20 @@
 	return h.Clock(now)
 }
 
-// setTimer records a timer and reports whether the caller must schedule it. Only the earliest timer
-// of a host is scheduled: the step that it causes sets the next one.
-func (h *Host) setTimer(at float64) bool {
-	if at >= h.nextTimerAt {
+// setTimer records a timer for the given time and reports whether the caller must schedule the
+// timer's event. It returns false if an earlier timer of the host is already scheduled: the step at
+// the earlier timer sets the next timer.
+func (h *Host) setTimer(timerAt float64) bool {
+	if timerAt >= h.nextTimerAt {
 		return false
 	}
-	h.nextTimerAt = at
+	h.nextTimerAt = timerAt
 	return true
 }
 
-// clearTimer records that the timer that was set for the time at has fired.
-func (h *Host) clearTimer(at float64) {
-	if h.nextTimerAt <= at {
+// clearTimer records that the timer for the given time has fired.
+func (h *Host) clearTimer(timerAt float64) {
+	if h.nextTimerAt <= timerAt {
 		h.nextTimerAt = math.Inf(1)
 	}
 }
--- a/internal/netsim/incarnation_test.go
+++ b/internal/netsim/incarnation_test.go
@@ -8,8 +8,8 @@
 	"garnetline/internal/fleet/membership"
 )
 
-// All routers are restarted under their names, one after another within seconds. At the end all are
-// present in their second incarnations and there are no other members.
+// All routers are restarted with their old names and IDs, one after another within seconds. At the
+// end, each router is present in its second incarnation, and there are no other members.
 func TestRollingRestart(t *testing.T) {
 	network := convergedFleet(t, 8, 10)
 	firstProcesses := append([]*Host(nil), network.Hosts...)
@@ -29,9 +29,9 @@
 	}
 }
 
-// A router is started again at another address while its previous process still answers at the old
-// one. The two are one member, at the new address. When the later process crashes, the previous
-// process takes the identity back.
+// A second process of a router starts at a new address while the first process still runs at the
+// old address. The fleet sees the two processes as one member at the new address. When the second
+// process crashes, the first process takes the identity back.
 func TestTwoProcessesOfOneRouterAreOneMember(t *testing.T) {
 	network := convergedFleet(t, 10, 6)
 	predecessor := network.Hosts[2]
@@ -40,7 +40,7 @@
 	for _, host := range network.Hosts {
 		if host == predecessor {
 			if !host.Membership().View().Superseded {
-				t.Error("the view of the predecessor does not report that it is superseded")
+				t.Error("got Superseded false in the view of the predecessor, want true")
 			}
 			continue
 		}
@@ -54,12 +54,12 @@
 	requireConvergence(t, network, 10_000)
 	self := predecessor.Membership().Self()
 	if got := self.Incarnation(); got != 3 {
-		t.Errorf("got incarnation %d of the predecessor after it is back, want 3", got)
+		t.Errorf("got incarnation %d of the predecessor after the crash of the successor, want 3", got)
 	}
 
 	last := network.StartHost(41, predecessor.Name, predecessor.Self.ID, 4, fleet.DefaultSettings(), AllProtocols)
 	network.Run(network.Now + 5000)
-	network.Leave(predecessor) // must not announce that the router left, since the successor still runs
+	network.Leave(predecessor) // the predecessor must not announce that the router left, because the successor still runs
 	network.Run(network.Now + 5000)
 	if got := network.StateCounts(last)[membership.Alive]; got != 5 {
 		t.Errorf("after the predecessor's shutdown %d hosts see the successor as alive, want 5", got)
@@ -81,8 +81,8 @@
 	}
 }
 
-// Two routers have the same name by mistake. Every router reports the conflict once, and both
-// remain members.
+// A sixth router has the same name as one of the first five routers by mistake. Each of the first
+// five routers reports the conflict once. Both routers with that name remain members.
 func TestNameConflictIsReportedAndBothStay(t *testing.T) {
 	network := convergedFleet(t, 11, 5)
 	conflicts := countEvents(network, func(_ *Host, event membership.Event) bool {
@@ -97,12 +97,12 @@
 		}
 	}
 	if *conflicts != 5 {
-		t.Errorf("the conflict was reported %d times, want once by each of 5", *conflicts)
+		t.Errorf("the conflict was reported %d times, want 5: once by each of the first five routers", *conflicts)
 	}
 }
 
-// One router of the fleet announces a thousand members that do not exist. They disappear again,
-// memory stays bounded, and no live router is failed.
+// One router of the fleet announces 1000 members that do not exist. The false members disappear
+// again, the member lists stay within their limit, and no live router is marked as failed.
 func TestFalseMembersDisappear(t *testing.T) {
 	const routers = 8
 	network := convergedFleet(t, 12, routers)
@@ -135,7 +135,7 @@
 	}
 }
 
-// announceFalseMembers makes a host announce routers that do not exist.
+// announceFalseMembers makes a host announce the given number of routers that do not exist.
 func announceFalseMembers(network *Network, announcer *Host, count int) {
 	for i := range count {
 		update := membership.Update{
--- a/internal/netsim/link.go
+++ b/internal/netsim/link.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// defaultDelay and defaultJitter apply to a new network, in ms. They are those of hosts at one
-	// site.
+	// defaultDelay and defaultJitter are the delay and the jitter of a new network, in ms. They
+	// correspond to hosts at one site.
 	defaultDelay  = 0.2
 	defaultJitter = 0.3
 
@@ -18,7 +18,7 @@
 )
 
 // Link describes what happens to packets in transit. It applies to all pairs of hosts. The zero
-// value delivers every packet at once.
+// value delivers every packet without delay.
 type Link struct {
 	Loss      float64 // share of packets that are lost, from 0 to 1
 	Duplicate float64 // share of packets that are delivered twice, from 0 to 1
@@ -32,18 +32,18 @@
 	ExtraDelay func(packet *membership.Packet) float64
 }
 
-// partitions reports whether the link drops all packets from one host to another. to is nil if no
-// host listens at the destination.
+// partitions reports whether the link drops all packets from one host to another. It returns false
+// if the argument to is nil, which means that no host listens at the destination.
 func (l *Link) partitions(from, to *Host) bool {
 	return l.Partitioned != nil && to != nil && l.Partitioned(from, to)
 }
 
-// drawLoss draws whether a packet is lost.
+// drawLoss decides at random whether a packet is lost.
 func (l *Link) drawLoss(rng *rand.Rand) bool {
 	return l.Loss > 0 && rng.Float64() < l.Loss
 }
 
-// drawDelay draws the delay of a packet, in ms.
+// drawDelay returns a random delay for a packet, in ms.
 func (l *Link) drawDelay(rng *rand.Rand, packet *membership.Packet) float64 {
 	delay := l.Delay
 	if l.Jitter > 0 {
--- a/internal/netsim/netsim.go
+++ b/internal/netsim/netsim.go
@@ -1,9 +1,9 @@
-// Package netsim simulates a network of routers that run the fleet's state machines, the same code
-// as in the daemon. All routers share one manual clock and one goroutine. The seed alone determines
-// a run, to the last packet. The package is for tests and experiments.
+// Package netsim simulates a network of routers. The routers run the same state machines of the
+// fleet as the daemon. All routers share one virtual clock and one goroutine. The seed of a run
+// determines every packet. The package is for tests and experiments.
 //
-// The recorded results of experiments depend on the order in which random numbers are drawn: a
-// change of this package must neither add nor reorder draws.
+// The recorded results of experiments depend on the order in which random numbers are drawn. A
+// change of this package must not add, remove or reorder draws.
 package netsim
 
 import (
@@ -16,13 +16,14 @@
 )
 
 const (
-	// randomStream is the second half of the generator's initial state; the seed is the first half.
+	// randomStream is the second half of the random number generator's initial state. The seed is
+	// the first half.
 	randomStream uint64 = 0x9e3779b97f4a7c15
 
 	// hostPort is the UDP port of all hosts.
 	hostPort = 7946
 
-	// zoneCount is the number of zones over which hosts are distributed by their slot.
+	// zoneCount is the number of zones. The slot of a host determines its zone.
 	zoneCount = 3
 )
 
@@ -31,15 +32,15 @@
 	Now    float64 // ms since the start of the run
 	Link   Link    // may be changed between two calls of Run
 	Rng    *rand.Rand
-	Hosts  []*Host // all that were ever started, including dead ones
+	Hosts  []*Host // all hosts that were ever started, including dead hosts
 	Events int64   // number of packets and timers handled so far
 
-	// OnSend, unless nil, is called with each packet that a host sends, including lost ones.
+	// OnSend, unless nil, is called with each packet that a host sends, including packets that are lost.
 	OnSend func(Datagram)
 
 	hostsByAddr  map[netip.AddrPort]*Host // the live process that listens at each address
 	events       eventQueue
-	lastSequence uint64 // of the latest event that was scheduled
+	lastSequence uint64 // sequence number of the event that was scheduled last
 	encodeBuffer []byte
 }
 
@@ -49,8 +50,8 @@
 	Packet membership.Packet
 }
 
-// New returns a network without hosts. It loses no packets and delays each by a fraction of a
-// millisecond.
+// New returns a network without hosts. The network loses no packets, and delays each packet by half
+// a millisecond on average.
 func New(seed uint64) *Network {
 	return &Network{
 		Link:        Link{Delay: defaultDelay, Jitter: defaultJitter},
@@ -59,25 +60,26 @@
 	}
 }
 
-// Addr returns the address of a slot: a place on the network at which one process listens at a
-// time.
+// Addr returns the address of a slot. A slot is a place on the network where at most one process
+// listens at a time.
 func Addr(slot int) netip.AddrPort {
 	ip := netip.AddrFrom4([4]byte{127, 1, byte(slot >> 8), byte(slot)})
 	return netip.AddrPortFrom(ip, hostPort)
 }
 
-// StartFleet starts routers in the slots from 0 on, each in its first incarnation. Each router
-// joins the fleet by the addresses of the first two slots.
+// StartFleet starts the given number of routers, each in its first incarnation. The first router is
+// in slot 0, the next router in slot 1, and so on. Each router joins the fleet through the addresses
+// of the first two slots.
 func (n *Network) StartFleet(routers int, settings fleet.Settings, protocols Protocols) {
 	for slot := range routers {
 		name := fmt.Sprintf("r%03d", slot)
-		id := membership.ID(n.Rng.Uint64() | 1) // never 0, which means no router
+		id := membership.ID(n.Rng.Uint64() | 1) // not 0, which means that there is no router
 		n.StartHost(slot, name, id, 1, settings, protocols)
 	}
 }
 
-// StartHost starts a process of a router in a slot and returns it. A process that already runs in
-// the slot receives no further packets.
+// StartHost starts a process of a router in a slot and returns the process. If another process
+// already runs in the slot, the other process receives no further packets.
 func (n *Network) StartHost(slot int, name string, id membership.ID, incarnation uint64, settings fleet.Settings, protocols Protocols) *Host {
 	self := membership.Update{
 		ID:       id,
@@ -101,7 +103,7 @@
 	return host
 }
 
-// Kill ends a process as a crash does: the process sends nothing more.
+// Kill ends a process as a crash would: the process sends no further packets.
 func (n *Network) Kill(host *Host) {
 	host.Dead = true
 	if n.hostsByAddr[host.Addr] == host {
@@ -109,34 +111,34 @@
 	}
 }
 
-// Leave shuts a process down gracefully: the process notifies its peers first.
+// Leave shuts a process down gracefully: the process first notifies its peers.
 func (n *Network) Leave(host *Host) {
 	out := host.Leave(n.Now)
 	n.sendPackets(host, &out)
 	n.Kill(host)
 }
 
-// Pause stops a process for ms milliseconds, as SIGSTOP does. Packets to the process are buffered,
-// up to the size of the socket buffer.
-func (n *Network) Pause(host *Host, ms float64) {
-	host.pausedUntil = n.Now + ms
+// Pause stops a process for the given duration in ms, as SIGSTOP would. Packets to the process are
+// buffered, up to the size of the socket buffer.
+func (n *Network) Pause(host *Host, duration float64) {
+	host.pausedUntil = n.Now + duration
 	n.schedule(event{at: host.pausedUntil, host: host})
 }
 
-// Step calls action, which may change the state of host, and then steps the host.
+// Step calls the function action, which may change the state of the host. Then it steps the host.
 func (n *Network) Step(host *Host, action func()) {
 	action()
 	n.stepHost(host, nil)
 }
 
-// Inject delivers a datagram now. It may have been delivered before.
+// Inject delivers a datagram at the current time. The same datagram may have been delivered before.
 func (n *Network) Inject(datagram Datagram) {
 	n.schedule(event{at: n.Now, packet: &datagram.Packet, destination: datagram.To})
 }
 
-// Run handles all events up to the time until, in ms, and sets the clock to until.
-func (n *Network) Run(until float64) {
-	for len(n.events) > 0 && n.events[0].at <= until {
+// Run handles all events up to endTime, in ms, and sets the clock to endTime.
+func (n *Network) Run(endTime float64) {
+	for len(n.events) > 0 && n.events[0].at <= endTime {
 		next := n.events.pop()
 		n.Now = next.at
 		n.Events++
@@ -146,17 +148,18 @@
 			n.handleTimer(next)
 		}
 	}
-	n.Now = until
+	n.Now = endTime
 }
 
-// RunUntil runs in steps of step milliseconds until condition holds or the clock reaches limit, in
-// ms. It reports whether condition holds.
-func (n *Network) RunUntil(limit, step float64, condition func() bool) bool {
+// RunUntil runs the network until the condition holds or the clock reaches the deadline. It checks
+// the condition at the start and after each interval, and reports whether the condition holds. Both
+// times are in ms.
+func (n *Network) RunUntil(deadline, interval float64, condition func() bool) bool {
 	for !condition() {
-		if n.Now >= limit {
+		if n.Now >= deadline {
 			return false
 		}
-		n.Run(n.Now + step)
+		n.Run(n.Now + interval)
 	}
 	return true
 }
@@ -174,8 +177,8 @@
 	n.stepUnlessPaused(timer.host, nil)
 }
 
-// stepUnlessPaused steps a host with a packet, or with nil for a timer. A paused host buffers the
-// packet and handles it with the first event after the pause.
+// stepUnlessPaused steps a host. The packet is nil if a timer fired. A paused host buffers the
+// packet, and handles it at the first event after the pause. A dead host does nothing.
 func (n *Network) stepUnlessPaused(host *Host, packet *membership.Packet) {
 	switch {
 	case host.Dead:
@@ -203,7 +206,7 @@
 	}
 }
 
-// schedule adds an event to the queue. Events of the same time are handled in the order in which
+// schedule adds an event to the queue. Events with the same time are handled in the order in which
 // they were scheduled.
 func (n *Network) schedule(scheduled event) {
 	n.lastSequence++
--- a/internal/netsim/netsim_test.go
+++ b/internal/netsim/netsim_test.go
@@ -8,7 +8,7 @@
 	"garnetline/internal/fleet"
 )
 
-// The same seed gives the same run, to the last packet; another seed gives another run.
+// Two runs with the same seed are identical. A run with another seed is different.
 func TestRunFollowsFromSeed(t *testing.T) {
 	run := func(seed uint64) string {
 		network := New(seed)
@@ -23,9 +23,9 @@
 	}
 	first := run(5)
 	if second := run(5); first != second {
-		t.Errorf("two runs of one seed differ:\n%s\n%s", first, second)
+		t.Errorf("two runs with seed 5 differ:\n%s\n%s", first, second)
 	}
 	if other := run(6); first == other {
-		t.Errorf("runs of two seeds are the same:\n%s", first)
+		t.Errorf("runs with seeds 5 and 6 are identical:\n%s", first)
 	}
 }
--- a/internal/netsim/partition_test.go
+++ b/internal/netsim/partition_test.go
@@ -8,9 +8,9 @@
 	"garnetline/internal/fleet/connectivity"
 )
 
-// The two or three sides of a partition fail each other; each side converges and reports partial
-// connectivity. Once the partition has healed, all views are the same within 3 s, and connectivity
-// follows after its hold time.
+// A partition splits the fleet into two or three sides. The routers of each side mark the routers of
+// the other sides as failed, and report partial connectivity. After the partition has healed, all
+// views are the same within 3 s. The connectivity state improves after its hold time.
 func TestPartitionHeals(t *testing.T) {
 	const routers = 12
 	for _, sides := range []int{2, 3} {
@@ -22,7 +22,7 @@
 				present := host.Membership().PresentCount()
 				status := connectivityOf(host)
 				if present != routers/sides || status.State != connectivity.Partial || status.Known != routers {
-					t.Errorf("%s sees %d routers, want %d; connectivity %+v, want partial of %d",
+					t.Errorf("%s sees %d routers, want %d; connectivity %+v, want state partial and %d known routers",
 						host.Name, present, routers/sides, status, routers)
 				}
 			}
@@ -31,14 +31,15 @@
 			network.Run(network.Now + 12_000)
 			for _, host := range network.Hosts {
 				if got := connectivityOf(host).State; got != connectivity.Together {
-					t.Errorf("%s is %v, want %v; views converged after %.0f ms", host.Name, got, connectivity.Together, took)
+					t.Errorf("%s has connectivity %v, want %v; views converged after %.0f ms", host.Name, got, connectivity.Together, took)
 				}
 			}
 		})
 	}
 }
 
-// No router is failed if each router can be reached in one direction or through another router.
+// Links between some routers are cut. Every router can still be reached, in one direction or through
+// another router. No router is marked as failed.
 func TestIndirectlyReachableRoutersAreNotFailed(t *testing.T) {
 	betweenSides := partitionBy(func(slot int) int { return slot % 2 })
 	tests := []struct {
@@ -65,8 +66,8 @@
 	}
 }
 
-// A router whose peers have all crashed is alone and still knows all of them, so its quotas of the
-// fleet's limits do not grow.
+// All peers of a router have crashed. The connectivity state of the router is alone, but the router
+// still knows all of its peers. Its quotas of the fleet's limits therefore do not grow.
 func TestLastRouterIsAlone(t *testing.T) {
 	network := convergedFleet(t, 9, 8)
 	for _, host := range network.Hosts[1:] {
@@ -78,17 +79,18 @@
 	}
 }
 
-// One router of 60 that is cut off from all others is alone within 4 s, long before it has failed
-// them one by one. It is together with them again after the partition has healed.
+// One of 60 routers is cut off from all others. Its connectivity state is alone within 4 s, long
+// before it has marked every other router as failed. After the partition has healed, the state is
+// together again.
 func TestIsolatedRouterIsAloneSoon(t *testing.T) {
 	network := convergedFleet(t, 14, 60)
 	isolated := network.Hosts[7]
-	expectState := func(want connectivity.State, within float64) {
+	expectState := func(want connectivity.State, timeout float64) {
 		t.Helper()
 		reached := func() bool { return connectivityOf(isolated).State == want }
-		if !network.RunUntil(network.Now+within, 50, reached) {
-			t.Errorf("after %.0f ms the router is %v, want %v; it sees %d routers",
-				within, connectivityOf(isolated).State, want, isolated.Membership().PresentCount())
+		if !network.RunUntil(network.Now+timeout, 50, reached) {
+			t.Errorf("after %.0f ms the isolated router has connectivity %v, want %v; it sees %d routers",
+				timeout, connectivityOf(isolated).State, want, isolated.Membership().PresentCount())
 		}
 	}
 	network.Link.Partitioned = isolate(isolated)
@@ -97,8 +99,9 @@
 	expectState(connectivity.Together, 20_000)
 }
 
-// A link flaps with the period that is worst for connectivity. Improvements of the connectivity
-// state are delayed more and more; deteriorations take effect at once.
+// A router is isolated again and again, with the period that is the worst case for its connectivity
+// state. Each flap increases the delay before the state improves. The state deteriorates without
+// delay.
 func TestConnectivityIsDampedWhileLinkFlaps(t *testing.T) {
 	network := convergedFleet(t, 13, 6)
 	flapping := network.Hosts[0]
@@ -116,10 +119,10 @@
 		network.Run(network.Now + 12_000)
 	}
 	if changes < 2 || changes > flaps {
-		t.Errorf("got %d changes of connectivity in %d flaps, want 2 to %d", changes, flaps, flaps)
+		t.Errorf("got %d changes of connectivity in %d flaps, want from 2 to %d", changes, flaps, flaps)
 	}
 	network.Run(network.Now + 90_000)
 	if got := connectivityOf(flapping).State; got != connectivity.Together {
-		t.Errorf("after a long time without a flap, got connectivity %v, want %v", got, connectivity.Together)
+		t.Errorf("after 90 s without a flap, got connectivity %v, want %v", got, connectivity.Together)
 	}
 }
--- a/internal/netsim/view.go
+++ b/internal/netsim/view.go
@@ -2,10 +2,10 @@
 
 import "garnetline/internal/fleet/membership"
 
-// stateCount is the number of states of a router in a view.
+// stateCount is the number of states that a router can have in a host's view.
 const stateCount = membership.Left + 1
 
-// StateCounts holds the number of hosts for each state in which they see a router.
+// StateCounts holds the number of hosts that see one router in each state. The state is the index.
 type StateCounts [stateCount]int
 
 // Converged reports whether all live hosts have the same view and each sees exactly the live hosts
