--- a/cmd/fleetlab/cluster.go
+++ b/cmd/fleetlab/cluster.go
@@ -16,17 +16,17 @@
 // or to use a recovered server again.
 const convergenceTimeout = time.Minute
 
-// shortConnectivityDelay is a line of the fleet block of the settings file. It shortens the delay
-// after which a router that reaches more of the fleet again raises its connectivity, so that
-// runs with many faults do not spend most of their time waiting.
+// shortConnectivityDelay is a line of the fleet block of the settings file. When a router reaches
+// more of the fleet again, it waits before it raises its connectivity state. The line shortens this
+// delay. With the default delay, runs with many faults would spend most of their time waiting.
 const shortConnectivityDelay = " more_room_after_ms = 1000\n"
 
 func programFlag() cli.Flag {
 	return &cli.StringFlag{Name: "program", Usage: "`FILE` of the daemon; default: garnetline in the folder of this program"}
 }
 
-// programPath returns the path of the daemon: the flag program or, without it, garnetline in the
-// folder of this program.
+// programPath returns the path of the daemon's executable file: the value of the flag --program.
+// Without this flag, it is the file garnetline in the folder of this program.
 func programPath(command *cli.Command) (string, error) {
 	if path := command.String("program"); path != "" {
 		return path, nil
@@ -38,20 +38,21 @@
 	return filepath.Join(filepath.Dir(self), "garnetline"), nil
 }
 
-// withCluster starts a cluster in a new temporary folder, calls use and stops the cluster.
-func withCluster(options testcluster.Options, use func(*testcluster.Cluster) error) error {
+// withCluster starts a cluster in a new temporary folder, calls the function action with the
+// cluster, and then stops the cluster.
+func withCluster(options testcluster.Options, action func(*testcluster.Cluster) error) error {
 	folder, err := os.MkdirTemp("", "fleetlab")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(folder) }() // the operating system cleans up what remains
+	defer func() { _ = os.RemoveAll(folder) }() // the error is ignored: the operating system cleans up temporary files
 	options.Dir = folder
 	cluster, err := testcluster.Start(options)
 	if err != nil {
 		return err
 	}
 	defer cluster.Close()
-	return use(cluster)
+	return action(cluster)
 }
 
 // adminError is a response of a router's admin API with a status other than 200.
--- a/cmd/fleetlab/fleet.go
+++ b/cmd/fleetlab/fleet.go
@@ -12,8 +12,8 @@
 	"garnetline/internal/testcluster"
 )
 
-// tour is the example scenario that runs if no file is given. Its text is the output of the flag
-// print.
+// tour is the example scenario. It runs if no file is given, and the flag --print prints its
+// text.
 const tour = `# seconds, then what is done
 0    routers 5
 6    kill r03
--- a/cmd/fleetlab/handover_kinds.go
+++ b/cmd/fleetlab/handover_kinds.go
@@ -18,12 +18,13 @@
 	optionalHandoverTimeout = 3 * time.Second
 )
 
-// errNotHolder means that a router lost the lease before its handover was caused.
+// errNotHolder means that a router no longer held the lease when a run asked it to transfer the
+// lease.
 var errNotHolder = errors.New("router no longer holds the lease")
 
 // handoverKind is a way to make a router lose its lease.
 type handoverKind struct {
-	name     string // used in tables, charts and the flag kind
+	name     string // used in tables, charts and the flag --kind
 	planned  bool   // the holder itself transfers the lease
 	optional bool   // the holder may keep its lease
 	timeout  time.Duration
@@ -50,7 +51,7 @@
 	return names
 }
 
-// findHandoverKinds returns the kinds with the given names, in the same order.
+// findHandoverKinds returns the kinds with the given names, in the order of the names.
 func findHandoverKinds(names []string) ([]handoverKind, error) {
 	byName := map[string]handoverKind{}
 	for _, kind := range handoverKinds {
@@ -67,7 +68,7 @@
 	return found, nil
 }
 
-// noRepair is the repair function of a kind that leaves no fault.
+// noRepair is the repair function of kinds of handover that leave no fault to repair.
 func noRepair() error { return nil }
 
 // transferLease moves the lease to another router through the admin API, as an operator does. The
@@ -97,7 +98,7 @@
 	return holder.Resume, holder.Pause()
 }
 
-// isolateHolder cuts the holder off from all routers; it still reaches the servers.
+// isolateHolder cuts the holder off from all other routers. The holder still reaches the servers.
 func (r *handoverRun) isolateHolder(holder *testcluster.Router) (func() error, error) {
 	for _, router := range r.cluster.Routers {
 		if router != holder {
@@ -118,7 +119,8 @@
 	return r.healLinks, nil
 }
 
-// leadsRegistry reports whether a router's status says that it is the registry's leader.
+// leadsRegistry reports whether a router's own status says that the router is the leader of the lease
+// registry.
 func leadsRegistry(router *testcluster.Router) bool {
 	status, err := router.Leases()
 	return err == nil && status.Registry.Leading
--- a/cmd/fleetlab/handovers.go
+++ b/cmd/fleetlab/handovers.go
@@ -35,8 +35,8 @@
 	// The delay lets faults occur at any phase of a lease.
 	maxHandoverPause = 400 * time.Millisecond
 
-	// handoverRandomStream is the second half of the seed of the random number generator. The flag
-	// seed is the first half.
+	// handoverRandomStream is the second half of the seed of the random number generator. The value
+	// of the flag --seed is the first half.
 	handoverRandomStream = 9
 
 	// loggedLines is the number of lines of each router's log that are printed for a slow handover.
@@ -96,8 +96,8 @@
 	})
 }
 
-// handoverRun causes handovers of a lease, and measures for how long no router held the lease:
-// the time between the probes of two holders at a server.
+// handoverRun causes handovers of a lease. It measures for how long no router held the lease: the
+// time, at a server, from the last probe of one holder to the first probe of the next holder.
 type handoverRun struct {
 	cluster     *testcluster.Cluster
 	rng         *rand.Rand
@@ -106,13 +106,13 @@
 	slowPlanned float64        // ms; the logs are printed for planned handovers with a longer gap
 
 	load    *testcluster.Load
-	done    int                  // handovers observed so far
-	gaps    map[string][]float64 // ms between the probes of two consecutive holders, by name of the kind
-	clients testcluster.Result   // of the requests during the run
+	done    int                  // number of handovers observed so far
+	gaps    map[string][]float64 // ms between the probes of two consecutive holders, by name of the kind of handover
+	clients testcluster.Result   // results of the clients' requests during the run
 }
 
-// probes returns the probes that the first server received so far; handovers are measured from
-// them.
+// probes returns the probes that the first server received so far. Handovers are measured from these
+// probes.
 func (r *handoverRun) probes() []testcluster.Probe { return r.cluster.Servers[0].Probes() }
 
 func (r *handoverRun) execute() error {
@@ -163,12 +163,12 @@
 	}
 	r.load.SetExcluded(holder, false)
 	r.recordGaps(kind, probesBefore)
-	fmt.Fprintf(os.Stderr, "%d of %d: %s\n", r.done, r.handovers, kind.name)
+	fmt.Fprintf(os.Stderr, "observed %d of %d handovers; latest fault: %s\n", r.done, r.handovers, kind.name)
 	return nil
 }
 
-// awaitNextHolder waits for a probe with a later fencing token. A timeout is not an error if the
-// handover is optional.
+// awaitNextHolder waits for a probe with a later fencing token than the given token. If the handover
+// is optional, a timeout is not an error.
 func (r *handoverRun) awaitNextHolder(kind handoverKind, probesBefore int, token uint64) error {
 	laterToken := func() (bool, string) {
 		probes := r.probes()
@@ -181,8 +181,8 @@
 	return err
 }
 
-// recordGaps records the handovers among the probes since a fault, and prints the logs of slow
-// planned ones.
+// recordGaps records the handovers that the probes since a fault show. For slow planned handovers,
+// it prints the routers' logs.
 func (r *handoverRun) recordGaps(kind handoverKind, probesBefore int) {
 	probes := r.probes()
 	for i := max(1, probesBefore); i < len(probes); i++ {
@@ -201,7 +201,7 @@
 
 // printSlowHandover prints a slow handover and the routers' logs to standard error.
 func (r *handoverRun) printSlowHandover(kind handoverKind, last, first testcluster.Probe) {
-	fmt.Fprintf(os.Stderr, "%s: from fencing token %d at %v to %d at %v, %.0f ms\n%s\n", kind.name,
+	fmt.Fprintf(os.Stderr, "slow handover (%s): last probe with fencing token %d at %v, first probe with token %d at %v (Unix times in ms), %.0f ms between them\n%s\n", kind.name,
 		last.FencingToken, last.ReceivedAt.UnixMilli(), first.FencingToken, first.ReceivedAt.UnixMilli(),
 		milliseconds(first.ReceivedAt.Sub(last.ReceivedAt)), r.cluster.Logs(loggedLines))
 }
@@ -268,7 +268,7 @@
 			}
 			value, err := strconv.Atoi(strings.TrimSpace(text))
 			if err != nil {
-				return 0, fmt.Errorf("parsing metrics of router %s: %s: %w", router.Name, name, err)
+				return 0, fmt.Errorf("parsing metrics of router %s: fleet counter %s: %w", router.Name, name, err)
 			}
 			sum += value
 		}
--- a/cmd/fleetlab/lease_registry.go
+++ b/cmd/fleetlab/lease_registry.go
@@ -13,14 +13,15 @@
 	// shortRegistryRun is the simulated time in ms of a run with the default settings.
 	shortRegistryRun = 60_000
 
-	// shortTransferInterval is the mean time in ms between two transfers of a lease in those runs.
+	// shortTransferInterval is the mean time in ms between two transfers of a lease in a run with the
+	// default settings.
 	shortTransferInterval = 500
 
 	millisecondsPerDay = 24 * millisecondsPerHour
 )
 
-// leaseRegistryCommand measures the voters of a lease registry with few and with many leases and,
-// over a month of simulated time, with long leases.
+// leaseRegistryCommand measures the cost of leases for the voters of a lease registry. Short runs
+// have few or many leases. A long run simulates a month with leases of 60 s.
 func leaseRegistryCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "lease-registry",
@@ -50,7 +51,7 @@
 	})
 }
 
-// registryRun is a run of one row of the table.
+// registryRun is a run whose result is one row of the table.
 type registryRun struct {
 	registry experiment.Registry
 	duration float64 // ms of simulated time
--- a/cmd/fleetlab/leases.go
+++ b/cmd/fleetlab/leases.go
@@ -21,8 +21,9 @@
 	millisecondsPerHour = 3_600_000
 )
 
-// leasesCommand simulates many handovers of a lease, and then looks for violations with one
-// safeguard off at a time.
+// leasesCommand simulates many handovers of a lease with all safeguards. Then it looks for violations
+// with one safeguard off at a time. A violation means that two routers acted under the lease at
+// once.
 func leasesCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "leases",
@@ -88,13 +89,13 @@
 // weakenedLease is a simulation with a safeguard off or with too much clock drift, in which two
 // routers may act at once.
 type weakenedLease struct {
-	name       string // printed in the table
-	without    experiment.Safeguard
-	clockDrift float64 // as a multiple of the drift that the settings allow
+	name       string               // printed in the table
+	without    experiment.Safeguard // the safeguard that is off
+	clockDrift float64              // as a multiple of the drift that the settings allow
 }
 
-// weakenedLeases returns one simulation for each safeguard, with this safeguard off, and one in
-// which clocks drift more than the settings allow.
+// weakenedLeases returns one simulation for each safeguard, in which that safeguard is off. It adds
+// a simulation with all safeguards, in which clocks drift more than the settings allow.
 func weakenedLeases() []weakenedLease {
 	var all []weakenedLease
 	for _, safeguard := range experiment.Safeguards {
@@ -106,12 +107,12 @@
 // violations is the result of searchViolations.
 type violations struct {
 	seeds    int                    // number of seeds with a violation
-	smallest experiment.LeaseResult // of the run with a violation and the fewest faults and transfers
+	smallest experiment.LeaseResult // result of the run that has the fewest faults and transfers of all runs with a violation
 }
 
-// searchViolations runs the simulation with seeds from 1 to seeds.
-func (w weakenedLease) searchViolations(seeds int) violations {
-	results := collectParallel(seeds, func(index int) experiment.LeaseResult {
+// searchViolations runs the simulation once for each seed from 1 to seedCount.
+func (w weakenedLease) searchViolations(seedCount int) violations {
+	results := collectParallel(seedCount, func(index int) experiment.LeaseResult {
 		return experiment.LeaseHandovers{
 			Seed:         uint64(index + 1),
 			Without:      w.without,
@@ -134,7 +135,8 @@
 	return found
 }
 
-// leaseStatesCommand searches the reachable states of two routers and a lease registry.
+// leaseStatesCommand searches the reachable states of two routers and a lease registry for states in
+// which both routers can act under the lease.
 func leaseStatesCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "lease-states",
@@ -165,8 +167,8 @@
 	})
 }
 
-// leaseSearches returns the searches: first with all safeguards and several bounds, then without
-// each safeguard in turn.
+// leaseSearches returns the searches of the command. The first searches have all safeguards and
+// different bounds. The other searches have equal bounds, and each has at most one safeguard off.
 func leaseSearches(maxStates int) []experiment.LeaseSearch {
 	searches := []experiment.LeaseSearch{
 		{MaxInFlight: 1, MaxGrants: 1},
--- a/cmd/fleetlab/load_reporting.go
+++ b/cmd/fleetlab/load_reporting.go
@@ -8,8 +8,9 @@
 	"garnetline/internal/experiment"
 )
 
-// loadReportingCommand compares strategies that select which routers of a zone probe its servers
-// for their load, and how often.
+// loadReportingCommand compares strategies of load reporting. A strategy selects the routers of a
+// zone that probe the zone's servers for their load. The command also compares intervals between
+// probes.
 func loadReportingCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "load-reporting",
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -50,8 +50,8 @@
 }
 
 // deprecatedCommands returns the renamed commands under their old names, which stay available
-// for one more version. They are hidden commands, because the help would list
-// cli.Command.Aliases.
+// for one more version. Each old name is a hidden command instead of one of cli.Command.Aliases,
+// because the help would list an alias.
 func deprecatedCommands() []*cli.Command {
 	var commands []*cli.Command
 	for _, renamed := range renamedCommands {
--- a/cmd/fleetlab/main_test.go
+++ b/cmd/fleetlab/main_test.go
@@ -15,7 +15,7 @@
 	app.Writer = &output
 	app.ErrWriter = &output
 	if err := app.Run(context.Background(), append([]string{"fleetlab"}, arguments...)); err != nil {
-		t.Fatalf("%q: %v", arguments, err)
+		t.Fatalf("fleetlab with arguments %q: %v", arguments, err)
 	}
 	return output.String()
 }
@@ -47,17 +47,17 @@
 	help := runHelp(t, "--help")
 	for _, renamed := range renamedCommands {
 		if strings.Contains(help, "\n   "+renamed.oldName+" ") {
-			t.Errorf("help lists %s:\n%s", renamed.oldName, help)
+			t.Errorf("help lists the old name %s:\n%s", renamed.oldName, help)
 		}
 		if newName := renamed.newCommand().Name; !strings.Contains(help, "\n   "+newName+" ") {
-			t.Errorf("help does not list %s:\n%s", newName, help)
+			t.Errorf("help does not list the new name %s:\n%s", newName, help)
 		}
 	}
 }
 
 func TestUnknownHandoverKindIsRejected(t *testing.T) {
 	if _, err := findHandoverKinds([]string{"killed", "burnt"}); err == nil || !strings.Contains(err.Error(), `"burnt"`) {
-		t.Errorf("got error %v, want one that names the unknown kind", err)
+		t.Errorf("got error %v, want an error that contains the unknown kind \"burnt\"", err)
 	}
 	kinds, err := findHandoverKinds(handoverKindNames())
 	if err != nil || len(kinds) != len(handoverKinds) {
--- a/cmd/fleetlab/parallel.go
+++ b/cmd/fleetlab/parallel.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// forEachParallel calls run with the indexes from 0 to count-1, up to GOMAXPROCS calls at a time,
-// and waits for all calls.
+// forEachParallel calls the function run once with each index from 0 to count-1, and waits for all
+// calls. Up to GOMAXPROCS calls run at a time.
 func forEachParallel(count int, run func(index int)) {
 	var calls sync.WaitGroup
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
@@ -20,7 +20,8 @@
 	calls.Wait()
 }
 
-// collectParallel is like forEachParallel, and returns the results of the calls by index.
+// collectParallel calls the function run as forEachParallel does, and returns the results of the
+// calls by index.
 func collectParallel[T any](count int, run func(index int) T) []T {
 	results := make([]T, count)
 	forEachParallel(count, func(index int) { results[index] = run(index) })
--- a/cmd/fleetlab/recovery_probe.go
+++ b/cmd/fleetlab/recovery_probe.go
@@ -20,23 +20,26 @@
 	// recoveryRequestRate is the number of requests per second of all clients together.
 	recoveryRequestRate = 160
 
-	// minServerRate is the number of requests in one second from which a server counts as used
-	// by all routers. With three servers, it is well above half of a server's part of the rate.
+	// minServerRate is the minimum number of requests in one second for a server to count as used by
+	// all routers. With three servers, a server's share of recoveryRequestRate is about 53 requests
+	// per second. The minimum is well above half of this share.
 	minServerRate = 30
 
-	// serverFailure is the time for which the server fails.
+	// serverFailure is the duration of a failure of the server.
 	serverFailure = 4 * time.Second
 
-	// minRecoveryTime is the time after a recovery before requests are counted. It is longer than
-	// the counting window of one second, so that only requests after the recovery are counted.
+	// minRecoveryTime is the minimum time from a recovery until requests are counted. A count covers
+	// the last second. Because minRecoveryTime is longer, only requests after the recovery are
+	// counted.
 	minRecoveryTime = 1100 * time.Millisecond
 
 	// firstRequestStep is the resolution of the time of the first request after a failure.
 	firstRequestStep = 5 * time.Millisecond
 )
 
-// recoveryProbeCommand makes a server fail and recover, and compares routers that each probe the
-// server themselves with routers that leave the first probe to the holder of a lease.
+// recoveryProbeCommand makes a server fail and recover. It compares two kinds of clusters. In the
+// first, each router probes the server itself. In the second, the holder of a lease probes the server
+// before the other routers.
 func recoveryProbeCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "recovery-probe",
@@ -79,7 +82,7 @@
 type recoveryRun struct {
 	routers     int
 	failures    int
-	coordinated bool // the holder of a lease probes first
+	coordinated bool // the holder of a lease probes before the other routers
 
 	cluster *testcluster.Cluster
 	server  *testcluster.Server // the server that fails
@@ -144,8 +147,8 @@
 	return err
 }
 
-// usedByAll reports whether the server received minServerRate requests in the last second, and
-// returns their number as text.
+// usedByAll reports whether the server received at least minServerRate requests in the last second.
+// It returns the number of these requests as text.
 func (r *recoveryRun) usedByAll() (ok bool, seen string) {
 	now := time.Now()
 	rate := r.server.RequestsBetween(now.Add(-time.Second), now)
--- a/cmd/fleetlab/report.go
+++ b/cmd/fleetlab/report.go
@@ -9,15 +9,15 @@
 	"github.com/urfave/cli/v3"
 )
 
-// report is a Markdown file of results. It keeps the first write error and returns it when the
-// file is closed.
+// report is a Markdown file of results. It keeps the first write error. The method close returns that
+// error.
 type report struct {
 	file *os.File
 	err  error
 }
 
-// writeReport creates a file in a folder and calls write to fill it. Writes are not buffered, so
-// that the file shows the results of a long run so far.
+// writeReport creates a file in a folder and calls the function write to fill the file. Writes are
+// not buffered, so that a user can read the first results while a long run continues.
 func writeReport(folder, name string, write func(*report) error) error {
 	file, err := os.Create(filepath.Join(folder, name))
 	if err != nil {
@@ -40,15 +40,15 @@
 }
 
 func (r *report) printf(format string, args ...any) {
-	_, _ = fmt.Fprintf(r, format, args...) // r keeps the error until close
+	_, _ = fmt.Fprintf(r, format, args...) // r keeps the error, and close returns it
 }
 
 func (r *report) println(line string) { r.printf("%s\n", line) }
 
 func (r *report) close() error { return errors.Join(r.err, r.file.Close()) }
 
-// outFlag returns the flag for the folder of a command's results. The text files describes them
-// in the help.
-func outFlag(files string) cli.Flag {
-	return &cli.StringFlag{Name: "out", Usage: "`FOLDER` for " + files, Value: "."}
+// outFlag returns the flag --out, which sets the folder for the files that a command writes. The help
+// of the flag contains the given description of these files.
+func outFlag(description string) cli.Flag {
+	return &cli.StringFlag{Name: "out", Usage: "`FOLDER` for " + description, Value: "."}
 }
--- a/cmd/fleetlab/requests.go
+++ b/cmd/fleetlab/requests.go
@@ -17,21 +17,22 @@
 	// readyTimeout is the maximum time until all routers are ready.
 	readyTimeout = 30 * time.Second
 
-	// settleTime is the time from when all routers are ready until clients start.
+	// settleTime is the time between the moment when all routers are ready and the start of clients.
 	settleTime = 2 * time.Second
 
 	// faultDuration is the duration of each fault.
 	faultDuration = 3 * time.Second
 
-	// resumeGrace is the time after a paused router resumes in which its requests may still be lost.
+	// resumeGrace is the time after the end of a router's pause in which requests at the router may
+	// still be lost.
 	resumeGrace = 500 * time.Millisecond
 
 	// requestInterval is the time between two requests of a client; each router has one client.
 	requestInterval = 20 * time.Millisecond
 )
 
-// requestsCommand measures the results of clients' requests under faults, with the fleet off and
-// on in turn.
+// requestsCommand measures the results of clients' requests under faults. Each round has a run with
+// the fleet off and a run with the fleet on.
 func requestsCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "requests",
@@ -79,8 +80,8 @@
 	}
 }
 
-// runRequests starts a cluster, injects the same faults as in every run, and returns the results
-// of its clients' requests.
+// runRequests starts a cluster with clients, injects a fixed sequence of faults, and returns the
+// results of the clients' requests.
 func runRequests(options testcluster.Options) (testcluster.Result, error) {
 	var result testcluster.Result
 	err := withCluster(options, func(cluster *testcluster.Cluster) error {
@@ -135,8 +136,8 @@
 	return nil
 }
 
-// crashAndPause kills and restarts one router, and then pauses and resumes another. The lost
-// requests at the restarted router do not count until the other router has resumed.
+// crashAndPause kills and restarts one router, and then pauses and resumes another. Requests that are
+// lost at the restarted router count only after the other router has resumed.
 func (r *requestRun) crashAndPause(crashed, paused *testcluster.Router) error {
 	r.load.SetExcluded(crashed, true)
 	crashed.Kill()
--- a/cmd/fleetlab/scenario.go
+++ b/cmd/fleetlab/scenario.go
@@ -30,8 +30,8 @@
 }
 
 // parseScenario parses the text of a scenario. Each line is an operation: the time in seconds, a
-// verb and its arguments. A # begins a comment. Errors contain the file name and, if one line is
-// at fault, its number.
+// verb and its arguments. A # begins a comment. Each error contains the file name. An error in a line
+// also contains the number of the line.
 func parseScenario(fileName, text string) (scenario, error) {
 	var parsed scenario
 	for index, line := range strings.Split(text, "\n") {
@@ -57,17 +57,17 @@
 	}
 	if len(s.operations) > 0 {
 		if added.at < s.operations[len(s.operations)-1].at {
-			return fmt.Errorf("%s: time is earlier than that of the previous operation", added.verb)
+			return fmt.Errorf("%s: time %v is earlier than time %v of the previous operation", added.verb, added.at, s.operations[len(s.operations)-1].at)
 		}
 		s.operations = append(s.operations, added)
 		return nil
 	}
 	if added.verb != verbRouters {
-		return fmt.Errorf("%s: expected as the first operation", verbRouters)
+		return fmt.Errorf("expected %s as the first operation, got %s", verbRouters, added.verb)
 	}
 	s.routers, err = strconv.Atoi(added.arguments[0])
 	if err != nil || s.routers < 1 || s.routers > maxRouters {
-		return fmt.Errorf("%s: expected a number from 1 to %d", verbRouters, maxRouters)
+		return fmt.Errorf("%s: expected a number from 1 to %d, got %q", verbRouters, maxRouters, added.arguments[0])
 	}
 	s.operations = append(s.operations, added)
 	return nil
@@ -79,7 +79,7 @@
 	seconds, err := strconv.ParseFloat(fields[0], 64)
 	inRange := seconds >= 0 && seconds <= maxScenarioSeconds // false for NaN
 	if err != nil || !inRange || len(fields) < 2 {
-		return operation{}, fmt.Errorf("expected a time from 0 to %d seconds and a verb", maxScenarioSeconds)
+		return operation{}, fmt.Errorf("expected a time from 0 to %d seconds and a verb, got %q", maxScenarioSeconds, fields)
 	}
 	parsed := operation{
 		at:        time.Duration(seconds * float64(time.Second)),
@@ -90,9 +90,9 @@
 	entry, known := actions[parsed.verb]
 	switch {
 	case !known:
-		return operation{}, fmt.Errorf("%s: unknown verb", parsed.verb)
+		return operation{}, fmt.Errorf("unknown verb %q", parsed.verb)
 	case entry.arguments != anyNumber && len(parsed.arguments) != entry.arguments:
-		return operation{}, fmt.Errorf("%s: expected %d arguments", parsed.verb, entry.arguments)
+		return operation{}, fmt.Errorf("%s: expected %d arguments, got %d", parsed.verb, entry.arguments, len(parsed.arguments))
 	}
 	return parsed, nil
 }
--- a/cmd/fleetlab/scenario_actions.go
+++ b/cmd/fleetlab/scenario_actions.go
@@ -29,7 +29,7 @@
 	verbEnable  verb = "enable"
 )
 
-// anyNumber, as the arguments of an action, permits any number of arguments.
+// anyNumber is the value of action.arguments for a verb that accepts any number of arguments.
 const anyNumber = -1
 
 // action is the implementation of a verb.
@@ -40,7 +40,7 @@
 
 var actions = map[verb]action{
 	verbRouters: {1, doNothing}, // the routers are already running
-	verbEnd:     {0, doNothing}, // scenarioRun handles it
+	verbEnd:     {0, doNothing}, // scenarioRun.applyDueOperations ends the run
 	verbKill:    {1, onRouter(killRouter)},
 	verbStart:   {1, onRouter((*testcluster.Router).Start)},
 	verbStop:    {1, onRouter((*testcluster.Router).Stop)},
@@ -60,7 +60,8 @@
 
 func doNothing(*testcluster.Cluster, []string) error { return nil }
 
-// onRouter returns the function of an action on the router that the first argument names.
+// onRouter returns an apply function of an action. That function calls act with the router that the
+// first argument names.
 func onRouter(act func(*testcluster.Router) error) func(*testcluster.Cluster, []string) error {
 	return func(cluster *testcluster.Cluster, arguments []string) error {
 		router, err := findRouter(cluster, arguments[0])
@@ -77,7 +78,7 @@
 			return router, nil
 		}
 	}
-	return nil, fmt.Errorf("%s: unknown router", name)
+	return nil, fmt.Errorf("unknown router %q", name)
 }
 
 func killRouter(router *testcluster.Router) error {
@@ -95,7 +96,8 @@
 	return setFault(cluster, arguments[0], arguments[1], faultproxy.Fault{Partitioned: true})
 }
 
-// setLoss drops a share, from 0 to 1, of the packets between two routers.
+// setLoss drops a share of the packets between two routers. The third argument is the share, from 0
+// to 1.
 func setLoss(cluster *testcluster.Cluster, arguments []string) error {
 	share, err := strconv.ParseFloat(arguments[2], 64)
 	if err != nil {
--- a/cmd/fleetlab/scenario_run.go
+++ b/cmd/fleetlab/scenario_run.go
@@ -15,7 +15,7 @@
 	// pollInterval is the time between two reads of the routers' views.
 	pollInterval = 100 * time.Millisecond
 
-	// lastViewTime is the time for which views are still printed after the last operation.
+	// lastViewTime is the time after the last operation in which changed views are still printed.
 	lastViewTime = 5 * time.Second
 )
 
@@ -24,7 +24,7 @@
 	cluster   *testcluster.Cluster
 	remaining []operation
 	startedAt time.Time
-	endAt     time.Duration     // end of the run, since startedAt; an end operation may end it earlier
+	endAt     time.Duration     // time from startedAt to the end of the run; an end operation may end the run earlier
 	ended     bool              // an end operation has ended the run
 	printed   map[string]string // the last printed view of each router, by proxy name
 }
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// printChangedViews prints the views that differ from those printed last.
+// printChangedViews prints the view of each router whose view changed since it was last printed.
 func (r *scenarioRun) printChangedViews() {
 	at := r.elapsed()
 	for _, router := range r.cluster.Routers {
--- a/cmd/fleetlab/scenario_test.go
+++ b/cmd/fleetlab/scenario_test.go
@@ -9,8 +9,8 @@
 	"garnetline/internal/golden"
 )
 
-// Users print the example scenario, change it and run it as a file. UPDATE_GOLDEN=1 rewrites
-// testdata.
+// Users print the example scenario, edit the text and run it as a file, so the text must not change.
+// UPDATE_GOLDEN=1 rewrites the file in testdata.
 func TestTourIsUnchanged(t *testing.T) {
 	golden.Compare(t, "tour.golden", []byte(tour))
 }
@@ -21,14 +21,14 @@
 		t.Fatal(err)
 	}
 	if parsed.routers != 5 || len(parsed.operations) != 9 {
-		t.Errorf("%d routers and %d operations, want 5 and 9", parsed.routers, len(parsed.operations))
+		t.Errorf("got %d routers and %d operations, want 5 and 9", parsed.routers, len(parsed.operations))
 	}
 	split := parsed.operations[3]
 	if split.at != 16*time.Second || split.verb != verbSplit || split.text != "split r00 r01 / r02 r03 r04" {
 		t.Errorf("got %+v, want the split at 16 s", split)
 	}
 	if want := []string{"r00", "r01", "/", "r02", "r03", "r04"}; !slices.Equal(split.arguments, want) {
-		t.Errorf("arguments %q, want %q", split.arguments, want)
+		t.Errorf("got arguments %q, want %q", split.arguments, want)
 	}
 }
 
@@ -57,17 +57,17 @@
 func TestParseScenarioRejects(t *testing.T) {
 	tests := []struct{ name, text, want string }{
 		{"nothing", "# only this\n", "f: expected at least one operation, got none"},
-		{"no routers", "0 heal\n", "f:1: routers: expected as the first operation"},
-		{"too many routers", "0 routers 61\n", "f:1: routers: expected a number from 1 to 60"},
-		{"no number of routers", "0 routers many\n", "f:1: routers: expected a number from 1 to 60"},
-		{"no time", "routers 5\n", "f:1: expected a time from 0 to 3600 seconds and a verb"},
-		{"time not a number", "NaN routers 5\n", "f:1: expected a time from 0 to 3600 seconds and a verb"},
-		{"negative time", "-1 routers 5\n", "f:1: expected a time from 0 to 3600 seconds and a verb"},
-		{"late time", "3601 routers 5\n", "f:1: expected a time from 0 to 3600 seconds and a verb"},
-		{"no verb", "0 routers 5\n1\n", "f:2: expected a time from 0 to 3600 seconds and a verb"},
-		{"unknown verb", "0 routers 5\n1 burn r00\n", "f:2: burn: unknown verb"},
-		{"too few words", "0 routers 5\n1 cut r00\n", "f:2: cut: expected 2 arguments"},
-		{"back in time", "0 routers 5\n\n2 heal\n1 heal\n", "f:4: heal: time is earlier than that of the previous operation"},
+		{"no routers", "0 heal\n", "f:1: expected routers as the first operation, got heal"},
+		{"too many routers", "0 routers 61\n", `f:1: routers: expected a number from 1 to 60, got "61"`},
+		{"no number of routers", "0 routers many\n", `f:1: routers: expected a number from 1 to 60, got "many"`},
+		{"no time", "routers 5\n", `f:1: expected a time from 0 to 3600 seconds and a verb, got ["routers" "5"]`},
+		{"time not a number", "NaN routers 5\n", `f:1: expected a time from 0 to 3600 seconds and a verb, got ["NaN" "routers" "5"]`},
+		{"negative time", "-1 routers 5\n", `f:1: expected a time from 0 to 3600 seconds and a verb, got ["-1" "routers" "5"]`},
+		{"late time", "3601 routers 5\n", `f:1: expected a time from 0 to 3600 seconds and a verb, got ["3601" "routers" "5"]`},
+		{"no verb", "0 routers 5\n1\n", `f:2: expected a time from 0 to 3600 seconds and a verb, got ["1"]`},
+		{"unknown verb", "0 routers 5\n1 burn r00\n", `f:2: unknown verb "burn"`},
+		{"too few words", "0 routers 5\n1 cut r00\n", "f:2: cut: expected 2 arguments, got 1"},
+		{"back in time", "0 routers 5\n\n2 heal\n1 heal\n", "f:4: heal: time 1s is earlier than time 2s of the previous operation"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
