--- a/internal/experiment/all_pairs_detector.go
+++ b/internal/experiment/all_pairs_detector.go
@@ -9,30 +9,33 @@
 	"garnetline/internal/netsim"
 )
 
-// allPairsDetector is the baseline failure detector: each router pings every other router once
-// per allPairsPingInterval, and marks a router as failed if no packet from it arrived within
-// allPairsTimeout. Routers do not exchange their findings. All routers are known from the start.
+// allPairsDetector is the baseline failure detector. Each router pings every other router once per
+// allPairsPingInterval. It marks another router as failed if no packet from that router arrived
+// within allPairsTimeout. Routers do not tell each other which routers have failed. All routers know
+// each other from the start.
 type allPairsDetector struct {
 	self         membership.Update
-	peers        []membership.Update // includes this router; in the order of the network's hosts
-	indexes      map[membership.ID]int
-	lastSeenAt   []float64 // ms, by index
-	failed       []bool    // by index
-	nextPingAt   float64   // ms
+	peers        []membership.Update   // includes this router; in the order of the network's hosts
+	indexes      map[membership.ID]int // index in peers, by router
+	lastSeenAt   []float64             // ms, by index in peers
+	failed       []bool                // by index in peers
+	nextPingAt   float64               // ms
 	lastSequence uint64
 }
 
 // Times in ms. A killed router is marked as failed after 1.5 to 2 s, about as quickly as with
-// the other variants. A live router is wrongly marked only if seven consecutive packets are lost.
+// the other variants. A live router is wrongly marked as failed only if seven consecutive packets are
+// lost.
 const (
 	allPairsPingInterval = 250.0
 	allPairsTimeout      = 7 * allPairsPingInterval
 
-	// No router is marked as failed before this time, so that all have had time to respond.
+	// No router is marked as failed before this time. Until then, all routers have time to respond.
 	allPairsStartTime = 2 * allPairsTimeout
 )
 
-// startAllPairs adds size routers that run an allPairsDetector and all know each other.
+// startAllPairs adds the given number of routers. Each router runs an allPairsDetector and knows all
+// other routers.
 func startAllPairs(network *netsim.Network, size int) {
 	network.StartFleet(size, fleet.DefaultSettings(), netsim.MembershipAlone) // assigns names, identities and addresses
 	rng := rand.New(rand.NewPCG(network.Rng.Uint64(), allPairsStream))
--- a/internal/experiment/charts.go
+++ b/internal/experiment/charts.go
@@ -27,7 +27,8 @@
 	return chart
 }
 
-// addLinePoints adds a line with markers at its points. The index selects color and shape.
+// addLinePoints adds a line with markers at its points. The index selects the color of the line and
+// the shape of the markers.
 func addLinePoints(chart *plot.Plot, name string, index int, values plotter.XYs) error {
 	line, points, err := plotter.NewLinePoints(values)
 	if err != nil {
@@ -59,8 +60,9 @@
 	return chart.Save(chartWidth, chartHeight, file)
 }
 
-// GapChart draws the cumulative distribution of the gaps of each kind of handover as an SVG
-// file. The gaps are in ms and sorted, by name of the kind. A kind without gaps has no line.
+// GapChart draws an SVG file with one line for each kind of handover: the cumulative distribution of
+// the gaps, in which no router held the lease. The map gaps contains the sorted gaps of each kind, in
+// ms. A kind without gaps has no line.
 func GapChart(file string, kinds []string, gaps map[string][]float64) error {
 	chart := newChart("Time in which nobody acted", "ms", "share of handovers")
 	chart.Legend.Top = false
@@ -76,8 +78,8 @@
 	return saveChart(chart, file)
 }
 
-// cumulativeShares returns a point for each sorted value: the value, and the share of all values
-// that are not above it.
+// cumulativeShares returns a point for each sorted value. X is the value. Y is the share of the values
+// up to and including this value.
 func cumulativeShares(sorted []float64) plotter.XYs {
 	var shares plotter.XYs
 	for index, value := range sorted {
--- a/internal/experiment/false_positives.go
+++ b/internal/experiment/false_positives.go
@@ -6,16 +6,16 @@
 	"garnetline/internal/netsim"
 )
 
-// Pauses of the routers that pause at random.
+// Parameters of routers that pause at random.
 const (
 	pauseInterval    = 1000.0 // ms between two random draws of whether a pause begins
-	pauseProbability = 0.2    // that a draw begins a pause
-	maxPause         = 3000.0 // ms
+	pauseProbability = 0.2    // probability that a draw begins a pause
+	maxPause         = 3000.0 // ms; maximum duration of a pause
 )
 
 const msPerHour = 3_600_000
 
-// falsePositiveCounts counts live routers that were suspected or marked as failed.
+// falsePositiveCounts counts how often live routers were suspected or marked as failed.
 type falsePositiveCounts struct {
 	suspicions      int     // of routers that did not pause
 	failures        int     // of routers that did not pause
@@ -31,7 +31,8 @@
 	c.hours += other.hours
 }
 
-// perHour returns the counts under one kind of fault together with their rates per hour.
+// perHour returns the counts and their rates per hour. The argument fault is the name of the kind of
+// fault under which the events were counted.
 func (c *falsePositiveCounts) perHour(fault string) FalsePositives {
 	return FalsePositives{
 		Fault:               fault,
@@ -44,18 +45,18 @@
 	}
 }
 
-// MeasureFalsePositives runs one fleet of the first variant for ms of virtual time. The network
-// loses the share loss of the packets, and no router fails.
-func MeasureFalsePositives(size int, seed uint64, loss, ms float64) FalsePositives {
+// MeasureFalsePositives runs one fleet of the first variant for the given duration of virtual time,
+// in ms. The network loses a share of the packets, lossRate, from 0 to 1. No router fails.
+func MeasureFalsePositives(size int, seed uint64, lossRate, duration float64) FalsePositives {
 	network := newSettledFleet(Variants()[0], size, seed)
-	network.Link.Loss = loss
-	counts := countFalsePositives(network, ms, nil)
-	return counts.perHour(lossName(loss))
+	network.Link.Loss = lossRate
+	counts := countFalsePositives(network, duration, nil)
+	return counts.perHour(lossName(lossRate))
 }
 
-// countFalsePositives runs a fleet for a period in ms of virtual time, in which no router fails
-// and the routers in pausing pause at random. It counts suspicions and failures as reported by
-// the routers that detected them first.
+// countFalsePositives runs a fleet for a period of virtual time, in ms. No router fails in this
+// period. The routers in the set pausing pause at random. A suspicion or a failure counts only at
+// the routers that detected it themselves, and not at the routers that learned of it from others.
 func countFalsePositives(network *netsim.Network, period float64, pausing map[*netsim.Host]bool) falsePositiveCounts {
 	counts := falsePositiveCounts{hours: period / msPerHour}
 	hosts := map[membership.ID]*netsim.Host{}
@@ -91,7 +92,7 @@
 	}
 }
 
-// pauseAtRandom draws for each router in pausing whether it pauses now.
+// pauseAtRandom decides at random for each router in the set pausing whether the router pauses now.
 func pauseAtRandom(network *netsim.Network, pausing map[*netsim.Host]bool) {
 	for _, host := range network.Hosts {
 		if pausing[host] && network.Rng.Float64() < pauseProbability {
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -10,8 +10,9 @@
 	"garnetline/internal/golden"
 )
 
-// The tests of this file compare the output of runs with fixed seeds byte for byte with
-// testdata, so that results stay comparable between releases. UPDATE_GOLDEN=1 rewrites testdata.
+// The tests of this file run experiments with fixed seeds, and compare the output byte for byte with
+// files in testdata. Results thus stay comparable between releases. UPDATE_GOLDEN=1 rewrites the
+// files.
 
 func TestResultsMatchGoldenFile(t *testing.T) {
 	var text bytes.Buffer
--- a/internal/experiment/lease_handovers.go
+++ b/internal/experiment/lease_handovers.go
@@ -9,10 +9,10 @@
 	"garnetline/internal/fleet/leaseregistry"
 )
 
-// LeaseHandovers is one run in which routers hold one lease in turn. Clocks drift; packets are
-// delayed, lost and duplicated; routers pause or are partitioned from the registry; and the
-// registry's leader changes. The registry is a single process in this run: the tests of package
-// consensus check that its voters agree.
+// LeaseHandovers is one run in which one lease passes from router to router. Clocks drift. Packets
+// are delayed, lost and duplicated. Routers pause or are partitioned from the registry. The leader
+// of the registry changes. The registry is a single process in this run, because the tests of
+// package consensus check that the voters of a registry agree.
 type LeaseHandovers struct {
 	Seed         uint64
 	Without      Safeguard // the safeguard that is switched off in this run
@@ -29,19 +29,22 @@
 	Rejected           int       // writes that the receiver rejected because of their fencing token
 	StoppedAtWrite     int       // writes that the check just before the write stopped
 	SimulatedTime      float64   // ms
-	Violation          string    // describes the last time that two routers acted at once; empty: never
+	Violation          string    // describes the last case in which two routers acted under the lease at once; empty if there was none
 	FaultsAndTransfers int       // faults injected and transfers requested
 	Gaps               []float64 // ms between two consecutive holders in which no router held the lease
 }
 
-// leaseName is the name of the only lease of a run. The routers' ranks are hashed from it.
+// leaseName is the name of the only lease of a run. It determines the rank of each router, by a hash:
+// routers with a low rank request the lease before routers with a high rank.
 const leaseName = "d"
 
+// True time is the time of the simulation. The clocks of the routers and of the registry's leader
+// deviate from it.
 const (
 	handoverStep    = 2.0 // ms of true time that pass in a step
 	maxHandoverTime = 1e9 // ms of true time, after which a run ends
 
-	// In each step the registry's leader changes with a probability of 1 in this number.
+	// In each step, the leader of the registry changes with probability 1/leaderChangeOneIn.
 	leaderChangeOneIn = 1500
 )
 
@@ -65,13 +68,13 @@
 	// The registry's replicated state and the state of its leader.
 
 	registry         *leaseregistry.State
-	lastIndex        uint64 // of the last command applied
+	lastIndex        uint64 // log index of the last command that was applied
 	expiry           *lease.ExpiryTracker
 	leaderClockRate  float64
-	maxRateDeviation float64 // largest deviation of a clock's rate from that of true time
+	maxRateDeviation float64 // maximum deviation of a clock's rate from 1, the rate of true time
 
 	latestToken uint64  // fencing token of the latest grant that a holder learned of
-	lastHeldAt  float64 // the last time that a router held the lease
+	lastHeldAt  float64 // true time at which a router last held the lease
 }
 
 func newHandoverRun(options LeaseHandovers) *handoverRun {
@@ -99,7 +102,8 @@
 	return run
 }
 
-// clockRate returns the rate of a clock: the slowest for position 0, the fastest for position 1.
+// clockRate returns the rate of a clock relative to true time. Position 0 selects the lowest rate, and
+// position 1 the highest rate.
 func (r *handoverRun) clockRate(position float64) float64 {
 	return 1 + r.maxRateDeviation*(2*position-1)
 }
--- a/internal/experiment/lease_handovers_network.go
+++ b/internal/experiment/lease_handovers_network.go
@@ -6,23 +6,23 @@
 	"garnetline/internal/fleet/lease"
 )
 
-// The network of a run of LeaseHandovers. Times are in ms. A name that ends in
-// OneIn is a probability: 1 in that number.
+// Parameters of the network in a run of LeaseHandovers. Times are in ms. A constant whose name ends in
+// OneIn stands for a probability: 1 divided by the constant.
 const (
 	handoverLoss        = 0.03 // share of the messages that are lost
 	handoverMinDelay    = 0.5
-	handoverMeanJitter  = 2 // added to the delay
+	handoverMeanJitter  = 2 // mean of the random time that is added to the delay
 	handoverLateOneIn   = 50
-	handoverMaxLateness = 200 // added to the delay of late messages
+	handoverMaxLateness = 200 // maximum of the random time that is added to the delay of late messages
 
 	handoverDuplicateOneIn = 30
-	handoverDuplicateDelay = 20 // after the first copy
+	handoverDuplicateDelay = 20 // time between the arrivals of the two copies
 )
 
 // handoverMessage is a packet in flight. Exactly one of request, response and write is set.
 type handoverMessage struct {
 	arrivesAt float64
-	router    int // index of the sender, or of the receiver if it is a response
+	router    int // index of the sender; index of the receiver for a response
 	request   *lease.Request
 	response  *lease.Response
 	write     *fencedWrite
@@ -31,7 +31,7 @@
 // fencedWrite is a write that a router sends to a server under the lease.
 type fencedWrite struct {
 	token uint64  // fencing token
-	dueAt float64 // true time at which it is sent, or later if the router is paused
+	dueAt float64 // true time at which the write is due; a paused router sends the write later
 }
 
 // send schedules the arrival of a message, unless the message is lost or a partition stops it.
@@ -69,7 +69,8 @@
 	}
 }
 
-// receiveWrite handles a write at its receiver, which rejects writes of an earlier holder.
+// receiveWrite handles a write at the server that receives it. The server rejects a write if its
+// fencing token is lower than the highest token that the server has seen.
 func (r *handoverRun) receiveWrite(token uint64) {
 	highest := r.receiver[leaseName]
 	if r.options.Without == FencingTokens && token < highest {
--- a/internal/experiment/lease_handovers_registry.go
+++ b/internal/experiment/lease_handovers_registry.go
@@ -12,7 +12,7 @@
 // leaderTime returns the time in ms that the clock of the registry's leader shows.
 func (r *handoverRun) leaderTime() float64 { return r.now * r.leaderClockRate }
 
-// handleRequest is the registry's part: it handles a router's request and sends a response.
+// handleRequest handles a router's request at the registry and sends a response.
 func (r *handoverRun) handleRequest(router *handoverRouter, request lease.Request) {
 	granted := false
 	if request.Release {
@@ -33,8 +33,9 @@
 	r.send(handoverMessage{router: router.index, response: &response})
 }
 
-// applyRelease releases the lease. If the lease is transferred, it notifies the router that
-// receives it. A release with an outdated fencing token changes nothing.
+// applyRelease releases the lease. If the request names another router, the lease is transferred to
+// that router, and the registry notifies that router. A request with an outdated fencing token
+// changes nothing.
 func (r *handoverRun) applyRelease(holder membership.ID, request lease.Request) {
 	current := r.registry.Leases[leaseName]
 	if current == nil || current.Holder != holder || current.FencingToken != request.FencingToken {
@@ -57,7 +58,8 @@
 	return &leaseregistry.Command{Op: leaseregistry.OpTransfer, Lease: leaseName, Holder: request.TransferTo, ExpectedToken: request.FencingToken}
 }
 
-// grantOrRenew grants or renews the lease if the request allows it, and reports whether it did.
+// grantOrRenew grants or renews the lease if the request and the state of the lease allow it. It
+// reports whether the lease was granted or renewed.
 func (r *handoverRun) grantOrRenew(router membership.ID, request lease.Request) bool {
 	current := r.registry.Leases[leaseName]
 	isHolder := current != nil && current.Holder == router
@@ -84,7 +86,7 @@
 	return true
 }
 
-// changeLeader replaces the registry's leader by one whose clock runs at another rate.
+// changeLeader replaces the leader of the registry by a leader whose clock runs at another rate.
 func (r *handoverRun) changeLeader() {
 	r.outcome.FaultsAndTransfers++
 	r.leaderClockRate = r.clockRate(r.rng.Float64())
--- a/internal/experiment/lease_handovers_router.go
+++ b/internal/experiment/lease_handovers_router.go
@@ -7,21 +7,21 @@
 	"garnetline/internal/fleet/membership"
 )
 
-// In each step, random draws decide what a router does while it holds the lease.
+// Random draws in each step decide what the holder of the lease does and which faults affect it.
 const (
-	writeOneIn       = 8 // a write is decided with a probability of 1 in this number
+	writeOneIn       = 8 // the holder decides to write with probability 1/writeOneIn
 	maxPendingWrites = 4
 	maxWriteDelay    = 2 // ms from the decision to write until the write is sent
 
-	// A number from 0 to holderDraws-1 selects what happens to a holder. Numbers that are not
-	// listed below have no effect.
+	// A random number from 0 to holderDraws-1 selects a transfer of the lease, a pause of the
+	// holder, a partition of the holder, or nothing.
 	holderDraws   = 100
-	transferDraws = 2 // numbers below this select a transfer
-	pauseDraw     = 2
-	partitionDraw = 3
+	transferDraws = 2 // numbers below transferDraws select a transfer
+	pauseDraw     = 2 // this number selects a pause
+	partitionDraw = 3 // this number selects a partition
 
-	holderFaultOneIn = 8    // one in this many selected pauses and partitions takes place
-	maxHolderFault   = 2500 // ms that a pause or partition lasts at most
+	holderFaultOneIn = 8    // a selected pause or partition takes place with probability 1/holderFaultOneIn
+	maxHolderFault   = 2500 // ms; maximum duration of a pause or partition
 )
 
 // handoverRouter is a router of a run of LeaseHandovers.
@@ -31,9 +31,9 @@
 	id               membership.ID
 	clockRate        float64
 	pausedUntil      float64          // true time, ms
-	partitionedUntil float64          // true time, ms; separated from the registry, not from the receiver of writes
+	partitionedUntil float64          // true time, ms; until then the router cannot reach the registry, but its writes arrive
 	queuedResponses  []lease.Response // received while paused
-	pendingWrites    []fencedWrite    // decided and not sent yet
+	pendingWrites    []fencedWrite    // writes that were decided and not sent yet
 	wakeAt           float64          // ms, by the router's clock
 }
 
@@ -81,8 +81,8 @@
 	}
 }
 
-// recordHandover records that a router holds the lease under a new fencing token, and how long
-// no router held the lease before.
+// recordHandover records that a router holds the lease under a new fencing token. It also records for
+// how long no router held the lease before.
 func (r *handoverRun) recordHandover(token uint64) {
 	if r.lastHeldAt > 0 {
 		r.outcome.Gaps = append(r.outcome.Gaps, max(0, r.now-r.lastHeldAt))
@@ -90,8 +90,9 @@
 	r.latestToken = token
 }
 
-// runRouter runs what is due at a router: its pending writes, the responses it received while
-// paused, its requests and, if it holds the lease, the actions of a holder.
+// runRouter runs the actions of a router that are due. The router sends its pending writes, handles
+// the responses that it received during a pause, and sends its requests. If it holds the lease, it
+// then acts as the holder.
 func (r *handoverRun) runRouter(router *handoverRouter) {
 	// Writes that were decided before a pause come first, as in a process that resumes.
 	r.writePending(router)
@@ -107,8 +108,8 @@
 	}
 }
 
-// writePending sends the writes that are due. The check just before a write drops it if the
-// lease is no longer valid.
+// writePending sends the writes that are due. The router checks the lease just before each write, and
+// drops the write if the lease is no longer valid.
 func (r *handoverRun) writePending(router *handoverRouter) {
 	for len(router.pendingWrites) > 0 && router.pendingWrites[0].dueAt <= r.now {
 		write := router.pendingWrites[0]
@@ -143,8 +144,9 @@
 	}
 }
 
-// actAsHolder randomly decides writes and, while the router can reach the registry, a transfer
-// or a fault. A holder that is partitioned from the registry writes until its lease expires.
+// actAsHolder decides at random whether the holder writes. If the holder can reach the registry, a
+// random draw also decides whether a transfer or a fault takes place. A holder that is partitioned
+// from the registry writes until its lease expires.
 func (r *handoverRun) actAsHolder(router *handoverRouter, token uint64) {
 	r.lastHeldAt = r.now
 	if len(router.pendingWrites) < maxPendingWrites && r.rng.IntN(writeOneIn) == 0 {
@@ -170,12 +172,12 @@
 	router.wakeAt = 0
 }
 
-// injectFault draws whether a fault begins now. If it does, injectFault sets until to the time
-// at which the fault ends, in ms of true time.
-func (r *handoverRun) injectFault(until *float64) {
+// injectFault decides at random whether a fault begins now. If a fault begins, injectFault sets
+// *faultEnd to the time at which the fault ends, in ms of true time.
+func (r *handoverRun) injectFault(faultEnd *float64) {
 	if r.rng.IntN(holderFaultOneIn) != 0 {
 		return
 	}
 	r.outcome.FaultsAndTransfers++
-	*until = r.now + maxHolderFault*r.rng.Float64()
+	*faultEnd = r.now + maxHolderFault*r.rng.Float64()
 }
--- a/internal/experiment/lease_handovers_test.go
+++ b/internal/experiment/lease_handovers_test.go
@@ -11,17 +11,18 @@
 	return LeaseHandovers{Seed: seed, Without: without, ClockDrift: 1, Routers: 3, MaxHandovers: 500}.Run()
 }
 
-// With all safeguards, no two routers act under one lease at once. The runs also have writes
-// that the fencing tokens and the check at the write stop, so that both are exercised.
+// With all safeguards, no two routers act under one lease at once. In each run, some writes are
+// rejected because of their fencing tokens, and others are stopped by the check at the write. Each
+// run thus exercises these two safeguards.
 func TestHandoversWithAllSafeguards(t *testing.T) {
 	for seed := uint64(1); seed <= 4; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			result := handoversOf(seed, NoSafeguard)
 			if result.Violation != "" {
-				t.Errorf("violation %q, want none", result.Violation)
+				t.Errorf("got violation %q, want none", result.Violation)
 			}
 			if result.Handovers < 500 {
-				t.Errorf("%d handovers, want at least 500", result.Handovers)
+				t.Errorf("got %d handovers, want at least 500", result.Handovers)
 			}
 			if result.Rejected == 0 {
 				t.Errorf("0 of %d writes were rejected because of their fencing token, want at least 1", result.Writes)
@@ -33,7 +34,8 @@
 	}
 }
 
-// Each safeguard is necessary: without it, some run with two routers acting at once is found.
+// Each safeguard is necessary: with the safeguard off, two routers act at once in at least one of 40
+// runs.
 func TestHandoversFindMissingSafeguard(t *testing.T) {
 	const seeds = 40
 	for _, safeguard := range Safeguards {
--- a/internal/experiment/lease_search.go
+++ b/internal/experiment/lease_search.go
@@ -10,36 +10,36 @@
 // LeaseSearch visits every state that two routers and one registry can reach. In each state:
 //
 //   - time may pass;
-//   - a router may be stepped, decide a write, send a write decided before, crash, or transfer
-//     the lease;
+//   - a router may be stepped, decide to write, send a write that it decided earlier, crash, or
+//     transfer the lease;
 //   - a message may arrive in any order, be lost or be duplicated;
 //   - another leader may be elected.
 //
-// The routers' clocks run at three quarters and at four thirds of the rate of the leader's clock,
-// which the settings of a search allow for.
+// The routers' clocks run at three quarters and at four thirds of the rate of the leader's clock. The
+// settings of a search allow for this drift.
 type LeaseSearch struct {
 	Without      Safeguard // the safeguard that is switched off in this search
-	MaxInFlight  int       // messages in flight at one time; further messages are dropped
-	MaxFaults    int       // messages that are lost or duplicated
-	MaxCrashes   int       // crashes of routers and changes of the leader, together
+	MaxInFlight  int       // maximum number of messages in flight at a time; further messages are dropped
+	MaxFaults    int       // maximum number of messages that are lost or duplicated
+	MaxCrashes   int       // maximum number of crashes of routers and changes of the leader, together
 	MaxTransfers int
-	MaxGrants    uint64 // commands that the registry applies
-	MaxStates    int    // states visited at most; 0: no limit
+	MaxGrants    uint64 // maximum number of commands that the registry applies
+	MaxStates    int    // maximum number of states that are visited; 0: no limit
 }
 
 // SearchResult is the result of a LeaseSearch.
 type SearchResult struct {
 	States    int      // states visited
-	Moves     int      // moves tried, also those that lead to a state visited before
-	Depth     int      // moves from the start to the state that is farthest from it
+	Moves     int      // moves tried, including moves to states that were visited before
+	Depth     int      // moves from the start to the farthest state
 	Complete  bool     // all reachable states were visited
-	Violation string   // describes a state in which two routers could act at once; empty: none was found
+	Violation string   // describes a state in which two routers could act at once; empty if no such state was found
 	Schedule  []string // the moves that lead to the violation
 }
 
 // searchMove is the move that led to a state. The schedule of a violation is made of such moves.
 type searchMove struct {
-	previous    int // index of the previous move; noMove: there is none
+	previous    int // index of the previous move, or noMove
 	description string
 }
 
@@ -59,7 +59,8 @@
 	return &searchRun{options: options, visited: map[uint64]bool{}}
 }
 
-// Run searches breadth first, so that the violation it finds has a shortest schedule.
+// Run searches breadth first. The first violation that it finds therefore has the fewest moves that
+// are possible.
 func (o LeaseSearch) Run() SearchResult {
 	run := newSearchRun(o)
 	start := newSearchState(&run.options)
@@ -72,7 +73,7 @@
 	return run.result()
 }
 
-// searchLevel visits the successors of the states of one level, and returns those that had not
+// searchLevel visits the successors of the states of one level. It returns the successors that had not
 // been visited before.
 func (r *searchRun) searchLevel(level []*searchState) []*searchState {
 	r.nextLevel = nil
@@ -85,8 +86,9 @@
 	return r.nextLevel
 }
 
-// visit records a state and the move that led to it, and checks the state for a violation. It
-// ignores states that were visited before, and all states once the search is over.
+// visit records a state and the move that led to the state. It checks the state for a violation. It
+// ignores states that were visited before. After a violation was found or MaxStates was reached, it
+// ignores all states.
 func (r *searchRun) visit(state *searchState, move searchMove) {
 	r.outcome.Moves++
 	fingerprint := state.fingerprint()
@@ -108,7 +110,7 @@
 	return r.options.MaxStates > 0 && len(r.visited) >= r.options.MaxStates
 }
 
-// scheduleTo returns the descriptions of the moves from the start to the move with an index.
+// scheduleTo returns the descriptions of the moves from the start to the move with the given index.
 func (r *searchRun) scheduleTo(moveIndex int) []string {
 	var schedule []string
 	for moveIndex > 0 {
@@ -136,8 +138,8 @@
 		result.States, result.Moves, result.Depth, result.Complete, found)
 }
 
-// joinSchedule joins the moves of a schedule with commas. Consecutive equal moves are written
-// once, with their number.
+// joinSchedule joins the moves of a schedule with commas. It writes consecutive equal moves once,
+// followed by the number of times.
 func joinSchedule(schedule []string) string {
 	var parts []string
 	for start := 0; start < len(schedule); {
--- a/internal/experiment/lease_search_moves.go
+++ b/internal/experiment/lease_search_moves.go
@@ -42,8 +42,9 @@
 		r.move(state, name+" steps", func(next *searchState) { next.stepRouter(router) })
 	}
 	token, ok := state.valid(router)
-	// With the check at the write, a pending write can be sent only in states in which a new
-	// write could be decided too, so pending writes need not be tracked.
+	// With the check at the write, a router sends a pending write only while its lease is valid. At
+	// that time it could also decide a new write. Pending writes are therefore tracked only if this
+	// check is off.
 	if ok && state.pendingWrites[router] == 0 && r.options.Without == CheckAtWrite {
 		r.move(state, name+" decides a write", func(next *searchState) { next.pendingWrites[router] = token })
 	}
@@ -96,7 +97,7 @@
 	}
 }
 
-// transferFrom has a holder transfer the lease to the other router.
+// transferFrom makes the given router transfer the lease to the other router.
 func (s *searchState) transferFrom(router int) {
 	s.transfers++
 	other := routerID(searchRouters - 1 - router)
@@ -118,7 +119,8 @@
 	s.expiry = lease.NewExpiryTracker(s.options.settings(), s.now, known)
 }
 
-// send adds a message to those in flight. The message is dropped if MaxInFlight are in flight.
+// send adds a message to the messages in flight. It drops the message if MaxInFlight messages are
+// already in flight.
 func (s *searchState) send(message searchMessage) {
 	if len(s.inFlight) < s.options.MaxInFlight {
 		s.inFlight = append(s.inFlight, message)
@@ -129,8 +131,8 @@
 	s.inFlight = slices.Delete(s.inFlight, index, index+1)
 }
 
-// dropUnawaitedResponses removes responses that their router no longer waits for: they have no
-// effect, and removing them reduces the number of states.
+// dropUnawaitedResponses removes responses from the messages in flight if the receiving router no
+// longer waits for them. Such responses have no effect. Their removal reduces the number of states.
 func (s *searchState) dropUnawaitedResponses() {
 	s.inFlight = slices.DeleteFunc(s.inFlight, func(message searchMessage) bool {
 		response := message.response
@@ -152,7 +154,7 @@
 	holder.HandleResponse(now, *message.response)
 }
 
-// handleRequest is the registry's part: it handles a router's request and sends a response.
+// handleRequest handles a router's request at the registry and sends a response.
 func (s *searchState) handleRequest(router int, request lease.Request) {
 	incarnation := request.ID >> incarnationShift
 	granted := false
@@ -184,8 +186,9 @@
 	return s.registry.Apply(s.lastIndex, command) == nil
 }
 
-// applyRelease releases the lease. If the lease is transferred, it notifies the router that
-// receives it. A release with an outdated fencing token changes nothing.
+// applyRelease releases the lease. If the request names another router, the lease is transferred to
+// that router, and the registry notifies that router. A request with an outdated fencing token
+// changes nothing.
 func (s *searchState) applyRelease(holder membership.ID, request lease.Request) {
 	current := s.registry.Leases[leaseName]
 	if current == nil || current.Holder != holder || current.FencingToken != request.FencingToken {
@@ -197,8 +200,9 @@
 	}
 }
 
-// grantOrRenew grants or renews the lease if the request allows it, and reports whether it did.
-// The lease belongs to one incarnation of a router.
+// grantOrRenew grants or renews the lease if the request and the state of the lease allow it. It
+// reports whether the lease was granted or renewed. A lease belongs to one incarnation of a router:
+// a later incarnation cannot renew it.
 func (s *searchState) grantOrRenew(router membership.ID, incarnation uint64, request lease.Request) bool {
 	current := s.registry.Leases[leaseName]
 	isHolder := current != nil && current.Holder == router
--- a/internal/experiment/lease_search_state.go
+++ b/internal/experiment/lease_search_state.go
@@ -15,21 +15,22 @@
 const (
 	searchRouters = 2
 
-	// searchTick is the time in ms, by the leader's clock, that passes in one move.
+	// searchTick is the time that passes in the move "time passes", in ms by the leader's clock.
 	searchTick = 200.0
 
 	// fingerprintCapacity is the approximate number of bytes that are hashed for a state.
 	fingerprintCapacity = 256
 
-	// incarnationShift is the lowest bit of the incarnation in the IDs of a router's requests.
+	// incarnationShift is the position of the lowest bit of a router's incarnation in the IDs of its
+	// requests.
 	incarnationShift = 32
 )
 
 // searchClockRates are the rates of the routers' clocks, relative to the leader's clock.
 var searchClockRates = [searchRouters]float64{0.75, 4.0 / 3}
 
-// searchState is one state of a search. A pending write is represented by its fencing token
-// alone; each state checks anew whether the write may still be sent.
+// searchState is one state of a search. A pending write is represented only by its fencing token. The
+// method violation checks in each state whether the write may still be sent.
 type searchState struct {
 	options *LeaseSearch
 
@@ -39,20 +40,20 @@
 	incarnations  [searchRouters]uint64
 
 	registry  *leaseregistry.State
-	lastIndex uint64 // of the last command applied
+	lastIndex uint64 // log index of the last command that was applied
 	expiry    *lease.ExpiryTracker
 
 	inFlight  []searchMessage
 	faults    int // lost and duplicated messages so far
 	crashes   int // crashes and leader changes so far
-	transfers int // so far
+	transfers int // transfers so far
 
 	moveIndex int // index of the move that first led to this state
 }
 
 // searchMessage is a message in flight. Either request or response is set.
 type searchMessage struct {
-	router   int // index of the sender, or of the receiver if it is a response
+	router   int // index of the sender; index of the receiver for a response
 	request  *lease.Request
 	response *lease.Response
 }
@@ -90,7 +91,7 @@
 	s.holders[router] = holder
 }
 
-// routerID returns the ID of the router with an index.
+// routerID returns the ID of the router with the given index.
 func routerID(index int) membership.ID { return membership.ID(index + 1) }
 
 // localTime returns the time in ms that a router's clock shows.
@@ -124,8 +125,9 @@
 	return s.holders[router].Valid(s.localTime(router), leaseName)
 }
 
-// violation returns a description if both routers can write now, which must never happen, and
-// "" otherwise. A pending write counts if it would pass the check at the write.
+// violation returns a description of the state if both routers can write now, which must never
+// happen. Otherwise it returns "". A router can write if its lease is valid, or if it has a pending
+// write that would pass the check at the write.
 func (s *searchState) violation() string {
 	for router := range s.holders {
 		token, ok := s.valid(router)
--- a/internal/experiment/lease_search_test.go
+++ b/internal/experiment/lease_search_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// With all safeguards, no visited state lets two routers act at once. Without any one of the
-// safeguards, the search finds such a state within the same number of states.
+// With all safeguards, two routers cannot act at once in any visited state. If one safeguard is off,
+// the search finds a state in which two routers can act at once. The limit on visited states is the
+// same in all searches.
 func TestSearchFindsMissingSafeguard(t *testing.T) {
 	for _, safeguard := range SearchedSafeguards {
 		t.Run(cmp.Or(string(safeguard), "none"), func(t *testing.T) {
@@ -15,7 +16,7 @@
 			found := result.Violation != ""
 			wantFound := safeguard != NoSafeguard
 			if found != wantFound {
-				t.Errorf("violation %q with schedule %v in %d states, want a violation: %t", result.Violation, result.Schedule, result.States, wantFound)
+				t.Errorf("got violation %q with schedule %v in %d states, want a violation: %t", result.Violation, result.Schedule, result.States, wantFound)
 			}
 			if !found && result.States < search.MaxStates {
 				t.Errorf("visited %d states, want at least %d", result.States, search.MaxStates)
@@ -28,7 +29,7 @@
 func TestSearchVisitsAllStates(t *testing.T) {
 	result := LeaseSearch{MaxInFlight: 1, MaxGrants: 1, MaxStates: 200_000}.Run()
 	if !result.Complete || result.Violation != "" || result.States < 1000 {
-		t.Errorf("complete %t, violation %q, %d states; want a complete search of at least 1000 without a violation", result.Complete, result.Violation, result.States)
+		t.Errorf("got complete %t, violation %q, %d states; want a complete search of at least 1000 without a violation", result.Complete, result.Violation, result.States)
 	}
 }
 
--- a/internal/experiment/load_reporting_run.go
+++ b/internal/experiment/load_reporting_run.go
@@ -9,8 +9,8 @@
 	"garnetline/internal/fleet/membership"
 )
 
-// The load of a server approaches usualLoad, and burstLoad during random bursts of up to
-// maxBurstTime. Times are in ms.
+// The load of a server approaches usualLoad. During random bursts of up to maxBurstTime, the load
+// approaches burstLoad. Times are in ms.
 const (
 	usualLoad         = 0.4
 	burstLoad         = 1.0
@@ -20,14 +20,15 @@
 	loadNoise         = 0.01 // standard deviation of the noise added in each tick
 )
 
-// Bytes on the wire. A packet of reports has the headers of IP and UDP, the header of the fleet's
-// packets, and the overhead of their encryption; each report adds reportBytes.
+// Sizes on the network, in bytes. Each packet of reports has the headers of IP and UDP, the header of
+// the fleet's packets, and the overhead of encryption. Each report in the packet adds reportBytes.
 const (
 	reportPacketBytes = 28.0 + 41.0 + 20.0
 	reportBytes       = 20.0
 )
 
-// The loads that routers know are sampled periodically once the run has settled. Times are in ms.
+// The loads that routers know are sampled periodically after loadSamplesFrom, when the run has
+// settled. Times are in ms.
 const (
 	loadSamplesFrom    = 10_000.0
 	loadSampleInterval = 370
@@ -43,20 +44,20 @@
 // loadedServer is a server whose load is probed.
 type loadedServer struct {
 	load      float64 // share of its capacity
-	burstLeft float64 // ms until the burst ends; not above 0: there is no burst
+	burstLeft float64 // ms until the burst ends; 0 or less if there is no burst
 	probes    float64 // probes received so far
 }
 
 // loadRouter is a router that probes servers or receives reports.
 type loadRouter struct {
 	id           membership.ID
-	registrySide bool // it is on the registry's side of the partition
+	registrySide bool // the router is on the registry's side of the partition
 	holder       *lease.Holder
 	schedules    []probeSchedule    // by server
 	known        []loadReport       // by server
 	pending      map[int]loadReport // by server; loads that were measured and not reported yet
 	nextReportAt float64            // ms
-	probing      bool               // it probes in this tick
+	probing      bool               // the router probes in this tick
 	packetsSent  float64
 	bytesSent    float64
 }
@@ -79,8 +80,8 @@
 type loadSamples struct {
 	count      float64
 	staleCount float64
-	ages       float64 // ms; of the samples that are not stale
-	errors     float64 // of the samples that are not stale; as shares of a server's capacity
+	ages       float64 // ms; sum over the samples that are not stale
+	errors     float64 // sum over the samples that are not stale; as shares of a server's capacity
 }
 
 // Run simulates 90 s of virtual time.
@@ -116,8 +117,8 @@
 	return run
 }
 
-// initServers initializes a router's records of the servers: it knows no load yet. The times of
-// the first probes are random, so that probes are not synchronized.
+// initServers initializes a router's records of the servers. The router knows no load yet. The times
+// of the first probes are random, so that routers do not probe at the same time.
 func (r *loadReportingRun) initServers(router *loadRouter) {
 	router.known = make([]loadReport, len(r.servers))
 	router.schedules = make([]probeSchedule, len(r.servers))
@@ -144,7 +145,7 @@
 	}
 }
 
-// changeLoad changes a server's load by one tick.
+// changeLoad advances a server's load by one tick.
 func (r *loadReportingRun) changeLoad(server *loadedServer) {
 	server.burstLeft -= loadTick
 	if server.burstLeft <= 0 && r.rng.Float64() < loadTick/meanBurstInterval {
@@ -242,7 +243,7 @@
 	}
 }
 
-// sample adds the load that each router knows of each server now.
+// sample adds one sample for each router and server: the load that the router knows of the server.
 func (r *loadReportingRun) sample() {
 	for _, router := range r.routers {
 		for server, known := range router.known {
--- a/internal/experiment/load_reporting_test.go
+++ b/internal/experiment/load_reporting_test.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// A router's view follows the partition and its end only after the delay of failure detection.
+// A router's view changes after the start of the partition and after its end, each time with the delay
+// of failure detection.
 func TestViewDuringPartition(t *testing.T) {
 	run := newLoadReportingRun(LoadReporting{Seed: 1, Routers: 5, Servers: 1, Strategy: ProbeByHash, IntervalPolicy: AdaptiveInterval})
 	tests := map[string]struct {
@@ -49,11 +50,11 @@
 		t.Run(name, func(t *testing.T) {
 			run.now = test.now
 			if got := run.partitioned(); got != test.partitioned {
-				t.Errorf("partitioned %t, want %t", got, test.partitioned)
+				t.Errorf("got partitioned %t, want %t", got, test.partitioned)
 			}
 			first, last := run.viewOf(run.routers[0]), run.viewOf(run.routers[4])
 			if first != test.first || last != test.lastView {
-				t.Errorf("views %d and %d, want %d and %d", first, last, test.first, test.lastView)
+				t.Errorf("first and last router: got views %d and %d, want %d and %d", first, last, test.first, test.lastView)
 			}
 		})
 	}
--- a/internal/experiment/load_reporting_zone.go
+++ b/internal/experiment/load_reporting_zone.go
@@ -6,7 +6,7 @@
 	"garnetline/internal/fleet/membership"
 )
 
-// viewKind names the set of routers of the zone that a router sees.
+// viewKind identifies the set of routers of the zone that a router sees.
 type viewKind int
 
 const (
@@ -16,15 +16,15 @@
 	viewCount // the number of kinds
 )
 
-// zoneView has the ranks that routers with the same view of the zone compute. The ranks are in
-// the order of the run's routers.
+// zoneView holds the ranks of routers. Routers with the same view of the zone compute the same ranks.
+// The index of a rank is the index of the router in the run.
 type zoneView struct {
 	first membership.ID // the router with the first rank
 	ranks []int         // -1: the router is not in the view
 }
 
-// onRegistrySide reports whether the router with an index is on the registry's side of the
-// partition. Six in ten routers are.
+// onRegistrySide reports whether the router with the given index is on the registry's side of the
+// partition. Six in ten routers are on that side.
 func onRegistrySide(index, routers int) bool { return index*10 < routers*6 }
 
 // newZoneViews returns the view of the whole zone, and the views on the two sides of the
@@ -54,8 +54,8 @@
 	return r.now >= loadPartitionStart && r.now <= loadPartitionEnd
 }
 
-// viewOf returns the view of a router, which changes only after the delay with which routers
-// detect the partition and its end.
+// viewOf returns the view of a router. The view changes when routers detect the partition or its end,
+// which they do with a delay.
 func (r *loadReportingRun) viewOf(router *loadRouter) viewKind {
 	switch {
 	case r.now < loadPartitionStart+partitionDetectionTime, r.now > loadPartitionEnd+healDetectionTime:
@@ -70,8 +70,8 @@
 // holderStepInterval is the time in ms between two steps of a router's lease.Holder.
 const holderStepInterval = 100
 
-// holdsLease makes a router request or renew the lease when a step is due, and reports whether
-// it holds the lease now.
+// holdsLease makes a router request or renew the lease when a step is due. It reports whether the
+// router holds the lease now.
 func (r *loadReportingRun) holdsLease(index int, router *loadRouter) bool {
 	if int(r.now)%holderStepInterval == 0 {
 		router.holder.SetRank(r.now, leaseName, r.views[r.viewOf(router)].ranks[index])
@@ -89,7 +89,7 @@
 // loadReportingRegistry is a lease registry in one process, which responds without delay.
 type loadReportingRegistry struct {
 	state     *leaseregistry.State
-	lastIndex uint64 // of the last command applied
+	lastIndex uint64 // log index of the last command that was applied
 	expiry    *lease.ExpiryTracker
 }
 
--- a/internal/experiment/membership.go
+++ b/internal/experiment/membership.go
@@ -13,11 +13,11 @@
 // Variant is a failure detector that is compared with others.
 type Variant struct {
 	Name     string                // printed in tables and charts
-	Settings func() fleet.Settings // of the state machine; nil: allPairsDetector is used instead
+	Settings func() fleet.Settings // settings of the membership protocol; nil if allPairsDetector is used instead
 }
 
-// Variants returns the variants that are compared: the production settings, the same without
-// Lifeguard, and allPairsDetector.
+// Variants returns the variants that are compared: the membership protocol with the production
+// settings, the same protocol without Lifeguard, and allPairsDetector.
 func Variants() []Variant {
 	return []Variant{
 		{Name: "as built", Settings: fleet.DefaultSettings},
@@ -40,13 +40,13 @@
 type Membership struct {
 	Sizes       []int
 	Seeds       int
-	Kills       int       // routers killed per seed; fewer in fleets of over 30
+	Kills       int       // routers killed per seed; fewer in fleets of more than 30 routers
 	QuietPeriod float64   // ms without a fault, in which traffic is measured
-	FaultPeriod float64   // ms under loss or pauses; shorter in fleets of over 30
-	Losses      []float64 // shares of the packets that are lost, each measured separately
+	FaultPeriod float64   // ms under loss or pauses; shorter in fleets of more than 30 routers
+	Losses      []float64 // shares of lost packets, from 0 to 1; each share is measured separately
 }
 
-// Configuration is a variant in a fleet of a size.
+// Configuration is a variant and the size of the fleet in which the variant is measured.
 type Configuration struct {
 	Variant string
 	Size    int
@@ -55,16 +55,17 @@
 // MembershipResult is the result of a configuration over all seeds.
 type MembershipResult struct {
 	Configuration
-	FirstDetected    []float64 // ms from a kill until the first router detects it, sorted
-	KnownToAll       []float64 // ms from a kill until all routers have learned of it, sorted
+	FirstDetected    []float64 // ms from a kill until the first router marks the killed router as failed, sorted
+	KnownToAll       []float64 // ms from a kill until all routers have marked the killed router as failed, sorted
 	PacketsPerSecond float64   // sent by a router, on average
 	BytesPerSecond   float64   // sent by a router, on average
 	MemoryBytes      float64   // on the heap, per router
 	FalsePositives   []FalsePositives
 }
 
-// FalsePositives is how often live routers were suspected or marked as failed under one kind of
-// fault, as reported by the routers that detected it first.
+// FalsePositives tells how often live routers were suspected or marked as failed under one kind of
+// fault. An event counts only at the routers that detected it themselves, and not at the routers that
+// learned of it from others.
 type FalsePositives struct {
 	Fault               string
 	SuspectedPerHour    float64 // in the whole fleet, of routers that did not pause
@@ -76,21 +77,21 @@
 }
 
 // Limits that shorten the measurement of large fleets, which send millions of packets, and of
-// allPairsDetector, whose packets grow with the square of the size.
+// allPairsDetector, which sends a number of packets that grows with the square of the size.
 const (
 	smallFleet            = 30
 	largeFleet            = 300    // larger fleets are measured with the first variant only
-	minKills              = 2      // in fleets above smallFleet
-	maxQuietPeriod        = 10_000 // ms, in fleets above smallFleet
+	minKills              = 2      // in fleets larger than smallFleet
+	maxQuietPeriod        = 10_000 // ms, in fleets larger than smallFleet
 	allPairsMaxSeeds      = 3
 	allPairsMaxFaultTime  = 60_000 // ms
-	allPairsLargeFault    = 4000   // ms, in fleets above smallFleet
-	allPairsLargeQuiet    = 1000   // ms, in fleets above smallFleet
-	allPairsLargeMaxKills = 1      // in fleets above smallFleet
+	allPairsLargeFault    = 4000   // ms, in fleets larger than smallFleet
+	allPairsLargeQuiet    = 1000   // ms, in fleets larger than smallFleet
+	allPairsLargeMaxKills = 1      // in fleets larger than smallFleet
 )
 
-// forFleet returns the options for a variant in a fleet of a size: large fleets are measured for
-// a shorter time.
+// forFleet returns the options for measuring a variant in a fleet of the given size. Large fleets are
+// measured for a shorter time.
 func (o Membership) forFleet(variant Variant, size int) Membership {
 	allPairs := variant.Settings == nil
 	if size > smallFleet {
@@ -118,8 +119,8 @@
 	samples []membershipSample // by seed
 }
 
-// Run measures all configurations. It runs GOMAXPROCS seeds in parallel, and writes a line to
-// progress for each seed that is done.
+// Run measures all configurations. It runs GOMAXPROCS seeds in parallel. When a seed is done, it writes
+// a line to the writer progress.
 func (o Membership) Run(progress io.Writer) []*MembershipResult {
 	runs := o.newRuns()
 	measureSamples(runs, progress)
@@ -130,7 +131,7 @@
 	return results
 }
 
-// newRuns returns the runs of all configurations. Fleets above largeFleet run with the first
+// newRuns returns the runs of all configurations. Fleets larger than largeFleet run with the first
 // variant only: with allPairsDetector, 1,000 routers would send two million packets a second.
 func (o Membership) newRuns() []*membershipRun {
 	var runs []*membershipRun
@@ -166,7 +167,7 @@
 				run.samples[index] = run.measure(seed)
 				progressLock.Lock()
 				defer progressLock.Unlock()
-				// The progress is informational: an error of its writer does not end the measurement.
+				// The progress is only informational, so an error of its writer does not end the measurement.
 				_, _ = fmt.Fprintf(progress, "%s, %d routers, seed %d\n", run.variant.Name, run.size, seed)
 			})
 		}
--- a/internal/experiment/membership_run.go
+++ b/internal/experiment/membership_run.go
@@ -13,15 +13,15 @@
 	allPairsSettleTime  = 20_000.0
 	convergenceTimeout  = 60_000.0
 	convergencePoll     = 100.0
-	settleTime          = 20_000.0 // after convergence, for routers to verify each other
+	settleTime          = 20_000.0 // time after convergence in which routers verify each other
 	minKillInterval     = 500.0
 	killIntervalJitter  = 1000.0
 	detectionTimeout    = 60_000.0
 	detectionResolution = 10.0
 )
 
-// Offsets that give the fleets under loss and with pauses other seeds than the fleets in which
-// routers are killed.
+// Offsets that are added to the seed of a run. Fleets under loss and fleets with pauses thus have other
+// seeds than the fleets in which routers are killed.
 const (
 	lossSeedOffset  = 100
 	pauseSeedOffset = 200
--- a/internal/experiment/memory_fs.go
+++ b/internal/experiment/memory_fs.go
@@ -7,8 +7,8 @@
 	"garnetline/internal/fleet/consensus/wal"
 )
 
-// memoryFS is a voter's directory in memory. It counts the syncs and the bytes that a disk would
-// have. It is not safe for concurrent use.
+// memoryFS is a voter's directory in memory. It counts the syncs, and the bytes that the files would
+// take on a disk. It is not safe for concurrent use.
 type memoryFS struct {
 	files    map[string][]byte
 	syncs    int
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// Truncate cuts the file to a length.
+// Truncate cuts the file to the given length in bytes.
 func (f *memoryFile) Truncate(length int64) error {
 	f.directory.files[f.name] = f.directory.files[f.name][:length]
 	return nil
--- a/internal/experiment/registry_run.go
+++ b/internal/experiment/registry_run.go
@@ -19,12 +19,12 @@
 // The network between voters and routers. Times are in ms.
 const (
 	registryMinDelay   = 0.3
-	registryMeanJitter = 0.3 // added to the delay
+	registryMeanJitter = 0.3 // mean of the random time that is added to the delay
 )
 
 const (
-	// Routers start after routerStartElections election timeouts, when there is a leader. Faults
-	// begin after faultStartElections election timeouts.
+	// Routers start after routerStartElections election timeouts. The voters have elected a leader by
+	// then. Faults begin after faultStartElections election timeouts.
 	routerStartElections = 4
 	faultStartElections  = 8
 
@@ -38,7 +38,8 @@
 	heapSamples = 8
 )
 
-// logOwner is the owner that the voters' logs store. Its length counts in the measured sizes.
+// logOwner is the name of the owner that the voters' logs store. The measured sizes of the logs include
+// its length.
 const logOwner = "lab"
 
 // registryRun is the state of one run of Registry.
@@ -50,32 +51,32 @@
 	err     error // the error of a voter, which ends the run
 
 	voters    []*registryVoter
-	leader    int // index of the voter that was leader last
+	leader    int // index of the latest leader
 	routers   []*registryRouter
 	routerIDs []membership.ID
 
 	leaseNames        []string
-	transferStartedAt map[string]float64 // ms, by lease; until another router holds the lease
+	transferStartedAt map[string]float64 // ms, by lease; an entry is deleted when another router holds the lease
 }
 
 // registryVoter is a voter with its disk.
 type registryVoter struct {
 	*consensus.Node
 	disk  *memoryFS
-	steps int // number of steps so far; a timer is ignored if the voter was stepped after it was set
+	steps int // number of steps so far; a timer is ignored if the voter was stepped after the timer was set
 }
 
 // registryRouter is a router that requests leases.
 type registryRouter struct {
 	*lease.Holder
 	id               membership.ID
-	firstRequestAt   map[string]float64 // ms, by lease; until the router holds the lease
-	steps            int                // number of steps so far; a timer is ignored if the router was stepped after it was set
+	firstRequestAt   map[string]float64 // ms, by lease; an entry is deleted when the router holds the lease
+	steps            int                // number of steps so far; a timer is ignored if the router was stepped after the timer was set
 	unreachableUntil float64            // ms; the router receives no responses until then
 }
 
-// newRegistryRun returns a run with the starts of its voters, routers and faults scheduled. The
-// error is that of a voter's log or state machine.
+// newRegistryRun returns a run. The start of its voters, of its routers and of its faults is scheduled.
+// The error is that of a voter's log or state machine.
 func newRegistryRun(options Registry) (*registryRun, error) {
 	run := &registryRun{
 		options:           options,
@@ -94,15 +95,16 @@
 	return run, nil
 }
 
-// Run simulates ms of virtual time. It returns an error if a voter's log or state machine fails.
-func (o Registry) Run(ms float64) (RegistryResult, error) {
+// Run simulates the given duration of virtual time, in ms. It returns an error if a voter's log or state
+// machine fails.
+func (o Registry) Run(duration float64) (RegistryResult, error) {
 	run, err := newRegistryRun(o)
 	if err != nil {
 		return RegistryResult{}, err
 	}
-	sampleInterval := ms / heapSamples
+	sampleInterval := duration / heapSamples
 	nextSampleAt := sampleInterval
-	for run.now < ms && !run.empty() && run.err == nil {
+	for run.now < duration && !run.empty() && run.err == nil {
 		handle := run.advance()
 		if run.now >= nextSampleAt {
 			nextSampleAt += sampleInterval
@@ -160,16 +162,16 @@
 		r.voters = append(r.voters, voter)
 		r.after(0, func() { r.stepVoter(index, consensus.Input{}) })
 	}
-	// The raft library draws election timeouts from a source that cannot be seeded. No election
-	// timeout expires in this run, because one voter is made a candidate at the start and its
-	// heartbeats are not lost. So the seed determines the run.
+	// The raft library draws election timeouts from a source that cannot be seeded. To make the seed
+	// determine the run, one voter becomes a candidate at the start. Its heartbeats are not lost, so
+	// no election timeout expires.
 	first := r.rng.IntN(r.options.Voters)
 	campaign := &raftpb.Message{Type: raftpb.MsgTimeoutNow.Enum(), To: proto.Uint64(raftID(first))}
 	r.after(0, func() { r.stepVoter(first, consensus.Input{Message: campaign}) })
 	return nil
 }
 
-// raftID returns the raft ID of the voter with an index.
+// raftID returns the raft ID of the voter with the given index.
 func raftID(index int) uint64 { return uint64(index + 1) }
 
 func newRegistryVoter(settings consensus.Settings, index int, names map[uint64]string) (*registryVoter, error) {
@@ -237,7 +239,7 @@
 
 // sendToVoter sends a message of one voter to another.
 func (r *registryRun) sendToVoter(message *raftpb.Message) {
-	sent := proto.Clone(message).(*raftpb.Message) // a copy, because the voter may change the message later
+	sent := proto.Clone(message).(*raftpb.Message) // a copy, because the sending voter may change the message later
 	r.outcome.Messages++
 	r.outcome.Bytes += proto.Size(sent)
 	to := int(sent.GetTo()) - 1
@@ -263,8 +265,8 @@
 	r.stepRouter(router)
 }
 
-// recordGrant records how long it took until a router held a lease: from the release if the lease
-// was transferred, and otherwise from the router's first request.
+// recordGrant records how long it took until a router held a lease. If the lease was transferred, the
+// time begins at the release. Otherwise it begins at the router's first request.
 func (r *registryRun) recordGrant(router *registryRouter, name string) {
 	releasedAt, transferred := r.transferStartedAt[name]
 	requestedAt, requested := router.firstRequestAt[name]
@@ -324,8 +326,8 @@
 	}
 }
 
-// transferRandomLease draws a lease, transfers it to another router if it is held, and schedules
-// the next transfer.
+// transferRandomLease selects a random lease and, if a router holds the lease, transfers it to another
+// router. Then it schedules the next transfer.
 func (r *registryRun) transferRandomLease() {
 	name := r.leaseNames[r.rng.IntN(len(r.leaseNames))]
 	if holder := r.holderOf(name); holder != nil {
@@ -336,15 +338,15 @@
 	r.after(r.options.TransferInterval*r.rng.ExpFloat64(), r.transferRandomLease)
 }
 
-// randomOther draws a router other than the given one.
+// randomOther returns the ID of a random router other than the given router.
 func (r *registryRun) randomOther(router *registryRouter) membership.ID {
 	index := slices.Index(r.routerIDs, router.id)
 	offset := 1 + r.rng.IntN(len(r.routerIDs)-1)
 	return r.routerIDs[(index+offset)%len(r.routerIDs)]
 }
 
-// isolateRandomRouter draws a router that receives no responses for responseLossTTLs, and
-// schedules the next isolation.
+// isolateRandomRouter selects a random router, which receives no responses for responseLossTTLs TTLs.
+// Then it schedules the next isolation.
 func (r *registryRun) isolateRandomRouter() {
 	router := r.routers[r.rng.IntN(len(r.routers))]
 	router.unreachableUntil = r.now + responseLossTTLs*r.options.Settings.Lease.TTL
--- a/internal/experiment/registry_test.go
+++ b/internal/experiment/registry_test.go
@@ -24,26 +24,26 @@
 		t.Fatal(err)
 	}
 	if result.LeasesHeld < minHeld {
-		t.Errorf("%d of 4 leases are held, want at least %d", result.LeasesHeld, minHeld)
+		t.Errorf("got %d of 4 leases held, want at least %d", result.LeasesHeld, minHeld)
 	}
 	if len(result.TransferTimes) < minTransfers {
-		t.Errorf("%d transfers, want at least %d", len(result.TransferTimes), minTransfers)
+		t.Errorf("got %d transfers, want at least %d", len(result.TransferTimes), minTransfers)
 	}
 	if median := Quantile(result.TransferTimes, 0.5); median > maxMedian {
-		t.Errorf("median transfer time %.1f ms, want at most %.1f ms", median, maxMedian)
+		t.Errorf("got median transfer time %.1f ms, want at most %.1f ms", median, maxMedian)
 	}
 	if result.DiskBytes > maxDiskBytes {
-		t.Errorf("%d bytes on the disk, want at most %d", result.DiskBytes, maxDiskBytes)
+		t.Errorf("got %d bytes on the disk, want at most %d", result.DiskBytes, maxDiskBytes)
 	}
 }
 
-// Voters do not send separate messages for each request: with thirty times the leases, there are
-// at most a third as many messages between voters per request.
+// Voters do not send separate messages for each request. With 30 times as many leases, the number of
+// messages between voters per request is at most a third.
 func TestRegistryMessagesPerRequest(t *testing.T) {
 	few := messagesPerRequest(t, 5)
 	many := messagesPerRequest(t, 150)
 	if many > few/3 {
-		t.Errorf("%.2f messages per request with 150 leases, want at most a third of the %.2f with 5 leases", many, few)
+		t.Errorf("got %.2f messages per request with 150 leases, want at most a third of the %.2f with 5 leases", many, few)
 	}
 }
 
@@ -53,7 +53,7 @@
 	t.Helper()
 	result, err := Registry{Seed: 1, Voters: 3, Routers: 6, Leases: leases, Settings: consensus.DefaultSettings()}.Run(15_000)
 	if err != nil || result.LeasesHeld != leases {
-		t.Errorf("%d of %d leases are held, error %v; want all held and no error", result.LeasesHeld, leases, err)
+		t.Errorf("got %d of %d leases held and error %v, want all held and no error", result.LeasesHeld, leases, err)
 	}
 	return float64(result.Messages) / float64(result.Requests)
 }
--- a/internal/experiment/routers.go
+++ b/internal/experiment/routers.go
@@ -2,8 +2,8 @@
 
 import "garnetline/internal/fleet/membership"
 
-// Streams of the random number generator, so that two experiments with the same seed draw
-// different numbers. Changing a stream changes all results of its experiment.
+// Each experiment has its own stream of the random number generator, so that two experiments with the
+// same seed draw different numbers. A change of a stream changes all results of its experiment.
 const (
 	allPairsStream      = 1
 	registryStream      = 11
@@ -14,8 +14,8 @@
 // requestIDShift gives each router a range of 2^40 request IDs.
 const requestIDShift = 40
 
-// firstRequestID returns the lower bound, exclusive, of the request IDs of the router with an
-// index.
+// firstRequestID returns the lower bound of the request IDs of the router with the given index. The
+// bound itself is not a request ID.
 func firstRequestID(index int) uint64 { return uint64(index) << requestIDShift }
 
 // numberedRouters returns the IDs of n routers: 1 to n.
