--- a/internal/experiment/all_pairs_detector.go
+++ b/internal/experiment/all_pairs_detector.go
@@ -64,7 +64,7 @@
 }
 
 // Step handles a received packet, if packet is not nil. When a ping is due, it also checks the
-// timeout of every other router and pings it.
+// timeout of every other router and pings that router.
 func (d *allPairsDetector) Step(now float64, packet *membership.Packet) fleet.Output {
 	var out fleet.Output
 	if packet != nil {
--- a/internal/experiment/lease_handovers_registry.go
+++ b/internal/experiment/lease_handovers_registry.go
@@ -33,9 +33,9 @@
 	r.send(handoverMessage{router: router.index, response: &response})
 }
 
-// applyRelease releases the lease. If the request names another router, the lease is transferred to
-// that router, and the registry notifies that router. A request with an outdated fencing token
-// changes nothing.
+// applyRelease releases the lease. If request.TransferTo names a router, applyRelease instead
+// transfers the lease to that router and notifies that router. A request with an outdated fencing
+// token changes nothing.
 func (r *handoverRun) applyRelease(holder membership.ID, request lease.Request) {
 	current := r.registry.Leases[leaseName]
 	if current == nil || current.Holder != holder || current.FencingToken != request.FencingToken {
--- a/internal/experiment/lease_search_moves.go
+++ b/internal/experiment/lease_search_moves.go
@@ -186,9 +186,9 @@
 	return s.registry.Apply(s.lastIndex, command) == nil
 }
 
-// applyRelease releases the lease. If the request names another router, the lease is transferred to
-// that router, and the registry notifies that router. A request with an outdated fencing token
-// changes nothing.
+// applyRelease releases the lease. If request.TransferTo names a router, applyRelease instead
+// transfers the lease to that router and notifies that router. A request with an outdated fencing
+// token changes nothing.
 func (s *searchState) applyRelease(holder membership.ID, request lease.Request) {
 	current := s.registry.Leases[leaseName]
 	if current == nil || current.Holder != holder || current.FencingToken != request.FencingToken {
--- a/internal/experiment/lease_search_state.go
+++ b/internal/experiment/lease_search_state.go
@@ -165,7 +165,7 @@
 	return b
 }
 
-// isInFlight reports whether a request of a router, or the response to it, is in flight.
+// isInFlight reports whether a request of a router, or the response to that request, is in flight.
 func (s *searchState) isInFlight(router int, requestID uint64) bool {
 	return slices.ContainsFunc(s.inFlight, func(message searchMessage) bool {
 		if message.router != router {
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -22,7 +22,7 @@
 )
 
 // updateVariable is the name of an environment variable. If its value is not empty, Compare
-// overwrites the file before it compares.
+// writes the bytes in got to the file before it compares.
 const updateVariable = "UPDATE_GOLDEN"
 
 // Message is a message with a name. CompareMessages compares it with one line of a file.
--- a/internal/netsim/host.go
+++ b/internal/netsim/host.go
@@ -95,8 +95,8 @@
 }
 
 // setTimer records a timer for the given time and reports whether the caller must schedule the
-// timer's event. It returns false if an earlier timer of the host is already scheduled: the step at
-// the earlier timer sets the next timer.
+// timer's event. It returns false if a timer of the host is already scheduled for the same time or
+// an earlier time. The step at that timer sets the next timer.
 func (h *Host) setTimer(timerAt float64) bool {
 	if timerAt >= h.nextTimerAt {
 		return false
--- a/internal/netsim/incarnation_test.go
+++ b/internal/netsim/incarnation_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// expectOneAliveMember reports an error unless observer sees exactly one alive member with the name
-// and the address of subject.
+// expectOneAliveMember reports an error unless the observer sees exactly one alive member with the
+// name and the address of the subject.
 func expectOneAliveMember(tb testing.TB, observer, subject *Host) {
 	tb.Helper()
 	count := 0
--- a/internal/netsim/link.go
+++ b/internal/netsim/link.go
@@ -9,7 +9,7 @@
 
 const (
 	// defaultDelay and defaultJitter are the delay and the jitter of a new network, in ms. They
-	// correspond to hosts at one site.
+	// model a network within one site.
 	defaultDelay  = 0.2
 	defaultJitter = 0.3
 
--- a/internal/netsim/partition_test.go
+++ b/internal/netsim/partition_test.go
@@ -9,8 +9,8 @@
 )
 
 // A partition splits the fleet into two or three sides. The routers of each side mark the routers of
-// the other sides as failed, and report partial connectivity. After the partition has healed, all
-// views are the same within 3 s. The connectivity state improves after its hold time.
+// the other sides as failed, and their connectivity state is Partial. After the partition has healed,
+// all views are the same within 3 s. The state is Together 12 s later, after its hold time.
 func TestPartitionHeals(t *testing.T) {
 	const routers = 12
 	for _, sides := range []int{2, 3} {
@@ -66,7 +66,7 @@
 	}
 }
 
-// All peers of a router have crashed. The connectivity state of the router is alone, but the router
+// All peers of a router have crashed. The connectivity state of the router is Alone, but the router
 // still knows all of its peers. Its quotas of the fleet's limits therefore do not grow.
 func TestLastRouterIsAlone(t *testing.T) {
 	network := convergedFleet(t, 9, 8)
@@ -79,9 +79,9 @@
 	}
 }
 
-// One of 60 routers is cut off from all others. Its connectivity state is alone within 4 s, long
+// One of 60 routers is cut off from all others. Its connectivity state is Alone within 4 s, long
 // before it has marked every other router as failed. After the partition has healed, the state is
-// together again.
+// Together again.
 func TestIsolatedRouterIsAloneSoon(t *testing.T) {
 	network := convergedFleet(t, 14, 60)
 	isolated := network.Hosts[7]
--- a/internal/netsim/view.go
+++ b/internal/netsim/view.go
@@ -5,7 +5,7 @@
 // stateCount is the number of states that a router can have in a host's view.
 const stateCount = membership.Left + 1
 
-// StateCounts holds the number of hosts that see one router in each state. The state is the index.
+// StateCounts counts hosts by the state in which they see a certain router. The state is the index.
 type StateCounts [stateCount]int
 
 // Converged reports whether all live hosts have the same view and each sees exactly the live hosts
@@ -25,8 +25,8 @@
 	return true
 }
 
-// StateCounts counts the other live hosts by the state in which they see subject. Hosts that do not
-// know subject are not counted.
+// StateCounts counts the other live hosts by the state in which they see the subject. Hosts that do
+// not know the subject are not counted.
 func (n *Network) StateCounts(subject *Host) StateCounts {
 	var counts StateCounts
 	for _, host := range n.Hosts {
