--- a/internal/ci/capacity_test.go
+++ b/internal/ci/capacity_test.go
@@ -9,13 +9,14 @@
 	"testing"
 )
 
-// Files that a tuned value stands in: its declaration, and the record of its runs.
+// Files about the tuned values: constantsFile declares them, and capacityPage records the runs that
+// support them.
 const (
 	constantsFile = "routing/constants.go"
 	capacityPage  = "docs/capacity.md"
 )
 
-// tunedValues returns the constants of a file by name, each with its value as it is written.
+// tunedValues maps the name of each constant in a file to the source text of its value.
 func tunedValues(t *testing.T, file sourceFile) map[string]string {
 	t.Helper()
 	source, err := os.ReadFile(filepath.Join(moduleRoot, filepath.FromSlash(file.path)))
@@ -39,7 +40,8 @@
 	return values
 }
 
-// Each tuned value of the decision module has a row on the capacity page, with its present value.
+// The capacity page has a row for each constant in constantsFile, with the constant's current
+// value.
 func TestCapacityPageHasEachTunedValue(t *testing.T) {
 	page := strings.Join(readPage(t, capacityPage), "\n")
 	checked := 0
@@ -50,7 +52,7 @@
 		for name, value := range tunedValues(t, file) {
 			checked++
 			if row := "| `" + name + "` | `" + value + "` | "; !strings.Contains(page, row) {
-				t.Errorf("%s: no row that begins with %q", capacityPage, row)
+				t.Errorf("%s: got no row that begins with %q, want one", capacityPage, row)
 			}
 		}
 	}
--- a/internal/ci/comments_test.go
+++ b/internal/ci/comments_test.go
@@ -6,17 +6,17 @@
 	"testing"
 )
 
-// tuningStory matches a comment that tells where a value comes from: a commit's hash, a value
-// taken over from an earlier version, or whether it was measured. Such records belong in commit
-// messages and in docs/capacity.md.
+// tuningStory matches words in a comment that tell the origin of a value: the hash of a commit, an
+// earlier version, or the lack of a measurement. Such records belong in commit messages and in
+// docs/capacity.md.
 var tuningStory = regexp.MustCompile(`\b[Cc]ommit [0-9a-f]{7,40}\b|\b[Ii]nherited\b|\b[Nn]ot measured\b`)
 
-// inheritedDescriptor matches the accepted use of the word: a socket that a process receives from
-// the one that starts it.
+// inheritedDescriptor matches the only accepted use of a word that tuningStory matches: for a
+// socket or descriptor that a process receives from its parent process.
 var inheritedDescriptor = regexp.MustCompile(`\b[Ii]nherited (listening )?(socket|descriptor)s?\b`)
 
-// findTuningStory returns the first tuning story in the text of a comment, or "". Line breaks in
-// the comment do not hide one.
+// findTuningStory returns the first tuning story in the text of a comment, or "". It also finds a
+// story that contains a line break.
 func findTuningStory(comment string) string {
 	text := strings.Join(strings.Fields(comment), " ")
 	return tuningStory.FindString(inheritedDescriptor.ReplaceAllString(text, ""))
@@ -28,7 +28,7 @@
 		for _, comment := range file.tree.Comments {
 			checked++
 			if story := findTuningStory(comment.Text()); story != "" {
-				t.Errorf("%s:%d: the comment says %q: want it in the commit message or in docs/capacity.md",
+				t.Errorf("%s:%d: got a comment that contains %q, want the origin of a value only in the commit message or in docs/capacity.md",
 					file.path, file.line(comment.Pos()), story)
 			}
 		}
--- a/internal/ci/knownred_test.go
+++ b/internal/ci/knownred_test.go
@@ -20,12 +20,12 @@
 	doesNotCompile = "func TestRed(t *testing.T) { nothing }\n"
 )
 
-// knownFailure is the line of KNOWN-RED.txt that lists failingTest.
+// knownFailure is a line of KNOWN-RED.txt that lists failingTest as a known failure.
 const knownFailure = "m/p TestRed | the cause | 28\n"
 
-// Guards against a list of known failures that hides more than the listed failures: other tests
-// whose names begin with a listed name, listed tests that pass again or no longer exist, and
-// malformed lines.
+// The list of known failures must hide the listed failures only. The script must still report
+// failing tests whose names only begin with a listed name, listed tests that pass again or no
+// longer exist, and malformed lines.
 func TestKnownRed(t *testing.T) {
 	script, err := filepath.Abs("../../.ci/go-test.sh")
 	if err != nil {
@@ -57,7 +57,7 @@
 			t.Parallel()
 			output, err := runScript(t, script, test.tests, test.knownRed)
 			if passed := err == nil; passed != (test.wantError == "") || !strings.Contains(output, test.wantError) {
-				t.Errorf("got error %v, want %q in the output:\n%s", err, test.wantError, output)
+				t.Errorf("got error %v, want the text %q in the output:\n%s", err, test.wantError, output)
 			}
 			if test.wantError == "" && test.knownRed != "" && !strings.Contains(output, "the cause") {
 				t.Errorf("got output without the cause of the known failure:\n%s", output)
@@ -66,8 +66,8 @@
 	}
 }
 
-// runScript runs the script in a new module with a single package, which has the given tests and
-// the given list of known failures.
+// runScript runs the script in a new module with a single package. The package contains the given
+// tests, and the module contains the given list of known failures.
 func runScript(t *testing.T, script, tests, knownRed string) (output string, err error) {
 	t.Helper()
 	module := t.TempDir()
--- a/internal/ci/logtexts_test.go
+++ b/internal/ci/logtexts_test.go
@@ -9,17 +9,18 @@
 	"testing"
 )
 
-// Marks of the part of the on-call page that names texts of the log and of errors.
+// Markers by which documentedTexts finds log and error texts on the on-call page.
 const (
 	logTextsHeading = "## Log lines that call for action"
 	errorTextPrefix = "wal: "
-	cutOffMark      = " …" // ends a text of which the page shows the beginning only
+	cutOffMark      = " …" // ends a shortened text, of which the page shows only the beginning
 )
 
-// formatVerb matches a verb of the package fmt after regexp.QuoteMeta.
+// formatVerb matches a verb of the package fmt in a format string that regexp.QuoteMeta has
+// escaped.
 var formatVerb = regexp.MustCompile(`%[a-z]`)
 
-// sourceTexts returns the string literals of all files outside tests.
+// sourceTexts returns the string literals of all Go files that are not test files.
 func sourceTexts(t *testing.T) []string {
 	t.Helper()
 	var texts []string
@@ -43,8 +44,9 @@
 	return texts
 }
 
-// documentedTexts returns the texts that the on-call page names: those of several words in the
-// first column of the table of log lines, and the errors of the voters' logs below it.
+// documentedTexts returns the log and error texts that the on-call page names. It takes the texts
+// of several words in the first column of the table of log lines. From the prose around the table,
+// it takes the error texts of the voters' logs.
 func documentedTexts(t *testing.T) []string {
 	t.Helper()
 	_, section, found := strings.Cut(strings.Join(readPage(t, "docs/on-call.md"), "\n"), logTextsHeading)
@@ -74,7 +76,8 @@
 	return texts
 }
 
-// produces tells whether a string literal, as it is or as a format, gives a documented text.
+// produces reports whether a string literal gives a documented text. The literal may be the text
+// itself or a format string.
 func produces(literal, documented string) bool {
 	pattern := "^" + formatVerb.ReplaceAllString(regexp.QuoteMeta(literal), ".+") + "$"
 	if beginning, isCut := strings.CutSuffix(documented, cutOffMark); isCut {
@@ -84,8 +87,7 @@
 		regexp.MustCompile(pattern).MatchString(documented)
 }
 
-// Each text of the log and of an error that the on-call page tells operators to look for is one
-// that the program prints.
+// The program contains every log and error text that the on-call page tells operators to look for.
 func TestOnCallPageLogTextsExist(t *testing.T) {
 	literals := sourceTexts(t)
 	documented := documentedTexts(t)
@@ -95,7 +97,7 @@
 			found = found || produces(literal, text)
 		}
 		if !found {
-			t.Errorf("docs/on-call.md: no string of the source gives %q", text)
+			t.Errorf("docs/on-call.md: no string literal of the source produces the text %q", text)
 		}
 	}
 	if len(documented) < 20 {
--- a/internal/ci/source_test.go
+++ b/internal/ci/source_test.go
@@ -12,13 +12,13 @@
 	"testing"
 )
 
-// Size limits of the source, in lines. The linter limits functions outside tests to 60 lines.
+// Size limits of the source, in lines. The linter limits functions outside test files to 60 lines.
 const (
 	maxTestFunctionLines = 100
-	maxFileLines         = 500 // outside tests
+	maxFileLines         = 500 // for files that are not test files
 )
 
-// moduleRoot is the path of the module's root directory from this package's directory.
+// moduleRoot is the path of the module's root directory, relative to the directory of this package.
 const moduleRoot = "../.."
 
 // sourceFile is a parsed Go file of the module.
@@ -72,8 +72,8 @@
 	return found
 }
 
-// declared returns the names that the file declares at package level. Methods and fields are named
-// Type.Name.
+// declared returns the names that the file declares at package level. It returns methods and fields
+// as Type.Name.
 func (f sourceFile) declared() map[string]bool {
 	names := map[string]bool{}
 	for _, declaration := range f.tree.Decls {
@@ -158,8 +158,8 @@
 	return strings.Split(string(page), "\n")
 }
 
-// In the tables of the on-call page, each identifier in a row that names a Go file must be declared
-// in that file.
+// In the tables of the on-call page, a row may name a Go file. The file must declare each
+// identifier that follows in the row.
 func TestOnCallPageNamesExist(t *testing.T) {
 	declared := map[string]map[string]bool{}
 	for _, file := range parseModule(t) {
--- a/internal/fakeserver/changelog.go
+++ b/internal/fakeserver/changelog.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// heartbeatInterval is the time without a frame after which a ChangeLog sends a heartbeat on a
-// connection.
+// heartbeatInterval is the maximum time between two frames on a connection. If a ChangeLog has no
+// event to send for this time, it sends a heartbeat.
 const heartbeatInterval = 400 * time.Millisecond
 
 // Sizes of the fields of a frame, in bytes.
@@ -19,40 +19,41 @@
 	frameLengthSize = 4
 )
 
-// Frame types: the first byte of a frame's body.
+// Frame types. The type is the first byte of a frame's body.
 const (
 	frameHeartbeat = 0
 	frameEndpoints = 2
 	framePurge     = 3
 )
 
-// weightScale is the factor by which the protocol multiplies a weight.
+// weightScale is the factor by which a weight is multiplied to encode it as an integer.
 const weightScale = 1000
 
-// ChangeLog is a fake change log. On each connection it sends the events after the sequence number
-// that the client requests, then new events as they are added, and heartbeats while there are none.
+// ChangeLog is a fake change log. On each connection, the client requests the events after a
+// sequence number. The ChangeLog sends these events, and then each new event as it is added. While
+// there are no new events, it sends heartbeats.
 type ChangeLog struct {
 	net.Listener
 
 	mu      sync.Mutex
-	frames  [][]byte // encoded events in order; the sequence number of the first is base+1
+	frames  [][]byte // encoded events in order; the first event has sequence number base+1
 	base    uint64
 	changed chan struct{} // closed, and replaced, at each change
 	closed  bool
 }
 
-// Endpoint is a server as a change log announces it.
+// Endpoint is the state of a server that a change log announces.
 type Endpoint struct {
 	ID      uint32
 	Addr    netip.AddrPort
 	Phase   byte // 0 ready, 1 draining, 2 removed
 	Kind    byte
 	Weight  float64
-	Started uint64 // Unix ms
+	Started uint64 // start time in Unix ms
 }
 
-// NewChangeLog returns a change log that serves until it is closed. The sequence number of its
-// first event will be base+1.
+// NewChangeLog returns a change log that serves until it is closed. Its first event gets the
+// sequence number base+1.
 func NewChangeLog(base uint64) (*ChangeLog, error) {
 	listener, err := listenLoopback()
 	if err != nil {
@@ -84,10 +85,10 @@
 	return binary.BigEndian.AppendUint64(body, e.Started)
 }
 
-// Purge adds an event that announces the purge of an object at a time in Unix ms.
-func (c *ChangeLog) Purge(object, at uint64) {
+// Purge adds an event that announces the purge of an object. The time purgedAt is in Unix ms.
+func (c *ChangeLog) Purge(object, purgedAt uint64) {
 	body := binary.BigEndian.AppendUint64([]byte{framePurge}, object)
-	c.addEvent(binary.BigEndian.AppendUint64(body, at))
+	c.addEvent(binary.BigEndian.AppendUint64(body, purgedAt))
 }
 
 // addEvent adds an event under the next sequence number and wakes all connections.
@@ -117,8 +118,8 @@
 // lastSequence returns the sequence number of the newest event. The caller holds c.mu.
 func (c *ChangeLog) lastSequence() uint64 { return c.base + uint64(len(c.frames)) }
 
-// encodeFrame returns a frame: the length of the rest of the frame, the sequence number and the
-// body.
+// encodeFrame returns a frame. It consists of the length of the rest of the frame, the sequence
+// number and the body.
 func encodeFrame(sequence uint64, body []byte) []byte {
 	frame := make([]byte, 0, frameLengthSize+sequenceSize+len(body))
 	frame = binary.BigEndian.AppendUint32(frame, uint32(sequenceSize+len(body)))
@@ -135,34 +136,35 @@
 	}
 	sequence := binary.BigEndian.Uint64(request[:])
 	for {
-		next := c.framesAfter(sequence)
-		if next.closed {
+		pending := c.framesAfter(sequence)
+		if pending.closed {
 			return
 		}
-		sequence = next.sequence
-		if next.frames == nil {
-			next.frames = encodeFrame(sequence, []byte{frameHeartbeat})
+		sequence = pending.sequence
+		if pending.frames == nil {
+			pending.frames = encodeFrame(sequence, []byte{frameHeartbeat})
 		}
-		if _, err := conn.Write(next.frames); err != nil {
+		if _, err := conn.Write(pending.frames); err != nil {
 			return
 		}
 		select {
-		case <-next.changed:
+		case <-pending.changed:
 		case <-time.After(heartbeatInterval):
 		}
 	}
 }
 
-// pendingFrames is what a connection has to send next.
+// pendingFrames holds the data that is sent next on a connection.
 type pendingFrames struct {
 	frames   []byte          // nil if there are no new events
-	sequence uint64          // sequence number that the connection has reached after frames
+	sequence uint64          // sequence number that the client has reached once frames are sent
 	changed  <-chan struct{} // closed at the next change
 	closed   bool            // whether the change log is closed
 }
 
-// framesAfter returns the events after a sequence number: all events if the number is before the
-// first one, none if it is after the last one.
+// framesAfter returns the events after a sequence number. If the number is lower than that of the
+// first event, framesAfter returns all events. If it is that of the last event or higher,
+// framesAfter returns none.
 func (c *ChangeLog) framesAfter(sequence uint64) pendingFrames {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fakeserver/changelog_test.go
+++ b/internal/fakeserver/changelog_test.go
@@ -34,15 +34,16 @@
 	}
 }
 
-// expectBytes reads as many bytes as want has and compares them with want.
-func expectBytes(t *testing.T, conn net.Conn, want string) {
+// expectBytes reads the next bytes of a connection and fails the test unless they are the expected
+// bytes.
+func expectBytes(t *testing.T, conn net.Conn, expected string) {
 	t.Helper()
-	got := make([]byte, len(want))
+	got := make([]byte, len(expected))
 	if n, err := io.ReadFull(conn, got); err != nil {
-		t.Fatalf("got %x, error %v, want %x", got[:n], err, want)
+		t.Fatalf("got %x, error %v, want %x", got[:n], err, expected)
 	}
-	if string(got) != want {
-		t.Fatalf("got %x, want %x", got, want)
+	if string(got) != expected {
+		t.Fatalf("got %x, want %x", got, expected)
 	}
 }
 
@@ -55,7 +56,7 @@
 	}
 }
 
-// requestFrom returns the request of a router that has read the events up to a sequence number.
+// requestFrom returns a router's request for the events after a sequence number.
 func requestFrom(sequence uint64) string {
 	return string(binary.BigEndian.AppendUint64(nil, sequence))
 }
--- a/internal/fakeserver/idle_changelog.go
+++ b/internal/fakeserver/idle_changelog.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// requestedSeqsBuffer is the number of requested sequence numbers that are kept until a test reads
-// them.
+// requestedSeqsBuffer is the capacity of the channel RequestedSeqs. The channel holds sequence
+// numbers until a test reads them.
 const requestedSeqsBuffer = 8
 
 // IdleChangeLog is a fake change log that sends nothing and keeps its connections open.
@@ -31,7 +31,8 @@
 	return idle, nil
 }
 
-// readRequest keeps a connection open and reads the sequence number that it requests.
+// readRequest reads the sequence number that the client of a connection requests. It keeps the
+// connection open until Close is called.
 func (c *IdleChangeLog) readRequest(conn net.Conn) {
 	c.mu.Lock()
 	c.connections = append(c.connections, conn)
--- a/internal/fakeserver/listener.go
+++ b/internal/fakeserver/listener.go
@@ -11,8 +11,8 @@
 	return config.Listen(context.Background(), "tcp", "127.0.0.1:0")
 }
 
-// acceptLoop passes each accepted connection to handle, one after another, until the listener is
-// closed.
+// acceptLoop accepts connections until the listener is closed. It calls handle for each connection,
+// and accepts the next connection when handle has returned.
 func acceptLoop(listener net.Listener, handle func(net.Conn)) {
 	for {
 		conn, err := listener.Accept()
--- a/internal/fakeserver/output.go
+++ b/internal/fakeserver/output.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// Output records what goroutines or a process write to it. It is safe for concurrent use.
+// Output records the data that goroutines or processes write to it. It is safe for concurrent use.
 type Output struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -18,7 +18,7 @@
 	return o.buffer.Write(p)
 }
 
-// String returns what has been written so far.
+// String returns all data written so far.
 func (o *Output) String() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/fakeserver/resp.go
+++ b/internal/fakeserver/resp.go
@@ -17,16 +17,17 @@
 
 // lengthError reports an array or a bulk string whose length cannot be read or is out of bounds.
 type lengthError struct {
-	what   string
-	length int
-	err    error // nil if the length is out of bounds
+	element string // "array" or "string"
+	length  int
+	err     error // nil if the length is out of bounds
 }
 
 func (e *lengthError) Error() string {
 	if e.err == nil {
-		return fmt.Sprintf("length of a RESP %s is out of bounds: %d", e.what, e.length)
+		return fmt.Sprintf("length of a RESP %s is out of bounds: %d (an array has 0 to %d elements, a string 0 to %d bytes)",
+			e.element, e.length, maxArguments, maxStringLength)
 	}
-	return fmt.Sprintf("cannot read the length of a RESP %s: %v", e.what, e.err)
+	return fmt.Sprintf("cannot read the length of a RESP %s: %v", e.element, e.err)
 }
 
 func (e *lengthError) Unwrap() error { return e.err }
@@ -60,15 +61,15 @@
 	return string(text[:length]), nil
 }
 
-// readLength reads a line that holds the length of an array or a bulk string. A negative length or
-// one above limit is a lengthError.
-func readLength(reader *bufio.Reader, what, format string, limit int) (int, error) {
+// readLength reads a line that holds the length of an array or a bulk string. It returns a
+// *lengthError if it cannot read the length, or if the length is negative or greater than limit.
+func readLength(reader *bufio.Reader, element, format string, limit int) (int, error) {
 	var length int
 	if _, err := fmt.Fscanf(reader, format, &length); err != nil {
-		return 0, &lengthError{what: what, err: err}
+		return 0, &lengthError{element: element, err: err}
 	}
 	if length < 0 || length > limit {
-		return 0, &lengthError{what: what, length: length}
+		return 0, &lengthError{element: element, length: length}
 	}
 	return length, nil
 }
--- a/internal/fakeserver/server.go
+++ b/internal/fakeserver/server.go
@@ -8,12 +8,12 @@
 	"sync"
 )
 
-// CloseConnection is a reply that makes the server close the connection. For the reply "" the
+// CloseConnection is a reply that makes the server close the connection. After the reply "", the
 // server sends nothing and keeps the connection open.
 const CloseConnection = "\x00cut"
 
-// Reply returns what a server answers to a request: an answer built by Answer, CloseConnection, or
-// "" for no answer.
+// Reply returns a server's answer to a request. The answer is a result of the function Answer,
+// CloseConnection, or "" for no answer.
 type Reply func(id, fields string) string
 
 // Commands that routers send: the first argument of the RESP array.
@@ -47,9 +47,9 @@
 	return server, nil
 }
 
-// SetLoadReport sets the function that returns the fields of the answer to a health check; its
-// argument is the tag of the health check. Without such a function the server does not answer
-// health checks.
+// SetLoadReport sets the function that returns the fields of the answer to a health check. The
+// argument of the function is the tag of the health check. While the function is nil, the server
+// does not answer health checks.
 func (s *Server) SetLoadReport(loadReport func(tag string) string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fakeserver/tracing_server.go
+++ b/internal/fakeserver/tracing_server.go
@@ -12,19 +12,21 @@
 	"garnetline/routing"
 )
 
-// ClockSkew is how far the clock of a TracingServer is ahead, in ms.
+// ClockSkew is the time, in ms, by which the clock of a TracingServer is ahead of the machine's
+// clock.
 const ClockSkew = 3_600_000.0
 
-// Limits for the spans of a TracingServer.
+// Limits for the spans of a TracingServer. A verdict is a router's request to retain a trace.
 const (
 	verdictTimeout   = 60_000.0 // ms that spans wait for a verdict
 	bufferSize       = 1 << 20  // bytes of spans without a verdict
 	maxSegmentSize   = 1 << 20  // bytes
 	maxStoreSize     = 1 << 30  // bytes
-	closeTimeAdvance = 1e6      // ms; more than verdictTimeout, so that all waiting spans time out
+	closeTimeAdvance = 1e6      // ms; longer than verdictTimeout, so that all waiting spans time out
 )
 
-// fillSpanBit distinguishes the number of a fill span from that of its work span.
+// fillSpanBit is set in the number of a fill span. The other bits are those of its work span's
+// number.
 const fillSpanBit = 1 << 40
 
 // Names of the request fields that a TracingServer reads.
@@ -35,15 +37,15 @@
 	fieldClass    = "sort"
 )
 
-// Suffixes of the names of assets that are not plain hits.
+// Suffixes of asset names. A request for an asset whose name has neither suffix is a hit.
 const (
-	suffixFailing = "e" // every other request for such assets fails
-	suffixFilled  = "f" // the first request fills the asset, later ones join that fill
+	suffixFailing = "e" // every other request for assets with this suffix fails
+	suffixFilled  = "f" // the first request fills the asset, later requests join that fill
 )
 
 // TracingServer is a fake cache that records traces. It reads the request fields trace and kept,
-// buffers its spans until the router sends a verdict, and stores the spans to retain in its own
-// directory. Its clock is ahead by ClockSkew.
+// and buffers its spans until the router sends a verdict. It stores the spans of retained traces in
+// its own directory. Its clock is ahead by ClockSkew.
 type TracingServer struct {
 	Name     string
 	Parent   *TracingServer // fill source; nil: the server is a parent itself and fills from the origin
@@ -58,8 +60,8 @@
 	failingAssetRequests int
 }
 
-// NewTracingServer returns a server that stores its spans in a directory. It numbers its spans from
-// firstSpan+1 on.
+// NewTracingServer returns a server that stores its spans in the directory folder. It numbers its
+// spans from firstSpan+1 on.
 func NewTracingServer(name, folder string, parent *TracingServer, firstSpan uint64) (*TracingServer, error) {
 	writer, err := store.Open(folder, maxSegmentSize, maxStoreSize)
 	server := &TracingServer{
@@ -73,9 +75,10 @@
 	return server, err
 }
 
-// Close lets all spans that wait for a verdict time out, and closes the store. retainedFailed is
-// the number of traces that the server has retained without a verdict because its own part of the
-// request failed. The error joins those of this and of earlier writes to the store.
+// Close times out all spans that wait for a verdict, and closes the store. The result
+// retainedFailed is the number of traces that the server retained without a verdict because its own
+// part of the request failed. The error joins the errors of all writes to the store, including
+// earlier ones.
 func (s *TracingServer) Close() (retainedFailed int, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +98,7 @@
 	}
 }
 
-// newWorkSpan returns the span of the work on a request, under a new number. The caller holds s.mu.
+// newWorkSpan returns a span, with a new number, for the work on a request. The caller holds s.mu.
 func (s *TracingServer) newWorkSpan(parent trace.SpanContext, start float64, status routing.CacheStatus) trace.Span {
 	s.nextSpan++
 	return trace.Span{
@@ -107,8 +110,8 @@
 	}
 }
 
-// newFillSpan returns the span of a fill that belongs to the newest work span. The caller holds
-// s.mu.
+// newFillSpan returns a new span for the fill that belongs to the newest work span. The caller
+// holds s.mu.
 func (s *TracingServer) newFillSpan(work trace.Span, traceID trace.ID) trace.Span {
 	return trace.Span{
 		ID:     traceID.Span(s.nextSpan | fillSpanBit),
@@ -147,8 +150,9 @@
 	s.store(s.buffer.Retain(id))
 }
 
-// Serve is the Reply of the server. It answers one request with a hit, with an error, or by a fill,
-// which later requests for the same asset join. Requests are served one at a time.
+// Serve is the Reply of the server. It answers a request with a hit, with an error, or with an
+// object from a fill. Later requests for the same asset join the fill. The server handles one
+// request at a time.
 func (s *TracingServer) Serve(id, fields string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,19 +171,20 @@
 	return Answer(id, "DONE", "tag=t1,minted=1", "bytes")
 }
 
-// tracedRequest is a request that a TracingServer serves, with the trace that it records.
+// tracedRequest is a request that a TracingServer serves, with the trace that the server records
+// for it.
 type tracedRequest struct {
 	asset  string
 	parent trace.SpanContext // the router's span; zero unless traced
 	traced bool
-	record *trace.Trace // work is added to its spans at the end
+	record *trace.Trace // its spans include work only after recordRequest
 	work   trace.Span
 }
 
 func (r *tracedRequest) failed() bool { return r.record.Outcome == trace.Failed }
 
-// newRequest returns a request that is recorded as a hit unless serveAsset changes that. The caller
-// holds s.mu.
+// newRequest returns a request whose recorded result is a hit. The method serveAsset replaces the
+// result of a request that fails or needs a fill. The caller holds s.mu.
 func (s *TracingServer) newRequest(id string, values map[string]string, start float64) *tracedRequest {
 	parent, traced := trace.ParseTraceparent(values[fieldTrace])
 	return &tracedRequest{
@@ -209,9 +214,9 @@
 	return values
 }
 
-// handleVerdicts retains the traces that a router names, here and at the parent. The caller holds
-// s.mu. The traces include those of the fills that a retained request has joined, so the parent is
-// notified of each retained trace by its own ID.
+// handleVerdicts retains the traces that a router names, at this server and at its parent. If a
+// retained request has joined a fill, the trace of the fill is retained too. The parent is
+// therefore notified of each retained trace by the trace's own ID. The caller holds s.mu.
 func (s *TracingServer) handleVerdicts(verdicts string) {
 	for text := range strings.SplitSeq(verdicts, "+") {
 		id, ok := trace.ParseID(text)
@@ -227,7 +232,7 @@
 	}
 }
 
-// serveAsset serves the asset as the suffix of its name says. The caller holds s.mu.
+// serveAsset serves a request according to the suffix of the asset's name. The caller holds s.mu.
 func (s *TracingServer) serveAsset(request *tracedRequest) {
 	switch {
 	case strings.HasSuffix(request.asset, suffixFailing):
--- a/internal/faultproxy/fault.go
+++ b/internal/faultproxy/fault.go
@@ -5,31 +5,33 @@
 	"time"
 )
 
-// Fault describes what the proxy does to the traffic in one direction between two parties. The zero
-// value forwards everything at once and unchanged. Shares are from 0 to 1: shares of the datagrams
-// on UDP, and of the pieces in which the proxy reads a stream on TCP.
+// Fault describes the network faults that the proxy injects into the traffic from one party to
+// another. The zero value forwards all data immediately and unchanged. Each share is a number from
+// 0 to 1. On UDP it is a share of the datagrams. On TCP it is a share of the pieces in which the
+// proxy reads a stream.
 type Fault struct {
 	Partitioned    bool    // nothing is forwarded; on TCP the data waits until the partition heals
-	Loss           float64 // share that is lost; on TCP, share that is delayed by a retransmission
+	Loss           float64 // share that is lost; on TCP, share that is delayed as if it were retransmitted
 	Duplicate      float64 // share that is forwarded twice; UDP only
 	Reorder        float64 // share that is overtaken by later datagrams; UDP only
 	Corrupt        float64 // share in which one byte is changed
-	Delay          float64 // ms
+	Delay          float64 // ms; delay of each datagram or piece
 	Jitter         float64 // ms; maximum of an additional, uniformly distributed delay
-	BytesPerSecond float64 // limit of the throughput; 0: no limit
-	HalfClosed     bool    // TCP only: this direction is closed, the opposite one stays open
+	BytesPerSecond float64 // throughput limit; 0: no limit
+	HalfClosed     bool    // TCP only: this direction is closed, the opposite direction stays open
 }
 
 const (
-	// reorderDelay is the additional delay of a reordered datagram, which later ones overtake.
+	// reorderDelay is the additional delay of a reordered datagram. Later datagrams can overtake it
+	// in the meantime.
 	reorderDelay = 30 * time.Millisecond
-	// duplicateDelay is the time from a datagram to its duplicate.
+	// duplicateDelay is the time between the forwarding of a datagram and of its duplicate.
 	duplicateDelay = 5 * time.Millisecond
-	// retransmitDelay is the delay, in ms, of a piece of a stream that needs a retransmission. It
-	// is the minimum retransmission timeout of Linux.
+	// retransmitDelay is the delay, in ms, that simulates the retransmission of a lost piece of a
+	// stream. It equals the minimum retransmission timeout of Linux.
 	retransmitDelay = 200.0
-	// maxQueueingDelay is the longest time that a datagram waits for the limited throughput of its
-	// direction. A datagram that would wait longer is lost, as in a full queue.
+	// maxQueueingDelay is the maximum time that a datagram waits because of the throughput limit of
+	// its direction. A datagram that would wait longer is lost, as if a queue were full.
 	maxQueueingDelay = time.Second
 )
 
@@ -55,14 +57,15 @@
 	return text[1:]
 }
 
-// Counters count the datagrams and the pieces of streams of one direction.
+// Counters count the packets of one direction. A packet is a datagram, a piece of a stream, or a
+// new TCP connection.
 type Counters struct {
-	Packets     int64 // received by the proxy; a new TCP connection counts as one packet
+	Packets     int64 // received by the proxy
 	Bytes       int64 // received by the proxy
 	Partitioned int64 // packets lost or held back by a partition
-	Lost        int64 // packets lost; on TCP, pieces delayed by a retransmission
+	Lost        int64 // packets lost; on TCP, packets delayed as if they were retransmitted
 	Duplicated  int64 // packets forwarded twice
-	Corrupted   int64 // packets with a changed byte
+	Corrupted   int64 // packets in which a byte was changed
 }
 
 // milliseconds converts a number of milliseconds to a time.Duration.
--- a/internal/faultproxy/golden_test.go
+++ b/internal/faultproxy/golden_test.go
@@ -10,8 +10,8 @@
 	"garnetline/internal/golden"
 )
 
-// goldenFaults are the faults whose random draws the golden files record. None of them limits the
-// throughput, since a throughput limit depends on the real clock.
+// goldenFaults are the faults whose random draws the golden files record. No fault in the list
+// limits the throughput, since the delay under a throughput limit depends on the real clock.
 var goldenFaults = []Fault{
 	{},
 	{Loss: 0.3},
@@ -23,8 +23,8 @@
 	{Loss: 0.2, Duplicate: 0.2, Reorder: 0.2, Corrupt: 0.2, Delay: 1, Jitter: 10},
 }
 
-// TestGoldenPackets pins what a seed's random draws do to datagrams, so that a failure that an
-// experiment found can be repeated by its seed.
+// TestGoldenPackets checks that a seed always has the same effects on datagrams. A failure found in
+// an experiment can therefore be reproduced from its seed.
 func TestGoldenPackets(t *testing.T) {
 	sender := netip.MustParseAddrPort("127.0.0.1:7001")
 	proxy := New(5)
@@ -44,7 +44,7 @@
 	golden.Compare(t, "packets.txt", text.Bytes())
 }
 
-// TestGoldenStreamPieces pins what a seed's random draws do to the pieces of a stream.
+// TestGoldenStreamPieces checks that a seed always has the same effects on the pieces of a stream.
 func TestGoldenStreamPieces(t *testing.T) {
 	proxy := New(6)
 	dir := direction{from: "a", to: "b"}
@@ -65,7 +65,7 @@
 	golden.Compare(t, "pieces.txt", text.Bytes())
 }
 
-// TestGoldenSchedule pins the random schedules of two seeds.
+// TestGoldenSchedule checks that the random schedules of two seeds stay the same.
 func TestGoldenSchedule(t *testing.T) {
 	var text bytes.Buffer
 	for _, seed := range []uint64{1, 7} {
@@ -77,7 +77,8 @@
 	golden.Compare(t, "schedule.txt", text.Bytes())
 }
 
-// TestGoldenFaultText pins the text form of faults, which the logs of experiments contain.
+// TestGoldenFaultText checks that the text form of faults stays the same. The logs of experiments
+// contain this text.
 func TestGoldenFaultText(t *testing.T) {
 	var text bytes.Buffer
 	for _, fault := range append(goldenFaults, Fault{HalfClosed: true, BytesPerSecond: 300}) {
--- a/internal/faultproxy/harness_test.go
+++ b/internal/faultproxy/harness_test.go
@@ -23,7 +23,8 @@
 	return proxy
 }
 
-// party is a UDP socket that is read continuously, so that its buffer does not overflow.
+// party is an endpoint of the forwarded traffic. A goroutine reads its UDP socket continuously, so
+// that the buffer of the socket does not overflow.
 type party struct {
 	socket    *net.UDPConn
 	address   netip.AddrPort
@@ -74,7 +75,8 @@
 	}
 }
 
-// receive returns the next count datagrams. It fails the test if fewer arrive in time.
+// receive returns the next count datagrams. It fails the test if fewer arrive within
+// arrivalTimeout.
 func (p *party) receive(t *testing.T, count int) []string {
 	t.Helper()
 	timeout := time.After(arrivalTimeout)
@@ -90,7 +92,7 @@
 	return received
 }
 
-// receiveNothing fails the test if a datagram arrives.
+// receiveNothing reports an error if a datagram arrives within quietPeriod.
 func (p *party) receiveNothing(t *testing.T) {
 	t.Helper()
 	select {
@@ -100,8 +102,8 @@
 	}
 }
 
-// udpPair is the parties a and b of a proxy, and the addresses at which the proxy receives the
-// datagrams that it forwards to each of them.
+// udpPair holds the parties a and b of a proxy. The proxy forwards datagrams that it receives at
+// toA to a, and datagrams that it receives at toB to b.
 type udpPair struct {
 	proxy    *Proxy
 	a, b     *party
@@ -121,12 +123,12 @@
 	return pair
 }
 
-// waitUntil waits until a condition holds. It fails the test if the condition does not hold in
-// time.
-func waitUntil(t *testing.T, condition string, holds func() bool) {
+// waitUntil waits until predicate returns true. It fails the test if that does not happen within
+// arrivalTimeout. The text condition describes the predicate in the failure message.
+func waitUntil(t *testing.T, condition string, predicate func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(arrivalTimeout)
-	for !holds() {
+	for !predicate() {
 		if time.Now().After(deadline) {
 			t.Fatalf("condition not met within %v: %s", arrivalTimeout, condition)
 		}
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -1,10 +1,11 @@
-// Package faultproxy is a proxy for UDP and TCP on the loopback interface that injects network
-// faults. Each ordered pair of parties has a link of its own, so that traffic from one to the
-// other can be partitioned, delayed, lost, duplicated, reordered, corrupted, half-closed or
-// throttled while the opposite direction is not, on command or by a schedule.
+// Package faultproxy provides a proxy for UDP and TCP on the loopback interface that injects
+// network faults between named parties, such as routers and servers. Each direction between two
+// parties has its own fault. The proxy can partition, delay, lose, duplicate, reorder, corrupt,
+// half-close or throttle the traffic of one direction while it forwards the opposite direction
+// unchanged. Faults are set by calls or by a schedule.
 //
-// Faults are drawn from a seed, so that a failure can be repeated. The package is for tests and
-// experiments; nothing in the router uses it.
+// A random number generator with a given seed draws the faults, so that a failure can be
+// reproduced. The package is for tests and experiments; nothing in the router uses it.
 package faultproxy
 
 import (
@@ -16,7 +17,8 @@
 	"time"
 )
 
-// Streams of the random number generator. Each seed has both.
+// Streams of the random number generator. Faults and schedules with the same seed draw from
+// different streams.
 const (
 	faultStream    = 1
 	scheduleStream = 2
@@ -25,7 +27,7 @@
 // Proxy forwards traffic between named parties. Its methods may be called by any goroutine.
 type Proxy struct {
 	mu         sync.Mutex
-	random     *rand.Rand // draws faults; a seed repeats the same sequence of draws
+	random     *rand.Rand // draws faults; the same seed gives the same sequence of draws
 	links      map[direction]*link
 	senders    map[netip.AddrPort]string // names of UDP parties by the address of their own socket
 	sockets    []io.Closer               // open sockets, which Close closes
@@ -49,11 +51,12 @@
 type link struct {
 	fault     Fault
 	counters  Counters
-	busyUntil time.Time     // when all datagrams so far will have passed a limited throughput
+	busyUntil time.Time     // time until which earlier datagrams use the limited throughput
 	changed   chan struct{} // closed, and replaced, when fault changes or the proxy is closed
 }
 
-// New returns a Proxy that draws its faults from a seed. The caller must close it.
+// New returns a Proxy that draws its random faults with the given seed. The caller must close the
+// Proxy.
 func New(seed uint64) *Proxy {
 	return &Proxy{
 		random:    rand.New(rand.NewPCG(seed, faultStream)),
@@ -63,7 +66,7 @@
 	}
 }
 
-// link returns the link of a direction and creates it if needed. The caller holds the lock.
+// link returns the link of a direction and creates it if needed. The caller holds p.mu.
 func (p *Proxy) link(dir direction) *link {
 	state := p.links[dir]
 	if state == nil {
@@ -73,7 +76,7 @@
 	return state
 }
 
-// notifyChanged wakes the streams that are waiting on the link. The caller holds the lock.
+// notifyChanged wakes the streams that are waiting on the link. The caller holds Proxy.mu.
 func (l *link) notifyChanged() {
 	close(l.changed)
 	l.changed = make(chan struct{})
@@ -95,7 +98,7 @@
 	p.Set(b, a, fault)
 }
 
-// Partition stops the traffic between each party of one side and each party of the other, in both
+// Partition stops the traffic between each party of sideA and each party of sideB, in both
 // directions.
 func (p *Proxy) Partition(sideA, sideB []string) {
 	for _, partyA := range sideA {
@@ -139,9 +142,9 @@
 	return slices.Clone(p.log)
 }
 
-// Close closes all sockets and connections of the proxy and waits until the goroutines that forward
-// have ended. Delayed datagrams that have not been forwarded yet are lost. Further calls do
-// nothing.
+// Close closes all sockets and connections of the proxy and waits until all forwarding goroutines
+// have ended. Delayed datagrams that have not been forwarded yet are lost. Further calls of Close
+// do nothing.
 func (p *Proxy) Close() {
 	for _, socket := range p.markClosed() {
 		closeIgnoringError(socket)
@@ -149,8 +152,8 @@
 	p.forwarders.Wait()
 }
 
-// markClosed makes track refuse further sockets, wakes the streams that are waiting, and returns
-// the open sockets.
+// markClosed marks the proxy as closed, so that track refuses further sockets. It wakes the streams
+// that are waiting on a link and returns the open sockets.
 func (p *Proxy) markClosed() []io.Closer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -164,7 +167,7 @@
 }
 
 // track registers a socket that Close is to close, and reports whether the proxy is still open. If
-// the proxy is closed, track closes the socket at once.
+// the proxy is closed already, track closes the socket.
 func (p *Proxy) track(socket io.Closer) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -176,7 +179,7 @@
 	return true
 }
 
-// closeTracked closes a socket and removes it from the sockets that Close closes.
+// closeTracked closes a socket and removes it from the list of sockets that Close closes.
 func (p *Proxy) closeTracked(socket io.Closer) {
 	closeIgnoringError(socket)
 	p.mu.Lock()
@@ -187,14 +190,15 @@
 // closeIgnoringError closes a socket that is no longer needed and may be closed already.
 func closeIgnoringError(socket io.Closer) { _ = socket.Close() }
 
-// chance draws whether a fault that affects a share of the packets affects this one. It draws no
-// random number for a share of 0. The caller holds the lock.
+// chance draws a random number and reports whether a fault that affects the given share of packets
+// affects the current packet. If the share is 0, chance draws no random number. The caller holds
+// p.mu.
 func (p *Proxy) chance(share float64) bool {
 	return share > 0 && p.random.Float64() < share
 }
 
-// corrupt changes one byte of the packet if the packet is drawn for corruption. The caller holds
-// the lock.
+// corrupt changes one byte of the packet with the probability that the link's fault specifies. The
+// caller holds p.mu.
 func (p *Proxy) corrupt(state *link, packet []byte) {
 	if !p.chance(state.fault.Corrupt) || len(packet) == 0 {
 		return
@@ -205,8 +209,7 @@
 	packet[position] ^= change
 }
 
-// delay draws the delay of a packet in ms from its link's delay and jitter. The caller holds the
-// lock.
+// delay draws the delay of a packet in ms from its link's delay and jitter. The caller holds p.mu.
 func (p *Proxy) delay(state *link) float64 {
 	return state.fault.Delay + state.fault.Jitter*p.random.Float64()
 }
--- a/internal/faultproxy/schedule.go
+++ b/internal/faultproxy/schedule.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// maxFaultStart is the fraction of a schedule's span within which all its faults begin.
+// maxFaultStart is the latest start of a fault, as a fraction of the schedule's span.
 const maxFaultStart = 0.7
 
 // Step is one change of a fault in a schedule.
@@ -17,9 +17,10 @@
 	Fault    Fault
 }
 
-// RandomSchedule draws a schedule from a seed: the given number of faults, of random kinds, between
-// random parties, of which there must be at least two. Each fault begins and is removed within the
-// span. The steps are sorted by time.
+// RandomSchedule draws a schedule from a seed. The schedule has the given number of faults. Each
+// fault is of a random kind and affects a random direction between two parties, so at least two
+// parties are needed. Each fault begins and is removed within the span. The steps are sorted by
+// time.
 func RandomSchedule(seed uint64, parties []string, kinds []Fault, faults int, span time.Duration) []Step {
 	random := rand.New(rand.NewPCG(seed, scheduleStream))
 	var steps []Step
@@ -47,8 +48,8 @@
 	return direction{parties[from], parties[to]}
 }
 
-// RunSchedule applies each step of a schedule at its time. It returns after the last step, or
-// earlier when stop is closed; stop may be nil.
+// RunSchedule applies each step of a schedule at its time. It returns after the last step, or as
+// soon as the channel stop is closed. The channel may be nil.
 func (p *Proxy) RunSchedule(steps []Step, stop <-chan struct{}) {
 	startedAt := time.Now()
 	for _, step := range steps {
--- a/internal/faultproxy/schedule_test.go
+++ b/internal/faultproxy/schedule_test.go
@@ -20,10 +20,10 @@
 func TestRandomScheduleDependsOnSeedAlone(t *testing.T) {
 	steps := newSchedule(7, time.Second)
 	if repeated := newSchedule(7, time.Second); !reflect.DeepEqual(steps, repeated) {
-		t.Errorf("one seed gives two schedules:\n%v\nand\n%v", steps, repeated)
+		t.Errorf("seed 7 gave two different schedules:\n%v\nand\n%v", steps, repeated)
 	}
 	if reflect.DeepEqual(steps, newSchedule(8, time.Second)) {
-		t.Error("two seeds give the same schedule")
+		t.Error("seeds 7 and 8 gave the same schedule, want different ones")
 	}
 }
 
@@ -38,10 +38,10 @@
 			t.Errorf("step %d: got the same party twice, want two different parties: %+v", i, step)
 		}
 		if i > 0 && step.At < steps[i-1].At {
-			t.Errorf("step %d at %v comes after one at %v", i, step.At, steps[i-1].At)
+			t.Errorf("step %d is at %v, before the previous step at %v", i, step.At, steps[i-1].At)
 		}
 		if step.At > span {
-			t.Errorf("step %d is at %v, after the span of %v", i, step.At, span)
+			t.Errorf("step %d is at %v, want at most the span of %v", i, step.At, span)
 		}
 	}
 }
--- a/internal/faultproxy/tcp.go
+++ b/internal/faultproxy/tcp.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// connectTimeout is the time limit for the connection to a target.
+	// connectTimeout is the time limit for connecting to a target.
 	connectTimeout = time.Second
 	// maxPieceSize is the maximum number of bytes of a stream that are read and forwarded at once.
 	maxPieceSize = 32 << 10
 )
 
-// TCP returns the address at which the party from reaches the party to, whose listener is at
-// target. Each ordered pair of parties needs its own address. TCP returns net.ErrClosed if the
-// proxy is closed.
-func (p *Proxy) TCP(from, to, target string) (string, error) {
+// TCP returns the address of a new listener of the proxy. The party clientName connects to this
+// address to reach the party serverName. The proxy forwards each connection to target, the address
+// of that party's own listener. Each ordered pair of parties needs its own call. TCP returns
+// net.ErrClosed if the proxy is closed.
+func (p *Proxy) TCP(clientName, serverName, target string) (string, error) {
 	var config net.ListenConfig
 	listener, err := config.Listen(context.Background(), "tcp", net.JoinHostPort(loopback.String(), "0"))
 	if err != nil {
@@ -27,7 +28,7 @@
 	if !p.track(listener) {
 		return "", net.ErrClosed
 	}
-	p.forwarders.Go(func() { p.acceptConnections(listener, direction{from, to}, target) })
+	p.forwarders.Go(func() { p.acceptConnections(listener, direction{clientName, serverName}, target) })
 	return listener.Addr().String(), nil
 }
 
@@ -42,8 +43,8 @@
 	}
 }
 
-// forwardConnection forwards one connection until both directions have ended. It waits for the end
-// of a partition before it connects to the target.
+// forwardConnection forwards one connection until both directions have ended. If the direction is
+// partitioned, forwardConnection connects to the target after the partition has healed.
 func (p *Proxy) forwardConnection(client net.Conn, dir direction, target string) {
 	if !p.track(client) {
 		return
@@ -61,17 +62,18 @@
 		return
 	}
 	defer p.closeTracked(server)
-	backEnded := make(chan struct{})
+	reverseEnded := make(chan struct{})
 	p.forwarders.Go(func() {
-		defer close(backEnded)
+		defer close(reverseEnded)
 		p.forwardStream(client, server, direction{dir.to, dir.from})
 	})
 	p.forwardStream(server, client, dir)
-	<-backEnded
+	<-reverseEnded
 }
 
-// forwardStream forwards one direction of a connection until it ends. At the end of the stream it
-// closes only this direction of dst; after a read error it closes dst.
+// forwardStream forwards one direction of a connection until that direction ends. When the stream
+// ends or can no longer be forwarded, forwardStream closes only the writing side of dst. After a
+// read error it closes dst completely.
 func (p *Proxy) forwardStream(dst, src net.Conn, dir direction) {
 	buffer := make([]byte, maxPieceSize)
 	for {
@@ -99,16 +101,16 @@
 	}
 	p.corruptPiece(dir, piece)
 	if _, err := dst.Write(piece); err != nil {
-		// An open connection would hide from the sender that its peer is gone.
+		// If src stayed open, the sender would not learn that its peer is gone.
 		closeIgnoringError(src)
 		return false
 	}
 	return true
 }
 
-// waitToForward waits until a piece of a stream, or with a size of 0 a new connection, may be
-// forwarded. It returns false if forwarding is not possible, because the direction is half-closed
-// or the proxy is closed.
+// waitToForward waits until a piece of a stream may be forwarded. A size of 0 stands for a new
+// connection. waitToForward returns false if nothing may be forwarded, because the direction is
+// half-closed or the proxy is closed.
 func (p *Proxy) waitToForward(dir direction, size int) bool {
 	p.mu.Lock()
 	state := p.link(dir)
@@ -131,15 +133,16 @@
 	}
 }
 
-// corruptPiece changes one byte of the piece if the piece is drawn for corruption.
+// corruptPiece changes one byte of the piece with the probability that the direction's fault
+// specifies.
 func (p *Proxy) corruptPiece(dir direction, piece []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.corrupt(p.link(dir), piece)
 }
 
-// countPiece counts a piece of a stream, or with a size of 0 a new connection. The caller holds the
-// lock.
+// countPiece counts a piece of a stream. A size of 0 stands for a new connection. The caller holds
+// Proxy.mu.
 func (l *link) countPiece(size int) {
 	l.counters.Packets++
 	l.counters.Bytes += int64(size)
@@ -148,7 +151,7 @@
 	}
 }
 
-// pieceDelay draws the delay of a piece of a stream. The caller holds the lock.
+// pieceDelay draws the delay of a piece of a stream. The caller holds p.mu.
 func (p *Proxy) pieceDelay(state *link, size int) time.Duration {
 	delay := p.delay(state) // ms
 	if p.chance(state.fault.Loss) {
--- a/internal/faultproxy/tcp_test.go
+++ b/internal/faultproxy/tcp_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// tcpPair is a listener of the party b, and the address at which the party a reaches it.
+// tcpPair holds a listener of the party b, and the proxy's address through which the party a
+// connects to the listener.
 type tcpPair struct {
 	proxy    *Proxy
 	listener *net.TCPListener
@@ -42,7 +43,8 @@
 	})
 }
 
-// dial returns a's end of a new connection. The proxy accepts the connection whatever the fault.
+// dial returns a's end of a new connection. The proxy accepts the connection even while a fault is
+// set.
 func (p *tcpPair) dial(t *testing.T) net.Conn {
 	t.Helper()
 	conn, err := (&net.Dialer{Timeout: arrivalTimeout}).DialContext(t.Context(), "tcp", p.address)
@@ -53,8 +55,8 @@
 	return conn
 }
 
-// acceptWithin returns b's end of the next connection, or an error if no connection arrives in
-// time.
+// acceptWithin returns b's end of the next connection, or an error if no connection arrives within
+// the timeout.
 func (p *tcpPair) acceptWithin(t *testing.T, timeout time.Duration) (net.Conn, error) {
 	t.Helper()
 	if err := p.listener.SetDeadline(time.Now().Add(timeout)); err != nil {
@@ -85,27 +87,29 @@
 	}
 }
 
-// read returns the next bytes of a connection, as many as are wanted or as arrive in time.
-func read(t *testing.T, conn net.Conn, want int, timeout time.Duration) (string, error) {
+// read returns the next size bytes of a connection. If fewer bytes arrive within the timeout, read
+// returns these bytes and an error.
+func read(t *testing.T, conn net.Conn, size int, timeout time.Duration) (string, error) {
 	t.Helper()
 	if err := conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		t.Fatal(err)
 	}
-	buffer := make([]byte, want)
+	buffer := make([]byte, size)
 	n, err := io.ReadFull(conn, buffer)
 	return string(buffer[:n]), err
 }
 
-// expect fails the test unless the wanted text arrives next on a connection.
-func expect(t *testing.T, conn net.Conn, want string) {
+// expect fails the test unless the next bytes of a connection are the expected text.
+func expect(t *testing.T, conn net.Conn, expected string) {
 	t.Helper()
-	got, err := read(t, conn, len(want), arrivalTimeout)
-	if err != nil || got != want {
-		t.Fatalf("read %q, error %v; want %q", got, err, want)
+	got, err := read(t, conn, len(expected), arrivalTimeout)
+	if err != nil || got != expected {
+		t.Fatalf("read %q, error %v; want %q", got, err, expected)
 	}
 }
 
-// expectNothing fails the test if data arrives on a connection or the connection ends.
+// expectNothing fails the test if data arrives on a connection, or the connection ends, within
+// quietPeriod.
 func expectNothing(t *testing.T, conn net.Conn) {
 	t.Helper()
 	got, err := read(t, conn, 1, quietPeriod)
@@ -203,6 +207,6 @@
 	write(t, connA, "never")
 	pair.proxy.Close()
 	if got, err := read(t, connB, 1, arrivalTimeout); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("read %q, error %v; want the connection closed", got, err)
+		t.Errorf("read %q, error %v; want a closed connection", got, err)
 	}
 }
--- a/internal/faultproxy/udp.go
+++ b/internal/faultproxy/udp.go
@@ -8,16 +8,17 @@
 	"time"
 )
 
-// maxDatagramSize is larger than any UDP datagram, in bytes.
+// maxDatagramSize is the size of a receive buffer in bytes. No UDP datagram is larger.
 const maxDatagramSize = 1 << 16
 
 // loopback is the address on which the proxy listens.
 var loopback = net.IPv4(127, 0, 0, 1)
 
-// UDP returns the address at which other parties reach the party with the given name, whose own
-// socket is at target. The proxy identifies a sender by the address of its own socket, so UDP must
-// have been called for the sender too; all other senders count as the party "". UDP returns
-// net.ErrClosed if the proxy is closed.
+// UDP returns the address to which other parties send datagrams for the party with the given name.
+// The proxy forwards the datagrams to target, the address of the party's own socket. The proxy also
+// identifies each sender by the address of the sender's own socket, so UDP must be called for the
+// sender too. Any other sender counts as the party "". UDP returns net.ErrClosed if the proxy is
+// closed.
 func (p *Proxy) UDP(name string, target netip.AddrPort) (netip.AddrPort, error) {
 	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: loopback})
 	if err != nil {
@@ -39,8 +40,8 @@
 	address netip.AddrPort // of its own socket
 }
 
-// forwardDatagrams forwards the datagrams that a socket receives to its party until the socket is
-// closed.
+// forwardDatagrams forwards the datagrams that arrive at a socket to the receiver until the socket
+// is closed.
 func (p *Proxy) forwardDatagrams(socket *net.UDPConn, receiver udpParty) {
 	buffer := make([]byte, maxDatagramSize)
 	for {
@@ -49,7 +50,7 @@
 			return
 		}
 		if err != nil {
-			continue // the receiver refused an earlier datagram, since it is not listening yet
+			continue // the receiver was not listening yet and refused an earlier datagram
 		}
 		sender = netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())
 		packet := slices.Clone(buffer[:size])
@@ -59,11 +60,11 @@
 	}
 }
 
-// forwardAfter forwards a datagram after a delay. If the delay is not positive, it forwards it
-// before it returns.
+// forwardAfter forwards a datagram after a delay. If the delay is 0 or negative, forwardAfter
+// forwards the datagram before it returns.
 func forwardAfter(delay time.Duration, socket *net.UDPConn, receiver udpParty, packet []byte) {
 	forward := func() {
-		// A failed write loses the datagram without notice to the sender, as a network does.
+		// If the write fails, the datagram is lost without notice to the sender, as in a network.
 		_, _ = socket.WriteToUDPAddrPort(packet, receiver.address)
 	}
 	if delay <= 0 {
@@ -73,8 +74,8 @@
 	time.AfterFunc(delay, forward)
 }
 
-// datagramDelays returns the delay of each copy of a datagram that is to be forwarded; there is
-// none if the datagram is lost. It may change a byte of the packet.
+// datagramDelays returns one delay for each copy of a datagram that the proxy forwards. It returns
+// no delay if the datagram is lost. It may change a byte of the packet.
 func (p *Proxy) datagramDelays(sender netip.AddrPort, to string, packet []byte) []time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -108,8 +109,9 @@
 	return delays
 }
 
-// queueingDelay returns how long a datagram of size bytes waits until it and those before it have
-// passed the limited throughput of the link. The caller holds the lock.
+// queueingDelay returns the waiting time that the throughput limit of the link imposes on a
+// datagram of size bytes. The waiting time covers the transmission of this datagram and of the
+// datagrams before it. The caller holds Proxy.mu.
 func (l *link) queueingDelay(size int) time.Duration {
 	if l.fault.BytesPerSecond <= 0 {
 		return 0
--- a/internal/faultproxy/udp_test.go
+++ b/internal/faultproxy/udp_test.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// sentDatagrams is the number of datagrams that a test sends from a to b. Each carries its
-	// number.
+	// sentDatagrams is the number of datagrams that a test sends from a to b. Each datagram
+	// contains its number as text.
 	sentDatagrams = 200
-	// sentAtOnce and maxOutstanding prevent the sockets of the proxy and of b from losing datagrams
-	// when their buffers are full. The default buffer of Linux holds 256 datagrams of this size.
-	// After each wait, b can receive the outstanding datagrams and at most two for each datagram of
-	// the next batch.
+	// sentAtOnce is the number of datagrams in a batch. maxOutstanding is the maximum number of
+	// forwarded datagrams that b has not received when the next batch begins. Both limits prevent
+	// the sockets of the proxy and of b from losing datagrams because of a full buffer. The default
+	// buffer of Linux holds 256 datagrams of this size. The buffer of b must hold at most the
+	// outstanding datagrams and two copies of each datagram of the next batch: 220 datagrams.
 	sentAtOnce     = 50
 	maxOutstanding = 120
 )
@@ -47,8 +48,8 @@
 	return all
 }
 
-// Each fault affects the traffic of its own direction as documented and leaves the opposite
-// direction unaffected.
+// Each fault affects the traffic of its own direction as documented. It does not affect the
+// opposite direction.
 func TestUDPFaults(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -82,7 +83,7 @@
 
 			pair.b.send(t, pair.toA, "back")
 			if got := pair.a.receive(t, 1)[0]; got != "back" {
-				t.Errorf("a received %q from b, want back", got)
+				t.Errorf("a received %q from b, want \"back\"", got)
 			}
 		})
 	}
@@ -146,12 +147,12 @@
 	}
 }
 
-// Datagrams above the throughput limit wait for up to a second. A datagram that would wait longer
-// is lost.
+// When datagrams arrive faster than the throughput limit allows, each datagram waits for up to a
+// second. A datagram that would wait longer is lost.
 func TestUDPThroughputIsLimited(t *testing.T) {
 	const (
 		perSecond = 100               // datagrams
-		interval  = time.Second / 100 // from one to the next
+		interval  = time.Second / 100 // between two datagrams
 		tolerance = time.Millisecond  // for the rounding of the intervals
 	)
 	pair := newUDPPair(t)
@@ -167,12 +168,12 @@
 	}
 	pair.b.receive(t, forwarded)
 	if elapsed := time.Since(startedAt); elapsed < time.Duration(forwarded)*interval-tolerance {
-		t.Errorf("%d datagrams at %d a second took %v, want longer", forwarded, perSecond, elapsed)
+		t.Errorf("%d datagrams at a limit of %d a second arrived within %v, want a longer time", forwarded, perSecond, elapsed)
 	}
 	pair.b.receiveNothing(t)
 	pair.b.send(t, pair.toA, "back")
 	if got := pair.a.receive(t, 1)[0]; got != "back" {
-		t.Errorf("a received %q from b, want back", got)
+		t.Errorf("a received %q from b, want \"back\"", got)
 	}
 }
 
@@ -197,17 +198,18 @@
 	pair.proxy.Heal()
 	pair.a.send(t, pair.toB, "healed")
 	if got := pair.b.receive(t, 1)[0]; got != "healed" {
-		t.Errorf("received %q, want healed", got)
+		t.Errorf("received %q, want \"healed\"", got)
 	}
 }
 
-// A sender whose address the proxy does not know has its own link, without faults.
+// Datagrams of a sender whose address the proxy does not know are forwarded on a link of their own.
+// The faults of known senders do not affect them.
 func TestUnknownUDPSenderIsForwarded(t *testing.T) {
 	pair := newUDPPair(t)
 	pair.proxy.Set("a", "b", Fault{Partitioned: true})
 	newParty(t).send(t, pair.toB, "unknown")
 	if got := pair.b.receive(t, 1)[0]; got != "unknown" {
-		t.Errorf("received %q, want unknown", got)
+		t.Errorf("received %q, want \"unknown\"", got)
 	}
 	if got := pair.proxy.Counters("", "b").Packets; got != 1 {
 		t.Errorf("got %d packets of unknown senders counted, want 1", got)
--- a/internal/testcluster/addresses.go
+++ b/internal/testcluster/addresses.go
@@ -15,7 +15,7 @@
 	clientPort     = 8080
 	adminPort      = 8081 // in the configuration file; EDGE_MGMT replaces it for each process
 	fleetPort      = 7946
-	firstAdminPort = 9000 // the nth process of a router listens on firstAdminPort + n
+	firstAdminPort = 9000 // the admin API of a router's nth process listens on firstAdminPort + n
 )
 
 // A cluster claims a block of addresses by listening on claimPort of the block's last address.
@@ -41,7 +41,7 @@
 			return block, nil
 		}
 	}
-	return nil, fmt.Errorf("found no free block of loopback addresses: %w", lastErr)
+	return nil, fmt.Errorf("found no free block of loopback addresses in %d attempts: %w", maxClaimAttempts, lastErr)
 }
 
 func (b *addressBlock) listen() (err error) {
@@ -51,7 +51,7 @@
 }
 
 // randomBlock returns the first address of a random block of 256 addresses between 127.64.0.0 and
-// 127.191.255.255. Each attempt returns another random block.
+// 127.191.255.255. A different attempt number gives a different random block.
 func randomBlock(attempt int) netip.Addr {
 	hash := fnv.New32a()
 	_, _ = fmt.Fprint(hash, os.Getpid(), time.Now().UnixNano(), attempt)
@@ -59,7 +59,7 @@
 	return netip.AddrFrom4([4]byte{127, byte(64 + sum%128), byte(sum >> 8), 0})
 }
 
-// address returns the address of the block that ends in lastByte.
+// address returns the address in the block whose last byte is lastByte.
 func (b *addressBlock) address(lastByte int) netip.Addr {
 	bytes := b.base.As4()
 	bytes[3] = byte(lastByte)
--- a/internal/testcluster/admin.go
+++ b/internal/testcluster/admin.go
@@ -27,7 +27,7 @@
 }
 
 func (e *statusError) Error() string {
-	return fmt.Sprintf("%s: expected status 200, got %d", e.path, e.code)
+	return fmt.Sprintf("admin API path %s: expected status 200, got %d", e.path, e.code)
 }
 
 // CallAdmin sends one request without a body to the admin API of the router's newest process, and
@@ -36,7 +36,7 @@
 	return sendRequest(r.AdminAddr, method+" "+path+" HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", adminTimeout)
 }
 
-// getPage requests a JSON page of the admin API and decodes it into page.
+// getPage requests a JSON page of the admin API and decodes it into the value that page points to.
 func (r *Router) getPage(path string, page any) error {
 	code, body, err := r.CallAdmin(http.MethodGet, path)
 	if err == nil && code != http.StatusOK {
@@ -46,7 +46,7 @@
 		err = json.Unmarshal(body, page)
 	}
 	if err != nil {
-		return fmt.Errorf("%s: %s: %w", r.Name, path, err)
+		return fmt.Errorf("%s: cannot get %s: %w", r.Name, path, err)
 	}
 	return nil
 }
--- a/internal/testcluster/bans_test.go
+++ b/internal/testcluster/bans_test.go
@@ -15,11 +15,11 @@
 	"garnetline/internal/fleet/bans"
 )
 
-// Eight routers, five of them voters, keep the bans that operators set. The bans survive the kill
-// of all processes and the loss of all files except the voters' logs, and a router that reports
-// that it is ready has them. A minority of the routers can ban a server but cannot enable one, and
-// its ban is registered after the partition heals. The same applies while a majority of the voters
-// is down.
+// Eight routers, five of them voters, keep the bans that operators set. The bans survive when all
+// processes are killed and all files except the voters' logs and the router identities are lost. A
+// router that reports that it is ready applies the bans. A minority of the routers can ban a server
+// but cannot enable a server. The minority's ban is registered after the partition heals. The same
+// rules apply while a majority of the voters is down.
 func TestBansSurviveRestartsAndPartitions(t *testing.T) {
 	cluster := startFleet(t, Options{Routers: 8, Servers: 4, Voters: 5, LeaseSettings: " bans {\n  every_ms = 200\n }\n", Seed: 31})
 	test := &bansTest{clusterTest: cluster, load: cluster.StartLoad(50*time.Millisecond, cluster.Routers...)}
@@ -66,13 +66,13 @@
 	return status
 }
 
-// waitForRegistered waits until every router has read the ban, or the end of the ban, from the
+// waitForRegistered waits until every router has read the expected ban, or end of a ban, from the
 // registry.
-func (b *bansTest) waitForRegistered(want registeredBan, routers ...*Router) {
+func (b *bansTest) waitForRegistered(expected registeredBan, routers ...*Router) {
 	b.t.Helper()
-	b.waitUntil(want.String(), func() (bool, string) {
+	b.waitUntil(expected.String(), func() (bool, string) {
 		for _, router := range routers {
-			if registered := b.bans(router).Bans; !slices.ContainsFunc(registered, want.matches) {
+			if registered := b.bans(router).Bans; !slices.ContainsFunc(registered, expected.matches) {
 				return false, fmt.Sprintf("%s: %+v", router.Name, registered)
 			}
 		}
@@ -80,7 +80,7 @@
 	})
 }
 
-// expectDisabledHere reports an error for each of the servers that the router itself has not
+// expectDisabledHere reports an error for each given server that the router itself has not
 // disabled.
 func (b *bansTest) expectDisabledHere(router *Router, servers ...string) {
 	b.t.Helper()
@@ -114,8 +114,8 @@
 	b.waitForRegistered(registeredBan{server: server, disabled: false}, b.Routers...)
 }
 
-// expectCommand runs a subcommand of "fleet bans" and reports an error for each wanted text that
-// its output does not contain.
+// expectCommand runs a subcommand of "fleet bans". It reports an error for each wanted text that is
+// missing from the output.
 func (b *bansTest) expectCommand(args []string, wanted ...string) {
 	b.t.Helper()
 	command := exec.CommandContext(b.t.Context(), program, append([]string{"fleet", "bans"}, args...)...)
@@ -127,15 +127,15 @@
 	}
 }
 
-// rejectEnableOfOlderVersion checks that a server cannot be enabled by a version of its ban that is
-// not the newest.
+// rejectEnableOfOlderVersion checks that the admin API rejects a call to enable a server if the
+// call names an older version of the server's ban.
 func (b *bansTest) rejectEnableOfOlderVersion() {
 	b.t.Helper()
 	b.post(b.Routers[0], "/fleet/bans/enable/"+b.servers[0]+"/1/bob/an%20older%20view", http.StatusServiceUnavailable)
 }
 
 // restartWithVoterLogsAlone kills all routers, removes their local files except the voters' logs
-// and the router identities, and starts them again.
+// and the router identities, and starts the routers again.
 func (b *bansTest) restartWithVoterLogsAlone() {
 	b.t.Helper()
 	for _, router := range b.Routers {
@@ -170,7 +170,7 @@
 }
 
 // banInMinority bans a server on each side of a partition, and checks that the minority cannot
-// enable one.
+// enable a server.
 func (b *bansTest) banInMinority() {
 	b.t.Helper()
 	majority, minority := b.Routers[:6], b.Routers[6:]
@@ -187,7 +187,7 @@
 }
 
 // banWithoutVoterMajority bans a server while three of five voters are down, and checks that no
-// server can be enabled meanwhile.
+// server can be enabled during this time.
 func (b *bansTest) banWithoutVoterMajority() {
 	b.t.Helper()
 	down, caller := b.Routers[:3], b.Routers[5]
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -12,7 +12,7 @@
 )
 
 // changeLogBase is the sequence number of the event in the routers' configuration. The first event
-// of the change log follows it.
+// of the change log has the next sequence number.
 const changeLogBase = 1
 
 // Cluster is a set of running routers, fake servers and a change log, with the fault proxy between
@@ -65,11 +65,11 @@
 	return nil
 }
 
-// routerName returns the name of the router with the given index, from 0 on.
+// routerName returns the name of the router with the given index. Indexes start at 0.
 func routerName(index int) string { return fmt.Sprintf("r%02d", index) }
 
-// AddRouter starts another router at the addresses of the given index. Two routers may have the
-// same name: each has its own files.
+// AddRouter starts another router. The index selects the router's addresses. Two routers may have
+// the same name, since the name of a router's directory includes the index.
 func (c *Cluster) AddRouter(name string, index int) (*Router, error) {
 	router, err := c.newRouter(name, index)
 	if err != nil {
@@ -81,14 +81,14 @@
 	return router, router.Start()
 }
 
-// Running returns the routers whose processes have not exited, including paused ones and without
-// those in except.
-func (c *Cluster) Running(except ...*Router) []*Router {
+// Running returns the routers whose processes have not exited, including paused routers. It leaves
+// out the excluded routers.
+func (c *Cluster) Running(excluded ...*Router) []*Router {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var running []*Router
 	for _, router := range c.Routers {
-		if router.Running() && !slices.Contains(except, router) {
+		if router.Running() && !slices.Contains(excluded, router) {
 			running = append(running, router)
 		}
 	}
--- a/internal/testcluster/conditions.go
+++ b/internal/testcluster/conditions.go
@@ -11,7 +11,7 @@
 
 const (
 	pollInterval = 20 * time.Millisecond // between two evaluations of a condition
-	logLines     = 12                    // lines of the log of each router in a TimeoutError
+	logLines     = 12                    // number of lines of each router's log in a TimeoutError
 )
 
 // Member states as the admin API prints them.
@@ -21,22 +21,23 @@
 	stateLeft    = "left"
 )
 
-// Condition reports whether a condition is met and, if it is not, what was observed instead.
+// Condition reports whether a condition is met. If it is not met, observed describes the state that
+// was found instead.
 type Condition func() (met bool, observed string)
 
 // TimeoutError reports a condition that was not met in time.
 type TimeoutError struct {
 	Condition string
 	Timeout   time.Duration
-	Observed  string // by the last evaluation
+	Observed  string // state found by the last evaluation
 	Logs      string // the last lines of the routers' logs
 }
 
 func (e *TimeoutError) Error() string {
-	return fmt.Sprintf("%s: not met within %v: %s\n%s", e.Condition, e.Timeout, e.Observed, e.Logs)
+	return fmt.Sprintf("condition %q not met within %v, last observed: %s\n%s", e.Condition, e.Timeout, e.Observed, e.Logs)
 }
 
-// WaitUntil waits until a condition is met and returns how long that took. If the condition is not
+// WaitUntil waits until a condition is met and returns the elapsed time. If the condition is not
 // met within the timeout, the error is a *TimeoutError.
 func (c *Cluster) WaitUntil(description string, timeout time.Duration, condition Condition) (time.Duration, error) {
 	startedAt := time.Now()
@@ -53,11 +54,11 @@
 	}
 }
 
-// statusCheck reports whether a router's status is as expected and, if it is not, what was observed
-// instead.
+// statusCheck reports whether a router's status is as expected. If it is not, observed describes
+// the status that was found instead.
 type statusCheck func(router *Router, status *fleet.Status) (met bool, observed string)
 
-// waitForStatus waits until check accepts the status of every router.
+// waitForStatus waits until the function check accepts the status of every router.
 func (c *Cluster) waitForStatus(description string, timeout time.Duration, routers []*Router, check statusCheck) (time.Duration, error) {
 	return c.WaitUntil(description, timeout, func() (bool, string) {
 		for _, router := range routers {
@@ -85,30 +86,32 @@
 
 // WaitForState waits until every observer sees the router in the given state.
 func (c *Cluster) WaitForState(timeout time.Duration, router *Router, state string, observers ...*Router) (time.Duration, error) {
-	description := router.Name + " is " + state + " in each view"
+	description := router.Name + " is " + state + " in each router's view"
 	return c.waitForStatus(description, timeout, observers, func(_ *Router, status *fleet.Status) (bool, string) {
 		seen := memberState(status, router)
-		return seen == state, "sees it as " + seen
+		return seen == state, "sees the router as " + seen
 	})
 }
 
 // WaitForConnectivity waits until every router reports the given connectivity state.
 func (c *Cluster) WaitForConnectivity(timeout time.Duration, state string, routers ...*Router) (time.Duration, error) {
-	return c.waitForStatus("all are "+state, timeout, routers, func(_ *Router, status *fleet.Status) (bool, string) {
-		observed := fmt.Sprintf("is %s, %d of %d present", status.Connectivity, status.Present, status.Known)
+	return c.waitForStatus("all routers are "+state, timeout, routers, func(_ *Router, status *fleet.Status) (bool, string) {
+		observed := fmt.Sprintf("is %s, %d of %d known routers present", status.Connectivity, status.Present, status.Known)
 		return status.Connectivity == state, observed
 	})
 }
 
-// WaitForBan waits until a server is banned at every router, or at none if banned is false.
+// WaitForBan waits until a server is banned at every router. If banned is false, it waits until the
+// server is banned at no router.
 func (c *Cluster) WaitForBan(timeout time.Duration, server string, banned bool, routers ...*Router) (time.Duration, error) {
-	description := fmt.Sprintf("%s banned: %v", server, banned)
+	description := fmt.Sprintf("server %s has banned=%v at all routers", server, banned)
 	return c.waitForStatus(description, timeout, routers, func(_ *Router, status *fleet.Status) (bool, string) {
 		return slices.Contains(status.Bans, server) == banned, fmt.Sprintf("bans %v", status.Bans)
 	})
 }
 
-// membershipView lists the members of a view with their states, without those that left.
+// membershipView lists the members in a router's view with their states. It omits members that have
+// left.
 func membershipView(status *fleet.Status) string {
 	var members []string
 	for _, member := range status.Members {
@@ -128,8 +131,9 @@
 	return count
 }
 
-// memberState returns the state in which a view has a router, or "unknown" if it does not have the
-// router. It also compares the address, since two routers may have the same name by mistake.
+// memberState returns the state of a router in another router's view. If the view does not contain
+// the router, memberState returns "unknown". It compares the address as well as the name, since two
+// routers may have the same name by mistake.
 func memberState(status *fleet.Status, router *Router) string {
 	state := "unknown"
 	for _, member := range status.Members {
--- a/internal/testcluster/config.go
+++ b/internal/testcluster/config.go
@@ -32,8 +32,8 @@
 	endpointTemplate = `{"host":%q,"dial":%q,"site":"edge","class":%q,"block":0,"health":"ready","share":100,"born_ms":0}`
 )
 
-// writeConfig writes the router's configuration file. In it, the change log and the servers have
-// addresses of the fault proxy.
+// writeConfig writes the router's configuration file. The file lists addresses of the fault proxy
+// for the change log and the servers.
 func (r *Router) writeConfig(index int) error {
 	changeLog, err := r.cluster.Proxy.TCP(r.ProxyName(), "log", r.cluster.ChangeLog.Addr().String())
 	if err != nil {
@@ -78,8 +78,8 @@
 	return fmt.Sprintf(endpointTemplate, id, address, kind), nil
 }
 
-// WriteSettings writes the router's settings file, which is the operators' file, with the given
-// fleet keys.
+// WriteSettings writes the router's settings file with the given fleet keys. Outside tests,
+// operators write this file.
 func (r *Router) WriteSettings(keys ...string) error {
 	settings := "log {\n level = \"info\"\n}\n"
 	if r.cluster.options.Fleet {
@@ -97,8 +97,8 @@
 		r.FleetAddr, r.AdvertisedAddr, quotedList(r.joinAddresses()), quotedList(keys), r.cluster.options.FleetSettings)
 }
 
-// joinAddresses returns the advertised addresses of the cluster's first routers, or the router's
-// own if it is the first router.
+// joinAddresses returns the advertised addresses of the cluster's first routers. For the first
+// router of the cluster, it returns the router's own address.
 func (r *Router) joinAddresses() []string {
 	r.cluster.mu.Lock()
 	defer r.cluster.mu.Unlock()
--- a/internal/testcluster/failpoint_test.go
+++ b/internal/testcluster/failpoint_test.go
@@ -14,10 +14,10 @@
 	failpointSaveDelay = "fault-save" // ms
 )
 
-// The wall clock of all routers steps an hour back and then two hours forward while one of them
-// holds a lease. The lease stays with its holder, can be transferred, and is acquired again after
-// its holder has stopped and restarted under the new time. Purges, which carry wall clock times,
-// take effect as before.
+// The wall clocks of all routers step an hour back and then two hours forward while a router holds
+// a lease. The holder keeps the lease through both steps. Afterwards the lease can be transferred,
+// and it is acquired again when its holder stops. The stopped router rejoins with the new time.
+// Purges, which carry wall clock times, take effect after each step.
 func TestWallClockStep(t *testing.T) {
 	cluster := startFleet(t, Options{Program: faultProgram, Routers: 5, Servers: 2, Voters: 3, LeaseSettings: shortLeases, Seed: 41})
 	firstHolder, firstToken := cluster.waitForHolder(loadReportLease, cluster.Routers...)
@@ -25,17 +25,17 @@
 	for _, step := range []struct {
 		name        string
 		offset      time.Duration
-		firstObject int // object that is purged at the first router; the next router gets the next object
+		firstObject int // object whose purge is checked at the first router; each further router checks the next object
 	}{
 		{"an hour back", -time.Hour, 900},
 		{"an hour ahead", time.Hour, 910},
 	} {
 		t.Run(step.name, func(t *testing.T) {
-			cluster.in(t).expectPurgesHold(load, step.offset, step.firstObject)
+			cluster.forSubtest(t).expectPurgesHold(load, step.offset, step.firstObject)
 		})
 	}
 	if holder, token := cluster.waitForHolder(loadReportLease, cluster.Routers...); holder != firstHolder || token != firstToken {
-		t.Errorf("got holder %s under token %d, want %s under %d as before the steps", holder.Name, token, firstHolder.Name, firstToken)
+		t.Errorf("got holder %s with fencing token %d, want %s with token %d as before the clock steps", holder.Name, token, firstHolder.Name, firstToken)
 	}
 
 	cluster.post(firstHolder, transferPath, http.StatusOK)
@@ -51,8 +51,8 @@
 	cluster.expectNoFalseFailures()
 }
 
-// expectPurgesHold sets the wall clock of all routers and purges one object per router. Each router
-// must then ask the servers for a copy of its object that is not older than the purge.
+// expectPurgesHold sets the wall clock offset of all routers and purges one object per router. Each
+// router must then request from the servers a copy of its object that is not older than the purge.
 func (c *clusterTest) expectPurgesHold(load *Load, offset time.Duration, firstObject int) {
 	c.t.Helper()
 	const (
@@ -65,16 +65,16 @@
 	for i, router := range c.Routers {
 		object := firstObject + i
 		c.ChangeLog.Purge(uint64(object), uint64(time.Now().Add(offset-purgeAge).UnixMilli()))
-		what := fmt.Sprintf("the purge holds at %s", router.Name)
-		c.waitUntilWithin(purgeTimeout, what, func() (bool, string) {
+		description := fmt.Sprintf("the purge holds at %s", router.Name)
+		c.waitUntilWithin(purgeTimeout, description, func() (bool, string) {
 			load.request(router, object)
-			return freshCopyRequested(c.Servers, object), "no request for a fresh copy"
+			return freshCopyRequested(c.Servers, object), "the servers received no request for a fresh copy"
 		})
 	}
 }
 
-// freshCopyRequested reports whether a server received a request for the object with a bound on the
-// age of the copy.
+// freshCopyRequested reports whether a server received a request for the object that limits the age
+// of the copy.
 func freshCopyRequested(servers []*Server, object int) bool {
 	asset := fmt.Sprintf("asset=%016x", object)
 	for _, server := range servers {
@@ -87,9 +87,9 @@
 	return false
 }
 
-// Each disk write of one voter takes two seconds while the lease is transferred. The lease is
-// acquired again, no health check arrives after one with a later token, and requests are still
-// served.
+// The holder transfers the lease while each disk write of one voter takes two seconds. The lease is
+// acquired again, and requests are still served. No server receives a health check after a health
+// check with a later fencing token.
 func TestSlowVoterDisk(t *testing.T) {
 	cluster := startFleet(t, Options{Program: faultProgram, Routers: 5, Servers: 2, Voters: 3, LeaseSettings: shortLeases, Seed: 42})
 	load := cluster.StartLoad(50*time.Millisecond, cluster.Routers...)
@@ -102,7 +102,7 @@
 		{"leader", true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			cluster := cluster.in(t)
+			cluster := cluster.forSubtest(t)
 			slow := cluster.waitForVoters(voters, "r00", "r01", "r02")
 			if !test.leader {
 				slow = lastExcept(voters, slow)
@@ -115,9 +115,9 @@
 	cluster.stopLoad(load)
 }
 
-func lastExcept(routers []*Router, except *Router) (last *Router) {
+func lastExcept(routers []*Router, excluded *Router) (last *Router) {
 	for _, router := range routers {
-		if router != except {
+		if router != excluded {
 			last = router
 		}
 	}
--- a/internal/testcluster/gossip_test.go
+++ b/internal/testcluster/gossip_test.go
@@ -17,12 +17,12 @@
 	phaseDraining = 1
 )
 
-// A router that cannot reach its change log learns of drains and purges from its peers. It follows
-// its change log alone again once it can reach it. A ban that is set at one router takes effect at
-// all routers.
+// A router that cannot reach its change log learns of drains and purges from its peers. When the
+// router can reach its change log again, it follows the change log alone. A ban that is set at one
+// router takes effect at all routers.
 func TestGossipReplacesUnreachableChangeLog(t *testing.T) {
 	const (
-		stalePeriod  = 2 * time.Second // after which the router's watch is stale
+		stalePeriod  = 2 * time.Second // time after which the router's watch of the change log is stale
 		loadDuration = 600 * time.Millisecond
 		bannedServer = "s-00000003"
 	)
@@ -48,8 +48,8 @@
 
 	cluster.ChangeLog.Purge(7, uint64(time.Now().UnixMilli()))
 	cluster.waitUntil("the purge is applied without the change log", func() (bool, string) {
-		requireNoError(t, cutOff.Signal(syscall.SIGUSR1)) // the signal makes it log its counters
-		return cutOff.CountLogLines(`"fleet_purges_taken":1`) > 0, "not counted"
+		requireNoError(t, cutOff.Signal(syscall.SIGUSR1)) // the signal makes the router log its counters
+		return cutOff.CountLogLines(`"fleet_purges_taken":1`) > 0, "the router has not counted the purge"
 	})
 
 	cluster.post(cluster.Routers[0], "/caches/disable/"+bannedServer, http.StatusOK)
@@ -64,8 +64,8 @@
 
 // During a partition, one side bans a server, and the other side bans and then enables it. After
 // the partition heals, all routers hold the ban, since the enable call did not know the ban of the
-// other side. An enable call that knows the ban ends it at all routers, including a router that was
-// paused at the time.
+// other side. A later enable call, at a router that knows the ban, ends the ban at all routers.
+// This includes a router that was paused during the call.
 func TestBanSurvivesConcurrentEnable(t *testing.T) {
 	const server = "s-00000001"
 	cluster := startFleet(t, Options{Routers: 6, Servers: 2, Seed: 10})
@@ -82,17 +82,17 @@
 	disable(sideA[0])
 	disable(sideB[0])
 	enable(sideB[0])
-	cluster.waitForBan("one side bans", server, true, sideA...)
-	cluster.waitForBan("the other side does not", server, false, sideB...)
+	cluster.waitForBan("one side bans the server", server, true, sideA...)
+	cluster.waitForBan("the other side does not ban the server", server, false, sideB...)
 	cluster.Proxy.Heal()
-	cluster.waitForBan("healed, all ban", server, true, cluster.Routers...)
+	cluster.waitForBan("all routers ban the server after the partition has healed", server, true, cluster.Routers...)
 	cluster.waitForConnectivity("healed, all are together", connectivityTogether, cluster.Routers...)
 
 	paused := cluster.Routers[5]
 	requireNoError(t, paused.Pause())
 	cluster.waitForState("the paused router has failed", paused, stateFailed, cluster.Running(paused)...)
 	enable(cluster.Routers[1])
-	cluster.waitForBan("all others have enabled it", server, false, cluster.Running(paused)...)
+	cluster.waitForBan("all other routers have enabled the server", server, false, cluster.Running(paused)...)
 	requireNoError(t, paused.Resume())
-	cluster.waitForBan("the resumed router has enabled it", server, false, cluster.Routers...)
+	cluster.waitForBan("the resumed router has enabled the server", server, false, cluster.Routers...)
 }
--- a/internal/testcluster/harness_test.go
+++ b/internal/testcluster/harness_test.go
@@ -29,7 +29,8 @@
 // shortLeases are the lease settings of tests in which leases expire.
 const shortLeases = " lease_ms = 1500\n margin_ms = 150\n"
 
-// loadReportLease is the lease on health checks of the servers in the clusters' zone.
+// loadReportLease is the name of a lease. The holder of the lease sends health checks to the
+// servers in the clusters' zone.
 const loadReportLease = "probe/edge"
 
 // transferPath is the admin API path that makes the holder of loadReportLease transfer the lease.
@@ -53,7 +54,7 @@
 	logReloaded = `"event":"configuration reloaded"`
 )
 
-// logMember returns the part of a log line that names the member that the line is about.
+// logMember returns the part of a log line that names the member described by the line.
 func logMember(router *Router) string { return fmt.Sprintf(`"member":%q`, router.Name) }
 
 // program is the path of the daemon; faultProgram is the path of a daemon with failpoints.
@@ -103,8 +104,9 @@
 	if options.Program == "" {
 		options.Program = program
 	}
-	// The routers suspect peers later than by default: the machine may be busy with other tests, and
-	// no router may fail a peer only because its process gets no processor time for a second.
+	// These settings make routers suspect their peers later than by default, because the machine
+	// may be busy with other tests. No router may declare a peer failed only because a process gets
+	// no processor time for a second.
 	options.FleetSettings += " more_room_after_ms = 1000\n probe_ms = 250\n timeout_ms = 120\n suspect_ms = 1500\n"
 	cluster, err := Start(options)
 	requireNoError(t, err)
@@ -115,64 +117,66 @@
 	return fleet
 }
 
-// in returns the same cluster for a subtest.
-func (c *clusterTest) in(t *testing.T) *clusterTest {
+// forSubtest returns the same cluster for the subtest t.
+func (c *clusterTest) forSubtest(t *testing.T) *clusterTest {
 	t.Helper()
 	return &clusterTest{Cluster: c.Cluster, t: t}
 }
 
-// require ends the test if err is not nil. Otherwise it logs how long the condition took.
-func (c *clusterTest) require(what string, elapsed time.Duration, err error) {
+// require ends the test if err is not nil. Otherwise it logs the description of a condition and the
+// time that the condition took.
+func (c *clusterTest) require(description string, elapsed time.Duration, err error) {
 	c.t.Helper()
 	if err != nil {
-		c.t.Fatalf("%s: %v", what, err)
+		c.t.Fatalf("%s: %v", description, err)
 	}
-	c.t.Logf("%s after %v", what, elapsed.Round(time.Millisecond))
+	c.t.Logf("%s after %v", description, elapsed.Round(time.Millisecond))
 }
 
-func (c *clusterTest) waitUntil(what string, condition Condition) {
+func (c *clusterTest) waitUntil(description string, condition Condition) {
 	c.t.Helper()
-	c.waitUntilWithin(waitTimeout, what, condition)
+	c.waitUntilWithin(waitTimeout, description, condition)
 }
 
-func (c *clusterTest) waitUntilWithin(timeout time.Duration, what string, condition Condition) {
+func (c *clusterTest) waitUntilWithin(timeout time.Duration, description string, condition Condition) {
 	c.t.Helper()
-	elapsed, err := c.WaitUntil(what, timeout, condition)
+	elapsed, err := c.WaitUntil(description, timeout, condition)
 	requireNoError(c.t, err) // the error names the condition
-	c.t.Logf("%s after %v", what, elapsed.Round(time.Millisecond))
+	c.t.Logf("%s after %v", description, elapsed.Round(time.Millisecond))
 }
 
-func (c *clusterTest) waitForConvergence(what string, routers ...*Router) {
+func (c *clusterTest) waitForConvergence(description string, routers ...*Router) {
 	c.t.Helper()
 	elapsed, err := c.WaitForConvergence(waitTimeout, routers...)
-	c.require(what, elapsed, err)
+	c.require(description, elapsed, err)
 }
 
-func (c *clusterTest) waitForState(what string, router *Router, state string, observers ...*Router) {
+func (c *clusterTest) waitForState(description string, router *Router, state string, observers ...*Router) {
 	c.t.Helper()
 	elapsed, err := c.WaitForState(waitTimeout, router, state, observers...)
-	c.require(what, elapsed, err)
+	c.require(description, elapsed, err)
 }
 
-func (c *clusterTest) waitForConnectivity(what, state string, routers ...*Router) {
+func (c *clusterTest) waitForConnectivity(description, state string, routers ...*Router) {
 	c.t.Helper()
 	elapsed, err := c.WaitForConnectivity(waitTimeout, state, routers...)
-	c.require(what, elapsed, err)
+	c.require(description, elapsed, err)
 }
 
-func (c *clusterTest) waitForBan(what, server string, banned bool, routers ...*Router) {
+func (c *clusterTest) waitForBan(description, server string, banned bool, routers ...*Router) {
 	c.t.Helper()
 	elapsed, err := c.WaitForBan(waitTimeout, server, banned, routers...)
-	c.require(what, elapsed, err)
+	c.require(description, elapsed, err)
 }
 
-func (c *clusterTest) waitForProbes(what string, after uint64) {
+func (c *clusterTest) waitForProbes(description string, previousToken uint64) {
 	c.t.Helper()
-	elapsed, err := c.WaitForProbes(waitTimeout, after)
-	c.require(what, elapsed, err)
+	elapsed, err := c.WaitForProbes(waitTimeout, previousToken)
+	c.require(description, elapsed, err)
 }
 
-// waitForHolder waits until one of the routers holds a lease, and returns it and the fencing token.
+// waitForHolder waits until one of the routers holds a lease. It returns this router and the
+// fencing token of the lease.
 func (c *clusterTest) waitForHolder(lease string, routers ...*Router) (holder *Router, token uint64) {
 	c.t.Helper()
 	holder, token, err := c.WaitForHolder(waitTimeout, lease, routers...)
@@ -183,7 +187,8 @@
 	return holder, token
 }
 
-// partition drops all packets between two groups of routers until the proxy is healed.
+// partition drops all packets between two groups of routers until the fault proxy heals all
+// partitions.
 func (c *clusterTest) partition(sideA, sideB []*Router) {
 	c.Proxy.Partition(proxyNames(sideA), proxyNames(sideB))
 }
@@ -197,7 +202,7 @@
 }
 
 // postAdmin sends a POST request to a router's admin API. It returns an error unless the response
-// has the wanted status.
+// has the status wantStatus.
 func postAdmin(router *Router, path string, wantStatus int) error {
 	code, body, err := router.CallAdmin(http.MethodPost, path)
 	if err != nil {
@@ -214,7 +219,7 @@
 	requireNoError(c.t, postAdmin(router, path, wantStatus))
 }
 
-// metricsContain returns the condition that a router's metrics contain a line.
+// metricsContain returns the condition that a router's metrics contain the given line.
 func metricsContain(router *Router, line string) Condition {
 	return func() (bool, string) {
 		_, metrics, err := router.CallAdmin(http.MethodGet, "/metrics")
@@ -222,24 +227,25 @@
 	}
 }
 
-// expectNoFalseFailures reports an error for each log line in which a router fails another one.
-// Lines about the routers in except, which were killed, paused or throttled, are allowed.
-func (c *clusterTest) expectNoFalseFailures(except ...*Router) {
+// expectNoFalseFailures reports an error for each log line in which a router declares another
+// router failed. Lines about the excluded routers are allowed, since the test has killed, paused or
+// throttled them.
+func (c *clusterTest) expectNoFalseFailures(excluded ...*Router) {
 	c.t.Helper()
-	isExcepted := func(line string) bool {
-		return slices.ContainsFunc(except, func(router *Router) bool { return strings.Contains(line, logMember(router)) })
+	isExcluded := func(line string) bool {
+		return slices.ContainsFunc(excluded, func(router *Router) bool { return strings.Contains(line, logMember(router)) })
 	}
 	for _, router := range c.Routers {
 		for line := range strings.Lines(router.Output.String()) {
-			if strings.Contains(line, logFailed) && !isExcepted(line) {
-				c.t.Errorf("%s logs a failure of a running router: %s", router.Name, line)
+			if strings.Contains(line, logFailed) && !isExcluded(line) {
+				c.t.Errorf("%s declared a running router failed: %s", router.Name, line)
 			}
 		}
 	}
 }
 
-// expectTokenOrder reports an error for each server that received a health check after one with a
-// later fencing token.
+// expectTokenOrder reports an error for each server that received a health check after a health
+// check with a later fencing token.
 func (c *clusterTest) expectTokenOrder() {
 	c.t.Helper()
 	for _, server := range c.Servers {
@@ -263,13 +269,14 @@
 	c.t.Logf("%d requests, p50 %v, p99 %v, by status %v", result.Requests, result.P50, result.P99, result.Statuses)
 }
 
-// killAndExclude kills a router, whose requests do not count in the result from then on.
+// killAndExclude kills a router. From then on, requests to the router do not count in the result.
 func killAndExclude(load *Load, router *Router) {
 	load.SetExcluded(router, true)
 	router.Kill()
 }
 
-// stopAndExclude stops a router gracefully. Its requests do not count in the result from then on.
+// stopAndExclude stops a router gracefully. From then on, requests to the router do not count in
+// the result.
 func (c *clusterTest) stopAndExclude(load *Load, router *Router) {
 	c.t.Helper()
 	load.SetExcluded(router, true)
--- a/internal/testcluster/keys_test.go
+++ b/internal/testcluster/keys_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// The fleet's key is replaced by three reloads of all routers, and no member is lost. Packets from
-// senders without the key, of other protocol versions and of other fleets are dropped and counted
-// separately.
+// Three reloads of all routers replace the fleet key, and no member is lost. Packets from senders
+// without the key, of other protocol versions and of other fleets are dropped. Each of these three
+// kinds is counted separately.
 func TestKeyRotationAndForeignPackets(t *testing.T) {
 	const newKey = "another key for routers on loopback"
 	cluster := startFleet(t, Options{Routers: 5, Servers: 1, Seed: 8})
@@ -23,7 +23,7 @@
 	} {
 		t.Run(step.name, func(t *testing.T) {
 			for _, router := range cluster.Routers {
-				cluster.in(t).reloadKeys(router, step.keys)
+				cluster.forSubtest(t).reloadKeys(router, step.keys)
 			}
 		})
 	}
@@ -41,7 +41,7 @@
 			const packets = 20
 			receiver := cluster.Routers[0]
 			sendPackets(t, receiver.FleetAddr, test.packet, packets)
-			cluster.in(t).waitUntil("all packets are counted", metricsContain(receiver, "app_fleet_"+test.counter+"_total 20"))
+			cluster.forSubtest(t).waitUntil("all packets are counted", metricsContain(receiver, "app_fleet_"+test.counter+"_total 20"))
 		})
 	}
 	cluster.waitForConvergence("all have converged", cluster.Routers...)
@@ -55,7 +55,7 @@
 	requireNoError(c.t, router.WriteSettings(keys...))
 	requireNoError(c.t, router.Signal(syscall.SIGHUP))
 	c.waitUntil(router.Name+" has reloaded", func() (bool, string) {
-		return router.CountLogLines(logReloaded) > before, "no log line"
+		return router.CountLogLines(logReloaded) > before, "no further log line about a reload"
 	})
 }
 
--- a/internal/testcluster/leases.go
+++ b/internal/testcluster/leases.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// LeaseStatus is a page of the admin API: a router's view of the lease registry, and the leases
-// that the router itself holds.
+// LeaseStatus is a page of the admin API. It shows a router's view of the lease registry, and the
+// leases that the router itself holds.
 type LeaseStatus struct {
 	Registry struct {
 		Voter    bool     `json:"elector"`
@@ -40,7 +40,8 @@
 	return 0, false
 }
 
-// Leases returns the router's view of the lease registry, and the leases that it holds.
+// Leases returns the router's view of the lease registry, and the leases that the router itself
+// holds.
 func (r *Router) Leases() (*LeaseStatus, error) {
 	status := &LeaseStatus{}
 	if err := r.getPage("/fleet/duties", status); err != nil {
@@ -52,7 +53,7 @@
 // WaitForHolder waits until one of the routers reports that it holds the lease. It returns this
 // router and the fencing token of the lease.
 func (c *Cluster) WaitForHolder(timeout time.Duration, lease string, routers ...*Router) (holder *Router, token uint64, err error) {
-	_, err = c.WaitUntil("a router holds "+lease, timeout, func() (bool, string) {
+	_, err = c.WaitUntil("a router holds the lease "+lease, timeout, func() (bool, string) {
 		var observed strings.Builder
 		for _, router := range routers {
 			status, err := router.Leases()
@@ -66,22 +67,22 @@
 				return true, ""
 			}
 			registry := status.Registry
-			fmt.Fprintf(&observed, "%s: leader %q, %v %s; ", router.Name, registry.Leader, registry.Leases, registry.Fault)
+			fmt.Fprintf(&observed, "%s: leader %q, leases %v, fault %q; ", router.Name, registry.Leader, registry.Leases, registry.Fault)
 		}
 		return false, observed.String()
 	})
 	return holder, token, err
 }
 
-// WaitForProbes waits until the latest health check that each server has received carries a fencing
-// token greater than after.
-func (c *Cluster) WaitForProbes(timeout time.Duration, after uint64) (time.Duration, error) {
-	description := fmt.Sprintf("all servers receive health checks with a fencing token greater than %d", after)
+// WaitForProbes waits until the latest health check at each server carries a fencing token greater
+// than previousToken.
+func (c *Cluster) WaitForProbes(timeout time.Duration, previousToken uint64) (time.Duration, error) {
+	description := fmt.Sprintf("all servers receive health checks with a fencing token greater than %d", previousToken)
 	return c.WaitUntil(description, timeout, func() (bool, string) {
 		for _, server := range c.Servers {
 			probes := server.Probes()
-			if len(probes) == 0 || probes[len(probes)-1].FencingToken <= after {
-				return false, "no such health check at " + server.Name
+			if len(probes) == 0 || probes[len(probes)-1].FencingToken <= previousToken {
+				return false, "no health check with such a token at " + server.Name
 			}
 		}
 		return true, ""
--- a/internal/testcluster/leases_status_test.go
+++ b/internal/testcluster/leases_status_test.go
@@ -8,8 +8,9 @@
 	"garnetline/internal/fleet/leasemanager"
 )
 
-// LeaseStatus is decoded by the JSON keys of the daemon's page. If a key changed only there, a
-// field would stay empty without an error, and conditions on it would be met or missed wrongly.
+// The fields of LeaseStatus must have the JSON keys of the daemon's page. If a key changed only in
+// the daemon, a field would stay empty without an error. A test that waits for a value of the field
+// could then fail or pass wrongly.
 func TestLeaseStatusHasTheKeysOfTheAdminAPI(t *testing.T) {
 	page, err := json.Marshal(map[string]any{
 		"register": leasemanager.Status{
--- a/internal/testcluster/leases_test.go
+++ b/internal/testcluster/leases_test.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// The holder of a lease is paused until after the lease expires and resumed, asked to transfer the
-// lease, cut off from the other routers but not from the servers, killed, and stopped gracefully.
-// After each of these faults a router holds the lease again, and no server ever receives a health
-// check after one with a later fencing token. Requests are served throughout.
+// The holder of a lease meets five faults, one after another. It is paused until the lease has
+// expired, and then resumed. It is told to transfer the lease. It is cut off from the other routers
+// but not from the servers. It is killed. It is stopped gracefully. After each fault a router holds
+// the lease again. No server ever receives a health check after a health check with a later fencing
+// token. Requests are served throughout.
 func TestLeaseHasOneHolderAcrossFaults(t *testing.T) {
 	const minHandovers = 5
 	cluster := startFleet(t, Options{Routers: 8, Servers: 2, Voters: 5, LeaseSettings: shortLeases, Seed: 21})
@@ -41,8 +42,8 @@
 	cluster.stopLoad(load)
 }
 
-// pauseHolder pauses the holder until another router has the lease. It returns that router and its
-// fencing token.
+// pauseHolder pauses the holder until another router has the lease. It returns the other router and
+// its fencing token.
 func (c *clusterTest) pauseHolder(load *Load, holder *Router, token uint64) (newHolder *Router, newToken uint64) {
 	c.t.Helper()
 	load.SetExcluded(holder, true)
@@ -55,7 +56,7 @@
 	return newHolder, newToken
 }
 
-// transferFrom makes the holder transfer the lease. It returns the new holder and its fencing
+// transferFrom makes the holder transfer the lease. It returns the new holder and the new fencing
 // token.
 func (c *clusterTest) transferFrom(holder *Router, token uint64) (newHolder *Router, newToken uint64) {
 	c.t.Helper()
@@ -68,8 +69,8 @@
 	return newHolder, newToken
 }
 
-// cutOffHolder cuts the holder off from all other routers, but not from the servers, until another
-// router has the lease. It returns the new fencing token.
+// cutOffHolder cuts the holder off from all other routers, but not from the servers. It reconnects
+// the holder when another router has the lease, and returns the new fencing token.
 func (c *clusterTest) cutOffHolder(holder *Router, token uint64) (newToken uint64) {
 	c.t.Helper()
 	c.partition([]*Router{holder}, c.Running(holder))
@@ -80,7 +81,7 @@
 	return newToken
 }
 
-// killHolder kills the holder, restarts it when another router has the lease, and returns the new
+// killHolder kills the holder and restarts it when another router has the lease. It returns the new
 // fencing token.
 func (c *clusterTest) killHolder(load *Load, holder *Router, token uint64) (newToken uint64) {
 	c.t.Helper()
@@ -93,9 +94,9 @@
 	return newToken
 }
 
-// While a majority of the voters is down, the lease expires and requests are still served. Once the
-// voters are back, a router holds the lease again, under a fencing token that is not lower than
-// before.
+// While a majority of the voters is down, the lease expires and requests are still served. When the
+// voters are back, a router holds the lease again. The new fencing token is not lower than the old
+// one.
 func TestLeaseExpiresWithoutVoterMajority(t *testing.T) {
 	cluster := startFleet(t, Options{Routers: 5, Servers: 1, Voters: 3, LeaseSettings: shortLeases, Seed: 22})
 	_, before := cluster.waitForHolder(loadReportLease, cluster.Routers...)
@@ -111,7 +112,7 @@
 				return false, err.Error()
 			}
 			if len(status.Held) > 0 {
-				return false, router.Name + " holds it"
+				return false, router.Name + " holds the lease"
 			}
 		}
 		return true, ""
--- a/internal/testcluster/load.go
+++ b/internal/testcluster/load.go
@@ -19,10 +19,10 @@
 // Parameters of the clients.
 const (
 	clientTimeout     = 4 * time.Second        // time limit that a client sends with a request
-	clientGracePeriod = 500 * time.Millisecond // that a client waits for the answer after clientTimeout
+	clientGracePeriod = 500 * time.Millisecond // additional time that a client waits for the answer
 	clientDialTimeout = 2 * time.Second
 	objectCount       = 50 // number of objects that the clients request
-	objectBits        = 20 // low bits of a transaction ID that hold the object; the others number the request
+	objectBits        = 20 // low bits of a transaction ID that hold the object; the high bits hold the request's number
 )
 
 // Load is a set of clients that send requests to routers at a steady rate until they are stopped.
@@ -35,8 +35,8 @@
 	mu        sync.Mutex
 	durations []time.Duration  // of requests with exactly one complete answer
 	statuses  map[int]int      // number of answers by status
-	lost      []string         // requests without exactly one complete answer, whose router was not excluded
-	excluded  map[*Router]bool // routers whose requests do not count
+	lost      []string         // requests without exactly one complete answer, except those to excluded routers
+	excluded  map[*Router]bool // routers whose requests are left out of the result
 }
 
 // StartLoad starts one client for each router. A client sends one request per interval, each on its
@@ -75,9 +75,9 @@
 	}
 }
 
-// SetExcluded sets whether a router is excluded from the result, since its process is about to exit
-// or to be paused. The clients send no new requests to an excluded router, and do not record whether
-// it answers the outstanding ones.
+// SetExcluded sets whether a router is excluded from the result. Tests exclude a router whose
+// process is about to exit or to be paused. The clients send no new requests to an excluded router,
+// and do not record whether it answers the outstanding requests.
 func (l *Load) SetExcluded(router *Router, excluded bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,7 +101,7 @@
 	switch {
 	case l.excluded[router]:
 	case err != nil || received.count != 1:
-		l.lost = append(l.lost, fmt.Sprintf("%s at %s: got %d complete answers after %v: %v", transactionID, router.Name, received.count, duration, err))
+		l.lost = append(l.lost, fmt.Sprintf("request %s at %s: got %d complete answers after %v, want 1: error %v", transactionID, router.Name, received.count, duration, err))
 	default:
 		l.statuses[received.status]++
 		l.durations = append(l.durations, duration)
@@ -114,8 +114,8 @@
 	status int // of the last complete answer
 }
 
-// sendClientRequest sends a request and reads answers until the connection ends, so that a second
-// answer to the request is detected.
+// sendClientRequest sends a request and reads answers until the connection ends, so that a
+// duplicate answer to the request is detected.
 func sendClientRequest(addr, transactionID string, object int) (received answers, err error) {
 	dialer := net.Dialer{Timeout: clientDialTimeout}
 	conn, err := dialer.DialContext(context.Background(), "tcp", addr)
@@ -180,8 +180,7 @@
 	return strconv.ParseInt(value, 10, 64)
 }
 
-// Stop stops the clients, waits for the outstanding requests, and returns what the clients
-// observed.
+// Stop stops the clients, waits for the outstanding requests, and returns the result.
 func (l *Load) Stop() Result {
 	close(l.stop)
 	l.clients.Wait()
--- a/internal/testcluster/membership_test.go
+++ b/internal/testcluster/membership_test.go
@@ -9,8 +9,8 @@
 	"garnetline/internal/fleet"
 )
 
-// While requests are sent, one of eight routers is killed, another is stopped gracefully, and both
-// are started again.
+// While requests are sent, one of eight routers is killed and another is stopped gracefully. Both
+// are started again and rejoin.
 func TestKilledAndStoppedRoutersRejoin(t *testing.T) {
 	cluster := startFleet(t, Options{Routers: 8, Servers: 3, Seed: 1})
 	load := cluster.StartLoad(40*time.Millisecond, cluster.Routers...)
@@ -23,7 +23,7 @@
 	requireNoError(t, stopped.Start())
 	cluster.waitForConvergence("both have rejoined", cluster.Routers...)
 	if got := cluster.Routers[0].CountLogLines(logFailed, logMember(stopped)); got != 0 {
-		t.Errorf("got %d log lines that the stopped router failed, want none", got)
+		t.Errorf("got %d log lines that declare the stopped router failed, want none", got)
 	}
 	load.SetExcluded(killed, false)
 	load.SetExcluded(stopped, false)
@@ -31,10 +31,10 @@
 	cluster.expectNoFalseFailures(killed)
 }
 
-// Guards against a router that fails all its peers when it runs again after a long stall, because
-// it has received nothing from them in the meantime.
+// A stalled router receives no packets from its peers. When it runs again after a long stall, it
+// must not declare its peers failed because of the missing packets.
 func TestStalledRouterRejoinsAndFailsNoPeer(t *testing.T) {
-	const furtherStall = 2 * time.Second // after all other routers have failed it
+	const furtherStall = 2 * time.Second // additional stall after all other routers have declared the router failed
 	cluster := startFleet(t, Options{Routers: 8, Servers: 1, Seed: 4})
 	stalled := cluster.Routers[2]
 	requireNoError(t, stalled.Pause())
@@ -43,7 +43,7 @@
 	requireNoError(t, stalled.Resume())
 	cluster.waitForConvergence("the resumed router has rejoined", cluster.Routers...)
 	if got := stalled.CountLogLines(logFailed); got != 0 {
-		t.Errorf("got %d log lines in which the resumed router fails another one, want none", got)
+		t.Errorf("got %d log lines in which the resumed router declares another router failed, want none", got)
 	}
 	if stalled.CountLogLines(logResumed) == 0 {
 		t.Error("got no log line of the resumed router about its pause, want one")
@@ -51,8 +51,8 @@
 	cluster.expectNoFalseFailures(stalled)
 }
 
-// All routers are restarted, one after another within seconds. Then all routers but one are killed,
-// and the last one serves requests alone.
+// All routers are restarted within seconds, one after another. Then all routers but one are killed,
+// and the last router serves requests alone.
 func TestRollingRestartAndLastRouterServesAlone(t *testing.T) {
 	const (
 		restartInterval = 150 * time.Millisecond
@@ -64,7 +64,7 @@
 		requireNoError(t, router.Start())
 		time.Sleep(restartInterval)
 	}
-	cluster.waitUntil("each view has all six in their second incarnation", func() (bool, string) {
+	cluster.waitUntil("each router sees all six routers in their second incarnation", func() (bool, string) {
 		return allRestarted(cluster.Routers)
 	})
 	cluster.waitForConnectivity("all are together", connectivityTogether, cluster.Routers...)
@@ -87,7 +87,8 @@
 	cluster.stopLoad(load)
 }
 
-// allRestarted reports whether every view has all routers, alive and in their second incarnation.
+// allRestarted reports whether every router sees all routers as alive and in their second
+// incarnation.
 func allRestarted(routers []*Router) (met bool, observed string) {
 	for _, router := range routers {
 		status, err := router.Status()
@@ -95,7 +96,7 @@
 			return false, err.Error()
 		}
 		if status.Present != len(routers) {
-			return false, fmt.Sprintf("%s: %d present", router.Name, status.Present)
+			return false, fmt.Sprintf("%s: %d routers present", router.Name, status.Present)
 		}
 		for _, member := range status.Members {
 			if member.Incarnation != 2 || member.State != stateAlive {
@@ -106,8 +107,8 @@
 	return true, ""
 }
 
-// The two processes of a router that is being upgraded are one member. A ban that is set at the
-// admin API of the new process takes effect at all routers, and requests are served throughout.
+// The two processes of a router that is being upgraded count as one member. A ban that is set at
+// the admin API of the new process takes effect at all routers. Requests are served throughout.
 func TestUpgradingRouterIsOneMember(t *testing.T) {
 	const server = "s-00000002"
 	cluster := startFleet(t, Options{Routers: 5, Servers: 3, Seed: 6})
@@ -127,14 +128,14 @@
 		}
 		member := findMember(status, upgraded)
 		met := member.Incarnation == 2 && member.State == stateAlive && len(status.Members) == len(cluster.Routers)
-		return met, fmt.Sprintf("%+v of %d", member, len(status.Members))
+		return met, fmt.Sprintf("found %+v among %d members", member, len(status.Members))
 	})
 	cluster.expectNoFalseFailures()
 	cluster.stopLoad(load)
 }
 
-// findMember returns the first member of a view with the router's name, or the zero MemberStatus if
-// there is none.
+// findMember returns the first member in a view that has the router's name. If there is none, it
+// returns the zero MemberStatus.
 func findMember(status *fleet.Status, router *Router) fleet.MemberStatus {
 	for _, member := range status.Members {
 		if member.Name == router.Name {
@@ -151,16 +152,16 @@
 	original := cluster.Routers[2]
 	mistaken, err := cluster.AddRouter(original.Name, 4)
 	requireNoError(t, err)
-	cluster.waitForConvergence("both are members", cluster.Routers...)
+	cluster.waitForConvergence("both routers with the same name are members", cluster.Routers...)
 	cluster.waitUntil("each router logs the conflict once", func() (bool, string) {
 		for _, router := range cluster.Routers {
 			if got := router.CountLogLines(logError, logConflict); got != 1 {
-				return false, fmt.Sprintf("%s logs it %d times", router.ProxyName(), got)
+				return false, fmt.Sprintf("%s logs the conflict %d times", router.ProxyName(), got)
 			}
 		}
 		return true, ""
 	})
 	mistaken.Kill()
 	cluster.waitForState("the mistaken router has failed", mistaken, stateFailed, cluster.Running()...)
-	cluster.waitForState("the original has not", original, stateAlive, cluster.Running()...)
+	cluster.waitForState("the original router has not failed", original, stateAlive, cluster.Running()...)
 }
--- a/internal/testcluster/options.go
+++ b/internal/testcluster/options.go
@@ -5,7 +5,7 @@
 // defaultTimeout is the timeout of a cluster whose Options.Timeout is 0.
 const defaultTimeout = 30 * time.Second
 
-// FleetKey is the fleet key that the routers of every cluster start with.
+// FleetKey is the initial fleet key of all routers in a cluster.
 const FleetKey = "a key for routers on loopback"
 
 // Options configure a cluster.
@@ -15,11 +15,11 @@
 	Routers        int
 	Servers        int
 	Fleet          bool          // the routers form a fleet
-	Voters         int           // number of voters, which are the first routers; 0: no leases
-	LeaseSettings  string        // additional lines of the duties block
-	NoSettingsFile bool          // the daemon is started without the operators' settings file
-	FleetSettings  string        // additional lines of the fleet block
+	Voters         int           // number of voters; the first routers are the voters; 0: no leases
+	LeaseSettings  string        // additional lines of the duties block in the settings file
+	NoSettingsFile bool          // the daemon is started without a settings file
+	FleetSettings  string        // additional lines of the fleet block in the settings file
 	Seed           uint64        // for the random numbers of the fault proxy and the clients
 	Dir            string        // parent directory of the routers' files; created if needed
-	Timeout        time.Duration // for a process to become ready or to exit; 0: 30 s
+	Timeout        time.Duration // time limit for a process to become ready or to exit; 0: 30 s
 }
--- a/internal/testcluster/partition_test.go
+++ b/internal/testcluster/partition_test.go
@@ -7,17 +7,18 @@
 	"garnetline/internal/faultproxy"
 )
 
-// The fleet is partitioned into halves, and then into two sides that both reach one router between
-// them. All views are the same after each partition has healed, and requests are served throughout.
+// The fleet is partitioned into halves. Later it is partitioned into two sides that both still
+// reach one router, the bridge. After each partition has healed, all views are the same. Requests
+// are served throughout.
 func TestFleetConvergesAfterPartitions(t *testing.T) {
-	const bridgedPeriod = 4 * time.Second // long enough for routers to be failed if there were no bridge
+	const bridgedPeriod = 4 * time.Second // without the bridge, routers would be declared failed in this time
 	cluster := startFleet(t, Options{Routers: 8, Servers: 3, Seed: 2})
 	load := cluster.StartLoad(50*time.Millisecond, cluster.Routers...)
 	sideA, sideB := cluster.Routers[:4], cluster.Routers[4:]
 	cluster.partition(sideA, sideB)
 	cluster.waitForConvergence("one half has converged", sideA...)
 	cluster.waitForConvergence("the other half has converged", sideB...)
-	cluster.waitForConnectivity("both are partial", connectivityPartial, cluster.Routers...)
+	cluster.waitForConnectivity("both halves are partial", connectivityPartial, cluster.Routers...)
 	cluster.Proxy.Heal()
 	cluster.waitForConvergence("healed, all have converged", cluster.Routers...)
 	cluster.waitForConnectivity("healed, all are together", connectivityTogether, cluster.Routers...)
@@ -30,8 +31,9 @@
 }
 
 // All links lose, duplicate, reorder, corrupt and delay packets. One router receives nothing from
-// one other router, one router is paused repeatedly, and one gets a tenth of its processor time. No
-// other router is failed, and neither of the two slow routers fails others.
+// one other router, one router is paused repeatedly, and one router gets a tenth of its processor
+// time. Only the paused and the throttled router may be declared failed. Neither of these two
+// declares another router failed.
 func TestLossAndStallsFailNoHealthyRouter(t *testing.T) {
 	const (
 		pauses        = 4
@@ -67,7 +69,7 @@
 	cluster.expectNoFalseFailures(paused, throttled)
 	for _, slow := range []*Router{paused, throttled} {
 		if got := slow.CountLogLines(logFailed); got != 0 {
-			t.Errorf("slow router %s: got %d log lines in which it fails others, want none", slow.Name, got)
+			t.Errorf("slow router %s: got %d log lines in which it declares others failed, want none", slow.Name, got)
 		}
 	}
 }
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -12,14 +12,15 @@
 	"time"
 )
 
-// throttlePeriod is the interval from one pause of a throttled process to the next.
+// throttlePeriod is the interval between the starts of two consecutive pauses of a throttled
+// process.
 const throttlePeriod = 100 * time.Millisecond
 
-// clientSocketFD is the file descriptor of the client socket in a router process: the first one
-// after stdin, stdout and stderr.
+// clientSocketFD is the file descriptor of the client socket in a router process. It is the first
+// descriptor after stdin, stdout and stderr.
 const clientSocketFD = 3
 
-// errNotExited reports a process that has not exited in time.
+// errNotExited reports that a process has not exited within a timeout.
 var errNotExited = errors.New("process has not exited")
 
 // process is one process of a router.
@@ -42,8 +43,8 @@
 	return started, nil
 }
 
-// waitForExit waits until the process has exited. The error is errNotExited if that takes longer
-// than timeout.
+// waitForExit waits until the process has exited. If the process is still running after the
+// timeout, the error wraps errNotExited.
 func (p *process) waitForExit(timeout time.Duration) error {
 	select {
 	case <-p.exited:
@@ -53,8 +54,8 @@
 	}
 }
 
-// Start starts a process of the router: the first one, a replacement for a stopped one, or a second
-// one beside the current one. From then on the router's methods act on the new process.
+// Start starts a new process of the router. The current process, if there is one, may have exited
+// or may still be running. From then on, the router's methods act on the new process.
 func (r *Router) Start() error {
 	if err := r.openClientSocket(); err != nil {
 		return err
@@ -99,14 +100,16 @@
 	cmd.Env = append(cmd.Env, fmt.Sprintf("EDGE_LISTEN_FD=%d", clientSocketFD), "EDGE_MGMT="+r.AdminAddr)
 	cmd.ExtraFiles = []*os.File{r.clientSocket}
 	cmd.Stderr = r.Output
-	// The kernel kills the process when the test ends, even if the test itself is killed.
+	// The kernel kills the router process when the test process ends, even if the test process is
+	// killed.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	return cmd
 }
 
-// Upgrade starts a second process beside the current one, waits until it is ready, and stops the
-// previous one with SIGTERM. It calls between, unless that is nil, while both processes run.
-func (r *Router) Upgrade(between func() error) error {
+// Upgrade starts a second process beside the current one, waits until the new process is ready, and
+// stops the previous process with SIGTERM. While both processes run, Upgrade calls duringOverlap
+// unless the function is nil.
+func (r *Router) Upgrade(duringOverlap func() error) error {
 	previous := r.process
 	if err := r.Start(); err != nil {
 		return err
@@ -115,11 +118,11 @@
 		_ = previous.cmd.Process.Kill()
 		return err
 	}
-	var betweenErr error
-	if between != nil {
-		betweenErr = between()
+	var overlapErr error
+	if duringOverlap != nil {
+		overlapErr = duringOverlap()
 	}
-	return errors.Join(betweenErr, r.terminate(previous))
+	return errors.Join(overlapErr, r.terminate(previous))
 }
 
 // terminate stops a replaced process with SIGTERM. If the process does not exit within
@@ -128,7 +131,7 @@
 	_ = previous.cmd.Process.Signal(syscall.SIGTERM)
 	if err := previous.waitForExit(r.cluster.options.Timeout); err != nil {
 		_ = previous.cmd.Process.Kill()
-		return fmt.Errorf("%s: replaced %w", r.Name, err)
+		return fmt.Errorf("replaced process of %s: %w", r.Name, err)
 	}
 	return nil
 }
@@ -141,7 +144,8 @@
 	return err
 }
 
-// Running reports whether the router's process has not exited. A paused process counts as running.
+// Running reports whether the router's newest process has not exited. A paused process counts as
+// running.
 func (r *Router) Running() bool {
 	select {
 	case <-r.process.exited:
@@ -151,10 +155,10 @@
 	}
 }
 
-// Pid returns the ID of the router's process.
+// Pid returns the ID of the router's newest process.
 func (r *Router) Pid() int { return r.process.cmd.Process.Pid }
 
-// Signal sends a signal to the process.
+// Signal sends a signal to the router's newest process.
 func (r *Router) Signal(signal syscall.Signal) error { return r.process.cmd.Process.Signal(signal) }
 
 // Kill ends the process with SIGKILL and waits for its exit.
@@ -163,26 +167,26 @@
 	<-r.process.exited
 }
 
-// Stop ends the process with SIGTERM and waits for its exit. It returns the process's exit error,
-// or errNotExited if the process does not exit within Options.Timeout.
+// Stop ends the process with SIGTERM and waits for its exit. It returns the process's exit error.
+// If the process does not exit within Options.Timeout, the error wraps errNotExited.
 func (r *Router) Stop() error {
 	if err := r.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
 	if err := r.process.waitForExit(r.cluster.options.Timeout); err != nil {
-		return fmt.Errorf("%s: %w", r.Name, err)
+		return fmt.Errorf("stop %s: %w", r.Name, err)
 	}
 	return r.process.exitErr
 }
 
-// Pause stops the process with SIGSTOP, until Resume is called.
+// Pause stops the process with SIGSTOP until Resume is called.
 func (r *Router) Pause() error { return r.Signal(syscall.SIGSTOP) }
 
 // Resume continues a paused process with SIGCONT.
 func (r *Router) Resume() error { return r.Signal(syscall.SIGCONT) }
 
-// Throttle limits the process to a share of its processor time, from 0 to 1, by pausing and
-// resuming it periodically. The returned function ends the throttling.
+// Throttle limits the process to a share of its processor time by pausing and resuming it
+// periodically. The share is from 0 to 1. The returned function ends the throttling.
 func (r *Router) Throttle(share float64) (end func()) {
 	stop := make(chan struct{})
 	ended := make(chan struct{})
@@ -212,8 +216,8 @@
 	}
 }
 
-// stoppedWithin waits for stop to be closed, at most for duration, and reports whether it was
-// closed.
+// stoppedWithin waits until the channel stop is closed or the duration has passed. It reports
+// whether the channel was closed.
 func stoppedWithin(stop <-chan struct{}, duration time.Duration) bool {
 	select {
 	case <-stop:
--- a/internal/testcluster/recovery_test.go
+++ b/internal/testcluster/recovery_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Bounds on the requests that one of three servers receives in a second. The three receive 160 in
-// total.
+// Bounds on the number of requests that one of three servers receives in a second. The three
+// servers together receive 160 requests a second.
 const (
 	minShare        = 30 // minimum if all routers use the server; an equal share is 53
 	maxEjectedShare = 12 // maximum if all routers have ejected the server
 )
 
-// After a server has failed and recovered, a single router probes it first. The other routers
-// return to the server one after another, at the configured rate, until all of them use it.
+// After a server has failed and recovered, a single router probes it first. The other routers use
+// the server again one after another, at the configured rate.
 func TestOneRouterProbesRecoveredServer(t *testing.T) {
 	const (
 		maxFirstSecond  = 25              // requests in the first second of the recovery
-		minRecoveryTime = 2 * time.Second // at one router a second
+		minRecoveryTime = 2 * time.Second // the routers return at a rate of one router a second
 	)
 	cluster := startFleet(t, Options{
 		Routers:       8,
@@ -43,7 +43,7 @@
 	cluster.waitUntil("the server is probed", func() (bool, string) {
 		var probed bool
 		probedAt, probed = firstRequestAfter(server, recoveredAt)
-		return probed, "no request"
+		return probed, "no request since the recovery"
 	})
 	cluster.waitUntil("the server has its share again", shareAtLeast(server, minShare))
 	recoveryTime := time.Since(recoveredAt)
--- a/internal/testcluster/router.go
+++ b/internal/testcluster/router.go
@@ -16,16 +16,16 @@
 	dirPermissions  = 0o700
 )
 
-// Router is one router of a cluster: its addresses, its files, and its process if it has been
+// Router is one router of a cluster: its addresses, its files, and its process if one has been
 // started.
 type Router struct {
 	Name           string
-	ListenAddr     string             // on which it accepts clients
+	ListenAddr     string             // on which the router accepts clients
 	AdminAddr      string             // of the newest process
-	FleetAddr      string             // on which it receives its peers' packets
-	AdvertisedAddr string             // to which its peers send packets: an address of the fault proxy
-	Output         *fakeserver.Output // the log of all its processes
-	Voters         []string           // voters in its settings file; nil: the first Options.Voters routers
+	FleetAddr      string             // on which the router receives its peers' packets
+	AdvertisedAddr string             // an address of the fault proxy, to which the router's peers send packets
+	Output         *fakeserver.Output // the logs of all processes of the router
+	Voters         []string           // voters in the router's settings file; nil: the first Options.Voters routers
 
 	cluster      *Cluster
 	dir          string
@@ -36,7 +36,7 @@
 	process      *process // the newest process; nil before the first start
 }
 
-// newRouter prepares a router: it chooses the addresses, has the fault proxy forward the traffic,
+// newRouter prepares a router. It chooses the addresses, sets up the forwarding by the fault proxy,
 // and writes the files. It does not start a process.
 func (c *Cluster) newRouter(name string, index int) (*Router, error) {
 	router := &Router{
@@ -78,19 +78,20 @@
 	return nil
 }
 
-// StateDir returns the directory of the router's files that outlive a process.
+// StateDir returns the directory of the files that the router's processes keep across restarts.
 func (r *Router) StateDir() string { return filepath.Join(r.dir, "state") }
 
-// ProxyName returns the router's name at the fault proxy. Unlike Name it is unique in the cluster.
+// ProxyName returns the router's name at the fault proxy. This name is unique in the cluster,
+// unlike Name.
 func (r *Router) ProxyName() string { return filepath.Base(r.dir) }
 
-// SetFailpoint sets a failpoint of a program that was built with the tag faults. The value is in
-// ms: for fault-wall the offset of the wall clock, for fault-save the duration of each write to
-// disk.
-func (r *Router) SetFailpoint(name string, ms int64) error {
+// SetFailpoint sets a failpoint of the router, whose program must be built with the tag faults. The
+// value is in milliseconds. For the failpoint fault-wall it is the offset of the wall clock. For
+// fault-save it is the duration of each write to disk.
+func (r *Router) SetFailpoint(name string, milliseconds int64) error {
 	file := filepath.Join(r.StateDir(), name)
 	temporary := file + "~" // a rename is atomic, so the program never reads a partly written file
-	if err := os.WriteFile(temporary, fmt.Append(nil, ms), filePermissions); err != nil {
+	if err := os.WriteFile(temporary, fmt.Append(nil, milliseconds), filePermissions); err != nil {
 		return err
 	}
 	return os.Rename(temporary, file)
--- a/internal/testcluster/server.go
+++ b/internal/testcluster/server.go
@@ -71,7 +71,7 @@
 
 // Address returns the address on which the server itself listens. A router's configuration has an
 // address of the fault proxy instead, which differs from router to router. The change log sends the
-// same events to all routers, so it can announce only this address.
+// same events to all routers, so it can announce only the server's own address.
 func (s *Server) Address() netip.AddrPort { return netip.MustParseAddrPort(s.Addr().String()) }
 
 // SetFailing sets whether the server answers every request with an error.
@@ -95,7 +95,8 @@
 	return maps.Clone(s.attempts)
 }
 
-// RequestCount returns the number of requests that the server received. Each attempt counts.
+// RequestCount returns the number of requests that the server received. Each attempt counts as a
+// request.
 func (s *Server) RequestCount() (count int) {
 	for _, attempts := range s.Attempts() {
 		count += attempts
@@ -103,13 +104,13 @@
 	return count
 }
 
-// RequestsBetween returns the number of requests that the server received at or after from and
-// before to.
-func (s *Server) RequestsBetween(from, to time.Time) (count int) {
+// RequestsBetween returns the number of requests that the server received at or after start and
+// before end.
+func (s *Server) RequestsBetween(start, end time.Time) (count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, received := range s.requestTimes {
-		if !received.Before(from) && received.Before(to) {
+		if !received.Before(start) && received.Before(end) {
 			count++
 		}
 	}
@@ -119,24 +120,24 @@
 // Handover is a change of the lease holder, as observed by a server.
 type Handover struct {
 	From, To uint64        // fencing tokens
-	Gap      time.Duration // between the last health check under From and the first under To
+	Gap      time.Duration // from the last health check with token From to the first with token To
 }
 
-// TokenOrderError reports a health check that a server received after a health check with a later
-// fencing token: two routers acted as the lease holder.
+// TokenOrderError reports that a server received a health check after a health check with a later
+// fencing token. This means that two routers acted as the lease holder.
 type TokenOrderError struct {
 	Server         string
-	Later, Earlier Probe // by fencing token; Later arrived first
+	Later, Earlier Probe // Later has the later fencing token but arrived first
 }
 
 func (e *TokenOrderError) Error() string {
-	return fmt.Sprintf("%s received a health check with fencing token %d %v after one with token %d",
+	return fmt.Sprintf("server %s received a health check with fencing token %d, %v after a health check with the later token %d",
 		e.Server, e.Earlier.FencingToken, e.Earlier.ReceivedAt.Sub(e.Later.ReceivedAt), e.Later.FencingToken)
 }
 
 // Handovers returns the changes of the lease holder that the server observed. If health checks
-// arrived out of the order of their fencing tokens, violation is a *TokenOrderError for the last
-// one that did.
+// arrived out of the order of their fencing tokens, violation is a *TokenOrderError that describes
+// the last such health check.
 func (s *Server) Handovers() (handovers []Handover, violation error) {
 	probes := s.Probes()
 	for i := 1; i < len(probes); i++ {
