--- a/routing/actions.go
+++ b/routing/actions.go
@@ -21,20 +21,23 @@
 	OnlyIfCached bool          // the source may send a cached copy, but must not fetch the object
 }
 
-// Ranks of the copy that a cache keeps; see SendAttempt.CopyRank.
+// Values of SendAttempt.CopyRank: popularCopyRank for a popular object, and ordinaryCopyRank for any other
+// object.
 const (
 	ordinaryCopyRank = 1
 	popularCopyRank  = 2
 )
 
-// Reject is a final answer after which the client may retry the request, once RetryAfter has passed.
-// A request of an Idempotent class may have been executed; a request of another class was not executed.
+// Reject is a final answer after which the client may retry the request, once RetryAfter has passed. A
+// rejected request of an Idempotent class may nevertheless have been executed. A rejected request of
+// another class was not executed.
 type Reject struct {
 	ID         RequestID
 	RetryAfter time.Duration
 }
 
-// Fail is a final answer that tells the client only that the request may have been executed.
+// Fail is the final answer to a request of a class other than Idempotent that may have been executed. The
+// client does not learn whether the request was executed.
 type Fail struct{ ID RequestID }
 
 // CancelAttempt abandons an attempt in flight. The attempt then ends with the result Canceled.
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// enqueue queues a request if it can still be answered in time, and ends the request otherwise. Only
-// the first call for a request sets a timer, which fires at queueUntil. A request that is queued again
-// must therefore not wait past queueUntil, even if its expected latency has fallen since the first
-// call: no later timer would end the wait.
+// enqueue queues a request if it can still be answered in time, and ends the request otherwise. For a read,
+// only the first call sets a timer, which fires at queueUntil. A read that is queued again must therefore
+// not wait past queueUntil, even if its expected latency has fallen since the first call: no later timer
+// would end the wait. For a write, whose valuePerSecond is always 0, each call sets queueUntil and a timer.
 func (r *Router) enqueue(request *request) {
 	latestStart := request.objectiveAt - r.expectedLatency(request)
 	if request.valuePerSecond == 0 {
@@ -41,14 +41,15 @@
 	r.finish(request)
 }
 
-// queueValue returns the priority weight of a request per second of its transfer time.
+// queueValue returns the value of a queued request: its priority weight times its popularity, which counts
+// up to popularThreshold, divided by its transfer time in seconds.
 func (r *Router) queueValue(request *request) float64 {
 	weight := request.class.PriorityWeight * min(request.popularity, popularThreshold)
 	transferSeconds := r.transferTime(request).Seconds()
 	return weight / max(transferSeconds, minQueuedSeconds)
 }
 
-// dispatchQueue dispatches the queued requests again, in descending order of their value per second.
+// dispatchQueue dispatches the queued requests again, in descending order of valuePerSecond.
 func (r *Router) dispatchQueue() {
 	queue := r.queue
 	r.queue = nil
@@ -76,18 +77,18 @@
 		return secondsToDuration(r.fillLatency + pace*transferTime.Seconds())
 	}
 	queuedLatency := secondsToDuration(queuedPace * transferTime.Seconds())
-	// At the queued pace, a large response would miss its objective even without a wait. Its request may
-	// still queue for a short time.
+	// At queuedPace, a large response would miss its objective even without a wait. The request for such a
+	// response may still queue for a short time.
 	receivedAt := request.deadline - request.Timeout
 	minQueueTime := request.class.LatencyObjective / minQueueDivisor
 	longestLatency := request.objectiveAt - receivedAt - minQueueTime
 	return max(transferTime, min(queuedLatency, longestLatency))
 }
 
-// saturated reports whether the number of attempts that this router has in flight at a cache has
-// reached the given fraction of the router's quota at that cache. The quota derives from the number of
-// transfers that the cache's link carries at full pace. Where outcomes report no cache status, only
-// late responses would show an overload without this quota.
+// saturated reports whether the number of attempts that this router has in flight at a cache has reached
+// the given fraction of the router's quota at that cache. The quota derives from the number of transfers
+// that the cache's link carries at full pace. Without this quota, a router whose outcomes report no cache
+// status would notice an overload only by late responses.
 func (r *Router) saturated(server *server, fraction float64) bool {
 	if !r.countsInflight() {
 		return false
@@ -98,9 +99,9 @@
 }
 
 // zoneSaturated reports whether the number of attempts that this router has in flight at all caches
-// together has reached the sum of its quotas at these caches. Without this limit, routers with small
-// quotas would overload the link of their zone. For example, eight routers with two attempts each would
-// have 16 attempts in flight at a cache that sends six at full pace. Clients would retry the rejected
+// together has reached the sum of its quotas at these caches. Without this limit, routers with small quotas
+// would overload the link of their zone. For example, eight routers with two attempts each would have 16
+// attempts in flight at a cache that sends six transfers at full pace. Clients would retry the rejected
 // requests, and the retries would keep the link overloaded.
 func (r *Router) zoneSaturated() bool {
 	if !r.countsInflight() {
--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -120,9 +120,9 @@
 
 // TestManyRoutersShareTheirCaches checks that all routers of a zone together have no more attempts in
 // flight than the caches of the zone can serve, although each router may always have minInflight attempts
-// in flight at one cache. Without the limit, eight routers would have 16 attempts in flight at a cache
-// that sends six at full pace. A burst of 5 s would overload the link of the zone, and half of the
-// requests would still be rejected long after the burst.
+// in flight at one cache. Without a limit for the whole zone, eight routers would have 16 attempts in
+// flight at a cache that sends six transfers at full pace. A burst of 5 s would overload the link of the
+// zone, and half of the requests would still be rejected long after the burst.
 func TestManyRoutersShareTheirCaches(t *testing.T) {
 	harness := newSmallQuotaHarness(t)
 	inflight := 0
--- a/routing/constants.go
+++ b/routing/constants.go
@@ -52,21 +52,21 @@
 	// effect on that server, unless the server has failed since.
 	recentSuccessWindow = 500 * time.Millisecond
 
-	// recentResponseWindow is the time after a response of a cache during which an overdue attempt
-	// shows that the cache is slow, not that it is unresponsive. The detection of a lost cache may take
-	// at most maxEjectionTime, so the window has this length.
+	// recentResponseWindow is the time after a response of a cache during which an overdue attempt shows
+	// that the cache is slow, not that it is unresponsive. The router must detect a lost cache within
+	// maxEjectionTime, so the window is as long as maxEjectionTime.
 	recentResponseWindow = 4 * time.Second
 
-	// overdueChecksToFault is the number of checks after which a server of an overdue attempt can be
-	// at fault although all servers of the attempt respond. A lower number would degrade service
-	// during an overload.
+	// overdueChecksToFault is the number of checks of an overdue attempt after which the target or the
+	// source of the attempt can count as at fault although both respond. A lower number would degrade
+	// service during an overload.
 	overdueChecksToFault = 3
 
 	// minCheckInterval is the shortest time between two checks of an attempt.
 	minCheckInterval = 100 * time.Millisecond
 
-	// checkObjectiveDivisor: an attempt is overdue after its transfer time plus the latency objective
-	// of its class divided by this value.
+	// checkObjectiveDivisor: the time after which an attempt is overdue is the sum of two terms. One is the
+	// transfer time. The other is the latency objective of its class, divided by this value.
 	checkObjectiveDivisor = 2
 )
 
@@ -104,8 +104,9 @@
 
 // Slow start.
 const (
-	// slowStartMargin is the fraction of the load limit of a warming server that routers use. It is
-	// below 1 because load is uneven and the capacity of the server is only estimated.
+	// slowStartMargin is the load that routers may send to a warming server, as a fraction of the load that
+	// overloads the server. It is below 1 because load is uneven and the capacity of the server is only
+	// estimated.
 	slowStartMargin = 0.8
 
 	// minCapacityFraction is the lower bound of the capacity that a warming server is assumed to have, as
@@ -131,8 +132,9 @@
 
 // Endpoint list and watch stream.
 const (
-	// serverRetention is the time for which the state of a removed server is kept. A server that
-	// returns after this time is treated as a new server.
+	// serverRetention is the time for which the record of a removed or draining server is kept after the
+	// router last sent work to the server. A server that returns after this time is treated as a new
+	// server.
 	serverRetention = time.Minute
 
 	// subscribeRetryInterval is the time between a failed subscription and the next attempt to
@@ -144,16 +146,19 @@
 	watchStaleAfter = 1500 * time.Millisecond
 )
 
-// Observations of limiters. At utilization 1, a bottleneck has its target load.
+// Utilizations that limiters observe at their bottlenecks, and the values from which they are computed. At
+// utilization 1, a bottleneck has its target load.
 const (
-	// hitPaceTarget is the response time of hits divided by their transfer time at utilization 1.
+	// hitPaceTarget is the pace of hits (response time divided by transfer time) at which a cache has
+	// utilization 1.
 	hitPaceTarget = 1.6
 
-	// linkUtilizationTarget is the reported utilization of a zone's link that counts as utilization
-	// 1. At this load, fills are still as fast as transfers to clients.
+	// linkUtilizationTarget is the utilization of a zone's link, as caches report it, for which the limiter
+	// of the link observes utilization 1. At this load, fills are still as fast as transfers to clients.
 	linkUtilizationTarget = 1.8
 
-	// fillPaceTarget is the pace of a source's fills divided by the pace of hits at utilization 1.
+	// fillPaceTarget is the ratio of the pace of a source's fills to the pace of hits at which the source
+	// has utilization 1.
 	fillPaceTarget = 3.0
 
 	// fillPaceCapFactor is the upper bound of the pace that one fill contributes to the smoothed pace of
@@ -168,12 +173,12 @@
 	rejectionUtilization = 2.0
 
 	// unknownStatusUtilization is the utilization that is recorded when a cache serves an attempt and
-	// outcomes report no cache status. Without it, a limiter that rejections have activated would never
-	// become inactive.
+	// outcomes report no cache status. Without this observation, a limiter that rejections have activated
+	// would never become inactive.
 	unknownStatusUtilization = 0.2
 
-	// writeHeadroom is the divisor of the origin's utilization for writes. It is above 1, so that reads
-	// are limited before writes.
+	// writeHeadroom is the value by which the origin's utilization is divided before the limiter of writes
+	// observes it. The value is above 1, so that reads are limited before writes.
 	writeHeadroom = 1.5
 
 	// maxUtilization bounds the utilization of one observation.
@@ -238,13 +243,13 @@
 	// any attempt, the router would learn nothing about the cache.
 	minInflight = 2.0
 
-	// extraInflight is the number of attempts added to minInflight while no cache has rejected
-	// recently. Without it, all routers with small quotas would queue requests at the same time.
+	// extraInflight is the number of attempts added to minInflight while no limiter of a cache is active.
+	// Without these attempts, all routers with small quotas would queue requests at the same time.
 	extraInflight = 1.0
 
-	// failoverHeadroom is the fraction of a router's quota at a cache below which the cache can be a
-	// failover target. It is well below 1 because service degrades sharply when a failover target has
-	// little headroom.
+	// failoverHeadroom: a cache can be a failover target while the number of attempts that the router has
+	// in flight at the cache is below this fraction of the router's quota there. The fraction is well below
+	// 1 because service degrades sharply when a failover target has little headroom.
 	failoverHeadroom = 0.5
 
 	// minAvailableParents is the fraction of the parents that must be available for them to take over
@@ -258,8 +263,7 @@
 	// time of its response.
 	queuedPace = 2.5
 
-	// minQueuedSeconds is the lower bound of the transfer time, in seconds, by which the value of a
-	// queued request is divided.
+	// minQueuedSeconds is the lower bound of the transfer time, in seconds, by which queueValue divides.
 	minQueuedSeconds = 0.01
 
 	// expectedWriteDivisor: the expected latency of a write is the latency objective of its class
--- a/routing/decay.go
+++ b/routing/decay.go
@@ -32,8 +32,8 @@
 	return 1 + r.excess*decay(now-r.updatedAt, timeConstant)
 }
 
-// observe moves the ratio towards an observation. gain is the fraction of their difference by which the
-// ratio moves.
+// observe moves the ratio towards an observation. gain is the fraction of the difference between the ratio
+// and the observation by which the ratio moves.
 func (r *decayingRatio) observe(now, timeConstant time.Duration, gain, observation float64) {
 	value := r.value(now, timeConstant)
 	r.updatedAt = now
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -82,11 +82,11 @@
 	if server.ready {
 		return false
 	}
-	pieces := len(server.recentWork)
-	if pieces == 0 {
+	entries := len(server.recentWork)
+	if entries == 0 {
 		return true
 	}
-	lastUsedAt := server.recentWork[pieces-1].updatedAt
+	lastUsedAt := server.recentWork[entries-1].updatedAt
 	return lastUsedAt < r.now-serverRetention
 }
 
--- a/routing/events.go
+++ b/routing/events.go
@@ -190,7 +190,7 @@
 
 // RequireProbe makes this router probe a server that other routers have ejected. The server gets one
 // request, and gets no further request until it has responded. The event has no effect if the server
-// recently served this router. In each zone, the router that holds a lease probes an ejected server before
+// recently served this router. In each zone, one router, the lease holder, probes an ejected server before
 // the other routers do. Without the event, a lease holder that has seen only a few failures of the server
 // would keep sending requests to it, and would therefore consider the server recovered.
 type RequireProbe struct{ Server ServerID }
--- a/routing/guard.go
+++ b/routing/guard.go
@@ -10,7 +10,7 @@
 // in the meantime. A Guard is immutable, so any goroutine may use it.
 type Guard struct {
 	Ready          map[ServerID]bool // servers that are listed and neither draining nor removed
-	Purges         []PurgeRecord     // purges from before which copies may still exist
+	Purges         []PurgeRecord     // copies from before these purges may still exist
 	PurgeRetention time.Duration     // time after a purge until no older copies are left
 	PurgeGrace     time.Duration     // time within which a purge must take effect
 	PurgesSeen     bool              // purges occur in this deployment
@@ -66,7 +66,7 @@
 }
 
 // watchStale reports whether the watch stream is cut off, so that this router may have missed purges.
-// Missed purges must be obeyed too. Therefore, only copies younger than the purge grace are served while
+// Missed purges must take effect too. Therefore, only copies younger than the purge grace are served while
 // the stream is cut off, which lowers the hit ratio.
 func (g *Guard) watchStale(now time.Duration) bool {
 	if !g.PurgesSeen || g.LastEventAt == 0 {
@@ -96,8 +96,8 @@
 	return p.Group == group
 }
 
-// handlePurge records a purge. It drops earlier purges whose retention has ended: no copies from before
-// them are left.
+// handlePurge records a purge. It drops earlier purges whose retention has ended, since no copies from
+// before such a purge are left.
 func (r *Router) handlePurge(event Purge) {
 	retention := r.settings.PurgeRetention
 	r.purgeLog.PurgeRetention = retention
--- a/routing/guard_test.go
+++ b/routing/guard_test.go
@@ -6,8 +6,8 @@
 )
 
 // TestStaleWatchBoundsCopyAge checks that only copies younger than the purge grace are served while the
-// watch stream is cut off, in a deployment with purges. The router may have missed purges, which must be
-// obeyed too.
+// watch stream is cut off, in a deployment with purges. The router may have missed purges, which must take
+// effect too.
 func TestStaleWatchBoundsCopyAge(t *testing.T) {
 	const grace = 500 * millisecond
 	watched := Guard{
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -121,8 +121,9 @@
 	return started
 }
 
-// newSmallQuotaHarness creates one of eight routers of a zone. The zone has three caches, each of which
-// sends six transfers at full pace. The router's quota of each cache is less than two transfers.
+// newSmallQuotaHarness creates a router that is one of eight routers of its zone. The zone has three
+// caches, each of which sends six transfers at full pace. The router's quota of each cache is less than two
+// transfers.
 func newSmallQuotaHarness(t *testing.T) *harness {
 	t.Helper()
 	config := settings()
--- a/routing/limiter.go
+++ b/routing/limiter.go
@@ -44,9 +44,9 @@
 
 // observe records one observation of the bottleneck's utilization. When the limiter becomes active, the
 // limit is the number of transfers in flight, or the router's share of initialZoneLimit if that share is
-// higher. The limiter becomes inactive only after the limit has not been needed for a while. Otherwise,
-// all waiting requests would start together and overload the bottleneck again. zoneFraction is the
-// fraction of its zone's requests that the router receives.
+// higher. The limiter becomes inactive only when utilization is low and most of the limit is unused. If it
+// became inactive earlier, all waiting requests would start together and overload the bottleneck again.
+// zoneFraction is the fraction of its zone's requests that the router receives.
 func (l *limiter) observe(now time.Duration, utilization, zoneFraction float64) {
 	steps := min(float64((now-l.updatedAt)/limitUpdateInterval), maxLimitSteps)
 	weight := min(max(steps, 1), maxObservationSteps)
@@ -108,8 +108,9 @@
 	attempt.source.limiter.observe(r.now, utilization, r.zoneFraction)
 }
 
-// recordOriginLoad records the utilization of the origin. The limiter of writes records a lower value
-// than the limiter of reads, so that writes are still admitted when reads are limited.
+// recordOriginLoad records the utilization of the origin. The limiter in the origin's server record limits
+// writes, and observes a lower value than originLimiter, which limits reads. Writes are therefore still
+// admitted when reads are limited.
 func (r *Router) recordOriginLoad(attempt *attempt, utilization float64) {
 	r.originLimiter.observe(r.now, utilization, r.zoneFraction)
 	if attempt.request.class.Write {
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -13,9 +13,8 @@
 	return !probing || server.inflight == 0
 }
 
-// AppendEjected appends server IDs to ids and returns the extended slice. It appends the IDs of servers
-// that are listed as ready and are ejected. It also appends those of ready servers whose ejection has
-// ended, but that have not succeeded since.
+// AppendEjected appends server IDs to ids and returns the extended slice. It appends the ID of each server
+// that is listed as ready and is either ejected or has not succeeded since the end of its ejection.
 func (r *Router) AppendEjected(ids []ServerID) []ServerID {
 	for _, server := range r.servers {
 		if server.ready && server.ejections > 0 {
@@ -55,8 +54,9 @@
 
 // recordSuccess records a success of a server. It ends the ejection of the server if the server is no
 // outlier. A server that was unresponsive and responds again has most likely restarted. recordSuccess
-// therefore begins a slow start of the server, before the endpoint list reports the restart. If the
-// server was only cut off from the network, it gets less load than it could take during the slow start.
+// therefore begins a slow start of the server, before the endpoint list reports the restart. If the server
+// was only cut off from the network and did not restart, the slow start gives it less load than it could
+// take.
 func (r *Router) recordSuccess(server *server) {
 	if server.unresponsive && server.ejections > 1 && server.warmingSince < r.now-maxEjectionTime {
 		server.warmingSince = r.now
@@ -156,9 +156,9 @@
 }
 
 // sourceServed reports whether the success of an attempt also counts as a success of the source. A success
-// with an unknown cache status counts for the source. Otherwise, where outcomes report no cache status, no
-// source would ever count as responding. Every slow attempt would be attributed to its source, and all
-// parents would be ejected.
+// with an unknown cache status counts for the source. If it did not, no source would ever count as
+// responding in a deployment whose outcomes report no cache status. Every slow attempt would be attributed
+// to its source, and all parents would be ejected.
 func (s CacheStatus) sourceServed() bool {
 	return s.filled() || s == JoinedFill || s == CacheStatusUnknown
 }
@@ -234,17 +234,19 @@
 	r.recordSlowdown(target, max(slowdown, r.slowdownOf(target)))
 }
 
-// checkInterval returns the time between two checks of an attempt. The first check follows the start of
-// the attempt after the same time.
+// checkInterval returns the time between two checks of an attempt. The same time passes between the start
+// of the attempt and its first check.
 func (r *Router) checkInterval(request *request) time.Duration {
 	return max(minCheckInterval, request.class.LatencyObjective/checkObjectiveDivisor+r.transferTime(request))
 }
 
-// findOverdueFault returns the server that an overdue attempt most likely waits for, and whether that
-// server is at fault. The suspect is the target if the target has not responded since the attempt was
-// sent, and the source otherwise. A suspect that has not responded either is at fault. A source also
-// counts as responding when hits that name it succeed. If the suspect counts as responding, the error
-// rates decide after several checks: the server with the higher rate is at fault if it is an outlier.
+// findOverdueFault returns the server that an overdue attempt most likely waits for, and whether this
+// server is at fault. The suspect is the source if the target has responded since the attempt was sent, and
+// the target otherwise. A suspect that has not responded recently is at fault. For a suspect that has
+// responded recently, the error rates of the target and the source decide at check number
+// overdueChecksToFault: the server with the higher rate is at fault if it is an outlier. Responses alone do
+// not suffice as evidence, because a source also counts as responding when hits that name it as source
+// succeed.
 func (r *Router) findOverdueFault(attempt *attempt) (suspect *server, atFault bool) {
 	suspect = attempt.target
 	if attempt.target.lastResponseAt > attempt.sentAt {
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -80,9 +80,9 @@
 	}
 }
 
-// TestSharedFillFailureIsNotAttributedToCache checks the case that a lookup joins the fill of another
-// request and this fill fails. The lookup must count as a miss, not as a failure of the cache. Otherwise,
-// a slow origin would cause ejections of caches.
+// TestSharedFillFailureIsNotAttributedToCache checks that a lookup counts as a miss, not as a failure of
+// the cache, if the lookup joins the fill of another request and this fill fails. Otherwise, a slow origin
+// would cause ejections of caches.
 func TestSharedFillFailureIsNotAttributedToCache(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	for range 10 {
@@ -231,8 +231,8 @@
 // TestErrorsWithoutStatusEjectFailingServer checks that a failing server is ejected, although it also takes
 // part in attempts that succeed. The other servers of its failed attempts must not be ejected. Failed
 // requests must be retried at other servers immediately, and the failing server must be used again after it
-// has recovered. Without this detection, one in three attempts would end with an error, and no server would
-// ever be ejected.
+// has recovered. Without the detection of outliers by their error rates, one in three attempts would end
+// with an error, and no server would ever be ejected.
 func TestErrorsWithoutStatusEjectFailingServer(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 
@@ -258,9 +258,9 @@
 	harness.wantNoEjection("all fail alike", harness.router.servers)
 }
 
-// TestFewErrorsAmongManyDoNotEject checks that simultaneous failures count as one failure. It also checks that
-// a few failures among many requests do not eject a busy server. Otherwise, three failures would eject a
-// cache with 70 requests in flight.
+// TestFewErrorsAmongManyDoNotEject checks that simultaneous failures count as one failure, and that a few
+// failures among many requests do not eject a busy server. Otherwise, three failures would eject a cache
+// with 70 requests in flight.
 func TestFewErrorsAmongManyDoNotEject(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	attempts := harness.sendMany(60)
--- a/routing/records.go
+++ b/routing/records.go
@@ -69,12 +69,12 @@
 	popularity       float64       // decayed request count of its object
 	attempts         []*attempt    // oldest first
 	inflight         int           // attempts that have not ended
-	excluded         []*server     // servers that failed this request
+	excluded         []*server     // servers that most likely made attempts of this request fail
 	cacheMissed      bool          // a lookup found no copy in the cache
-	sourceMissed     bool          // the source has no copy either
+	sourceMissed     bool          // the source of a fill has no copy either
 	queued           bool          // the request is in the queue
 	queueUntil       time.Duration // latest time until which it may queue; set when first queued
-	valuePerSecond   float64       // priority weight per second of transfer time; set when first queued
+	valuePerSecond   float64       // result of queueValue, set when first queued; 0 for a write
 }
 
 // latestAttempt returns the newest attempt of a request. The request must have at least one attempt.
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -100,7 +100,8 @@
 
 // TestRejectionWithoutStatusChangesTheSource checks that a rejection without cache status leads to a second
 // attempt at the home cache with another source, since the first source may have caused the rejection.
-// Otherwise, while a parent is lost, each miss of its objects would be retried at all caches and rejected.
+// Otherwise, while a parent is lost, each miss of an object with this home parent would be retried at all
+// caches and rejected.
 func TestRejectionWithoutStatusChangesTheSource(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	first := harness.requestOne(Request{Object: 7})
--- a/routing/router.go
+++ b/routing/router.go
@@ -10,13 +10,13 @@
 type Router struct {
 	settings          Settings
 	seed              uint64
-	longestObjective  time.Duration // longest of all classes; an origin this slow is overloaded
+	longestObjective  time.Duration // longest LatencyObjective of a class; an origin this slow is overloaded
 	zoneFraction      float64       // fraction of its zone's requests that this router receives
 	slowStarts        [roleCount]SlowStart
 	servers           []*server
 	readyByRole       [roleCount][]*server
 	totalWeight       [roleCount]float64        // total weight of the ready servers
-	throughput        [roleCount]decayingSum    // seconds of transfer time served to this router per second
+	throughput        [roleCount]decayingSum    // transfer time of completed work, in seconds per second
 	peakThroughput    [roleCount]float64        // highest throughput seen, per unit of weight
 	initialized       bool                      // the first endpoint list has arrived
 	requests          map[RequestID]*request    // unfinished requests
--- a/routing/selection.go
+++ b/routing/selection.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// On the ordinary path, a request goes to the home cache of its chunk. Rendezvous hashing selects the
-// home cache among the caches of the zone, and the home parent of an object among all parents. The home
-// parent fills a miss. A request for a popular object joins a fill in progress. All other code of this
-// file handles the cases in which the ordinary path cannot be used.
+// By default, a request goes to the home cache of its chunk. Rendezvous hashing selects the home cache
+// among the caches of the zone, and the home parent of an object among all parents. The home parent fills a
+// miss. A request for a popular object joins a fill in progress. The rest of this file handles the cases in
+// which a request cannot take this default path.
 
 // route is the path of an attempt.
 type route struct {
@@ -130,8 +130,9 @@
 }
 
 // tooFewParentsLeft reports whether the origin should replace an unresponsive parent. This is so if three
-// conditions hold: an unresponsive parent precedes all parents of the list ranked, the list is too short
-// to take over the objects of that parent, and the origin can take them over.
+// conditions hold. An unresponsive parent precedes, in rendezvous order, all parents in ranked. The parents
+// in ranked are too few to take over the objects of the unresponsive parent. The origin can take over these
+// objects.
 func (r *Router) tooFewParentsLeft(ranked []*server) bool {
 	parents := r.readyByRole[parent]
 	if r.settings.OriginStopsOnOverload || len(r.readyByRole[origin]) == 0 {
@@ -180,8 +181,8 @@
 }
 
 // keyFraction returns the fraction of its keys that a server keeps. The fraction is below 1 for a server
-// that is far slower than its fastest peer. Without this reduction, requests would queue for a cache at a
-// tenth of its usual pace as they do for a saturated cache, and a third of all requests would be rejected.
+// that is far slower than its fastest peer. Without this reduction, requests would queue for a cache that
+// works at a tenth of its usual pace, and a third of all requests would be rejected.
 func (r *Router) keyFraction(server *server) float64 {
 	slowdown := r.slowdownOf(server)
 	least := slowdown
--- a/routing/selection_test.go
+++ b/routing/selection_test.go
@@ -135,9 +135,9 @@
 	})
 }
 
-// TestSlowCacheKeepsFewKeys checks that a cache at a tenth of its usual pace keeps only a few of its keys, and
-// gets the other keys back after it has recovered. Otherwise, requests would queue for this cache as they do
-// for a saturated home cache, and a third of all requests would be rejected.
+// TestSlowCacheKeepsFewKeys checks that a cache at a tenth of its usual pace keeps only a few of its keys,
+// and gets the other keys back after it has recovered. If the slow cache kept all its keys, requests would
+// queue for it, and a third of all requests would be rejected.
 func TestSlowCacheKeepsFewKeys(t *testing.T) {
 	config := settings()
 	config.BodyBytesPerSecond = 100_000
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -33,7 +33,7 @@
 	KeyScope                KeyScope      // for IdempotentWithKey
 	KeyWindow               time.Duration // for IdempotentWithKey; begins with the first possible execution
 	LatencyObjective        time.Duration // a response within this time counts with the full PriorityWeight
-	ObjectiveTransferFactor float64       // multiple of the transfer time that is added to the objective
+	ObjectiveTransferFactor float64       // this value times the transfer time is added to LatencyObjective
 	Deadline                time.Duration // longest time from a request until its client gives up
 	PriorityWeight          float64       // value of one request relative to other classes
 	LateWeightFactor        float64       // fraction of PriorityWeight for a late response; not used here
@@ -56,7 +56,7 @@
 type SlowStart struct {
 	InitialCapacity float64       // fraction of the full capacity at the start, 0 to 1
 	Duration        time.Duration // time from the start until the server has its full capacity
-	OverloadFactor  float64       // multiple of the present capacity that overloads the server
+	OverloadFactor  float64       // load that overloads the server, as a multiple of its present capacity
 	OverloadWindow  time.Duration // time for which the server withstands the load of OverloadFactor
 }
 
@@ -78,11 +78,11 @@
 	TransferKBPerSecond float64       // full pace of one transfer to a client, in KB per second; 0: unknown
 	BodyBytesPerSecond  float64       // full pace in bytes of Outcome.BodyBytes per second; 0: not known
 	WeightIsCapacity    bool          // Server.Weight is the number of transfers at full pace
-	// HitStatusOnly: the cache status of an outcome reports hits and fills but no failures, and
-	// FillWait is not reported. The router then ignores the pace of fills. Otherwise, a fill that
-	// waits 150 ms for its source and transfers for 10 ms would make the source look fifteen times
-	// too slow, and all known misses would be limited. Failures are detected in the same way as if
-	// outcomes reported no cache status.
+	// HitStatusOnly: the cache status of an outcome reports hits and fills but no failures, and FillWait is
+	// not reported. The router then ignores the pace of fills. If it did not, a fill that waits 150 ms for
+	// its source and transfers for 10 ms would make the source look fifteen times too slow, and all known
+	// misses would be limited. Failures are detected in the same way as if outcomes reported no cache
+	// status.
 	HitStatusOnly         bool
 	OriginStopsOnOverload bool          // an overloaded origin stops answering for a while
 	MustSubscribe         bool          // endpoint updates are sent only after a Subscribe
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// startWarming records the start time of a listed server. A new server warms up from its start time. If
-// the start time is not reported, the server warms up from the time of its first entry in the endpoint
-// list. inFirstList is true for an entry of the first endpoint list. A server of that list does not warm
-// up if its start time is not reported.
+// startWarming determines from which time a listed server warms up. inFirstList is true for an entry of the
+// first endpoint list. If the start time of the server is reported, the server warms up from that time, and
+// a new start time resets its consecutive failures and ejections. If the start time is not reported, a
+// server of the first endpoint list does not warm up, and any other server warms up from the time of its
+// first entry.
 func (r *Router) startWarming(server *server, listed Server, inFirstList bool) {
 	if inFirstList {
 		server.warmingSince = longAgo
@@ -58,9 +59,9 @@
 func (r *Router) sentInWindow(server *server) float64 {
 	windowStart := r.now - r.slowStarts[server.role].OverloadWindow
 	sent := 0.0
-	for _, piece := range server.recentWork {
-		if piece.updatedAt > windowStart {
-			sent += piece.value
+	for _, entry := range server.recentWork {
+		if entry.updatedAt > windowStart {
+			sent += entry.value
 		}
 	}
 	return sent
@@ -76,11 +77,11 @@
 	return overload * capacity * r.expectedThroughput(server.role) * r.weight(server) * window.Seconds()
 }
 
-// expectedThroughput returns the work per second and per unit of weight that this router expects servers
-// of a role to carry. The result is the highest throughput seen. If weights are capacities, the result is
+// expectedThroughput returns the work per second and per unit of weight that this router expects servers of
+// a role to complete. The result is the highest throughput seen. If weights are capacities, the result is
 // at least the router's share of the throughput that the weights imply. Without this lower bound, a router
-// that has seen no throughput would reject all requests. This is the case after a restart of the router,
-// or of its whole zone.
+// that has seen no throughput would reject all requests. This is the case after a restart of the router, or
+// of its whole zone.
 func (r *Router) expectedThroughput(role role) float64 {
 	promised := 0.0
 	if r.settings.WeightIsCapacity && r.settings.TransferKBPerSecond > 0 {
@@ -96,8 +97,8 @@
 // work that was sent earlier stays recorded.
 func (r *Router) recordSentWork(server *server, work float64) {
 	expired := r.now - r.slowStarts[server.role].OverloadWindow
-	server.recentWork = slices.DeleteFunc(server.recentWork, func(piece decayingSum) bool {
-		return piece.updatedAt <= expired
+	server.recentWork = slices.DeleteFunc(server.recentWork, func(entry decayingSum) bool {
+		return entry.updatedAt <= expired
 	})
 	server.recentWork = append(server.recentWork, decayingSum{r.now, work})
 }
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -18,8 +18,9 @@
 		servers []Server
 		most    float64 // maximum work sent, in seconds of transfer time
 	}{
-		// A peer carries at most 20 requests of 0.1 s per second. The slow start begins at a fifth of this
-		// load. Twice the load of the slow start may be sent for 2 s.
+		// A peer completes at most 200 requests of 0.1 s per second, which is 20 s of work per second. The
+		// capacity of the warming cache begins at a fifth of a peer's capacity and stays below 0.4 of it
+		// during the test. Twice the present capacity for 2 s is an overload.
 		{name: "beside a warm peer", servers: slices.Concat(list[:2], upstreams), most: 2 * 0.4 * 20 * 2.0},
 		// The router does not know the cache's capacity.
 		{name: "alone", servers: slices.Concat(list[1:2], upstreams), most: 1.5},
@@ -81,9 +82,9 @@
 	}
 }
 
-// TestSmallSlowStartBudgetIsRandom checks the case that the budget is less than the work of one attempt. A
-// random fraction of the routers must then send an attempt, so that the routers together stay within the
-// sum of their budgets.
+// TestSmallSlowStartBudgetIsRandom checks that, if the budget is less than the work of one attempt, a
+// random fraction of the routers sends an attempt, so that the routers together stay within the sum of
+// their budgets.
 func TestSmallSlowStartBudgetIsRandom(t *testing.T) {
 	const routers, work = 1000, 0.4
 	list := fleet()
--- a/routing/unresponsive_parent_test.go
+++ b/routing/unresponsive_parent_test.go
@@ -7,9 +7,10 @@
 )
 
 // TestUnresponsiveParentIsReplaced checks that an unresponsive parent is probed with one request at a time
-// after its ejection has ended. Otherwise, it would get many requests at the same time. If few parents are
-// left, the origin must fill the objects of that parent. Otherwise, the link of the other parent would be
-// saturated. If an overload would stop the origin, the other parents must fill these objects.
+// after its ejection has ended. Without this limit, the parent would get many requests at the same time.
+// The test also checks which server fills the objects of the unresponsive parent while only one other
+// parent is left. Where an overload does not stop the origin, the origin fills them, since they would
+// saturate the link of the other parent. Where an overload stops the origin, the other parent fills them.
 func TestUnresponsiveParentIsReplaced(t *testing.T) {
 	tests := []struct {
 		name        string
