--- a/internal/testcluster/bans_test.go
+++ b/internal/testcluster/bans_test.go
@@ -15,11 +15,13 @@
 	"garnetline/internal/fleet/bans"
 )
 
-// Eight routers, five of them voters, keep the bans that operators set. The bans survive when all
-// processes are killed and all files except the voters' logs and the router identities are lost. A
-// router that reports that it is ready applies the bans. A minority of the routers can ban a server
-// but cannot enable a server. The minority's ban is registered after the partition heals. The same
-// rules apply while a majority of the voters is down.
+// TestBansSurviveRestartsAndPartitions checks the bans of eight routers, five of which are voters.
+// The bans that operators set survive when all processes are killed and all files except the
+// voters' logs and the router identities are lost. A router that reports that it is ready applies
+// the bans. During a partition, the routers of the minority can ban a server but cannot enable one.
+// Their ban is registered after the partition heals. In the same way, while a majority of the
+// voters is down, routers can ban a server but cannot enable one, and the ban is registered
+// afterwards.
 func TestBansSurviveRestartsAndPartitions(t *testing.T) {
 	cluster := startFleet(t, Options{Routers: 8, Servers: 4, Voters: 5, LeaseSettings: " bans {\n  every_ms = 200\n }\n", Seed: 31})
 	test := &bansTest{clusterTest: cluster, load: cluster.StartLoad(50*time.Millisecond, cluster.Routers...)}
--- a/internal/testcluster/failpoint_test.go
+++ b/internal/testcluster/failpoint_test.go
@@ -14,10 +14,11 @@
 	failpointSaveDelay = "fault-save" // ms
 )
 
-// The wall clocks of all routers step an hour back and then two hours forward while a router holds
-// a lease. The holder keeps the lease through both steps. Afterwards the lease can be transferred,
-// and it is acquired again when its holder stops. The stopped router rejoins with the new time.
-// Purges, which carry wall clock times, take effect after each step.
+// TestWallClockStep checks that leases and purges work although the wall clocks of all routers step
+// an hour back and then two hours forward. The holder of a lease keeps the lease through both
+// steps. Afterwards the lease can be transferred, and another router acquires the lease when the
+// holder stops. The stopped router rejoins with the new time. Purges, which contain wall clock
+// times, take effect after each step.
 func TestWallClockStep(t *testing.T) {
 	cluster := startFleet(t, Options{Program: faultProgram, Routers: 5, Servers: 2, Voters: 3, LeaseSettings: shortLeases, Seed: 41})
 	firstHolder, firstToken := cluster.waitForHolder(loadReportLease, cluster.Routers...)
@@ -87,9 +88,9 @@
 	return false
 }
 
-// The holder transfers the lease while each disk write of one voter takes two seconds. The lease is
-// acquired again, and requests are still served. No server receives a health check after a health
-// check with a later fencing token.
+// TestSlowVoterDisk checks that a lease can be transferred while each disk write of one voter takes
+// two seconds. A router acquires the lease again, and requests are still served. No server receives
+// a health check after a health check with a later fencing token.
 func TestSlowVoterDisk(t *testing.T) {
 	cluster := startFleet(t, Options{Program: faultProgram, Routers: 5, Servers: 2, Voters: 3, LeaseSettings: shortLeases, Seed: 42})
 	load := cluster.StartLoad(50*time.Millisecond, cluster.Routers...)
--- a/internal/testcluster/gossip_test.go
+++ b/internal/testcluster/gossip_test.go
@@ -17,9 +17,9 @@
 	phaseDraining = 1
 )
 
-// A router that cannot reach its change log learns of drains and purges from its peers. When the
-// router can reach its change log again, it follows the change log alone. A ban that is set at one
-// router takes effect at all routers.
+// TestGossipReplacesUnreachableChangeLog checks that a router that cannot reach its change log
+// learns of drains and purges from its peers. When the router can reach its change log again, it
+// follows the change log alone. A ban that is set at one router takes effect at all routers.
 func TestGossipReplacesUnreachableChangeLog(t *testing.T) {
 	const (
 		stalePeriod  = 2 * time.Second // time after which the router's watch of the change log is stale
@@ -62,10 +62,11 @@
 	cluster.waitUntil("the change log alone is followed again", outOfRotation(1))
 }
 
-// During a partition, one side bans a server, and the other side bans and then enables it. After
-// the partition heals, all routers hold the ban, since the enable call did not know the ban of the
-// other side. A later enable call, at a router that knows the ban, ends the ban at all routers.
-// This includes a router that was paused during the call.
+// TestBanSurvivesConcurrentEnable checks the case that sides A and B of a partition both ban a
+// server, and that side B then enables the server. After the partition heals, all routers hold the
+// ban of side A, since the enable call at side B did not know this ban. A later enable call, at a
+// router that knows the ban, ends the ban at all routers, including a router that was paused during
+// the call.
 func TestBanSurvivesConcurrentEnable(t *testing.T) {
 	const server = "s-00000001"
 	cluster := startFleet(t, Options{Routers: 6, Servers: 2, Seed: 10})
--- a/internal/testcluster/harness_test.go
+++ b/internal/testcluster/harness_test.go
@@ -29,8 +29,8 @@
 // shortLeases are the lease settings of tests in which leases expire.
 const shortLeases = " lease_ms = 1500\n margin_ms = 150\n"
 
-// loadReportLease is the name of a lease. The holder of the lease sends health checks to the
-// servers in the clusters' zone.
+// loadReportLease is the name of the lease on load reports. The holder of the lease sends health
+// checks to the servers in the clusters' zone, and the servers report their loads in the answers.
 const loadReportLease = "probe/edge"
 
 // transferPath is the admin API path that makes the holder of loadReportLease transfer the lease.
@@ -124,7 +124,7 @@
 }
 
 // require ends the test if err is not nil. Otherwise it logs the description of a condition and the
-// time that the condition took.
+// time until the condition was met.
 func (c *clusterTest) require(description string, elapsed time.Duration, err error) {
 	c.t.Helper()
 	if err != nil {
@@ -269,14 +269,13 @@
 	c.t.Logf("%d requests, p50 %v, p99 %v, by status %v", result.Requests, result.P50, result.P99, result.Statuses)
 }
 
-// killAndExclude kills a router. From then on, requests to the router do not count in the result.
+// killAndExclude kills a router and excludes it from the result of the load.
 func killAndExclude(load *Load, router *Router) {
 	load.SetExcluded(router, true)
 	router.Kill()
 }
 
-// stopAndExclude stops a router gracefully. From then on, requests to the router do not count in
-// the result.
+// stopAndExclude stops a router gracefully and excludes it from the result of the load.
 func (c *clusterTest) stopAndExclude(load *Load, router *Router) {
 	c.t.Helper()
 	load.SetExcluded(router, true)
--- a/internal/testcluster/keys_test.go
+++ b/internal/testcluster/keys_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// Three reloads of all routers replace the fleet key, and no member is lost. Packets from senders
-// without the key, of other protocol versions and of other fleets are dropped. Each of these three
-// kinds is counted separately.
+// TestKeyRotationAndForeignPackets checks that three reloads of all routers replace the fleet key
+// without the loss of a member. Packets from senders without the key, of other protocol versions
+// and of other fleets are dropped. Each of these three kinds is counted separately.
 func TestKeyRotationAndForeignPackets(t *testing.T) {
 	const newKey = "another key for routers on loopback"
 	cluster := startFleet(t, Options{Routers: 5, Servers: 1, Seed: 8})
--- a/internal/testcluster/leases.go
+++ b/internal/testcluster/leases.go
@@ -74,8 +74,8 @@
 	return holder, token, err
 }
 
-// WaitForProbes waits until the latest health check at each server carries a fencing token greater
-// than previousToken.
+// WaitForProbes waits until the latest health check at each server has a fencing token greater than
+// previousToken.
 func (c *Cluster) WaitForProbes(timeout time.Duration, previousToken uint64) (time.Duration, error) {
 	description := fmt.Sprintf("all servers receive health checks with a fencing token greater than %d", previousToken)
 	return c.WaitUntil(description, timeout, func() (bool, string) {
--- a/internal/testcluster/leases_status_test.go
+++ b/internal/testcluster/leases_status_test.go
@@ -8,9 +8,9 @@
 	"garnetline/internal/fleet/leasemanager"
 )
 
-// The fields of LeaseStatus must have the JSON keys of the daemon's page. If a key changed only in
-// the daemon, a field would stay empty without an error. A test that waits for a value of the field
-// could then fail or pass wrongly.
+// TestLeaseStatusHasTheKeysOfTheAdminAPI checks that the fields of LeaseStatus have the JSON keys
+// of the daemon's page. If a key changed only in the daemon, a field would stay empty without an
+// error. A test that waits for a value of the field could then fail or pass wrongly.
 func TestLeaseStatusHasTheKeysOfTheAdminAPI(t *testing.T) {
 	page, err := json.Marshal(map[string]any{
 		"register": leasemanager.Status{
--- a/internal/testcluster/leases_test.go
+++ b/internal/testcluster/leases_test.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// The holder of a lease meets five faults, one after another. It is paused until the lease has
-// expired, and then resumed. It is told to transfer the lease. It is cut off from the other routers
-// but not from the servers. It is killed. It is stopped gracefully. After each fault a router holds
-// the lease again. No server ever receives a health check after a health check with a later fencing
-// token. Requests are served throughout.
+// TestLeaseHasOneHolderAcrossFaults subjects the current holder of a lease to five events, one
+// after another. The holder is paused until the lease has expired, and then resumed. It is told to
+// transfer the lease. It is cut off from the other routers but not from the servers. It is killed.
+// It is stopped gracefully. After each event a router holds the lease again. No server ever
+// receives a health check after a health check with a later fencing token. Requests are served
+// throughout.
 func TestLeaseHasOneHolderAcrossFaults(t *testing.T) {
 	const minHandovers = 5
 	cluster := startFleet(t, Options{Routers: 8, Servers: 2, Voters: 5, LeaseSettings: shortLeases, Seed: 21})
@@ -94,9 +95,9 @@
 	return newToken
 }
 
-// While a majority of the voters is down, the lease expires and requests are still served. When the
-// voters are back, a router holds the lease again. The new fencing token is not lower than the old
-// one.
+// TestLeaseExpiresWithoutVoterMajority checks that a lease expires while a majority of the voters
+// is down, and that requests are still served. When the voters are back, a router holds the lease
+// again. Its fencing token is not lower than that of the expired lease.
 func TestLeaseExpiresWithoutVoterMajority(t *testing.T) {
 	cluster := startFleet(t, Options{Routers: 5, Servers: 1, Voters: 3, LeaseSettings: shortLeases, Seed: 22})
 	_, before := cluster.waitForHolder(loadReportLease, cluster.Routers...)
--- a/internal/testcluster/membership_test.go
+++ b/internal/testcluster/membership_test.go
@@ -9,8 +9,9 @@
 	"garnetline/internal/fleet"
 )
 
-// While requests are sent, one of eight routers is killed and another is stopped gracefully. Both
-// are started again and rejoin.
+// TestKilledAndStoppedRoutersRejoin checks that two of eight routers rejoin when they are started
+// again, one after it was killed and the other after it was stopped gracefully. Clients send
+// requests during the test.
 func TestKilledAndStoppedRoutersRejoin(t *testing.T) {
 	cluster := startFleet(t, Options{Routers: 8, Servers: 3, Seed: 1})
 	load := cluster.StartLoad(40*time.Millisecond, cluster.Routers...)
@@ -31,8 +32,9 @@
 	cluster.expectNoFalseFailures(killed)
 }
 
-// A stalled router receives no packets from its peers. When it runs again after a long stall, it
-// must not declare its peers failed because of the missing packets.
+// TestStalledRouterRejoinsAndFailsNoPeer checks that a router that runs again after a long stall
+// rejoins and does not declare its peers failed. During the stall, the router received no packets
+// from its peers.
 func TestStalledRouterRejoinsAndFailsNoPeer(t *testing.T) {
 	const furtherStall = 2 * time.Second // additional stall after all other routers have declared the router failed
 	cluster := startFleet(t, Options{Routers: 8, Servers: 1, Seed: 4})
@@ -51,8 +53,9 @@
 	cluster.expectNoFalseFailures(stalled)
 }
 
-// All routers are restarted within seconds, one after another. Then all routers but one are killed,
-// and the last router serves requests alone.
+// TestRollingRestartAndLastRouterServesAlone checks that all routers see each other again after
+// they were killed and restarted within seconds, one after another. Then the test kills all routers
+// but one, and checks that the last router serves requests alone.
 func TestRollingRestartAndLastRouterServesAlone(t *testing.T) {
 	const (
 		restartInterval = 150 * time.Millisecond
@@ -107,8 +110,9 @@
 	return true, ""
 }
 
-// The two processes of a router that is being upgraded count as one member. A ban that is set at
-// the admin API of the new process takes effect at all routers. Requests are served throughout.
+// TestUpgradingRouterIsOneMember checks that the two processes of a router that is being upgraded
+// count as one member. A ban that is set at the admin API of the new process takes effect at all
+// routers. Requests are served throughout.
 func TestUpgradingRouterIsOneMember(t *testing.T) {
 	const server = "s-00000002"
 	cluster := startFleet(t, Options{Routers: 5, Servers: 3, Seed: 6})
@@ -145,8 +149,8 @@
 	return fleet.MemberStatus{}
 }
 
-// Two routers have the same name by mistake. Each router logs the conflict once, as an error, and
-// both remain members.
+// TestNameConflictIsReportedAndBothStay checks the effect of two routers that have the same name by
+// mistake. Each router logs the conflict once, as an error, and both routers remain members.
 func TestNameConflictIsReportedAndBothStay(t *testing.T) {
 	cluster := startFleet(t, Options{Routers: 4, Servers: 1, Seed: 7})
 	original := cluster.Routers[2]
--- a/internal/testcluster/partition_test.go
+++ b/internal/testcluster/partition_test.go
@@ -7,9 +7,10 @@
 	"garnetline/internal/faultproxy"
 )
 
-// The fleet is partitioned into halves. Later it is partitioned into two sides that both still
-// reach one router, the bridge. After each partition has healed, all views are the same. Requests
-// are served throughout.
+// TestFleetConvergesAfterPartitions checks that all routers have the same view of the fleet after
+// each of two partitions has healed. The first partition separates two halves of the fleet. The
+// second separates two sides that both still reach one router, the bridge. Requests are served
+// throughout.
 func TestFleetConvergesAfterPartitions(t *testing.T) {
 	const bridgedPeriod = 4 * time.Second // without the bridge, routers would be declared failed in this time
 	cluster := startFleet(t, Options{Routers: 8, Servers: 3, Seed: 2})
@@ -30,10 +31,11 @@
 	cluster.stopLoad(load)
 }
 
-// All links lose, duplicate, reorder, corrupt and delay packets. One router receives nothing from
-// one other router, one router is paused repeatedly, and one router gets a tenth of its processor
-// time. Only the paused and the throttled router may be declared failed. Neither of these two
-// declares another router failed.
+// TestLossAndStallsFailNoHealthyRouter checks that routers declare no healthy router failed on an
+// unreliable network. All links lose, duplicate, reorder, corrupt and delay packets. One router
+// receives nothing from one other router, one router is paused repeatedly, and one router gets a
+// tenth of its processor time. Only the paused and the throttled router may be declared failed.
+// Neither of these two declares another router failed.
 func TestLossAndStallsFailNoHealthyRouter(t *testing.T) {
 	const (
 		pauses        = 4
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -55,7 +55,7 @@
 }
 
 // Start starts a new process of the router. The current process, if there is one, may have exited
-// or may still be running. From then on, the router's methods act on the new process.
+// or may still be running. After Start has returned, the router's methods act on the new process.
 func (r *Router) Start() error {
 	if err := r.openClientSocket(); err != nil {
 		return err
--- a/internal/testcluster/recovery_test.go
+++ b/internal/testcluster/recovery_test.go
@@ -13,8 +13,9 @@
 	maxEjectedShare = 12 // maximum if all routers have ejected the server
 )
 
-// After a server has failed and recovered, a single router probes it first. The other routers use
-// the server again one after another, at the configured rate.
+// TestOneRouterProbesRecoveredServer checks that a single router first probes a server that has
+// failed and recovered. The other routers use the server again one after another, at the configured
+// rate.
 func TestOneRouterProbesRecoveredServer(t *testing.T) {
 	const (
 		maxFirstSecond  = 25              // requests in the first second of the recovery
--- a/internal/testcluster/voters_test.go
+++ b/internal/testcluster/voters_test.go
@@ -10,9 +10,10 @@
 	"time"
 )
 
-// A voter that has lost its disk returns as a learner and becomes a voter again. A router that is
-// listed as a voter in its own settings file only does not become a voter. It becomes a voter when
-// operators add it. A voter that operators remove is no longer a voter.
+// TestVotersAreReplaced checks how voters are replaced, added and removed. A voter that has lost
+// its disk returns as a learner and becomes a voter again. A router that only its own settings file
+// lists as a voter does not become a voter. It becomes a voter when operators add it. A voter that
+// operators remove is no longer a voter.
 func TestVotersAreReplaced(t *testing.T) {
 	const requestPeriod = time.Second // time in which the unlisted router asks several times to become a voter
 	cluster := startFleet(t, Options{Routers: 4, Servers: 1, Voters: 3, Seed: 23})
