--- a/internal/discovery/disabled.go
+++ b/internal/discovery/disabled.go
@@ -31,7 +31,7 @@
 
 // SetDisabledByRegistry disables or enables a server to match the lease registry. It works like
 // SetDisabled, with one exception: it does not report to the peers that a server was disabled,
-// because they read the registry too.
+// because they read the registry too. It does report that a server was enabled.
 func (w *Watcher) SetDisabledByRegistry(ctx context.Context, id routing.ServerID, disabled bool) error {
 	return w.submit(ctx, disableRequest{server: id, disabled: disabled, skipBroadcast: disabled, result: make(chan error, 1)})
 }
@@ -46,8 +46,8 @@
 	}
 }
 
-// handleDisableRequest carries out a request. It stores the change before it applies the change.
-// When the caller gets a nil error, the change is therefore stored.
+// handleDisableRequest carries out a request. It stores the change before it applies the change. A
+// nil error therefore tells the caller that the change is stored.
 func (w *Watcher) handleDisableRequest(request disableRequest) error {
 	_, listed := w.servers[request.server]
 	_, isDisabled := w.disabled[request.server]
--- a/internal/discovery/disabled_test.go
+++ b/internal/discovery/disabled_test.go
@@ -59,7 +59,7 @@
 	return event.Endpoints[0].Server
 }
 
-// call sets whether a server is disabled, and checks the returned error.
+// call calls SetDisabled and checks that it returns the error want.
 func (p routerProcess) call(id routing.ServerID, disabled bool, want error) {
 	p.t.Helper()
 	if err := p.SetDisabled(p.t.Context(), id, disabled); !errors.Is(err, want) {
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// TestGoldenFrames checks the bytes that a router and its change log exchange. These are the
-// request of the router, and frames of each kind.
+// TestGoldenFrames checks the bytes that a router and its change log exchange: the request of the
+// router, and the frames of each kind that the change log sends.
 func TestGoldenFrames(t *testing.T) {
 	var text strings.Builder
 	clientConn, serverConn := net.Pipe()
--- a/internal/discovery/gossip.go
+++ b/internal/discovery/gossip.go
@@ -13,27 +13,28 @@
 const (
 	// staleAfter is the age of the latest frame above which the watch counts as stale.
 	staleAfter = 1500.0
-	// gossipSlack is the maximum time between a peer's report of a drain and a later frame of this
-	// router's own watch. If the frame came within this time after the report, the watcher still
-	// assumes that its own watch missed the drain, because a frame and a gossip message about the
-	// same drain may arrive in either order.
+	// gossipSlack decides whether this router's own watch missed a drain that a peer reported. If
+	// the latest frame arrived more than gossipSlack after the report, the watcher assumes that the
+	// watch has received the drain. Otherwise, it assumes that the watch missed the drain, because
+	// a frame and a gossip message about the same drain may arrive in either order.
 	gossipSlack = 2000.0
-	// catchUpPeriod is the time in which the watch receives the events that it missed, after it
-	// receives frames again. At the end of this time, the watcher drops the drains that peers
-	// reported. After that, only this router's own endpoint list applies.
+	// catchUpPeriod is the time that a stale watch gets to receive the events that it missed. It
+	// starts when frames arrive again. At its end, the watcher drops the drains that peers
+	// reported, and only this router's own endpoint list decides which servers are draining.
 	catchUpPeriod = 500.0
 	// maxFuturePurge is the limit for purges that peers report with a time in the future. The
 	// watcher ignores a purge whose time is at least maxFuturePurge ahead.
 	maxFuturePurge = 60_000.0
 )
 
-// Gossip exchanges reports with the other routers of the fleet, the peers. A report of a peer can
-// only exclude a server. Only this router's own watch can make a server usable.
+// Gossip exchanges reports with the other routers of the fleet, the peers. The report of a drain
+// can only exclude a server. The report that a server was enabled only ends the exclusion by an
+// operator: the server is usable only if this router's own watch lists it as ready.
 type Gossip interface {
 	// SetDisabled reports to the fleet that an operator disabled or enabled a server on this
 	// router.
 	SetDisabled(server routing.ServerID, disabled bool)
-	// Broadcast reports an event that this router's own watch received to the fleet.
+	// Broadcast reports to the fleet an event that this router's own watch received.
 	Broadcast(item gossip.Item)
 	// ChangesReady returns a channel. The channel receives a value when TakeChanges has changes to
 	// return.
@@ -42,26 +43,26 @@
 	TakeChanges() []gossip.Change
 }
 
-// gossipedDrain is a drain of a server that a peer reported.
+// gossipedDrain is a peer's report that a server is draining.
 type gossipedDrain struct {
 	started    time.Duration // start time of the draining server
 	receivedAt float64       // clock time in ms at which the report arrived
 }
 
-// gossipState is the part of the watcher's state that belongs to the fleet. It is the zero value if
-// the router belongs to no fleet.
+// gossipState is the part of the watcher's state that the gossip with the fleet needs. It is the
+// zero value if the router belongs to no fleet.
 type gossipState struct {
 	Gossip
 	changesReady <-chan struct{}
 	drains       map[routing.ServerID]gossipedDrain
-	activeDrains map[routing.ServerID]time.Duration // the drains that the watcher follows; value: the start time of the server
+	activeDrains map[routing.ServerID]time.Duration // servers that are excluded because a peer reported a drain; value: start time of the draining server
 	lastFrameAt  float64                            // ms; time of the latest frame of this router's own watch
 	steadySince  float64                            // ms; since this time, no pause between frames was longer than staleAfter
 }
 
-// SetGossip makes the watcher report the events that it receives to the peers. While the watcher's
-// own watch is stale, the watcher follows the reports of the peers. SetGossip must be called before
-// Run.
+// SetGossip makes the watcher report to the peers the events of its own watch, and apply the bans
+// and purges that peers report. While its own watch is stale, the watcher also applies the drains
+// that peers report. SetGossip must be called before Run.
 func (w *Watcher) SetGossip(peers Gossip) {
 	now := w.clock.Now()
 	w.gossip = gossipState{
@@ -163,7 +164,7 @@
 	w.publish(platformconfig.WatchEvent{Seq: w.lastSeq, Purge: purge})
 }
 
-// updateGossipedDrains follows the drains that peers reported if this router's own watch is stale.
+// updateGossipedDrains applies the drains that peers reported if this router's own watch is stale.
 // It drops those drains once the watch has been steady for catchUpPeriod; see
 // gossipState.steadySince.
 func (w *Watcher) updateGossipedDrains() {
@@ -179,7 +180,8 @@
 	}
 }
 
-// followGossipedDrains excludes the servers with a drain that this router's own watch missed.
+// followGossipedDrains excludes each server whose drain a peer reported and this router's own watch
+// missed (see gossipSlack).
 func (w *Watcher) followGossipedDrains() {
 	state := &w.gossip
 	for id, drain := range state.drains {
@@ -194,8 +196,8 @@
 	}
 }
 
-// dropGossipedDrains ends all drains that the watcher follows. It also forgets each report that
-// arrived more than gossipSlack before the latest frame.
+// dropGossipedDrains ends the exclusion of all servers that followGossipedDrains has excluded. It
+// also forgets each report that arrived more than gossipSlack before the latest frame.
 func (w *Watcher) dropGossipedDrains() {
 	state := &w.gossip
 	for id, drain := range state.drains {
--- a/internal/discovery/session.go
+++ b/internal/discovery/session.go
@@ -83,8 +83,8 @@
 
 // reconnectBackoff computes the delays between connections. While no frame is received, the upper
 // bound of the delay doubles up to maxBackoff. Each delay is a random value from half the bound to
-// the bound. All routers of a fleet may lose the change log at the same moment. Without the
-// randomness, these hundreds of routers would also connect again at the same moment.
+// the bound. A fleet has hundreds of routers, and all of them may lose the change log at the same
+// moment. Without the randomness, they would also connect again at the same moment.
 type reconnectBackoff struct {
 	random  *rand.Rand
 	ceiling float64 // ms; upper bound of the latest delay; 0: no delay yet
--- a/internal/discovery/session_test.go
+++ b/internal/discovery/session_test.go
@@ -14,8 +14,8 @@
 )
 
 // TestReconnectResumesFromLastSeq checks the reconnect after a connection ends or sends a malformed
-// frame. The watcher connects again and requests the events after the last applied event. It
-// applies an event that it receives twice only once.
+// frame. The watcher connects again and requests the events after the last applied event. If it
+// receives an event twice, it applies the event once.
 func TestReconnectResumesFromLastSeq(t *testing.T) {
 	server := newFakeChangeLog(t)
 	watcher, events := newTestWatcher(server.addr())
@@ -101,7 +101,7 @@
 
 // TestSilentConnectionIsReplaced checks that the watcher receives a drain although earlier
 // connections failed. The change log accepts the first connection and sends nothing on it. It
-// closes the second connection after one frame. The third connection carries the drain.
+// closes the second connection after one frame. It sends the drain on the third connection.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	server := newFakeChangeLog(t)
 	watcher, events := newTestWatcher(server.addr())
@@ -163,7 +163,7 @@
 
 // TestReloadClosesSilentConnection checks that the watcher closes its old connection when a new
 // configuration names another change log. The old connection is silent and never ends unless the
-// watcher closes it. The watcher must not wait for its end.
+// watcher closes it. The watcher must not wait until the change log ends the old connection.
 func TestReloadClosesSilentConnection(t *testing.T) {
 	first, second := newFakeChangeLog(t), newFakeChangeLog(t)
 	watcher, events := newTestWatcher(first.addr())
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -3,9 +3,9 @@
 //
 // A Watcher owns the connection to the change log, the number of the last applied event, the
 // endpoint list, and the set of servers that operators disabled. Only the goroutine of Watcher.Run
-// changes them. The Watcher publishes a routing.Guard, the counts of servers, and the lists that
-// the fleet reads to other goroutines. A published Guard is never modified, only replaced. All
-// exported methods except Run and SetGossip may be called from any goroutine.
+// changes them. For other goroutines, the Watcher publishes a routing.Guard, the counts of servers,
+// and the lists of servers that the fleet reads. A published Guard is never modified, only
+// replaced. All exported methods except Run and SetGossip may be called from any goroutine.
 package discovery
 
 import (
@@ -167,7 +167,8 @@
 
 // processEvents handles frames, requests, gossip and ticks. It returns when frames delivers the
 // error that ended the connection, when a frame cannot be applied, when pause fires, when another
-// configuration arrives, or when ctx is done. frames and pause may be nil.
+// configuration arrives, or when ctx is done. pause is the timer of the delay before a reconnect.
+// frames and pause may be nil.
 func (w *Watcher) processEvents(ctx context.Context, frames <-chan frameResult, pause <-chan time.Time) sessionEnd {
 	var end sessionEnd
 	ticker := time.NewTicker(disabledPollInterval)
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -146,8 +146,8 @@
 }
 
 // mayStart reports whether an attempt may be sent. The attempt must not be in request.attempts yet.
-// mayStart repeats the checks of the most important rules, so that a wrong decision of the module
-// cannot break them.
+// The decision module has already checked the most important rules. mayStart checks them again, so
+// that a wrong decision of the module cannot break them.
 func (d *Dispatcher) mayStart(attempt *Attempt) bool {
 	request := attempt.Request
 	switch {
@@ -166,7 +166,7 @@
 //
 // If the class permits retries within the window of an idempotency key, retryForbidden also sets
 // SendDeadline to the end of that window. After the window, the server has forgotten the key. An
-// attempt that still waits for a connection then must not be written.
+// attempt that is still waiting for a connection at that time must not be written.
 func (a *Attempt) retryForbidden() bool {
 	earlier := a.Request.firstPossiblyExecuted()
 	if earlier == nil {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -139,9 +139,10 @@
 // checked that the new settings do not change them. Any goroutine may call Reload.
 func (d *Dispatcher) Reload(settings routing.Settings) { d.enqueue(reloadMessage{settings}) }
 
-// notifyRouter passes an event to the decision module and executes the actions that the module
-// returns. An action may cause another event, and thus a nested call of notifyRouter. A nested call
-// only appends its event to pendingEvents. The outermost call handles all pending events in order.
+// notifyRouter passes an event to the decision module, which is the field router, and executes the
+// actions that the module returns. An action may cause another event, and thus a nested call of
+// notifyRouter. A nested call only appends its event to pendingEvents. The outermost call handles
+// all pending events in order.
 func (d *Dispatcher) notifyRouter(event routing.Event) {
 	d.pendingEvents = append(d.pendingEvents, event)
 	if len(d.pendingEvents) > 1 {
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -62,7 +62,7 @@
 	return dispatcher
 }
 
-// complete reports the end of an attempt with the given result.
+// complete reports to the dispatcher that an attempt ended, and passes the given result.
 func complete(dispatcher *Dispatcher, attempt *Attempt, result routing.Result) {
 	completion := &Completion{Attempt: attempt, Result: result, Response: Response{Kind: Served}, Load: UnknownLoad()}
 	completionMessage{completion}.apply(dispatcher)
--- a/internal/dispatch/lifecycle_test.go
+++ b/internal/dispatch/lifecycle_test.go
@@ -23,8 +23,8 @@
 func (h *hangingTransport) Cancel(attempt *Attempt) { h.canceled = append(h.canceled, attempt) }
 func (h *hangingTransport) Release(*Attempt)        {}
 
-// testHarness is a dispatcher with a manual clock, whose servers never answer. Tests apply the
-// messages of the dispatcher and fire its timers.
+// testHarness is a dispatcher with a manual clock and a transport that never completes an attempt.
+// Tests apply the messages of the dispatcher and fire its timers.
 type testHarness struct {
 	*Dispatcher
 	clock     *clock.Manual
@@ -59,8 +59,8 @@
 }
 
 // TestShortDeadline checks that the client of a request with a very short deadline gets its
-// response before it gives up. After the deadline, the dispatcher waits for the decision of the
-// module, but only for a share of the time that the request had.
+// response before the client gives up. After the deadline, the dispatcher waits for the decision of
+// the module, but only for a share of the time between the arrival of the request and its deadline.
 func TestShortDeadline(t *testing.T) {
 	for _, ms := range []float64{20, 45, 180, 1480} {
 		harness := newHarness(t, nil)
@@ -216,9 +216,9 @@
 	}
 }
 
-// TestRetryWaitsForCancelTransit checks that a retry is sent cancelTransit after a cancel or a lost
-// connection. Without the delay, the retry could overtake the cancel or the end of the connection,
-// and the request would be executed twice at the same time.
+// TestRetryWaitsForCancelTransit checks that a retry after a cancel or a lost connection is delayed
+// by cancelTransit. Without the delay, the retry could overtake the cancel or the end of the
+// connection, and the request would be executed twice at the same time.
 func TestRetryWaitsForCancelTransit(t *testing.T) {
 	for _, result := range []routing.Result{routing.Canceled, routing.ConnectionLost} {
 		harness := newHarness(t, nil)
@@ -264,8 +264,8 @@
 }
 
 // TestReloadShortensKeyWindow checks that settings that are reloaded while a request is open apply
-// to its next attempt. No retry is sent after the end of the new idempotency key window. No retry
-// exceeds the new limit of attempts.
+// to the next attempt of the request. No retry is sent after the end of the new idempotency key
+// window. No retry exceeds the new limit of attempts.
 func TestReloadShortensKeyWindow(t *testing.T) {
 	for _, test := range []struct {
 		name         string
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -18,7 +18,7 @@
 	// Rejected says that the request was not served. The client may retry it without harm after
 	// Response.RetryAfter.
 	Rejected
-	// Served carries the body of a server's response.
+	// Served says that a server served the request. Response.Body holds the body of its response.
 	Served
 	// NotModified says that the client's copy is current.
 	NotModified
@@ -37,7 +37,7 @@
 }
 
 // Request is a client's request that a frontend submits. After Submit, the dispatcher owns the
-// request. The frontend must not change the bytes of Body while an attempt that carries them is in
+// request. The frontend must not change the bytes of Body while an attempt of the request is in
 // flight.
 type Request struct {
 	TransactionID  string // the client's id, passed on unchanged; empty: the client sent none
@@ -68,9 +68,9 @@
 	Address     string
 }
 
-// ClientDisconnected reports whether the client has disconnected. After that, no further attempt is
-// sent for the request. Any goroutine may call ClientDisconnected; the call does not wait for the
-// dispatcher.
+// ClientDisconnected reports whether the client has disconnected. After the client has
+// disconnected, no further attempt is sent for the request. Any goroutine may call
+// ClientDisconnected; the call does not wait for the dispatcher.
 func (r *Request) ClientDisconnected() bool { return r.disconnected.Load() }
 
 // lastAttemptEnded reports whether no attempt is in flight.
@@ -115,9 +115,9 @@
 	return set
 }
 
-// ValidFieldValue reports whether an entity tag or idempotency key can be written into a
-// transport's fields without escaping. A valid value has from 1 to maxFieldValueLength bytes. All
-// of them are letters, digits or punctuation marks that cannot end a field.
+// ValidFieldValue reports whether an entity tag or idempotency key can be written into a field of a
+// transport's wire format without escaping. A valid value has from 1 to maxFieldValueLength bytes.
+// All of them are letters, digits or punctuation marks that cannot end a field.
 func ValidFieldValue(value string) bool {
 	if value == "" || len(value) > maxFieldValueLength {
 		return false
@@ -191,8 +191,9 @@
 	d.closeRequest(request)
 }
 
-// handleDeadline responds to a request that has no response at its deadline. Without this timer, an
-// attempt that its transport cannot cancel in time would make the client wait past the deadline.
+// handleDeadline handles the deadline timer of a request. If the request is still open, it responds
+// to the request and closes it. Without this timer, an attempt that its transport cannot cancel in
+// time would make the client wait past the deadline.
 func (d *Dispatcher) handleDeadline(request *Request) {
 	if d.openRequests[request.id] != request {
 		return
@@ -200,7 +201,8 @@
 	response := Response{Kind: Failed}
 	draining := d.clock.Now() < request.Deadline
 	if draining && request.firstPossiblyExecuted() == nil {
-		// The client's deadline has not passed: another router still has time to serve the request.
+		// The timer was set to the drain deadline, which is before the client's deadline: another
+		// router still has time to serve the request.
 		response = Response{Kind: Rejected, RetryAfter: clock.Millis(d.settings.MaxRetryAfter) / 2}
 	}
 	d.respond(request, response)
@@ -217,8 +219,8 @@
 	d.respond(request, response)
 }
 
-// closeRequest removes a request, reports to the module that its client has disconnected, and
-// cancels its attempts.
+// closeRequest removes a request, tells the module that the client of the request has disconnected,
+// and cancels the attempts of the request.
 func (d *Dispatcher) closeRequest(request *Request) {
 	d.removeRequest(request)
 	d.notifyRouter(routing.ClientDisconnected{ID: request.id})
@@ -259,8 +261,8 @@
 	request.releaseBody()
 }
 
-// ClassCounterName returns the name of the counter of the requests of a class that ended with a
-// response of the given kind.
+// ClassCounterName returns the name of a counter. The counter counts the requests of the given
+// class that got a response of the given kind.
 func ClassCounterName(class string, kind ResponseKind) string {
 	switch kind {
 	case Served, NotModified:
--- a/internal/frontend/dnsfront/answer.go
+++ b/internal/frontend/dnsfront/answer.go
@@ -141,9 +141,9 @@
 	}
 }
 
-// targetAddress returns the address of the server with a hexadecimal id. It returns true only if
-// the endpoint list has the server, an SRV answer has named the server within the last
-// targetLifetimeMs, and the guard does not exclude the server.
+// targetAddress returns the address of the server with the given id, which is in hexadecimal. It
+// returns true only if three conditions hold: the endpoint list has the server, an SRV answer has
+// named the server within the last targetLifetimeMs, and the guard does not exclude the server.
 func (s *Server) targetAddress(hexID string) (netip.AddrPort, bool) {
 	number, err := strconv.ParseUint(hexID, 16, 32)
 	id := routing.ServerID(number)
--- a/internal/frontend/dnsfront/harness_test.go
+++ b/internal/frontend/dnsfront/harness_test.go
@@ -21,7 +21,7 @@
 // testZone is the zone of the server under test.
 const testZone = "garnet.test."
 
-// purgeRetention is how long the server returns no cache for an object after a purge of that
+// purgeRetention is how long the DNS server names no cache for an object after a purge of that
 // object.
 const purgeRetention = 6 * time.Second
 
--- a/internal/frontend/dnsfront/select.go
+++ b/internal/frontend/dnsfront/select.go
@@ -41,8 +41,9 @@
 }
 
 // dispatch submits a query to the dispatcher as a request and waits for the response. It returns
-// false if there is no response. The dispatcher responds by the request's deadline unless it stops.
-// The wait therefore has a timeout, which is longer than the deadline by ioTimeout.
+// false if there is no response. Normally the dispatcher responds by the request's deadline, but a
+// dispatcher that stops does not respond. The wait therefore ends at the latest ioTimeout after the
+// deadline.
 func (s *Server) dispatch(q query) (dispatch.Response, bool) {
 	responses := make(chan dispatch.Response, 1)
 	request := &dispatch.Request{
@@ -69,7 +70,7 @@
 }
 
 // mayBeStale reports whether caches may hold copies of the object that are older than its latest
-// purge. A DNS answer cannot tell a cache which copies are too old, so the answer may name no
+// purge. A DNS answer cannot tell a cache which copies are too old, so the answer must not name a
 // server while such copies may exist.
 func (s *Server) mayBeStale(q query) bool {
 	if s.Classes()[q.class].Write {
--- a/internal/frontend/dnsfront/server_test.go
+++ b/internal/frontend/dnsfront/server_test.go
@@ -72,8 +72,8 @@
 	golden.Compare(t, "messages.golden", []byte(out.String()))
 }
 
-// The answer to an SRV query has the server's port and a target name. The target name resolves to
-// the server's address for one second.
+// TestSRVAnswerHasPortAndTarget checks that the answer to an SRV query has the selected server's
+// port and a target name. For one second, the target name resolves to the address of that server.
 func TestSRVAnswerHasPortAndTarget(t *testing.T) {
 	harness := newHarness(t)
 	harness.listServers()
@@ -142,9 +142,9 @@
 	}
 }
 
-// For some time after a purge, caches may hold copies that are too old. During that time, the DNS
-// server returns no server for the purged objects, because a DNS answer cannot tell a cache which
-// copies are too old.
+// TestPurgedObjectsAreNotAnswered checks that the DNS server names no server for a purged object
+// until purgeRetention after the purge. During that time, caches may hold copies that are too old,
+// and a DNS answer cannot tell a cache which copies are too old.
 func TestPurgedObjectsAreNotAnswered(t *testing.T) {
 	harness := newHarness(t)
 	harness.listServers()
@@ -198,8 +198,8 @@
 	return address
 }
 
-// A resolver caches answers for their TTL. 300 ms after the drain of a server began, the resolver
-// no longer returns that server.
+// TestDrainingServersAreNotAnswered checks that a resolver that caches answers for their TTL no
+// longer returns a draining server 300 ms after the drain began.
 func TestDrainingServersAreNotAnswered(t *testing.T) {
 	harness := newHarness(t)
 	harness.listServers()
@@ -226,8 +226,9 @@
 	}
 }
 
-// The DNS server learns of the load of a cache only from its own lookups. These lookups count
-// against the capacity that slow start gives to a cache that is warming up.
+// TestLookupsCountAgainstWarmingServers checks that lookups count against the capacity that slow
+// start gives to a cache that is warming up. The lookups are all that the DNS server knows about
+// the load of a cache.
 func TestLookupsCountAgainstWarmingServers(t *testing.T) {
 	harness := newHarness(t)
 	harness.listOneCache()
@@ -246,8 +247,9 @@
 	}
 }
 
-// If weights are capacities, some lookups select a server that is warming up. In each window, the
-// number of these lookups stays within the budget of slow start.
+// TestWarmingServersStayWithinTheirBudget checks the lookups that select a server that is warming
+// up, when weights are capacities. Some lookups select the server, but their number in a window
+// stays within the budget of slow start.
 func TestWarmingServersStayWithinTheirBudget(t *testing.T) {
 	harness := newHarness(t, func(settings *routing.Settings) {
 		settings.WeightIsCapacity = true
@@ -285,8 +287,9 @@
 	return count
 }
 
-// While MaxInflight queries are being answered, the server replies to another query with SERVFAIL
-// immediately, so that the resolver can ask another DNS server.
+// TestQueriesBeyondTheLimitFail checks that the DNS server replies to a query with SERVFAIL
+// immediately while it is answering MaxInflight other queries, so that the resolver can ask another
+// DNS server.
 func TestQueriesBeyondTheLimitFail(t *testing.T) {
 	server := New(Options{Config: Config{Zone: testZone, MaxInflight: 1}})
 	server.slots <- struct{}{} // a query is being answered
--- a/internal/frontend/httpfront/clients_test.go
+++ b/internal/frontend/httpfront/clients_test.go
@@ -13,8 +13,8 @@
 	"garnetline/internal/dispatch"
 )
 
-// The server reports the disconnect of a client to the dispatcher, so that the client's attempt is
-// canceled.
+// TestClientDisconnect checks that the server reports the disconnect of a client to the dispatcher.
+// The dispatcher then cancels the attempt of the client's request.
 func TestClientDisconnect(t *testing.T) {
 	dispatcher := &fakeDispatcher{hold: true}
 	server := newServer(dispatcher)
@@ -26,9 +26,9 @@
 	}
 }
 
-// A client sends more bytes while its request is open, and then disconnects. The server reports the
-// disconnect to the dispatcher. If the server stopped reading ahead at the first of these bytes, it
-// would miss the disconnect and still forward the request.
+// TestDisconnectAfterReadAhead checks that the server reports a disconnect to the dispatcher even
+// if the client has sent more bytes while its request was open. If the server stopped reading ahead
+// at the first of these bytes, it would miss the disconnect and still forward the request.
 func TestDisconnectAfterReadAhead(t *testing.T) {
 	for name, more := range map[string]string{
 		"a byte":            "G",
@@ -87,9 +87,9 @@
 	}
 }
 
-// A client closes its connection while its request is open, and connects again immediately. The
-// server reports the disconnect and serves the new connection, even if it must close the old
-// connection first because of MaxConnections.
+// TestClientReconnectsAtOnce checks a client that closes its connection while its request is open,
+// and connects again immediately. The server reports the disconnect and serves the new connection,
+// even if the server must close the old connection first because of MaxConnections.
 func TestClientReconnectsAtOnce(t *testing.T) {
 	dispatcher := &fakeDispatcher{hold: true}
 	server := newServer(dispatcher)
@@ -121,10 +121,11 @@
 	closeConn(t, conn)
 }
 
-// The server closes the connection of a client that sends nothing, sends too slowly or sends too
-// much. It does so within 3 s after it accepted the connection, or within 6 s if the body is too
-// long. If the client has begun a request, it gets a response first. If the timeouts started again
-// with each request, such a client could hold its connection for 5 s or more per request.
+// TestMisbehavingClientsAreClosedInTime checks that the server closes the connection of a client
+// that sends nothing, sends too slowly or sends too much. The server closes it within 3 s after it
+// accepted the connection, or within 6 s if the body is too long. If the client has begun a
+// request, it gets a response first. If the timeouts started again with each request, such a client
+// could hold its connection for 5 s or more per request.
 func TestMisbehavingClientsAreClosedInTime(t *testing.T) {
 	chunked := strings.Replace(putRequest(0), "Content-Length: 0", "Transfer-Encoding: chunked", 1)
 	for _, test := range []struct {
@@ -170,9 +171,9 @@
 	}
 }
 
-// If MaxConnections are open, the server evicts connections to admit new connections. It evicts
-// connections that have sent nothing or that are idle after a request. It does not evict a
-// connection with an open request.
+// TestIdleConnectionsAreEvicted checks that the server evicts connections to admit new connections
+// when MaxConnections connections are open. It evicts connections that have sent nothing or that
+// are idle after a request. It does not evict a connection with an open request.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	dispatcher := &fakeDispatcher{response: servedX}
 	server := newServer(dispatcher)
@@ -204,8 +205,8 @@
 	}
 }
 
-// If an accept fails because no file descriptors are left, Serve retries. Clients that connect
-// later are then served.
+// TestOutOfDescriptors checks that Serve retries an accept that fails because no file descriptors
+// are left. Clients that connect later are then served.
 func TestOutOfDescriptors(t *testing.T) {
 	server := newServer(&fakeDispatcher{response: servedX})
 	accepted := 0
--- a/internal/frontend/httpfront/conn.go
+++ b/internal/frontend/httpfront/conn.go
@@ -20,7 +20,7 @@
 type connState int
 
 const (
-	stateRejected connState = iota // the last response was written; the server discards further bytes
+	stateRejected connState = iota // the last response, often a rejection, was written; the server discards further bytes
 	stateNew                       // the server waits for the first request
 	stateIdle                      // the server waits for another request
 	stateActive                    // the server serves a request
@@ -63,9 +63,9 @@
 			return
 		}
 		// writeMessage decides whether the connection stays open, and stores the decision in
-		// r.closeAfter. serve does not check the server's state again. Otherwise a shutdown that
-		// begins after the response was written could close a connection whose response did not
-		// announce the close. The client's next request would then be lost.
+		// r.closeAfter. If serve checked the server's state again, a shutdown that begins after the
+		// response was written could close a connection whose response did not announce the close.
+		// The client's next request would then be lost.
 		if !c.handleRequest(r) {
 			return
 		}
@@ -153,7 +153,7 @@
 	if c.server.RecordClient {
 		setClientInfo(dispatched, r, c.text.NetConn)
 	}
-	r.clientDeadline = dispatched.Deadline + responseMarginMs // computed before Submit, because the dispatcher then owns the request
+	r.clientDeadline = dispatched.Deadline + responseMarginMs // computed before Submit, because after Submit the dispatcher owns the request
 	if !c.server.Dispatcher.Submit(dispatched) {
 		return c.writeError(r, &requestError{status: http.StatusServiceUnavailable, message: "stopping"})
 	}
--- a/internal/frontend/httpfront/lifecycle_test.go
+++ b/internal/frontend/httpfront/lifecycle_test.go
@@ -13,8 +13,9 @@
 	"garnetline/internal/dispatch"
 )
 
-// After StopAccepting, the server still serves the next request on each connection and then closes
-// the connection. New connections are left to the other processes that hold the listening socket.
+// TestStopAccepting checks that after StopAccepting, the server serves one more request on each
+// connection and then closes the connection. New connections are left to the other processes that
+// hold the listening socket.
 func TestStopAccepting(t *testing.T) {
 	server := newServer(&fakeDispatcher{response: servedX})
 	conn := dial(t, server)
@@ -79,8 +80,9 @@
 	return done
 }
 
-// At shutdown the server still serves the connections in the backlog, even if MaxConnections are
-// open. If it closed the listener immediately, the requests on these connections would be lost.
+// TestBacklogServedAtShutdown checks that a server that shuts down still serves the connections in
+// the backlog, even if MaxConnections are open. If it closed the listener immediately, the requests
+// on these connections would be lost.
 func TestBacklogServedAtShutdown(t *testing.T) {
 	dispatcher := &fakeDispatcher{hold: true}
 	server := newServer(dispatcher)
@@ -106,8 +108,9 @@
 	<-done
 }
 
-// The server reads no request after the last response on a connection. Otherwise it would forward a
-// request whose response it could not write.
+// TestNoRequestReadAfterFinalResponse checks that the server reads no request after the last
+// response on a connection. If it did, it would forward a request whose response it could not
+// write.
 func TestNoRequestReadAfterFinalResponse(t *testing.T) {
 	for name, test := range map[string]struct {
 		text      string
@@ -151,10 +154,10 @@
 	}
 }
 
-// An eviction, a shutdown or the idle timeout is about to close an idle connection. If a complete
-// request has already arrived on the connection, the server serves that request. A read whose
-// deadline has passed fails without looking at the socket, so the server must check the socket for
-// unread bytes itself.
+// TestRequestArrivesAtIdleClose checks that the server serves a complete request that arrives on an
+// idle connection just before an eviction, a shutdown or the idle timeout would close the
+// connection. A read whose deadline has passed fails without looking at the socket, so the server
+// must check the socket for unread bytes itself.
 func TestRequestArrivesAtIdleClose(t *testing.T) {
 	for name, end := range map[string]func(t *testing.T, server *Server, idle *conn){
 		"evicted":       evictIdle,
@@ -237,8 +240,9 @@
 	waitFor(t, "the shutdown begins", server.shuttingDown.Load)
 }
 
-// An eviction, a shutdown or a timeout ends the server's wait for the first request on a new
-// connection. If that request is already in the socket, the server serves it.
+// TestFirstRequestArrivesAtClose checks that the server serves the first request on a new
+// connection if the request is in the socket when an eviction, a shutdown or a timeout ends the
+// server's wait for it.
 func TestFirstRequestArrivesAtClose(t *testing.T) {
 	for name, end := range map[string]func(*testing.T, *Server){
 		"evicted":       evictAll,
--- a/internal/frontend/httpfront/read.go
+++ b/internal/frontend/httpfront/read.go
@@ -167,8 +167,8 @@
 	return nil
 }
 
-// writeContinue sends 100 Continue if the request's Expect header asks for it. Such a client waits
-// for 100 Continue before it sends the body.
+// writeContinue sends 100 Continue if the request's Expect header asks for it. A client that sends
+// this header waits for 100 Continue before it sends the body.
 func (c *conn) writeContinue(r *request) error {
 	if !headerHasToken(r.header, "Expect", "100-continue") {
 		return nil
--- a/internal/frontend/httpfront/request_test.go
+++ b/internal/frontend/httpfront/request_test.go
@@ -67,8 +67,9 @@
 	}
 }
 
-// HTTP/1.1 allows several forms of the same request. The server submits the same request for each
-// form, whether it reads the bytes together or one by one.
+// TestRequestForms checks that the server submits the same request to the dispatcher for each form
+// in which HTTP/1.1 allows the request to be written. The result is the same whether the server
+// reads the bytes together or one by one.
 func TestRequestForms(t *testing.T) {
 	read, write := getRequest(objectTarget, "X-Family: 17"), putRequest(3)+"abc"
 	chunked := strings.Replace(putRequest(0), "Content-Length: 0", "Transfer-Encoding: chunked", 1)
--- a/internal/textconn/readahead.go
+++ b/internal/textconn/readahead.go
@@ -60,9 +60,9 @@
 // Readable reports, without blocking, whether bytes can be read. It may clear the read deadline.
 // Only the reader may call Readable.
 //
-// An ordinary read cannot answer this question after the read deadline, because it fails without
-// looking at the socket. Without Readable, a connection could be closed although a complete request
-// waits in the socket.
+// After the read deadline, Read cannot answer this question, because it fails without looking at
+// the socket. Without Readable, a connection could be closed although a complete request waits in
+// the socket.
 func (c *Conn) Readable() bool {
 	if c.R.Buffered() > 0 || len(c.readAhead) > 0 {
 		return true
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -19,11 +19,11 @@
 	growBackoff          = 2000.0 // ms; after a failed dial, no additional connection is dialed for this time
 	maxCanceledIDs       = 256    // limit of canceled ids on a connection; a connection above the limit is retired
 	writeTimeout         = 100.0  // ms; short, because the actor handles no message during a write
-	idleTimeoutShare     = 0.8    // fraction of the idle timeout after which the router closes a connection, so that the server does not
-	unresponsiveAfter    = 250.0  // ms; a cancel retires the connection if no reply came since the attempt was written at least this long ago
+	idleTimeoutShare     = 0.8    // fraction of the server's idle timeout after which the router closes a connection, before the server closes it
+	unresponsiveAfter    = 250.0  // ms; a cancel retires the connection if the attempt was written at least this long ago and no reply has come since
 	replyStallTimeout    = 800.0  // ms; limits each read of a reply; the whole reply may take this time plus the time for its body
 	replyTimeFactor      = 4.0    // the body of a reply may take its transfer time at BytesPerSecond, multiplied by this factor
-	duplicateReplyWindow = 1000.0 // ms; a further reply to the same id within this time counts as a duplicate
+	duplicateReplyWindow = 1000.0 // ms; of two replies to the same id within this time, both with a result other than Served, the second counts as a duplicate
 )
 
 // connection is one connection to the server. The actor owns it. The reader goroutine only calls
@@ -260,8 +260,8 @@
 	id := attempt.Request.TransactionID
 	delete(conn.inFlight, id)
 	// If no reply has come on the connection since the attempt was written, the server may never
-	// receive the cancel command. The retry would then run at the same time as this attempt.
-	// Closing the connection cancels the attempt.
+	// receive the cancel command. The retry would then run at the same time as this attempt. Close
+	// the connection, which cancels the attempt at the server.
 	if attempt.MayRetry && !conn.repliedSince(sent.writtenAt) {
 		u.closeConnection(conn)
 		u.completeCanceled(attempt)
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -152,9 +152,9 @@
 }
 
 // TestEarlyCancelsKeepConnections checks that a cancel soon after the write does not retire the
-// connection. A client that disconnects early says nothing about the server. Otherwise, such
-// cancels would retire all eight connections, and later requests would be rejected as if the server
-// were full.
+// connection. An early disconnect of a client says nothing about the server. If such cancels
+// retired connections, all eight would soon be retired, and later requests would be rejected as if
+// the server were full.
 func TestEarlyCancelsKeepConnections(t *testing.T) {
 	harness := newHarness(t)
 	for i := range 40 {
@@ -232,8 +232,9 @@
 	}
 }
 
-// TestDuplicateReplyWindow checks that a second rejection after duplicateReplyWindow is an ordinary
-// reply. The record of the first rejection is dropped.
+// TestDuplicateReplyWindow checks that a rejection does not count as a duplicate if it comes more
+// than duplicateReplyWindow after an earlier rejection. The record of the earlier rejection is
+// dropped.
 func TestDuplicateReplyWindow(t *testing.T) {
 	harness := newHarness(t)
 	for range 2 {
--- a/internal/upstream/harness_test.go
+++ b/internal/upstream/harness_test.go
@@ -177,13 +177,13 @@
 	}
 }
 
-// reply passes a reply on a connection to the actor.
+// reply tells the actor that a reply has arrived on a connection.
 func (h *harness) reply(conn *connection, id, status string) {
 	h.t.Helper()
 	h.upstream.handleConnectionEvent(h.t.Context(), connectionEvent{connection: conn, reply: reply{id: id, status: status, fields: noFields}})
 }
 
-// endConnection passes the end of a connection to the actor.
+// endConnection tells the actor that a connection has ended with the given error.
 func (h *harness) endConnection(conn *connection, err error) {
 	h.t.Helper()
 	h.upstream.handleConnectionEvent(h.t.Context(), connectionEvent{connection: conn, err: err})
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -124,7 +124,8 @@
 
 // TraceRetained tells a server that a trace in which the server took part is retained. One of the
 // next commands to the server carries this message. If no further command follows, the server does
-// not get the message, and its own limit removes its part of the trace.
+// not get the message. The server then removes its part of the trace because of its own limit for
+// traces.
 func (p *Pool) TraceRetained(server routing.ServerID, id trace.ID) {
 	upstream := p.upstreams[server]
 	if upstream == nil || !p.PropagateTraces {
--- a/internal/upstream/tcp_test.go
+++ b/internal/upstream/tcp_test.go
@@ -122,9 +122,9 @@
 	server.waitForNoConnections()
 }
 
-// TestCloseWithPartialReply checks the cancel of an attempt for a retry after part of its reply has
-// come. The router closes the connection. The attempt completes once, even if the reader goroutine
-// reports the end of the connection later.
+// TestCloseWithPartialReply checks an attempt that is canceled, in favor of a retry, after part of
+// its reply has arrived. The router closes the connection. The attempt completes once, even if the
+// reader goroutine reports the end of the connection later.
 func TestCloseWithPartialReply(t *testing.T) {
 	server := newCacheServer(t, nil)
 	attempt := server.send("a", "")
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -25,8 +25,8 @@
 )
 
 // Upstream is the actor that manages the connections to one server. Only the pool uses the field
-// removed. Several goroutines may use the channels and inFlight. The goroutine of run owns
-// connections and all fields after it.
+// removed. Several goroutines may use the channels and inFlight. The goroutine of run owns the
+// field connections and all fields that follow that field.
 type Upstream struct {
 	Options
 	addr    netip.AddrPort
@@ -291,8 +291,8 @@
 // duplicate if a reply with the same id and such a result came on the same connection within
 // duplicateReplyWindow. A duplicate may belong to an earlier attempt of the request, and the cache
 // may still execute the current attempt. checkDuplicateReply therefore sends a cancel command for
-// the current attempt. It also changes the result to ServerError, which says that the cache may
-// have executed the request, unless the class of the request is idempotent.
+// the current attempt. If the class of the request is not idempotent, it also changes the result to
+// ServerError, which says that the cache may have executed the request.
 //
 // Without this check, a rejection that a cache sends twice would complete the next attempt too.
 // That attempt would keep running at the cache while the dispatcher sends another attempt to a
--- a/plugin/asyncapi.go
+++ b/plugin/asyncapi.go
@@ -209,8 +209,8 @@
 	return false, nil
 }
 
-// maxReferences is the number of references at which following a chain fails. Without this limit,
-// following a circular chain would never end.
+// maxReferences limits the length of a chain of $ref references: followReference fails at this
+// number of references. Without this limit, following a circular chain would never end.
 const maxReferences = 16
 
 // followReference returns the target of a node's $ref, which must be in the same document. If the
--- a/plugin/call.go
+++ b/plugin/call.go
@@ -57,8 +57,8 @@
 	c.inFlight.Wait()
 }
 
-// result returns the error that the caller receives for the dispatcher's response, or nil if the
-// RPC succeeded. The caller must call finish before result.
+// result converts the dispatcher's response to the error that the RPC returns, which is nil if the
+// RPC succeeded. finish must be called before result.
 func (c *unaryCall) result(response dispatch.Response) error {
 	switch response.Kind {
 	case dispatch.Served, dispatch.NotModified:
@@ -137,7 +137,7 @@
 		return routing.TimedOut
 	case codes.ResourceExhausted:
 		// The dispatcher may retry a rejected RPC. The server may have executed part of this RPC,
-		// so it counts as rejected only if it is idempotent.
+		// so it counts as rejected only if its operation is idempotent.
 		if idempotency == routing.Idempotent {
 			return routing.Rejected
 		}
--- a/plugin/classes.go
+++ b/plugin/classes.go
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// maxRetryAfter is the longest retry delay in the error that a rejected caller receives.
+// maxRetryAfter is the longest retry delay in the error that the caller of a rejected RPC receives.
 const maxRetryAfter = time.Second
 
 // routingSettings returns the settings of a single router in a single zone. All its servers are
--- a/plugin/resolver.go
+++ b/plugin/resolver.go
@@ -24,7 +24,7 @@
 	// address queries for the targets of the SRV records.
 	lookupTimeout = 2 * time.Second
 
-	// maxLookupsPerInterval limits the lookups in a refresh interval if gRPC requests lookups in
+	// maxLookupsPerInterval limits how many lookups gRPC can request in one refresh interval, in
 	// addition to the periodic lookups.
 	maxLookupsPerInterval = 10
 )
--- a/plugin/testclient_test.go
+++ b/plugin/testclient_test.go
@@ -327,8 +327,7 @@
 	}
 }
 
-// record returns the DNS record of the server that answers a question. It returns nil if the server
-// has no such record.
+// record returns the server's DNS record for a question, or nil if the server has no such record.
 func (s *fakeServer) record(question dns.Question) dns.RR {
 	header := dns.RR_Header{Name: question.Name, Rrtype: question.Qtype, Class: dns.ClassINET}
 	switch {
--- a/plugin/trace.go
+++ b/plugin/trace.go
@@ -97,8 +97,8 @@
 }
 
 // callerTraceparent returns the traceparent of the caller's own span. If ctx has a valid span, the
-// traceparent describes that span. Otherwise it is the traceparent in the outgoing metadata.
-// Without a valid span, callerTraceparent returns "" if the metadata has no traceparent or several.
+// traceparent describes that span. If ctx has no valid span and the outgoing metadata has exactly
+// one traceparent, callerTraceparent returns that traceparent. In all other cases, it returns "".
 func callerTraceparent(ctx context.Context) string {
 	if span := oteltrace.SpanContextFromContext(ctx); span.IsValid() {
 		spanID := span.SpanID()
--- a/plugin/trace_test.go
+++ b/plugin/trace_test.go
@@ -109,8 +109,8 @@
 	spans []trace.SpanContext
 }
 
-// record collects the span context of a call. It ignores a call that lacks the caller's other
-// metadata or does not have exactly one traceparent.
+// record collects the span context of a call. It ignores a call that does not have exactly one
+// traceparent, or that lacks the metadata key "kept", which callerContext sets.
 func (s *receivedSpans) record(ctx context.Context) {
 	incoming, _ := metadata.FromIncomingContext(ctx)
 	values := incoming.Get(traceparentKey)
