--- a/internal/fleet/bans/machine.go
+++ b/internal/fleet/bans/machine.go
@@ -278,7 +278,7 @@
 		delete(m.registrations, server)
 		if ban := m.registered[server]; ban != nil && ban.Disabled { // registered by this request or by another router
 			m.adoptRegistered(server, ban, out)
-		} else { // an enable that did not know of the ban was registered first: register the ban as the next version
+		} else { // an enable by an operator who did not know of the ban was registered first: register the ban as the next version
 			m.nextPollAt = now
 		}
 	}
--- a/internal/fleet/connectivity/connectivity.go
+++ b/internal/fleet/connectivity/connectivity.go
@@ -66,7 +66,7 @@
 	State   State
 	Since   float64 // when the state was entered, ms
 	Present int     // number of alive or suspect routers, including this router
-	Known   int     // number of routers that were present within RecentWindow and have not left; divisor of shared budgets
+	Known   int     // number of routers that were present within RecentWindow and have not left; budgets that the fleet shares are divided by it
 }
 
 // Machine derives the connectivity state of one router from its views.
--- a/internal/fleet/connectivity/connectivity_test.go
+++ b/internal/fleet/connectivity/connectivity_test.go
@@ -25,9 +25,9 @@
 	return view
 }
 
-// Step enters the state that the view shows as soon as the delay of that change has passed. Shared
-// budgets are divided by the number of known routers, which does not shrink when other routers fall
-// silent.
+// Step enters the state that the view shows as soon as the delay of that change has passed. Budgets
+// that the fleet shares are divided by the number of known routers. This number does not shrink
+// when other routers fall silent.
 func TestStateFollowsView(t *testing.T) {
 	settings := DefaultSettings()
 	machine := New(settings, 0)
--- a/internal/fleet/consensus/logger.go
+++ b/internal/fleet/consensus/logger.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// discardLogger implements raft.Logger. It drops ordinary messages, because Status reports the
-// state that operators need. It turns raft's fatal errors into panics.
+// discardLogger implements raft.Logger. It drops debug, info, warning and error messages, because
+// Status reports the state that operators need. It turns raft's fatal errors into panics.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any)            {}
--- a/internal/fleet/consensus/messages.go
+++ b/internal/fleet/consensus/messages.go
@@ -50,7 +50,7 @@
 	Messages  []*raftpb.Message // to send to other voters, whose raft IDs are in the messages
 	Responses []ClientResponse  // to send to routers
 	Applied   []AppliedCommand
-	Released  []lease.Response // leases that were released to nobody; the caller must notify their candidates
+	Released  []lease.Response // leases that were released to nobody; the caller must notify routers that may request them
 	WakeAt    float64          // time in ms by which the caller must make the next step
 	LeaderID  uint64           // raft ID of the leader; 0 if no leader is known
 	Leading   bool             // whether this node is the leader and serves requests
--- a/internal/fleet/consensus/node_test.go
+++ b/internal/fleet/consensus/node_test.go
@@ -96,8 +96,8 @@
 		}
 	}
 	slices.Sort(gaps)
-	// The simulated routers do not know the leader and try the voters at random. Real routers get
-	// leader hints.
+	// The bounds allow for the time that the simulated routers need to find the leader: they try the
+	// voters at random, whereas real routers get leader hints.
 	if gaps[50] > 250 || gaps[90] > 700 || misdirected > 5 || cluster.violation != "" {
 		t.Errorf("lease \"a\" had no holder for %.0f ms in the median and %.0f ms at most, want at most 250 ms in the median and 700 ms in 90%% of the transfers; %d transfers went to a router other than the target, want at most 5; violation %q, want none", gaps[50], gaps[99], misdirected, cluster.violation)
 	}
--- a/internal/fleet/consensus/requests.go
+++ b/internal/fleet/consensus/requests.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// dropPending discards the reads and proposals that were started in another term.
+// dropPending discards the pending reads and proposals. The node calls it when it stops serving
+// requests and when it starts to serve requests in a new term.
 func (n *Node) dropPending() {
 	clear(n.pendingReads)
 	clear(n.pendingProposals)
@@ -103,9 +104,9 @@
 	case request.Ban != nil:
 		n.serveBanRequest(request)
 	case n.proposalsByLease[request.Lease] > 0:
-		// A command for the same lease is being committed, so the request is dropped. If that
-		// command grants the lease to another router, a renewal served now would extend the old
-		// holder's lease by a whole TTL.
+		// The request is dropped while a command for the same lease is being committed. The
+		// command may grant the lease to another router, and a renewal served now would then
+		// extend the old holder's lease by a whole TTL.
 	case !withinLimits(request):
 	case request.Release:
 		n.serveRelease(request, current)
@@ -126,7 +127,8 @@
 	return request.Lease != "" && len(request.Lease) <= leaseregistry.MaxNameLen && len(request.Handoff) <= leaseregistry.MaxHandoffLen
 }
 
-// isRenewal reports whether the request comes from the process that already holds the lease.
+// isRenewal reports whether the request comes from the process that already holds the lease, and
+// has either the lease's current fencing token or none.
 func isRenewal(request ClientRequest, current *leaseregistry.Lease) bool {
 	if current == nil || current.Holder != request.From || current.Incarnation != request.Incarnation {
 		return false
--- a/internal/fleet/consensus/safeguards_test.go
+++ b/internal/fleet/consensus/safeguards_test.go
@@ -20,7 +20,7 @@
 	heal      faultKind = "heal"
 )
 
-// fault is one step of a schedule. node is the number of a voter, which heal ignores.
+// fault is one step of a schedule. node is the number of a voter; it is not used if kind is heal.
 type fault struct {
 	kind faultKind
 	node int
--- a/internal/fleet/consensus/wal/record.go
+++ b/internal/fleet/consensus/wal/record.go
@@ -37,7 +37,8 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Errors of logs that this program must not use, and of writes to a log.
+// Errors of Open (ErrNotLog, ErrNewerFormat) and of writes to a log (errShortWrite,
+// errRecordTooBig).
 var (
 	ErrNotLog       = errors.New("wal: not a voter's log")
 	ErrNewerFormat  = errors.New("wal: of a newer format than this program knows")
--- a/internal/fleet/consensus/wal/wal_test.go
+++ b/internal/fleet/consensus/wal/wal_test.go
@@ -12,8 +12,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// memoryFS is a directory in memory. A crash discards data that was not synced. All calls from
-// number failAtCall on fail.
+// memoryFS is a directory in memory. A crash discards data that was not synced. The call with the
+// number failAtCall and all later calls return an error.
 type memoryFS struct {
 	syncedFiles  map[string]*memoryFile // by their names after a crash
 	visibleFiles map[string]*memoryFile // by their current names
@@ -169,7 +169,7 @@
 	if err != nil {
 		return acknowledged, inProgress, err
 	}
-	defer func() { _ = log.Close() }() // fails if the calls of the directory fail
+	defer func() { _ = log.Close() }() // Close returns an error if the calls of memoryFS fail
 	for i := uint64(1); i <= uint64(steps); i++ {
 		last := acknowledged.Snapshot.GetMetadata().GetIndex() + uint64(len(acknowledged.Entries))
 		inProgress.Entries = append([]*raftpb.Entry(nil), acknowledged.Entries...)
--- a/internal/fleet/gossip/export.go
+++ b/internal/fleet/gossip/export.go
@@ -23,8 +23,8 @@
 	return stored, true
 }
 
-// Import adds the bans that an earlier process exported. It skips items that cannot be decoded,
-// and stops at the first invalid field framing.
+// Import adds the bans that an earlier process exported. It skips items that cannot be decoded or
+// are not bans, and stops at the first field that is malformed or not length-delimited.
 func (s *Store) Import(now float64, stored []byte) {
 	for len(stored) > 0 {
 		_, fieldType, n := protowire.ConsumeTag(stored)
--- a/internal/fleet/gossip/item.go
+++ b/internal/fleet/gossip/item.go
@@ -22,7 +22,7 @@
 type Item struct {
 	Kind      Kind
 	Server    routing.ServerID
-	Router    membership.ID    // Ban: router whose admin API set the ban; Router and Sequence form the ban's dot
+	Router    membership.ID    // Ban: router whose admin API set the ban; Router and Sequence form the ban's dot, its unique identifier
 	Sequence  uint64           // Ban: number of the ban among the bans set at Router
 	Removed   bool             // Ban: the ban was removed
 	StartedAt float64          // Drain: start time of the draining server, Unix ms; 0: long ago
--- a/internal/fleet/gossip/store.go
+++ b/internal/fleet/gossip/store.go
@@ -6,7 +6,7 @@
 // An item of another router can only disable a server, or undo an earlier item. Only the change
 // log makes a server usable. Bans form an add-wins set (a CRDT). Each ban is identified by a dot:
 // the ID of the router whose admin API set it, and a sequence number. Enabling a server removes
-// those of its dots that the enabling router knows. If a server is banned on one side of a
+// those dots of the server that the enabling router knows. If a server is banned on one side of a
 // partition and enabled on the other, the ban remains, since the enabling router did not know the
 // ban's dot.
 //
--- a/internal/fleet/lease/fingerprint.go
+++ b/internal/fleet/lease/fingerprint.go
@@ -30,8 +30,8 @@
 	return &ExpiryTracker{t.settings, maps.Clone(t.expiry)}
 }
 
-// maxFingerprintMs bounds the times in a fingerprint, in ms. Two times that are both further
-// ahead count as equal.
+// maxFingerprintMs is the maximum of a time in a fingerprint, in ms from now. All times that are
+// further ahead count as equal.
 const maxFingerprintMs = 1e9
 
 // AppendFingerprint appends an encoding of the state that determines the holder's future
--- a/internal/fleet/lease/holder.go
+++ b/internal/fleet/lease/holder.go
@@ -100,9 +100,9 @@
 	state.releaseAttempts = 0
 	state.fencingToken, state.expiresAt = 0, 0
 	state.nextRequestAt = now
-	// Without this backoff, a lease that operators transfer could return to the router that gave
-	// it away: the target may not want the lease and release it, and this router would request
-	// it again.
+	// Without this backoff, a lease that operators transfer away from this router could return to
+	// it: if the target does not want the lease, the target releases it, and this router would
+	// request the lease again.
 	state.backoffUntil = max(state.backoffUntil, now+h.settings.TTL)
 	clear(state.pendingRequests)
 }
--- a/internal/fleet/leasemanager/bootstrap.go
+++ b/internal/fleet/leasemanager/bootstrap.go
@@ -48,8 +48,8 @@
 // as one reply shows this, the node starts under a new raft ID and without a vote. If all other
 // voters have replied and no reply shows this, the node starts as one of the first voters.
 //
-// Without this check, a voter whose disk was emptied could vote twice in the same term, and two
-// leaders could be elected.
+// If this voter did not wait for the replies, a voter whose disk was emptied could vote twice in
+// the same term, and two leaders could be elected.
 func (v *voter) bootstrap(now float64) {
 	voters := map[uint64]string{v.bootstrapID: v.name}
 	registryExists, replyMissing := false, false
@@ -98,8 +98,8 @@
 	return true
 }
 
-// isTrusted reports whether to accept a hello from a sender. A sender may describe itself. A
-// voter may also forward the join request of another router.
+// isTrusted reports whether to accept a hello from the router named sender. It accepts a hello that
+// describes the sender itself, and another router's join request that a voter forwards.
 func (v *voter) isTrusted(received hello, sender string) bool {
 	return received.Name == sender || received.JoinRequest && v.isVoterName(sender)
 }
--- a/internal/fleet/leasemanager/codec.go
+++ b/internal/fleet/leasemanager/codec.go
@@ -236,8 +236,8 @@
 	RaftID          uint64 // raft ID of that voter; before it has started, the ID that it would start with
 	NoLog           bool   // the voter has no log
 	Reply           bool   // the hello is a reply to another hello
-	HeardFromSender bool   // with Reply: the replying voter has received raft messages from the RaftID of the other hello
-	SenderIsVoter   bool   // with Reply: the replying voter knows the RaftID of the other hello as a voter
+	HeardFromSender bool   // with Reply: the replying voter has received raft messages from the RaftID in the hello that it replies to
+	SenderIsVoter   bool   // with Reply: the replying voter knows the RaftID in the hello that it replies to as a voter
 	JoinRequest     bool   // the voter asks to be added under RaftID
 }
 
--- a/internal/fleet/leasemanager/manager.go
+++ b/internal/fleet/leasemanager/manager.go
@@ -187,8 +187,8 @@
 	}
 }
 
-// Deliver handles a message from another router. It never blocks, and drops the message if the inbox
-// is full.
+// Deliver handles a message from another router. It never blocks. If the message is for the voter's
+// or the holder's goroutine and the inbox of that goroutine is full, Deliver drops the message.
 func (m *Manager) Deliver(from membership.ID, incarnation uint64, channel fragment.Channel, payload []byte) {
 	switch channel {
 	case fragment.LeaseResponse:
@@ -296,7 +296,7 @@
 	return awaitResult(ctx, result)
 }
 
-// ChangeVoter adds or removes a voter. Only the router of the leader can do this. An added voter
+// ChangeVoter adds or removes a voter. Only the router whose voter is the leader can do this. An added voter
 // becomes a learner only after its next join request. ChangeVoter returns ErrNotVoter,
 // ErrNotLeader, ErrUnknownVoter, ErrOnlyVoterLeft or the error of ctx.
 func (m *Manager) ChangeVoter(ctx context.Context, name string, add bool) error {
--- a/internal/fleet/leasemanager/members.go
+++ b/internal/fleet/leasemanager/members.go
@@ -43,7 +43,7 @@
 	return consensus.Input{ConfChange: &raftpb.ConfChangeV2{Changes: []*raftpb.ConfChangeSingle{{Type: &kind, NodeId: &id}}}}
 }
 
-// promoteLearner promotes a learner that has caught up to a voter. If an older raft ID with the
+// promoteLearner makes a voter of a learner whose log has caught up. If an older raft ID with the
 // same name is still a voter, promoteLearner first removes the older raft ID, and promotes the
 // learner in a later call. Each call proposes a single change, because raft rejects a change
 // while another change is pending.
--- a/internal/fleet/leasemanager/requests.go
+++ b/internal/fleet/leasemanager/requests.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	maxPendingRequests = 64 // requests kept for a leader hint to redirect; the oldest request is discarded
+	maxPendingRequests = 64 // requests that a later leader hint can redirect; if there are more, the oldest request is discarded
 
 	// Requests are counted since the last response. Every rotateAfter-th request goes to the
 	// next voter in Settings.Voters. Every forgetLeaderAfter-th request clears the likely
--- a/internal/fleet/leasemanager/voter.go
+++ b/internal/fleet/leasemanager/voter.go
@@ -128,9 +128,9 @@
 
 // stepNode steps the node if it has started.
 //
-// It resets wakeAt even if the node has not started. Otherwise a voter that waits for the hellos
-// of the other voters would keep a wake time in the past, and use a whole CPU until the hellos
-// arrive.
+// It resets wakeAt even if the node has not started. Without the reset, a voter that waits for the
+// hellos of the other voters would keep a wake time in the past, and use a whole CPU until the
+// hellos arrive.
 func (v *voter) stepNode(now float64, input consensus.Input) {
 	v.wakeAt = math.Inf(1)
 	if v.node == nil || v.fault != nil {
--- a/internal/fleet/leaseregistry/command.go
+++ b/internal/fleet/leaseregistry/command.go
@@ -58,7 +58,8 @@
 	fieldRequestID     protowire.Number = 14
 )
 
-// Upper bounds of decoded numbers. The conversions of numbers up to these bounds are exact.
+// Upper bounds of decoded numbers: of an operation, so that it fits into Op, and of a time in Unix
+// ms, so that its conversion to float64 is exact.
 const (
 	maxOp     = 255
 	maxUnixMs = 1 << 50
--- a/internal/fleet/loadreport/loadreport.go
+++ b/internal/fleet/loadreport/loadreport.go
@@ -16,11 +16,11 @@
 	"garnetline/routing"
 )
 
-// leaseNamePrefix is the prefix of the lease's name in the registry. The registry stores the name,
-// so the prefix keeps the text of the first release.
+// leaseNamePrefix is the prefix of the names of the load report leases, one for each zone. The registry
+// stores the names, so the prefix keeps the text of the first release.
 const leaseNamePrefix = "probe/"
 
-// LeaseName returns the name of a zone's lease.
+// LeaseName returns the name of the lease whose holder may poll the load of a zone's servers.
 func LeaseName(zone string) string { return leaseNamePrefix + zone }
 
 // Server is a server to poll.
--- a/internal/fleet/loadreport/poll.go
+++ b/internal/fleet/loadreport/poll.go
@@ -59,7 +59,7 @@
 	s.nextPollAt = now + s.interval
 }
 
-// poll polls a server once, reports the load to this router and stores it for sendReports.
+// poll polls a server once, passes the load to Options.ReportLoad and stores it for sendReports.
 func (c *Collector) poll(ctx context.Context, server *polledServer, fencingToken uint64) {
 	load, err := c.query(ctx, server, fencingToken)
 	now := c.options.Clock.Now()
--- a/internal/fleet/membership/broadcast.go
+++ b/internal/fleet/membership/broadcast.go
@@ -117,8 +117,8 @@
 
 // send sends a packet to addr. The argument receiver is nil if the router at that address is not
 // known, or if the packet must not carry broadcasts. If this router regards the receiver as
-// suspect, failed or left, the packet carries that update before the broadcasts, so that the
-// receiver can refute it.
+// suspect, failed or left, the packet carries the known update about the receiver before the
+// broadcasts, so that the receiver can refute that update.
 func (m *Machine) send(addr netip.AddrPort, receiver *peer, packet *Packet) {
 	if m.superseded && packet.Kind != Ack && packet.Kind != SyncResponse && packet.Kind != SyncRequest {
 		return // the later process with this router's ID sends all other packets
--- a/internal/fleet/membership/machine.go
+++ b/internal/fleet/membership/machine.go
@@ -57,8 +57,8 @@
 	disabledRule      protocolRule // 0: none; only tests set it
 }
 
-// protocolRule is a rule of the protocol that a test can disable, to verify that the test
-// detects a violation of it.
+// protocolRule is a rule of the protocol that a test can disable, to verify that the test detects a
+// violation of the rule.
 type protocolRule uint8
 
 const (
@@ -114,8 +114,8 @@
 	return out
 }
 
-// SendPayload sends a payload to a different state machine of the receiver. The payload may be
-// lost. It is not sent if the receiver is not present, or if the payload exceeds MaxPayloadLen.
+// SendPayload sends a payload to a state machine of the receiver other than Machine. The payload may
+// be lost. It is not sent if the receiver is not present, or if the payload exceeds MaxPayloadLen.
 func (m *Machine) SendPayload(now float64, receiver ID, payload []byte) (out Output) {
 	m.output = &out
 	m.now = max(m.now, now)
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -164,8 +164,8 @@
 	Packet *Packet
 }
 
-// Payload is data that another router sent to a different state machine of this router. The
-// sender has been verified.
+// Payload is data that another router sent to a state machine of this router other than Machine.
+// The sender has been verified.
 type Payload struct {
 	From        ID
 	Incarnation uint64
--- a/internal/fleet/membership/packet.go
+++ b/internal/fleet/membership/packet.go
@@ -33,7 +33,7 @@
 	Gossip            // carries only updates and items
 	SyncRequest       // asks for the content of the buckets whose checksums differ
 	SyncResponse      // answers SyncRequest, in one or more packets
-	Data              // carries a payload for a different state machine of the receiver
+	Data              // carries a payload for a state machine of the receiver other than Machine
 	kindEnd
 )
 
--- a/internal/fleet/membership/search_test.go
+++ b/internal/fleet/membership/search_test.go
@@ -320,8 +320,8 @@
 }
 
 // search explores states breadth-first, starting from routers with equal views, until it finds a
-// violation or has visited maxStates states. It checks that the views become equal again when every
-// healEvery-th state is healed.
+// violation or has visited maxStates states. It heals each healEvery-th state and checks that the
+// views then become equal again.
 func search(routers, maxStates, healEvery int, disabledRule protocolRule) (result searchResult) {
 	first := newSearchState(routers, 0)
 	first.heal()
--- a/internal/fleet/membership/update.go
+++ b/internal/fleet/membership/update.go
@@ -11,7 +11,7 @@
 const maxReportedConflicts = 256
 
 // applyUpdate applies an update about a router if it is newer than the known update, or counts it
-// if it confirms a suspicion. The argument cause is the reason that the event of a change gives.
+// if it confirms a suspicion. The argument cause becomes Event.Cause if the update changes the view.
 func (m *Machine) applyUpdate(update Update, cause string) {
 	if update.ID == m.self.ID {
 		m.applySelfUpdate(update)
@@ -26,9 +26,9 @@
 		return
 	}
 	if update.State == Failed && known.State == Alive && m.receivedRecently(known) {
-		// No suspicion preceded this report, and the router's latest packet is recent. Probably
-		// a partition has healed, and the routers on its other side had declared the router
-		// failed. The router is probed before the report is accepted.
+		// No suspicion preceded this report, and the reported router's latest packet is recent.
+		// Probably a partition has healed, and the routers on its other side had declared the
+		// reported router failed. That router is probed before the report is accepted.
 		update.State = Suspect
 	}
 	if update.State == Suspect && known.State == Suspect && update.Revision == known.Revision {
--- a/internal/fleet/recoveryprobe/machine_test.go
+++ b/internal/fleet/recoveryprobe/machine_test.go
@@ -13,9 +13,9 @@
 // server is the ID of the server that fails and recovers in these tests.
 const server = routing.ServerID(7)
 
-// zone simulates the routers of one zone and one server. Each router has the ejection times of the
-// routing module without a lease: the first is 500 ms, and each further time is twice as long, up
-// to 4 s. A router sends one request after each ejection time.
+// zone simulates the routers of one zone and one server. Each router ejects the server for the same
+// times as the routing module does if there is no lease: the first ejection takes 500 ms, and each
+// further one twice as long, up to 4 s. A router sends one request after each ejection.
 type zone struct {
 	rng          *rand.Rand
 	now          float64 // ms
--- a/internal/fleet/recoveryprobe/message.go
+++ b/internal/fleet/recoveryprobe/message.go
@@ -15,7 +15,7 @@
 const fieldRecovered = zonemessage.FirstItemField
 
 // Message is a message between routers of a zone. A message of the lease holder lists the probe
-// results of servers. A message of another router lists the servers that this router has ejected.
+// results of servers. A message of another router lists the servers that its sender has ejected.
 type Message struct {
 	FencingToken uint64 // 0 unless sent by the lease holder
 	Servers      []ServerStatus
@@ -24,7 +24,7 @@
 // ServerStatus is the entry of one server in a Message.
 type ServerStatus struct {
 	Server    routing.ServerID
-	Age       float64 // ms since the ejection, or since the result in a message of the lease holder
+	Age       float64 // ms since the ejection; in a message of the lease holder, ms since the probe result
 	Recovered bool    // set by the lease holder only
 }
 
--- a/internal/fleet/recoveryprobe/recoveryprobe.go
+++ b/internal/fleet/recoveryprobe/recoveryprobe.go
@@ -15,15 +15,15 @@
 	"garnetline/routing"
 )
 
-// leaseNamePrefix is the prefix of the lease's name in the registry. The registry stores the name,
-// so the prefix keeps the text of the first release.
+// leaseNamePrefix is the prefix of the names of the recovery probe leases, one for each zone. The registry
+// stores the names, so the prefix keeps the text of the first release.
 const leaseNamePrefix = "first/"
 
 // returnOrderKey is the key of the hash that orders the returns of routers to a recovered server.
 // All releases must use the same key.
 const returnOrderKey = leaseNamePrefix + "ramp"
 
-// LeaseName returns the name of a zone's lease.
+// LeaseName returns the name of the lease whose holder may coordinate the probes of a zone's ejected servers.
 func LeaseName(zone string) string { return leaseNamePrefix + zone }
 
 // Settings are the parameters of a Machine. All times are in milliseconds.
