--- a/internal/fleet/connectivity/connectivity.go
+++ b/internal/fleet/connectivity/connectivity.go
@@ -44,8 +44,8 @@
 	RecentWindow    float64 // time after which a router that is no longer present stops counting as known
 	TogetherShare   float64 // smallest share of the known routers that must be present for Together
 	SilenceTimeout  float64 // time without a packet after which the state is Alone, whatever the view shows
-	DowngradeDelay  float64 // time for which the view must show a state that permits less
-	UpgradeDelay    float64 // initial value of the time for which the view must show a state that permits more
+	DowngradeDelay  float64 // time for which the view must show a state that permits less before the router enters it
+	UpgradeDelay    float64 // initial time for which the view must show a state that permits more before the router enters it
 	MaxUpgradeDelay float64 // upper bound of the doubled upgrade delay
 }
 
--- a/internal/fleet/consensus/requests.go
+++ b/internal/fleet/consensus/requests.go
@@ -199,8 +199,8 @@
 }
 
 // completeProposal announces the release or transfer that a command has caused. If this leader
-// proposed the command, it also responds to the request. err is the result of applying the
-// command.
+// proposed the command, completeProposal also responds to the request. err is the result of applying
+// the command.
 func (n *Node) completeProposal(command *leaseregistry.Command, err error) {
 	if n.leaseExpiry == nil {
 		return
--- a/internal/fleet/consensus/safeguards_test.go
+++ b/internal/fleet/consensus/safeguards_test.go
@@ -10,7 +10,8 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// faultKind is the kind of a fault, or of its repair, in a schedule.
+// faultKind is the kind of a step in a schedule: a fault (kill, partition) or a repair (restart,
+// heal).
 type faultKind string
 
 const (
--- a/internal/fleet/gossip/store.go
+++ b/internal/fleet/gossip/store.go
@@ -60,7 +60,7 @@
 	// DeferEnables defers the enables of other routers: a server that another router enables
 	// stays disabled until the first Step after DeferEnables is unset.
 	DeferEnables bool
-	// Rejected counts the items that were malformed or exceeded a limit.
+	// Rejected counts the items that were malformed, or for which a limit in Settings left no room.
 	Rejected int64
 	changes  []Change // changes since the last call of TakeChanges
 	dirty    bool     // the bans have changed since the last call of Export
--- a/internal/fleet/leasemanager/bootstrap.go
+++ b/internal/fleet/leasemanager/bootstrap.go
@@ -48,8 +48,8 @@
 // as one reply shows this, the node starts under a new raft ID and without a vote. If all other
 // voters have replied and no reply shows this, the node starts as one of the first voters.
 //
-// If this voter did not wait for the replies, a voter whose disk was emptied could vote twice in
-// the same term, and two leaders could be elected.
+// Without the wait for replies, a voter whose disk was emptied could vote twice in the same term,
+// and two leaders could be elected.
 func (v *voter) bootstrap(now float64) {
 	voters := map[uint64]string{v.bootstrapID: v.name}
 	registryExists, replyMissing := false, false
--- a/internal/fleet/leasemanager/holder.go
+++ b/internal/fleet/leasemanager/holder.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	rankInterval    = 200.0 // ms between updates of the ranks from the members
+	rankInterval    = 200.0 // ms between updates of the ranks, which depend on the members
 	minStepInterval = 1.0   // ms between steps of the holder
 )
 
--- a/internal/fleet/leasemanager/members.go
+++ b/internal/fleet/leasemanager/members.go
@@ -22,10 +22,10 @@
 	return slices.ContainsFunc(v.node.Status().Voters, func(id uint64) bool { return v.voterName(id) == name })
 }
 
-// addLearner returns the input that makes a joining voter a learner. The input is empty if the
-// joining voter is already a learner, or if it is neither a known voter that lost its disk nor
-// added by operators. The name of a learner must be in the registry first. If the name is
-// missing, the input proposes the name instead.
+// addLearner returns the input that makes a joining voter a learner. If the registry does not yet
+// have the joining voter's name, the input proposes the name instead. The input is empty in two
+// cases: the joining voter is already a learner, or its name is neither that of a voter (which lost
+// its disk) nor one that operators added.
 func (v *voter) addLearner(joining hello) consensus.Input {
 	if !v.isVoterName(joining.Name) && !v.approvedNames[joining.Name] {
 		return consensus.Input{}
@@ -64,8 +64,8 @@
 	}
 }
 
-// changeVoter adds or removes a voter for operators if this voter leads. An added voter becomes
-// a learner only after its next join request.
+// changeVoter handles an operator's call to add or remove a voter. It returns an error if this voter
+// does not lead. An added voter becomes a learner only after its next join request.
 func (v *voter) changeVoter(name string, add bool) error {
 	if v.node == nil || !v.leading {
 		return fmt.Errorf("%w; known leader: %q", ErrNotLeader, v.leaderName())
--- a/internal/fleet/leaseregistry/state_test.go
+++ b/internal/fleet/leaseregistry/state_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// checkTokens compares the tokens of the leases after a command with the tokens before it, which
-// the map tokens holds. It then records the new tokens in the map.
+// checkTokens compares the token of each lease after a command with its token before the command.
+// The map tokens holds the tokens before the command; checkTokens replaces them by the new tokens.
 func checkTokens(t *rapid.T, state *State, command *Command, tokens map[string]uint64) {
 	for name, lease := range state.Leases {
 		if lease.FencingToken < tokens[name] {
--- a/internal/fleet/membership/machine.go
+++ b/internal/fleet/membership/machine.go
@@ -198,8 +198,8 @@
 }
 
 // pollSuccessor sends a SyncRequest to a random router. The answer shows whether the later
-// process with this router's ID is still present. While the later process is present, it does
-// all other work.
+// process with this router's ID is still present. While the later process is present, this
+// process does no other work.
 func (m *Machine) pollSuccessor() {
 	if m.nextReconnectAt > m.now {
 		return
--- a/internal/fleet/recoveryprobe/machine.go
+++ b/internal/fleet/recoveryprobe/machine.go
@@ -99,7 +99,8 @@
 
 func (m *Machine) sendAtOnce() { m.lastSentAt = math.Inf(-1) }
 
-// holderSeen reports whether the lease holder's latest message is still valid.
+// holderSeen reports whether this router received a message from the lease holder within the last
+// Settings.HolderTimeout.
 func (m *Machine) holderSeen(now float64) bool {
 	return now-m.holderLastSeenAt <= m.settings.HolderTimeout
 }
@@ -151,8 +152,8 @@
 	return message
 }
 
-// extendEjections extends this router's ejections of two kinds of servers. Either the lease holder
-// is still probing the server, or the server has recovered but this router may not return to it yet.
+// extendEjections extends this router's ejections of two kinds of servers: servers that the lease
+// holder is still probing, and recovered servers to which this router may not return yet.
 func (m *Machine) extendEjections(now float64, zonePeers []membership.ID, out *Output) {
 	for server, ejectedAt := range m.ejectedAt {
 		result, known := m.holderResults[server]
--- a/internal/fleet/recoveryprobe/recoveryprobe.go
+++ b/internal/fleet/recoveryprobe/recoveryprobe.go
@@ -4,7 +4,7 @@
 //
 // The package can only delay a router's own probe. A router that has received no message from the
 // lease holder for HolderTimeout probes on its own schedule, as it would without a lease. No router
-// sends requests to a server before its own ejection time has ended.
+// sends requests to a server before the router's own ejection time for that server has ended.
 //
 // Machine makes the decisions, without I/O and without a clock of its own. Coordinator runs it in
 // one goroutine. Any goroutine may call the methods of Coordinator except Run.
