--- a/internal/fleet/connectivity/connectivity.go
+++ b/internal/fleet/connectivity/connectivity.go
@@ -44,8 +44,8 @@
 	RecentWindow    float64 // time after which a router that is no longer present stops counting as known
 	TogetherShare   float64 // smallest share of the known routers that must be present for Together
 	SilenceTimeout  float64 // time without a packet after which the state is Alone, whatever the view shows
-	DowngradeDelay  float64 // time for which the view must show a state that permits less
-	UpgradeDelay    float64 // initial value of the time for which the view must show a state that permits more
+	DowngradeDelay  float64 // time for which the view must show a state that permits less before the router enters it
+	UpgradeDelay    float64 // initial time for which the view must show a state that permits more before the router enters it
 	MaxUpgradeDelay float64 // upper bound of the doubled upgrade delay
 }
 
@@ -66,7 +66,7 @@
 	State   State
 	Since   float64 // when the state was entered, ms
 	Present int     // number of alive or suspect routers, including this router
-	Known   int     // number of routers that were present within RecentWindow and have not left; divisor of shared budgets
+	Known   int     // number of routers that were present within RecentWindow and have not left; budgets that the fleet shares are divided by it
 }
 
 // Machine derives the connectivity state of one router from its views.
--- a/internal/fleet/consensus/safeguards_test.go
+++ b/internal/fleet/consensus/safeguards_test.go
@@ -10,7 +10,8 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// faultKind is the kind of a fault, or of its repair, in a schedule.
+// faultKind is the kind of a step in a schedule: a fault (kill, partition) or a repair (restart,
+// heal).
 type faultKind string
 
 const (
@@ -20,7 +21,7 @@
 	heal      faultKind = "heal"
 )
 
-// fault is one step of a schedule. node is the number of a voter, which heal ignores.
+// fault is one step of a schedule. node is the number of a voter; it is not used if kind is heal.
 type fault struct {
 	kind faultKind
 	node int
--- a/internal/fleet/membership/machine.go
+++ b/internal/fleet/membership/machine.go
@@ -57,8 +57,8 @@
 	disabledRule      protocolRule // 0: none; only tests set it
 }
 
-// protocolRule is a rule of the protocol that a test can disable, to verify that the test
-// detects a violation of it.
+// protocolRule is a rule of the protocol that a test can disable, to verify that the test detects a
+// violation of the rule.
 type protocolRule uint8
 
 const (
@@ -114,8 +114,8 @@
 	return out
 }
 
-// SendPayload sends a payload to a different state machine of the receiver. The payload may be
-// lost. It is not sent if the receiver is not present, or if the payload exceeds MaxPayloadLen.
+// SendPayload sends a payload to a state machine of the receiver other than Machine. The payload may
+// be lost. It is not sent if the receiver is not present, or if the payload exceeds MaxPayloadLen.
 func (m *Machine) SendPayload(now float64, receiver ID, payload []byte) (out Output) {
 	m.output = &out
 	m.now = max(m.now, now)
@@ -198,8 +198,8 @@
 }
 
 // pollSuccessor sends a SyncRequest to a random router. The answer shows whether the later
-// process with this router's ID is still present. While the later process is present, it does
-// all other work.
+// process with this router's ID is still present. While the later process is present, this
+// process does no other work.
 func (m *Machine) pollSuccessor() {
 	if m.nextReconnectAt > m.now {
 		return
--- a/internal/fleet/recoveryprobe/recoveryprobe.go
+++ b/internal/fleet/recoveryprobe/recoveryprobe.go
@@ -4,7 +4,7 @@
 //
 // The package can only delay a router's own probe. A router that has received no message from the
 // lease holder for HolderTimeout probes on its own schedule, as it would without a lease. No router
-// sends requests to a server before its own ejection time has ended.
+// sends requests to a server before the router's own ejection time for that server has ended.
 //
 // Machine makes the decisions, without I/O and without a clock of its own. Coordinator runs it in
 // one goroutine. Any goroutine may call the methods of Coordinator except Run.
@@ -15,15 +15,15 @@
 	"garnetline/routing"
 )
 
-// leaseNamePrefix is the prefix of the lease's name in the registry. The registry stores the name,
-// so the prefix keeps the text of the first release.
+// leaseNamePrefix is the prefix of the names of the recovery probe leases, one for each zone. The registry
+// stores the names, so the prefix keeps the text of the first release.
 const leaseNamePrefix = "first/"
 
 // returnOrderKey is the key of the hash that orders the returns of routers to a recovered server.
 // All releases must use the same key.
 const returnOrderKey = leaseNamePrefix + "ramp"
 
-// LeaseName returns the name of a zone's lease.
+// LeaseName returns the name of the lease whose holder may coordinate the probes of a zone's ejected servers.
 func LeaseName(zone string) string { return leaseNamePrefix + zone }
 
 // Settings are the parameters of a Machine. All times are in milliseconds.
