--- a/cmd/fleetlab/handovers.go
+++ b/cmd/fleetlab/handovers.go
@@ -97,7 +97,8 @@
 }
 
 // handoverRun causes handovers of a lease. It measures for how long no router held the lease: the
-// time, at a server, from the last probe of one holder to the first probe of the next holder.
+// time between the arrivals, at one server, of the last probe from one holder and of the first probe
+// from the next holder.
 type handoverRun struct {
 	cluster     *testcluster.Cluster
 	rng         *rand.Rand
--- a/cmd/fleetlab/leases.go
+++ b/cmd/fleetlab/leases.go
@@ -22,8 +22,8 @@
 )
 
 // leasesCommand simulates many handovers of a lease with all safeguards. Then it looks for violations
-// with one safeguard off at a time. A violation means that two routers acted under the lease at
-// once.
+// with one safeguard off at a time. A violation means that two routers acted under the lease at the
+// same time.
 func leasesCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "leases",
@@ -87,7 +87,7 @@
 }
 
 // weakenedLease is a simulation with a safeguard off or with too much clock drift, in which two
-// routers may act at once.
+// routers may act under the lease at the same time.
 type weakenedLease struct {
 	name       string               // printed in the table
 	without    experiment.Safeguard // the safeguard that is off
--- a/cmd/garnetline/bench_test.go
+++ b/cmd/garnetline/bench_test.go
@@ -17,15 +17,15 @@
 // benchmarkClients is the number of clients that send requests concurrently.
 const benchmarkClients = 4
 
-// benchmarkTrace returns a trace block that retains ordinaryPerSecond ordinary traces a second. The
-// text extraSettings is appended to the block.
+// benchmarkTrace returns a trace block that retains ordinaryPerSecond ordinary traces a second, which
+// are traces that no other rule retains. The text extraSettings is appended to the block.
 func benchmarkTrace(dir, ordinaryPerSecond, extraSettings string) string {
 	return fmt.Sprintf("trace {\n enabled = true\n folder = %q\n ordinary_per_s = %s\n undecided_kb = 65536\n honour_sampled = false\n%s}\n",
 		dir, ordinaryPerSecond, extraSettings)
 }
 
 // BenchmarkDaemon measures the CPU time per request of a daemon in a separate process: with tracing
-// off, with the traces of some ordinary requests retained, and with all traces retained. If
+// off, with a sample of the traces retained, and with all traces retained. If
 // GARNETLINE_EARLIER names a program built from an earlier version, the benchmark measures that
 // program too.
 func BenchmarkDaemon(b *testing.B) {
--- a/cmd/garnetline/daemon_parts.go
+++ b/cmd/garnetline/daemon_parts.go
@@ -111,8 +111,8 @@
 	if d.fleet != nil {
 		go d.fleet.Run(ctx)
 		d.onClose(func() {
-			// The fleet has closed its socket when Stopped is closed. A successor process can then
-			// bind the address.
+			// When the channel that Stopped returns is closed, the fleet has closed its socket, and
+			// a successor process can bind the address.
 			d.stopParts()
 			<-d.fleet.Stopped()
 		})
--- a/cmd/garnetline/daemon_shutdown.go
+++ b/cmd/garnetline/daemon_shutdown.go
@@ -12,8 +12,7 @@
 	// The platform's front end still sends requests to the router for 0.6 s after the signal.
 	acceptAfterSignal = 700 * time.Millisecond
 	// killDelay is the shortest time, in ms, from the end of acceptAfterSignal until the platform
-	// kills the process. If the longest deadline of all classes is shorter than killDelay, that
-	// deadline applies instead.
+	// kills the process. drainTime uses the longest deadline of all classes instead if it is shorter.
 	killDelay = 3000.0
 	// killMargin is the time, in ms, between the last response and the kill. A response needs this
 	// time to reach its client.
--- a/cmd/garnetline/fleet.go
+++ b/cmd/garnetline/fleet.go
@@ -25,7 +25,7 @@
 const maxEligibleHealthScore = 3
 
 // fleetServices holds the services that a router runs together with the other routers of its fleet.
-// The pointer is nil if the operators' file enables no fleet. The router then has no fleet socket
+// If the operators' file enables no fleet, daemon.fleet is nil, and the router has no fleet socket
 // and no fleet goroutine. The methods Leave, Reload, Ready and ManagesBans accept a nil receiver.
 type fleetServices struct {
 	*transport.Transport
@@ -191,8 +191,8 @@
 // ManagesBans reports whether the lease registry keeps the operators' bans.
 func (f *fleetServices) ManagesBans() bool { return f != nil && f.bans != nil }
 
-// SetServerDisabled disables a server for an operator, or enables it again, through the lease
-// registry.
+// SetServerDisabled records in the lease registry that an operator disabled a server, or enabled it
+// again.
 func (f *fleetServices) SetServerDisabled(ctx context.Context, server routing.ServerID, disable bool) error {
 	return f.bans.Apply(ctx, bans.Change{Server: server, Disable: disable})
 }
--- a/cmd/garnetline/fleet_leases.go
+++ b/cmd/garnetline/fleet_leases.go
@@ -168,7 +168,7 @@
 	return peers
 }
 
-// receive passes a message from another router on to the service that handles its channel.
+// receive passes a message from another router to the service for the message's channel.
 func (f *fleetServices) receive(from membership.ID, incarnation uint64, channel fragment.Channel, message []byte) {
 	switch channel {
 	case fragment.LoadReport:
--- a/cmd/garnetline/fleet_test.go
+++ b/cmd/garnetline/fleet_test.go
@@ -164,8 +164,8 @@
 }
 
 // permanentSockets returns the number of sockets of a router without its short-lived connections to
-// clients and the admin API. It counts the sockets repeatedly and returns the lowest count. It
-// stops when 20 successive counts have brought no lower one.
+// clients and the admin API. It counts the sockets until 20 successive counts are no lower than an
+// earlier count, and returns the lowest count.
 func permanentSockets(t *testing.T, cluster *testcluster.Cluster, router *testcluster.Router) int {
 	t.Helper()
 	const polls = 20
--- a/cmd/garnetline/trace_command.go
+++ b/cmd/garnetline/trace_command.go
@@ -25,10 +25,9 @@
 	// followInterval is the time between two searches of the directories for new traces.
 	followInterval = 300 * time.Millisecond
 	// followLookBack is the maximum time, in ms, between the start of a trace and the moment when
-	// it is written. It covers the longest wait of a client plus one sampling window of ordinary
-	// traces.
+	// the trace is written. It covers the longest wait of a client plus one sampling window.
 	followLookBack = 120_000
-	// waterfallWidth is the width, in characters, of the bars that the command trace show prints.
+	// waterfallWidth is the width, in characters, of the bars in the output of "trace show".
 	waterfallWidth = 40
 	// defaultMostTraces is the default of --most.
 	defaultMostTraces = 50
@@ -103,8 +102,8 @@
 	return lines.err
 }
 
-// showTrace prints one trace as a waterfall. It merges the pieces of the trace. Each piece is the
-// part of the trace that one router retained.
+// showTrace prints one trace as a waterfall. It merges the partial traces that the routers
+// retained.
 func showTrace(command *cli.Command, out io.Writer) error {
 	id, ok := trace.ParseID(command.Args().First())
 	if !ok {
@@ -234,7 +233,8 @@
 	return err
 }
 
-// findTrace returns the pieces of one trace, or an error if there are none.
+// findTrace returns the partial traces with the given id, which several routers may have retained.
+// It returns an error if there are none.
 func findTrace(command *cli.Command, id trace.ID) ([]*trace.Trace, error) {
 	var pieces []*trace.Trace
 	err := queryTraces(command, store.Filter{ID: id}, func(piece *trace.Trace) bool {
@@ -272,7 +272,7 @@
 	if err != nil {
 		return err
 	}
-	var known map[trace.SpanID]bool // ids of the first spans of the pieces that the previous query found
+	var known map[trace.SpanID]bool // ids of the first spans of the traces that the previous query found
 	ticker := time.NewTicker(followInterval)
 	defer ticker.Stop()
 	for first := true; ; first = false {
@@ -329,7 +329,7 @@
 }
 
 // tracesToExport returns the ids of the traces that the flags select, in the order in which they
-// are found, and the pieces of each.
+// are found, and the partial traces of each id.
 func tracesToExport(command *cli.Command) ([]trace.ID, map[trace.ID][]*trace.Trace, error) {
 	if text := command.String("id"); text != "" {
 		id, ok := trace.ParseID(text)
--- a/cmd/garnetline/trace_propagation_test.go
+++ b/cmd/garnetline/trace_propagation_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// propagationRequest returns request i. Some requests for objects whose ids end in e fail. An
-// object whose id ends in f is filled once at each cache.
+// propagationRequest returns the text of request i. Some requests for objects whose ids end in e
+// fail. Each cache fills an object whose id ends in f only once.
 func propagationRequest(random *rand.Rand, i int) string {
 	object := fmt.Sprintf("%015x%c", 1+random.IntN(12), "0123e0123f"[random.IntN(10)])
 	header := []string{daemontest.Transaction(i + 1), daemontest.ClientTimeout(3 * time.Second)}
@@ -116,7 +116,8 @@
 }
 
 // propagationCounts counts the spans and links that were checked: the work spans of caches, the
-// links to fills, and the work spans of the parent. The test fails if too few were checked.
+// links to fills, and the work spans of the parent server. A work span covers a server's work for one
+// request. The test fails if too few were checked.
 type propagationCounts struct{ works, joinedFills, parentWorks int }
 
 // check checks the merged trace of each request that the router retained.
@@ -201,7 +202,8 @@
 	return false
 }
 
-// traceWithLink returns the id of a trace whose last part joined a fill of another trace.
+// traceWithLink returns the id of a trace that several processes retained, and whose last partial
+// trace links to a fill.
 func (p *propagationTest) traceWithLink() trace.ID {
 	var found trace.ID
 	for id, parts := range p.byID {
--- a/cmd/garnetline/trace_test.go
+++ b/cmd/garnetline/trace_test.go
@@ -268,8 +268,8 @@
 	return traced
 }
 
-// checkClientAttempt checks that a transmission is traced if it has to be, and that its trace has
-// all attempts.
+// checkClientAttempt checks the trace of one transmission of a request. The trace must exist if the
+// transmission failed, was slow, was a retry or took several attempts. It must contain all attempts.
 func (f *failureTest) checkClientAttempt(retained retainedTraces, attempt clientAttempt, isRetry bool) {
 	f.t.Helper()
 	id := attempt.transaction
@@ -336,7 +336,8 @@
 	}
 }
 
-// checkNoTraceFields checks that the servers received only fields of the platform's protocol.
+// checkNoTraceFields checks that the servers received no trace context: each field of their requests
+// belongs to the platform's protocol.
 func (f *failureTest) checkNoTraceFields() {
 	f.t.Helper()
 	known := []string{"sort", "asset", "slice", "patience", "op", "via", "tier", "fresh", "opts", "known"}
--- a/cmd/garnetline/tracing.go
+++ b/cmd/garnetline/tracing.go
@@ -63,9 +63,10 @@
 }
 
 // recorderSettings returns the settings that say which traces the recorder retains. By default, it
-// retains the traces that are slower than the latency objective of their class, and ordinary traces
-// at the rate in the trace block. A class block of the operators' file overrides both values for
-// its class. All traces of a class with idempotency keys are retained.
+// retains the traces that are slower than the latency objective of their class, and samples ordinary
+// traces, which no other rule retains, at the rate in the trace block. A class block of the operators'
+// file overrides the latency objective and the rate for its class. All traces of a class with
+// idempotency keys are retained.
 func recorderSettings(settings operatorconfig.Trace, classes []routing.Class) recorder.Settings {
 	result := recorder.Settings{
 		UndecidedBytes:      settings.UndecidedKB << 10,
--- a/internal/admin/disabled/store.go
+++ b/internal/admin/disabled/store.go
@@ -33,8 +33,8 @@
 
 // List returns the disabled servers. It ignores files whose names are not server ids, and returns
 // no servers if the directory does not exist. It returns an error if the directory cannot be read,
-// for example because the process has no free file descriptors. Without the error, every disabled
-// server would be enabled.
+// for example because the process has no free file descriptors. If List returned no servers instead,
+// the router would send requests to every disabled server.
 func (s Store) List() (map[routing.ServerID]bool, error) {
 	if s == "" {
 		return nil, nil
--- a/internal/admin/disabled/store_test.go
+++ b/internal/admin/disabled/store_test.go
@@ -10,8 +10,8 @@
 )
 
 // TestStore checks the servers that a successor process reads. It also checks that List returns an
-// error for a directory that cannot be read. Without the error, every disabled server would be
-// enabled.
+// error for a directory that cannot be read. If List returned no servers instead, the router would
+// send requests to every disabled server.
 func TestStore(t *testing.T) {
 	state := t.TempDir()
 	store := NewStore(state)
--- a/internal/admin/handler_test.go
+++ b/internal/admin/handler_test.go
@@ -34,7 +34,7 @@
 	for _, test := range []struct {
 		method, path string
 		status       int
-		disabled     int // number of servers that are disabled afterwards
+		disabled     int // number of disabled servers after the request
 	}{
 		{"GET", "/ready", 503, 0},
 		{"GET", "/other", 404, 0},
--- a/internal/experiment/all_pairs_detector.go
+++ b/internal/experiment/all_pairs_detector.go
@@ -23,9 +23,9 @@
 	lastSequence uint64
 }
 
-// Times in ms. A killed router is marked as failed after 1.5 to 2 s, about as quickly as with
-// the other variants. A live router is wrongly marked as failed only if seven consecutive packets are
-// lost.
+// Times of allPairsDetector in ms. A killed router is marked as failed after 1.5 to 2 s, about as
+// quickly as by the membership protocol. A live router is wrongly marked as failed only if seven
+// consecutive packets are lost.
 const (
 	allPairsPingInterval = 250.0
 	allPairsTimeout      = 7 * allPairsPingInterval
--- a/internal/experiment/doc.go
+++ b/internal/experiment/doc.go
@@ -2,7 +2,7 @@
 // and tables of the results:
 //
 //   - Membership: how fast routers detect failures, how often they mark live routers as failed, and
-//     how much traffic and memory this detection needs;
+//     how much traffic and memory failure detection needs;
 //   - LeaseHandovers: handovers of a lease under faults, with all safeguards or with one switched off;
 //   - LeaseSearch: an exhaustive search of the states that two routers and a registry can reach;
 //   - Registry: the cost of leases for the voters of the lease registry;
--- a/internal/experiment/false_positives.go
+++ b/internal/experiment/false_positives.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// MeasureFalsePositives runs one fleet of the first variant for the given duration of virtual time,
+// MeasureFalsePositives runs one fleet of the first of Variants for the given duration of virtual time,
 // in ms. The network loses a share of the packets, lossRate, from 0 to 1. No router fails.
 func MeasureFalsePositives(size int, seed uint64, lossRate, duration float64) FalsePositives {
 	network := newSettledFleet(Variants()[0], size, seed)
--- a/internal/experiment/lease_handovers.go
+++ b/internal/experiment/lease_handovers.go
@@ -27,9 +27,9 @@
 	PlannedHandovers   int       // handovers in which the previous holder had released the lease
 	Writes             int       // sent under the lease, by any router
 	Rejected           int       // writes that the receiver rejected because of their fencing token
-	StoppedAtWrite     int       // writes that the check just before the write stopped
+	StoppedAtWrite     int       // writes that a router dropped because CheckAtWrite found its lease invalid
 	SimulatedTime      float64   // ms
-	Violation          string    // describes the last case in which two routers acted under the lease at once; empty if there was none
+	Violation          string    // describes the last case in which two routers acted under the lease at the same time; empty if there was none
 	FaultsAndTransfers int       // faults injected and transfers requested
 	Gaps               []float64 // ms between two consecutive holders in which no router held the lease
 }
@@ -108,8 +108,8 @@
 	return 1 + r.maxRateDeviation*(2*position-1)
 }
 
-// Run simulates until MaxHandovers handovers have happened, two routers have acted at once, or
-// maxHandoverTime has passed.
+// Run simulates until MaxHandovers handovers have happened, two routers have acted under the lease at
+// the same time, or maxHandoverTime has passed.
 func (o LeaseHandovers) Run() LeaseResult {
 	run := newHandoverRun(o)
 	for !run.finished() {
--- a/internal/experiment/lease_handovers_test.go
+++ b/internal/experiment/lease_handovers_test.go
@@ -11,9 +11,9 @@
 	return LeaseHandovers{Seed: seed, Without: without, ClockDrift: 1, Routers: 3, MaxHandovers: 500}.Run()
 }
 
-// With all safeguards, no two routers act under one lease at once. In each run, some writes are
-// rejected because of their fencing tokens, and others are stopped by the check at the write. Each
-// run thus exercises these two safeguards.
+// With all safeguards, no two routers act under one lease at the same time. In each run, the receiver
+// rejects some writes because of their fencing tokens, and routers drop others because of
+// CheckAtWrite. Each run thus exercises these two safeguards.
 func TestHandoversWithAllSafeguards(t *testing.T) {
 	for seed := uint64(1); seed <= 4; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -34,8 +34,8 @@
 	}
 }
 
-// Each safeguard is necessary: with the safeguard off, two routers act at once in at least one of 40
-// runs.
+// Each safeguard is necessary: with the safeguard off, two routers act under the lease at the same
+// time in at least one of 40 runs.
 func TestHandoversFindMissingSafeguard(t *testing.T) {
 	const seeds = 40
 	for _, safeguard := range Safeguards {
--- a/internal/experiment/lease_search.go
+++ b/internal/experiment/lease_search.go
@@ -33,7 +33,7 @@
 	Moves     int      // moves tried, including moves to states that were visited before
 	Depth     int      // moves from the start to the farthest state
 	Complete  bool     // all reachable states were visited
-	Violation string   // describes a state in which two routers could act at once; empty if no such state was found
+	Violation string   // describes a state in which two routers could act at the same time; empty if no such state was found
 	Schedule  []string // the moves that lead to the violation
 }
 
--- a/internal/experiment/lease_search_moves.go
+++ b/internal/experiment/lease_search_moves.go
@@ -42,9 +42,9 @@
 		r.move(state, name+" steps", func(next *searchState) { next.stepRouter(router) })
 	}
 	token, ok := state.valid(router)
-	// With the check at the write, a router sends a pending write only while its lease is valid. At
-	// that time it could also decide a new write. Pending writes are therefore tracked only if this
-	// check is off.
+	// If CheckAtWrite is on, a router sends a pending write only while its lease is valid, when it
+	// could as well decide a new write. Pending writes are therefore tracked only if CheckAtWrite is
+	// off.
 	if ok && state.pendingWrites[router] == 0 && r.options.Without == CheckAtWrite {
 		r.move(state, name+" decides a write", func(next *searchState) { next.pendingWrites[router] = token })
 	}
--- a/internal/experiment/lease_search_state.go
+++ b/internal/experiment/lease_search_state.go
@@ -127,7 +127,7 @@
 
 // violation returns a description of the state if both routers can write now, which must never
 // happen. Otherwise it returns "". A router can write if its lease is valid, or if it has a pending
-// write that would pass the check at the write.
+// write that CheckAtWrite does not stop.
 func (s *searchState) violation() string {
 	for router := range s.holders {
 		token, ok := s.valid(router)
--- a/internal/experiment/lease_search_test.go
+++ b/internal/experiment/lease_search_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// With all safeguards, two routers cannot act at once in any visited state. If one safeguard is off,
-// the search finds a state in which two routers can act at once. The limit on visited states is the
-// same in all searches.
+// With all safeguards, two routers cannot act under the lease at the same time in any visited state.
+// If one safeguard is off, the search finds a state in which they can. The limit on visited states is
+// the same in all searches.
 func TestSearchFindsMissingSafeguard(t *testing.T) {
 	for _, safeguard := range SearchedSafeguards {
 		t.Run(cmp.Or(string(safeguard), "none"), func(t *testing.T) {
--- a/internal/experiment/membership.go
+++ b/internal/experiment/membership.go
@@ -80,7 +80,7 @@
 // allPairsDetector, which sends a number of packets that grows with the square of the size.
 const (
 	smallFleet            = 30
-	largeFleet            = 300    // larger fleets are measured with the first variant only
+	largeFleet            = 300    // larger fleets are measured with the first of Variants only
 	minKills              = 2      // in fleets larger than smallFleet
 	maxQuietPeriod        = 10_000 // ms, in fleets larger than smallFleet
 	allPairsMaxSeeds      = 3
--- a/internal/experiment/membership_run.go
+++ b/internal/experiment/membership_run.go
@@ -13,7 +13,7 @@
 	allPairsSettleTime  = 20_000.0
 	convergenceTimeout  = 60_000.0
 	convergencePoll     = 100.0
-	settleTime          = 20_000.0 // time after convergence in which routers verify each other
+	settleTime          = 20_000.0 // time after convergence in which each router verifies that the packets of the others are not replayed
 	minKillInterval     = 500.0
 	killIntervalJitter  = 1000.0
 	detectionTimeout    = 60_000.0
--- a/internal/experiment/registry.go
+++ b/internal/experiment/registry.go
@@ -17,7 +17,7 @@
 	Leases               int
 	Settings             consensus.Settings
 	TransferInterval     float64 // mean ms between transfers of a lease; 0: no transfers
-	ResponseLossInterval float64 // mean ms between two periods in which a router receives no responses, each two TTLs long; 0: no such periods
+	ResponseLossInterval float64 // mean ms between two periods, each two TTLs long, in which a router receives no responses; 0: no such periods
 }
 
 // RegistryResult is the result of a run of Registry.
--- a/internal/experiment/safeguard.go
+++ b/internal/experiment/safeguard.go
@@ -9,8 +9,8 @@
 const (
 	NoSafeguard Safeguard = "" // all safeguards stay on
 
-	// LeaseMargin makes a holder stop before its lease expires at the registry. The time between the
-	// two covers SafetyMargin and the clock drift that the settings allow.
+	// LeaseMargin makes a holder stop acting under its lease some time before the lease expires at
+	// the registry. That time covers SafetyMargin and the clock drift that the settings allow.
 	LeaseMargin Safeguard = "margin and drift"
 
 	// CheckAtWrite makes a holder check its lease just before each write.
@@ -23,7 +23,8 @@
 	// had just been renewed.
 	NewLeaderRestartsLeases Safeguard = "a new leader counts anew"
 
-	// HolderExpiry makes a holder stop when its lease has expired by the holder's own clock.
+	// HolderExpiry makes a holder stop acting under its lease when the lease has expired by the
+	// holder's own clock.
 	HolderExpiry Safeguard = "a holder stops by itself"
 
 	// LeaseFromRequest makes a holder count its lease from the time at which it sent the request,
--- a/internal/netsim/host.go
+++ b/internal/netsim/host.go
@@ -75,8 +75,8 @@
 	return &Host{Name: self.Name, Addr: self.Addr, Self: self, nextTimerAt: math.Inf(1)}
 }
 
-// Membership returns the host's membership machine, or nil for a host that runs another
-// protocol.
+// Membership returns the host's membership machine, or nil if the host runs a Machine without the
+// membership protocol.
 func (h *Host) Membership() *membership.Machine {
 	switch machine := h.Machine.(type) {
 	case MembershipOnly:
--- a/internal/netsim/incarnation_test.go
+++ b/internal/netsim/incarnation_test.go
@@ -31,7 +31,7 @@
 
 // A second process of a router starts at a new address while the first process still runs at the
 // old address. The fleet sees the two processes as one member at the new address. When the second
-// process crashes, the first process takes the identity back.
+// process crashes, the first process becomes that member again, with a new incarnation.
 func TestTwoProcessesOfOneRouterAreOneMember(t *testing.T) {
 	network := convergedFleet(t, 10, 6)
 	predecessor := network.Hosts[2]
--- a/internal/netsim/netsim.go
+++ b/internal/netsim/netsim.go
@@ -23,7 +23,7 @@
 	// hostPort is the UDP port of all hosts.
 	hostPort = 7946
 
-	// zoneCount is the number of zones. The slot of a host determines its zone.
+	// zoneCount is the number of zones. The number of a host's slot (see Addr) determines its zone.
 	zoneCount = 3
 )
 
@@ -79,7 +79,7 @@
 }
 
 // StartHost starts a process of a router in a slot and returns the process. If another process
-// already runs in the slot, the other process receives no further packets.
+// already runs in the slot, that older process receives no further packets.
 func (n *Network) StartHost(slot int, name string, id membership.ID, incarnation uint64, settings fleet.Settings, protocols Protocols) *Host {
 	self := membership.Update{
 		ID:       id,
--- a/internal/netsim/partition_test.go
+++ b/internal/netsim/partition_test.go
@@ -10,7 +10,8 @@
 
 // A partition splits the fleet into two or three sides. The routers of each side mark the routers of
 // the other sides as failed, and their connectivity state is Partial. After the partition has healed,
-// all views are the same within 3 s. The state is Together 12 s later, after its hold time.
+// all views are the same within 3 s. The state is Together 12 s later, because a connectivity state
+// improves only after a delay.
 func TestPartitionHeals(t *testing.T) {
 	const routers = 12
 	for _, sides := range []int{2, 3} {
--- a/internal/operatorconfig/leases.go
+++ b/internal/operatorconfig/leases.go
@@ -23,7 +23,7 @@
 	defaultReportInterval  = 250.0
 	minReportInterval      = 20.0
 	maxReportInterval      = 60_000.0
-	defaultReportMultiple  = 4 // default ratio of the longest to the shortest interval between load reports
+	defaultReportMultiple  = 4 // default ratio of LoadReport.MaxInterval to LoadReport.MinInterval
 	maxSlowReportInterval  = 600_000.0
 	minVoters              = 3
 	maxVoters              = 5 // the number of voters is minVoters or maxVoters; a number between them is invalid
@@ -46,15 +46,15 @@
 	Bans          *Bans          `hcl:"bans,block"`
 }
 
-// LoadReport configures the lease by which one router polls the servers of its zone for their
-// load. Times are in milliseconds.
+// LoadReport configures load reports: the router that holds a lease polls the servers of its zone for
+// their load, and reports it to the other routers. Times are in milliseconds.
 type LoadReport struct {
 	MinInterval float64 `hcl:"every_ms,optional"` // between polls of one server while its load changes
 	MaxInterval float64 `hcl:"most_ms,optional"`  // between polls of one server while its load is steady
 }
 
-// RecoveryProbe configures the lease by which one router of a zone probes ejected servers before
-// the other routers use them.
+// RecoveryProbe configures recovery probes: the router of a zone that holds a lease probes ejected
+// servers before the other routers of the zone use them.
 type RecoveryProbe struct {
 	ReturnRate float64 `hcl:"routers_per_s,optional"` // routers per second that resume sending to the server after the probe succeeded
 }
--- a/internal/operatorconfig/trace.go
+++ b/internal/operatorconfig/trace.go
@@ -26,14 +26,14 @@
 type Trace struct {
 	Enabled            bool         `hcl:"enabled,optional"`
 	Dir                string       `hcl:"folder,optional"`         // directory of the segments
-	Secret             string       `hcl:"secret,optional"`         // hashed together with the identity of a client or a key; must be the same on all routers
+	Secret             string       `hcl:"secret,optional"`         // key for hashing idempotency keys and objects; must be the same on all routers
 	SegmentMB          int          `hcl:"segment_mb,optional"`     // size of a segment at which it is closed
 	KeepMB             int          `hcl:"keep_mb,optional"`        // total size of all segments; the oldest are deleted first
 	UndecidedKB        int          `hcl:"undecided_kb,optional"`   // memory for traces without a sampling decision
-	OrdinaryPerSecond  float64      `hcl:"ordinary_per_s,optional"` // ordinary traces that are retained per second and class
+	OrdinaryPerSecond  float64      `hcl:"ordinary_per_s,optional"` // traces that no other rule retains, sampled per second and class
 	RetryWindow        float64      `hcl:"retry_within_ms,optional"`
 	HonorSampled       bool         `hcl:"honour_sampled,optional"` // retain traces for which the client's traceparent has the sampled flag
-	PropagateToServers bool         `hcl:"peers,optional"`          // send the request fields trace and kept to the servers, which must accept them
+	PropagateToServers bool         `hcl:"peers,optional"`          // send the request fields "trace" and "kept" to the servers, which must accept them
 	Classes            []TraceClass `hcl:"class,block"`
 	Collector          *Collector   `hcl:"collector,block"`
 }
--- a/internal/platformconfig/events.go
+++ b/internal/platformconfig/events.go
@@ -168,8 +168,9 @@
 	return &Purge{Object: routing.ObjectID(object), At: doc.Time}, nil
 }
 
-// StartTime converts the start time of a server, in Unix milliseconds, to the form that the routing
-// module uses. It returns 0, which means a start long ago, if unixMillis is 0 or negative.
+// StartTime converts the start time of a server, in Unix milliseconds, to the time since the Unix
+// epoch, which package routing uses. It returns 0, which means a start long ago, if unixMillis is 0 or
+// negative.
 func StartTime(unixMillis float64) time.Duration {
 	if unixMillis <= 0 {
 		return 0
@@ -177,7 +178,7 @@
 	return clock.Duration(unixMillis)
 }
 
-// indexOf returns the index of name in names, or -1 if name is missing or empty.
+// indexOf returns the index of name in names, or -1 if name is empty or not in names.
 func indexOf(names []string, name string) int {
 	if name == "" {
 		return -1
