--- a/cmd/simadapter/adapter_test.go
+++ b/cmd/simadapter/adapter_test.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// A batch can contain events for an instance after the message that stops this instance.
+// TestEventsOfStoppedInstanceAreIgnored checks that events are ignored if they follow, in the same
+// batch, the message that stops their instance.
 func TestEventsOfStoppedInstanceAreIgnored(t *testing.T) {
 	got := runInput(t, startedInstance+"TEARDOWN\n"+requestLine+"END\n")
 	if want := "NEXT\n"; got != want {
--- a/internal/bodies/allocator.go
+++ b/internal/bodies/allocator.go
@@ -28,8 +28,8 @@
 	diskWrites tokenBucket // bytes
 }
 
-// New returns an Allocator. It returns an error if the classes cannot share a budget or a limit of
-// the budget is negative.
+// New returns an Allocator. It returns an error if a class is invalid, if the guaranteed fractions
+// of the classes add up to more than 1, or if a limit of the budget is negative.
 func New(budget Budget, classes []Class) (*Allocator, error) {
 	if err := validateClasses(classes); err != nil {
 		return nil, fmt.Errorf("bodies: %w", err)
@@ -57,9 +57,9 @@
 }
 
 // Admit decides about a body before any of its bytes has been received. class is an index into the
-// classes given to New. size is the announced size in bytes, or -1 if the size is unknown. The action
-// is Continue or Reject. If it is Reject, the returned body is nil, and the owner need not receive or
-// close the body.
+// classes given to New. size is the announced size in bytes, or -1 if the size is unknown. The
+// action is Continue or Reject. If it is Reject, the returned body is nil, and the caller need not
+// receive or close the body.
 func (a *Allocator) Admit(now float64, class int, size int64) (*Body, Action) {
 	if size > a.classes[class].MaxBytes {
 		a.Counts.Rejected++
@@ -145,7 +145,7 @@
 }
 
 // grow extends the reservation of a body to size bytes. It moves the body to disk if memory has no
-// capacity, and stops retaining the body if disk has none either.
+// capacity, and stops retaining the body if the disk has no capacity either.
 func (a *Allocator) grow(now float64, body *Body, size int64) Action {
 	class := &a.classes[body.class]
 	addedBytes := size - body.reserved
--- a/internal/bodies/allocator_test.go
+++ b/internal/bodies/allocator_test.go
@@ -105,8 +105,9 @@
 	return bodyState{body.Location, body.Received, body.reserved, body.FirstByteSent, body.closed}
 }
 
-// Visits every reachable state of a small body. A body that was sent while it was not retained must
-// not be repeatable. A body that is closed or not retained must not have a reservation.
+// TestReachableStatesOfOneBody visits every reachable state of a small body. A body that was sent
+// while it was not retained must not be repeatable. A body that is closed or not retained must not
+// have a reservation.
 func TestReachableStatesOfOneBody(t *testing.T) {
 	const wantStates = 54
 	search := &stateSearch{t: t, seen: map[bodyState]bool{}}
--- a/internal/bodies/body.go
+++ b/internal/bodies/body.go
@@ -7,7 +7,7 @@
 const (
 	InMemory Location = iota
 	OnDisk
-	NotRetained // the body is passed through and can be sent only once
+	NotRetained // the body is forwarded without being retained, so it can be sent only once
 )
 
 var locationNames = [...]string{"memory", "files", "nowhere"}
@@ -62,7 +62,7 @@
 type Counts struct {
 	InMemory         int64 // admitted and first located in memory
 	OnDisk           int64 // admitted and first located on disk
-	NotRetained      int64 // admitted and passed through
+	NotRetained      int64 // admitted and first not retained
 	MovedToDisk      int64
 	StoppedRetaining int64
 	Rejected         int64
--- a/internal/bodies/budget.go
+++ b/internal/bodies/budget.go
@@ -24,7 +24,7 @@
 
 // Class is the policy for the bodies of one class. A body of up to MaxMemoryBytes is retained in
 // memory, and a larger body of up to MaxDiskBytes on disk. A still larger body of up to MaxBytes is
-// passed through. A body of more than MaxBytes is rejected.
+// forwarded without being retained. A body of more than MaxBytes is rejected.
 type Class struct {
 	Name           string
 	MaxMemoryBytes int64
@@ -41,9 +41,10 @@
 // needed because sums of decimal fractions are not exact in floating point.
 const fractionRounding = 1e-9
 
-// validateClasses returns an error if the classes cannot share a budget. The error names the class.
-// If a field of the class is invalid, the error also contains the field's name in the operators'
-// settings.
+// validateClasses returns an error if the name of a class is empty or not unique, if another field
+// of a class is invalid, or if the guaranteed fractions add up to more than 1. An error about one
+// class names the class and, unless it is about the class name, contains the names of the fields in
+// the operators' settings.
 func validateClasses(classes []Class) error {
 	guaranteed := 0.0
 	seen := map[string]bool{}
--- a/internal/bodies/budget_test.go
+++ b/internal/bodies/budget_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// New rejects classes that cannot share a budget. The error names the class and the field.
+// TestInvalidClasses checks that New rejects an invalid class with an error that names the class and
+// the field. New must also reject classes whose guaranteed fractions add up to more than 1.
 func TestInvalidClasses(t *testing.T) {
 	tests := []struct {
 		name    string
--- a/internal/bodies/spool/faulty_test.go
+++ b/internal/bodies/spool/faulty_test.go
@@ -15,8 +15,8 @@
 	writeFaultEnd                   // number of write faults
 )
 
-// faultyFileSystem is a file system that fails one call. It counts its own calls and those of its
-// files, and fails the call with the number failingCall.
+// faultyFileSystem is a file system in which one call fails. It counts its own calls and those of
+// its files. The call with the number failingCall fails.
 type faultyFileSystem struct {
 	OSFileSystem
 	failingCall int // starting at 1; 0 means that no call fails
--- a/internal/bodies/spool/filesystem.go
+++ b/internal/bodies/spool/filesystem.go
@@ -19,8 +19,8 @@
 	io.ReaderAt
 	io.WriterAt
 	io.Closer
-	// Truncate sets the size in bytes. If the file system can preallocate, it also allocates that
-	// much disk space.
+	// Truncate sets the size in bytes. If the file system can preallocate, Truncate also allocates
+	// that much disk space.
 	Truncate(size int64) error
 }
 
--- a/internal/bodies/spool/spool.go
+++ b/internal/bodies/spool/spool.go
@@ -153,8 +153,8 @@
 	}
 	s.segments = append(s.segments, file)
 	for i := range s.BlocksPerSegment {
-		// Blocks are taken from the end of free. The descending order makes a segment fill from its
-		// start.
+		// Blocks are taken from the end of free. The blocks of a segment are appended in descending
+		// order, so that the segment fills from its start.
 		s.free = append(s.free, blockAddress{segment: segment, block: s.BlocksPerSegment - 1 - i})
 	}
 	return nil
--- a/internal/bodies/spool/spool_test.go
+++ b/internal/bodies/spool/spool_test.go
@@ -37,9 +37,10 @@
 	}
 }
 
-// Runs the same operations once for each file system call and each write fault, and makes that call
-// fail. A read must return either the bytes that were written or an error. It must never return part
-// of the body or bytes of another body. All blocks must be freed.
+// TestEachFailingCallLosesNoBlock runs the same operations once for each combination of a file
+// system call and a write fault, and makes that call fail. A read must return either the bytes that
+// were written or an error. It must never return part of the body or bytes of another body. All
+// blocks must be freed.
 func TestEachFailingCallLosesNoBlock(t *testing.T) {
 	for fault := range writeFaultEnd {
 		t.Run(fmt.Sprintf("write fault %d", fault), func(t *testing.T) {
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Guards the conversions between milliseconds and durations: a value outside the range of a duration
-// becomes the nearest limit of the range. Also guards that the clocks return the expected times.
+// TestConversions checks the conversions between milliseconds and durations. A value outside the
+// range of a duration must become the nearest limit of the range. The test also checks that the
+// clocks return the expected times.
 func TestConversions(t *testing.T) {
 	for ms, want := range map[float64]time.Duration{0: 0, 1.5: 1500 * time.Microsecond, -2: -2 * time.Millisecond,
 		1e300: math.MaxInt64, math.Inf(-1): math.MinInt64} {
@@ -32,9 +33,9 @@
 	}
 }
 
-// Guards that WallClockStep returns a step in either direction, and exactly 0 if the wall clock was
-// not set. Without rounding, the result would not be exactly 0, because the readings of the wall
-// clock and the monotonic clock differ slightly.
+// TestWallClockStep checks that WallClockStep returns a step in either direction, and exactly 0 if
+// the wall clock was not set. Without rounding, the result would not be exactly 0, because the
+// readings of the wall clock and the monotonic clock differ slightly.
 func TestWallClockStep(t *testing.T) {
 	system := NewSystem()
 	if got := WallClockStep(system); got != 0 {
--- a/internal/fakeserver/changelog.go
+++ b/internal/fakeserver/changelog.go
@@ -162,9 +162,9 @@
 	closed   bool            // whether the change log is closed
 }
 
-// framesAfter returns the events after a sequence number. If the number is lower than that of the
-// first event, framesAfter returns all events. If it is that of the last event or higher,
-// framesAfter returns none.
+// framesAfter returns the events after a sequence number. It returns all events if the number is
+// lower than the number of the first event, and none if the number is equal to or higher than the
+// number of the last event.
 func (c *ChangeLog) framesAfter(sequence uint64) pendingFrames {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fakeserver/server.go
+++ b/internal/fakeserver/server.go
@@ -22,7 +22,7 @@
 	commandLoadReport = "gauges"
 )
 
-// replyLoadReport is the status in the answer to a health check.
+// replyLoadReport is the status of a load report, which is the answer to a health check.
 const replyLoadReport = "FIT"
 
 // Server is a fake cache, parent or origin.
@@ -47,9 +47,9 @@
 	return server, nil
 }
 
-// SetLoadReport sets the function that returns the fields of the answer to a health check. The
-// argument of the function is the tag of the health check. While the function is nil, the server
-// does not answer health checks.
+// SetLoadReport sets the function that returns the fields of a load report, the answer to a health
+// check. The argument of the function is the tag of the health check. While the function is nil, the
+// server does not answer health checks.
 func (s *Server) SetLoadReport(loadReport func(tag string) string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,8 +85,8 @@
 	}
 }
 
-// answer returns the answer to a command, in the form that Reply documents. Unknown commands get no
-// answer.
+// answer returns the answer to a command: a result of the function Answer, CloseConnection, or ""
+// for no answer. Unknown commands get no answer.
 func (s *Server) answer(command []string) string {
 	loadReport := s.currentLoadReport()
 	switch {
--- a/internal/fakeserver/tracing_server.go
+++ b/internal/fakeserver/tracing_server.go
@@ -43,9 +43,9 @@
 	suffixFilled  = "f" // the first request fills the asset, later requests join that fill
 )
 
-// TracingServer is a fake cache that records traces. It reads the request fields trace and kept,
-// and buffers its spans until the router sends a verdict. It stores the spans of retained traces in
-// its own directory. Its clock is ahead by ClockSkew.
+// TracingServer is a fake cache that records traces. It reads the request fields trace and kept, and
+// buffers its spans until the router sends a verdict, that is, a request to retain a trace. It
+// stores the spans of retained traces in its own directory. Its clock is ahead by ClockSkew.
 type TracingServer struct {
 	Name     string
 	Parent   *TracingServer // fill source; nil: the server is a parent itself and fills from the origin
@@ -214,9 +214,10 @@
 	return values
 }
 
-// handleVerdicts retains the traces that a router names, at this server and at its parent. If a
-// retained request has joined a fill, the trace of the fill is retained too. The parent is
-// therefore notified of each retained trace by the trace's own ID. The caller holds s.mu.
+// handleVerdicts retains the traces whose IDs a router sent as verdicts, both in this server and in
+// its parent. If a retained request has joined a fill, the trace of the fill is retained too. The ID
+// of that trace may differ from the ID in the verdict, so handleVerdicts passes the ID of each
+// retained trace to the parent. The caller holds s.mu.
 func (s *TracingServer) handleVerdicts(verdicts string) {
 	for text := range strings.SplitSeq(verdicts, "+") {
 		id, ok := trace.ParseID(text)
--- a/internal/faultproxy/fault.go
+++ b/internal/faultproxy/fault.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Fault describes the network faults that the proxy injects into the traffic from one party to
-// another. The zero value forwards all data immediately and unchanged. Each share is a number from
-// 0 to 1. On UDP it is a share of the datagrams. On TCP it is a share of the pieces in which the
-// proxy reads a stream.
+// Fault describes the network faults that the proxy injects into the traffic from one endpoint to
+// another. The zero value forwards all data immediately and unchanged. Each share is a number from 0
+// to 1. On UDP it is a share of the datagrams. On TCP it is a share of the pieces of a stream; a
+// piece is the data that the proxy reads from the stream at once.
 type Fault struct {
 	Partitioned    bool    // nothing is forwarded; on TCP the data waits until the partition heals
 	Loss           float64 // share that is lost; on TCP, share that is delayed as if it were retransmitted
@@ -57,8 +57,8 @@
 	return text[1:]
 }
 
-// Counters count the packets of one direction. A packet is a datagram, a piece of a stream, or a
-// new TCP connection.
+// Counters count the packets of one direction. A packet is a datagram, a piece of a TCP stream (the
+// data of one read), or a new TCP connection.
 type Counters struct {
 	Packets     int64 // received by the proxy
 	Bytes       int64 // received by the proxy
--- a/internal/faultproxy/harness_test.go
+++ b/internal/faultproxy/harness_test.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// udpPair holds the parties a and b of a proxy. The proxy forwards datagrams that it receives at
-// toA to a, and datagrams that it receives at toB to b.
+// udpPair holds a proxy and two endpoints, a and b, that exchange datagrams through it. The proxy
+// forwards datagrams that it receives at toA to a, and datagrams that it receives at toB to b.
 type udpPair struct {
 	proxy    *Proxy
 	a, b     *party
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -1,11 +1,11 @@
-// Package faultproxy provides a proxy for UDP and TCP on the loopback interface that injects
-// network faults between named parties, such as routers and servers. Each direction between two
-// parties has its own fault. The proxy can partition, delay, lose, duplicate, reorder, corrupt,
-// half-close or throttle the traffic of one direction while it forwards the opposite direction
-// unchanged. Faults are set by calls or by a schedule.
+// Package faultproxy provides a proxy for UDP and TCP on the loopback interface that injects network
+// faults between named endpoints, such as routers and servers. Each direction between two endpoints
+// has its own fault. The proxy can partition, delay, lose, duplicate, reorder, corrupt, half-close
+// or throttle the traffic of one direction while it forwards the opposite direction unchanged.
+// Faults are set by calls or by a schedule.
 //
-// A random number generator with a given seed draws the faults, so that a failure can be
-// reproduced. The package is for tests and experiments; nothing in the router uses it.
+// A random number generator with a given seed draws the faults, so that a failure can be reproduced.
+// The package is for tests and experiments; nothing in the router uses it.
 package faultproxy
 
 import (
@@ -24,12 +24,13 @@
 	scheduleStream = 2
 )
 
-// Proxy forwards traffic between named parties. Its methods may be called by any goroutine.
+// Proxy forwards traffic between named endpoints, such as routers and servers. Its methods may be
+// called by any goroutine.
 type Proxy struct {
 	mu         sync.Mutex
 	random     *rand.Rand // draws faults; the same seed gives the same sequence of draws
 	links      map[direction]*link
-	senders    map[netip.AddrPort]string // names of UDP parties by the address of their own socket
+	senders    map[netip.AddrPort]string // names of UDP endpoints by the address of their own socket
 	sockets    []io.Closer               // open sockets, which Close closes
 	log        []LogEntry
 	startedAt  time.Time
@@ -44,7 +45,7 @@
 	Fault    Fault
 }
 
-// direction is an ordered pair of parties.
+// direction is an ordered pair of endpoints: the sender and the receiver.
 type direction struct{ from, to string }
 
 // link is the state of one direction.
@@ -82,7 +83,7 @@
 	l.changed = make(chan struct{})
 }
 
-// Set replaces the fault of the traffic from one party to another.
+// Set replaces the fault of the traffic from one endpoint to another.
 func (p *Proxy) Set(from, to string, fault Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,18 +93,18 @@
 	p.log = append(p.log, LogEntry{At: time.Since(p.startedAt), From: from, To: to, Fault: fault})
 }
 
-// SetBoth replaces the faults of both directions between two parties.
+// SetBoth replaces the faults of both directions between two endpoints.
 func (p *Proxy) SetBoth(a, b string, fault Fault) {
 	p.Set(a, b, fault)
 	p.Set(b, a, fault)
 }
 
-// Partition stops the traffic between each party of sideA and each party of sideB, in both
+// Partition stops the traffic between each endpoint of sideA and each endpoint of sideB, in both
 // directions.
 func (p *Proxy) Partition(sideA, sideB []string) {
-	for _, partyA := range sideA {
-		for _, partyB := range sideB {
-			p.SetBoth(partyA, partyB, Fault{Partitioned: true})
+	for _, endpointA := range sideA {
+		for _, endpointB := range sideB {
+			p.SetBoth(endpointA, endpointB, Fault{Partitioned: true})
 		}
 	}
 }
@@ -128,7 +129,7 @@
 	return faulty
 }
 
-// Counters returns the counters of the traffic from one party to another.
+// Counters returns the counters of the traffic from one endpoint to another.
 func (p *Proxy) Counters(from, to string) Counters {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/faultproxy/schedule.go
+++ b/internal/faultproxy/schedule.go
@@ -18,14 +18,14 @@
 }
 
 // RandomSchedule draws a schedule from a seed. The schedule has the given number of faults. Each
-// fault is of a random kind and affects a random direction between two parties, so at least two
-// parties are needed. Each fault begins and is removed within the span. The steps are sorted by
+// fault is of a random kind and affects a random direction between two endpoints, so at least two
+// endpoints are needed. Each fault begins and is removed within the span. The steps are sorted by
 // time.
-func RandomSchedule(seed uint64, parties []string, kinds []Fault, faults int, span time.Duration) []Step {
+func RandomSchedule(seed uint64, endpoints []string, kinds []Fault, faults int, span time.Duration) []Step {
 	random := rand.New(rand.NewPCG(seed, scheduleStream))
 	var steps []Step
 	for range faults {
-		dir := randomDirection(random, parties)
+		dir := randomDirection(random, endpoints)
 		start := time.Duration(random.Float64() * maxFaultStart * float64(span))
 		length := time.Duration(random.Float64() * float64(span-start))
 		kind := kinds[random.IntN(len(kinds))]
@@ -38,14 +38,14 @@
 	return steps
 }
 
-// randomDirection draws an ordered pair of different parties.
-func randomDirection(random *rand.Rand, parties []string) direction {
-	from := random.IntN(len(parties))
-	to := random.IntN(len(parties) - 1)
+// randomDirection draws an ordered pair of different endpoints.
+func randomDirection(random *rand.Rand, endpoints []string) direction {
+	from := random.IntN(len(endpoints))
+	to := random.IntN(len(endpoints) - 1)
 	if to >= from {
 		to++
 	}
-	return direction{parties[from], parties[to]}
+	return direction{endpoints[from], endpoints[to]}
 }
 
 // RunSchedule applies each step of a schedule at its time. It returns after the last step, or as
--- a/internal/faultproxy/schedule_test.go
+++ b/internal/faultproxy/schedule_test.go
@@ -11,7 +11,7 @@
 	scheduledSteps  = 2 * scheduledFaults // each fault is set and removed
 )
 
-// newSchedule returns a schedule of partitions and losses among three parties.
+// newSchedule returns a schedule of partitions and losses among three endpoints.
 func newSchedule(seed uint64, span time.Duration) []Step {
 	kinds := []Fault{{Partitioned: true}, {Loss: 0.5}}
 	return RandomSchedule(seed, []string{"x", "y", "z"}, kinds, scheduledFaults, span)
--- a/internal/faultproxy/tcp.go
+++ b/internal/faultproxy/tcp.go
@@ -15,10 +15,10 @@
 	maxPieceSize = 32 << 10
 )
 
-// TCP returns the address of a new listener of the proxy. The party clientName connects to this
-// address to reach the party serverName. The proxy forwards each connection to target, the address
-// of that party's own listener. Each ordered pair of parties needs its own call. TCP returns
-// net.ErrClosed if the proxy is closed.
+// TCP returns the address of a new listener of the proxy. The endpoint clientName connects to this
+// address to reach the endpoint serverName. The proxy forwards each connection to target, the
+// address of serverName's own listener. Each ordered pair of endpoints needs its own call. TCP
+// returns net.ErrClosed if the proxy is closed.
 func (p *Proxy) TCP(clientName, serverName, target string) (string, error) {
 	var config net.ListenConfig
 	listener, err := config.Listen(context.Background(), "tcp", net.JoinHostPort(loopback.String(), "0"))
@@ -94,7 +94,8 @@
 	}
 }
 
-// forwardPiece forwards a piece of a stream, and reports whether more pieces may follow.
+// forwardPiece forwards a piece of a stream, that is, the data of one read, and reports whether more
+// pieces may follow.
 func (p *Proxy) forwardPiece(dst, src net.Conn, dir direction, piece []byte) bool {
 	if !p.waitToForward(dir, len(piece)) {
 		return false
--- a/internal/faultproxy/tcp_test.go
+++ b/internal/faultproxy/tcp_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// tcpPair holds a listener of the party b, and the proxy's address through which the party a
+// tcpPair holds a listener of the endpoint b, and the proxy's address through which the endpoint a
 // connects to the listener.
 type tcpPair struct {
 	proxy    *Proxy
--- a/internal/faultproxy/udp.go
+++ b/internal/faultproxy/udp.go
@@ -14,11 +14,11 @@
 // loopback is the address on which the proxy listens.
 var loopback = net.IPv4(127, 0, 0, 1)
 
-// UDP returns the address to which other parties send datagrams for the party with the given name.
-// The proxy forwards the datagrams to target, the address of the party's own socket. The proxy also
-// identifies each sender by the address of the sender's own socket, so UDP must be called for the
-// sender too. Any other sender counts as the party "". UDP returns net.ErrClosed if the proxy is
-// closed.
+// UDP returns the address to which other endpoints send datagrams for the endpoint with the given
+// name. The proxy forwards the datagrams to target, the address of the endpoint's own socket. The
+// proxy also identifies each sender by the address of the sender's own socket, so UDP must be called
+// for the sender too. A sender for which UDP was not called counts as the endpoint "". UDP returns
+// net.ErrClosed if the proxy is closed.
 func (p *Proxy) UDP(name string, target netip.AddrPort) (netip.AddrPort, error) {
 	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: loopback})
 	if err != nil {
@@ -34,7 +34,7 @@
 	return socket.LocalAddr().(*net.UDPAddr).AddrPort(), nil
 }
 
-// udpParty is a party that receives datagrams.
+// udpParty is an endpoint that receives datagrams.
 type udpParty struct {
 	name    string
 	address netip.AddrPort // of its own socket
--- a/internal/faultproxy/udp_test.go
+++ b/internal/faultproxy/udp_test.go
@@ -147,8 +147,8 @@
 	}
 }
 
-// When datagrams arrive faster than the throughput limit allows, each datagram waits for up to a
-// second. A datagram that would wait longer is lost.
+// When datagrams arrive faster than the throughput limit allows, each datagram waits for up to
+// maxQueueingDelay, one second. A datagram that would wait longer is lost.
 func TestUDPThroughputIsLimited(t *testing.T) {
 	const (
 		perSecond = 100               // datagrams
--- a/internal/logs/golden_test.go
+++ b/internal/logs/golden_test.go
@@ -11,8 +11,8 @@
 	"garnetline/internal/golden"
 )
 
-// Guards the format of the log, which operators' tools parse: the keys of time, level, message and
-// error. Also guards that all counters are in one event, in the order of their names.
+// TestGoldenEvents checks the format of the log, which operators' tools parse: the keys of time,
+// level, message and error. All counters must be in one event, in the order of their names.
 func TestGoldenEvents(t *testing.T) {
 	defer zerolog.SetGlobalLevel(zerolog.GlobalLevel())
 	defer func(previous func() time.Time) { zerolog.TimestampFunc = previous }(zerolog.TimestampFunc)
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -9,8 +9,8 @@
 	"github.com/rs/zerolog"
 )
 
-// Guards that each event is one line of JSON, even if a value contains a line break, and that
-// SetLevel with an unknown name changes nothing.
+// TestOneEventPerLine checks that each event is one line of JSON, even if a value contains a line
+// break. SetLevel with an unknown name must change nothing.
 func TestOneEventPerLine(t *testing.T) {
 	defer zerolog.SetGlobalLevel(zerolog.GlobalLevel())
 	var out bytes.Buffer
--- a/internal/metrics/names_test.go
+++ b/internal/metrics/names_test.go
@@ -20,9 +20,10 @@
 // time.
 var counterName = regexp.MustCompile(`^[a-z][a-z0-9_*]*$`)
 
-// Guards the names of all counters, which operators read in the log and on /metrics: no name may
-// be changed, added or removed by accident. The test collects the names from the sources of the
-// module, where they are arguments of Registry.Add and Registry.Counter.
+// TestCounterNames compares the names of all counters with a golden file, so that no name is
+// changed, added or removed by accident. Operators read these names in the log and on /metrics. The
+// test collects the names from the sources of the module, where they are arguments of Registry.Add
+// and Registry.Counter.
 func TestCounterNames(t *testing.T) {
 	names := map[string]bool{}
 	for _, files := range sources(t, "../..") {
--- a/internal/simproto/classes.go
+++ b/internal/simproto/classes.go
@@ -6,9 +6,9 @@
 	"garnetline/routing"
 )
 
-// maxClasses limits the number of classes in settings. The settings contain this number as a value,
-// and the reader allocates memory for as many classes. Without the limit, a single large value could
-// exhaust the memory.
+// maxClasses limits the number of classes in settings. The settings contain the number of classes as
+// a value, and the reader allocates memory for as many classes. Without the limit, a single large
+// value could exhaust the memory.
 const maxClasses = 1000
 
 // Paths of class settings that are used in more than one place. A setting whose path begins with
--- a/internal/simproto/setting_reader.go
+++ b/internal/simproto/setting_reader.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// settingReader reads settings by their paths. It records the first error in fields and uses the
-// path as the error's field.
+// settingReader reads settings by their paths. It records the first error in its fieldReader, with
+// the path as ParseError.Field.
 type settingReader struct {
 	values map[string]string
 	fields *fieldReader
--- a/internal/simproto/settings_test.go
+++ b/internal/simproto/settings_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// If two settings are invalid, the same setting must be reported every time. If the checks iterated
-// over a map, the reported setting would change from run to run.
+// TestFirstContradictionIsReported checks that, of two invalid settings, the same one is reported
+// every time. Checks that iterate over a map would report one or the other from run to run.
 func TestFirstContradictionIsReported(t *testing.T) {
 	for range 20 {
 		_, _, err := ParseSettings(map[string]string{pathParentInitial: "2", pathCacheInitial: "3"})
--- a/internal/simproto/writer.go
+++ b/internal/simproto/writer.go
@@ -20,7 +20,8 @@
 
 // AppendAction appends the line of one action to a reply. The caller appends the line of the
 // action's instance first. The protocol has a line for every type of action that package routing
-// defines. AppendAction panics on any other type, because it can only come from a programming error.
+// defines. AppendAction panics on any other type, because such a type can only come from a
+// programming error.
 func AppendAction(dst []byte, action routing.Action) []byte {
 	switch action := action.(type) {
 	case routing.SendAttempt:
--- a/internal/trace/active.go
+++ b/internal/trace/active.go
@@ -38,9 +38,9 @@
 	spanBuffer   [inlineSpans]Span
 }
 
-// Begin starts to record a partial trace. The argument request supplies the fields that describe
-// the request. Its Spans are ignored. Span IDs are derived from seed. Each partial trace of a
-// trace needs a different seed, so that the span IDs differ.
+// Begin starts to record a partial trace. The argument request supplies the fields that describe the
+// request. The Spans of request are ignored. Span IDs are derived from seed. The partial traces of
+// one trace need different seeds, so that their span IDs differ.
 func Begin(request Trace, seed uint64) *ActiveTrace {
 	active := &ActiveTrace{
 		Trace:        request,
@@ -102,8 +102,8 @@
 	return SpanContext{Trace: a.ID, Span: attempt, Sampled: a.ClientSampled}
 }
 
-// attemptFlags returns the flags of an attempt that the routing decision determines. These are
-// all flags except FlagSent.
+// attemptFlags returns those flags of an attempt that follow from the routing decision: all flags
+// except FlagSent.
 func attemptFlags(decision routing.SendAttempt) uint8 {
 	flags := uint8(0)
 	if decision.JoinFill {
@@ -150,8 +150,8 @@
 	a.attemptIndex = noAttempt
 }
 
-// addConnect records a Connect span below an attempt. The connection may have been requested for
-// an earlier attempt. In that case the span starts at the start of the given attempt.
+// addConnect records a Connect span as a child of the given attempt. If the connection was requested
+// for an earlier attempt, the Connect span starts when the given attempt starts.
 func (a *ActiveTrace) addConnect(attempt *Span, timing WireTimes) {
 	a.addSpan(Span{
 		Parent:        attempt.ID,
--- a/internal/trace/analysis/analysis.go
+++ b/internal/trace/analysis/analysis.go
@@ -24,8 +24,8 @@
 )
 
 // Suspect is a server, fill source, pair or router that took part in failed attempts. Numbers of
-// attempts are weighted: each attempt adds the Weight of its trace. The weight is the number of
-// traces that the retained trace represents.
+// attempts are weighted: each attempt adds the Weight of its trace, which is the number of traces
+// that this trace represents after sampling.
 type Suspect struct {
 	Kind           SuspectKind
 	Name           string
@@ -152,8 +152,8 @@
 }
 
 // Suspects returns the participants of failed attempts in descending order of ConfidenceLow. The
-// first suspect therefore has the clearest effect on the failure rate. Suspects omits a
-// participant of all attempts, because no other attempts exist to compare with.
+// first suspect therefore has the clearest effect on the failure rate. Suspects omits a participant
+// that took part in every attempt, because there are no other attempts to compare with.
 func (f *Finder) Suspects() []Suspect {
 	var suspects []Suspect
 	for key, counts := range f.counts {
--- a/internal/trace/analysis/analysis_test.go
+++ b/internal/trace/analysis/analysis_test.go
@@ -39,9 +39,9 @@
 	return finder
 }
 
-// The faulty server, or a pair with the faulty server, ranks first. The server's confidence
-// interval contains the true difference and lies well above zero. No other server, source or
-// router stands out.
+// TestFaultyServerRanksFirst checks that the faulty server, or a pair that contains it, ranks first.
+// The confidence interval of the faulty server must contain the true difference of the failure rates
+// and lie well above zero. No other server, source or router may stand out.
 func TestFaultyServerRanksFirst(t *testing.T) {
 	const (
 		faultyServer = 3
@@ -72,8 +72,8 @@
 	}
 }
 
-// A faulty fill source is among the first nine suspects. The other eight are expected to be its
-// pairs with the eight servers.
+// TestFaultyFillSourceRanksAmongFirst checks that a faulty fill source is among the first nine
+// suspects. The other eight are expected to be the pairs of this source with the eight servers.
 func TestFaultyFillSourceRanksAmongFirst(t *testing.T) {
 	const (
 		faultySource = 101
@@ -91,9 +91,9 @@
 	t.Errorf("faulty source %s is not among the first suspects with ConfidenceLow above 0.2: %+v", faultyName, first)
 }
 
-// Some servers stand out by chance, even if all servers fail at the same rate: the lower bound
-// of a 95% interval is above zero for about 2.5% of the servers. The test allows more than that,
-// because the weighted rates are estimates.
+// TestEqualServersRarelyStandOut simulates servers that all fail at the same rate. Some of them
+// stand out by chance: the lower bound of a 95% interval is above zero for about 2.5% of the
+// servers. The test allows more than 2.5%, because the weighted rates are estimates.
 func TestEqualServersRarelyStandOut(t *testing.T) {
 	const (
 		simulations  = 40
--- a/internal/trace/codec.go
+++ b/internal/trace/codec.go
@@ -180,8 +180,8 @@
 	return links
 }
 
-// readBytes reads the given number of bytes. If fewer bytes remain, the decoder fails, and
-// readBytes returns a slice of the given length that contains only zeros.
+// readBytes reads the given number of bytes. If fewer bytes remain, readBytes sets failed and
+// returns a slice of the given length that contains only zeros.
 func (d *decoder) readBytes(size int) []byte {
 	if len(d.remaining) < size {
 		d.fail()
@@ -192,7 +192,8 @@
 	return read
 }
 
-// uint reads an unsigned varint. The decoder fails if the value is above limit.
+// uint reads an unsigned varint. If the varint is invalid or its value is above limit, uint sets
+// failed and returns 0.
 func (d *decoder) uint(limit uint64) uint64 {
 	value, size := binary.Uvarint(d.remaining)
 	if size <= 0 || value > limit {
--- a/internal/trace/export/backoff.go
+++ b/internal/trace/export/backoff.go
@@ -21,8 +21,8 @@
 // reset ends the backoff after a call that succeeded.
 func (b *backoff) reset() { b.bound = 0 }
 
-// nextWait returns the wait after another failure, in ms. The wait is at least retryAfter, which
-// is the wait in ms that the collector asked for.
+// nextWait returns the wait, in ms, after one more failed call. The wait is at least retryAfter, the
+// time in ms that the collector asked to wait.
 func (b *backoff) nextWait(retryAfter float64) float64 {
 	b.bound = min(max(2*b.bound, minBackoff), maxBackoff)
 	wait := b.bound * (1 + b.random.Float64()) / 2
--- a/internal/trace/export/call.go
+++ b/internal/trace/export/call.go
@@ -71,8 +71,9 @@
 	return textconn.New(netConn), nil
 }
 
-// readResponse reads the collector's response to a call. It returns the results that send
-// returns.
+// readResponse reads the collector's response to a call. If the call failed, retryAfter is the time
+// in ms that the collector asked to wait, or 0. The error wraps errPermanent if the batch must not
+// be sent again.
 func readResponse(conn *textconn.Conn) (retryAfter float64, err error) {
 	line, err := conn.ReadLine()
 	if err != nil {
--- a/internal/trace/export/export.go
+++ b/internal/trace/export/export.go
@@ -111,12 +111,12 @@
 	return nil
 }
 
-// Flush does nothing, because the goroutine sends queued traces without delay.
+// Flush does nothing, because the goroutine of run sends queued traces without delay.
 func (x *Exporter) Flush(float64) error { return nil }
 
-// Close stops the Exporter and waits until its goroutine has returned. If the last call failed,
-// the Exporter makes one more call with one batch. It counts the remaining traces as not
-// exported. Close must be called only once. Add must not be called after Close.
+// Close stops the Exporter and waits until its goroutine has returned. If the last call failed, the
+// Exporter makes one more call with one batch, and counts the traces that this call did not export
+// as not exported. Close must be called only once. Add must not be called after Close.
 func (x *Exporter) Close(float64) error {
 	close(x.quit)
 	<-x.stopped
--- a/internal/trace/export/export_test.go
+++ b/internal/trace/export/export_test.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// Each span arrives exactly once, even if the collector fails for some time before. A batch that
-// the collector rejects permanently does not block later batches.
+// TestExporterDeliversEachSpanOnce checks that each span arrives exactly once, even if the first
+// calls failed. A batch that the collector rejects permanently must not block later batches.
 func TestExporterDeliversEachSpanOnce(t *testing.T) {
 	statuses := []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusBadRequest}
 	collector := newFakeCollector(t, func(call int) (int, string) {
--- a/internal/trace/id_test.go
+++ b/internal/trace/id_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestOrderIsUniform checks that Order is uniformly distributed over random IDs. The weights of
-// sampled traces are wrong if it is not.
+// TestOrderIsUniform checks that Order is uniformly distributed over random IDs. If Order were not
+// uniform, the weights of sampled traces would be wrong.
 func TestOrderIsUniform(t *testing.T) {
 	const (
 		ids       = 100_000
--- a/internal/trace/instrument/instrument.go
+++ b/internal/trace/instrument/instrument.go
@@ -15,8 +15,8 @@
 // dispatchTracer implements dispatch.Tracer with a trace recorder.
 type dispatchTracer struct{ recorder *recorder.Recorder }
 
-// Open begins the trace of a request at the time now, in Unix ms. If the request has a client,
-// the trace starts when the router received the request.
+// Open begins the trace of a request at the time now, in Unix ms. The trace of a request with a
+// client starts when the router received the request. Any other trace starts at now.
 func (t dispatchTracer) Open(now float64, request *dispatch.Request, class *routing.Class) dispatch.RequestTrace {
 	traced := recorder.Request{
 		TransactionID:  request.TransactionID,
--- a/internal/trace/merge.go
+++ b/internal/trace/merge.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// addBelowParent adds the partial trace of a server if m already contains the parent of its
-// first span. It reports whether it added the partial trace.
+// addBelowParent adds the partial trace of a server if m already contains the parent of the first
+// span of this partial trace. It reports whether it added the partial trace.
 func (m *merger) addBelowParent(partial *Trace) bool {
 	parent, known := m.spans[partial.Spans[0].Parent]
 	if known {
--- a/internal/trace/merge_test.go
+++ b/internal/trace/merge_test.go
@@ -66,8 +66,8 @@
 	parentWorkID
 )
 
-// cacheTrace returns the partial trace that a cache recorded for an attempt: 30 ms of work that
-// includes a fill of 20 ms. The start is in Unix ms.
+// cacheTrace returns the partial trace that a cache recorded for an attempt. It consists of 30 ms of
+// work, which include a fill of 20 ms. The start is in Unix ms.
 func cacheTrace(id ID, attempt SpanID, start float64) *Trace {
 	return &Trace{ID: id, Router: "s-00000005", Start: start, End: start + 30, Spans: []Span{
 		{ID: cacheWorkID, Parent: attempt, Kind: ServerWork, Start: start, End: start + 30},
@@ -75,8 +75,8 @@
 	}}
 }
 
-// parentTrace returns the partial trace that a parent server recorded for the cache's fill: 10 ms
-// of work. The start is in Unix ms.
+// parentTrace returns the partial trace that a parent server recorded for the cache's fill. It
+// consists of 10 ms of work. The start is in Unix ms.
 func parentTrace(id ID, start float64) *Trace {
 	return &Trace{ID: id, Router: "s-00000008", Start: start, End: start + 10, Spans: []Span{
 		{ID: parentWorkID, Parent: cacheFillID, Kind: ServerWork, Start: start, End: start + 10},
--- a/internal/trace/propagation/correlator.go
+++ b/internal/trace/propagation/correlator.go
@@ -68,8 +68,10 @@
 	}
 }
 
-// SetRetryWindow sets the retry window, in ms. The window begins when a request ends without
-// being served. The Correlator treats an equal request within the window as a retry.
+// SetRetryWindow sets the retry window, in ms. The window begins when a request ends without being
+// served. Within the window, the Correlator treats a request as a retry of the unserved request if
+// it has the same idempotency key or, without a key, the same object, chunk, class and client
+// address.
 func (c *Correlator) SetRetryWindow(retryWindow float64) { c.retryWindow = retryWindow }
 
 // Correlate returns the trace of a request that arrived at now, in Unix ms.
--- a/internal/trace/propagation/correlator_test.go
+++ b/internal/trace/propagation/correlator_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// A request joins the trace of an equal unserved request as its retry, if it arrives within the
-// retry window.
+// A request joins the trace of an unserved request as a retry if it arrives within the retry window
+// and has the same client, object, chunk and class.
 func TestRetryJoinsTraceWithinWindow(t *testing.T) {
 	correlator, first := newCorrelatorWithUnserved(t)
 	if got := correlator.Correlate(10+retryWindow, chunkRequest()); got.ID != first.ID || got.Retry != 1 {
@@ -79,7 +79,8 @@
 	}
 }
 
-// A request is not a retry of an equal request that has not ended yet.
+// A request is not a retry of an earlier request that has not ended yet, even if both have the same
+// client, object, chunk and class.
 func TestConcurrentRequestIsNoRetry(t *testing.T) {
 	correlator := New("s", retryWindow, 1)
 	first := correlator.Correlate(0, chunkRequest())
@@ -88,7 +89,8 @@
 	}
 }
 
-// A request is not a retry of an equal request that was served.
+// A request is not a retry of an earlier request that was served, even if both have the same client,
+// object, chunk and class.
 func TestRequestAfterServedOneIsNoRetry(t *testing.T) {
 	correlator, first := newCorrelatorWithUnserved(t)
 	correlator.RequestEnded(1012, first, false)
--- a/internal/trace/propagation/unserved.go
+++ b/internal/trace/propagation/unserved.go
@@ -14,9 +14,8 @@
 }
 
 // unservedTable holds the most recent unserved requests in two generations. When the current
-// generation is full, it becomes the previous generation. The requests of the old previous
-// generation are then dropped. This limits the size of the table without a timer or a list
-// ordered by age.
+// generation is full, it replaces the previous generation, whose requests are dropped. Replacing
+// whole generations limits the size of the table without a timer or a list ordered by age.
 type unservedTable struct {
 	current  map[uint64]unservedRequest
 	previous map[uint64]unservedRequest
--- a/internal/trace/recorder/recorder.go
+++ b/internal/trace/recorder/recorder.go
@@ -1,8 +1,8 @@
 // Package recorder records the traces of a dispatcher's requests. Package sampling decides which
-// traces are retained, and the recorder passes these to a sink.
+// traces are retained, and the recorder passes the retained traces to a sink.
 //
-// The work on the dispatcher's goroutine is bounded and never blocks. Retained traces pass
-// through a bounded queue to a separate goroutine, which calls the sink.
+// The work on the dispatcher's goroutine is bounded and never blocks. Retained traces pass through a
+// bounded queue to a separate goroutine, which calls the sink.
 package recorder
 
 import (
@@ -150,9 +150,10 @@
 		Msg("request " + t.Outcome.String())
 }
 
-// enqueue passes retained traces to Run through the queue and notifies the servers of these
-// traces. If the queue is full, enqueue drops the trace and calls RecordLost. The next retained
-// trace then reports the dropped trace as lost, unless the dropped trace was only sampled.
+// enqueue passes retained traces to Run through the queue. For each trace that fits into the queue,
+// it notifies the servers to which attempts were sent. If the queue is full, enqueue drops the trace
+// and calls RecordLost. The next retained trace then reports the dropped trace as lost, unless
+// sampling was the only reason to retain the dropped trace.
 func (r *Recorder) enqueue(retained ...*trace.Trace) {
 	for _, t := range retained {
 		select {
@@ -166,9 +167,9 @@
 	}
 }
 
-// notifyServers notifies each server to which an attempt was sent that the trace is retained. It
-// omits a server if the first attempt at that server was not sent. The trace already belongs to
-// the goroutine of Run, so notifyServers must not modify it.
+// notifyServers notifies servers that a trace is retained: the servers to which attempts of the
+// trace were sent. It omits a server if the trace's first attempt at the server was not sent. The
+// trace already belongs to the goroutine of Run, so notifyServers must not modify it.
 func (r *Recorder) notifyServers(t *trace.Trace) {
 	if r.NotifyRetained == nil {
 		return
--- a/internal/trace/render/render_test.go
+++ b/internal/trace/render/render_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// label must not panic if a number has no name and is out of range for a list of names. A router
-// of a newer version can store such a number.
+// label must not panic for a number that is outside the range of its list of names. A router of a
+// newer version can store such a number.
 func TestLabelOfUnknownNumbers(t *testing.T) {
 	const unknown = 255
 	for _, test := range []struct {
--- a/internal/trace/sampling/fuzz_test.go
+++ b/internal/trace/sampling/fuzz_test.go
@@ -26,7 +26,7 @@
 	now          float64 // Unix ms
 	inFlight     int     // requests in flight with reserved memory
 	wantRetained int64   // traces that the sampler had to retain
-	retained     int64   // traces that the sampler had to retain and returned
+	retained     int64   // traces that the sampler had to retain and that it returned
 	lost         int64   // sum of LostBefore of the returned traces
 }
 
--- a/internal/trace/sampling/sampler.go
+++ b/internal/trace/sampling/sampler.go
@@ -1,25 +1,25 @@
-// Package sampling decides whether the trace of a request is retained. It makes the decision
-// when the request has ended (tail sampling). It does no I/O and reads no clock: callers pass
-// times in Unix milliseconds.
+// Package sampling decides whether the trace of a request is retained. It makes the decision when
+// the request has ended (tail sampling). It does no I/O and reads no clock: callers pass times in
+// Unix milliseconds.
 //
 // A trace is retained immediately in each of these cases: the request failed, was rejected, was
-// retried or was slower than the latency objective of its class; the client disconnected or
-// samples the trace; the class retains all traces. All other traces are called ordinary. Each
-// class has a rate at which ordinary traces are sampled.
+// retried or was slower than the latency objective of its class; the client disconnected or samples
+// the trace; the class retains all traces. All other traces are called ordinary. Each class has a
+// rate at which ordinary traces are sampled.
 //
-// The ordinary traces of one class and one time window are sampled together, by bottom-k
-// sampling. The method trace.ID.Order distributes IDs uniformly over (0, 1]. The traces with the
-// lowest orders are kept as candidates. The threshold is the lowest order of a dropped trace, so
-// every trace with an order below the threshold is a candidate. Therefore each sampled trace
-// represents 1/threshold traces, independent of the sequence in which traces end. Routers that
-// record the same trace make the same choice without communication.
+// The ordinary traces of one class and one time window are sampled together, by bottom-k sampling.
+// The method trace.ID.Order distributes IDs uniformly over (0, 1]. The traces with the lowest orders
+// are kept as candidates. The threshold is the lowest order of a dropped trace, so every trace with
+// an order below the threshold is a candidate. Therefore each sampled trace represents 1/threshold
+// traces, independent of the sequence in which traces end. Routers that record the same trace make
+// the same choice without communication.
 //
 // The traces of requests in flight and the candidates share one memory budget. If the budget is
-// exceeded, the sampler evicts the candidate with the highest order of all classes. The eviction
-// lowers the threshold of the candidate's class, so that the weights stay correct. If no
-// candidate is left, new requests are not traced. If an untraced request's trace would have been
-// retained, the trace is counted as lost. The next retained trace carries the number of traces
-// lost before it.
+// exceeded, the sampler evicts the candidate whose order is the highest among the candidates of all
+// classes. The eviction lowers the threshold of the candidate's class, so that the weights stay
+// correct. If no candidate is left, new requests are not traced. If an untraced request's trace
+// would have been retained, the trace is counted as lost. The field LostBefore of the next retained
+// trace contains the number of traces lost before it.
 package sampling
 
 import (
@@ -47,7 +47,7 @@
 	Sampled  int64 // ordinary traces that were retained at the end of their window
 	Evicted  int64 // candidates that were dropped because the memory budget was exceeded
 	Untraced int64 // requests that were not traced because the memory budget was exceeded
-	Lost     int64 // traces with a reason to be retained that were untraced or that the caller passed to RecordLost
+	Lost     int64 // traces that had a reason to be retained, but were not traced or were passed to RecordLost
 }
 
 // Sampler decides which traces are retained. It is not safe for concurrent use.
@@ -114,8 +114,8 @@
 	return true
 }
 
-// evictCandidate drops the candidate with the highest order of all classes. It reports false if
-// there is no candidate.
+// evictCandidate drops the candidate whose order is the highest among the candidates of all classes.
+// It reports false if there is no candidate.
 func (s *Sampler) evictCandidate() bool {
 	var highest *classWindow // the window whose top candidate has the highest order
 	for _, window := range s.windows {
@@ -219,9 +219,9 @@
 	}
 }
 
-// RecordLost records that the caller dropped a trace that Finish, Tick or Close returned. The
-// trace is counted as lost unless it was only sampled. If the dropped trace itself reported lost
-// traces, the next retained trace reports them.
+// RecordLost records that the caller dropped a trace that Finish, Tick or Close returned. The trace
+// is counted as lost unless sampling was the only reason to retain it. If the dropped trace itself
+// reported lost traces, the next retained trace reports them.
 func (s *Sampler) RecordLost(t *trace.Trace) {
 	s.unreportedLost += t.LostBefore
 	if t.Reasons&^trace.ReasonSampled != 0 {
--- a/internal/trace/serverspans/buffer.go
+++ b/internal/trace/serverspans/buffer.go
@@ -1,15 +1,14 @@
-// Package serverspans buffers the spans of a cache server until the router decides to retain
-// their trace. It does no I/O and has no clock. Callers pass times in ms, all from the same
-// clock.
+// Package serverspans buffers the spans of a cache server until the router decides to retain their
+// trace. It does no I/O and has no clock. Callers pass times in ms, all from the same clock.
 //
-// A router sends a decision only if it retains a trace. A decision for each discarded trace
-// would cost a message for each ordinary request. If no decision arrives before the timeout,
-// the router has discarded the trace or was killed. Therefore a partial trace is retained
-// at the timeout if the server's own part failed, and is discarded otherwise.
+// A router sends a decision only if it retains a trace. A decision for each discarded trace would
+// cost a message for each ordinary request. If no decision arrives before the timeout, the router
+// has discarded the trace or was killed. Therefore a partial trace is retained at the timeout if the
+// server's own part of the request failed, and is discarded otherwise.
 //
-// Several requests can join one fill. The fill is stored once, in the partial trace of the
-// request that began the fill. A decision to retain the trace of any joined request also retains
-// the fill, even if the client of the first request has disconnected.
+// Several requests can join one fill. The fill is stored once, in the partial trace of the request
+// that began the fill. A decision to retain the trace of any request that joined the fill also
+// retains the fill, even if the client of the first request has disconnected.
 package serverspans
 
 import "garnetline/internal/trace"
@@ -19,7 +18,7 @@
 type partialTrace struct {
 	trace       *trace.Trace
 	expiresAt   float64         // ms
-	failed      bool            // whether the server's own part failed
+	failed      bool            // whether the server's own part of the request failed
 	joinedFills []*partialTrace // partial traces whose fills this partial trace joined
 	released    bool            // whether the partial trace was retained, discarded or evicted
 }
@@ -27,7 +26,7 @@
 // Counts holds the numbers of partial traces that a Buffer has released since it was created.
 type Counts struct {
 	Retained       int64 // retained by a decision
-	RetainedFailed int64 // retained without a decision, because the server's own part failed
+	RetainedFailed int64 // retained without a decision, because the server's own part of the request failed
 	Discarded      int64 // discarded at the timeout
 	Evicted        int64 // evicted to meet the memory limit; includes failed partial traces, which are retained
 }
@@ -55,9 +54,9 @@
 	}
 }
 
-// Add adds a partial trace at the time now, in ms. The argument failed reports whether the
-// server's own part failed. If the memory limit is exceeded, Add first evicts the oldest partial
-// traces that did not fail, and then the oldest partial traces that failed. It returns the
+// Add adds a partial trace at the time now, in ms. The argument failed reports whether the server's
+// own part of the request failed. If the memory limit is exceeded, Add first evicts the oldest
+// partial traces that did not fail, and then the oldest partial traces that failed. It returns the
 // evicted partial traces that failed. The caller must retain them.
 func (b *Buffer) Add(now float64, t *trace.Trace, failed bool) []*trace.Trace {
 	added := &partialTrace{trace: t, expiresAt: now + b.decisionTimeout, failed: failed}
--- a/internal/trace/store/block.go
+++ b/internal/trace/store/block.go
@@ -106,9 +106,9 @@
 // end returns the offset of the first byte after the block.
 func (r *blockRef) end() int64 { return r.offset + r.size }
 
-// readBlockRef reads the preamble and the header of the block at the given offset. It reports
-// false if the preamble or the header is corrupt, or if the block is incomplete. It does not
-// verify the checksum of the body, which readBody does.
+// readBlockRef reads the preamble and the header of the block at the given offset. It reports false
+// if the preamble or the header is corrupt, or if the block is incomplete. It does not verify the
+// checksum of the body; readBody does.
 func readBlockRef(segment io.ReaderAt, offset int64) (blockRef, bool) {
 	var encoded [preambleSize]byte
 	if _, err := segment.ReadAt(encoded[:], offset); err != nil {
--- a/internal/trace/store/filter.go
+++ b/internal/trace/store/filter.go
@@ -21,8 +21,8 @@
 	From, To      float64      // Unix ms, inclusive bounds of the trace's start
 }
 
-// durationTolerance is the allowed relative error of the maximum duration in a header, which is
-// rounded to a float32.
+// durationTolerance is the allowed relative error of a header's maximum duration, which the header
+// stores rounded to a float32.
 const durationTolerance = 1e-6
 
 // mayMatch reports whether a block with the given header can contain a matching trace.
--- a/internal/trace/store/header.go
+++ b/internal/trace/store/header.go
@@ -25,7 +25,7 @@
 	fingerprints          []uint32 // fingerprints of the traces' IDs, ascending
 }
 
-// fingerprint returns the 32-bit hash by which a header lists a trace's ID.
+// fingerprint returns a 32-bit hash of a trace's ID. Headers list these hashes in place of the IDs.
 func fingerprint(id trace.ID) uint32 {
 	return binary.BigEndian.Uint32(id[4:8]) ^ binary.BigEndian.Uint32(id[12:16])
 }
@@ -171,7 +171,8 @@
 	l.remaining = nil
 }
 
-// uvarint reads an unsigned varint. It fails and returns zero if there is no valid varint.
+// uvarint reads an unsigned varint. If there is no valid varint, uvarint sets failed and returns
+// zero.
 func (l *headerLists) uvarint() uint64 {
 	value, size := binary.Uvarint(l.remaining)
 	if size <= 0 {
@@ -221,8 +222,9 @@
 	return servers
 }
 
-// readFingerprints reads the fingerprints, one for each trace. The argument count is the number
-// of traces. readFingerprints fails unless the fingerprints take exactly the remaining bytes.
+// readFingerprints reads the fingerprints, one for each trace. The argument count is the number of
+// traces. If the fingerprints do not take exactly the remaining bytes, readFingerprints sets failed
+// and returns nil.
 func (l *headerLists) readFingerprints(count uint32) []uint32 {
 	if uint64(len(l.remaining)) != fingerprintSize*uint64(count) {
 		l.fail()
--- a/internal/trace/store/segment.go
+++ b/internal/trace/store/segment.go
@@ -29,7 +29,7 @@
 			paths = append(paths, filepath.Join(folder, entry.Name()))
 		}
 	}
-	slices.Sort(paths) // each name begins with its time, in a fixed number of digits
+	slices.Sort(paths) // each name begins with the time of its segment, in a fixed number of digits
 	return paths, nil
 }
 
--- a/internal/trace/store/writer.go
+++ b/internal/trace/store/writer.go
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// nextPath returns the path of the next segment. The argument now is in Unix ms. If the names of
-// a Writer's segments are sorted, they are in the order of creation, even if the clock was set
+// nextPath returns the path of the next segment. The argument now is in Unix ms. The names of a
+// Writer's segments sort in the order in which the segments were created, even if the clock was set
 // back.
 func (w *Writer) nextPath(now float64) string {
 	w.segmentCount++
