--- a/internal/discovery/gossip.go
+++ b/internal/discovery/gossip.go
@@ -15,8 +15,9 @@
 	staleAfter = 1500.0
 	// gossipSlack decides whether this router's own watch missed a drain that a peer reported. If
 	// the latest frame arrived more than gossipSlack after the report, the watcher assumes that the
-	// watch has received the drain. Otherwise, it assumes that the watch missed the drain, because
-	// a frame and a gossip message about the same drain may arrive in either order.
+	// watch has received the drain. Otherwise, it assumes that the watch missed the drain. A frame
+	// that arrives soon after the report does not show that the watch has received the drain,
+	// because the frame of the drain itself may arrive later than the report.
 	gossipSlack = 2000.0
 	// catchUpPeriod is the time that a stale watch gets to receive the events that it missed. It
 	// starts when frames arrive again. At its end, the watcher drops the drains that peers
@@ -197,7 +198,8 @@
 }
 
 // dropGossipedDrains ends the exclusion of all servers that followGossipedDrains has excluded. It
-// also forgets each report that arrived more than gossipSlack before the latest frame.
+// also forgets each report that arrived more than gossipSlack before the latest frame, because the
+// watch is then assumed to have received the drain itself (see gossipSlack).
 func (w *Watcher) dropGossipedDrains() {
 	state := &w.gossip
 	for id, drain := range state.drains {
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -43,7 +43,7 @@
 	return binary.BigEndian.AppendUint64(b, 1_700_000_000_123)
 }
 
-// encodeChange encodes a frame of kind 2 with one record.
+// encodeChange encodes a frame of kind 2 (changed servers) with one record.
 func encodeChange(seq uint64, id uint32, state byte) []byte {
 	return encodeFrame(seq, 2, encodeRecord(id, state)...)
 }
@@ -52,7 +52,7 @@
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, object), at)
 }
 
-// encodeGroupPurge encodes a frame of kind 4 that purges group 17.
+// encodeGroupPurge encodes a frame of kind 4 (purge of a group) that purges group 17.
 func encodeGroupPurge(seq, at uint64) []byte {
 	return encodeFrame(seq, 4, append([]byte{0, 17}, encodePurge(at, 0)[:8]...)...)
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -165,10 +165,10 @@
 	err           error                  // error of the connection, of a frame or of ctx
 }
 
-// processEvents handles frames, requests, gossip and ticks. It returns when frames delivers the
-// error that ended the connection, when a frame cannot be applied, when pause fires, when another
-// configuration arrives, or when ctx is done. pause is the timer of the delay before a reconnect.
-// frames and pause may be nil.
+// processEvents handles frames, requests, gossip and ticks. It returns when the channel frames
+// delivers the error that ended the connection, when a frame cannot be applied, when the channel
+// pause delivers a value, when another configuration arrives, or when ctx is done. The channel
+// pause belongs to the timer of the delay before a reconnect. Both channels may be nil.
 func (w *Watcher) processEvents(ctx context.Context, frames <-chan frameResult, pause <-chan time.Time) sessionEnd {
 	var end sessionEnd
 	ticker := time.NewTicker(disabledPollInterval)
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -227,10 +227,10 @@
 	}
 }
 
-// delayCompletion reports whether the handling of a completion must be delayed by cancelTransit. If
-// it must, delayCompletion schedules the handling. If the attempt expires before the delay ends,
-// the completion is handled without delay: no retry can follow, and waiting would only delay the
-// response.
+// delayCompletion reports whether the handling of a completion must be delayed by cancelTransit,
+// the time that a cancel needs to reach the cache. If it must, delayCompletion schedules the
+// handling. If the attempt expires before the delay ends, the completion is handled without delay:
+// no retry can follow, and waiting would only delay the response.
 func (d *Dispatcher) delayCompletion(completion *Completion) bool {
 	attempt := completion.Attempt
 	resumeAt := d.clock.Now() + cancelTransit
--- a/internal/dispatch/lifecycle_test.go
+++ b/internal/dispatch/lifecycle_test.go
@@ -58,9 +58,10 @@
 	}
 }
 
-// TestShortDeadline checks that the client of a request with a very short deadline gets its
-// response before the client gives up. After the deadline, the dispatcher waits for the decision of
-// the module, but only for a share of the time between the arrival of the request and its deadline.
+// TestShortDeadline checks that a request with a very short deadline is answered so soon after the
+// deadline that its client still waits. After the deadline, the dispatcher waits for the decision
+// of the module, but only for a share of the time between the arrival of the request and its
+// deadline.
 func TestShortDeadline(t *testing.T) {
 	for _, ms := range []float64{20, 45, 180, 1480} {
 		harness := newHarness(t, nil)
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -47,7 +47,7 @@
 	Object         routing.ObjectID
 	Chunk          int
 	PurgeGroup     int
-	SizeKB         float64 // size of the chunk in kilobytes, as in the link settings; 0: unknown
+	SizeKB         float64 // size of the chunk in kilobytes, the unit of the link settings; 0: unknown
 	Body           []byte
 	Deadline       float64        // time at which the client gives up
 	Transport      Transport      // carries out the attempts
@@ -201,8 +201,8 @@
 	response := Response{Kind: Failed}
 	draining := d.clock.Now() < request.Deadline
 	if draining && request.firstPossiblyExecuted() == nil {
-		// The timer was set to the drain deadline, which is before the client's deadline: another
-		// router still has time to serve the request.
+		// The timer was set to the drain deadline, which is before the client's deadline. Another
+		// router still has time to serve the request, so the client is told to retry.
 		response = Response{Kind: Rejected, RetryAfter: clock.Millis(d.settings.MaxRetryAfter) / 2}
 	}
 	d.respond(request, response)
--- a/internal/textconn/readahead.go
+++ b/internal/textconn/readahead.go
@@ -17,9 +17,9 @@
 // ErrMessageTooLong. It calls onReceived after each read that returns bytes. Only the reader may
 // call ReadAhead.
 //
-// ReadAhead keeps reading after the first byte so that it notices the end of the connection.
-// Without this, a client that sends one byte beyond its request could disconnect unnoticed. Its
-// request would be forwarded although no client waits for the response.
+// ReadAhead keeps reading after the first byte so that it notices the end of the connection. If it
+// stopped after that byte, a client that sends one byte beyond its request could disconnect
+// unnoticed. Its request would be forwarded although no client waits for the response.
 func (c *Conn) ReadAhead(limit int, onReceived func()) error {
 	var firstByte [1]byte // an idle connection needs no larger buffer
 	var scratch []byte    // receives the bytes that are discarded
--- a/internal/upstream/command.go
+++ b/internal/upstream/command.go
@@ -13,7 +13,8 @@
 
 // appendServeCommand appends the command that carries an attempt: serve ID FIELDS BODY. The command
 // gives the time from now until the attempt expires. If maxAge is above zero, the server must not
-// use a copy older than maxAge milliseconds. moreFields follow the other fields of the command.
+// use a copy older than maxAge milliseconds. The text moreFields follows the other fields of the
+// command.
 func appendServeCommand(dst []byte, attempt *dispatch.Attempt, maxAge, now float64, moreFields string) []byte {
 	fields := make([]byte, 0, typicalFieldsBytes)
 	fields = appendServeFields(fields, attempt, maxAge, now)
@@ -50,7 +51,7 @@
 	return dst
 }
 
-// appendServeOptions appends the field opts if the decision sets at least one option.
+// appendServeOptions appends the field "opts" if the decision sets at least one option.
 func appendServeOptions(dst []byte, decision *routing.SendAttempt) []byte {
 	separator := ",opts="
 	for _, option := range [...]struct {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -45,8 +45,8 @@
 	writtenAt float64 // clock time in ms
 }
 
-// connectionEvent reports one of three events to the actor: the result of a dial (dialed or err), a
-// reply, or the end of a connection (err).
+// connectionEvent reports one of three events to the actor: the result of a dial (field dialed or
+// err), a reply, or the end of a connection (field err).
 type connectionEvent struct {
 	connection *connection // nil for the result of a dial
 	dialed     net.Conn
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -153,8 +153,8 @@
 
 // TestEarlyCancelsKeepConnections checks that a cancel soon after the write does not retire the
 // connection. An early disconnect of a client says nothing about the server. If such cancels
-// retired connections, all eight would soon be retired, and later requests would be rejected as if
-// the server were full.
+// retired connections, all eight connections to the server would soon be retired, and later
+// requests would be rejected as if the server were full.
 func TestEarlyCancelsKeepConnections(t *testing.T) {
 	harness := newHarness(t)
 	for i := range 40 {
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -19,7 +19,7 @@
 // package golden.
 
 // goldenAttempts returns attempts whose commands cover each command field, each option of the field
-// opts and each boundary value.
+// "opts" and each boundary value.
 func goldenAttempts() []*dispatch.Attempt {
 	const now = 1.7e12
 	readClass := &routing.Class{Name: "video-part"}
--- a/internal/upstream/harness_test.go
+++ b/internal/upstream/harness_test.go
@@ -70,7 +70,7 @@
 	harnessTimeout        = 2000 // ms until an attempt expires
 )
 
-// harness calls the methods of one Upstream directly; the goroutine of run does not exist. It
+// harness calls the methods of one Upstream directly; no goroutine executes the method run. It
 // records the commands that the Upstream writes and the attempts that the Upstream completes.
 type harness struct {
 	t           *testing.T
--- a/internal/upstream/reply.go
+++ b/internal/upstream/reply.go
@@ -123,10 +123,10 @@
 	return clientTag != "" && completion.Response.ETag == clientTag
 }
 
-// parseReplyFields stores the fields of a reply in its completion and returns the number of tag
-// fields. A field without a value and an invalid tag are errors.
+// parseReplyFields stores the fields of a reply in its completion and returns the number of fields
+// named "tag". A field without a value and an invalid tag are errors.
 //
-// All fields except the tag are advisory. parseReplyFields therefore ignores unknown fields and
+// All fields except "tag" are advisory. parseReplyFields therefore ignores unknown fields and
 // values that cannot be parsed. It also ignores a cache status or fill wait that occurs more than
 // once.
 func parseReplyFields(completion *dispatch.Completion, list string) (tags int, err error) {
@@ -165,7 +165,7 @@
 	return tags, nil
 }
 
-// cacheStatusNames are the names of cache statuses on the wire (field n), indexed by
+// cacheStatusNames are the names of cache statuses on the wire (field "n"), indexed by
 // routing.CacheStatus.
 var cacheStatusNames = []string{
 	"",
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -25,8 +25,8 @@
 )
 
 // Upstream is the actor that manages the connections to one server. Only the pool uses the field
-// removed. Several goroutines may use the channels and inFlight. The goroutine of run owns the
-// field connections and all fields that follow that field.
+// removed. Several goroutines may use the channels and inFlight. The goroutine of the method run
+// owns the field connections and all fields that follow that field.
 type Upstream struct {
 	Options
 	addr    netip.AddrPort
@@ -294,9 +294,9 @@
 // the current attempt. If the class of the request is not idempotent, it also changes the result to
 // ServerError, which says that the cache may have executed the request.
 //
-// Without this check, a rejection that a cache sends twice would complete the next attempt too.
-// That attempt would keep running at the cache while the dispatcher sends another attempt to a
-// different server.
+// If duplicates were not detected, a rejection that a cache sends twice would complete the next
+// attempt too, and no cancel command would follow. That attempt would keep running at the cache
+// while the dispatcher sends another attempt to a different server.
 func (u *Upstream) checkDuplicateReply(conn *connection, completion *dispatch.Completion) {
 	now := u.Clock.Now()
 	id := completion.Attempt.Request.TransactionID
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -265,7 +265,7 @@
 				t.Errorf("got rejection %+v, want the rejection of the test case", got)
 			}
 			harness.finishDial()
-			second := harness.send("b") // the actor handles the message of b when a connection exists
+			second := harness.send("b") // the actor handles the message of attempt "b" when a connection exists
 			test.change(harness, second)
 			harness.upstream.sendQueued(t.Context())
 			if got := harness.completions[first]; len(got) != 1 || got[0] != test.want.result || harness.conns[0].wrote("a") {
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -9,7 +9,8 @@
 // enqueue queues a request if it can still be answered in time, and ends the request otherwise. For a read,
 // only the first call sets a timer, which fires at queueUntil. A read that is queued again must therefore
 // not wait past queueUntil, even if its expected latency has fallen since the first call: no later timer
-// would end the wait. For a write, whose valuePerSecond is always 0, each call sets queueUntil and a timer.
+// would end the wait. A valuePerSecond of 0 marks the first call. For a write, valuePerSecond is always 0,
+// so each call sets queueUntil and a timer.
 func (r *Router) enqueue(request *request) {
 	latestStart := request.objectiveAt - r.expectedLatency(request)
 	if request.valuePerSecond == 0 {
@@ -86,9 +87,10 @@
 }
 
 // saturated reports whether the number of attempts that this router has in flight at a cache has reached
-// the given fraction of the router's quota at that cache. The quota derives from the number of transfers
-// that the cache's link carries at full pace. Without this quota, a router whose outcomes report no cache
-// status would notice an overload only by late responses.
+// the given fraction of the router's quota at that cache. The quota is the router's share of the attempts
+// that may be in flight there. It derives from the number of transfers that the cache's link carries at
+// full pace. Without the quota, a router whose outcomes report no cache status would notice an overload
+// only by late responses.
 func (r *Router) saturated(server *server, fraction float64) bool {
 	if !r.countsInflight() {
 		return false
@@ -99,10 +101,11 @@
 }
 
 // zoneSaturated reports whether the number of attempts that this router has in flight at all caches
-// together has reached the sum of its quotas at these caches. Without this limit, routers with small quotas
-// would overload the link of their zone. For example, eight routers with two attempts each would have 16
-// attempts in flight at a cache that sends six transfers at full pace. Clients would retry the rejected
-// requests, and the retries would keep the link overloaded.
+// together has reached the sum of its quotas, its shares of the attempts that may be in flight at each of
+// these caches. Without the limit of this sum, routers with small quotas would overload the link of their
+// zone. For example, eight routers with two attempts each would have 16 attempts in flight at a cache that
+// sends six transfers at full pace. Requests would then be rejected, and the retries of their clients would
+// keep the link overloaded.
 func (r *Router) zoneSaturated() bool {
 	if !r.countsInflight() {
 		return false
@@ -118,9 +121,11 @@
 	return float64(inflight) >= max(inflightFloor(limited), quota)
 }
 
-// canFailOver reports whether a request may move from its saturated home cache to a candidate cache.
-// The candidate must have ample headroom. No request moves while this router's quota at the home cache
-// is below minInflight.
+// canFailOver reports whether a request may move from its saturated home cache to a candidate cache. At the
+// candidate, the router must have fewer attempts in flight than the fraction failoverHeadroom of its limit
+// there. No request moves while the router's quota, its share of the attempts that may be in flight at the
+// home cache, is below minInflight. So few simultaneous attempts are a matter of chance and show no
+// overload.
 func (r *Router) canFailOver(home, candidate *server) bool {
 	homeQuota := r.zoneFraction * overcommitFactor * home.Weight
 	if homeQuota < minInflight {
@@ -129,11 +134,11 @@
 	return !r.saturated(candidate, failoverHeadroom)
 }
 
-// inflightFloor returns the number of attempts that a router may always have in flight, even if its
-// quota is smaller. limited tells whether the limiter of a cache is active. The floor is higher while
-// no limiter is active. Without this difference, eighty routers with a floor of two would all queue
-// requests when a purge of everything makes all responses late. They would reject a quarter of the
-// requests while the caches still had headroom.
+// inflightFloor returns the number of attempts that a router may always have in flight, even if its quota
+// is smaller. limited tells whether the limiter of a cache is active. This number, the floor, is higher
+// while no limiter is active. If it were always two, eighty routers would all queue requests when a purge
+// of everything makes all responses late. They would reject a quarter of the requests while the caches
+// still had headroom.
 func inflightFloor(limited bool) float64 {
 	if limited {
 		return minInflight
--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -90,8 +90,9 @@
 }
 
 // TestCachesAtFullPaceTakeMore checks that a router may use the whole links of the caches while the caches
-// respond in time, and only its quota of these links while the caches are slow. With a fixed quota, a
-// router that serves its zone alone would reject a tenth of the requests while the links are half used.
+// respond in time, and only its quota, an equal share for each router of the zone, while the caches are
+// slow. If the quota always applied, a router that serves its zone alone would reject a tenth of the
+// requests while the links are half used.
 func TestCachesAtFullPaceTakeMore(t *testing.T) {
 	tests := []struct {
 		name      string
@@ -119,9 +120,9 @@
 }
 
 // TestManyRoutersShareTheirCaches checks that all routers of a zone together have no more attempts in
-// flight than the caches of the zone can serve, although each router may always have minInflight attempts
-// in flight at one cache. Without a limit for the whole zone, eight routers would have 16 attempts in
-// flight at a cache that sends six transfers at full pace. A burst of 5 s would overload the link of the
+// flight than the caches of the zone can serve, although each router may always have minInflight (two)
+// attempts in flight at one cache. Without a limit for the whole zone, eight routers would have 16 attempts
+// in flight at a cache that sends six transfers at full pace. A burst of 5 s would overload the link of the
 // zone, and half of the requests would still be rejected long after the burst.
 func TestManyRoutersShareTheirCaches(t *testing.T) {
 	harness := newSmallQuotaHarness(t)
@@ -136,10 +137,10 @@
 	}
 }
 
-// TestSmallQuotasDoNotMoveObjects checks that requests stay at the home cache if this router's quota of
-// each cache is less than two attempts. With so small a quota, two simultaneous attempts are a matter of
-// chance and show no overload. If such requests failed over, 44% of the objects would change their cache
-// without any fault, and the resulting fills would saturate the link.
+// TestSmallQuotasDoNotMoveObjects checks that requests stay at the home cache if this router's quota, its
+// share of the attempts that may be in flight at a cache, is less than two. With so small a quota, two
+// simultaneous attempts are a matter of chance and show no overload. If such requests failed over, 44% of
+// the objects would change their cache without any fault, and the resulting fills would saturate the link.
 func TestSmallQuotasDoNotMoveObjects(t *testing.T) {
 	harness := newSmallQuotaHarness(t)
 	home := harness.requestOne(Request{Object: 7}).Server
@@ -183,11 +184,12 @@
 	}
 }
 
-// TestSmallQuotaRouterKeepsThreeInflight checks that a router with a small quota may have three attempts in
-// flight, but only two if caches have rejected recently. The router receives a twentieth of its zone's
-// requests and therefore sees too few responses of any cache for an exact quota. If the limit were always
-// two, eighty such routers would queue and reject requests after a purge of everything, while the caches
-// still had headroom. If the limit were always three, it would make an overload of the caches worse.
+// TestSmallQuotaRouterKeepsThreeInflight checks that a router whose computed quota of attempts in flight is
+// small may have three attempts in flight, but only two if caches have rejected recently. The router
+// receives a twentieth of its zone's requests and therefore sees too few responses of any cache for an
+// exact quota. If the limit were always two, eighty such routers would queue and reject requests after a
+// purge of everything, while the caches still had headroom. If the limit were always three, it would make
+// an overload of the caches worse.
 func TestSmallQuotaRouterKeepsThreeInflight(t *testing.T) {
 	tests := []struct {
 		name       string
--- a/routing/constants.go
+++ b/routing/constants.go
@@ -11,8 +11,10 @@
 	// A cache is likely to evict a copy that has not been used for about this long.
 	popularityTimeConstant = 12 * time.Second
 
-	// popularThreshold is the smallest decayed request count of a popular object. It is below 2, so that
-	// a second request soon after the first can join the fill of the first.
+	// popularThreshold is the smallest decayed request count of a popular object. Only requests for popular
+	// objects join fills in progress. After two requests, the count is slightly below 2, because the first
+	// request has decayed. The threshold is lower still, so that the second request can join the fill of
+	// the first.
 	popularThreshold = 1.5
 )
 
@@ -48,8 +50,8 @@
 	// that the event prolongs.
 	maxEjectionExtension = 5 * time.Second
 
-	// recentSuccessWindow is the time after a response of a server during which RequireProbe has no
-	// effect on that server, unless the server has failed since.
+	// recentSuccessWindow is the time after a response of a server during which a RequireProbe event, which
+	// demands a probe of the server, has no effect, unless the server has failed since.
 	recentSuccessWindow = 500 * time.Millisecond
 
 	// recentResponseWindow is the time after a response of a cache during which an overdue attempt shows
@@ -57,9 +59,9 @@
 	// maxEjectionTime, so the window is as long as maxEjectionTime.
 	recentResponseWindow = 4 * time.Second
 
-	// overdueChecksToFault is the number of checks of an overdue attempt after which the target or the
-	// source of the attempt can count as at fault although both respond. A lower number would degrade
-	// service during an overload.
+	// overdueChecksToFault is the number of checks of an overdue attempt after which the target of the
+	// attempt, or the source that fills its miss, can count as at fault although both servers respond. A
+	// lower number would degrade service during an overload.
 	overdueChecksToFault = 3
 
 	// minCheckInterval is the shortest time between two checks of an attempt.
@@ -97,8 +99,8 @@
 	toleratedSlowdown = 3.0
 
 	// minKeyFraction is the smallest fraction of its keys that a slow cache keeps. Without requests, the
-	// router would not notice that the cache has recovered. With the present slowdownCap and
-	// toleratedSlowdown, the fraction does not fall below 0.09, so this bound is not reached.
+	// router would not notice that the cache has recovered. The fraction does not fall below the square of
+	// toleratedSlowdown / slowdownCap, which is 0.3 squared, or 0.09. The bound is therefore not reached.
 	minKeyFraction = 0.05
 )
 
@@ -125,8 +127,8 @@
 	// throughput that its weight implies.
 	weightConfidence = 0.7
 
-	// throughputTimeConstant is the time constant with which the throughput of a role decays. It is long
-	// because a router sees few requests.
+	// throughputTimeConstant is the time constant with which the throughput of the caches, of the parents
+	// or of the origin decays. It is long because a router sees few requests.
 	throughputTimeConstant = 15 * time.Second
 )
 
@@ -158,11 +160,11 @@
 	linkUtilizationTarget = 1.8
 
 	// fillPaceTarget is the ratio of the pace of a source's fills to the pace of hits at which the source
-	// has utilization 1.
+	// has utilization 1. A pace is a response time divided by the transfer time.
 	fillPaceTarget = 3.0
 
-	// fillPaceCapFactor is the upper bound of the pace that one fill contributes to the smoothed pace of
-	// fills, as a multiple of fillPaceTarget.
+	// fillPaceCapFactor is the upper bound of the pace (response time divided by transfer time) that one
+	// fill contributes to the smoothed pace of fills, as a multiple of fillPaceTarget.
 	fillPaceCapFactor = 2
 
 	// fillGainDivisor is the divisor of limiterGain for the smoothed latency and pace of fills. These
@@ -214,14 +216,14 @@
 	// time to show its effect. One step in the constants below is one interval of this length.
 	limitUpdateInterval = 100 * time.Millisecond
 
-	// maxLimitSteps is the largest number of steps that one observation represents.
-	// maxObservationSteps is the bound of this number for an update of the smoothed utilization, and
-	// maxDecreaseSteps is the bound for a decrease of the limit.
+	// maxLimitSteps is the largest number of steps, each of limitUpdateInterval, that one observation
+	// represents. maxObservationSteps is the bound of this number for an update of the smoothed
+	// utilization, and maxDecreaseSteps is the bound for a decrease of the limit.
 	maxLimitSteps       = 10.0
 	maxObservationSteps = 2.0
 	maxDecreaseSteps    = 2.5
 
-	// limitGrowth is the fraction by which a fully used limit grows in each step.
+	// limitGrowth is the fraction by which a fully used limit grows in each step of limitUpdateInterval.
 	limitGrowth = 0.05
 
 	// minZoneLimit is the number of transfers that the limiters of all routers of a zone together
@@ -244,12 +246,14 @@
 	minInflight = 2.0
 
 	// extraInflight is the number of attempts added to minInflight while no limiter of a cache is active.
-	// Without these attempts, all routers with small quotas would queue requests at the same time.
+	// Without these attempts, all routers that may have few attempts in flight would queue requests at the
+	// same time.
 	extraInflight = 1.0
 
 	// failoverHeadroom: a cache can be a failover target while the number of attempts that the router has
-	// in flight at the cache is below this fraction of the router's quota there. The fraction is well below
-	// 1 because service degrades sharply when a failover target has little headroom.
+	// in flight at the cache is below this fraction of the largest number that the router may have in
+	// flight there. The fraction is well below 1 because service degrades sharply when a failover target
+	// has little headroom.
 	failoverHeadroom = 0.5
 
 	// minAvailableParents is the fraction of the parents that must be available for them to take over
--- a/routing/decay.go
+++ b/routing/decay.go
@@ -27,7 +27,7 @@
 // value returns the ratio at the time now, which must not precede the latest observation.
 func (r *decayingRatio) value(now, timeConstant time.Duration) float64 {
 	if r.excess == 0 {
-		return 1 // the expression below has the same value, but computes an exponential
+		return 1 // the expression below is also 1, but would needlessly compute an exponential
 	}
 	return 1 + r.excess*decay(now-r.updatedAt, timeConstant)
 }
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -46,7 +46,7 @@
 	server.ready = listed.Phase == Ready
 }
 
-// roleOf returns the role of a listed server.
+// roleOf returns the role of a listed server: cache, parent or origin.
 func (r *Router) roleOf(listed Server) role {
 	switch listed.Kind {
 	case r.settings.OriginKind:
@@ -58,8 +58,8 @@
 	}
 }
 
-// indexReady lists the ready servers by role. If the total weight of a role has fallen, indexReady
-// reduces the throughput of the role by the same factor.
+// indexReady lists the ready servers by role (cache, parent or origin). If the total weight of a role has
+// fallen, indexReady reduces the throughput of the role by the same factor.
 func (r *Router) indexReady() {
 	before := r.totalWeight
 	r.readyByRole = [roleCount][]*server{}
@@ -76,8 +76,8 @@
 }
 
 // expired reports whether the router can drop its record of a server. The server must not be ready, and
-// this router must have sent it no work for serverRetention. After that time, no late event about a start
-// of the server is expected.
+// this router must have sent it no work for serverRetention. After that time, no late event that reports a
+// start of the server is expected, so the record is not needed.
 func (r *Router) expired(server *server) bool {
 	if server.ready {
 		return false
--- a/routing/guard.go
+++ b/routing/guard.go
@@ -17,15 +17,16 @@
 	LastEventAt    time.Duration     // time of the latest event of the watch stream; 0: no event yet
 }
 
-// Excludes reports whether a server must get no new attempts, neither as target nor as source. A nil
-// Guard excludes every server. Without this check, an attempt could wait in a queue while its server is
-// drained, and would then be sent after the end of the drain grace.
+// Excludes reports whether a server must get no new attempts, neither as target nor as source. A nil Guard
+// excludes every server. If the endpoint list were not checked again when an attempt is written, an attempt
+// could wait in a queue while its server is drained, and would then be sent after the end of the drain
+// grace.
 func (g *Guard) Excludes(id ServerID) bool { return g == nil || !g.Ready[id] }
 
 // MaxAge returns the maximum age, at the time now, of a copy that may serve an attempt. maxAge is the
-// maximum age that the Router decided on for the attempt. 0 stands for any age. Without this check, an
-// attempt that is decided on just before a purge and written just after the purge would be answered from
-// the old copy.
+// maximum age that the Router decided on for the attempt. 0 stands for any age. If the maximum age were not
+// computed again when an attempt is written, an attempt that the Router decided on just before a purge
+// could be written just after the purge and answered from the old copy.
 func (g *Guard) MaxAge(now, maxAge time.Duration, object ObjectID, group int) time.Duration {
 	exceedsGrace := maxAge == 0 || maxAge > g.PurgeGrace
 	if exceedsGrace && g.watchStale(now) {
@@ -66,8 +67,8 @@
 }
 
 // watchStale reports whether the watch stream is cut off, so that this router may have missed purges.
-// Missed purges must take effect too. Therefore, only copies younger than the purge grace are served while
-// the stream is cut off, which lowers the hit ratio.
+// Missed purges must take effect too. Therefore, only copies younger than the purge grace, the time within
+// which a purge must take effect, are served while the stream is cut off. This lowers the hit ratio.
 func (g *Guard) watchStale(now time.Duration) bool {
 	if !g.PurgesSeen || g.LastEventAt == 0 {
 		return false
--- a/routing/hanging_parent_test.go
+++ b/routing/hanging_parent_test.go
@@ -53,7 +53,7 @@
 // hits that name the parent as source succeed. Without the ejection, one in three attempts that name the
 // parent as source would end late or not at all.
 func TestHangingParentIsEjectedDespiteHits(t *testing.T) {
-	const mostHung = 65 // of about 100
+	const mostHung = 65 // of about 100 fills: a third of 600 requests, shared by two parents
 	harness := &hangingParent{harness: newHarness(t, settings(), fleet())}
 	harness.parent = harness.parents()[0].ID
 	for i := range 600 {
--- a/routing/inflight.go
+++ b/routing/inflight.go
@@ -1,7 +1,7 @@
 package routing
 
-// track updates the counts of attempts in flight that the request, the servers and the limiters of an
-// attempt hold. delta is 1 when the attempt starts and -1 when the attempt ends.
+// track adds delta to the counts of attempts in flight. The request, the servers and the limiters of an
+// attempt each hold such a count. delta is 1 when the attempt starts and -1 when the attempt ends.
 func (r *Router) track(attempt *attempt, delta int) {
 	attempt.ended = delta < 0
 	attempt.request.inflight += delta
--- a/routing/limiter.go
+++ b/routing/limiter.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// limiter is an adaptive concurrency limit for the transfers that share a bottleneck: a link, a
-// source's fills, fetches from the origin, writes, or all attempts sent to one cache. While a limiter on
-// the path of a fill is active, a request first looks up a copy without causing a fill. If the lookup
-// misses, the request waits until the limiter allows its fill. Without the limit, more work on a full
-// link or a slow server would slow all transfers, until no transfer ends in time.
+// limiter is an adaptive concurrency limit for the transfers that share a bottleneck: a link, a source's
+// fills, fetches from the origin, writes, or all attempts sent to one cache. While a limiter on the path of
+// a fill is active, a request first asks a cache only for a copy that the cache has. This lookup causes no
+// fill. If it misses, the request waits until the limiter allows its fill. Without a limiter, more work on
+// a full link or a slow server would slow all transfers, until no transfer ends in time.
 type limiter struct {
 	utilization   float64 // smoothed; 1 is the target load of the bottleneck
 	active        bool
--- a/routing/limiter_test.go
+++ b/routing/limiter_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// TestSaturatedLinkLimitsFills checks that requests first look up a copy while the link is saturated, and
-// that fills of known misses are limited.
+// TestSaturatedLinkLimitsFills checks two rules while the link is saturated. A request first asks a cache
+// only for a copy that the cache has, without a fill. Fills of known misses are limited.
 func TestSaturatedLinkLimitsFills(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	harness.reportLink(5, 20)
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// isOutlier reports whether a server's error rate is far above the lowest error rate among its peers.
-// Without this check, a parent whose fills fail would look healthy: hits that name the parent as source
-// succeed, and the failures of its fills would be attributed to caches.
+// isOutlier reports whether a server's error rate is far above the lowest error rate among its peers. If
+// error rates were not compared, a parent whose fills fail would look healthy: hits that name the parent as
+// source succeed, and the failures of its fills would be attributed to caches.
 func (r *Router) isOutlier(server *server) bool {
 	least := server.errorRate
 	for _, peer := range r.readyByRole[server.role] {
@@ -191,7 +191,7 @@
 	case outcome.Result == ServerError:
 		r.recordFailure(attempt.moreErrorProne())
 	case outcome.Result == ConnectFailed || attempt.sentAt >= target.connectionLostAt:
-		target.connectionLostAt = r.now // attempts sent before this time fail with the same connection
+		target.connectionLostAt = r.now // earlier attempts on the connection also fail; they do not count
 		r.recordFailure(target)
 	}
 }
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -80,9 +80,10 @@
 	}
 }
 
-// TestSharedFillFailureIsNotAttributedToCache checks that a lookup counts as a miss, not as a failure of
-// the cache, if the lookup joins the fill of another request and this fill fails. Otherwise, a slow origin
-// would cause ejections of caches.
+// TestSharedFillFailureIsNotAttributedToCache checks the outcome of a lookup, an attempt that must not
+// cause a fill itself. If the lookup joins the fill of another request and this fill fails, the lookup
+// counts as a miss, not as a failure of the cache. Otherwise, a slow origin would cause ejections of
+// caches.
 func TestSharedFillFailureIsNotAttributedToCache(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	for range 10 {
@@ -98,8 +99,8 @@
 	}
 }
 
-// TestSlowFetchIsAttributedToTheOrigin checks that a fetch from the origin that times out at a parent counts
-// as a failure of the origin, not of the parent.
+// TestSlowFetchIsAttributedToTheOrigin checks that a fetch from the origin that times out at a parent
+// counts as a failure of the origin, not of the parent.
 func TestSlowFetchIsAttributedToTheOrigin(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	router := harness.router
@@ -131,10 +132,10 @@
 	}
 }
 
-// TestSlowCacheThatRespondedRecentlyIsNotUnresponsive checks that an attempt at a slow cache is not canceled
-// if the cache responded a second ago. After a purge of everything, all responses are slow. A router with
-// few requests may then receive no response from the cache while its attempt is in flight. If the router
-// canceled the attempt, another cache would have to fill the object again.
+// TestSlowCacheThatRespondedRecentlyIsNotUnresponsive checks that an attempt at a slow cache is not
+// canceled if the cache responded a second ago. After a purge of everything, all responses are slow. A
+// router with few requests may then receive no response from the cache while its attempt is in flight. If
+// the router canceled the attempt, another cache would have to fill the object again.
 func TestSlowCacheThatRespondedRecentlyIsNotUnresponsive(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	request := Request{Object: 5, SizeKB: 1}
@@ -155,9 +156,9 @@
 	}
 }
 
-// TestSlowFillsWithoutStatusDoNotEjectParents checks that slow attempts do not cause ejections of parents if
-// outcomes report no cache status. Otherwise, both parents would be ejected, and the origin would have to
-// fill all misses.
+// TestSlowFillsWithoutStatusDoNotEjectParents checks that slow attempts do not cause ejections of parents
+// if outcomes report no cache status. Otherwise, both parents would be ejected, and the origin would have
+// to fill all misses.
 func TestSlowFillsWithoutStatusDoNotEjectParents(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	for i := range 100 {
@@ -184,8 +185,8 @@
 
 func nothingFails(SendAttempt, bool) bool { return false }
 
-// runWithFailures sends 600 requests. The given rule decides which attempts fail. No outcome reports a cache
-// status. runWithFailures returns the number of failed attempts and the number of rejected requests.
+// runWithFailures sends 600 requests. The given rule decides which attempts fail. No outcome reports a
+// cache status. runWithFailures returns the number of failed attempts and the number of rejected requests.
 func (h *harness) runWithFailures(rule failureRule) (failures, rejections int) {
 	for i := range 600 {
 		h.now += 20 * millisecond
@@ -208,8 +209,8 @@
 	return failures, rejections
 }
 
-// wantFewFailures calls runWithFailures with the given rule. It fails the test if more than 40 attempts fail
-// or more than two requests are rejected.
+// wantFewFailures calls runWithFailures with the given rule. It fails the test if more than 40 attempts
+// fail or more than two requests are rejected.
 func (h *harness) wantFewFailures(cause string, rule failureRule) {
 	h.Helper()
 	failures, rejections := h.runWithFailures(rule)
@@ -280,8 +281,8 @@
 	}
 }
 
-// TestLostConnectionIsOneFailure checks that the loss of a connection with many attempts in flight counts as
-// one failure.
+// TestLostConnectionIsOneFailure checks that the loss of a connection with many attempts in flight counts
+// as one failure.
 func TestLostConnectionIsOneFailure(t *testing.T) {
 	harness := newHarness(t, settings(), fleet())
 	attempts := harness.sendMany(40)
--- a/routing/records.go
+++ b/routing/records.go
@@ -36,7 +36,7 @@
 	slowdown            decayingRatio // response time divided by the transfer time at full pace
 	inflight            int           // attempts in flight that have it as target or source
 	recentWork          []decayingSum // work sent to it, oldest first
-	score               float64       // rendezvous score in the latest rankServers; the lowest ranks first
+	score               float64       // rendezvous score in the latest rankServers; lowest score first
 	limiter             limiter       // of attempts sent to a cache, or of a source's fills and writes
 }
 
--- a/routing/router.go
+++ b/routing/router.go
@@ -134,7 +134,9 @@
 		return
 	}
 	request := r.newRequest(&event)
-	if r.hasSize(request) { // rejected requests count too: larger requests are rejected more often
+	// Rejected requests count too. Larger requests are rejected more often, so the mean would be too small
+	// without them.
+	if r.hasSize(request) {
 		r.learnMeanTransferTime(request, event.SizeKB/r.settings.TransferKBPerSecond)
 	}
 	if !request.class.Write {
--- a/routing/selection.go
+++ b/routing/selection.go
@@ -40,9 +40,10 @@
 }
 
 // selectCache selects a cache for a request. The list caches holds the caches that can take the request,
-// best first. If the home cache is saturated, selectCache selects the next cache with ample headroom. If
-// no cache has ample headroom, the request waits for the home cache. If no cache is left, the route has
-// no target. anyLimited reports whether a limiter excluded a cache.
+// best first. If the home cache is saturated, with as many attempts of this router in flight as allowed,
+// selectCache selects the next cache at which far fewer are in flight than allowed. If there is no such
+// cache, the request waits for the home cache. If no cache is left, the route has no target. anyLimited
+// reports whether a limiter excluded a cache.
 func (r *Router) selectCache(
 	request *request, caches []*server, source *server,
 ) (selected route, anyLimited bool) {
@@ -93,8 +94,9 @@
 	return !request.class.Write && r.zoneSaturated()
 }
 
-// requiresLookup reports whether a request must first look up a copy without causing a fill. This is
-// the case while a limiter on the path of the fill is active.
+// requiresLookup reports whether the next attempt of a request must be a lookup, which asks a cache only
+// for a copy that it has and causes no fill. This is the case while a limiter on the path of the fill is
+// active.
 func (r *Router) requiresLookup(request *request, source *server) bool {
 	if request.cacheMissed || request.class.Write {
 		return false
@@ -115,9 +117,10 @@
 
 // selectSource returns the fill source of a request. The source is the home parent of the object. If the
 // home parent is ejected, or warms up and can take no more work, the source is the next parent in
-// rendezvous order. The source is the origin for a write, and if no parents or too few parents are left.
-// Without the origin, if one of two parents is unresponsive, the link of the other parent would be full
-// and responses would be late. admits reports whether the limiter of the source admits one more transfer.
+// rendezvous order. The source is the origin for a write, and if no parents or too few parents are left. If
+// one of two parents is unresponsive and the origin did not take over its objects, the link of the other
+// parent would be full and responses would be late. admits reports whether the limiter of the source admits
+// one more transfer.
 func (r *Router) selectSource(request *request) (source *server, admits bool) {
 	sources := r.rankServers(parent, mix64(uint64(request.Object)), request)
 	if len(sources) == 0 || request.class.Write || r.tooFewParentsLeft(sources) {
@@ -148,9 +151,10 @@
 	})
 }
 
-// rankServers returns the servers of a role that can take a request, in the rendezvous order of the given
-// key, best first. The result is valid until the next call. The number of keys of a warming or slow
-// server is reduced to match its capacity. If no parent is available, ejections of parents are ignored.
+// rankServers returns the servers of a role (cache, parent or origin) that can take a request, in the
+// rendezvous order of the given key, best first. The result is valid until the next call. The number of
+// keys of a warming or slow server is reduced to match its capacity. If no parent is available, ejections
+// of parents are ignored.
 func (r *Router) rankServers(role role, key uint64, request *request) []*server {
 	ignoreEjections := role == parent && !slices.ContainsFunc(r.readyByRole[role], r.available)
 	ranked := r.ranking[:0]
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -25,8 +25,8 @@
 	KeyScopeCell                 // servers of the cell in which the key was first received
 )
 
-// Class describes one class of requests. The comment "not used here" marks fields of Class and Settings that
-// only other packages use.
+// Class describes one class of requests. The comment "not used here" marks fields of Class and Settings
+// that only other packages use.
 type Class struct {
 	Name                    string
 	Idempotency             Idempotency
@@ -80,9 +80,9 @@
 	WeightIsCapacity    bool          // Server.Weight is the number of transfers at full pace
 	// HitStatusOnly: the cache status of an outcome reports hits and fills but no failures, and FillWait is
 	// not reported. The router then ignores the pace of fills. If it did not, a fill that waits 150 ms for
-	// its source and transfers for 10 ms would make the source look fifteen times too slow, and all known
-	// misses would be limited. Failures are detected in the same way as if outcomes reported no cache
-	// status.
+	// its source and then transfers for 10 ms would count as a transfer of 160 ms. The wait of 150 ms would
+	// make the source look fifteen times too slow, and the fills of all known misses would be limited.
+	// Failures are detected in the same way as if outcomes reported no cache status.
 	HitStatusOnly         bool
 	OriginStopsOnOverload bool          // an overloaded origin stops answering for a while
 	MustSubscribe         bool          // endpoint updates are sent only after a Subscribe
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -30,12 +30,13 @@
 	return min(1, max(minCapacityFraction, fraction))
 }
 
-// withinSlowStartBudget reports whether this router may send the given work to a server. Only a warming
-// server has a budget, which derives from the throughput of the server's peers. If the budget is less
-// than the work of one attempt, the router sends one attempt in some overload windows and none in the
-// others. It chooses these windows at random, so that all routers together stay within the sum of their
-// budgets. Without this rule, many routers with little traffic would each send one attempt at the same
-// time, and these attempts together would overload the server.
+// withinSlowStartBudget reports whether this router may send the given work to a server. Only for a warming
+// server, the router has a budget: the work that it may send within an overload window. The budget derives
+// from the throughput of the server's peers. If the budget is less than the work of one attempt, the router
+// sends one attempt in some overload windows and none in the others. It chooses these windows at random, so
+// that all routers together stay within the sum of their budgets. If each router always sent one attempt,
+// many routers with little traffic would send their attempts at the same time, and these attempts together
+// would overload the server.
 func (r *Router) withinSlowStartBudget(server *server, work float64) bool {
 	if r.capacityFraction(server, r.now) >= 1 {
 		return true
@@ -78,10 +79,10 @@
 }
 
 // expectedThroughput returns the work per second and per unit of weight that this router expects servers of
-// a role to complete. The result is the highest throughput seen. If weights are capacities, the result is
-// at least the router's share of the throughput that the weights imply. Without this lower bound, a router
-// that has seen no throughput would reject all requests. This is the case after a restart of the router, or
-// of its whole zone.
+// a role (cache, parent or origin) to complete. The result is the highest throughput seen. If weights are
+// capacities, the result is at least the router's share of the throughput that the weights imply. Without
+// this lower bound, a router that has seen no throughput would reject all requests. A router has seen none
+// after its own restart or a restart of its whole zone.
 func (r *Router) expectedThroughput(role role) float64 {
 	promised := 0.0
 	if r.settings.WeightIsCapacity && r.settings.TransferKBPerSecond > 0 {
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// TestSlowStartBudgetHoldsForAllRouters checks that many routers with few requests each together stay within
-// the budget of a warming cache or parent, although they all start to use it at the same time. If each
-// router always sent at least one attempt, the attempts of all routers would overload the server.
+// TestSlowStartBudgetHoldsForAllRouters checks that many routers with few requests each together stay
+// within the budget of a warming cache or parent, although they all start to use it at the same time. If
+// each router always sent at least one attempt, the attempts of all routers would overload the server.
 func TestSlowStartBudgetHoldsForAllRouters(t *testing.T) {
 	const routers = 60
 	list := fleet()
@@ -71,9 +71,9 @@
 			}
 		}
 	}
-	// All servers together carry 480 requests of at most 0.6 s in 2 s. Two caches and one parent are not
-	// warming up. Each of these caches therefore carries at most 72 s of work per second, and the parent
-	// at most 144 s.
+	// All servers together carry 480 requests of at most 0.6 s in 2 s, which is 480 * 0.6 s / 2 s = 144 s
+	// of work per second. Two caches and one parent are not warming up. Each of these caches therefore
+	// carries at most 144 s / 2 = 72 s of work per second, and the parent at most 144 s.
 	if most := 2 * 0.36 * 72 * 2.0; sent[secondCache] > most {
 		t.Errorf("got %.0f s of work sent to the warming cache, want at most %.0f", sent[secondCache], most)
 	}
@@ -120,9 +120,9 @@
 	}
 }
 
-// TestSlowStartBudgetFromWeights checks that a router sends work to warming caches although it has restarted
-// and has seen no throughput. The weights of the caches are capacities, from which the router derives its
-// budget. The work must stay within that budget.
+// TestSlowStartBudgetFromWeights checks that a router sends work to warming caches although it has
+// restarted and has seen no throughput. The weights of the caches are capacities, from which the router
+// derives its budget. The work must stay within that budget.
 func TestSlowStartBudgetFromWeights(t *testing.T) {
 	config := settings()
 	config.WeightIsCapacity = true
@@ -144,7 +144,8 @@
 			harness.finishWithoutStatus(sent, 0, Served, 100*millisecond)
 		}
 	}
-	// The capacity rises from 0.2 to 0.36 of 10 transfers. Twice the capacity for 2 s is an overload.
+	// An overload is twice the capacity for 2 s. The capacity rises from 0.2 to 0.36 of 10 transfers during
+	// these 2 s. The budget derives from the capacity at their start: 2 * 0.2 * 10 * 2 s = 8 s of work.
 	if most := 2 * 0.2 * 10 * 2.0; work == 0 || work > most {
 		t.Errorf("got %.1f s of work sent to a warming cache, want more than 0 and at most %.1f", work, most)
 	}
@@ -185,8 +186,8 @@
 	}
 }
 
-// requestInterval returns the time between two requests to the router with the given index. At any time, one
-// router receives ten times the traffic of each other router. This router changes every 2 s.
+// requestInterval returns the time between two requests to the router with the given index. At any time,
+// one router receives ten times the traffic of each other router. This router changes every 2 s.
 func (z *warmingZone) requestInterval(index int, now time.Duration) time.Duration {
 	const interval = 200 * millisecond
 	busyRouter := int(now/(2*second)) % len(z.routers)
@@ -212,9 +213,9 @@
 	}
 }
 
-// TestManyRoutersDoNotOverloadWarmingCaches checks that the routers of a zone together do not overload caches
-// that restart at the same time. Each router knows only its own quota, and has seen a high throughput before
-// the restart. At any time, one router has ten times the traffic of each other router.
+// TestManyRoutersDoNotOverloadWarmingCaches checks that the routers of a zone together do not overload
+// caches that restart at the same time. Each router knows only its own quota, and has seen a high
+// throughput before the restart. At any time, one router has ten times the traffic of each other router.
 func TestManyRoutersDoNotOverloadWarmingCaches(t *testing.T) {
 	const routers = 8
 	config := settings()
@@ -242,8 +243,8 @@
 	}
 }
 
-// checkLoad fails the test if the highest load sent to a server is above the overload limit, or below a fifth
-// of this limit.
+// checkLoad fails the test if the highest load sent to a server is above the overload limit, or below a
+// fifth of this limit.
 func checkLoad(t *testing.T, sent []sentWork, listed Server, slowStart SlowStart) {
 	t.Helper()
 	most := highestLoad(sent, slowStart, listed.Weight, listed.StartedAt)
@@ -255,7 +256,8 @@
 }
 
 // highestLoad returns the highest load sent to a server during any overload window. The load of a window is
-// the work sent during the window, divided by the work that overloads the server at the start of the window.
+// the work sent during the window, divided by the work that overloads the server at the start of the
+// window.
 func highestLoad(sent []sentWork, slowStart SlowStart, weight float64, startedAt time.Duration) float64 {
 	most := 0.0
 	for i, last := range sent {
--- a/routing/source_files_test.go
+++ b/routing/source_files_test.go
@@ -185,5 +185,6 @@
 	}
 }
 
-// paragraphGap is the maximum number of bytes between two constants of a paragraph: a newline and a tab.
+// paragraphGap is the maximum number of bytes between two constants that count as one paragraph because
+// they are on successive lines: a newline and a tab.
 const paragraphGap = 2
--- a/routing/unresponsive_parent_test.go
+++ b/routing/unresponsive_parent_test.go
@@ -7,9 +7,9 @@
 )
 
 // TestUnresponsiveParentIsReplaced checks that an unresponsive parent is probed with one request at a time
-// after its ejection has ended. Without this limit, the parent would get many requests at the same time.
-// The test also checks which server fills the objects of the unresponsive parent while only one other
-// parent is left. Where an overload does not stop the origin, the origin fills them, since they would
+// after its ejection has ended. Without the limit of one request, the parent would get many requests at the
+// same time. The test also checks which server fills the objects of the unresponsive parent while only one
+// other parent is left. Where an overload does not stop the origin, the origin fills them, since they would
 // saturate the link of the other parent. Where an overload stops the origin, the other parent fills them.
 func TestUnresponsiveParentIsReplaced(t *testing.T) {
 	tests := []struct {
@@ -96,7 +96,8 @@
 	}
 }
 
-// checkAttempts fires the check timers of attempts in flight, and ends the attempts that the router cancels.
+// checkAttempts fires the check timers of attempts in flight, and ends the attempts that the router
+// cancels.
 func (h *unresponsiveParent) checkAttempts() {
 	for i := 0; i < len(h.inflight); i++ {
 		attempt := &h.inflight[i]
