--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -145,7 +145,8 @@
 		}
 	}
 	// An overload is twice the capacity for 2 s. The capacity rises from 0.2 to 0.36 of 10 transfers during
-	// these 2 s. The budget derives from the capacity at their start: 2 * 0.2 * 10 * 2 s = 8 s of work.
+	// these 2 s. The work must not exceed an overload at the capacity of their start, which is
+	// 2 * 0.2 * 10 * 2 s = 8 s of work.
 	if most := 2 * 0.2 * 10 * 2.0; work == 0 || work > most {
 		t.Errorf("got %.1f s of work sent to a warming cache, want more than 0 and at most %.1f", work, most)
 	}
