--- a/internal/fleet/bans/bans.go
+++ b/internal/fleet/bans/bans.go
@@ -1,6 +1,7 @@
 // Package bans makes all routers agree on the set of servers that operators have disabled. The
 // lease registry stores the bans in a total order, with the author, the time and the reason of
-// each ban. The registry outlives every router. Gossip between routers is faster but may lose
+// each ban. The registry is replicated by those routers that are voters, and outlives every
+// router. Routers also exchange bans by gossip, which is faster than the registry but may lose
 // bans.
 //
 // Disabling needs no other router. A ban that an operator sets at a router immediately applies at
--- a/internal/fleet/bans/machine.go
+++ b/internal/fleet/bans/machine.go
@@ -11,7 +11,8 @@
 	"garnetline/routing"
 )
 
-// maxOpenRequests is the number of requests whose responses are still accepted.
+// maxOpenRequests is the maximum number of requests that wait for a response. If there are more,
+// the response to the oldest request is ignored.
 const maxOpenRequests = 64
 
 // Machine keeps one router's disabled servers in agreement with the registered bans. It is not
@@ -259,7 +260,7 @@
 		m.registryVersion = response.Version
 	}
 	if response.Version != m.registryVersion {
-		return false // the response has another version but no bans: the voter assumed that this router knows them
+		return false // the response has a newer version without its bans, as if this router had these bans already
 	}
 	if !m.registryRead() {
 		m.lastReadAt = requestedAt
--- a/internal/fleet/bans/manager.go
+++ b/internal/fleet/bans/manager.go
@@ -162,7 +162,8 @@
 	}
 }
 
-// Ready reports whether this router has applied the registry's bans, or ReadyTimeout has expired.
+// Ready returns true once this router has applied the registry's bans, or once ReadyTimeout has
+// expired.
 func (m *Manager) Ready() bool { return m.ready.Load() }
 
 // Stopped returns a channel that is closed when Run has returned.
@@ -222,7 +223,8 @@
 	}
 }
 
-// enqueue queues a function for Run to call. While the mailbox is full, it waits until ctx ends.
+// enqueue queues a function for Run to call. If the mailbox is full, it waits until the mailbox
+// has room or ctx ends.
 func (m *Manager) enqueue(ctx context.Context, run func(now float64)) error {
 	select {
 	case m.mailbox <- run:
--- a/internal/fleet/bans/reconcile.go
+++ b/internal/fleet/bans/reconcile.go
@@ -69,7 +69,8 @@
 // stillDisabled is called for a server that is enabled at this router but disabled in the registry.
 // It reports whether the registry was read again after the server was first seen enabled.
 //
-// Gossip of an enable can erase a ban just before the ban is registered. Without this check, some
+// If stillDisabled returns true, the caller disables the server again. This is needed if gossip
+// of an enable lifts a ban just before the ban is registered. Without the second disable, some
 // routers would then keep the server enabled forever although the registry has it disabled.
 func (m *Machine) stillDisabled(now float64, server routing.ServerID) bool {
 	reenabledAt, seen := m.reenabledAt[server]
--- a/internal/fleet/connectivity/behaviors.go
+++ b/internal/fleet/connectivity/behaviors.go
@@ -1,6 +1,7 @@
 package connectivity
 
-// Behavior describes how a router handles one subject in each connectivity state.
+// Behavior describes how a router handles one subject, such as another router's ban of a server, in
+// each connectivity state.
 type Behavior struct{ Subject, Together, Partial, Alone string }
 
 // Behaviors returns the behavior of every subject that depends on the fleet. The command line
--- a/internal/fleet/connectivity/connectivity.go
+++ b/internal/fleet/connectivity/connectivity.go
@@ -25,7 +25,7 @@
 
 var stateNames = [...]string{"together", "partial", "alone"}
 
-// String returns the name of the state that logs, metrics and the admin API show.
+// String returns the name under which logs, metrics and the admin API show the state.
 func (s State) String() string { return stateNames[s] }
 
 // AcceptsRemoteEnable reports whether a router in this state immediately enables a server that an
@@ -66,7 +66,7 @@
 	State   State
 	Since   float64 // when the state was entered, ms
 	Present int     // number of alive or suspect routers, including this router
-	Known   int     // number of routers that were present within RecentWindow and have not left; budgets that the fleet shares are divided by it
+	Known   int     // number of routers that were present within RecentWindow and have not left; each limit that the whole fleet shares is divided by it
 }
 
 // Machine derives the connectivity state of one router from its views.
--- a/internal/fleet/connectivity/connectivity_test.go
+++ b/internal/fleet/connectivity/connectivity_test.go
@@ -25,9 +25,9 @@
 	return view
 }
 
-// Step enters the state that the view shows as soon as the delay of that change has passed. Budgets
-// that the fleet shares are divided by the number of known routers. This number does not shrink
-// when other routers fall silent.
+// Step enters the state that the view shows as soon as the delay of that change has passed. The
+// number of known routers does not shrink when other routers fall silent, since each limit that
+// the whole fleet shares is divided by this number.
 func TestStateFollowsView(t *testing.T) {
 	settings := DefaultSettings()
 	machine := New(settings, 0)
@@ -46,7 +46,7 @@
 		{7400, 8, 5, nil, Together, 8},
 		{7500, 8, 5, nil, Partial, 8},
 		{8000, 8, 1, nil, Partial, 8},
-		{8500, 8, 1, nil, Alone, 8},  // 8 routers stay known: this router's part of the shared budgets does not grow
+		{8500, 8, 1, nil, Alone, 8},  // 8 routers stay known: this router's part of the limits that the fleet shares does not grow
 		{9000, 8, 8, nil, Alone, 8},  // two downgrades have doubled the upgrade delay twice
 		{15000, 8, 8, nil, Alone, 8}, // the upgrade delay is 20 s
 		{29000, 8, 8, nil, Together, 8},
@@ -62,8 +62,9 @@
 	}
 }
 
-// The number of state changes is bounded for every period at which connections flap, since each
-// failed upgrade doubles the delay of the next upgrade, up to a minute.
+// If connections come and go periodically, the number of state changes is bounded for every
+// period. An upgrade is a change to a state that permits more. Each upgrade that does not last
+// doubles the delay of the next upgrade, up to a minute.
 func TestFlappingBoundsStateChanges(t *testing.T) {
 	for period := 500.0; period < 30_000; period *= 1.3 {
 		m := New(DefaultSettings(), 0)
--- a/internal/fleet/consensus/cluster_test.go
+++ b/internal/fleet/consensus/cluster_test.go
@@ -18,13 +18,14 @@
 
 var errStorageFull = errors.New("disk full")
 
-// memoryStorage is a Storage in memory. Saved data survives a crash, unless unsynced is set.
+// memoryStorage is a Storage in memory. Saved data survives a crash, unless the field unsynced is
+// set.
 type memoryStorage struct {
 	state     wal.State
 	failing   bool
 	saveDelay float64 // duration of the next save in ms; Save negates it to mark it as used
 	saves     int
-	unsynced  bool      // saves are not synced: a crash resets state to synced
+	unsynced  bool      // saves are not synced: a crash resets the field state to the field synced
 	synced    wal.State // state that the simulated kernel has written to the disk without a sync
 }
 
--- a/internal/fleet/consensus/history_test.go
+++ b/internal/fleet/consensus/history_test.go
@@ -62,8 +62,8 @@
 	Init: func() any { return operationOutput{} },
 	Step: func(state, _, out any) (bool, any) {
 		before, after := state.(operationOutput), out.(operationOutput)
-		// Operations without a response are left out of the history. One of them may have caused
-		// a state with a higher token.
+		// Operations without a response are left out of the history. One of them may have caused a
+		// state with a higher token, so every state with a higher token is accepted.
 		return after.token > before.token || after == before, after
 	},
 }
--- a/internal/fleet/consensus/node.go
+++ b/internal/fleet/consensus/node.go
@@ -44,7 +44,8 @@
 	now        float64 // time of the current step, in ms
 	output     *Output // output of the current step; nil between steps
 
-	// State that is used only while this node is the leader.
+	// State that is used only while this node is the leader. In a read, a quorum confirms that
+	// this node is still the leader; the node serves requests only after such a read.
 
 	leaseExpiry      *lease.ExpiryTracker       // nil unless this node leads and has applied an entry of its own term
 	leadingTerm      uint64                     // term in which leaseExpiry was created
@@ -56,8 +57,8 @@
 	proposalsByLease map[string]int           // number of proposed commands that are not applied yet, by lease
 }
 
-// NewNode returns the node with the given raft ID. recovered is the state that the storage held.
-// now is the time of the boot clock in ms.
+// NewNode returns the node with the given raft ID. The argument recovered is the state that the
+// storage held. The argument now is the time of the boot clock in ms.
 //
 // bootstrapVoters is used only if recovered is empty. For one of the registry's first voters, it
 // holds the names of all first voters by raft ID, including this node. For a node that joins
--- a/internal/fleet/consensus/node_test.go
+++ b/internal/fleet/consensus/node_test.go
@@ -140,8 +140,11 @@
 	}
 }
 
-// A lease is transferred to a router that does not want it. The candidates that rank first must
-// be notified that nobody holds the lease, even if the leader was elected only a moment ago.
+// A lease is transferred to a router that does not want it, and that router releases the lease to
+// nobody. The leader must then notify other routers that nobody holds the lease, so that one of
+// them gets it within 200 ms. In every other run, another voter becomes the leader just before
+// the transfer. The new leader does not know when the lease was granted, but must not wait for
+// the grant to expire.
 func TestTransferToUnwillingRouter(t *testing.T) {
 	for seed := range uint64(20) {
 		cluster := newCluster(t, 100+seed, 3, 4, "a")
--- a/internal/fleet/consensus/requests.go
+++ b/internal/fleet/consensus/requests.go
@@ -40,8 +40,9 @@
 	clear(n.proposalsByLease)
 }
 
-// queueRequest queues a router's request for the next read. It drops a request that cannot be
-// served now; the router repeats the request, possibly at another voter.
+// queueRequest queues a router's request for the next read, in which a quorum confirms that this
+// node is still the leader. It drops a request that cannot be served now; the router repeats the
+// request, possibly at another voter.
 func (n *Node) queueRequest(request ClientRequest) {
 	n.updateLeadership()
 	limit := n.settings.MaxPendingRequests
@@ -51,10 +52,11 @@
 	n.queuedRequests = append(n.queuedRequests, request)
 }
 
-// readIsDue reports whether a read for the queued requests should start now. Reads run one at a
-// time. All requests that are received during a read share the next read. After one tick
-// interval the next read starts even if the previous read has not finished, because the
-// responses to the previous read may have been lost.
+// readIsDue reports whether a read for the queued requests should start now. In a read, a quorum
+// confirms that this node is still the leader. Reads run one at a time. All requests that are
+// received during a read share the next read. After one tick interval the next read starts even
+// if the previous read has not finished, because the responses to the previous read may have been
+// lost.
 func (n *Node) readIsDue() bool {
 	if n.leaseExpiry == nil || len(n.queuedRequests) == 0 {
 		return false
@@ -136,8 +138,9 @@
 	return request.FencingToken == current.FencingToken || request.FencingToken == 0
 }
 
-// isTransferTarget reports whether the lease was transferred to the requesting router. The
-// registry learns the incarnation of that router's process only from this request.
+// isTransferTarget reports whether the lease was transferred to the requesting router. A transfer
+// names only the router, so the incarnation of the lease is 0 until the registry learns it from
+// this request.
 func isTransferTarget(request ClientRequest, current *leaseregistry.Lease) bool {
 	return current != nil && current.Holder == request.From && current.Incarnation == 0 && request.FencingToken == 0
 }
@@ -199,8 +202,8 @@
 }
 
 // completeProposal announces the release or transfer that a command has caused. If this leader
-// proposed the command, completeProposal also responds to the request. err is the result of applying
-// the command.
+// proposed the command, completeProposal also responds to the request. The argument err is the
+// result of applying the command.
 func (n *Node) completeProposal(command *leaseregistry.Command, err error) {
 	if n.leaseExpiry == nil {
 		return
@@ -246,8 +249,8 @@
 	}
 }
 
-// respondBans responds with the operators' bans. err says why the requested ban was not set. It
-// is nil if the ban was set, or if the request only reads the bans.
+// respondBans responds with the operators' bans. The argument err says why the requested ban was
+// not set. It is nil if the ban was set, or if the request only reads the bans.
 func (n *Node) respondBans(request ClientRequest, err error) {
 	response := &BanResponse{RequestID: request.ID, Version: n.registry.BanVersion()}
 	if err != nil {
@@ -259,7 +262,8 @@
 	n.output.Responses = append(n.output.Responses, ClientResponse{To: request.From, Ban: response})
 }
 
-// respondLease responds with the state of a lease. current is nil if the lease was never granted.
+// respondLease responds with the state of a lease. The argument current is nil if the lease was
+// never granted.
 func (n *Node) respondLease(request ClientRequest, current *leaseregistry.Lease) {
 	response := lease.Response{RequestID: request.ID, Lease: request.Lease}
 	if current != nil {
--- a/internal/fleet/consensus/safeguards_test.go
+++ b/internal/fleet/consensus/safeguards_test.go
@@ -21,15 +21,16 @@
 	heal      faultKind = "heal"
 )
 
-// fault is one step of a schedule. node is the number of a voter; it is not used if kind is heal.
+// fault is one step of a schedule. The field node is the number of a voter. It is not used if the
+// kind is "heal".
 type fault struct {
 	kind faultKind
 	node int
 }
 
-// runSchedule runs a schedule on three voters. If unsynced is set, their storages do not sync.
-// It returns a description of the violated guarantee, or an empty string if there was no
-// violation.
+// runSchedule runs a schedule on three voters. If the argument unsynced is set, their storages do
+// not sync. It returns a description of the violated guarantee, or an empty string if there was
+// no violation.
 func runSchedule(t *testing.T, seed uint64, unsynced bool, schedule []fault) (violation string) {
 	t.Helper()
 	defer func() {
--- a/internal/fleet/consensus/wal/wal.go
+++ b/internal/fleet/consensus/wal/wal.go
@@ -1,8 +1,8 @@
 // Package wal stores the raft log of one voter in a write-ahead log. The log is an append-only
 // file of records with length and checksum. It is rewritten as a whole when snapshots have made
 // most of it obsolete. Data that Save has stored without an error survives a crash. After a
-// failure, the content of the disk is unknown and the voter must not vote. The log then accepts
-// no more writes.
+// failed call, the content of the disk is unknown. The log therefore accepts no more writes, and
+// the voter must not vote any more.
 //
 // Only the node that a Log belongs to may use it, with one call at a time.
 package wal
@@ -38,9 +38,10 @@
 	buffer        []byte
 }
 
-// Open opens the log of a voter and returns the state that the log holds. owner is the name of
-// the voter. If the log does not exist or has no complete record, Open starts a new log, and
-// fresh is true. Open truncates an incomplete record at the end, which a crash can leave.
+// Open opens the log of a voter and returns the state that the log holds. The argument owner is
+// the name of the voter. If the log does not exist or has no complete record, Open starts a new
+// log, and the result fresh is true. Open truncates an incomplete record at the end, which a
+// crash can leave.
 //
 // Open returns an OwnerError for a log of another owner, ErrNewerFormat for a newer format,
 // ErrNotLog for a file that is not a log, and a CorruptRecordError for a record that cannot be
--- a/internal/fleet/fragment/fragment.go
+++ b/internal/fleet/fragment/fragment.go
@@ -43,8 +43,9 @@
 // MaxMessageLen is the maximum length of a message, in bytes.
 const MaxMessageLen = maxFragmentLen * maxFragments
 
-// Split splits a message into payloads. It returns nil if the message is longer than MaxMessageLen.
-// Messages that are in transit at the same time must have different values of id.
+// Split splits a message into payloads. It returns nil if the message is longer than
+// MaxMessageLen. Messages that are in transit at the same time must have different values of the
+// argument id.
 func Split(id uint64, channel Channel, message []byte) (payloads [][]byte) {
 	count := max(1, (len(message)+maxFragmentLen-1)/maxFragmentLen)
 	if count > maxFragments {
@@ -104,8 +105,8 @@
 	expiresAt   float64
 }
 
-// Add adds a payload that arrived at the time now, in ms. If the payload completes a message,
-// Add returns the message and its channel, and complete is true.
+// Add adds a payload that arrived at the time now, in ms. If the payload completes a message, Add
+// returns the message and its channel, and the result complete is true.
 func (r *Reassembler) Add(now float64, payload membership.Payload) (channel Channel, message []byte, complete bool) {
 	head, content, ok := parseHeader(payload.Data)
 	if !ok {
--- a/internal/fleet/gossip/expiry.go
+++ b/internal/fleet/gossip/expiry.go
@@ -9,7 +9,8 @@
 const (
 	// expiryInterval is the time between two searches for expired items, ms.
 	expiryInterval = 1000
-	// maxForgotten bounds the number of forgotten items whose hashes are kept.
+	// maxForgotten bounds the number of forgotten items whose hashes are kept, so that these items
+	// are not accepted again.
 	maxForgotten = 8192
 )
 
@@ -53,8 +54,9 @@
 }
 
 // expired reports whether an item is at least as old as its retention, in ms. It also stops
-// advertising an item after half of the retention. Without this, the item could be sent to a
-// router that has already forgotten it, and that router would accept the item as new.
+// advertising an item, which means sending it to other routers, after half of the retention. If
+// the item were advertised until the end of its retention, it could be sent to a router that has
+// already forgotten it, and that router would accept the item as new.
 func (s *Store) expired(now float64, e *entry, retention float64) bool {
 	age := now - e.receivedAt
 	if age >= retention/2 {
--- a/internal/fleet/gossip/item.go
+++ b/internal/fleet/gossip/item.go
@@ -139,5 +139,6 @@
 	return int(hash % membership.BucketCount)
 }
 
-// dotHash returns the hash that identifies a ban's dot among the forgotten items.
+// dotHash returns a hash of a ban's dot (Router and Sequence). The hash identifies the ban among
+// the forgotten items.
 func (i *Item) dotHash() uint64 { return uint64(i.Router)*0x9e3779b97f4a7c15 + i.Sequence }
--- a/internal/fleet/gossip/store.go
+++ b/internal/fleet/gossip/store.go
@@ -208,7 +208,7 @@
 		return false
 	}
 	if item.Router == s.self && item.Sequence > s.lastSequence {
-		s.lastSequence = item.Sequence // this router lost its state, and other routers returned its ban
+		s.lastSequence = item.Sequence // this router lost its state and learns of its ban from another router: number new bans after it
 	}
 	wasDisabled := s.Disabled(item.Server)
 	if known != nil {
@@ -239,7 +239,8 @@
 	s.changes = append(s.changes, Change{Item: item, Disabled: s.Disabled(server)})
 }
 
-// Disabled reports whether a server is banned, or still disabled because its enable is deferred.
+// Disabled returns true if a server is banned, or if it is still disabled because its enable is
+// deferred.
 func (s *Store) Disabled(server routing.ServerID) bool {
 	return s.banCounts[server] > 0 || s.deferredEnables[server]
 }
--- a/internal/fleet/gossip/store_test.go
+++ b/internal/fleet/gossip/store_test.go
@@ -38,7 +38,7 @@
 }
 
 // model computes the state that several stores must converge to. A server is disabled if it has a
-// ban whose dot was unknown to every router that enabled the server.
+// ban that was unknown to every router that enabled the server.
 type model struct {
 	stores  []*Store
 	sent    [][]byte            // items that all stores must receive
--- a/internal/fleet/lease/expiry.go
+++ b/internal/fleet/lease/expiry.go
@@ -29,8 +29,8 @@
 	t.expiry[name] = max(t.expiry[name], now+t.settings.registryPeriod())
 }
 
-// Available reports whether a lease may be granted to a router other than its holder. lease is nil
-// if the lease was never granted.
+// Available reports whether a lease may be granted to a router other than its holder. The
+// argument lease is nil if the lease was never granted.
 func (t *ExpiryTracker) Available(now float64, lease *leaseregistry.Lease) bool {
 	return lease == nil || lease.Holder == 0 || now >= t.expiry[lease.Name]
 }
--- a/internal/fleet/lease/holder.go
+++ b/internal/fleet/lease/holder.go
@@ -22,14 +22,15 @@
 const (
 	maxPendingRequests = 16 // per lease; if there are more, the oldest request is discarded
 
-	// Divisors of the TTL. A holder renews its lease after TTL/renewalDivisor. The candidate of
-	// each rank requests a lease TTL/rankDivisor later than the candidate of the rank before.
+	// Divisors of the TTL. A holder renews its lease after TTL/renewalDivisor. The routers that
+	// want a lease request it in the order of their ranks (see Rank), each TTL/rankDivisor later
+	// than the router before it.
 	renewalDivisor = 3
 	rankDivisor    = 2
 
 	// noticeDivisor divides the retry interval. After a notice that nobody holds the lease, the
-	// candidate of each rank requests the lease RetryInterval/noticeDivisor later than the
-	// candidate of the rank before.
+	// notified routers request it in the order of their ranks (see Rank), each
+	// RetryInterval/noticeDivisor later than the router of the rank before.
 	noticeDivisor = 4
 
 	maxBackoffDoublings = 16 // bounds the exponent of the backoff
@@ -88,9 +89,9 @@
 	state.rank = rank
 }
 
-// Release releases a lease to the router successor, or to nobody if successor is 0. The lease
-// immediately ceases to be valid at this router. Step repeats the release until the registry
-// confirms it, or until the lease has expired at the registry.
+// Release releases a lease to the router with the ID successor, or to nobody if this ID is 0. The
+// lease immediately ceases to be valid at this router. Step repeats the release until the
+// registry confirms it, or until the lease has expired at the registry.
 func (h *Holder) Release(now float64, name string, successor membership.ID, handoff []byte) {
 	state := h.stateOf(name)
 	if state.fencingToken == 0 {
@@ -100,9 +101,9 @@
 	state.releaseAttempts = 0
 	state.fencingToken, state.expiresAt = 0, 0
 	state.nextRequestAt = now
-	// Without this backoff, a lease that operators transfer away from this router could return to
-	// it: if the target does not want the lease, the target releases it, and this router would
-	// request the lease again.
+	// This router does not request the lease again within one TTL. Otherwise, a lease that
+	// operators transfer away from this router could return to it: if the target does not want the
+	// lease, the target releases it, and this router would request the lease again.
 	state.backoffUntil = max(state.backoffUntil, now+h.settings.TTL)
 	clear(state.pendingRequests)
 }
--- a/internal/fleet/lease/messages.go
+++ b/internal/fleet/lease/messages.go
@@ -13,8 +13,9 @@
 }
 
 // Response is the state of a lease in response to a request. A Response with RequestID 0 is a
-// notice. If Holder names the receiving router, the notice says that the lease was transferred
-// to that router. If Holder is 0, the notice says that nobody holds the lease.
+// notice, which the voters send without a request. If Holder names the receiving router, the
+// notice says that the lease was transferred to that router. If Holder is 0, the notice says that
+// nobody holds the lease.
 type Response struct {
 	RequestID    uint64
 	Lease        string
--- a/internal/fleet/lease/rank.go
+++ b/internal/fleet/lease/rank.go
@@ -18,9 +18,10 @@
 	return xxhash.Sum64(append(key[:], name...))
 }
 
-// Rank returns a router's rank among the candidates of a lease, from 0, by rendezvous hashing. All
-// routers with the same candidates compute the same ranks, and a router that is added or removed
-// does not change the order of the other routers. Rank returns -1 if self is not a candidate.
+// Rank returns a router's rank, from 0, among the candidates of a lease, which are the routers
+// that may hold it. The ranks are those of rendezvous hashing. All routers with the same
+// candidates compute the same ranks, and a router that is added or removed does not change the
+// order of the other routers. Rank returns -1 if self is not a candidate.
 func Rank(name string, self membership.ID, candidates []membership.ID) int {
 	if !slices.Contains(candidates, self) {
 		return -1
--- a/internal/fleet/lease/response.go
+++ b/internal/fleet/lease/response.go
@@ -36,8 +36,8 @@
 func (h *Holder) handleReleaseResponse(now float64, state *leaseState, response Response) {
 	switch {
 	case response.Granted && response.FencingToken > state.releasing.FencingToken:
-		// The registry has meanwhile granted an earlier request of this process. The router does
-		// not accept that grant, but releases the lease.
+		// The registry has meanwhile granted an earlier request of this process. The router does not
+		// accept that grant: from now on, its pending release has the token of the grant.
 		state.releasing.FencingToken = response.FencingToken
 		state.releaseAttempts = 0
 		state.nextRequestAt = now
@@ -109,8 +109,9 @@
 	return changes
 }
 
-// scheduleRetry sets when to request the lease again after a rejection. A router with a loss
-// count above 0 backs off exponentially with the count, up to Settings.MaxBackoff.
+// scheduleRetry sets when to request the lease again after a rejection. The registry counts how
+// often a router lost the lease. A router with a count above 0 backs off exponentially with the
+// count, up to Settings.MaxBackoff.
 func (s *leaseState) scheduleRetry(settings Settings, now float64, response Response) {
 	if s.rank < 0 {
 		s.nextRequestAt = math.Inf(1)
--- a/internal/fleet/leasemanager/bootstrap.go
+++ b/internal/fleet/leasemanager/bootstrap.go
@@ -13,10 +13,10 @@
 	maxHeardFrom  = 64    // maximum number of raft IDs in voterMetadata.HeardFrom
 )
 
-// maintainMembers runs every helloInterval. A voter whose node has not started sends hellos and
-// tries to start. The replies tell it whether it was a voter before. A node that is neither
-// voter nor learner sends hellos that ask to join. The leader promotes a learner that has caught
-// up.
+// maintainMembers runs every helloInterval. A voter whose node has not started sends hellos,
+// which are messages to the other voters, and tries to start. The replies to the hellos tell it
+// whether it was a voter before. A node that is neither voter nor learner sends hellos that ask
+// to join. The leader promotes a learner that has caught up.
 func (v *voter) maintainMembers(now float64) {
 	if v.node == nil {
 		v.sendHellos(hello{Name: v.name, RaftID: v.bootstrapID, NoLog: true})
@@ -45,8 +45,9 @@
 // hellos decide how the node starts.
 //
 // A reply can show that this voter has voted before, or that a registry already exists. As soon
-// as one reply shows this, the node starts under a new raft ID and without a vote. If all other
-// voters have replied and no reply shows this, the node starts as one of the first voters.
+// as one reply shows either of these facts, the node starts under a new raft ID and without a
+// vote. If all other voters have replied and no reply shows either fact, the node starts as one of
+// the first voters.
 //
 // Without the wait for replies, a voter whose disk was emptied could vote twice in the same term,
 // and two leaders could be elected.
@@ -79,8 +80,10 @@
 	v.fault = v.startNode(voters, now)
 }
 
-// recordHeardFrom stores on the disk that this voter has received a message from a raft ID. It
-// returns false if the raft ID could not be stored. The caller must then drop the message.
+// recordHeardFrom stores on the disk that this voter has received a message from a raft ID. The
+// replies to hellos use this record: from them, a voter that lost its disk learns that it voted
+// under its raft ID before. It returns false if the raft ID could not be stored. The caller must
+// then drop the message.
 func (v *voter) recordHeardFrom(id uint64) bool {
 	if slices.Contains(v.metadata.HeardFrom, id) {
 		return true
@@ -98,8 +101,9 @@
 	return true
 }
 
-// isTrusted reports whether to accept a hello from the router named sender. It accepts a hello that
-// describes the sender itself, and another router's join request that a voter forwards.
+// isTrusted reports whether to accept a hello. The argument sender is the name of the router that
+// sent it. isTrusted accepts a hello that describes the sender itself, and another router's join
+// request that a voter forwards.
 func (v *voter) isTrusted(received hello, sender string) bool {
 	return received.Name == sender || received.JoinRequest && v.isVoterName(sender)
 }
--- a/internal/fleet/leasemanager/holder.go
+++ b/internal/fleet/leasemanager/holder.go
@@ -120,7 +120,7 @@
 	return len(held) > 0
 }
 
-// release releases a lease to the router successor. If successor is 0, the first-ranked
+// release releases a lease to the router with the ID successor. If this ID is 0, the first-ranked
 // candidate other than this router gets the lease.
 func (m *Manager) release(now float64, name string, successor membership.ID) {
 	others := slices.DeleteFunc(m.eligibleMembers(), func(id membership.ID) bool { return id == m.self })
--- a/internal/fleet/leasemanager/manager.go
+++ b/internal/fleet/leasemanager/manager.go
@@ -171,10 +171,10 @@
 // confirmed the releases of all leases by then, or releaseTimeout has passed.
 func (m *Manager) Stopped() <-chan struct{} { return m.holderDone }
 
-// transferLeadership ends the updates of the ranks. If this router's voter is the leader,
-// transferLeadership transfers the leadership. It then waits until another voter leads, or until
-// leadershipTransferTimeout has passed. The routers that take over this router's leases then
-// find a leader that is not about to stop.
+// transferLeadership begins the shutdown: from now on, this router's ranks for leases are not
+// updated. If this router's voter is the leader, transferLeadership transfers the leadership. It
+// then waits until another voter leads, or until leadershipTransferTimeout has passed. The
+// routers that take over this router's leases then find a leader that is not about to stop.
 func (m *Manager) transferLeadership() {
 	m.stopping.Store(true)
 	deadline := time.Now().Add(leadershipTransferTimeout)
--- a/internal/fleet/leasemanager/members.go
+++ b/internal/fleet/leasemanager/members.go
@@ -24,8 +24,8 @@
 
 // addLearner returns the input that makes a joining voter a learner. If the registry does not yet
 // have the joining voter's name, the input proposes the name instead. The input is empty in two
-// cases: the joining voter is already a learner, or its name is neither that of a voter (which lost
-// its disk) nor one that operators added.
+// cases: the joining voter is already a learner, or its name is unknown. A name is known if it is
+// that of a voter, which must have lost its disk, or if operators added it.
 func (v *voter) addLearner(joining hello) consensus.Input {
 	if !v.isVoterName(joining.Name) && !v.approvedNames[joining.Name] {
 		return consensus.Input{}
--- a/internal/fleet/leasemanager/requests.go
+++ b/internal/fleet/leasemanager/requests.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	maxPendingRequests = 64 // requests that a later leader hint can redirect; if there are more, the oldest request is discarded
+	maxPendingRequests = 64 // requests that can be resent if a voter replies with the leader's name; if there are more, the oldest request is discarded
 
 	// Requests are counted since the last response. Every rotateAfter-th request goes to the
 	// next voter in Settings.Voters. Every forgetLeaderAfter-th request clears the likely
@@ -19,8 +19,8 @@
 	forgetLeaderAfter = 4
 )
 
-// SendBanRequest sends a request about operators' bans to the voters. payload is the result of
-// EncodeBanRequest. A response, if one arrives, is passed to Options.OnBanResponse.
+// SendBanRequest sends a request about operators' bans to the voters. The argument payload is the
+// result of EncodeBanRequest. A response, if one arrives, is passed to Options.OnBanResponse.
 func (m *Manager) SendBanRequest(requestID uint64, payload []byte) {
 	m.enqueueHolder(func(float64) {
 		m.sendRequest(requestID, outgoingMessage{channel: fragment.BanRequest, payload: payload})
--- a/internal/fleet/leasemanager/voter.go
+++ b/internal/fleet/leasemanager/voter.go
@@ -66,8 +66,8 @@
 // of the program must compute the same ID.
 func bootstrapRaftID(fleet, name string) uint64 { return xxhash.Sum64String(fleet+"\x00"+name) | 1 }
 
-// newVoter opens a voter's log, and starts the node if the log holds the voter's raft ID. now is
-// the time of the boot clock in ms, as in all steps.
+// newVoter opens a voter's log, and starts the node if the log holds the voter's raft ID. The
+// argument now is the time of the boot clock in ms, as in all steps.
 func newVoter(settings Settings, name string, logDir wal.FS, now float64) (*voter, error) {
 	created := &voter{
 		settings:      settings,
@@ -102,8 +102,8 @@
 	return err
 }
 
-// step calls handle for one event and then steps the node. handle may be nil. step returns the
-// messages and notices to send.
+// step calls the function handle, unless it is nil, for one event, and then steps the node. It
+// returns the messages and notices to send.
 func (v *voter) step(now float64, handle func(v *voter) consensus.Input) voterOutput {
 	var out voterOutput
 	v.output = &out
@@ -225,8 +225,8 @@
 	return consensus.Input{Message: message}
 }
 
-// handleRequest passes a router's request to the node, or sends the router a leader hint if another
-// voter leads.
+// handleRequest passes a router's request to the node, or sends the router the leader's name (a
+// leader hint) if another voter leads.
 func (v *voter) handleRequest(request consensus.ClientRequest) consensus.Input {
 	leader := v.leaderName()
 	if !v.leading && leader != "" && leader != v.name {
--- a/internal/fleet/leasemanager/voter_golden_test.go
+++ b/internal/fleet/leasemanager/voter_golden_test.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// runUntil advances the clock of clockedVoter until done returns true. At each step it also
-// makes the voters in helloSenders send hellos.
+// runUntil advances the clock of clockedVoter until the function done returns true. At each step
+// it also makes the voters in helloSenders send hellos.
 func (g *recordedGroup) runUntil(condition string, done func() bool, helloSenders ...string) {
 	g.t.Helper()
 	for deadline := g.now + 10_000; !done(); g.now += 10 {
--- a/internal/fleet/leaseregistry/state.go
+++ b/internal/fleet/leaseregistry/state.go
@@ -68,10 +68,10 @@
 	return &State{Leases: map[string]*Lease{}, Bans: map[routing.ServerID]*Ban{}, VoterNames: map[uint64]string{}}
 }
 
-// Apply applies a command. index is the log index of the command. It becomes the new token of
-// the lease or the new version of the ban. Apply returns ErrTokenMismatch if the lease or ban no
-// longer matches the command, ErrFull if a limit is reached, and ErrUnknownCommand for an
-// unknown operation. If Apply returns an error, the state is unchanged.
+// Apply applies a command. The argument index is the log index of the command. It becomes the new
+// token of the lease or the new version of the ban. Apply returns ErrTokenMismatch if the lease
+// or ban no longer matches the command, ErrFull if a limit is reached, and ErrUnknownCommand for
+// an unknown operation. If Apply returns an error, the state is unchanged.
 func (s *State) Apply(index uint64, command *Command) error {
 	switch command.Op {
 	case OpGrant:
@@ -178,10 +178,10 @@
 
 // recordLoss increments the holder's loss counter and halves those of all other routers.
 //
-// Without the halving, about ninety losses spread over eight routers would make each of these
-// routers back off for the longest time, and nobody would hold the lease. With the halving, only
-// a router that loses the lease repeatedly while others keep it reaches a high count. If all
-// routers lose the lease in turn, no router reaches a high count.
+// Without the halving, about ninety losses spread over eight routers (eleven for each) would make
+// each of these routers back off for the longest time, and nobody would hold the lease. With the
+// halving, only a router that loses the lease repeatedly while others keep it reaches a high
+// count. If all routers lose the lease in turn, no router reaches a high count.
 func (l *Lease) recordLoss() {
 	for id, losses := range l.Losses {
 		if id == l.Holder {
--- a/internal/fleet/loadreport/collector.go
+++ b/internal/fleet/loadreport/collector.go
@@ -23,8 +23,8 @@
 
 	// Servers returns the servers of the zone that are ready.
 	Servers func() []Server
-	// ReportLoad is called with the load of a server. age is the time in ms since the load was
-	// measured.
+	// ReportLoad is called with the load of a server. The argument age is the time in ms since the
+	// load was measured.
 	ReportLoad func(server routing.ServerID, load routing.LoadReport, age float64)
 }
 
@@ -130,11 +130,12 @@
 	}
 }
 
-// BatchInterval returns the time in ms for which reports are collected before they are sent to the
-// other routers of the zone. peers is the number of those routers. The interval grows with peers,
-// so that a router sends at most about 200 batches per second, whatever the number of servers.
-// Without batches, the lease holder of a zone with 30 routers and 20 servers would send 772 packets
-// per second, while a router may send 500.
+// BatchInterval returns the time in ms for which reports are collected before they are sent, as
+// one batch to each of the other routers of the zone. The argument peers is the number of those
+// routers. With an interval of at least 5 ms for each peer, a router sends at most about 200
+// batches per second, whatever the number of servers. Without batches, each report would be a
+// packet to each peer: the lease holder of a zone with 30 routers and 20 servers would send 772
+// packets per second, while a router may send 500 packets per second.
 func BatchInterval(peers int) float64 { return max(40, 5*float64(peers)) }
 
 // sendReports sends the measurements since the previous batch to the zone's other routers. It
--- a/internal/fleet/loadreport/loadreport.go
+++ b/internal/fleet/loadreport/loadreport.go
@@ -2,9 +2,9 @@
 // zone polls; it sends the reports to the other routers of the zone. If each router polled on its
 // own, every server would have to answer the polls of all routers.
 //
-// The Collector checks the lease again right before it writes a poll. Without this check, a router
-// could write a poll under a lease that has ended, because its process may have been paused after
-// it decided to poll.
+// The Collector checks the lease again right before it writes a poll. Otherwise, a router whose
+// process was paused after it had decided to poll could write the poll under a lease that has
+// ended.
 //
 // Collector runs one goroutine, and one more for each poll that is under way. All its methods but
 // Run may be called by any goroutine.
--- a/internal/fleet/loadreport/poll.go
+++ b/internal/fleet/loadreport/poll.go
@@ -48,7 +48,8 @@
 	}
 }
 
-// scheduleNext sets the time of the server's next poll after a poll that returned load and err.
+// scheduleNext sets the time of the server's next poll after a poll that returned the arguments
+// load and err.
 func (s *polledServer) scheduleNext(now float64, load routing.LoadReport, err error, minInterval, maxInterval float64) {
 	change := math.Abs(load.LinkUtilization - s.lastLinkUtilization)
 	if err != nil || change > significantChange || math.IsNaN(s.lastLinkUtilization) {
--- a/internal/fleet/membership/broadcast.go
+++ b/internal/fleet/membership/broadcast.go
@@ -136,7 +136,7 @@
 	m.output.Packets = append(m.output.Packets, OutgoingPacket{addr, packet})
 }
 
-// attachBroadcasts adds queued broadcasts to a packet, up to budget bytes.
+// attachBroadcasts adds queued broadcasts to a packet, up to a total size of budget, in bytes.
 func (m *Machine) attachBroadcasts(packet *Packet, budget int) {
 	limit := int(math.Ceil(m.settings.RetransmitMult * math.Log10(float64(len(m.present)+2))))
 	queue := &m.broadcasts
@@ -162,8 +162,8 @@
 	}
 }
 
-// outdated reports whether a queued update is older than the known update about the same router,
-// or is about a router that has been forgotten.
+// outdated returns true if a queued update is older than the known update about the same router,
+// or if it is about a router that has been forgotten.
 func (m *Machine) outdated(update *Update) bool {
 	known := m.peers[update.ID]
 	if known == nil {
--- a/internal/fleet/membership/machine.go
+++ b/internal/fleet/membership/machine.go
@@ -157,10 +157,10 @@
 	m.output = nil
 }
 
-// handleStall is called after this router's process was stopped for a while. It cancels the active
-// probe and extends all suspicions by the lateness, in ms, so that the time of the stop does not
-// count. Without this, a router that resumes after 30 s would find every probe unanswered and
-// every suspicion expired, and would report all other routers as failed.
+// handleStall is called after this router's process was stopped for a while. It cancels the
+// active probe and extends all suspicions by the lateness, in ms, so that the time of the stop
+// does not count. Otherwise, a router that resumes after 30 s would find every probe unanswered
+// and every suspicion expired, and would report all other routers as failed.
 func (m *Machine) handleStall(lateness float64) {
 	m.probe.target = nil
 	for _, suspect := range m.suspects {
@@ -197,9 +197,9 @@
 	m.pending = slices.DeleteFunc(m.pending, func(request pendingRequest) bool { return request.expiresAt <= m.now })
 }
 
-// pollSuccessor sends a SyncRequest to a random router. The answer shows whether the later
-// process with this router's ID is still present. While the later process is present, this
-// process does no other work.
+// pollSuccessor is called after a later process has taken over this router's ID. It sends a
+// SyncRequest to a random router, whose answer shows whether the later process is still present.
+// While the later process is present, this process does no other work.
 func (m *Machine) pollSuccessor() {
 	if m.nextReconnectAt > m.now {
 		return
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -37,7 +37,7 @@
 
 var stateNames = [...]string{"alive", "suspect", "failed", "left"}
 
-// String returns the name of the state that logs, metrics and the admin API show.
+// String returns the name under which logs, metrics and the admin API show the state.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -105,9 +105,10 @@
 	return m.randomPeer(excluded)
 }
 
-// failProbe ends the active probe. If the target has not answered, the target becomes suspect.
-// Each helper that sent no Nack raises this router's health score, since this router itself may
-// be slow.
+// failProbe ends the active probe. If the target has not answered, the target becomes suspect. A
+// helper is a router that was asked to probe the target, and sends a Nack if the target does not
+// answer it. Each helper whose Nack has not arrived raises this router's health score: a Nack
+// shows that packets reach this router in time, so without it this router itself may be slow.
 func (m *Machine) failProbe() {
 	probe := &m.probe
 	target := probe.target
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -20,7 +20,8 @@
 	sync      bool // the request is a SyncRequest
 }
 
-// unverifiedPacket is a packet that is stored until its sender has been verified.
+// unverifiedPacket is a packet that is stored until its sender has been verified. A sender is
+// verified when it has answered a request of this router.
 type unverifiedPacket struct {
 	packet    *Packet
 	expiresAt float64
@@ -104,13 +105,14 @@
 	}
 }
 
-// isTarget reports whether a packet is addressed to this router or to any router.
+// isTarget returns true if a packet is addressed to this router, or if its Target is 0 and any
+// router may receive it.
 func (m *Machine) isTarget(packet *Packet) bool {
 	return packet.Target == m.self.ID || packet.Target == 0
 }
 
-// handleVerified handles a packet of a verified sender. The argument answersSync tells whether the
-// packet answers a SyncRequest of this router.
+// handleVerified handles a packet of a verified sender, which has answered a request of this
+// router. The argument answersSync tells whether the packet answers a SyncRequest of this router.
 func (m *Machine) handleVerified(sender *peer, packet *Packet, answersSync bool) {
 	sender.lastReceivedAt = m.now
 	m.lastReceivedAt = m.now
--- a/internal/fleet/membership/relay.go
+++ b/internal/fleet/membership/relay.go
@@ -7,8 +7,8 @@
 
 const (
 	maxRelays = 64
-	// relayLifetime is the number of probe intervals that a relayed probe waits for a late
-	// answer after the Nack has been sent.
+	// relayLifetime is the number of probe intervals that a relayed probe waits for a late answer
+	// after the Nack has been sent, which says that the target has not answered in time.
 	relayLifetime = 2
 )
 
--- a/internal/fleet/membership/search_test.go
+++ b/internal/fleet/membership/search_test.go
@@ -24,8 +24,9 @@
 	// healDuration is the time for which the routers run without faults before their views must
 	// be equal, in ms.
 	healDuration = 60_000
-	// failureDuration is the time after which a wrongly suspected router would have been
-	// declared failed, in ms. Equal views are accepted only after this time.
+	// failureDuration is the time after which a wrongly suspected router would have been declared
+	// failed, in ms. Equal views are accepted only after this time, because such a failure may
+	// follow until then.
 	failureDuration = 8000
 )
 
@@ -148,8 +149,8 @@
 	}
 }
 
-// deliver delivers the i-th packet in flight. If keep is true, the packet stays in flight and can
-// be delivered again.
+// deliver delivers the i-th packet in flight. If the argument keep is true, the packet stays in
+// flight and can be delivered again.
 func (s *searchState) deliver(i int, keep bool) {
 	out := s.inFlight[i]
 	if !keep {
--- a/internal/fleet/membership/sync.go
+++ b/internal/fleet/membership/sync.go
@@ -8,10 +8,12 @@
 // maxSyncPackets is the maximum number of packets that answer one SyncRequest.
 const maxSyncPackets = 16
 
-// syncBackoff is the factor by which the interval between syncs grows while views are equal.
+// syncBackoff is the factor by which the interval between syncs (comparisons of the views of two
+// routers) grows while the views are equal.
 const syncBackoff = 1.5
 
-// shortestSyncInterval returns the interval between syncs while views differ, in ms.
+// shortestSyncInterval returns the interval between syncs (comparisons of the views of two
+// routers) while the views differ, in ms.
 func (m *Machine) shortestSyncInterval() float64 {
 	return min(m.settings.ReconnectInterval, m.settings.SyncInterval)
 }
--- a/internal/fleet/membership/update.go
+++ b/internal/fleet/membership/update.go
@@ -7,7 +7,8 @@
 // immediately: the router is probed first.
 const recentProbeIntervals = 8
 
-// maxReportedConflicts is the maximum number of conflicts that are reported.
+// maxReportedConflicts is the maximum number of conflicts (two routers with the same name or ID)
+// that are reported.
 const maxReportedConflicts = 256
 
 // applyUpdate applies an update about a router if it is newer than the known update, or counts it
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -129,7 +129,7 @@
 }
 
 // rank returns a router's rank for the item with the given hash. All routers compute the same
-// ranks, and therefore select the same relays.
+// ranks, and therefore select the same relays, which are the routers that broadcast the item.
 func rank(id membership.ID, hash uint64) uint64 {
 	mixed := (uint64(id) ^ hash) * 0x9e3779b97f4a7c15
 	return mixed ^ mixed>>32
--- a/internal/fleet/packetcrypto/keyring.go
+++ b/internal/fleet/packetcrypto/keyring.go
@@ -28,8 +28,9 @@
 	ErrNoMatchingKey   = errors.New("fleet packet cannot be decrypted: it was modified, or encrypted with a key that this router does not have")
 )
 
-// Layout of a packet. The header is authenticated but not encrypted: two magic bytes, the version,
-// a hash of the fleet's name, and the key hint. The nonce and the ciphertext follow.
+// Layout of a packet. The header is authenticated but not encrypted: two magic bytes, the
+// version, a hash of the fleet's name, and the key hint, by which the receiver selects the keys
+// to try. The nonce and the ciphertext follow.
 const (
 	magic0 = 'g'
 	magic1 = 'f'
--- a/internal/fleet/recoveryprobe/holder.go
+++ b/internal/fleet/recoveryprobe/holder.go
@@ -9,9 +9,10 @@
 	"garnetline/routing"
 )
 
-// ejectionDelay is the time, in ms, within which this router's routing module ejects a server that
-// this router must probe. If the server is not ejected after this time, the server has just
-// answered a request, and has therefore recovered.
+// ejectionDelay is the time, in ms, within which this router's routing module ejects a server
+// that this router must probe. The routing module keeps the server ejected until a request to it
+// has succeeded. If the server is not ejected after this time, such a request has just succeeded,
+// so the server has recovered.
 const ejectionDelay = 150.0
 
 // stepAsHolder does the part of a step that only the lease holder does.
--- a/internal/fleet/recoveryprobe/machine.go
+++ b/internal/fleet/recoveryprobe/machine.go
@@ -133,9 +133,10 @@
 			out.Messages[candidate] = report
 		}
 	}
-	// The lease holder may be none of the candidates. Without a report, the holder would not learn
-	// of the ejected server, and all routers would probe on their own. Therefore each report also
-	// goes to one more peer, which is chosen in round-robin order.
+	// The lease holder may be none of the candidates, the routers that are expected to hold the
+	// lease. Without a report, the holder would not learn of the ejected server, and all routers
+	// would probe on their own. Therefore each report also goes to one more peer, which is chosen
+	// in round-robin order.
 	if peerCount := len(input.ZonePeers); peerCount > 0 {
 		m.nextPeerIndex++
 		out.Messages[input.ZonePeers[m.nextPeerIndex%peerCount]] = report
--- a/internal/fleet/recoveryprobe/machine_test.go
+++ b/internal/fleet/recoveryprobe/machine_test.go
@@ -201,7 +201,8 @@
 	}
 }
 
-// The routers find a lease holder that is not among the candidates.
+// The routers find a lease holder that is not among the candidates, to which they send their
+// reports while the holder is unknown.
 func TestHolderOutsideCandidates(t *testing.T) {
 	z := newZone(5, 30, true)
 	z.holder = 17
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -17,7 +17,7 @@
 	Connectivity      string         `json:"stance"` // together, partial or alone
 	ConnectivitySince float64        `json:"stance_since_ms"`
 	Present           int            `json:"there"`   // number of routers that are alive or suspect, including this router
-	Known             int            `json:"known"`   // number of routers that were recently present; budgets that the fleet shares are divided by it
+	Known             int            `json:"known"`   // number of routers that were recently present; each limit that the whole fleet shares is divided by it
 	HealthScore       int            `json:"health"`  // evidence that this router itself is slow; 0: none
 	Superseded        bool           `json:"yielded"` // a later process has this router's ID
 	Members           []MemberStatus `json:"members"`
--- a/internal/fleet/transport/transport_test.go
+++ b/internal/fleet/transport/transport_test.go
@@ -67,7 +67,7 @@
 	return transport.Status()
 }
 
-// waitForBans waits until count servers are banned.
+// waitForBans waits until the number of banned servers is equal to the argument count.
 func waitForBans(t *testing.T, transport *Transport, count int) {
 	t.Helper()
 	for range 5000 {
--- a/internal/fleet/wireformat/fields.go
+++ b/internal/fleet/wireformat/fields.go
@@ -2,9 +2,10 @@
 
 import "google.golang.org/protobuf/encoding/protowire"
 
-// VisitFunc is called with each field of a message. value is the value of a number field, and
-// content is the content of a string field. content is a slice of the message and not a copy.
-// VisitFunc returns false if the field is not valid; the parsing then ends.
+// VisitFunc is called with each field of a message. The argument value is the value of a number
+// field, and the argument content is that of a string field. The content is a slice of the
+// message and not a copy. VisitFunc returns false if the field is not valid; the parsing then
+// ends.
 type VisitFunc func(number protowire.Number, value uint64, content []byte) bool
 
 // ParseFields calls visit with each field of a message of varints and strings. It returns false if
--- a/internal/fleet/wireformat/writer.go
+++ b/internal/fleet/wireformat/writer.go
@@ -39,8 +39,8 @@
 	w.encoded = protowire.AppendBytes(w.encoded, value)
 }
 
-// Message appends a nested message. It calls write to append the fields of the nested message.
-// An empty message is omitted.
+// Message appends a nested message. It calls the function write to append the fields of the
+// nested message. An empty message is omitted.
 func (w *Writer) Message(number protowire.Number, write func(*Writer)) {
 	var inner Writer
 	write(&inner)
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -11,8 +11,8 @@
 	"garnetline/routing"
 )
 
-// changeLogBase is the sequence number of the event in the routers' configuration. The first event
-// of the change log has the next sequence number.
+// changeLogBase is the sequence number of the event that the routers' configuration already
+// contains. The first event of the change log has the next sequence number.
 const changeLogBase = 1
 
 // Cluster is a set of running routers, fake servers and a change log, with the fault proxy between
--- a/internal/testcluster/conditions.go
+++ b/internal/testcluster/conditions.go
@@ -58,7 +58,7 @@
 // the status that was found instead.
 type statusCheck func(router *Router, status *fleet.Status) (met bool, observed string)
 
-// waitForStatus waits until the function check accepts the status of every router.
+// waitForStatus waits until the argument check accepts the status of every router.
 func (c *Cluster) waitForStatus(description string, timeout time.Duration, routers []*Router, check statusCheck) (time.Duration, error) {
 	return c.WaitUntil(description, timeout, func() (bool, string) {
 		for _, router := range routers {
@@ -101,8 +101,8 @@
 	})
 }
 
-// WaitForBan waits until a server is banned at every router. If banned is false, it waits until the
-// server is banned at no router.
+// WaitForBan waits until a server is banned at every router. If the argument banned is false, it
+// waits until the server is banned at no router.
 func (c *Cluster) WaitForBan(timeout time.Duration, server string, banned bool, routers ...*Router) (time.Duration, error) {
 	description := fmt.Sprintf("server %s has banned=%v at all routers", server, banned)
 	return c.waitForStatus(description, timeout, routers, func(_ *Router, status *fleet.Status) (bool, string) {
--- a/internal/testcluster/config.go
+++ b/internal/testcluster/config.go
@@ -91,7 +91,7 @@
 	return os.WriteFile(r.settingsFile, []byte(settings), filePermissions)
 }
 
-// fleetBlock returns the fleet block of the settings file.
+// fleetBlock returns the block "fleet" of the settings file.
 func (r *Router) fleetBlock(keys []string) string {
 	return fmt.Sprintf("fleet {\n enabled = true\n name = \"rig\"\n listen = %q\n advertise = %q\n join = [%s]\n keys = [%s]\n%s}\n",
 		r.FleetAddr, r.AdvertisedAddr, quotedList(r.joinAddresses()), quotedList(keys), r.cluster.options.FleetSettings)
@@ -113,7 +113,7 @@
 	return addresses
 }
 
-// leaseBlock returns the duties block of the settings file, which configures the leases.
+// leaseBlock returns the block "duties" of the settings file, which configures the leases.
 func (r *Router) leaseBlock() string {
 	return fmt.Sprintf("duties {\n enabled = true\n electors = [%s]\n prober {\n  every_ms = 20\n  most_ms = 20\n }\n%s}\n",
 		quotedList(r.voterNames()), r.cluster.options.LeaseSettings)
--- a/internal/testcluster/failpoint_test.go
+++ b/internal/testcluster/failpoint_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Failpoints of a program that was built with the tag faults.
+// Failpoints of a program that was built with the tag "faults".
 const (
 	failpointWallClock = "fault-wall" // ms
 	failpointSaveDelay = "fault-save" // ms
--- a/internal/testcluster/options.go
+++ b/internal/testcluster/options.go
@@ -16,9 +16,9 @@
 	Servers        int
 	Fleet          bool          // the routers form a fleet
 	Voters         int           // number of voters; the first routers are the voters; 0: no leases
-	LeaseSettings  string        // additional lines of the duties block in the settings file
+	LeaseSettings  string        // additional lines of the block "duties" in the settings file
 	NoSettingsFile bool          // the daemon is started without a settings file
-	FleetSettings  string        // additional lines of the fleet block in the settings file
+	FleetSettings  string        // additional lines of the block "fleet" in the settings file
 	Seed           uint64        // for the random numbers of the fault proxy and the clients
 	Dir            string        // parent directory of the routers' files; created if needed
 	Timeout        time.Duration // time limit for a process to become ready or to exit; 0: 30 s
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -216,8 +216,8 @@
 	}
 }
 
-// stoppedWithin waits until the channel stop is closed or the duration has passed. It reports
-// whether the channel was closed.
+// stoppedWithin waits until the channel in the argument stop is closed or the duration has
+// passed. It reports whether the channel was closed.
 func stoppedWithin(stop <-chan struct{}, duration time.Duration) bool {
 	select {
 	case <-stop:
--- a/internal/testcluster/recovery_test.go
+++ b/internal/testcluster/recovery_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// firstRequestAfter returns the time at which a server received its first request after start,
-// rounded up by at most 10 ms.
+// firstRequestAfter returns the time at which a server received its first request after the time
+// start, rounded up by at most 10 ms.
 func firstRequestAfter(server *Server, start time.Time) (at time.Time, found bool) {
 	const step = 10 * time.Millisecond
 	for at = start; at.Before(time.Now()); at = at.Add(step) {
--- a/internal/testcluster/router.go
+++ b/internal/testcluster/router.go
@@ -85,9 +85,9 @@
 // unlike Name.
 func (r *Router) ProxyName() string { return filepath.Base(r.dir) }
 
-// SetFailpoint sets a failpoint of the router, whose program must be built with the tag faults. The
-// value is in milliseconds. For the failpoint fault-wall it is the offset of the wall clock. For
-// fault-save it is the duration of each write to disk.
+// SetFailpoint sets a failpoint of the router, whose program must be built with the tag "faults".
+// The value is in milliseconds. For the failpoint "fault-wall", the value is the offset of the
+// wall clock. For "fault-save", it is the duration of each write to disk.
 func (r *Router) SetFailpoint(name string, milliseconds int64) error {
 	file := filepath.Join(r.StateDir(), name)
 	temporary := file + "~" // a rename is atomic, so the program never reads a partly written file
--- a/internal/testcluster/server.go
+++ b/internal/testcluster/server.go
@@ -57,8 +57,9 @@
 	return fakeserver.Answer(id, "DONE", "tag=t1,minted=1", "bytes of an object")
 }
 
-// answerHealthCheck records a health check and reports a load of one half. A tag without a fencing
-// token is recorded with token 0, which is less than any valid token.
+// answerHealthCheck records a health check and reports a load of one half. The argument tag is
+// the health check's ID, which begins with "p" and the fencing token of the sender's lease. A tag
+// without a fencing token is recorded with token 0, which is less than any valid token.
 func (s *Server) answerHealthCheck(tag string) string {
 	var probe Probe
 	_, _ = fmt.Sscanf(tag, "p%d.", &probe.FencingToken)
@@ -104,8 +105,8 @@
 	return count
 }
 
-// RequestsBetween returns the number of requests that the server received at or after start and
-// before end.
+// RequestsBetween returns the number of requests that the server received at or after the time
+// start and before the time end.
 func (s *Server) RequestsBetween(start, end time.Time) (count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,8 +137,8 @@
 }
 
 // Handovers returns the changes of the lease holder that the server observed. If health checks
-// arrived out of the order of their fencing tokens, violation is a *TokenOrderError that describes
-// the last such health check.
+// arrived out of the order of their fencing tokens, the result violation is a *TokenOrderError
+// that describes the last such health check.
 func (s *Server) Handovers() (handovers []Handover, violation error) {
 	probes := s.Probes()
 	for i := 1; i < len(probes); i++ {
