--- a/cmd/garnetline/bench_test.go
+++ b/cmd/garnetline/bench_test.go
@@ -17,8 +17,9 @@
 // benchmarkClients is the number of clients that send requests concurrently.
 const benchmarkClients = 4
 
-// benchmarkTrace returns a trace block that retains ordinaryPerSecond ordinary traces a second, which
-// are traces that no other rule retains. The text extraSettings is appended to the block.
+// benchmarkTrace returns a trace block of the operators' file with which a router retains
+// ordinaryPerSecond ordinary traces a second. A trace is ordinary if the router has no other reason
+// to retain it, such as a failure. The text extraSettings is appended to the block.
 func benchmarkTrace(dir, ordinaryPerSecond, extraSettings string) string {
 	return fmt.Sprintf("trace {\n enabled = true\n folder = %q\n ordinary_per_s = %s\n undecided_kb = 65536\n honour_sampled = false\n%s}\n",
 		dir, ordinaryPerSecond, extraSettings)
--- a/cmd/garnetline/check_command.go
+++ b/cmd/garnetline/check_command.go
@@ -57,7 +57,8 @@
 		command.String("settings") != "" && command.String("dns") == ""
 }
 
-// printConnectivityBehavior prints what a router does in each connectivity state.
+// printConnectivityBehavior prints what a router does in each connectivity state: "together",
+// "partial" or "alone", depending on how many routers of its fleet it can reach.
 func printConnectivityBehavior(out io.Writer) error {
 	table := newTable(out)
 	table.linef("\ttogether\tpartial\talone")
--- a/cmd/garnetline/daemon.go
+++ b/cmd/garnetline/daemon.go
@@ -150,8 +150,8 @@
 	case syscall.SIGUSR1:
 		d.logCounters()
 	case syscall.SIGHUP:
-		// The configuration is reloaded during a shutdown too, because open requests may need
-		// the new address of the change log.
+		// The configuration is reloaded during a shutdown too, because watch events still apply to
+		// open requests, and the router may have to read them from a change log at a new address.
 		d.reload()
 	default:
 		if d.drained == nil {
--- a/cmd/garnetline/daemon_parts.go
+++ b/cmd/garnetline/daemon_parts.go
@@ -15,7 +15,8 @@
 	"garnetline/internal/upstream"
 )
 
-// dnsShutdownTimeout is how long a shutdown waits for open lookups of the DNS front.
+// dnsShutdownTimeout is how long a shutdown waits until the DNS front has answered its open
+// queries.
 const dnsShutdownTimeout = time.Second
 
 // build creates the parts and connects them to each other. startDNS and startParts start them.
@@ -86,10 +87,10 @@
 	}
 	d.onClose(func() {
 		// ctx may be canceled already. With a canceled context, Shutdown would not wait for open
-		// lookups.
+		// DNS queries.
 		shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), dnsShutdownTimeout)
 		defer cancel()
-		d.dns.Shutdown(shutdownCtx) //nolint:errcheck // lookups still open after the timeout get no response
+		d.dns.Shutdown(shutdownCtx) //nolint:errcheck // queries still open after the timeout get no response
 	})
 	return nil
 }
--- a/cmd/garnetline/daemon_shutdown.go
+++ b/cmd/garnetline/daemon_shutdown.go
@@ -12,7 +12,8 @@
 	// The platform's front end still sends requests to the router for 0.6 s after the signal.
 	acceptAfterSignal = 700 * time.Millisecond
 	// killDelay is the shortest time, in ms, from the end of acceptAfterSignal until the platform
-	// kills the process. drainTime uses the longest deadline of all classes instead if it is shorter.
+	// kills the process. If the longest deadline of all classes is shorter than killDelay, drainTime
+	// uses that deadline instead.
 	killDelay = 3000.0
 	// killMargin is the time, in ms, between the last response and the kill. A response needs this
 	// time to reach its client.
@@ -39,8 +40,8 @@
 }
 
 // drainTime returns the time, in ms after the signal, by which all open requests have to be
-// answered. Without this bound, a request of a class with a long deadline would wait for a hanging
-// cache until the process is killed, and would get no response.
+// answered. If the requests could stay open longer, a request of a class with a long deadline would
+// wait for a hanging cache until the process is killed, and would get no response.
 func drainTime(classes []routing.Class) float64 {
 	untilKill := min(clock.Millis(routing.MaxDeadline(classes)), killDelay)
 	return clock.Millis(acceptAfterSignal) + max(untilKill-killMargin, 0)
--- a/cmd/garnetline/fleet.go
+++ b/cmd/garnetline/fleet.go
@@ -53,7 +53,8 @@
 }
 
 // joinFleet creates the services of the fleet. It connects the watcher of the endpoint list to the
-// transport between the routers. It returns nil if the operators' file enables no fleet.
+// transport between the routers, through which the routers report watch events to each other. It
+// returns nil if the operators' file enables no fleet.
 func joinFleet(router *daemon) (*fleetServices, error) {
 	platform, operators := router.startup.platform, router.startup.operators
 	if !operators.Fleet.Enabled {
@@ -93,7 +94,7 @@
 
 // storedBans returns the servers that operators have disabled at this router. It reads them from
 // the router's state directory. If it cannot read the directory, it increments the counter
-// marks_unread and returns no servers.
+// "marks_unread" and returns no servers.
 func (d *daemon) storedBans() []routing.ServerID {
 	stored, err := disabled.NewStore(d.startup.platform.StateDir).List()
 	if err != nil {
@@ -117,8 +118,9 @@
 		f.Transport.Run(ctx)
 		return
 	}
-	// The transport stops after the lease manager. The manager needs it to transfer the leases,
-	// which happens before the other routers are notified that this router leaves.
+	// The transport stops after the lease manager, because the lease manager sends messages through
+	// the transport when it transfers the leases. When the lease manager has stopped, the transport
+	// notifies the other routers that this router leaves, and stops.
 	transportCtx, stopTransport := context.WithCancel(context.WithoutCancel(ctx))
 	for _, service := range f.background {
 		go service.Run(ctx)
--- a/cmd/garnetline/fleet_test.go
+++ b/cmd/garnetline/fleet_test.go
@@ -164,8 +164,8 @@
 }
 
 // permanentSockets returns the number of sockets of a router without its short-lived connections to
-// clients and the admin API. It counts the sockets until 20 successive counts are no lower than an
-// earlier count, and returns the lowest count.
+// clients and the admin API. It counts the sockets repeatedly until 20 counts in succession have
+// brought no new lowest count, and returns the lowest count.
 func permanentSockets(t *testing.T, cluster *testcluster.Cluster, router *testcluster.Router) int {
 	t.Helper()
 	const polls = 20
@@ -211,7 +211,7 @@
 	return types.String()
 }
 
-// withoutClientTimeouts cuts each request before the field patience. This field holds the client's
+// withoutClientTimeouts cuts each request before the field "patience". This field holds the client's
 // remaining time, which differs from run to run.
 func withoutClientTimeouts(requests []string) []string {
 	var cut []string
@@ -249,9 +249,9 @@
 	}
 }
 
-// The command check validates only the operators' file if no platform configuration is named. If
-// the file enables a fleet, check also prints the table of a router's behavior in each connectivity
-// state.
+// The command "check" validates only the operators' file if no platform configuration is named. If
+// the file enables a fleet, the command also prints a table of what a router does in each
+// connectivity state, which depends on how many routers of the fleet it can reach.
 func TestCheckSettingsFileAlone(t *testing.T) {
 	const keys = " keys = [\"sixteen bytes or more\"]\n"
 	for name, test := range map[string]struct {
--- a/cmd/garnetline/request_lifecycle_test.go
+++ b/cmd/garnetline/request_lifecycle_test.go
@@ -186,7 +186,8 @@
 	}
 }
 
-// readUntil reads repeatedly. It calls ok after each read and returns when ok returns true.
+// readUntil requests the test's object repeatedly. It calls the function ok after each request and
+// returns when ok returns true.
 func (w *watchEventTest) readUntil(condition string, ok func() bool) {
 	w.t.Helper()
 	daemontest.WaitUntil(w.t, condition, func() bool {
@@ -210,8 +211,9 @@
 }
 
 // A watch event applies to the requests that the router sends after it. After a purge, each request
-// has a bound on the age of a copy. After the announcement of a drain, no request goes to the
-// draining cache or names it as the fill source.
+// limits the age of the copy with which a cache may answer, so that the cache uses no copy from
+// before the purge. After the announcement of a drain, no request goes to the draining cache or
+// names it as the fill source.
 func TestWatchEventsApplyToNextRequests(t *testing.T) {
 	test := newWatchEventTest(t)
 	test.changeLog.Purge(0xaa, uint64(time.Now().UnixMilli()-30))
@@ -241,8 +243,8 @@
 }
 
 // After SIGTERM, the router answers all requests before the process is killed, even if the caches
-// hang. These are the requests that are open at a cache and those that the router accepts after the
-// signal. A second SIGTERM changes nothing.
+// hang. It answers the requests that are open at a cache when the signal arrives, and those that it
+// accepts after the signal. A second SIGTERM changes nothing.
 func TestShutdownWhileCachesHang(t *testing.T) {
 	received := make(chan bool, 8)
 	server := daemontest.NewServer(t, func(string, string) string {
--- a/cmd/garnetline/serve_test.go
+++ b/cmd/garnetline/serve_test.go
@@ -17,7 +17,7 @@
 const binaryBody = "the\r\nbytes\x00"
 
 // failOnceServer replies like a cache that has every object, and fails the first request for the
-// object bb.
+// object with the hexadecimal id bb.
 type failOnceServer struct {
 	mu     sync.Mutex
 	failed bool
--- a/cmd/garnetline/trace_command.go
+++ b/cmd/garnetline/trace_command.go
@@ -25,7 +25,8 @@
 	// followInterval is the time between two searches of the directories for new traces.
 	followInterval = 300 * time.Millisecond
 	// followLookBack is the maximum time, in ms, between the start of a trace and the moment when
-	// the trace is written. It covers the longest wait of a client plus one sampling window.
+	// the trace is written. It covers the longest wait of a client plus one sampling window, at
+	// whose end the router decides which traces of ordinary requests it retains.
 	followLookBack = 120_000
 	// waterfallWidth is the width, in characters, of the bars in the output of "trace show".
 	waterfallWidth = 40
@@ -33,7 +34,7 @@
 	defaultMostTraces = 50
 )
 
-// The output formats of trace export.
+// The output formats of the command "trace export".
 const (
 	exportOTLP = "otlp"
 	exportHTML = "html"
@@ -128,7 +129,8 @@
 	return lines.err
 }
 
-// blameTraces prints which servers, fill sources and routers failed attempts have in common.
+// blameTraces prints the servers, fill sources and routers of failed attempts. It begins with those
+// whose attempts fail most often in comparison with all other attempts.
 func blameTraces(command *cli.Command, out io.Writer) error {
 	analysis, count := analysis.New(), 0
 	err := forEachTrace(command, func(found *trace.Trace) bool {
--- a/cmd/garnetline/trace_propagation_test.go
+++ b/cmd/garnetline/trace_propagation_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// propagationRequest returns the text of request i. Some requests for objects whose ids end in e
-// fail. Each cache fills an object whose id ends in f only once.
+// propagationRequest returns the text of request i. Some requests for objects whose ids end in
+// "e" fail. Each cache fills an object whose id ends in "f" only once.
 func propagationRequest(random *rand.Rand, i int) string {
 	object := fmt.Sprintf("%015x%c", 1+random.IntN(12), "0123e0123f"[random.IntN(10)])
 	header := []string{daemontest.Transaction(i + 1), daemontest.ClientTimeout(3 * time.Second)}
@@ -218,7 +218,8 @@
 // server continues the caches' traces. Each attempt that arrived has a work span of its cache as a
 // child. This span lies within the time of the attempt, although the server's clock is an hour
 // ahead. A server retains the traces that the router retains and those that failed, and no other
-// traces. A verdict to retain a request that joined a fill also retains that fill.
+// traces. If the router tells a cache to retain the trace of a request that joined a fill, the
+// trace of that fill is retained too.
 func TestServersContinueTraces(t *testing.T) {
 	test := newPropagationTest(t)
 	test.run()
--- a/cmd/garnetline/trace_test.go
+++ b/cmd/garnetline/trace_test.go
@@ -33,7 +33,7 @@
 const slowReply = 500 * time.Millisecond
 
 // The requests of the failure test. Each of failureClients clients sends requestsPerClient
-// requests. The index of a request modulo kinds selects the request's kind.
+// requests. The kind of a request is its index modulo the number of kinds.
 const (
 	failureClients    = 12
 	requestsPerClient = 25
--- a/internal/daemontest/servers.go
+++ b/internal/daemontest/servers.go
@@ -77,8 +77,9 @@
 	tb.Cleanup(func() { Close(tb, resource) })
 }
 
-// WaitUntil calls ok repeatedly until ok returns true. It ends the test if this takes longer than
-// Timeout. The text condition describes the expected state in the failure message.
+// WaitUntil calls the function ok repeatedly until ok returns true. It ends the test if ok has not
+// returned true within Timeout. The text condition describes the expected state in the failure
+// message.
 func WaitUntil(tb testing.TB, condition string, ok func() bool) {
 	tb.Helper()
 	deadline := time.Now().Add(Timeout)
--- a/internal/frontend/dnsfront/harness_test.go
+++ b/internal/frontend/dnsfront/harness_test.go
@@ -53,7 +53,8 @@
 	kindCount
 )
 
-// testSettings returns settings with one zone and two classes: part for reads, form for writes.
+// testSettings returns settings with one zone and two classes: "part" for reads and "form" for
+// writes.
 func testSettings() routing.Settings {
 	slowStart := routing.SlowStart{
 		InitialCapacity: 0.15,
--- a/internal/frontend/dnsfront/server_test.go
+++ b/internal/frontend/dnsfront/server_test.go
@@ -226,9 +226,9 @@
 	}
 }
 
-// TestLookupsCountAgainstWarmingServers checks that lookups count against the capacity that slow
-// start gives to a cache that is warming up. The lookups are all that the DNS server knows about
-// the load of a cache.
+// TestLookupsCountAgainstWarmingServers checks that each DNS lookup counts against the capacity that
+// slow start gives to a cache that is warming up. The DNS server does not see the transfers of a
+// cache, so the lookups are all that it knows about the load of the cache.
 func TestLookupsCountAgainstWarmingServers(t *testing.T) {
 	harness := newHarness(t)
 	harness.listOneCache()
@@ -247,9 +247,9 @@
 	}
 }
 
-// TestWarmingServersStayWithinTheirBudget checks the lookups that select a server that is warming
-// up, when weights are capacities. Some lookups select the server, but their number in a window
-// stays within the budget of slow start.
+// TestWarmingServersStayWithinTheirBudget checks how many DNS lookups select a server that is
+// warming up, if the weights of servers are their capacities. At least one lookup selects the
+// server, and no more lookups do than slow start allows in the time of the test.
 func TestWarmingServersStayWithinTheirBudget(t *testing.T) {
 	harness := newHarness(t, func(settings *routing.Settings) {
 		settings.WeightIsCapacity = true
@@ -264,9 +264,10 @@
 	harness.publish(true, weighted(1, cacheKind, 0), weighted(8, parentKind, 0), weighted(9, originKind, 0))
 	harness.publish(false, weighted(2, cacheKind, harness.clock.Now()))
 	selected := harness.countAnswers(t, "127.0.9.2", 150, 10)
-	// In a window of 1.5 s the server may get 3 times its capacity. Slow start raises its capacity
-	// from 0.15 to 0.23 of 10 concurrent transfers, and a transfer takes 0.4 s, the latency
-	// objective of the class. The upper bound is 3 * 0.23 * 10 * 1.5 / 0.4.
+	// For 1.5 s, slow start lets the server get up to 3 times its present capacity. In this time,
+	// its capacity grows from 0.15 to 0.23 of its full capacity, which is 10 concurrent transfers.
+	// A transfer takes 0.4 s, the latency objective of the class. The upper bound is therefore
+	// 3 * (0.23 * 10 transfers) * 1.5 s / 0.4 s, which is 25.9 transfers.
 	const maxSelected = 25
 	if selected == 0 || selected > maxSelected {
 		t.Errorf("the server was selected %d times in its first window, want 1 to %d", selected, maxSelected)
--- a/internal/frontend/httpfront/clients_test.go
+++ b/internal/frontend/httpfront/clients_test.go
@@ -131,7 +131,7 @@
 	for _, test := range []struct {
 		name         string
 		text         string  // sent first
-		repeat       string  // sent repeatedly after text
+		repeat       string  // sent repeatedly after the field text
 		byteInterval float64 // ms between two bytes; 0: full speed
 		maxElapsed   float64 // upper bound of the time in ms until the connection is closed
 		status       int     // HTTP status of the response; 0: no response
--- a/internal/frontend/httpfront/conn.go
+++ b/internal/frontend/httpfront/conn.go
@@ -97,8 +97,9 @@
 }
 
 // readableAfterTimeout reports whether a read timed out although the socket holds unread bytes.
-// A read whose deadline has passed fails without looking at the socket. Without this check, a
-// request that arrived just before the timeout would be lost when the connection is closed.
+// A read whose deadline has passed fails without looking at the socket. Without
+// readableAfterTimeout, a request that arrived just before the timeout would be lost when the
+// connection is closed.
 func (c *conn) readableAfterTimeout(err error) bool {
 	return isTimeout(err) && c.text.Readable()
 }
--- a/internal/frontend/httpfront/fakeconn_test.go
+++ b/internal/frontend/httpfront/fakeconn_test.go
@@ -18,7 +18,7 @@
 	memoryConn
 	clock        *clock.Manual
 	text         string
-	repeat       string  // sent repeatedly after text; if empty, nothing is sent
+	repeat       string  // sent repeatedly after the field text; if empty, nothing is sent
 	byteInterval float64 // ms between two bytes; 0: 10 MB/s
 	readDeadline float64 // time on clock in ms
 }
--- a/internal/frontend/httpfront/helpers_test.go
+++ b/internal/frontend/httpfront/helpers_test.go
@@ -66,7 +66,7 @@
 // servedX is a response whose body is "x".
 var servedX = dispatch.Response{Kind: dispatch.Served, Body: []byte("x")}
 
-// newServer returns a server with two classes: part for reads, form for writes.
+// newServer returns a server with two classes: "part" for reads and "form" for writes.
 func newServer(dispatcher *fakeDispatcher) *Server {
 	dispatcher.disconnected = make(chan *dispatch.Request, 8)
 	classes := []routing.Class{
--- a/internal/frontend/httpfront/lifecycle_test.go
+++ b/internal/frontend/httpfront/lifecycle_test.go
@@ -114,7 +114,7 @@
 func TestNoRequestReadAfterFinalResponse(t *testing.T) {
 	for name, test := range map[string]struct {
 		text      string
-		end       func(*testing.T, *Server) // makes the next response the last on its connection; nil if text does that
+		end       func(*testing.T, *Server) // makes the next response the last on its connection; nil if the field text does that
 		submitted int                       // number of requests that the dispatcher gets
 	}{
 		"the client asks for the close": {getRequest(objectTarget, "Connection: close"), nil, 1},
--- a/internal/operatorconfig/fleet.go
+++ b/internal/operatorconfig/fleet.go
@@ -36,10 +36,10 @@
 	BytesPerSecond      float64 `hcl:"bytes_per_s,optional"`
 
 	RecentWindow   float64 `hcl:"lately_ms,optional"`              // a router counts as expected until this long after it was last present
-	TogetherShare  float64 `hcl:"together_share,optional"`         // in the state together, at least this share of the expected routers is present
-	SilenceTimeout float64 `hcl:"alone_after_silence_ms,optional"` // the state is alone if no packet arrives for this long
-	DowngradeDelay float64 `hcl:"less_room_after_ms,optional"`     // how long the view must show a state that permits less before the state changes to it
-	UpgradeDelay   float64 `hcl:"more_room_after_ms,optional"`     // how long the view must show a state that permits more before the state changes to it
+	TogetherShare  float64 `hcl:"together_share,optional"`         // in the state "together", at least this share of the expected routers is present
+	SilenceTimeout float64 `hcl:"alone_after_silence_ms,optional"` // the state becomes "alone" if no packet arrives for this long
+	DowngradeDelay float64 `hcl:"less_room_after_ms,optional"`     // how long the conditions of a state that permits less must hold before the router changes to it
+	UpgradeDelay   float64 `hcl:"more_room_after_ms,optional"`     // how long the conditions of a state that permits more must hold before the router changes to it
 }
 
 func defaultFleet() Fleet {
--- a/internal/operatorconfig/leases.go
+++ b/internal/operatorconfig/leases.go
@@ -36,7 +36,7 @@
 	Voters          []string `hcl:"electors,optional"` // names of the three or five routers that replicate the registry
 	WALDir          string   `hcl:"folder,optional"`   // directory of a voter's write-ahead log
 	Duration        float64  `hcl:"lease_ms,optional"`
-	SafetyMargin    float64  `hcl:"margin_ms,optional"` // the holder gives up its lease this much earlier, and the registry grants the lease again this much later
+	SafetyMargin    float64  `hcl:"margin_ms,optional"` // the holder gives up its lease this long before the lease expires, and the registry grants the lease again this long after
 	MaxClockDrift   float64  `hcl:"drift,optional"`     // largest ratio by which the rates of two clocks may differ
 	RetryInterval   float64  `hcl:"retry_ms,optional"`  // a request without a response is repeated at another voter after this time
 	ElectionTimeout float64  `hcl:"election_ms,optional"`
--- a/internal/platformconfig/config.go
+++ b/internal/platformconfig/config.go
@@ -84,7 +84,7 @@
 // CheckReload returns a FieldError for the first field that differs between c and updated and that
 // only a restart can change. Such fields are the addresses that the program listens on, and the
 // zones, kinds and classes. Endpoint lists and open requests refer to zones, kinds and classes by
-// index.
+// index. If the order of these changed, an index would refer to a wrong entry.
 func (c *Config) CheckReload(updated *Config) error {
 	current, replacement := &c.Settings, &updated.Settings
 	for _, fixed := range []struct {
--- a/internal/platformconfig/events.go
+++ b/internal/platformconfig/events.go
@@ -14,8 +14,8 @@
 )
 
 // WatchEvent is one event of the change log: a change of the endpoint list or a purge. An
-// event with ListUpdate false and Purge nil, such as the purge of object ID 0, changes
-// nothing.
+// event with ListUpdate false and Purge nil changes nothing. A purge of object ID 0 from the
+// change log becomes such an event, because no object has the ID 0.
 type WatchEvent struct {
 	Seq        uint64 // sequence number of the event
 	ListUpdate bool   // the event changes the endpoint list; Endpoints holds the changed servers
--- a/plugin/asyncapi.go
+++ b/plugin/asyncapi.go
@@ -12,7 +12,7 @@
 // class of each operation must be in the list classes. An operation that receives messages is
 // Idempotent. An operation that sends messages is IdempotentWithKey if the headers of each of its
 // messages declare an Idempotency-Key, and NonIdempotent otherwise. The extension
-// x-garnetline-effect (safe, keyed or unsafe) overrides this default. An error names its location
+// x-garnetline-effect ("safe", "keyed" or "unsafe") overrides this default. An error names its location
 // in the document.
 func AsyncAPI(doc []byte, classes []string) (Operations, error) {
 	var root yaml.Node
@@ -210,7 +210,7 @@
 }
 
 // maxReferences limits the length of a chain of $ref references: followReference fails at this
-// number of references. Without this limit, following a circular chain would never end.
+// number of references. Without maxReferences, following a circular chain would never end.
 const maxReferences = 16
 
 // followReference returns the target of a node's $ref, which must be in the same document. If the
--- a/plugin/openapi.go
+++ b/plugin/openapi.go
@@ -14,8 +14,8 @@
 // OpenAPI reads the operations of an OpenAPI 3 document, in JSON or YAML. The class of each
 // operation must be in the list classes. An operation is Idempotent if its HTTP method is safe,
 // IdempotentWithKey if it declares an Idempotency-Key header, and NonIdempotent otherwise. The
-// extension x-garnetline-effect (safe, keyed or unsafe) overrides this default. An error names its
-// location in the document.
+// extension x-garnetline-effect ("safe", "keyed" or "unsafe") overrides this default. An error names
+// its location in the document.
 func OpenAPI(doc []byte, classes []string) (Operations, error) {
 	document, err := openapi3.NewLoader().LoadFromData(doc)
 	if err != nil {
