--- a/cmd/fleetlab/cluster.go
+++ b/cmd/fleetlab/cluster.go
@@ -16,9 +16,10 @@
 // or to use a recovered server again.
 const convergenceTimeout = time.Minute
 
-// shortConnectivityDelay is a line of the fleet block of the settings file. When a router reaches
-// more of the fleet again, it waits before it raises its connectivity state. The line shortens this
-// delay. With the default delay, runs with many faults would spend most of their time waiting.
+// shortConnectivityDelay is a line of the fleet block of the settings file. The connectivity state
+// of a router tells how much of the fleet the router reaches. When the router reaches more of the
+// fleet again, it waits before it improves this state. The line shortens the wait. With the
+// default wait, runs with many faults would spend most of their time waiting.
 const shortConnectivityDelay = " more_room_after_ms = 1000\n"
 
 func programFlag() cli.Flag {
--- a/cmd/fleetlab/handover_kinds.go
+++ b/cmd/fleetlab/handover_kinds.go
@@ -39,7 +39,8 @@
 	{name: "killed", timeout: handoverTimeout, disturb: (*handoverRun).killHolder},
 	{name: "stopped past its end", timeout: handoverTimeout, disturb: (*handoverRun).pauseHolder},
 	{name: "cut off from all but the boxes", timeout: handoverTimeout, disturb: (*handoverRun).isolateHolder},
-	// The handover is optional, because other routers may relay the holder's packets to the leader.
+	// The handover is optional, because other routers may relay the holder's packets to the
+	// leader. In that case the holder keeps its lease.
 	{name: "cut off one way from the leader", optional: true, timeout: optionalHandoverTimeout, disturb: (*handoverRun).cutOffFromLeader},
 }
 
--- a/cmd/fleetlab/recovery_probe.go
+++ b/cmd/fleetlab/recovery_probe.go
@@ -20,9 +20,10 @@
 	// recoveryRequestRate is the number of requests per second of all clients together.
 	recoveryRequestRate = 160
 
-	// minServerRate is the minimum number of requests in one second for a server to count as used by
-	// all routers. With three servers, a server's share of recoveryRequestRate is about 53 requests
-	// per second. The minimum is well above half of this share.
+	// minServerRate is the minimum number of requests in one second for a server to count as used
+	// by all routers. With three servers, a server's share of recoveryRequestRate is 160 / 3,
+	// about 53 requests per second. If only half of the routers used the server, it would receive
+	// about 27 requests per second, which is less than the minimum.
 	minServerRate = 30
 
 	// serverFailure is the duration of a failure of the server.
--- a/cmd/fleetlab/scenario_actions.go
+++ b/cmd/fleetlab/scenario_actions.go
@@ -55,7 +55,7 @@
 	verbEnable:  {3, enableServer},
 }
 
-// sideSeparator separates the two sides in the arguments of a split.
+// sideSeparator separates the two sides in the arguments of the verb "split".
 const sideSeparator = "/"
 
 func doNothing(*testcluster.Cluster, []string) error { return nil }
--- a/cmd/fleetlab/scenario_run.go
+++ b/cmd/fleetlab/scenario_run.go
@@ -24,8 +24,8 @@
 	cluster   *testcluster.Cluster
 	remaining []operation
 	startedAt time.Time
-	endAt     time.Duration     // time from startedAt to the end of the run; an end operation may end the run earlier
-	ended     bool              // an end operation has ended the run
+	endAt     time.Duration     // time from startedAt to the end of the run; an operation with the verb "end" may end the run earlier
+	ended     bool              // an operation with the verb "end" has ended the run
 	printed   map[string]string // the last printed view of each router, by proxy name
 }
 
--- a/internal/bodies/allocator.go
+++ b/internal/bodies/allocator.go
@@ -87,9 +87,9 @@
 	}
 }
 
-// reserveOnDisk reserves disk capacity for one more body of size bytes. The write rate must allow
-// these bytes as well. If a quota or the write rate does not allow them, reserveOnDisk reserves
-// nothing and returns false.
+// reserveOnDisk reserves disk capacity for one more body of size bytes, which counts against the
+// limits of disk bytes, of bodies on disk and of the write rate. If one of these limits does not
+// allow the body, reserveOnDisk reserves nothing and returns false.
 func (a *Allocator) reserveOnDisk(now float64, class int, size int64) bool {
 	if !a.diskBodies.reserve(class, 1) {
 		return false
@@ -101,9 +101,9 @@
 	return true
 }
 
-// growOnDisk reserves disk capacity for a number of bytes that are added to a body. The write rate
-// must allow these bytes as well. If the quota or the write rate does not allow them, growOnDisk
-// reserves nothing and returns false.
+// growOnDisk reserves disk capacity for a number of bytes that are added to a body. They count
+// against the limits of disk bytes and of the write rate. If one of these limits does not allow
+// them, growOnDisk reserves nothing and returns false.
 func (a *Allocator) growOnDisk(now float64, class int, addedBytes int64) bool {
 	if !a.disk.reserve(class, addedBytes) {
 		return false
--- a/internal/bodies/allocator_test.go
+++ b/internal/bodies/allocator_test.go
@@ -68,8 +68,8 @@
 }
 
 // replay applies the steps to a new body and returns its final state. After each step it checks
-// sentUnretained: if that is true, the body must not be repeatable. After the last step it checks that
-// a body that is closed or not retained has no reservation.
+// that the body is not repeatable if sentUnretained is true. After the last step it checks that a
+// body that is closed or not retained has no reservation.
 func (s *stateSearch) replay(announced int64, steps []int) bodyState {
 	s.t.Helper()
 	const now = 1000.0
@@ -119,9 +119,10 @@
 	}
 }
 
-// When all classes try to borrow, the class with the highest priority weight gets the largest part,
-// even if other classes borrow first. The guaranteed capacity of each class stays reserved for that
-// class.
+// When all classes try to borrow, that is, to use more than their guaranteed capacity, the class
+// with the highest priority weight gets the largest part of the capacity that is not guaranteed,
+// even if other classes borrow first. The guaranteed capacity of each class stays reserved for
+// that class.
 func TestHighestPriorityWeightBorrowsMost(t *testing.T) {
 	const (
 		total              = 1000
--- a/internal/bodies/body.go
+++ b/internal/bodies/body.go
@@ -15,7 +15,8 @@
 // String returns the name of the location in tables for operators.
 func (l Location) String() string { return locationNames[l] }
 
-// Action is what the owner of a body must do after a decision.
+// Action is what the owner of a body must do after a decision. The owner is the caller that
+// receives the body and sends it in attempts.
 type Action uint8
 
 // The actions. Reject and Abort end the request without another attempt. After StopRetaining, the
--- a/internal/bodies/budget.go
+++ b/internal/bodies/budget.go
@@ -30,8 +30,9 @@
 	MaxMemoryBytes int64
 	MaxDiskBytes   int64
 	MaxBytes       int64
-	// PriorityWeight is a finite number above 0. When a budget is short, a class with a higher weight
-	// may borrow more.
+	// PriorityWeight is a finite number above 0. Classes may borrow the part of a budget that is
+	// not guaranteed to any class. When this part is short, a class with a higher weight may
+	// borrow more.
 	PriorityWeight float64
 	// GuaranteedFraction is the fraction of each budget, from 0 to 1, that other classes cannot use.
 	GuaranteedFraction float64
--- a/internal/bodies/quota.go
+++ b/internal/bodies/quota.go
@@ -1,11 +1,12 @@
 package bodies
 
-// quota is a budget that all classes share. Its unit is bytes or bodies. Each class has a guaranteed
-// fraction of the budget. The rest of the budget is borrowable: any class may borrow from it. The
-// class with the highest priority weight may borrow until all classes together have borrowed the
-// whole rest. For a class with a lower weight, this limit is a smaller part of the rest. The class
-// with the highest weight therefore still finds capacity when all classes need it. Telephone networks
-// use the same technique under the name of trunk reservation.
+// quota is a budget that all classes share. Its unit is bytes or bodies. Each class has a
+// guaranteed fraction of the budget. The rest of the budget is borrowable: any class may borrow
+// from it. The class with the highest priority weight may borrow until all classes together have
+// borrowed the whole rest. A class with a lower weight may borrow only until all classes together
+// have borrowed a certain part of the rest; the lower the weight, the smaller this part. The class
+// with the highest weight therefore still finds capacity when all classes need it. Telephone
+// networks use the same technique under the name of trunk reservation.
 type quota struct {
 	total               int64
 	guaranteedFractions []float64 // fractions of total, by class
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -35,10 +35,11 @@
 	return s.startUnix + Millis(time.Since(s.start))
 }
 
-// stepRounding is a number of milliseconds. WallClockStep rounds a step to a multiple of it. Even if
-// there was no step, the readings of the wall clock and the monotonic clock differ slightly. Rounding
-// makes the step exactly 0 in that case, so that equal times from other machines are still equal
-// after their conversion.
+// stepRounding is a number of milliseconds. WallClockStep rounds a step to a multiple of it. Even
+// if the wall clock was not set, its readings and those of the monotonic clock differ slightly,
+// and by a different amount each time. Rounding makes the step exactly 0 in that case. Two equal
+// times from other machines are therefore still equal after the step has been subtracted from each
+// of them.
 const stepRounding = 20.0
 
 // WallClockStep returns by how many milliseconds the wall clock has been set forward since s was
@@ -54,8 +55,10 @@
 // since c was created, or 0 if c does not track the wall clock. To convert a time that another
 // machine read from its wall clock to the time of c, subtract the step.
 //
-// Without this conversion, if the wall clock were set back by some seconds, every purge would appear
-// to be too old, and the router would serve copies from before the purge.
+// For example, a purge carries the time of another machine. If this machine's wall clock is some
+// seconds ahead and is set back, the time of c does not follow, but stays ahead of the other machines.
+// Without the conversion, every purge would appear to have happened some seconds before it did, and
+// the router would serve copies from before the purge.
 func WallClockStep(c Clock) float64 {
 	if stepper, ok := c.(wallClockStepper); ok {
 		return stepper.WallClockStep()
--- a/internal/experiment/all_pairs_detector.go
+++ b/internal/experiment/all_pairs_detector.go
@@ -23,9 +23,11 @@
 	lastSequence uint64
 }
 
-// Times of allPairsDetector in ms. A killed router is marked as failed after 1.5 to 2 s, about as
-// quickly as by the membership protocol. A live router is wrongly marked as failed only if seven
-// consecutive packets are lost.
+// Times of allPairsDetector in ms. A router is marked as failed when allPairsTimeout, which is
+// seven ping intervals or 1750 ms, has passed since its last packet. A killed router sent this
+// packet up to 250 ms before the kill, and the timeout is checked every 250 ms. A killed router is
+// therefore marked as failed after 1.5 to 2 s, about as quickly as by the membership protocol. A
+// live router is wrongly marked as failed only if seven consecutive packets are lost.
 const (
 	allPairsPingInterval = 250.0
 	allPairsTimeout      = 7 * allPairsPingInterval
--- a/internal/experiment/lease_handovers.go
+++ b/internal/experiment/lease_handovers.go
@@ -30,12 +30,13 @@
 	StoppedAtWrite     int       // writes that a router dropped because CheckAtWrite found its lease invalid
 	SimulatedTime      float64   // ms
 	Violation          string    // describes the last case in which two routers acted under the lease at the same time; empty if there was none
-	FaultsAndTransfers int       // faults injected and transfers requested
+	FaultsAndTransfers int       // faults injected and transfers of the lease requested
 	Gaps               []float64 // ms between two consecutive holders in which no router held the lease
 }
 
-// leaseName is the name of the only lease of a run. It determines the rank of each router, by a hash:
-// routers with a low rank request the lease before routers with a high rank.
+// leaseName is the name of the only lease of a run. A hash of this name and of a router's ID
+// determines the rank of the router. Routers with a low rank request the lease before routers with
+// a high rank.
 const leaseName = "d"
 
 // True time is the time of the simulation. The clocks of the routers and of the registry's leader
--- a/internal/experiment/lease_handovers_registry.go
+++ b/internal/experiment/lease_handovers_registry.go
@@ -58,8 +58,8 @@
 	return &leaseregistry.Command{Op: leaseregistry.OpTransfer, Lease: leaseName, Holder: request.TransferTo, ExpectedToken: request.FencingToken}
 }
 
-// grantOrRenew grants or renews the lease if the request and the state of the lease allow it. It
-// reports whether the lease was granted or renewed.
+// grantOrRenew grants the lease to a router, or renews the router's lease, if the request and the
+// state of the lease allow it. It returns true in both cases, and false if it did neither.
 func (r *handoverRun) grantOrRenew(router membership.ID, request lease.Request) bool {
 	current := r.registry.Leases[leaseName]
 	isHolder := current != nil && current.Holder == router
--- a/internal/experiment/lease_handovers_router.go
+++ b/internal/experiment/lease_handovers_router.go
@@ -33,7 +33,7 @@
 	pausedUntil      float64          // true time, ms
 	partitionedUntil float64          // true time, ms; until then the router cannot reach the registry, but its writes arrive
 	queuedResponses  []lease.Response // received while paused
-	pendingWrites    []fencedWrite    // writes that were decided and not sent yet
+	pendingWrites    []fencedWrite    // writes that the router decided to send and has not sent yet
 	wakeAt           float64          // ms, by the router's clock
 }
 
@@ -94,7 +94,8 @@
 // the responses that it received during a pause, and sends its requests. If it holds the lease, it
 // then acts as the holder.
 func (r *handoverRun) runRouter(router *handoverRouter) {
-	// Writes that were decided before a pause come first, as in a process that resumes.
+	// A process that resumes first completes what it was doing when the pause began. Therefore the
+	// writes that the router decided to send before the pause come first.
 	r.writePending(router)
 	for _, response := range router.queuedResponses {
 		r.handleResponse(router, response)
@@ -145,8 +146,8 @@
 }
 
 // actAsHolder decides at random whether the holder writes. If the holder can reach the registry, a
-// random draw also decides whether a transfer or a fault takes place. A holder that is partitioned
-// from the registry writes until its lease expires.
+// random draw also decides whether the holder transfers the lease, a fault begins, or neither
+// happens. A holder that is partitioned from the registry writes until its lease expires.
 func (r *handoverRun) actAsHolder(router *handoverRouter, token uint64) {
 	r.lastHeldAt = r.now
 	if len(router.pendingWrites) < maxPendingWrites && r.rng.IntN(writeOneIn) == 0 {
--- a/internal/experiment/lease_search.go
+++ b/internal/experiment/lease_search.go
@@ -10,8 +10,8 @@
 // LeaseSearch visits every state that two routers and one registry can reach. In each state:
 //
 //   - time may pass;
-//   - a router may be stepped, decide to write, send a write that it decided earlier, crash, or
-//     transfer the lease;
+//   - a router may take a step of its state machine, decide to send a write, send a write that it
+//     decided on earlier, crash, or transfer the lease;
 //   - a message may arrive in any order, be lost or be duplicated;
 //   - another leader may be elected.
 //
--- a/internal/experiment/lease_search_moves.go
+++ b/internal/experiment/lease_search_moves.go
@@ -42,9 +42,9 @@
 		r.move(state, name+" steps", func(next *searchState) { next.stepRouter(router) })
 	}
 	token, ok := state.valid(router)
-	// If CheckAtWrite is on, a router sends a pending write only while its lease is valid, when it
-	// could as well decide a new write. Pending writes are therefore tracked only if CheckAtWrite is
-	// off.
+	// If the safeguard CheckAtWrite is on, a router sends a pending write only while its lease is
+	// valid. At such a time the router could also begin a new write, so a pending write adds no
+	// new violation. Pending writes are therefore tracked only if the safeguard is off.
 	if ok && state.pendingWrites[router] == 0 && r.options.Without == CheckAtWrite {
 		r.move(state, name+" decides a write", func(next *searchState) { next.pendingWrites[router] = token })
 	}
@@ -200,9 +200,9 @@
 	}
 }
 
-// grantOrRenew grants or renews the lease if the request and the state of the lease allow it. It
-// reports whether the lease was granted or renewed. A lease belongs to one incarnation of a router:
-// a later incarnation cannot renew it.
+// grantOrRenew grants the lease to a router, or renews the router's lease, if the request and the
+// state of the lease allow it. It returns true in both cases, and false if it did neither. A lease
+// belongs to one incarnation of a router: a later incarnation cannot renew it.
 func (s *searchState) grantOrRenew(router membership.ID, incarnation uint64, request lease.Request) bool {
 	current := s.registry.Leases[leaseName]
 	isHolder := current != nil && current.Holder == router
--- a/internal/experiment/lease_search_state.go
+++ b/internal/experiment/lease_search_state.go
@@ -36,7 +36,7 @@
 
 	now           float64 // ms, by the leader's clock
 	holders       [searchRouters]*lease.Holder
-	pendingWrites [searchRouters]uint64 // fencing token of a write that is decided and not sent yet; 0: none
+	pendingWrites [searchRouters]uint64 // fencing token of a write that the router decided to send and has not sent yet; 0: none
 	incarnations  [searchRouters]uint64
 
 	registry  *leaseregistry.State
@@ -165,7 +165,8 @@
 	return b
 }
 
-// isInFlight reports whether a request of a router, or the response to that request, is in flight.
+// isInFlight returns true if a request of a router is in flight, and also if the response to that
+// request is in flight.
 func (s *searchState) isInFlight(router int, requestID uint64) bool {
 	return slices.ContainsFunc(s.inFlight, func(message searchMessage) bool {
 		if message.router != router {
--- a/internal/experiment/load_reporting.go
+++ b/internal/experiment/load_reporting.go
@@ -10,7 +10,7 @@
 const (
 	ProbeByNobody    Strategy = "nobody"
 	ProbeByEverybody Strategy = "everybody"
-	ProbeByHash      Strategy = "by hash"  // each router that is ranked first in its own view of the zone
+	ProbeByHash      Strategy = "by hash"  // each router that a hash ranks first among the routers that it sees in the zone
 	ProbeByLease     Strategy = "by lease" // the router that holds a lease
 )
 
--- a/internal/experiment/load_reporting_zone.go
+++ b/internal/experiment/load_reporting_zone.go
@@ -16,8 +16,9 @@
 	viewCount // the number of kinds
 )
 
-// zoneView holds the ranks of routers. Routers with the same view of the zone compute the same ranks.
-// The index of a rank is the index of the router in the run.
+// zoneView holds the ranks of the routers that are in one view of the zone. A rank is the place of
+// a router in an order that a hash determines. Routers with the same view compute the same ranks.
+// The index of a rank in ranks is the index of the router in the run.
 type zoneView struct {
 	first membership.ID // the router with the first rank
 	ranks []int         // -1: the router is not in the view
--- a/internal/experiment/membership.go
+++ b/internal/experiment/membership.go
@@ -119,8 +119,8 @@
 	samples []membershipSample // by seed
 }
 
-// Run measures all configurations. It runs GOMAXPROCS seeds in parallel. When a seed is done, it writes
-// a line to the writer progress.
+// Run measures all configurations, each with all seeds. Up to GOMAXPROCS of these measurements
+// run in parallel. After the measurement with one seed, Run writes a line to the writer progress.
 func (o Membership) Run(progress io.Writer) []*MembershipResult {
 	runs := o.newRuns()
 	measureSamples(runs, progress)
@@ -153,7 +153,7 @@
 	return runs
 }
 
-// measureSamples measures all seeds of all runs.
+// measureSamples makes the measurement of each run once with each seed.
 func measureSamples(runs []*membershipRun, progress io.Writer) {
 	var tasks sync.WaitGroup
 	var progressLock sync.Mutex
--- a/internal/experiment/membership_run.go
+++ b/internal/experiment/membership_run.go
@@ -78,7 +78,7 @@
 	return network
 }
 
-// measureMemory returns the heap bytes per router of a settled fleet.
+// measureMemory returns the heap bytes per router of a fleet whose routers all know each other.
 func measureMemory(variant Variant, size int) float64 {
 	before := heapBytes()
 	network := newSettledFleet(variant, size, 1)
--- a/internal/experiment/registry_run.go
+++ b/internal/experiment/registry_run.go
@@ -31,7 +31,8 @@
 	// responseLossTTLs is the number of TTLs for which an isolated router receives no responses.
 	responseLossTTLs = 2
 
-	// releaseNotices is the number of top-ranked routers that are notified when a lease is released.
+	// releaseNotices is the number of routers that are notified when a lease is released: the
+	// routers that come first in the order in which routers request the lease.
 	releaseNotices = 4
 
 	// heapSamples is the number of times that a run samples the heap.
@@ -206,7 +207,8 @@
 	r.stepRouter(router)
 }
 
-// stepVoter steps a voter, sends its messages, responses and notices, and sets its next timer.
+// stepVoter steps a voter and sends its messages, its responses and its notices that a lease was
+// released. Then it sets the voter's next timer.
 func (r *registryRun) stepVoter(index int, input consensus.Input) {
 	voter := r.voters[index]
 	output, err := voter.Step(r.now, input)
@@ -246,7 +248,8 @@
 	r.after(r.networkDelay(), func() { r.stepVoter(to, consensus.Input{Message: sent}) })
 }
 
-// sendResponse sends a voter's response, or a notice, to a router.
+// sendResponse sends a voter's response, or a voter's notice that a lease was released, to a
+// router.
 func (r *registryRun) sendResponse(to membership.ID, response lease.Response) {
 	r.outcome.RequestBytes += len(leasemanager.EncodeResponse(response))
 	router := r.routers[to-1]
--- a/internal/experiment/routers.go
+++ b/internal/experiment/routers.go
@@ -2,8 +2,9 @@
 
 import "garnetline/internal/fleet/membership"
 
-// Each experiment has its own stream of the random number generator, so that two experiments with the
-// same seed draw different numbers. A change of a stream changes all results of its experiment.
+// Each experiment has its own stream, the second half of the seed of its random number generator.
+// Two experiments with the same seed, which is the first half, thus draw different numbers. A
+// change of a stream changes all results of its experiment.
 const (
 	allPairsStream      = 1
 	registryStream      = 11
--- a/internal/fakeserver/tracing_server.go
+++ b/internal/fakeserver/tracing_server.go
@@ -75,10 +75,10 @@
 	return server, err
 }
 
-// Close times out all spans that wait for a verdict, and closes the store. The result
-// retainedFailed is the number of traces that the server retained without a verdict because its own
-// part of the request failed. The error joins the errors of all writes to the store, including
-// earlier ones.
+// Close times out all spans that wait for a verdict, that is, for a router's request to retain
+// their trace, and closes the store. The result retainedFailed is the number of traces that the
+// server retained without a verdict because its own part of the request failed. The error joins
+// the errors of all writes to the store, including earlier ones.
 func (s *TracingServer) Close() (retainedFailed int, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,7 +122,8 @@
 	}
 }
 
-// handleFill records a fill request from a child server, which this server fills from the origin.
+// handleFill records that this server filled an object from the origin because a child server
+// requested the object. A child server is a TracingServer whose Parent is this server.
 func (s *TracingServer) handleFill(parent trace.SpanContext, class string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,7 +143,8 @@
 	}, false))
 }
 
-// handleVerdict retains a trace for which a child server has received a verdict.
+// handleVerdict retains a trace after a child server has received a verdict on it. A verdict is a
+// router's request to retain a trace.
 func (s *TracingServer) handleVerdict(id trace.ID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -264,8 +266,8 @@
 	request.record.Spans = append(request.record.Spans, fill)
 }
 
-// recordRequest ends the work on a request and buffers its trace until a verdict arrives. The
-// caller holds s.mu.
+// recordRequest ends the work on a request and buffers its trace until a verdict arrives, that is,
+// a router's request to retain the trace. The caller holds s.mu.
 func (s *TracingServer) recordRequest(request *tracedRequest) {
 	request.work.End = s.now()
 	record := request.record
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -17,8 +17,9 @@
 	"time"
 )
 
-// Streams of the random number generator. Faults and schedules with the same seed draw from
-// different streams.
+// Streams: the second halves of the seeds of the random number generators. The first half is the
+// seed that the caller gives. Faults and schedules that are drawn with the same seed use different
+// streams and therefore different random numbers.
 const (
 	faultStream    = 1
 	scheduleStream = 2
--- a/internal/faultproxy/udp_test.go
+++ b/internal/faultproxy/udp_test.go
@@ -15,9 +15,10 @@
 	sentDatagrams = 200
 	// sentAtOnce is the number of datagrams in a batch. maxOutstanding is the maximum number of
 	// forwarded datagrams that b has not received when the next batch begins. Both limits prevent
-	// the sockets of the proxy and of b from losing datagrams because of a full buffer. The default
-	// buffer of Linux holds 256 datagrams of this size. The buffer of b must hold at most the
-	// outstanding datagrams and two copies of each datagram of the next batch: 220 datagrams.
+	// the sockets of the proxy and of b from losing datagrams because of a full buffer. The
+	// default buffer of Linux holds 256 datagrams of this size. The buffer of b must hold at most
+	// the outstanding datagrams and two copies of each datagram of the next batch:
+	// 120 + 2 * 50 = 220 datagrams.
 	sentAtOnce     = 50
 	maxOutstanding = 120
 )
--- a/internal/netsim/helpers_test.go
+++ b/internal/netsim/helpers_test.go
@@ -80,7 +80,7 @@
 	})
 }
 
-// slotOf returns the slot of a host. It is the inverse of Addr.
+// slotOf returns the slot of a host, that is, the slot for which Addr returns the host's address.
 func slotOf(host *Host) int {
 	ip := host.Addr.Addr().As4()
 	return int(ip[2])<<8 | int(ip[3])
--- a/internal/netsim/partition_test.go
+++ b/internal/netsim/partition_test.go
@@ -67,8 +67,9 @@
 	}
 }
 
-// All peers of a router have crashed. The connectivity state of the router is Alone, but the router
-// still knows all of its peers. Its quotas of the fleet's limits therefore do not grow.
+// All peers of a router have crashed. The connectivity state of the router is Alone, but the
+// router still knows all of its peers. Its quotas, that is, its parts of the limits that all
+// routers of the fleet share, therefore do not grow.
 func TestLastRouterIsAlone(t *testing.T) {
 	network := convergedFleet(t, 9, 8)
 	for _, host := range network.Hosts[1:] {
@@ -100,9 +101,9 @@
 	expectState(connectivity.Together, 20_000)
 }
 
-// A router is isolated again and again, with the period that is the worst case for its connectivity
-// state. Each flap increases the delay before the state improves. The state deteriorates without
-// delay.
+// A router is isolated again and again, with the period that is the worst case for its
+// connectivity state. Each isolation increases the delay before the state improves. The state
+// deteriorates without delay.
 func TestConnectivityIsDampedWhileLinkFlaps(t *testing.T) {
 	network := convergedFleet(t, 13, 6)
 	flapping := network.Hosts[0]
--- a/internal/simproto/batch.go
+++ b/internal/simproto/batch.go
@@ -6,7 +6,7 @@
 	"garnetline/routing"
 )
 
-// MessageKind tells what a Message reports about its instance.
+// MessageKind tells what a Message reports about its router instance.
 type MessageKind int
 
 // The kinds of messages in a batch.
@@ -30,7 +30,7 @@
 	}
 }
 
-// Message is one message of a batch. It is addressed to one instance.
+// Message is one message of a batch. It is addressed to one router instance.
 type Message struct {
 	Instance int
 	Kind     MessageKind
--- a/internal/simproto/classes.go
+++ b/internal/simproto/classes.go
@@ -6,13 +6,13 @@
 	"garnetline/routing"
 )
 
-// maxClasses limits the number of classes in settings. The settings contain the number of classes as
-// a value, and the reader allocates memory for as many classes. Without the limit, a single large
-// value could exhaust the memory.
+// maxClasses limits the number of classes in settings. The settings contain the number of classes
+// as a value, and the reader allocates memory for as many classes. Without maxClasses, a single
+// large value could exhaust the memory.
 const maxClasses = 1000
 
 // Paths of class settings that are used in more than one place. A setting whose path begins with
-// family_info is a list with one value for each class.
+// "family_info" is a list with one value for each class.
 const (
 	pathClasses        = "classes"
 	pathClassCount     = "classes.count"
@@ -69,8 +69,8 @@
 	return classes
 }
 
-// checkClassList reports whether a list is absent or has one value for each class. Otherwise it
-// records an error.
+// checkClassList returns true if a list is absent, and also if it has one value for each class.
+// Otherwise it records an error and returns false.
 func (s settingReader) checkClassList(path string, values []string, classes int) bool {
 	if len(values) == 0 || len(values) == classes {
 		return true
@@ -79,8 +79,8 @@
 	return false
 }
 
-// class returns the class with the given index, without the values that come from the lists in
-// family_info.
+// class returns the class with the given index. It leaves out the values that come from lists,
+// that is, from settings whose paths begin with "family_info".
 func (s settingReader) class(i int) routing.Class {
 	prefix := fmt.Sprintf("%s.%d.", pathClasses, i)
 	return routing.Class{
--- a/internal/simproto/consistency.go
+++ b/internal/simproto/consistency.go
@@ -9,9 +9,9 @@
 // checkConsistency records an error if settings contradict each other. It accepts a value that only
 // makes a rule stricter than necessary, such as a latency objective that is longer than the deadline.
 //
-// Without these checks, if two classes, zones or kinds had the same name, the first would be used
-// for both. If there were writes but no origin, a write would be sent to a cache, which cannot
-// execute writes.
+// Without checkConsistency, if two classes, zones or server kinds had the same name, the first of the
+// two would be used for both. If there were writes but no origin, a write would be sent to a cache,
+// which cannot execute writes.
 func (s settingReader) checkConsistency(settings *routing.Settings) {
 	s.requireDistinct(pathZones, s.list(pathZones))
 	s.requireDistinct(pathKinds, s.list(pathKinds))
--- a/internal/simproto/fields.go
+++ b/internal/simproto/fields.go
@@ -16,8 +16,8 @@
 // noObject is an object ID in the protocol that means "no object". An absentValue means the same.
 const noObject = "0"
 
-// fieldReader reads the values of one line in order. It keeps the first error, which the method end
-// returns. Values that were read after an error must not be used.
+// fieldReader reads the values of one line in order. It keeps the first error, which its method
+// named end returns. Values that were read after an error must not be used.
 type fieldReader struct {
 	line    int    // line number, for errors
 	rest    string // unread part of the line
--- a/internal/simproto/golden_test.go
+++ b/internal/simproto/golden_test.go
@@ -17,8 +17,9 @@
 // The golden files in testdata (see package golden) hold what the simulator sends and receives.
 // Some labels in them are older terms that differ from the identifiers of this package.
 
-// TestGoldenSession checks how each line from the simulator is parsed: testdata/session.txt contains
-// every message, status, cache status and setting, and session.read.txt the parsed fields.
+// TestGoldenSession checks how each line from the simulator is parsed. The file
+// testdata/session.txt contains every message, status, cache status and setting. The file
+// testdata/session.read.txt contains the parsed fields.
 func TestGoldenSession(t *testing.T) {
 	session, err := os.ReadFile(filepath.Join("testdata", "session.txt"))
 	if err != nil {
--- a/internal/simproto/setting_reader.go
+++ b/internal/simproto/setting_reader.go
@@ -102,7 +102,7 @@
 	return time.Duration(number) * time.Microsecond
 }
 
-// parseBoolean parses a boolean, written as true, false, 1 or 0.
+// parseBoolean parses a boolean, written as "true", "false", "1" or "0".
 func (s settingReader) parseBoolean(path, value string) bool {
 	switch value {
 	case "true", "1":
--- a/internal/simproto/settings.go
+++ b/internal/simproto/settings.go
@@ -103,8 +103,8 @@
 	return meaning == weightsNominal || meaning == weightsApproximate
 }
 
-// slowStart returns the slow start settings of caches or parents. The overload window is the same
-// for both.
+// slowStart returns the slow start settings of caches or parents. The overload window, the time
+// for which a server withstands an overload, is the same for both.
 func (s settingReader) slowStart(initialPath, durationPath, overloadPath string) routing.SlowStart {
 	return routing.SlowStart{
 		InitialCapacity: s.float(initialPath),
--- a/internal/simproto/writer.go
+++ b/internal/simproto/writer.go
@@ -70,8 +70,8 @@
 	return flags
 }
 
-// appendSetTimer appends the line of a timer. It does not use appendLine, because a token can
-// exceed the int64 range.
+// appendSetTimer appends the line of a timer. It does not use appendLine, because the timer's
+// token can exceed the int64 range of the values of appendLine.
 func appendSetTimer(dst []byte, timer routing.SetTimer) []byte {
 	dst = append(dst, replySetTimer...)
 	dst = append(dst, ' ')
--- a/internal/trace/active.go
+++ b/internal/trace/active.go
@@ -12,7 +12,8 @@
 	minWait = 0.2
 	// inlineSpans is the number of spans that fit into an ActiveTrace without a further
 	// allocation. It is enough for a request that is served by its second attempt, if both
-	// attempts need a new connection.
+	// attempts need a new connection: one Request span, one Wait span, two Attempt spans and two
+	// Connect spans.
 	inlineSpans     = 6
 	millisPerSecond = 1000
 	// requestSpanIndex is the index of the Request span in Spans.
--- a/internal/trace/active_test.go
+++ b/internal/trace/active_test.go
@@ -88,9 +88,10 @@
 	}
 }
 
-// TestDoneAfterResponseAndLastAttempt checks that a partial trace is not done while an attempt
-// is in flight. A trace that is not done is not stored. The test also checks that the outcome
-// does not change after the first response.
+// TestDoneAfterResponseAndLastAttempt checks that a partial trace is not done while an attempt is
+// in flight. The recording ends when the trace is done, so a trace that is done too early would
+// lack the end of the attempt. The test also checks that the outcome does not change after the
+// first response.
 func TestDoneAfterResponseAndLastAttempt(t *testing.T) {
 	active := beginTrace()
 	active.AttemptStarted(activeStart+1, routing.SendAttempt{Server: 5})
--- a/internal/trace/analysis/analysis.go
+++ b/internal/trace/analysis/analysis.go
@@ -103,8 +103,9 @@
 	}
 }
 
-// Finder counts the attempts of traces by server, fill source, pair and router, and finds
-// suspects among these participants. It is not safe for concurrent use.
+// Finder counts the attempts of traces by server, by fill source, by pair of server and fill
+// source, and by router, and finds suspects among these participants. It is not safe for
+// concurrent use.
 type Finder struct {
 	counts map[suspectKey]*attemptCounts
 	total  attemptCounts
--- a/internal/trace/analysis/analysis_test.go
+++ b/internal/trace/analysis/analysis_test.go
@@ -39,14 +39,16 @@
 	return finder
 }
 
-// TestFaultyServerRanksFirst checks that the faulty server, or a pair that contains it, ranks first.
-// The confidence interval of the faulty server must contain the true difference of the failure rates
-// and lie well above zero. No other server, source or router may stand out.
+// TestFaultyServerRanksFirst checks that the first suspect is the faulty server, or a pair of this
+// server and a fill source. The confidence interval of the faulty server must contain the true
+// difference of the failure rates and lie well above zero. No other server, source or router may
+// stand out.
 func TestFaultyServerRanksFirst(t *testing.T) {
 	const (
 		faultyServer = 3
 		faultyName   = "s-00000003"
-		// The faulty server fails 60% of its attempts, and 2% of all remaining attempts fail.
+		// The faulty server fails 60% of its attempts and, like every other server, 2% of the
+		// rest: 60% + 40% * 2% = 60.8%. The other servers fail 2% of their attempts.
 		trueDifference = 0.6 + 0.4*0.02 - 0.02
 	)
 	faulty := func(server, _ routing.ServerID, rng *rand.Rand) bool {
--- a/internal/trace/export/export.go
+++ b/internal/trace/export/export.go
@@ -2,7 +2,7 @@
 //
 // An Exporter has a bounded queue and its own goroutine. Therefore a collector that is down, is
 // slow or returns errors does not delay the router's requests. Traces that do not fit into the
-// queue are dropped and counted. This package uses the word call for an HTTP request to the
+// queue are dropped and counted. This package uses the word "call" for an HTTP request to the
 // collector.
 package export
 
@@ -27,8 +27,9 @@
 	// URL. OTLP specifies the path.
 	defaultPort = ":80"
 	defaultPath = "/v1/traces"
-	// backoffStream is the stream of the random generator for the backoff. It makes the random
-	// numbers independent of those of other generators with the same seed.
+	// backoffStream is the second half of the seed of the backoff's random number generator; the
+	// first half is Options.Seed. The backoff therefore draws other numbers than generators that
+	// combine the same Options.Seed with another second half.
 	backoffStream = 3
 )
 
--- a/internal/trace/propagation/correlator_test.go
+++ b/internal/trace/propagation/correlator_test.go
@@ -121,7 +121,8 @@
 	}
 }
 
-// The table of unserved requests does not grow beyond two generations.
+// The table of unserved requests holds at most two generations of generationCapacity requests
+// each.
 func TestUnservedTableIsBounded(t *testing.T) {
 	const limit = 2 * generationCapacity
 	correlator := New("", 1e9, 1)
--- a/internal/trace/propagation/unserved.go
+++ b/internal/trace/propagation/unserved.go
@@ -2,7 +2,8 @@
 
 import "garnetline/internal/trace"
 
-// generationCapacity is the maximum number of requests in one generation of an unservedTable.
+// generationCapacity is the maximum number of requests in each of the two generations of an
+// unservedTable: the current one and the previous one.
 const generationCapacity = 1 << 14
 
 // unservedRequest describes a request that ended without being served. The client may retry the
--- a/internal/trace/recorder/harness_test.go
+++ b/internal/trace/recorder/harness_test.go
@@ -146,5 +146,6 @@
 // counter returns the value of a counter.
 func (h *harness) counter(name string) int64 { return h.Metrics.Counter(name).Load() }
 
-// ordinaryPerSecond returns a sampling policy with the given rate of ordinary traces.
+// ordinaryPerSecond returns a sampling policy with the given rate of ordinary traces: traces that
+// are retained for no other reason than that they were sampled.
 func ordinaryPerSecond(rate float64) sampling.Class { return sampling.Class{OrdinaryPerSecond: rate} }
--- a/internal/trace/recorder/options.go
+++ b/internal/trace/recorder/options.go
@@ -32,7 +32,7 @@
 
 // Settings holds the settings of a Recorder that may change while the program runs.
 type Settings struct {
-	UndecidedBytes      int     // memory budget, in bytes, for traces of requests in flight and for sampling candidates
+	UndecidedBytes      int     // memory budget, in bytes, for traces of requests in flight and for traces that wait to be sampled
 	RetryWindow         float64 // ms, see propagation.Correlator.SetRetryWindow
 	RetainClientSampled bool    // retain a trace if its client set the sampled flag in traceparent
 	DefaultClass        sampling.Class
--- a/internal/trace/recorder/recorder.go
+++ b/internal/trace/recorder/recorder.go
@@ -123,8 +123,8 @@
 	if bytesPerSecond := r.ClientBytesPerSecond(); bytesPerSecond > 0 {
 		finished.SizeAllowance = t.transferFactor * float64(t.responseBytes) / bytesPerSecond * 1000
 	}
-	// Tick closes windows that have ended. Without this call, the trace could become a candidate
-	// of a window that has ended.
+	// Tick closes the sampling windows that have ended. Without this call, the trace could be
+	// sampled together with the traces of a window that has already ended.
 	r.enqueue(r.sampler.Tick(now)...)
 	if !t.spansReserved {
 		r.sampler.RecordUntraced(finished)
@@ -231,9 +231,9 @@
 	}
 }
 
-// Shutdown closes the sampling windows. It returns after Run has passed all retained traces to
-// the sink and has closed the sink. Run must have been started, and the dispatcher must have
-// stopped, before Shutdown is called.
+// Shutdown ends the current sampling windows and queues the traces that were sampled in them. It
+// returns after Run has passed all retained traces to the sink and has closed the sink. Run must
+// have been started, and the dispatcher must have stopped, before Shutdown is called.
 func (r *Recorder) Shutdown() {
 	r.enqueue(r.sampler.Close()...)
 	close(r.shutdown)
--- a/internal/trace/recorder/recorder_test.go
+++ b/internal/trace/recorder/recorder_test.go
@@ -14,12 +14,13 @@
 
 // TestSlowAllowsForResponseSize checks that the trace of a request is retained as slow if the
 // request exceeds the latency objective of its class. The size of the response can allow extra
-// time. A trace within the extra time is ordinary, and the test checks that ordinary traces are
-// sampled.
+// time. If the request does not exceed the extra time, its trace is ordinary, that is, it is
+// retained only if it is sampled. The test checks that such a trace is sampled.
 func TestSlowAllowsForResponseSize(t *testing.T) {
 	recorder := newHarness(t, &fakeSink{}, Settings{DefaultClass: ordinaryPerSecond(5)})
 	recorder.record(testRequest{request: Request{Object: 1}, outcome: trace.Served, attempts: 1, duration: 450})
-	// The transfer of 100 bytes takes 100 ms, and the class allows twice that time.
+	// At 1000 bytes per second, the transfer of 100 bytes takes 100 ms. The class allows twice that
+	// time in addition to its objective: 400 ms + 2 * 100 ms = 600 ms.
 	recorder.record(testRequest{request: Request{Object: 2}, outcome: trace.Served, attempts: 1, responseBytes: 100, duration: 450})
 	recorder.record(testRequest{request: Request{Object: 3}, outcome: trace.Failed})
 	recorder.record(testRequest{request: Request{Object: 4}, outcome: trace.Served, attempts: 2, duration: 10})
--- a/internal/trace/recorder/request.go
+++ b/internal/trace/recorder/request.go
@@ -73,8 +73,8 @@
 	t.correlator.RequestEnded(now, t.correlation, isServed(outcome))
 }
 
-// isServed reports whether the client received the object, or was told that its copy is still
-// valid.
+// isServed returns true if the client received the object, and also if the client was told that
+// its copy is still valid.
 func isServed(outcome trace.Outcome) bool {
 	return outcome == trace.Served || outcome == trace.NotModified
 }
--- a/internal/trace/sampling/sampler.go
+++ b/internal/trace/sampling/sampler.go
@@ -10,9 +10,10 @@
 // The ordinary traces of one class and one time window are sampled together, by bottom-k sampling.
 // The method trace.ID.Order distributes IDs uniformly over (0, 1]. The traces with the lowest orders
 // are kept as candidates. The threshold is the lowest order of a dropped trace, so every trace with
-// an order below the threshold is a candidate. Therefore each sampled trace represents 1/threshold
-// traces, independent of the sequence in which traces end. Routers that record the same trace make
-// the same choice without communication.
+// an order below the threshold is a candidate. Because orders are distributed uniformly, the share
+// of these traces among all traces is about equal to the threshold. Therefore each sampled trace
+// represents 1/threshold traces, independent of the sequence in which traces end. Routers that
+// record the same trace make the same choice without communication.
 //
 // The traces of requests in flight and the candidates share one memory budget. If the budget is
 // exceeded, the sampler evicts the candidate whose order is the highest among the candidates of all
@@ -40,11 +41,13 @@
 	RetainAll bool
 }
 
-// Counts holds the numbers of traces that a Sampler has handled since New returned it.
+// Counts holds the numbers of traces that a Sampler has handled since New returned it. An ordinary
+// trace is a trace that is not retained immediately, but only if it is sampled. A candidate is an
+// ordinary trace that is held until the end of its sampling window.
 type Counts struct {
 	Retained int64 // retained immediately, independent of the sampling rate
 	Ordinary int64 // ordinary traces of finished requests
-	Sampled  int64 // ordinary traces that were retained at the end of their window
+	Sampled  int64 // ordinary traces that were retained at the end of their sampling window
 	Evicted  int64 // candidates that were dropped because the memory budget was exceeded
 	Untraced int64 // requests that were not traced because the memory budget was exceeded
 	Lost     int64 // traces that had a reason to be retained, but were not traced or were passed to RecordLost
@@ -100,9 +103,10 @@
 	return window
 }
 
-// Reserve reserves size bytes for the trace of a new request and evicts candidates if necessary.
-// If Reserve returns false, the caller must not trace the request and must call RecordUntraced
-// when the request ends.
+// Reserve reserves size bytes for the trace of a new request. If necessary, it evicts candidates,
+// that is, ordinary traces that are held until the end of their sampling window. If Reserve
+// returns false, the caller must not trace the request and must call RecordUntraced when the
+// request ends.
 func (s *Sampler) Reserve(size int) bool {
 	for s.reservedBytes+s.candidateBytes+size > s.maxBytes {
 		if !s.evictCandidate() {
@@ -114,8 +118,9 @@
 	return true
 }
 
-// evictCandidate drops the candidate whose order is the highest among the candidates of all classes.
-// It reports false if there is no candidate.
+// evictCandidate drops the candidate whose order is the highest among the candidates of all
+// classes. A candidate is an ordinary trace that is held until the end of its sampling window.
+// evictCandidate reports false if there is no candidate.
 func (s *Sampler) evictCandidate() bool {
 	var highest *classWindow // the window whose top candidate has the highest order
 	for _, window := range s.windows {
@@ -196,8 +201,8 @@
 }
 
 // addCandidate adds an ordinary trace with an order below the threshold to the candidates of its
-// window. It then drops candidates until their number and the memory in use are within the
-// limits.
+// window. It then drops candidates until the window has at most maxCandidates candidates and the
+// memory in use is within the memory budget.
 //
 // Known fault: if new settings change the rate of a class to 0 while its window has candidates,
 // the threshold becomes 0 and these candidates are sampled with an infinite weight.
--- a/internal/trace/sampling/window.go
+++ b/internal/trace/sampling/window.go
@@ -9,10 +9,10 @@
 
 // The ordinary traces of a class are sampled together in windows of equal length. The length is
 // minWindowLength if the class's rate yields at least minTracesPerWindow traces in that time.
-// Otherwise the window is longer, up to maxWindowLength. With fewer sampled traces per window,
-// weights are still correct on average, but their variance is unbounded. BenchmarkSampler
-// reports the memory that a sampler holds, and TestSampledWeightsAreUnbiased limits the error of
-// the weights.
+// Otherwise the window is longer, up to maxWindowLength. With fewer sampled traces per window than
+// minTracesPerWindow, weights are still correct on average, but their variance is unbounded.
+// BenchmarkSampler reports the memory that a sampler holds, and TestSampledWeightsAreUnbiased
+// limits the error of the weights.
 const (
 	minWindowLength    = 1000.0   // ms
 	maxWindowLength    = 60_000.0 // ms
--- a/internal/trace/serverspans/buffer.go
+++ b/internal/trace/serverspans/buffer.go
@@ -25,13 +25,14 @@
 
 // Counts holds the numbers of partial traces that a Buffer has released since it was created.
 type Counts struct {
-	Retained       int64 // retained by a decision
+	Retained       int64 // retained by a decision of the router
 	RetainedFailed int64 // retained without a decision, because the server's own part of the request failed
 	Discarded      int64 // discarded at the timeout
 	Evicted        int64 // evicted to meet the memory limit; includes failed partial traces, which are retained
 }
 
-// Buffer holds partial traces until a decision or a timeout. It is not safe for concurrent use.
+// Buffer holds partial traces until the router's decision to retain their trace arrives, or until
+// a timeout. It is not safe for concurrent use.
 type Buffer struct {
 	Counts Counts
 
--- a/internal/trace/serverspans/buffer_test.go
+++ b/internal/trace/serverspans/buffer_test.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// A decision to retain a trace also retains a fill that the trace joined. The fill belongs to
-// another trace, for which no decision arrived. Each of the two partial traces is returned only
-// once.
+// The router's decision to retain a trace also retains a fill that the trace joined. The fill
+// belongs to another trace, for which no decision arrived. Each of the two partial traces is
+// returned only once.
 func TestDecisionRetainsJoinedFill(t *testing.T) {
 	buffer := New(decisionTimeout, 1<<20)
 	filling := serverTrace(1, 10, 11)
--- a/internal/trace/span.go
+++ b/internal/trace/span.go
@@ -51,7 +51,7 @@
 	AttemptNumber   uint8            // index of the attempt within the request, from zero
 	Result          uint8            // depends on Kind: a routing.Result, an Outcome or a routing.CacheStatus
 	Flags           uint8            // flags of an Attempt span, for example FlagJoinFill
-	CopyRank        uint8            // rank of the copy that the server was asked to retain
+	CopyRank        uint8            // routing.SendAttempt.CopyRank: 1 to 3 for the copy that the server was asked to keep, higher for a popular object; 0: keep no copy
 	Start, End      float64          // Unix ms
 	Server          routing.ServerID // server of an Attempt, Connect or ServerWork span
 	FillSource      routing.ServerID // server from which Server fills its cache; equal to Server if there is no fill
