--- a/cmd/fleetlab/handover_kinds.go
+++ b/cmd/fleetlab/handover_kinds.go
@@ -20,7 +20,7 @@
 
 // errNotHolder means that a router no longer held the lease when a run asked it to transfer the
 // lease.
-var errNotHolder = errors.New("router no longer holds the lease")
+var errNotHolder = errors.New("lease transfer rejected: the router no longer holds the lease")
 
 // handoverKind is a way to make a router lose its lease.
 type handoverKind struct {
--- a/cmd/garnetline/fleet_leases.go
+++ b/cmd/garnetline/fleet_leases.go
@@ -20,7 +20,7 @@
 )
 
 // errVoterWithoutDir is returned for a voter that has no directory for its write-ahead log.
-var errVoterWithoutDir = errors.New("folder: an elector requires a directory that outlives the process, got none")
+var errVoterWithoutDir = errors.New("folder: expected a directory that outlives the process, because the list electors names this router, got none")
 
 // startLeases creates the lease manager and the services that the operators' file enables.
 // fleetServices.Run starts them.
--- a/cmd/garnetline/listener.go
+++ b/cmd/garnetline/listener.go
@@ -24,7 +24,7 @@
 	defer file.Close() //nolint:errcheck // the listener uses a duplicate of the descriptor
 	listener, err := net.FileListener(file)
 	if err != nil {
-		return nil, fmt.Errorf("EDGE_LISTEN_FD: %w", err)
+		return nil, fmt.Errorf("EDGE_LISTEN_FD: descriptor %d: %w", config.ListenFD, err)
 	}
 	return listener, nil
 }
--- a/cmd/garnetline/trace_command.go
+++ b/cmd/garnetline/trace_command.go
@@ -107,7 +107,7 @@
 func showTrace(command *cli.Command, out io.Writer) error {
 	id, ok := trace.ParseID(command.Args().First())
 	if !ok {
-		return errors.New("trace show: ID: expected 32 hex digits")
+		return fmt.Errorf("trace show: ID: expected 32 lower-case hex digits that are not all 0, got %q", command.Args().First())
 	}
 	pieces, err := findTrace(command, id)
 	if err != nil {
@@ -188,7 +188,7 @@
 			return nil, err
 		}
 		if operators.Trace.Dir == "" {
-			return nil, errors.New("trace: expected --folder, or --settings with a trace block that names a folder")
+			return nil, errors.New("trace: expected --folder, or --settings with a trace block that names a folder, got neither")
 		}
 		folders = []string{operators.Trace.Dir}
 	}
@@ -334,7 +334,7 @@
 	if text := command.String("id"); text != "" {
 		id, ok := trace.ParseID(text)
 		if !ok {
-			return nil, nil, errors.New("--id: expected 32 hex digits")
+			return nil, nil, fmt.Errorf("--id: expected 32 lower-case hex digits that are not all 0, got %q", text)
 		}
 		found, err := findTrace(command, id)
 		return []trace.ID{id}, map[trace.ID][]*trace.Trace{id: found}, err
--- a/internal/bodies/budget.go
+++ b/internal/bodies/budget.go
@@ -1,7 +1,6 @@
 package bodies
 
 import (
-	"errors"
 	"fmt"
 	"math"
 )
@@ -60,7 +59,7 @@
 		guaranteed += class.GuaranteedFraction
 	}
 	if guaranteed > 1+fractionRounding {
-		return errors.New("guarantee: expected the guarantees of all classes to add up to at most 1")
+		return fmt.Errorf("guarantee: expected the guarantees of all classes to add up to at most 1, got %v", guaranteed)
 	}
 	return nil
 }
@@ -71,11 +70,11 @@
 	validGuarantee := c.GuaranteedFraction >= 0 && c.GuaranteedFraction <= 1
 	switch {
 	case !validSizes:
-		return errors.New("memory, disk, most: expected memory and disk from 0 to most")
+		return fmt.Errorf("memory, disk, most: expected memory and disk from 0 to most, got memory %d, disk %d and most %d", c.MaxMemoryBytes, c.MaxDiskBytes, c.MaxBytes)
 	case !validWeight:
-		return errors.New("worth: expected a finite number above 0")
+		return fmt.Errorf("worth: expected a finite number above 0, got %v", c.PriorityWeight)
 	case !validGuarantee:
-		return errors.New("guarantee: expected a number from 0 to 1")
+		return fmt.Errorf("guarantee: expected a number from 0 to 1, got %v", c.GuaranteedFraction)
 	}
 	return nil
 }
--- a/internal/bodies/budget_test.go
+++ b/internal/bodies/budget_test.go
@@ -13,14 +13,14 @@
 		classes []Class
 		want    string
 	}{
-		{"size", []Class{{Name: "a", PriorityWeight: 1, MaxMemoryBytes: 9}}, `bodies: class "a": memory, disk, most: expected memory and disk from 0 to most`},
-		{"no weight", []Class{{Name: "a"}}, `bodies: class "a": worth: expected a finite number above 0`},
-		{"infinite weight", []Class{{Name: "a", PriorityWeight: math.Inf(1)}}, `bodies: class "a": worth: expected a finite number above 0`},
-		{"guarantee", []Class{{Name: "a", PriorityWeight: 1, GuaranteedFraction: math.NaN()}}, `bodies: class "a": guarantee: expected a number from 0 to 1`},
+		{"size", []Class{{Name: "a", PriorityWeight: 1, MaxMemoryBytes: 9}}, `bodies: class "a": memory, disk, most: expected memory and disk from 0 to most, got memory 9, disk 0 and most 0`},
+		{"no weight", []Class{{Name: "a"}}, `bodies: class "a": worth: expected a finite number above 0, got 0`},
+		{"infinite weight", []Class{{Name: "a", PriorityWeight: math.Inf(1)}}, `bodies: class "a": worth: expected a finite number above 0, got +Inf`},
+		{"guarantee", []Class{{Name: "a", PriorityWeight: 1, GuaranteedFraction: math.NaN()}}, `bodies: class "a": guarantee: expected a number from 0 to 1, got NaN`},
 		{"guarantees together", []Class{
 			{Name: "a", PriorityWeight: 1, GuaranteedFraction: 0.6},
 			{Name: "b", PriorityWeight: 1, GuaranteedFraction: 0.6},
-		}, "bodies: guarantee: expected the guarantees of all classes to add up to at most 1"},
+		}, "bodies: guarantee: expected the guarantees of all classes to add up to at most 1, got 1.2"},
 		{"name twice", []Class{{Name: "a", PriorityWeight: 1}, {Name: "a", PriorityWeight: 1}}, `bodies: classes[1]: expected a unique and non-empty name, got "a"`},
 	}
 	for _, test := range tests {
--- a/internal/discovery/disabled.go
+++ b/internal/discovery/disabled.go
@@ -10,8 +10,9 @@
 	"garnetline/routing"
 )
 
-// ErrUnknownServer is returned for a server that is neither listed nor disabled.
-var ErrUnknownServer = errors.New("unknown cache")
+// ErrUnknownServer is returned for a server that is neither in the endpoint list nor disabled
+// by an operator.
+var ErrUnknownServer = errors.New("unknown cache: it is neither in the endpoint list nor disabled by an operator")
 
 // disableRequest asks the goroutine of Run to disable or enable a server.
 type disableRequest struct {
--- a/internal/fleet/consensus/wal/wal.go
+++ b/internal/fleet/consensus/wal/wal.go
@@ -9,6 +9,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"io/fs"
 
 	"go.etcd.io/raft/v3/raftpb"
@@ -25,7 +26,7 @@
 )
 
 // ErrFailed reports a write to a log that failed earlier or was closed.
-var ErrFailed = errors.New("wal: log failed earlier or was closed, no further writes are accepted")
+var ErrFailed = errors.New("wal: the log accepts no more writes because an earlier write failed or the log was closed")
 
 // Log is the log of one voter. It is not safe for concurrent use.
 type Log struct {
@@ -142,7 +143,7 @@
 	n, err := l.file.Write(b)
 	l.size += int64(n)
 	if err == nil && n < len(b) {
-		err = errShortWrite
+		err = fmt.Errorf("%w: expected %d bytes to be written, got %d", errShortWrite, len(b), n)
 	}
 	return err
 }
--- a/internal/fleet/leasemanager/manager.go
+++ b/internal/fleet/leasemanager/manager.go
@@ -11,6 +11,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"math/rand/v2"
 	"slices"
 	"sync/atomic"
@@ -269,19 +270,19 @@
 
 // Transfer transfers a lease that this router holds to the router named targetName. If
 // targetName is empty, the first-ranked other candidate gets the lease. Transfer returns
-// ErrNotHeld, ErrNoSuchRouter or the error of ctx.
+// the error of ctx or an error that wraps ErrNotHeld or ErrNoSuchRouter.
 func (m *Manager) Transfer(ctx context.Context, leaseName, targetName string) error {
 	result := make(chan error, 1)
 	transfer := func(now float64) {
 		if _, held := m.holder.Valid(now, leaseName); !held {
-			result <- ErrNotHeld
+			result <- fmt.Errorf("lease %q: %w", leaseName, ErrNotHeld)
 			return
 		}
 		target := membership.ID(0)
 		if targetName != "" {
 			target = m.memberID(targetName)
 			if target == 0 || target == m.self {
-				result <- ErrNoSuchRouter
+				result <- fmt.Errorf("router %q: %w", targetName, ErrNoSuchRouter)
 				return
 			}
 		}
--- a/internal/fleet/loadreport/poll.go
+++ b/internal/fleet/loadreport/poll.go
@@ -22,7 +22,7 @@
 
 // errLeaseLost is the error of a poll that was not written because this router no longer holds
 // the lease.
-var errLeaseLost = errors.New("the lease was lost before the poll was written")
+var errLeaseLost = errors.New("load report: this router lost the lease before it wrote the poll to the server")
 
 // polledServer is a server that is polled. The poll that is under way owns conn and sequence; the
 // Collector's mu guards the other fields.
--- a/internal/fleet/packetcrypto/keyring.go
+++ b/internal/fleet/packetcrypto/keyring.go
@@ -23,8 +23,8 @@
 // Errors of Keyring.Open: the reasons why a packet is rejected.
 var (
 	ErrForeignPacket   = errors.New("not a fleet packet: expected a header with the magic bytes \"gf\", a nonce and a ciphertext")
-	ErrVersionMismatch = errors.New("fleet packet has another protocol version than this router")
-	ErrFleetMismatch   = errors.New("fleet packet belongs to another fleet than this router")
+	ErrVersionMismatch = errors.New("protocol version of the fleet packet differs from that of this router")
+	ErrFleetMismatch   = errors.New("fleet packet belongs to a different fleet than this router")
 	ErrNoMatchingKey   = errors.New("fleet packet cannot be decrypted: it was modified, or encrypted with a key that this router does not have")
 )
 
--- a/internal/fleet/transport/transport.go
+++ b/internal/fleet/transport/transport.go
@@ -264,7 +264,7 @@
 	}
 	out := t.node.Leave(now)
 	t.sendPackets(now, out.Packets)
-	t.options.Log.Info().Msg("left the fleet")
+	t.options.Log.Info().Uint64("incarnation", t.incarnation).Msg("this router left the fleet")
 }
 
 // logEvent logs and counts a change of the view.
--- a/internal/frontend/dnsfront/config.go
+++ b/internal/frontend/dnsfront/config.go
@@ -79,7 +79,7 @@
 	timeoutInRange := c.TimeoutMs >= 1 && c.TimeoutMs <= timeoutLimitMs // false for NaN
 	switch {
 	case !timeoutInRange:
-		return fielderror.Errorf("patience_ms", "got %v ms, expected from 1 to %d ms", c.TimeoutMs, timeoutLimitMs)
+		return fielderror.Errorf("patience_ms", "expected a time from 1 to %[2]d ms, got %[1]v", c.TimeoutMs, timeoutLimitMs)
 	case c.MaxInflight < 1 || c.MaxInflight > inflightLimit:
 		return fielderror.Errorf("max_inflight", "expected an integer from 1 to %d, got %d", inflightLimit, c.MaxInflight)
 	case c.MaxConnections < 1 || c.MaxConnections > connectionsLimit:
--- a/internal/operatorconfig/leases.go
+++ b/internal/operatorconfig/leases.go
@@ -110,7 +110,7 @@
 	case !l.Enabled:
 		return nil
 	case !fleetEnabled:
-		return fielderror.Errorf("enabled", "expected the fleet block to be enabled too")
+		return fielderror.Errorf("enabled", "the duties block is enabled, but the fleet block that it needs is missing or not enabled")
 	case len(l.Voters) != minVoters && len(l.Voters) != maxVoters:
 		return fielderror.Errorf("electors", "expected %d or %d names, got %d", minVoters, maxVoters, len(l.Voters))
 	case !inRange(l.ElectionTimeout, minElectionTimeout, maxElectionTimeout):
--- a/internal/operatorconfig/reload.go
+++ b/internal/operatorconfig/reload.go
@@ -9,7 +9,7 @@
 
 // errRestartOnly is the cause of a CheckReload error for a block in which no field can change
 // while the program runs.
-var errRestartOnly = errors.New("only a restart can change this block")
+var errRestartOnly = errors.New("a field of this block has changed, which needs a restart")
 
 // CheckReload returns a ConfigError for the first block in which c and updated differ in a field
 // that cannot change while the program runs.
@@ -33,7 +33,7 @@
 func (t *Trace) checkReload(updated *Trace) error {
 	if t.Enabled != updated.Enabled || t.Dir != updated.Dir || t.Secret != updated.Secret ||
 		t.PropagateToServers != updated.PropagateToServers || !sameCollector(t.Collector, updated.Collector) {
-		return errors.New("only a restart can change enabled, folder, secret, peers and collector")
+		return errors.New("only a restart can change enabled, folder, secret, peers and collector, and at least one of these fields has changed")
 	}
 	return nil
 }
@@ -53,7 +53,7 @@
 	current.Keys, replacement.Keys = nil, nil
 	current.Join, replacement.Join = nil, nil
 	if !reflect.DeepEqual(current, replacement) {
-		return errors.New("only a restart can change fields other than keys and join")
+		return errors.New("fields other than keys and join have changed, which needs a restart")
 	}
 	return nil
 }
--- a/internal/operatorconfig/trace.go
+++ b/internal/operatorconfig/trace.go
@@ -96,8 +96,8 @@
 		seen[class.Name] = true
 		rateOK := class.OrdinaryPerSecond == nil || inRange(*class.OrdinaryPerSecond, 0, maxOrdinaryPerSecond)
 		if !rateOK || !inRange(class.SlowThreshold, 0, maxSlowThreshold) {
-			return fielderror.LabeledErrorf("class", class.Name, "expected ordinary_per_s from 0 to %.0f and wanted_ms from 0 to %.0f, got wanted_ms = %v",
-				maxOrdinaryPerSecond, maxSlowThreshold, class.SlowThreshold)
+			return fielderror.LabeledErrorf("class", class.Name, "expected ordinary_per_s from 0 to %.0f and wanted_ms from 0 to %.0f, got wanted_ms = %v and ordinary_per_s in range = %t",
+				maxOrdinaryPerSecond, maxSlowThreshold, class.SlowThreshold, rateOK)
 		}
 	}
 	return nil
--- a/internal/platformconfig/config.go
+++ b/internal/platformconfig/config.go
@@ -72,7 +72,7 @@
 		path = env(envConfig)
 	}
 	if path == "" {
-		return nil, &FieldError{Field: envConfig, Err: errors.New("not set, and no --config given")}
+		return nil, &FieldError{Field: envConfig, Err: errors.New("expected a file in EDGE_CONFIG or --config, got none")}
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -101,7 +101,7 @@
 		{"settings.classes", slices.EqualFunc(current.Classes, replacement.Classes, sameSemantics)},
 	} {
 		if !fixed.same {
-			return &FieldError{Field: fixed.field, Err: errors.New("only a restart can change this field")}
+			return &FieldError{Field: fixed.field, Err: errors.New("the value has changed, which needs a restart")}
 		}
 	}
 	return nil
--- a/internal/platformconfig/document.go
+++ b/internal/platformconfig/document.go
@@ -50,7 +50,7 @@
 		return nil, err
 	}
 	if config.Seed, err = strconv.ParseUint(doc.Seed, 16, 64); err != nil {
-		return nil, fielderror.Errorf("seed", "%q does not consist of 1 to 16 hexadecimal digits", doc.Seed)
+		return nil, fielderror.Errorf("seed", "expected 1 to 16 hexadecimal digits, got %q", doc.Seed)
 	}
 	if err := doc.Limits.validate(); err != nil {
 		return nil, err
--- a/internal/platformconfig/events.go
+++ b/internal/platformconfig/events.go
@@ -131,11 +131,11 @@
 	}
 	zone := indexOf(c.Zones, doc.Site)
 	if zone < 0 {
-		return endpoint, fielderror.Errorf(path+".site", "unknown value %q, expected one of settings.areas", doc.Site)
+		return endpoint, fielderror.Errorf(path+".site", "unknown value %q, expected one of settings.areas %q", doc.Site, c.Zones)
 	}
 	kind := indexOf(c.Kinds, doc.Class)
 	if kind < 0 {
-		return endpoint, fielderror.Errorf(path+".class", "unknown value %q, expected one of settings.machine_types", doc.Class)
+		return endpoint, fielderror.Errorf(path+".class", "unknown value %q, expected one of settings.machine_types %q", doc.Class, c.Kinds)
 	}
 	phase, ok := phasesByHealth[doc.Health]
 	if !ok {
@@ -163,7 +163,7 @@
 	}
 	object, err := strconv.ParseUint(doc.Object, 16, 64)
 	if err != nil || len(doc.Object) != objectIDLength {
-		return nil, fielderror.Errorf(path+".object", "%q does not consist of %d hexadecimal digits", doc.Object, objectIDLength)
+		return nil, fielderror.Errorf(path+".object", "expected %d hexadecimal digits, got %q", objectIDLength, doc.Object)
 	}
 	return &Purge{Object: routing.ObjectID(object), At: doc.Time}, nil
 }
--- a/internal/platformconfig/settings.go
+++ b/internal/platformconfig/settings.go
@@ -29,7 +29,7 @@
 // package simproto.
 func (c *Config) parseSettings(raw json.RawMessage) error {
 	if len(raw) == 0 {
-		return &FieldError{Field: "settings", Err: errors.New("missing")}
+		return &FieldError{Field: "settings", Err: errors.New("expected an object with the settings, got none")}
 	}
 	values, err := flattenSettings(raw)
 	if err != nil {
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -108,7 +108,7 @@
 		return io.EOF
 	}
 	r.line++
-	return r.errorf("input ends in the middle of a line")
+	return r.errorf("input ends in the middle of a line, after %.40q", text)
 }
 
 // readMessage parses the current line as the message with the given name. It appends the message to
@@ -169,7 +169,7 @@
 			return err
 		}
 		if name != messageServer {
-			return r.errorf("expected ITEM for each of %d servers, got %q", count, name)
+			return r.errorf("expected %d ITEM lines, got %d followed by %q (an empty line or the end of the input if \"\")", count, len(servers), name)
 		}
 		server, err := r.fields.server()
 		if err != nil {
--- a/internal/testcluster/admin.go
+++ b/internal/testcluster/admin.go
@@ -18,7 +18,7 @@
 const adminTimeout = 2 * time.Second
 
 // errTruncatedResponse reports a response without a status line or without a complete header.
-var errTruncatedResponse = errors.New("expected an HTTP/1.1 status line and a complete header, got a truncated response")
+var errTruncatedResponse = errors.New("truncated or malformed admin API response: expected an HTTP/1.1 status line and a complete header")
 
 // statusError reports an admin API response with a status other than 200.
 type statusError struct {
@@ -86,7 +86,7 @@
 func parseResponse(response []byte) (code int, body []byte, err error) {
 	head, body, whole := bytes.Cut(response, []byte("\r\n\r\n"))
 	if _, err := fmt.Sscanf(string(head), "HTTP/1.1 %d", &code); err != nil || !whole {
-		return 0, nil, errTruncatedResponse
+		return 0, nil, fmt.Errorf("%w, got %.40q", errTruncatedResponse, response)
 	}
 	return code, body, nil
 }
--- a/internal/testcluster/load.go
+++ b/internal/testcluster/load.go
@@ -145,7 +145,7 @@
 }
 
 // errNoAnswer reports a connection that ended before the first byte of an answer.
-var errNoAnswer = errors.New("connection ended without an answer")
+var errNoAnswer = errors.New("connection ended before the first byte of an answer")
 
 // readAnswer reads one answer including its body, and returns its status.
 func readAnswer(reader *textproto.Reader) (status int, err error) {
--- a/internal/trace/codec.go
+++ b/internal/trace/codec.go
@@ -112,7 +112,7 @@
 	}
 	t.Links = fields.readLinks()
 	if fields.failed || len(fields.remaining) > 0 {
-		return nil, fmt.Errorf("%w: a link is incomplete or has an invalid ID, or the record has more than %d links", ErrCorruptRecord, maxSpans)
+		return nil, fmt.Errorf("%w: a link in a record of %d bytes is incomplete or has an invalid ID, or the record has more than %d links", ErrCorruptRecord, len(record), maxSpans)
 	}
 	return t, nil
 }
--- a/internal/trace/export/call.go
+++ b/internal/trace/export/call.go
@@ -30,7 +30,7 @@
 	"\r\n"
 
 // errPermanent is wrapped by the error of a failed call if another call with the same batch
-// would fail too.
+// would also fail.
 var errPermanent = errors.New("permanent failure to export a batch of traces")
 
 // send sends a batch in one call. If the call fails, retryAfter is the time in ms that the
--- a/internal/trace/export/export.go
+++ b/internal/trace/export/export.go
@@ -40,7 +40,7 @@
 )
 
 // ErrInvalidURL is returned by New if the collector's URL is not an http URL with a host.
-var ErrInvalidURL = errors.New("not an http URL with a host")
+var ErrInvalidURL = errors.New("export: expected an http URL with a host for the collector")
 
 // Options configure an Exporter.
 type Options struct {
@@ -89,7 +89,7 @@
 func parseCollectorURL(text string) (*url.URL, error) {
 	collector, err := url.Parse(text)
 	if err != nil || collector.Scheme != "http" || collector.Host == "" {
-		return nil, fmt.Errorf("collector URL %q is %w", text, ErrInvalidURL)
+		return nil, fmt.Errorf("%w, got %q", ErrInvalidURL, text)
 	}
 	if collector.Port() == "" {
 		collector.Host += defaultPort
--- a/internal/trace/store/block.go
+++ b/internal/trace/store/block.go
@@ -185,7 +185,7 @@
 func decompress(body []byte) ([]byte, error) {
 	size, err := s2.DecodedLen(body)
 	if err != nil || size > maxBodySize {
-		return nil, fmt.Errorf("%w: uncompressed size of a block body is unreadable or above the maximum of %d bytes, got size %d", ErrCorruptBlock, maxBodySize, size)
+		return nil, fmt.Errorf("%w: expected an uncompressed size of at most %d bytes at the start of a block body of %d bytes, got size %d (0 if the size is unreadable)", ErrCorruptBlock, maxBodySize, len(body), size)
 	}
 	records, err := s2.Decode(nil, body)
 	if err != nil {
--- a/internal/trace/store/header.go
+++ b/internal/trace/store/header.go
@@ -127,7 +127,7 @@
 // parseHeader parses the stored form of a header. All errors wrap ErrCorruptBlock.
 func parseHeader(encoded []byte) (blockHeader, error) {
 	if len(encoded) < headerFixedSize {
-		return blockHeader{}, errCorruptHeader()
+		return blockHeader{}, errCorruptHeader(len(encoded))
 	}
 	header := parseFixedFields(encoded)
 	lists := headerLists{remaining: encoded[headerFixedSize:]}
@@ -135,13 +135,13 @@
 	header.servers = lists.readServers()
 	header.fingerprints = lists.readFingerprints(header.traceCount)
 	if lists.failed {
-		return blockHeader{}, errCorruptHeader()
+		return blockHeader{}, errCorruptHeader(len(encoded))
 	}
 	return header, nil
 }
 
-func errCorruptHeader() error {
-	return fmt.Errorf("%w: block header is truncated or contains an invalid list", ErrCorruptBlock)
+func errCorruptHeader(size int) error {
+	return fmt.Errorf("%w: block header of %d bytes is truncated or contains an invalid list", ErrCorruptBlock, size)
 }
 
 func parseFixedFields(encoded []byte) blockHeader {
--- a/plugin/asyncapi.go
+++ b/plugin/asyncapi.go
@@ -153,7 +153,7 @@
 		return "", false, nil
 	}
 	if value.Kind != yaml.ScalarNode || value.Tag != "!!str" {
-		return "", true, fmt.Errorf("%s.%s: line %d: expected a string, got a value of another type", o.location, name, value.Line)
+		return "", true, fmt.Errorf("%s.%s: line %d: expected a string, got a value with YAML tag %q", o.location, name, value.Line, value.Tag)
 	}
 	return scalarText(value), true, nil
 }
--- a/plugin/classes.go
+++ b/plugin/classes.go
@@ -57,7 +57,7 @@
 func (t *classTable) checkOperations(operations Operations) error {
 	for id, operation := range operations {
 		if _, ok := t.index[classKey{operation.Class, operation.Effect}]; !ok {
-			return fmt.Errorf("plugin: Operations[%q]: expected the Name of a class in Options.Classes, got class %q", id, operation.Class)
+			return fmt.Errorf("plugin: Operations[%q]: expected the Name of a class in Options.Classes and a valid Effect, got class %q and Effect %d", id, operation.Class, operation.Effect)
 		}
 	}
 	return nil
--- a/plugin/compatibility_test.go
+++ b/plugin/compatibility_test.go
@@ -33,9 +33,9 @@
 		{"class without a name", plugin.Options{Classes: []plugin.Class{{Aim: 1, Deadline: 1}}}, "plugin: Classes[0]: expected a non-empty Name, a positive LatencyObjective and a positive Deadline, got Name \"\", LatencyObjective 1ns and Deadline 1ns"},
 		{"second class without an objective", plugin.Options{Classes: []plugin.Class{valid, {Name: "form", Deadline: 1}}}, "plugin: Classes[1]: expected a non-empty Name, a positive LatencyObjective and a positive Deadline, got Name \"form\", LatencyObjective 0s and Deadline 1ns"},
 		{"class without a deadline", plugin.Options{Classes: []plugin.Class{{Name: "part", Aim: 1}}}, "plugin: Classes[0]: expected a non-empty Name, a positive LatencyObjective and a positive Deadline, got Name \"part\", LatencyObjective 1ns and Deadline 0s"},
-		{"class of an operation", plugin.Options{Classes: []plugin.Class{valid}, Operations: plugin.Operations{"Get": {ID: "Get", Class: "form"}}}, `plugin: Operations["Get"]: expected the Name of a class in Options.Classes, got class "form"`},
-		{"negative interval", plugin.Options{Classes: []plugin.Class{valid}, Refresh: -1}, "plugin: Options: expected RefreshInterval and MaxAttempts of at least 0 (0 selects the default), got a negative value"},
-		{"negative attempts", plugin.Options{Classes: []plugin.Class{valid}, Attempts: -1}, "plugin: Options: expected RefreshInterval and MaxAttempts of at least 0 (0 selects the default), got a negative value"},
+		{"class of an operation", plugin.Options{Classes: []plugin.Class{valid}, Operations: plugin.Operations{"Get": {ID: "Get", Class: "form"}}}, `plugin: Operations["Get"]: expected the Name of a class in Options.Classes and a valid Effect, got class "form" and Effect 0`},
+		{"negative interval", plugin.Options{Classes: []plugin.Class{valid}, Refresh: -1}, "plugin: Options: expected RefreshInterval and MaxAttempts of at least 0 (0 selects the default), got RefreshInterval -1ns and MaxAttempts 4"},
+		{"negative attempts", plugin.Options{Classes: []plugin.Class{valid}, Attempts: -1}, "plugin: Options: expected RefreshInterval and MaxAttempts of at least 0 (0 selects the default), got RefreshInterval 500ms and MaxAttempts -1"},
 		{"trace directory", plugin.Options{Classes: []plugin.Class{valid}, Trace: &plugin.Trace{Folder: notDirectory}}, "plugin: Trace: open trace store: mkdir FILE: not a directory"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -64,9 +64,9 @@
 		want string
 	}{
 		{"no id", plugin.OpenAPI, openAPI("tags: [part], "), "openapi: paths./a.get: operationId is missing or empty"},
-		{"no class", plugin.OpenAPI, openAPI("operationId: Get, tags: [part, form], "), "openapi: paths./a.get: no class: expected the extension x-garnetline-class or exactly one tag"},
+		{"no class", plugin.OpenAPI, openAPI("operationId: Get, tags: [part, form], "), "openapi: paths./a.get: no class: expected a non-empty extension x-garnetline-class or, without it, exactly one tag"},
 		{"unknown class", plugin.OpenAPI, openAPI("operationId: Get, tags: [other], "), `openapi: paths./a.get: unknown class "other": expected one of part, form`},
-		{"class of another type", plugin.OpenAPI, openAPI("operationId: Get, x-garnetline-class: 7, "), "openapi: paths./a.get.x-garnetline-class: expected a string, got a value of another type"},
+		{"class of another type", plugin.OpenAPI, openAPI("operationId: Get, x-garnetline-class: 7, "), "openapi: paths./a.get.x-garnetline-class: expected a string, got 7 of type float64"},
 		{"unknown effect", plugin.OpenAPI, openAPI("operationId: Get, tags: [part], x-garnetline-effect: maybe, "), `openapi: paths./a.get.x-garnetline-effect: expected "safe", "keyed" or "unsafe", got "maybe"`},
 		{"malformed method", plugin.OpenAPI, openAPI("operationId: Get, tags: [part], x-garnetline-rpc: Get, "), `openapi: paths./a.get.x-garnetline-rpc: expected the form /package.Service/Method, got "Get"`},
 		{"two of one id", plugin.AsyncAPI, "asyncapi: 2.6.0\nchannels:\n  a: {publish: {operationId: Get, tags: [{name: part}]}}\n" +
@@ -74,7 +74,7 @@
 		{"not a document", plugin.AsyncAPI, "[]", "asyncapi: expected a mapping at the top level of the document, got an empty document or a value of another type"},
 		{"version", plugin.AsyncAPI, "asyncapi: 1.2.0", `asyncapi: field asyncapi: expected version 2.x or 3.x, got "1.2.0"`},
 		{"action", plugin.AsyncAPI, asyncAPI("action: wait"), `asyncapi: operations.get.action: expected "send" or "receive", got "wait"`},
-		{"class of another type, AsyncAPI", plugin.AsyncAPI, asyncAPI("action: receive, x-garnetline-class: 7"), "asyncapi: operations.get.x-garnetline-class: line 3: expected a string, got a value of another type"},
+		{"class of another type, AsyncAPI", plugin.AsyncAPI, asyncAPI("action: receive, x-garnetline-class: 7"), `asyncapi: operations.get.x-garnetline-class: line 3: expected a string, got a value with YAML tag "!!int"`},
 		{"reference to another document", plugin.AsyncAPI, asyncAPI(`action: send, messages: {$ref: other.yaml}`), `asyncapi: operations.get.messages: line 3: expected a $ref within the document, starting with "#/", got "other.yaml"`},
 		{"reference to nothing", plugin.AsyncAPI, asyncAPI(`action: send, messages: {$ref: "#/a~1b"}`), `asyncapi: operations.get.messages: line 3: target of $ref "#/a~1b" not found in the document`},
 		{"reference to itself", plugin.AsyncAPI, asyncAPI(`action: send, messages: {$ref: "#/operations/get/messages"}`), "asyncapi: operations.get.messages: chain of $ref references is circular or has 16 or more references"},
--- a/plugin/openapi.go
+++ b/plugin/openapi.go
@@ -56,7 +56,7 @@
 		value, found := described.Extensions[name]
 		text, isText := value.(string)
 		if found && !isText {
-			return "", true, fmt.Errorf("%s.%s: expected a string, got a value of another type", location, name)
+			return "", true, fmt.Errorf("%s.%s: expected a string, got %v of type %T", location, name, value, value)
 		}
 		return text, found, nil
 	}
--- a/plugin/operations.go
+++ b/plugin/operations.go
@@ -104,7 +104,7 @@
 	case duplicate:
 		return fmt.Errorf("%s: duplicate operationId %q: another operation already has it", location, operation.ID)
 	case operation.Class == "":
-		return fmt.Errorf("%s: no class: expected the extension %s or exactly one tag", location, classExtension)
+		return fmt.Errorf("%s: no class: expected a non-empty extension %s or, without it, exactly one tag", location, classExtension)
 	case !slices.Contains(classes, operation.Class):
 		return fmt.Errorf("%s: unknown class %q: expected one of %s", location, operation.Class, strings.Join(classes, ", "))
 	}
--- a/plugin/plugin.go
+++ b/plugin/plugin.go
@@ -15,7 +15,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"math/rand/v2"
 	"sync"
@@ -57,7 +56,7 @@
 func newPlugin(options Options, clk clock.Clock) (*Plugin, error) {
 	options = options.withDefaults()
 	if options.RefreshInterval < 0 || options.MaxAttempts < 0 {
-		return nil, errors.New("plugin: Options: expected RefreshInterval and MaxAttempts of at least 0 (0 selects the default), got a negative value")
+		return nil, fmt.Errorf("plugin: Options: expected RefreshInterval and MaxAttempts of at least 0 (0 selects the default), got RefreshInterval %v and MaxAttempts %d", options.RefreshInterval, options.MaxAttempts)
 	}
 	classes, err := newClassTable(options.Classes)
 	if err != nil {
