--- a/internal/ci/logtexts_test.go
+++ b/internal/ci/logtexts_test.go
@@ -79,12 +79,17 @@
 // produces reports whether a string literal gives a documented text. The literal may be the text
 // itself or a format string.
 func produces(literal, documented string) bool {
-	pattern := "^" + formatVerb.ReplaceAllString(regexp.QuoteMeta(literal), ".+") + "$"
 	if beginning, isCut := strings.CutSuffix(documented, cutOffMark); isCut {
 		return strings.HasPrefix(literal, beginning)
 	}
-	return literal == documented || formatVerb.MatchString(literal) && strings.HasPrefix(literal, errorTextPrefix) &&
-		regexp.MustCompile(pattern).MatchString(documented)
+	if literal == documented {
+		return true
+	}
+	if !strings.HasPrefix(literal, errorTextPrefix) || !formatVerb.MatchString(literal) {
+		return false
+	}
+	pattern := "^" + formatVerb.ReplaceAllString(regexp.QuoteMeta(literal), ".+") + "$"
+	return regexp.MustCompile(pattern).MatchString(documented)
 }
 
 // The program contains every log and error text that the on-call page tells operators to look for.
--- a/internal/discovery/frame.go
+++ b/internal/discovery/frame.go
@@ -120,7 +120,7 @@
 // parseRecords decodes the records of an endpoint list.
 func parseRecords(payload []byte, zones, kinds int) ([]platformconfig.Endpoint, error) {
 	if len(payload)%recordSize != 0 {
-		return nil, fmt.Errorf("%w: expected a list of server records of 27 bytes each, got %d bytes in total", ErrMalformedFrame, len(payload))
+		return nil, fmt.Errorf("%w: expected a list of server records of %d bytes each, got %d bytes in total", ErrMalformedFrame, recordSize, len(payload))
 	}
 	var endpoints []platformconfig.Endpoint
 	for ; len(payload) > 0; payload = payload[recordSize:] {
@@ -161,7 +161,7 @@
 // uses the id 0 for "no object", and frontends do not accept requests for it.
 func parseObjectPurge(payload []byte) (*platformconfig.Purge, error) {
 	if len(payload) != objectPurgeSize {
-		return nil, fmt.Errorf("%w: expected 16 bytes for an object purge, got %d", ErrMalformedFrame, len(payload))
+		return nil, fmt.Errorf("%w: expected %d bytes for an object purge, got %d", ErrMalformedFrame, objectPurgeSize, len(payload))
 	}
 	object := binary.BigEndian.Uint64(payload)
 	if object == 0 {
@@ -174,7 +174,7 @@
 // parseGroupPurge decodes the purge of a group of objects.
 func parseGroupPurge(payload []byte) (*platformconfig.Purge, error) {
 	if len(payload) != groupPurgeSize {
-		return nil, fmt.Errorf("%w: expected 10 bytes for a group purge, got %d", ErrMalformedFrame, len(payload))
+		return nil, fmt.Errorf("%w: expected %d bytes for a group purge, got %d", ErrMalformedFrame, groupPurgeSize, len(payload))
 	}
 	group := binary.BigEndian.Uint16(payload)
 	purgedAt := binary.BigEndian.Uint64(payload[2:])
